--- a/cmd/micactl/commands.go
+++ b/cmd/micactl/commands.go
@@ -9,9 +9,9 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/micaplank/micaplank/internal/api"
-	"github.com/micaplank/micaplank/internal/language"
-	"github.com/micaplank/micaplank/internal/operator"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 // defaultWatchInterval is the time between two states of watch.
--- a/cmd/micactl/completion.go
+++ b/cmd/micactl/completion.go
@@ -8,8 +8,8 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/micaplank/micaplank/internal/language"
-	"github.com/micaplank/micaplank/internal/operator"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 // completionCommand writes a completion script. The one of the flag library
--- a/cmd/micactl/explain.go
+++ b/cmd/micactl/explain.go
@@ -9,7 +9,7 @@
 	"github.com/integrii/flaggy"
 
 	"github.com/micaplank/micaplank/internal/explain"
-	"github.com/micaplank/micaplank/internal/operator"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 // explainCommand tells the story of a request from logs; it asks no node.
--- a/cmd/micactl/losses.go
+++ b/cmd/micactl/losses.go
@@ -6,7 +6,7 @@
 	"github.com/integrii/flaggy"
 
 	"github.com/micaplank/micaplank/internal/losses"
-	"github.com/micaplank/micaplank/internal/operator"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 // lossesCommand adds up from logs what requests lost; it asks no node.
--- a/cmd/micactl/main.go
+++ b/cmd/micactl/main.go
@@ -15,7 +15,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/micaplank/micaplank/internal/operator"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 	"github.com/micaplank/micaplank/internal/version"
 )
 
--- a/cmd/micactl/rollouts.go
+++ b/cmd/micactl/rollouts.go
@@ -7,7 +7,7 @@
 	"github.com/integrii/flaggy"
 
 	"github.com/micaplank/micaplank/internal/explain"
-	"github.com/micaplank/micaplank/internal/operator"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 // rolloutsCommand tells the history of roll-outs from logs; it asks no node.
--- a/cmd/micaplank/main.go
+++ b/cmd/micaplank/main.go
@@ -15,7 +15,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/micaplank/micaplank/internal/node"
+	"github.com/micaplank/micaplank/internal/selfhosted/node"
 	"github.com/micaplank/micaplank/internal/settings"
 	"github.com/micaplank/micaplank/internal/telemetry"
 	"github.com/micaplank/micaplank/internal/version"
--- a/internal/catalog/apply_test.go
+++ b/internal/catalog/apply_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/combine/benchmark_test.go
+++ b/internal/edge/combine/benchmark_test.go
@@ -12,9 +12,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
-	"github.com/micaplank/micaplank/internal/forward"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/peer"
-	"github.com/micaplank/micaplank/internal/records"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
--- a/internal/combine/client.go
+++ b/internal/edge/combine/client.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/forward"
 	"github.com/micaplank/micaplank/internal/leaf"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
--- a/internal/combine/combine_test.go
+++ b/internal/edge/combine/combine_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/forward"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/leaf"
 	"github.com/micaplank/micaplank/internal/peer"
-	"github.com/micaplank/micaplank/internal/records"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
--- a/internal/combine/message.go
+++ b/internal/edge/combine/message.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/forward"
+	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
--- a/internal/combine/server.go
+++ b/internal/edge/combine/server.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/forward"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/leaf"
 	"github.com/micaplank/micaplank/internal/peer"
-	"github.com/micaplank/micaplank/internal/records"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
--- a/internal/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -8,8 +8,8 @@
 
 	"github.com/micaplank/micaplank/internal/decide/coverage"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/records"
-	"github.com/micaplank/micaplank/internal/route"
+	"github.com/micaplank/micaplank/internal/edge/records"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
--- a/internal/forward/floor.go
+++ b/internal/edge/forward/floor.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"sync"
 
-	"github.com/micaplank/micaplank/internal/records"
+	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
--- a/internal/forward/forward.go
+++ b/internal/edge/forward/forward.go
@@ -17,8 +17,8 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/registry"
-	"github.com/micaplank/micaplank/internal/route"
+	"github.com/micaplank/micaplank/internal/edge/registry"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
--- a/internal/forward/gate.go
+++ b/internal/edge/forward/gate.go
@@ -7,7 +7,7 @@
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
-	"github.com/micaplank/micaplank/internal/route"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
--- a/internal/forward/greatest_test.go
+++ b/internal/edge/forward/greatest_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/records"
+	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
--- a/internal/frontend/cold.go
+++ b/internal/edge/node/cold.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/relay"
+	"github.com/micaplank/micaplank/internal/edge/relay"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/roster"
-	"github.com/micaplank/micaplank/internal/route"
 )
 
 const (
@@ -58,7 +58,7 @@
 // shareCold says how many attempts this node may send to each cold leaf whose
 // service bounds them. No node asks another for that: all compute the same shares
 // from the nodes that are announced. The caller holds the mutex.
-func (f *Frontend) shareCold(topology *dispatch.Topology, roles relay.Roles, members []roster.Member) {
+func (f *Node) shareCold(topology *dispatch.Topology, roles relay.Roles, members []roster.Member) {
 	now := f.clock.Now()
 	for index := range topology.Leaves {
 		one := &topology.Leaves[index]
--- a/internal/frontend/cold_test.go
+++ b/internal/edge/node/cold_test.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/micaplank/micaplank/internal/relay"
+	"github.com/micaplank/micaplank/internal/edge/relay"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/roster"
-	"github.com/micaplank/micaplank/internal/route"
 )
 
 // fleet returns nodes of which the first are large.
--- a/internal/frontend/collector.go
+++ b/internal/edge/node/collector.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
@@ -9,7 +9,7 @@
 // collector shows, when the metrics are read, what the Dispatcher knows: it is
 // pure and keeps its own counts.
 type collector struct {
-	frontend *Frontend
+	node     *Node
 	attempts *prometheus.Desc
 	won      *prometheus.Desc
 	queries  *prometheus.Desc
@@ -20,9 +20,9 @@
 
 var _ telemetry.TypedCollector = (*collector)(nil)
 
-func newCollector(frontend *Frontend) *collector {
+func newCollector(of *Node) *collector {
 	return &collector{
-		frontend: frontend,
+		node: of,
 		attempts: prometheus.NewDesc("micaplank_frontend_attempts_total",
 			"Attempts sent to leaves, by cause: needed, resend (the former did not execute), or extra, which the budget pays for: hedge, probe, retry or restart.",
 			[]string{"cause"}, nil),
@@ -60,19 +60,19 @@
 
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
-	counters := c.frontend.conn.Counters()
+	counters := c.node.conn.Counters()
 	for _, sent := range counters.ByCause() {
 		metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(sent.Count), string(sent.Cause))
 	}
-	load := c.frontend.conn.Load()
+	load := c.node.conn.Load()
 	gauge := func(of *prometheus.Desc, value float64) {
 		metrics <- prometheus.MustNewConstMetric(of, prometheus.GaugeValue, value)
 	}
 	metrics <- prometheus.MustNewConstMetric(c.won, prometheus.CounterValue, float64(counters.HedgesWon))
-	gauge(c.queries, float64(c.frontend.conn.InFlight()))
+	gauge(c.queries, float64(c.node.conn.InFlight()))
 	gauge(c.waiting, float64(load.Waiting))
 	gauge(c.budget, load.Budget)
-	gauge(c.age, c.frontend.shared.Age().Seconds())
+	gauge(c.age, c.node.shared.Age().Seconds())
 }
 
 // maxRouteLabels bounds the routes that have a label of their own.
--- a/internal/frontend/connections.go
+++ b/internal/edge/node/connections.go
@@ -1,14 +1,14 @@
-package frontend
+package node
 
 import (
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/subset"
+	"github.com/micaplank/micaplank/internal/edge/subset"
 )
 
 // shareLeaves returns how many connections this node may keep to each leaf, and
 // marks as standby those to which it keeps none while others of their service
 // have some.
-func (f *Frontend) shareLeaves(topology *dispatch.Topology, divided share) []LeafShare {
+func (f *Node) shareLeaves(topology *dispatch.Topology, divided share) []LeafShare {
 	taken := f.connectionsTaken()
 	shares := make([]LeafShare, len(topology.Leaves))
 	for service, indexes := range f.byService(topology) {
@@ -27,7 +27,7 @@
 }
 
 // byService groups the leaves of the topology, by their index in it.
-func (f *Frontend) byService(topology *dispatch.Topology) map[string][]int {
+func (f *Node) byService(topology *dispatch.Topology) map[string][]int {
 	groups := make(map[string][]int)
 	for index := range topology.Leaves {
 		service := f.index.Name(topology.Leaves[index].Holdings[0].Shards[0])
@@ -38,7 +38,7 @@
 
 // connectionsKept returns how many connections this node keeps to each leaf of
 // a service. Leaves that drain get none, and the others take over their share.
-func (f *Frontend) connectionsKept(topology *dispatch.Topology, service string, indexes []int, taken int, divided share) []int {
+func (f *Node) connectionsKept(topology *dispatch.Topology, service string, indexes []int, taken int, divided share) []int {
 	kept := make([]int, len(indexes))
 	var positions []int
 	var replicas []subset.Replica
@@ -65,7 +65,7 @@
 
 // connectionsTaken returns how many connections a leaf of each service takes,
 // as far as the configuration tells.
-func (f *Frontend) connectionsTaken() map[string]int {
+func (f *Node) connectionsTaken() map[string]int {
 	taken := make(map[string]int)
 	if table := f.forwarder.Table(); table != nil {
 		for _, declared := range table.Config.Services {
--- a/internal/frontend/connections_test.go
+++ b/internal/edge/node/connections_test.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"net/netip"
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/forward"
-	"github.com/micaplank/micaplank/internal/lease"
-	"github.com/micaplank/micaplank/internal/mirror"
-	"github.com/micaplank/micaplank/internal/registry"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/lease"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
+	"github.com/micaplank/micaplank/internal/edge/registry"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/roster"
-	"github.com/micaplank/micaplank/internal/route"
 	"github.com/micaplank/micaplank/internal/scatter"
 	"github.com/micaplank/micaplank/internal/settings"
 	"github.com/micaplank/micaplank/internal/telemetry"
@@ -26,9 +26,9 @@
 	return nil, fmt.Errorf("nothing is sent")
 }
 
-// newFrontend returns a node that has started nothing, with leaves of some
+// newTestNode returns a node that has started nothing, with leaves of some
 // services and the shares that it hands out.
-func newFrontend(t *testing.T, services []route.Service, leaves []registry.Leaf) (*Frontend, func() map[string]int) {
+func newTestNode(t *testing.T, services []route.Service, leaves []registry.Leaf) (*Node, func() map[string]int) {
 	t.Helper()
 	configured := settings.Example()
 	configured.Name, configured.Zone = "node-0", "a"
@@ -66,14 +66,14 @@
 }
 
 // announceNodes announces this node and others like it.
-func (f *Frontend) announceNodes(count int) {
+func (f *Node) announceNodes(count int) {
 	for index := range count {
 		member := roster.Member{Name: fmt.Sprint("node-", index), Zone: string(rune('a' + index%3)), Cores: f.member.Cores}
 		f.nodes.Add(0, member.Name, member)
 	}
 }
 
-func (f *Frontend) standby() map[string]bool {
+func (f *Node) standby() map[string]bool {
 	marked := make(map[string]bool)
 	topology := f.leaves.Topology()
 	f.shareLeaves(&topology, shareOf(f.fleet.Assign(f.member, f.nodes.Members(0)), f.nodes.Members(0), f.nodes.Count(0)))
@@ -85,7 +85,7 @@
 
 // TestFewNodesKeepConnectionsToAllLeaves has plenty for each.
 func TestFewNodesKeepConnectionsToAllLeaves(t *testing.T) {
-	f, publish := newFrontend(t, []route.Service{{Name: "s", MaxConns: 54}}, threeLeaves("s"))
+	f, publish := newTestNode(t, []route.Service{{Name: "s", MaxConns: 54}}, threeLeaves("s"))
 	f.announceNodes(12)
 	for id, kept := range publish() {
 		if kept != f.settings.Leaf.ConnectionsPerLeaf || f.standby()[id] {
@@ -98,7 +98,7 @@
 // that drains counts for none of this.
 func TestManyNodesKeepConnectionsToSomeLeaves(t *testing.T) {
 	leaves := threeLeaves("s")
-	f, publish := newFrontend(t, []route.Service{{Name: "s", MaxConns: 54}}, leaves)
+	f, publish := newTestNode(t, []route.Service{{Name: "s", MaxConns: 54}}, leaves)
 	f.announceNodes(80)
 	kept := publish()
 	some := 0
@@ -123,7 +123,7 @@
 
 // TestUnknownNumberOfConnections keeps what the settings say.
 func TestUnknownNumberOfConnections(t *testing.T) {
-	f, publish := newFrontend(t, nil, threeLeaves("s"))
+	f, publish := newTestNode(t, nil, threeLeaves("s"))
 	f.announceNodes(500)
 	for id, kept := range publish() {
 		if kept != f.settings.Leaf.ConnectionsPerLeaf {
--- a/internal/frontend/executor.go
+++ b/internal/edge/node/executor.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -6,16 +6,16 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/micaplank/micaplank/internal/combine"
+	"github.com/micaplank/micaplank/internal/edge/combine"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/relay"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/forward"
 	"github.com/micaplank/micaplank/internal/peer"
-	"github.com/micaplank/micaplank/internal/relay"
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
 // executor runs requests of other nodes.
-type executor struct{ *Frontend }
+type executor struct{ *Node }
 
 // queriesPerCore bounds the queries that run here for others to take more: they
 // take memory while they wait for leaves.
@@ -30,7 +30,7 @@
 }
 
 // ran books the attempts of a request that took some time.
-func (f *Frontend) ran(answer forward.Answer, took time.Duration) {
+func (f *Node) ran(answer forward.Answer, took time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.load.Add(f.clock.Now(), answer.Total)
@@ -48,12 +48,12 @@
 }
 
 // terms are those of a request that is taken now.
-func (f *Frontend) terms() relay.Terms {
+func (f *Node) terms() relay.Terms {
 	return relay.Terms{Version: f.forwarder.Version(), Fresh: f.forwarder.Fresh(), Cordoned: f.cordoned()}
 }
 
 // cordoned returns the zones that are out of service, by name.
-func (f *Frontend) cordoned() []string {
+func (f *Node) cordoned() []string {
 	if known := f.outOfService.Load(); known != nil {
 		return *known
 	}
@@ -74,7 +74,7 @@
 }
 
 // listenPeers opens the address for other nodes; nil without one.
-func (f *Frontend) listenPeers() (*peer.Server, error) {
+func (f *Node) listenPeers() (*peer.Server, error) {
 	if !f.settings.Listen.Peer.IsValid() {
 		return nil, nil
 	}
@@ -104,7 +104,7 @@
 }
 
 // self is what a node tells the others.
-func (f *Frontend) self() roster.Member {
+func (f *Node) self() roster.Member {
 	return roster.Member{
 		Name: f.settings.Name, Zone: f.settings.Zone, Peer: f.settings.Listen.Peer,
 		Cores: f.settings.Process.Cores * f.settings.Process.CoreShare,
@@ -112,7 +112,7 @@
 }
 
 // announced returns the key and the value that announce this incarnation.
-func (f *Frontend) announced() (key string, value []byte) {
+func (f *Node) announced() (key string, value []byte) {
 	value, err := f.member.Encode()
 	if err != nil {
 		event.Log(f.logger, event.NodeNotAnnounced{Error: err})
--- a/internal/frontend/follow.go
+++ b/internal/edge/node/follow.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"bytes"
@@ -6,15 +6,15 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
+	"github.com/micaplank/micaplank/internal/edge/registry"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/mirror"
-	"github.com/micaplank/micaplank/internal/registry"
 	"github.com/micaplank/micaplank/internal/roster"
-	"github.com/micaplank/micaplank/internal/route"
 )
 
 // storeSink takes in what the store holds.
-type storeSink struct{ *Frontend }
+type storeSink struct{ *Node }
 
 // Replace implements mirror.Sink. The leaves come into use before the configuration
 // that may name them: else its requests would be refused for want of leaves.
@@ -315,14 +315,14 @@
 
 // publish drops the leaves whose doubt has ended, and hands the others to the
 // Dispatcher.
-func (f *Frontend) publish() {
+func (f *Node) publish() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.publishLocked()
 }
 
 // publishLocked is publish under the mutex.
-func (f *Frontend) publishLocked() {
+func (f *Node) publishLocked() {
 	_, next := f.leaves.Expire(f.clock.Now())
 	if next > 0 {
 		f.expiry.Reset(max(next-f.clock.Now(), 0))
--- a/internal/frontend/follow_test.go
+++ b/internal/edge/node/follow_test.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
 	"github.com/micaplank/micaplank/internal/decide/rollout"
-	"github.com/micaplank/micaplank/internal/forward"
-	"github.com/micaplank/micaplank/internal/mirror"
-	"github.com/micaplank/micaplank/internal/registry"
-	"github.com/micaplank/micaplank/internal/route"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
+	"github.com/micaplank/micaplank/internal/edge/registry"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
 	"github.com/micaplank/micaplank/internal/settings"
 	"github.com/micaplank/micaplank/internal/telemetry"
@@ -89,7 +89,7 @@
 // store at which a line is logged: a node that says it is ready knows the leaves
 // of the configuration in force, and refuses nothing for want of them.
 func TestNodeIsReadyOnlyWithLeaves(t *testing.T) {
-	var f *Frontend
+	var f *Node
 	asking, served, published := false, 0, 0
 	logger := slog.New(onLine{call: func() {
 		if asking || !f.ready() {
--- a/internal/frontend/frontend.go
+++ b/internal/edge/node/node.go
@@ -1,10 +1,10 @@
-// Package frontend wires a node that forwards opaque requests by a declared
+// Package node wires a node that forwards opaque requests by a declared
 // configuration: it follows the configuration and the leaves in a store, runs
 // requests through one Dispatcher, and serves callers, questions for readiness
 // and metrics.
 //
 // It knows no names of a platform. Those come in through Ports.
-package frontend
+package node
 
 import (
 	"context"
@@ -17,22 +17,22 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
-	"github.com/micaplank/micaplank/internal/combine"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/forward"
-	"github.com/micaplank/micaplank/internal/mirror"
+	"github.com/micaplank/micaplank/internal/edge/combine"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
+	"github.com/micaplank/micaplank/internal/edge/registry"
+	"github.com/micaplank/micaplank/internal/edge/relay"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/peer"
-	"github.com/micaplank/micaplank/internal/registry"
-	"github.com/micaplank/micaplank/internal/relay"
 	"github.com/micaplank/micaplank/internal/roster"
-	"github.com/micaplank/micaplank/internal/route"
 	"github.com/micaplank/micaplank/internal/scatter"
 	"github.com/micaplank/micaplank/internal/settings"
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// Frontend is one node. Make it with New and start it with Run.
-type Frontend struct {
+// Node is one node. Make it with New and start it with Run.
+type Node struct {
 	settings settings.Settings
 	ports    Ports
 	logger   *slog.Logger
@@ -72,9 +72,9 @@
 	gate      *quarantined
 }
 
-// New returns a Frontend that has not started anything.
-func New(configured settings.Settings, ports Ports, registry *telemetry.Registry, logger *slog.Logger) *Frontend {
-	f := &Frontend{
+// New returns a Node that has not started anything.
+func New(configured settings.Settings, ports Ports, registry *telemetry.Registry, logger *slog.Logger) *Node {
+	f := &Node{
 		settings:  configured,
 		ports:     ports,
 		logger:    logger,
@@ -88,7 +88,7 @@
 	return f
 }
 
-func (f *Frontend) build(registerer prometheus.Registerer) {
+func (f *Node) build(registerer prometheus.Registerer) {
 	f.index = registry.NewIndex()
 	f.leaves = registry.NewTable(registry.Config{
 		Doubt:    f.settings.Forward.LeafDoubt.Duration(),
@@ -119,7 +119,7 @@
 }
 
 // Execute implements Service.
-func (f *Frontend) Execute(ctx context.Context, request *forward.Request) forward.Answer {
+func (f *Node) Execute(ctx context.Context, request *forward.Request) forward.Answer {
 	started := f.clock.Now()
 	answer := f.execute(ctx, request)
 	f.metrics.observe(answer, f.clock.Now()-started)
@@ -132,7 +132,7 @@
 const relayGrace = 100 * time.Millisecond
 
 // execute hands a request of many shards to an executor, or runs it here.
-func (f *Frontend) execute(ctx context.Context, request *forward.Request) forward.Answer {
+func (f *Node) execute(ctx context.Context, request *forward.Request) forward.Answer {
 	if timeout, spread := f.forwarder.Spread(request); spread && f.relay.InUse() {
 		if answer, done := f.handOn(ctx, timeout, request); done {
 			return answer
@@ -145,17 +145,17 @@
 }
 
 // handOn offers a request to executors. It returns false if none takes it.
-func (f *Frontend) handOn(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
+func (f *Node) handOn(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
 	relaying, cancel := context.WithTimeout(ctx, timeout+relayGrace)
 	defer cancel()
 	return f.relay.Execute(relaying, f.terms(), request)
 }
 
 // Now implements Service.
-func (f *Frontend) Now() time.Duration { return f.clock.Now() }
+func (f *Node) Now() time.Duration { return f.clock.Now() }
 
 // Limits implements Service.
-func (f *Frontend) Limits() route.Limits {
+func (f *Node) Limits() route.Limits {
 	table := f.forwarder.Table()
 	if table == nil {
 		return route.Limits{}
@@ -164,10 +164,10 @@
 }
 
 // Draining implements Service.
-func (f *Frontend) Draining() bool { return f.draining.Load() }
+func (f *Node) Draining() bool { return f.draining.Load() }
 
 // ready reports whether the node takes work.
-func (f *Frontend) ready() bool {
+func (f *Node) ready() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return !f.draining.Load() && f.leavesKnown && f.forwarder.Table() != nil
--- a/internal/frontend/frontend_test.go
+++ b/internal/edge/node/node_test.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/forward"
-	"github.com/micaplank/micaplank/internal/relay"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/relay"
+	"github.com/micaplank/micaplank/internal/edge/subset"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/scatter"
 	"github.com/micaplank/micaplank/internal/settings"
-	"github.com/micaplank/micaplank/internal/subset"
 )
 
 // TestBudgetSharesStayWithinTheSlack adds up what all nodes may save.
--- a/internal/frontend/policy.go
+++ b/internal/edge/node/policy.go
@@ -1,13 +1,13 @@
-package frontend
+package node
 
 import (
 	"time"
 
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/forward"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/subset"
 	"github.com/micaplank/micaplank/internal/settings"
-	"github.com/micaplank/micaplank/internal/subset"
 )
 
 // nodesMemory is how long a node that is no longer announced still counts: two
--- a/internal/frontend/ports.go
+++ b/internal/edge/node/ports.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
 	"github.com/micaplank/micaplank/internal/decide/rollout"
-	"github.com/micaplank/micaplank/internal/forward"
-	"github.com/micaplank/micaplank/internal/lease"
-	"github.com/micaplank/micaplank/internal/mirror"
-	"github.com/micaplank/micaplank/internal/registry"
-	"github.com/micaplank/micaplank/internal/route"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/lease"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
+	"github.com/micaplank/micaplank/internal/edge/registry"
+	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
@@ -86,7 +86,7 @@
 	WriteQuarantine(ctx context.Context, change quarantine.Change, under uint64) (quarantine.Known, error)
 }
 
-// Ports are the ways to the outside that a Frontend uses.
+// Ports are the ways to the outside that a Node uses.
 type Ports struct {
 	Store  mirror.Store
 	Leases lease.Store
--- a/internal/frontend/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
-	"github.com/micaplank/micaplank/internal/forward"
-	"github.com/micaplank/micaplank/internal/lease"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/lease"
 )
 
 const (
@@ -30,7 +30,7 @@
 // quarantined is what a node does about requests under which leaves end. It
 // implements forward.Gate and is safe for concurrent use.
 type quarantined struct {
-	*Frontend
+	*Node
 	enabled bool
 	lease   *lease.Shared
 	counts  *quarantineMetrics
@@ -49,19 +49,19 @@
 
 var _ forward.Gate = (*quarantined)(nil)
 
-func newQuarantined(f *Frontend, registerer prometheus.Registerer) *quarantined {
+func newQuarantined(f *Node, registerer prometheus.Registerer) *quarantined {
 	config := quarantine.DefaultConfig(f.member.Name + "/" + ulid.Make().String())
 	config.MinEnded = f.settings.Forward.QuarantineAfter
 	config.HoldTime = quarantineTTL / 2
 	return &quarantined{
-		Frontend: f,
-		enabled:  config.MinEnded > 0 && f.ports.Quarantine != nil,
-		lease:    lease.NewShared(f.ports.Quarantine, quarantineTTL, f.clock.Now),
-		counts:   newQuarantineMetrics(registerer),
-		wake:     make(chan struct{}, 1),
-		table:    quarantine.NewTable(config),
-		changed:  make(chan struct{}),
-		recent:   quarantine.NewRecent(),
+		Node:    f,
+		enabled: config.MinEnded > 0 && f.ports.Quarantine != nil,
+		lease:   lease.NewShared(f.ports.Quarantine, quarantineTTL, f.clock.Now),
+		counts:  newQuarantineMetrics(registerer),
+		wake:    make(chan struct{}, 1),
+		table:   quarantine.NewTable(config),
+		changed: make(chan struct{}),
+		recent:  quarantine.NewRecent(),
 	}
 }
 
--- a/internal/frontend/quarantine_ends.go
+++ b/internal/edge/node/quarantine_ends.go
@@ -1,12 +1,12 @@
-package frontend
+package node
 
 import (
 	"slices"
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
+	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/forward"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
--- a/internal/frontend/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
+	"github.com/micaplank/micaplank/internal/edge/lease"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/lease"
 )
 
 // write makes one change, and takes in what the store has then. If it was not done,
--- a/internal/frontend/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"math/rand/v2"
@@ -11,17 +11,17 @@
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/rollout"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/registry"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/forward"
-	"github.com/micaplank/micaplank/internal/registry"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
 // rollouts is what a node does for roll-outs. Its fields are guarded by the mutex
-// of the Frontend, unless they say otherwise; its methods say if they take it.
+// of the Node, unless they say otherwise; its methods say if they take it.
 type rollouts struct {
-	*Frontend
+	*Node
 	enabled bool
 	bounds  rollout.Bounds
 	// incarnation names this process in reports.
@@ -53,12 +53,12 @@
 	burst bool
 }
 
-func newRollouts(f *Frontend, registerer prometheus.Registerer) *rollouts {
+func newRollouts(f *Node, registerer prometheus.Registerer) *rollouts {
 	bounds := rollout.Bounds{Ratio: f.settings.Forward.CanaryRatio, Slack: f.settings.Forward.CanarySlack}
 	book := rollout.NewBook()
 	incarnation := f.member.Name + "/" + ulid.Make().String()
 	return &rollouts{
-		Frontend:    f,
+		Node:        f,
 		enabled:     bounds != rollout.Bounds{} && f.ports.Rollouts != nil,
 		bounds:      bounds,
 		incarnation: incarnation,
--- a/internal/frontend/rollout_driver.go
+++ b/internal/edge/node/rollout_driver.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
--- a/internal/frontend/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -1,11 +1,11 @@
-package frontend
+package node
 
 import (
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/rollout"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/mirror"
 )
 
 // found is what a reading of the store holds of roll-outs.
--- a/internal/frontend/run.go
+++ b/internal/edge/node/run.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"cmp"
@@ -14,9 +14,9 @@
 	"github.com/labstack/echo/v4"
 	"github.com/samber/oops"
 
+	"github.com/micaplank/micaplank/internal/edge/lease"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/lease"
-	"github.com/micaplank/micaplank/internal/mirror"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/settings"
 )
@@ -40,7 +40,7 @@
 
 // Run serves until ctx ends, and then stops as planned: it is not ready at
 // once, goes on to serve for the drain delay, and finishes what is in flight.
-func (f *Frontend) Run(ctx context.Context) error {
+func (f *Node) Run(ctx context.Context) error {
 	servers, err := f.listen()
 	if err != nil {
 		return err
@@ -82,14 +82,14 @@
 const wakeInterval = 100 * time.Millisecond
 
 // woke follows a suspension: what has expired meanwhile ends now.
-func (f *Frontend) woke(suspended time.Duration) {
+func (f *Node) woke(suspended time.Duration) {
 	f.metrics.suspended.Add(suspended.Seconds())
 	event.Log(f.logger, event.Woke{Suspended: suspended})
 	f.conn.Wake()
 	f.publish()
 }
 
-func (f *Frontend) mirror() *mirror.Mirror {
+func (f *Node) mirror() *mirror.Mirror {
 	f.shared.SetPlanner(f.ports.Decoder.NodePrefix(), f.planStart)
 	return mirror.New(mirror.Config{
 		Prefix:     f.ports.Decoder.Prefix(),
@@ -103,7 +103,7 @@
 // ends. It begins once the store was read: an announcement of a former process on
 // this machine is kept alive in place of a new one, which spares calls to the
 // store and news to all nodes when many processes start again.
-func (f *Frontend) announce(ctx context.Context) {
+func (f *Node) announce(ctx context.Context) {
 	select {
 	case <-f.firstRead:
 	case <-ctx.Done():
@@ -117,7 +117,7 @@
 }
 
 // listen opens all addresses, or none.
-func (f *Frontend) listen() ([]*callerServer, error) {
+func (f *Node) listen() ([]*callerServer, error) {
 	handlers := []struct {
 		address netip.AddrPort
 		handler http.Handler
@@ -145,7 +145,7 @@
 
 // callerTimes returns the times that the configuration in force allows to
 // callers, or those of the settings where it names none.
-func (f *Frontend) callerTimes() callerTimes {
+func (f *Node) callerTimes() callerTimes {
 	limits := f.Limits()
 	return callerTimes{
 		header: cmp.Or(limits.HeaderTimeout, headerTimeout),
@@ -153,7 +153,7 @@
 	}
 }
 
-func (f *Frontend) readyHandler() http.Handler {
+func (f *Node) readyHandler() http.Handler {
 	router := echo.New()
 	router.GET(f.ports.ReadyPath, func(c echo.Context) error {
 		if f.ready() {
@@ -164,14 +164,14 @@
 	return router
 }
 
-func (f *Frontend) metricsHandler() http.Handler {
+func (f *Node) metricsHandler() http.Handler {
 	router := echo.New()
 	router.GET("/metrics", echo.WrapHandler(f.registry.Handler()))
 	return router
 }
 
 // closeAll ends what has served nothing.
-func (f *Frontend) closeAll(servers []*callerServer) error {
+func (f *Node) closeAll(servers []*callerServer) error {
 	var errs []error
 	for _, one := range servers {
 		errs = append(errs, one.Shutdown(context.Background()))
@@ -181,7 +181,7 @@
 
 // drain ends what callers use, then the question for readiness, and last what
 // other nodes use.
-func (f *Frontend) drain(servers []*callerServer, peers *peer.Server) error {
+func (f *Node) drain(servers []*callerServer, peers *peer.Server) error {
 	f.draining.Store(true)
 	event.Log(f.logger, event.Draining{InFlight: f.conn.InFlight()})
 	time.Sleep(f.settings.Forward.DrainDelay.Duration())
@@ -199,7 +199,7 @@
 
 // Reload is told of the settings as they are now. All of them take a restart
 // to change; the log says whether one is due.
-func (f *Frontend) Reload(current settings.Settings) {
+func (f *Node) Reload(current settings.Settings) {
 	event.Log(f.logger, event.SettingsRead{Changed: !reflect.DeepEqual(current, f.settings)})
 }
 
--- a/internal/frontend/share.go
+++ b/internal/edge/node/share.go
@@ -1,14 +1,14 @@
-package frontend
+package node
 
 import (
 	"slices"
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/hedge"
-	"github.com/micaplank/micaplank/internal/relay"
+	"github.com/micaplank/micaplank/internal/edge/relay"
+	"github.com/micaplank/micaplank/internal/edge/subset"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/settings"
-	"github.com/micaplank/micaplank/internal/subset"
 )
 
 // share is the part of what all nodes have together that this node and others
@@ -67,7 +67,7 @@
 
 // budgets returns the bounds of the extra load that this node may cause at each shard
 // of the Dispatcher, by what the configuration in force says of its service.
-func (f *Frontend) budgets(roles relay.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
+func (f *Node) budgets(roles relay.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
 	shards := make(map[int]bool, len(f.shards))
 	for service := range f.shards {
 		shards[f.index.Of(service)] = true
--- a/internal/frontend/slack_test.go
+++ b/internal/edge/node/slack_test.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/hedge"
+	"github.com/micaplank/micaplank/internal/edge/registry"
+	"github.com/micaplank/micaplank/internal/edge/relay"
 	"github.com/micaplank/micaplank/internal/leaf"
-	"github.com/micaplank/micaplank/internal/registry"
-	"github.com/micaplank/micaplank/internal/relay"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/settings"
 )
--- a/internal/frontend/telemetry.go
+++ b/internal/edge/node/telemetry.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/event"
-	"github.com/micaplank/micaplank/internal/forward"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// metrics are those of a Frontend.
+// metrics are those of a Node.
 type metrics struct {
 	outcomes        *prometheus.CounterVec
 	requests        *prometheus.HistogramVec
@@ -78,7 +78,7 @@
 
 // logAnswer writes the line on a request. From is the node that took it from
 // its client.
-func (f *Frontend) logAnswer(request *forward.Request, answer forward.Answer, took time.Duration, from string) {
+func (f *Node) logAnswer(request *forward.Request, answer forward.Answer, took time.Duration, from string) {
 	level := levelOf(answer)
 	if !f.logger.Enabled(context.Background(), level) {
 		return
--- a/internal/frontend/watch.go
+++ b/internal/edge/node/watch.go
@@ -1,4 +1,4 @@
-package frontend
+package node
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/mirror"
+	"github.com/micaplank/micaplank/internal/edge/mirror"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
 )
@@ -59,7 +59,7 @@
 }
 
 // serveWatches answers the questions of other nodes.
-func (f *Frontend) serveWatches(server *peer.Server) {
+func (f *Node) serveWatches(server *peer.Server) {
 	peer.Register(server, methodWatch, func(ctx context.Context, _ netip.AddrPort, request *watchRequest) (*mirror.Watched, error) {
 		answer, err := f.shared.Serve(ctx, request.After, request.Wait)
 		return &answer, err
@@ -89,7 +89,7 @@
 // come first by a hash of their names read the store, and the others copy them.
 // Where nobody is announced, or the store does not tell, the seeds of the settings
 // stand in.
-func (f *Frontend) planStart(items []mirror.Item) mirror.Plan {
+func (f *Node) planStart(items []mirror.Item) mirror.Plan {
 	members := f.announcedMembers(items)
 	seeds := f.settings.Peers.Seeds
 	switch {
@@ -106,7 +106,7 @@
 }
 
 // announcedMembers reads the nodes that are announced.
-func (f *Frontend) announcedMembers(items []mirror.Item) []roster.Member {
+func (f *Node) announcedMembers(items []mirror.Item) []roster.Member {
 	known := roster.New(nodesMemory, 0)
 	for _, item := range items {
 		if member, counts := (storeSink{f}).member(item); counts {
@@ -118,14 +118,14 @@
 
 // planBy plans a start with the nodes at some addresses as sources, each node in
 // an order of its own.
-func (f *Frontend) planBy(sources []netip.AddrPort) mirror.Plan {
+func (f *Node) planBy(sources []netip.AddrPort) mirror.Plan {
 	others := slices.DeleteFunc(slices.Clone(sources), func(one netip.AddrPort) bool { return one == f.member.Peer })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	return mirror.Plan{Source: len(others) < len(sources), Others: others}
 }
 
 // setWatchers tells the source who watches the store.
-func (f *Frontend) setWatchers(members []roster.Member) {
+func (f *Node) setWatchers(members []roster.Member) {
 	watching := false
 	var others []netip.AddrPort
 	for _, watcher := range roster.Preferred(f.member, roster.Watchers(members, f.settings.Peers.Seeds...)) {
--- a/internal/relay/executor.go
+++ b/internal/edge/relay/executor.go
@@ -4,7 +4,7 @@
 	"context"
 	"net/netip"
 
-	"github.com/micaplank/micaplank/internal/forward"
+	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/peer"
 )
 
--- a/internal/relay/message.go
+++ b/internal/edge/relay/message.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/forward"
+	"github.com/micaplank/micaplank/internal/edge/forward"
 )
 
 // The methods of the calls between nodes.
--- a/internal/rehearsal/cluster/cluster.go
+++ b/internal/rehearsal/cluster/cluster.go
@@ -16,7 +16,7 @@
 	"github.com/samber/oops"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
--- a/internal/rehearsal/cluster/demo.go
+++ b/internal/rehearsal/cluster/demo.go
@@ -11,9 +11,9 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // maximumRowsShown bounds the rows that the demo prints of one answer.
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -12,9 +12,9 @@
 
 	"github.com/samber/oops"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/rehearsal/leaf"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // Executions returns what the leaves executed of a request; all requests if the
--- a/internal/rehearsal/history/changes.go
+++ b/internal/rehearsal/history/changes.go
@@ -8,8 +8,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // logModel is the log of changes as a sequential object: its state is the
--- a/internal/rehearsal/history/history_test.go
+++ b/internal/rehearsal/history/history_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/rehearsal/leaf"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 const testService = "filing-vault"
--- a/internal/rehearsal/history/recorder.go
+++ b/internal/rehearsal/history/recorder.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // notRunPrefix is common to all problem types that promise that a request ran
--- a/internal/rehearsal/leaf/shard_table.go
+++ b/internal/rehearsal/leaf/shard_table.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"sync"
 
-	"github.com/micaplank/micaplank/internal/language"
-	"github.com/micaplank/micaplank/internal/merge"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/merge"
 )
 
 // rememberedResults bounds the results that a shard's table remembers.
--- a/internal/rehearsal/leaf/statement.go
+++ b/internal/rehearsal/leaf/statement.go
@@ -4,8 +4,8 @@
 	"errors"
 	"sync"
 
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // statement is a select or an insert.
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -13,8 +13,8 @@
 
 	"go.uber.org/goleak"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/rehearsal/load/request.go
+++ b/internal/rehearsal/load/request.go
@@ -10,8 +10,8 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // maximumBody bounds what is read of an answer.
--- a/internal/rehearsal/load/result.go
+++ b/internal/rehearsal/load/result.go
@@ -7,8 +7,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // Result is what a run measured after its warm-up.
--- a/internal/rehearsal/machines/history.go
+++ b/internal/rehearsal/machines/history.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/machines"
+	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 )
 
 // version is the list as it was from one moment on. It is not modified after
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -16,7 +16,7 @@
 	"github.com/go-playground/validator/v10"
 	"github.com/samber/oops"
 
-	"github.com/micaplank/micaplank/internal/machines"
+	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
--- a/internal/rehearsal/machines/server_test.go
+++ b/internal/rehearsal/machines/server_test.go
@@ -10,8 +10,8 @@
 
 	"go.uber.org/goleak"
 
-	"github.com/micaplank/micaplank/internal/machines"
 	standin "github.com/micaplank/micaplank/internal/rehearsal/machines"
+	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
--- a/internal/rehearsal/promises/changes_test.go
+++ b/internal/rehearsal/promises/changes_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 	"github.com/micaplank/micaplank/internal/rehearsal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 const (
--- a/internal/rehearsal/promises/deployment_test.go
+++ b/internal/rehearsal/promises/deployment_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 	"github.com/micaplank/micaplank/internal/rehearsal/leaf"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
--- a/internal/rehearsal/promises/faults_test.go
+++ b/internal/rehearsal/promises/faults_test.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 	"github.com/micaplank/micaplank/internal/rehearsal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // fault is something that goes wrong for a while.
--- a/internal/rehearsal/promises/leaving_test.go
+++ b/internal/rehearsal/promises/leaving_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/machines"
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 	stand "github.com/micaplank/micaplank/internal/rehearsal/machines"
+	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 )
 
 const (
--- a/internal/rehearsal/promises/once_test.go
+++ b/internal/rehearsal/promises/once_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 	"github.com/micaplank/micaplank/internal/rehearsal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // TestNotRunMeansNowhere submits requests of both kinds, each id once, at
--- a/internal/rehearsal/simulation/node.go
+++ b/internal/rehearsal/simulation/node.go
@@ -6,7 +6,7 @@
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/leaf"
-	"github.com/micaplank/micaplank/internal/topology"
+	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
 // minimumTick bounds how often a Decider may ask to be woken.
--- a/internal/rehearsal/store/database.go
+++ b/internal/rehearsal/store/database.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 var (
--- a/internal/rehearsal/store/faults.go
+++ b/internal/rehearsal/store/faults.go
@@ -7,8 +7,8 @@
 
 	"golang.org/x/time/rate"
 
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 	"github.com/micaplank/micaplank/internal/settings"
-	"github.com/micaplank/micaplank/internal/store/wire"
 )
 
 // ControlPath takes a ControlRequest by POST and shows the state by GET.
--- a/internal/rehearsal/store/handlers.go
+++ b/internal/rehearsal/store/handlers.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 const maximumBodyBytes = 4 << 20
--- a/internal/rehearsal/store/history_test.go
+++ b/internal/rehearsal/store/history_test.go
@@ -10,8 +10,8 @@
 	"github.com/anishathalye/porcupine"
 
 	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 	"github.com/micaplank/micaplank/internal/settings"
-	"github.com/micaplank/micaplank/internal/store"
 )
 
 // call is one operation on a key: a read, or a write if the key's mod revision
--- a/internal/rehearsal/store/machine_test.go
+++ b/internal/rehearsal/store/machine_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
-	"github.com/micaplank/micaplank/internal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
 // model is what the store must hold, and every change since the start.
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -13,8 +13,8 @@
 	"go.uber.org/goleak"
 
 	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 	"github.com/micaplank/micaplank/internal/settings"
-	"github.com/micaplank/micaplank/internal/store"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/rehearsal/store/transaction.go
+++ b/internal/rehearsal/store/transaction.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 // transact runs a transaction as one step. All its writes get one revision.
--- a/internal/rehearsal/store/watch.go
+++ b/internal/rehearsal/store/watch.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 // watch serves one watch: a stream of JSON messages until the client leaves,
--- a/internal/api/errors_page_test.go
+++ b/internal/selfhosted/api/errors_page_test.go
@@ -14,7 +14,7 @@
 // errorsPageHead is the part of docs/ERRORS.md before the table.
 const errorsPageHead = `# Errors
 
-<!-- Written by the tests of internal/api: change the descriptions there and run "go test ./internal/api -update". -->
+<!-- Written by the tests of internal/selfhosted/api: change the descriptions there and run "go test ./internal/selfhosted/api -update". -->
 
 Every error of the HTTP interface is a problem document (RFC 9457) of the media type ` + "`" + ProblemContentType + "`" + `. Programs compare ` + "`type`" + `, which never changes its meaning; ` + "`detail`" + ` is for people and may change.
 
@@ -43,7 +43,7 @@
 		}
 		fmt.Fprintf(&page, "| `%s` | %d | %s | %s |\n", description.Type, description.Status, description.Title, description.Advice)
 	}
-	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "ERRORS", []byte(page.String()))
+	goldie.New(t, goldie.WithFixtureDir("../../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "ERRORS", []byte(page.String()))
 }
 
 // TestEveryProblemTypeIsDescribed reads the constants from the source, so that
--- a/internal/dissemination/adapter_checkpoint.go
+++ b/internal/selfhosted/dissemination/adapter_checkpoint.go
@@ -10,7 +10,7 @@
 	"github.com/samber/oops"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
 // chunkSize bounds the data of one chunk: the usual limit of a store is about
--- a/internal/dissemination/adapter_store.go
+++ b/internal/selfhosted/dissemination/adapter_store.go
@@ -7,7 +7,7 @@
 	"github.com/samber/oops"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
 // Keys of the store. The numbers have a fixed width, so that the order of the
--- a/internal/dissemination/adapter_test.go
+++ b/internal/selfhosted/dissemination/adapter_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/dissemination"
 	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
-	"github.com/micaplank/micaplank/internal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
 func startAdapter(t *testing.T) (*dissemination.StoreAdapter, *store.Client) {
--- a/internal/dissemination/proof_test.go
+++ b/internal/selfhosted/dissemination/proof_test.go
@@ -35,7 +35,7 @@
 
 // TestSchedules runs random schedules of faults. More of them:
 //
-//	go test -run TestSchedules -rapid.checks=5000 ./internal/dissemination
+//	go test -run TestSchedules -rapid.checks=5000 ./internal/selfhosted/dissemination
 func TestSchedules(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/dissemination/service_test.go
+++ b/internal/selfhosted/dissemination/service_test.go
@@ -12,10 +12,10 @@
 	"go.uber.org/goleak"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/dissemination"
 	"github.com/micaplank/micaplank/internal/peer"
 	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
-	"github.com/micaplank/micaplank/internal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
 // defaultChecks is how many schedules and values the properties are tried with;
--- a/internal/executor/answer.go
+++ b/internal/selfhosted/executor/answer.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // answer turns the fate of a scattered query into what the caller is told. A
--- a/internal/executor/executor.go
+++ b/internal/selfhosted/executor/executor.go
@@ -10,11 +10,11 @@
 	"context"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // Catalogs tells what is in force on this node.
--- a/internal/executor/executor_test.go
+++ b/internal/selfhosted/executor/executor_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 const broadSelect = "select lane from rate-desk"
--- a/internal/executor/fixture_test.go
+++ b/internal/selfhosted/executor/fixture_test.go
@@ -9,12 +9,12 @@
 	"github.com/oklog/ulid/v2"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/once"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // validID is a ULID.
--- a/internal/executor/ledger.go
+++ b/internal/selfhosted/executor/ledger.go
@@ -7,9 +7,9 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/once"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // expireInterval is the time between two looks for ids to forget.
--- a/internal/executor/metrics.go
+++ b/internal/selfhosted/executor/metrics.go
@@ -6,7 +6,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // latencyBuckets are the upper bounds of the latency histogram, in seconds.
--- a/internal/executor/once.go
+++ b/internal/selfhosted/executor/once.go
@@ -8,10 +8,10 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/once"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // retryInProgress is when a caller may ask again for the outcome of a request
--- a/internal/executor/once_test.go
+++ b/internal/selfhosted/executor/once_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/once"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 func TestOnceRunsAndIsReplayed(t *testing.T) {
--- a/internal/executor/plan.go
+++ b/internal/selfhosted/executor/plan.go
@@ -7,12 +7,12 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/language"
-	"github.com/micaplank/micaplank/internal/merge"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/merge"
 )
 
 // maximumRequestID is the longest request id, in bytes.
--- a/internal/executor/plan_benchmark_test.go
+++ b/internal/selfhosted/executor/plan_benchmark_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // BenchmarkPlan measures the planning of a select that was seen before.
--- a/internal/executor/statements.go
+++ b/internal/selfhosted/executor/statements.go
@@ -3,8 +3,8 @@
 import (
 	lru "github.com/hashicorp/golang-lru/v2"
 
-	"github.com/micaplank/micaplank/internal/language"
-	"github.com/micaplank/micaplank/internal/merge"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/merge"
 )
 
 const (
--- a/internal/gateway/decode.go
+++ b/internal/selfhosted/gateway/decode.go
@@ -12,7 +12,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // queryBody tells a deadline of zero, which is a mistake, from an absent one.
--- a/internal/gateway/gateway.go
+++ b/internal/selfhosted/gateway/gateway.go
@@ -15,8 +15,8 @@
 	"github.com/labstack/echo/v4"
 	"github.com/labstack/echo/v4/middleware"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // Queries runs callers' queries. An error is a *api.Problem.
--- a/internal/gateway/gateway_test.go
+++ b/internal/selfhosted/gateway/gateway_test.go
@@ -16,9 +16,9 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 const bodyBytes = 1024
--- a/internal/gateway/handlers.go
+++ b/internal/selfhosted/gateway/handlers.go
@@ -9,8 +9,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // defaultOperatorTimeout is how long an operator's command waits unless it
--- a/internal/gateway/slow_test.go
+++ b/internal/selfhosted/gateway/slow_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // patience bounds every wait of these tests; nothing is measured by it.
--- a/internal/language/page_test.go
+++ b/internal/selfhosted/language/page_test.go
@@ -10,7 +10,7 @@
 // TestLanguagePage parses every example of docs/LANGUAGE.md, and wants one of
 // each kind of statement and clause.
 func TestLanguagePage(t *testing.T) {
-	page, err := os.ReadFile("../../docs/LANGUAGE.md")
+	page, err := os.ReadFile("../../../docs/LANGUAGE.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/merge/fold.go
+++ b/internal/selfhosted/merge/fold.go
@@ -1,8 +1,8 @@
 package merge
 
 import (
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // foldKind is how the partials of a function are added up.
--- a/internal/merge/group.go
+++ b/internal/selfhosted/merge/group.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // grouping splits a grouped select into partial aggregates, which shards
--- a/internal/merge/merge_test.go
+++ b/internal/selfhosted/merge/merge_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 func parseSelect(t rapid.TB, text string) *language.Select {
--- a/internal/merge/order.go
+++ b/internal/selfhosted/merge/order.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // ordering compares rows by some of their columns.
--- a/internal/merge/plan.go
+++ b/internal/selfhosted/merge/plan.go
@@ -15,8 +15,8 @@
 import (
 	"slices"
 
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // Plan says how to run a select over shards. It is not modified after it has
--- a/internal/merge/select.go
+++ b/internal/selfhosted/merge/select.go
@@ -3,8 +3,8 @@
 import (
 	"container/heap"
 
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // evaluateRows runs a select that is not grouped.
--- a/internal/node/benchmark_test.go
+++ b/internal/selfhosted/node/benchmark_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/leaf"
-	"github.com/micaplank/micaplank/internal/operator"
 	standinleaf "github.com/micaplank/micaplank/internal/rehearsal/leaf"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 const benchmarkStatement = "select * from filing-vault where quote = 'Q-17'"
--- a/internal/node/collector.go
+++ b/internal/selfhosted/node/collector.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
--- a/internal/node/collector_test.go
+++ b/internal/selfhosted/node/collector_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 func TestLeavesAreCountedByState(t *testing.T) {
--- a/internal/node/configure.go
+++ b/internal/selfhosted/node/configure.go
@@ -2,12 +2,12 @@
 
 import (
 	"github.com/micaplank/micaplank/internal/decide/once"
-	"github.com/micaplank/micaplank/internal/dissemination"
 	"github.com/micaplank/micaplank/internal/leaf"
-	"github.com/micaplank/micaplank/internal/machines"
-	"github.com/micaplank/micaplank/internal/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
+	"github.com/micaplank/micaplank/internal/selfhosted/machines"
+	"github.com/micaplank/micaplank/internal/selfhosted/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/store"
 	"github.com/micaplank/micaplank/internal/settings"
-	"github.com/micaplank/micaplank/internal/store"
 )
 
 func storeConfig(from settings.Store) store.Config {
--- a/internal/node/intake.go
+++ b/internal/selfhosted/node/intake.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync/atomic"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // queryRunner runs callers' queries, or refuses them.
--- a/internal/node/intake_test.go
+++ b/internal/selfhosted/node/intake_test.go
@@ -5,7 +5,7 @@
 	"errors"
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // blockingRunner holds each query until it is released.
--- a/internal/node/marks.go
+++ b/internal/selfhosted/node/marks.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/membership"
-	"github.com/micaplank/micaplank/internal/topology"
+	"github.com/micaplank/micaplank/internal/selfhosted/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
 // Notices of leaving leaves are pushed once. A node that was frozen or cut off
--- a/internal/node/members.go
+++ b/internal/selfhosted/node/members.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/micaplank/micaplank/internal/dissemination"
-	"github.com/micaplank/micaplank/internal/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
+	"github.com/micaplank/micaplank/internal/selfhosted/membership"
 )
 
 // disseminationMembers lists the members as the dissemination needs them.
--- a/internal/node/metrics_page_test.go
+++ b/internal/selfhosted/node/metrics_page_test.go
@@ -19,7 +19,7 @@
 // metricsPageHead is the part of docs/METRICS.md before the table.
 const metricsPageHead = `# Metrics
 
-<!-- Written by a test: change the text beside the metric and run "go test ./internal/node -update". -->
+<!-- Written by a test: change the text beside the metric and run "go test ./internal/selfhosted/node -update". -->
 
 A node serves these at ` + "`/metrics`" + ` in the Prometheus text format, besides those of the Go runtime and the process. Each name has its unit: seconds, bytes, or the things that are counted; ` + "`_total`" + ` marks counters. Those that say whether something is so are 1 or 0; a revision and a score are plain numbers. Which of them to watch, and what to do, is in [OPERATIONS.md](OPERATIONS.md).
 
@@ -55,7 +55,7 @@
 	if err := telemetry.WriteMetrics(&page, metrics); err != nil {
 		t.Fatal(err)
 	}
-	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "METRICS", []byte(page.String()))
+	goldie.New(t, goldie.WithFixtureDir("../../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "METRICS", []byte(page.String()))
 }
 
 var (
--- a/internal/node/operating_page_test.go
+++ b/internal/selfhosted/node/operating_page_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 var (
@@ -20,7 +20,7 @@
 // package platform keeps equal to its registry.
 func metricsOfThePlatformsNode(t *testing.T) []string {
 	t.Helper()
-	content, err := os.ReadFile("../../docs/METRICS-EDGE.md")
+	content, err := os.ReadFile("../../../docs/METRICS-EDGE.md")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 // TestOperatingPageNamesWhatExists checks the metrics, problem types and
 // sections that docs/OPERATIONS.md names.
 func TestOperatingPageNamesWhatExists(t *testing.T) {
-	content, err := os.ReadFile("../../docs/OPERATIONS.md")
+	content, err := os.ReadFile("../../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"slices"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/dissemination"
-	"github.com/micaplank/micaplank/internal/executor"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
+	"github.com/micaplank/micaplank/internal/selfhosted/executor"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // operations carries out operators' commands on this node.
--- a/internal/node/operations_test.go
+++ b/internal/selfhosted/node/operations_test.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/dissemination"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
 )
 
 // TestProblemsOfRefusedChanges checks that a refused change is never reported
--- a/internal/node/peers.go
+++ b/internal/selfhosted/node/peers.go
@@ -7,11 +7,11 @@
 	"net/netip"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
-	"github.com/micaplank/micaplank/internal/executor"
-	"github.com/micaplank/micaplank/internal/membership"
 	"github.com/micaplank/micaplank/internal/peer"
-	"github.com/micaplank/micaplank/internal/topology"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/executor"
+	"github.com/micaplank/micaplank/internal/selfhosted/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
 // Methods of the calls between nodes.
--- a/internal/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/machines"
+	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
--- a/internal/node/run_test.go
+++ b/internal/selfhosted/node/run_test.go
@@ -13,9 +13,9 @@
 
 	"go.uber.org/goleak"
 
-	"github.com/micaplank/micaplank/internal/api"
-	"github.com/micaplank/micaplank/internal/operator"
 	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 	"github.com/micaplank/micaplank/internal/settings"
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
--- a/internal/node/services.go
+++ b/internal/selfhosted/node/services.go
@@ -10,10 +10,10 @@
 
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/executor"
 	"github.com/micaplank/micaplank/internal/leaf"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
+	"github.com/micaplank/micaplank/internal/selfhosted/executor"
 )
 
 // services holds one scatter connection for each service of the catalog. It is
--- a/internal/node/show.go
+++ b/internal/selfhosted/node/show.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/language"
 	"github.com/micaplank/micaplank/internal/rows"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // show answers a show statement from the installed catalog.
--- a/internal/node/status.go
+++ b/internal/selfhosted/node/status.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/membership"
-	"github.com/micaplank/micaplank/internal/topology"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
 // Status describes the deployment as this node sees it.
--- a/internal/node/voters.go
+++ b/internal/selfhosted/node/voters.go
@@ -1,8 +1,8 @@
 package node
 
 import (
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // voterStatuses describes the voting set of a catalog by what is known of the
--- a/internal/node/voters_test.go
+++ b/internal/selfhosted/node/voters_test.go
@@ -4,8 +4,8 @@
 	"slices"
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 func TestVotersThatLeftAreListed(t *testing.T) {
--- a/internal/operator/apply.go
+++ b/internal/selfhosted/operator/apply.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
-	"github.com/micaplank/micaplank/internal/api"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // Apply brings the catalog to what the changes of a text say. It shows the
--- a/internal/operator/apply_test.go
+++ b/internal/selfhosted/operator/apply_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // catalogNode keeps a catalog and applies the changes that it is sent.
--- a/internal/operator/client.go
+++ b/internal/selfhosted/operator/client.go
@@ -20,8 +20,8 @@
 	"github.com/oklog/ulid/v2"
 	"github.com/samber/oops"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 const (
--- a/internal/operator/drain.go
+++ b/internal/selfhosted/operator/drain.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // drainPoll is the time between two looks at a node that drains.
--- a/internal/operator/errors.go
+++ b/internal/selfhosted/operator/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // Exit codes of the program.
--- a/internal/operator/exec.go
+++ b/internal/selfhosted/operator/exec.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
-	"github.com/micaplank/micaplank/internal/api"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // StatementResult is the JSON form of the result of one statement.
--- a/internal/operator/operator_test.go
+++ b/internal/selfhosted/operator/operator_test.go
@@ -17,9 +17,9 @@
 	"github.com/sebdah/goldie/v2"
 	"go.uber.org/goleak"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/operator/plan.go
+++ b/internal/selfhosted/operator/plan.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // Plan is what a file of changes would do to a catalog.
--- a/internal/operator/query.go
+++ b/internal/selfhosted/operator/query.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
-	"github.com/micaplank/micaplank/internal/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 // Query runs one query on a service and writes its rows, snapshot and
--- a/internal/operator/session.go
+++ b/internal/selfhosted/operator/session.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // Format is how results are written.
--- a/internal/operator/status.go
+++ b/internal/selfhosted/operator/status.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/api"
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 // Status writes what one node knows of the deployment.
--- a/internal/store/call.go
+++ b/internal/selfhosted/store/call.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 // call posts one request and decodes the response into response.
--- a/internal/store/keys.go
+++ b/internal/selfhosted/store/keys.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 // Entry is one key with its value and revisions.
--- a/internal/store/lease.go
+++ b/internal/selfhosted/store/lease.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 // LeaseID names a lease. Zero means none.
--- a/internal/store/watch.go
+++ b/internal/selfhosted/store/watch.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/store/wire"
+	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
 // WatchKind says what a WatchEvent tells.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/integrii/flaggy"
 	"github.com/sebdah/goldie/v2"
 
-	"github.com/micaplank/micaplank/internal/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/membership"
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
