--- /dev/null
+++ b/internal/catalog/wire_test.go
@@ -0,0 +1,13 @@
+package catalog
+
+import (
+	"testing"
+
+	"github.com/micaplank/micaplank/internal/wiretest"
+)
+
+// TestStoredReadsAsRecorded: the store keeps changes and checkpoints of other versions.
+func TestStoredReadsAsRecorded(t *testing.T) {
+	wiretest.JSON[Catalog](t, "catalog")
+	wiretest.JSON[Change](t, "change")
+}
--- /dev/null
+++ b/internal/edge/relay/wire_test.go
@@ -0,0 +1,15 @@
+package relay
+
+import (
+	"testing"
+
+	"github.com/micaplank/micaplank/internal/wiretest"
+)
+
+// TestMessagesReadAsRecorded guards a fleet of two versions.
+func TestMessagesReadAsRecorded(t *testing.T) {
+	wiretest.Gob[statusRequest](t, "relay.status.request")
+	wiretest.Gob[Status](t, "relay.status.response")
+	wiretest.Gob[executeRequest](t, "relay.execute.request")
+	wiretest.Gob[executeResponse](t, "relay.execute.response")
+}
--- /dev/null
+++ b/internal/selfhosted/dissemination/wire_recorded_test.go
@@ -0,0 +1,23 @@
+package dissemination
+
+import (
+	"testing"
+
+	"github.com/micaplank/micaplank/internal/wiretest"
+)
+
+// TestMessagesReadAsRecorded guards a fleet of two versions, and what the store holds.
+func TestMessagesReadAsRecorded(t *testing.T) {
+	wiretest.Gob[FetchCall](t, "dissemination.fetch.request")
+	wiretest.Gob[FetchReply](t, "dissemination.fetch.response")
+	wiretest.JSON[chunk](t, "checkpoint.chunk")
+	wiretest.Encoded(t, "dissemination.packet",
+		func(packet wirePacket) ([]byte, error) { return packetCodec.Encode(&packet) },
+		func(encoded []byte) (wirePacket, error) {
+			packet, err := packetCodec.Decode(encoded)
+			if err != nil {
+				return wirePacket{}, err
+			}
+			return *packet, nil
+		})
+}
--- /dev/null
+++ b/internal/selfhosted/membership/wire_test.go
@@ -0,0 +1,12 @@
+package membership
+
+import (
+	"testing"
+
+	"github.com/micaplank/micaplank/internal/wiretest"
+)
+
+// TestPacketReadsAsRecorded guards a fleet of two versions.
+func TestPacketReadsAsRecorded(t *testing.T) {
+	wiretest.Encoded(t, "packet", EncodePacket, DecodePacket)
+}
