--- a/internal/event/announced.go
+++ b/internal/event/announced.go
@@ -13,14 +13,10 @@
 	Error    error  `event:"error" doc:"what is wrong with it"`
 }
 
-// Message implements Event.
-func (ConfigRejected) Message() string { return "configuration rejected" }
-
-// Level implements Event.
-func (ConfigRejected) Level() slog.Level { return slog.LevelError }
-
-// Describe implements Event.
-func (ConfigRejected) Describe() string { return "The last good configuration stays in force." }
+// Kind implements Event.
+func (ConfigRejected) Kind() Kind {
+	return Kind{"configuration rejected", slog.LevelError, "The last good configuration stays in force."}
+}
 
 // ConfigInstalled tells that a configuration is in force.
 type ConfigInstalled struct {
@@ -30,15 +26,9 @@
 	Services int    `event:"services" doc:"services in it"`
 }
 
-// Message implements Event.
-func (ConfigInstalled) Message() string { return "configuration installed" }
-
-// Level implements Event.
-func (ConfigInstalled) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (ConfigInstalled) Describe() string {
-	return "Requests are handled by this version from now on; never by an older one again."
+// Kind implements Event.
+func (ConfigInstalled) Kind() Kind {
+	return Kind{"configuration installed", slog.LevelInfo, "Requests are handled by this version from now on; never by an older one again."}
 }
 
 // LeafChanged tells that what a leaf announces has changed.
@@ -52,14 +42,10 @@
 	Revision uint64         `event:"revision" doc:"revision of the store"`
 }
 
-// Message implements Event.
-func (LeafChanged) Message() string { return "leaf changed" }
-
-// Level implements Event.
-func (LeafChanged) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (LeafChanged) Describe() string { return "A leaf came, changed, drains or is gone." }
+// Kind implements Event.
+func (LeafChanged) Kind() Kind {
+	return Kind{"leaf changed", slog.LevelInfo, "A leaf came, changed, drains or is gone."}
+}
 
 // ZoneCordoned tells that operators took a zone out of service, or put it back.
 type ZoneCordoned struct {
@@ -68,15 +54,9 @@
 	Revision uint64 `event:"revision" doc:"revision of the store; 0 if it was found when the whole of the store was read"`
 }
 
-// Message implements Event.
-func (ZoneCordoned) Message() string { return "cordon changed" }
-
-// Level implements Event.
-func (ZoneCordoned) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (ZoneCordoned) Describe() string {
-	return "Operators took a zone out of service, or put it back. Attempts in flight at its leaves are left to finish."
+// Kind implements Event.
+func (ZoneCordoned) Kind() Kind {
+	return Kind{"cordon changed", slog.LevelInfo, "Operators took a zone out of service, or put it back. Attempts in flight at its leaves are left to finish."}
 }
 
 // LeafRejected tells that the announcement of a leaf cannot be read.
@@ -86,14 +66,10 @@
 	Error    error  `event:"error" doc:"what is wrong with it"`
 }
 
-// Message implements Event.
-func (LeafRejected) Message() string { return "leaf rejected" }
-
-// Level implements Event.
-func (LeafRejected) Level() slog.Level { return slog.LevelError }
-
-// Describe implements Event.
-func (LeafRejected) Describe() string { return "What was known of the leaf stays." }
+// Kind implements Event.
+func (LeafRejected) Kind() Kind {
+	return Kind{"leaf rejected", slog.LevelError, "What was known of the leaf stays."}
+}
 
 // NodeChanged tells that another node came or is gone.
 type NodeChanged struct {
@@ -102,15 +78,9 @@
 	Revision uint64 `event:"revision" doc:"revision of the store"`
 }
 
-// Message implements Event.
-func (NodeChanged) Message() string { return "node changed" }
-
-// Level implements Event.
-func (NodeChanged) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (NodeChanged) Describe() string {
-	return "The nodes share the extra load and the connections to leaves by their number."
+// Kind implements Event.
+func (NodeChanged) Kind() Kind {
+	return Kind{"node changed", slog.LevelInfo, "The nodes share the extra load and the connections to leaves by their number."}
 }
 
 // NodeRejected tells that the announcement of a node cannot be read.
@@ -120,13 +90,7 @@
 	Error    error  `event:"error" doc:"what is wrong with it"`
 }
 
-// Message implements Event.
-func (NodeRejected) Message() string { return "node rejected" }
-
-// Level implements Event.
-func (NodeRejected) Level() slog.Level { return slog.LevelWarn }
-
-// Describe implements Event.
-func (NodeRejected) Describe() string {
-	return "The node counts, but nothing is known of its zone, processor and address."
+// Kind implements Event.
+func (NodeRejected) Kind() Kind {
+	return Kind{"node rejected", slog.LevelWarn, "The node counts, but nothing is known of its zone, processor and address."}
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -19,18 +19,23 @@
 
 // Event is one line of the log. It is a struct whose fields have tags.
 type Event interface {
+	Kind() Kind
+}
+
+// Kind is what a line has beside its fields.
+type Kind struct {
 	// Message is the text of the line, the same for all events of a type.
-	Message() string
-	// Level says how urgent the line is.
-	Level() slog.Level
-	// Describe says what the line means, in a sentence.
-	Describe() string
+	Message string
+	Level   slog.Level
+	// Meaning says what the line means, in a sentence.
+	Meaning string
 }
 
 // Log writes an event, if its level is logged.
 func Log(logger *slog.Logger, event Event) {
 	ctx := context.Background()
-	if !logger.Enabled(ctx, event.Level()) {
+	kind := event.Kind()
+	if !logger.Enabled(ctx, kind.Level) {
 		return
 	}
 	value := reflect.ValueOf(event)
@@ -38,7 +43,7 @@
 	for _, field := range fieldsOf(value.Type()) {
 		attributes = append(attributes, attribute(field.Name, value.Field(field.index)))
 	}
-	logger.LogAttrs(ctx, event.Level(), event.Message(), attributes...)
+	logger.LogAttrs(ctx, kind.Level, kind.Message, attributes...)
 }
 
 // attribute returns a field as it is logged. An error brings its step and peer
@@ -89,7 +94,8 @@
 	var page strings.Builder
 	page.WriteString(head)
 	for _, one := range events {
-		fmt.Fprintf(&page, "\n## %s\n\n%s Level: %s.\n", one.Message(), one.Describe(), strings.ToLower(one.Level().String()))
+		kind := one.Kind()
+		fmt.Fprintf(&page, "\n## %s\n\n%s Level: %s.\n", kind.Message, kind.Meaning, strings.ToLower(kind.Level.String()))
 		writeFields(&page, Fields(one))
 	}
 	page.WriteString("\n## An attempt, in the field `attempts`\n")
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -31,10 +31,10 @@
 func TestEveryFieldIsDescribed(t *testing.T) {
 	messages := make(map[string]bool)
 	for _, one := range All() {
-		if messages[one.Message()] || one.Message() == "" || one.Describe() == "" {
-			t.Errorf("%T: message %q", one, one.Message())
+		if messages[one.Kind().Message] || one.Kind().Message == "" || one.Kind().Meaning == "" {
+			t.Errorf("%T: message %q", one, one.Kind().Message)
 		}
-		messages[one.Message()] = true
+		messages[one.Kind().Message] = true
 		checkFields(t, one)
 	}
 	checkFields(t, Attempt{})
@@ -92,7 +92,7 @@
 // TestEveryEventCanBeLogged also when its fields are empty.
 func TestEveryEventCanBeLogged(t *testing.T) {
 	for _, one := range All() {
-		if line := logged(t, one); line["msg"] != one.Message() {
+		if line := logged(t, one); line["msg"] != one.Kind().Message {
 			t.Errorf("%T: %v", one, line)
 		}
 	}
--- a/internal/event/quarantine.go
+++ b/internal/event/quarantine.go
@@ -12,15 +12,9 @@
 	Leaves  []string     `event:"leaves" doc:"incarnations that ended under it"`
 }
 
-// Message implements Event.
-func (RequestSuspected) Message() string { return "request suspected" }
-
-// Level implements Event.
-func (RequestSuspected) Level() slog.Level { return slog.LevelWarn }
-
-// Describe implements Event.
-func (RequestSuspected) Describe() string {
-	return "The other nodes are told. Once enough leaves ended under it, it is tried on one alone; an answer of any leaf clears it."
+// Kind implements Event.
+func (RequestSuspected) Kind() Kind {
+	return Kind{"request suspected", slog.LevelWarn, "The other nodes are told. Once enough leaves ended under it, it is tried on one alone; an answer of any leaf clears it."}
 }
 
 // RequestTried tells that a leaf ended under a request that was tried on it alone.
@@ -33,15 +27,9 @@
 	Odds    float64      `event:"odds" doc:"how many times likelier the ends of the trials are if it ends leaves than if they ended by themselves"`
 }
 
-// Message implements Event.
-func (RequestTried) Message() string { return "request tried" }
-
-// Level implements Event.
-func (RequestTried) Level() slog.Level { return slog.LevelWarn }
-
-// Describe implements Event.
-func (RequestTried) Describe() string {
-	return "It is held after two such trials, if their odds are 100 or more."
+// Kind implements Event.
+func (RequestTried) Kind() Kind {
+	return Kind{"request tried", slog.LevelWarn, "It is held after two such trials, if their odds are 100 or more."}
 }
 
 // RequestHeld tells that a request gets no leaf from now on.
@@ -54,15 +42,9 @@
 	Revision uint64       `event:"revision" doc:"revision of the store that said so; 0 if this node decided it and has not written it yet"`
 }
 
-// Message implements Event.
-func (RequestHeld) Message() string { return "request held" }
-
-// Level implements Event.
-func (RequestHeld) Level() slog.Level { return slog.LevelError }
-
-// Describe implements Event.
-func (RequestHeld) Describe() string {
-	return "It is refused at once, at all nodes, for 5 to 10 minutes; then it is tried on one leaf first."
+// Kind implements Event.
+func (RequestHeld) Kind() Kind {
+	return Kind{"request held", slog.LevelError, "It is refused at once, at all nodes, for 5 to 10 minutes; then it is tried on one leaf first."}
 }
 
 // RequestReleased tells that a request is not held any more.
@@ -70,15 +52,9 @@
 	Content fmt.Stringer `event:"content" doc:"what it asks, as in the line on the request"`
 }
 
-// Message implements Event.
-func (RequestReleased) Message() string { return "request released" }
-
-// Level implements Event.
-func (RequestReleased) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (RequestReleased) Describe() string {
-	return "Its time is over, or an operator took its key out of the store. It is tried on one leaf before it may run as usual."
+// Kind implements Event.
+func (RequestReleased) Kind() Kind {
+	return Kind{"request released", slog.LevelInfo, "Its time is over, or an operator took its key out of the store. It is tried on one leaf before it may run as usual."}
 }
 
 // QuarantineNotWritten tells that the store did not take what is known of a request.
@@ -87,15 +63,9 @@
 	Error   error        `event:"error" doc:"how the call failed"`
 }
 
-// Message implements Event.
-func (QuarantineNotWritten) Message() string { return "quarantine not written" }
-
-// Level implements Event.
-func (QuarantineNotWritten) Level() slog.Level { return slog.LevelWarn }
-
-// Describe implements Event.
-func (QuarantineNotWritten) Describe() string {
-	return "This node goes by what it knows; it writes it again after a pause of 3 s at most."
+// Kind implements Event.
+func (QuarantineNotWritten) Kind() Kind {
+	return Kind{"quarantine not written", slog.LevelWarn, "This node goes by what it knows; it writes it again after a pause of 3 s at most."}
 }
 
 // QuarantineRejected tells that a record of a request cannot be read.
@@ -105,11 +75,7 @@
 	Error    error  `event:"error" doc:"what is wrong with it"`
 }
 
-// Message implements Event.
-func (QuarantineRejected) Message() string { return "quarantine rejected" }
-
-// Level implements Event.
-func (QuarantineRejected) Level() slog.Level { return slog.LevelError }
-
-// Describe implements Event.
-func (QuarantineRejected) Describe() string { return "What was known of the request stays." }
+// Kind implements Event.
+func (QuarantineRejected) Kind() Kind {
+	return Kind{"quarantine rejected", slog.LevelError, "What was known of the request stays."}
+}
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -23,15 +23,9 @@
 	urgency slog.Level
 }
 
-// Message implements Event.
-func (Request) Message() string { return "request" }
-
-// Level implements Event.
-func (r Request) Level() slog.Level { return r.urgency }
-
-// Describe implements Event.
-func (Request) Describe() string {
-	return "Level warn if the client got no answer, info otherwise. A request that was handed to another node has a line at both."
+// Kind implements Event.
+func (r Request) Kind() Kind {
+	return Kind{"request", r.urgency, "Level warn if the client got no answer, info otherwise. A request that was handed to another node has a line at both."}
 }
 
 // WithLevel returns the event with a level.
@@ -67,15 +61,9 @@
 	Error     error  `event:"error" doc:"how it was lost"`
 }
 
-// Message implements Event.
-func (RequestLost) Message() string { return "request lost with its executor" }
-
-// Level implements Event.
-func (RequestLost) Level() slog.Level { return slog.LevelWarn }
-
-// Describe implements Event.
-func (RequestLost) Describe() string {
-	return "It may have run, so it is not run again; its client may send it again."
+// Kind implements Event.
+func (RequestLost) Kind() Kind {
+	return Kind{"request lost with its executor", slog.LevelWarn, "It may have run, so it is not run again; its client may send it again."}
 }
 
 // All returns one event of each type, in the order of the page.
--- a/internal/event/rollouts.go
+++ b/internal/event/rollouts.go
@@ -14,15 +14,9 @@
 	Revision  uint64        `event:"revision" doc:"revision of the store"`
 }
 
-// Message implements Event.
-func (RolloutOrdered) Message() string { return "roll-out ordered" }
-
-// Level implements Event.
-func (RolloutOrdered) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (RolloutOrdered) Describe() string {
-	return "Leaves of the version get only what the exposure allows, until the roll-out shifts the traffic. If the order is gone, what was begun is rolled back."
+// Kind implements Event.
+func (RolloutOrdered) Kind() Kind {
+	return Kind{"roll-out ordered", slog.LevelInfo, "Leaves of the version get only what the exposure allows, until the roll-out shifts the traffic. If the order is gone, what was begun is rolled back."}
 }
 
 // RolloutRejected tells that an order, or a record, of a roll-out cannot be read.
@@ -32,14 +26,10 @@
 	Error    error  `event:"error" doc:"what is wrong with it"`
 }
 
-// Message implements Event.
-func (RolloutRejected) Message() string { return "roll-out rejected" }
-
-// Level implements Event.
-func (RolloutRejected) Level() slog.Level { return slog.LevelError }
-
-// Describe implements Event.
-func (RolloutRejected) Describe() string { return "What was known of the roll-out stays." }
+// Kind implements Event.
+func (RolloutRejected) Kind() Kind {
+	return Kind{"roll-out rejected", slog.LevelError, "What was known of the roll-out stays."}
+}
 
 // RolloutChanged tells that a roll-out has come to another phase.
 type RolloutChanged struct {
@@ -51,43 +41,29 @@
 	Order   uint64        `event:"order" doc:"revision of the store at which it was ordered"`
 }
 
-// Message implements Event.
-func (RolloutChanged) Message() string { return "roll-out changed" }
-
-// Level implements Event.
-func (RolloutChanged) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (RolloutChanged) Describe() string {
-	return "The node goes by this phase from now on. Each node writes the line when it hears of the phase, from the store or from the node that decides."
+// Kind implements Event.
+func (RolloutChanged) Kind() Kind {
+	return Kind{"roll-out changed", slog.LevelInfo, "The node goes by this phase from now on. Each node writes the line when it hears of the phase, from the store or from the node that decides."}
 }
 
 // RolloutDecided tells that this node has written a phase of a roll-out.
 type RolloutDecided struct {
-	Service string `event:"service" doc:"service that it is of"`
-	Version string `event:"target" doc:"version that is rolled out"`
-	Phase   string `event:"phase" doc:"the phase, as in the line on its change"`
-	Reason  string `event:"reason" doc:"what decided it, with the counts"`
-	// Nodes is how many nodes' counts it rests on.
+	Service  string `event:"service" doc:"service that it is of"`
+	Version  string `event:"target" doc:"version that is rolled out"`
+	Phase    string `event:"phase" doc:"the phase, as in the line on its change"`
+	Reason   string `event:"reason" doc:"what decided it, with the counts"`
 	Nodes    int    `event:"nodes" doc:"nodes whose counts it rests on"`
 	Revision uint64 `event:"revision" doc:"revision of the store that has it; 0 if it was not written"`
 	Error    error  `event:"error" doc:"why it was not written, or is not known to be; it is tried again"`
 }
 
-// Message implements Event.
-func (RolloutDecided) Message() string { return "roll-out decided" }
-
-// Level implements Event.
-func (e RolloutDecided) Level() slog.Level {
+// Kind implements Event.
+func (e RolloutDecided) Kind() Kind {
+	level := slog.LevelInfo
 	if e.Error != nil {
-		return slog.LevelWarn
+		level = slog.LevelWarn
 	}
-	return slog.LevelInfo
-}
-
-// Describe implements Event.
-func (RolloutDecided) Describe() string {
-	return "This node decides on roll-outs, and has written a step, or tried to."
+	return Kind{"roll-out decided", level, "This node decides on roll-outs, and has written a step, or tried to."}
 }
 
 // RolloutDecider tells that this node reports to another decider.
@@ -97,13 +73,7 @@
 	Error  error  `event:"error" doc:"how the call to the former one failed; empty if it cannot write to the store"`
 }
 
-// Message implements Event.
-func (RolloutDecider) Message() string { return "decider changed" }
-
-// Level implements Event.
-func (RolloutDecider) Level() slog.Level { return slog.LevelInfo }
-
-// Describe implements Event.
-func (RolloutDecider) Describe() string {
-	return "The node that gathers the counts of all nodes, while there are roll-outs."
+// Kind implements Event.
+func (RolloutDecider) Kind() Kind {
+	return Kind{"decider changed", slog.LevelInfo, "The node that gathers the counts of all nodes, while there are roll-outs."}
 }
--- a/internal/explain/belief.go
+++ b/internal/explain/belief.go
@@ -30,27 +30,27 @@
 // learn takes in a line of the node.
 func (b *beliefs) learn(line *Line) {
 	switch line.Message {
-	case event.Started{}.Message():
+	case event.Started{}.Kind().Message:
 		*b = *newBeliefs() // what was read before "started" is read again after it
 		b.startedAt = line.Time
-	case event.ConfigInstalled{}.Message():
+	case event.ConfigInstalled{}.Kind().Message:
 		b.config, b.configAt = fmt.Sprintf("configuration %d in force", line.Version), line.Time
-	case event.StoreLost{}.Message():
+	case event.StoreLost{}.Kind().Message:
 		b.store, b.storeAt = "store lost: "+line.Error, line.Time
-	case event.StoreRegained{}.Message():
+	case event.StoreRegained{}.Kind().Message:
 		b.store, b.storeAt = "store regained after "+line.Away, line.Time
-	case event.StoreRead{}.Message():
+	case event.StoreRead{}.Kind().Message:
 		b.store, b.storeAt = "store read", line.Time
-	case event.ExecutorsLost{}.Message():
+	case event.ExecutorsLost{}.Kind().Message:
 		b.executors = fmt.Sprintf("in touch with %d executors", line.Left)
-	case event.ExecutorInTouch{}.Message():
+	case event.ExecutorInTouch{}.Kind().Message:
 		b.executors = "in touch with " + line.Peer
-	case event.ZoneCordoned{}.Message():
+	case event.ZoneCordoned{}.Kind().Message:
 		delete(b.cordoned, line.Zone)
 		if line.Cordoned {
 			b.cordoned[line.Zone] = line.Time
 		}
-	case event.LeafChanged{}.Message():
+	case event.LeafChanged{}.Kind().Message:
 		b.leaves[line.Leaf] = announced(line)
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -131,7 +131,7 @@
 	}
 	slices.SortStableFunc(story.Steps, func(a, b Step) int { return a.Time.Compare(b.Time) })
 	for index := range sorted {
-		if line := &sorted[index]; nodes[line.Node] && line.Message == (event.Request{}).Message() {
+		if line := &sorted[index]; nodes[line.Node] && line.Message == (event.Request{}).Kind().Message {
 			story.Dropped += line.Dropped
 		}
 	}
@@ -141,7 +141,7 @@
 // stepsOf tells one line of a request: what the node believed, the request, its
 // attempts and its end.
 func stepsOf(line *Line, known *beliefs) []Step {
-	if line.Message == (event.RequestLost{}).Message() {
+	if line.Message == (event.RequestLost{}).Kind().Message {
 		return []Step{{line.Time, line.Node, KindLost, fmt.Sprintf("lost with %s, which ran it: %s", line.Executor, line.Error)}}
 	}
 	begun := line.Time.Add(-milliseconds(line.TookMS))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -132,7 +132,7 @@
 func TestBeliefsTellWhichZonesAreOutOfService(t *testing.T) {
 	known := newBeliefs()
 	begin := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	message := event.ZoneCordoned{}.Message()
+	message := event.ZoneCordoned{}.Kind().Message
 	known.learn(&Line{Message: message, Time: begin, Zone: "north", Cordoned: true})
 	known.learn(&Line{Message: message, Time: begin.Add(time.Second), Zone: "south", Cordoned: true})
 	known.learn(&Line{Message: message, Time: begin.Add(2 * time.Second), Zone: "south"})
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -40,23 +40,23 @@
 	followed := make(map[phaseKey]*followers)
 	for index := range sorted {
 		line := &sorted[index]
-		if line.Time.Before(since) || service != "" && line.Service != service && line.Message != (event.RolloutDecider{}).Message() {
+		if line.Time.Before(since) || service != "" && line.Service != service && line.Message != (event.RolloutDecider{}).Kind().Message {
 			continue
 		}
 		switch line.Message {
-		case event.RolloutOrdered{}.Message():
+		case event.RolloutOrdered{}.Kind().Message:
 			text := orderText(line)
 			if !told[text] {
 				told[text] = true
 				steps = append(steps, Step{line.Time, line.Node, KindOrdered, text})
 			}
-		case event.RolloutDecided{}.Message():
+		case event.RolloutDecided{}.Kind().Message:
 			steps = append(steps, Step{line.Time, line.Node, KindDecided, decidedText(line)})
-		case event.RolloutDecider{}.Message():
+		case event.RolloutDecider{}.Kind().Message:
 			if line.Former != "" {
 				steps = append(steps, Step{line.Time, line.Node, KindDecider, deciderText(line)})
 			}
-		case event.RolloutChanged{}.Message():
+		case event.RolloutChanged{}.Kind().Message:
 			follow(followed, line)
 		}
 	}
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -90,7 +90,7 @@
 	requests := make(map[string]request)
 	for index := range lines {
 		line := &lines[index]
-		if line.Message != (event.Request{}).Message() || line.Time.Before(since) {
+		if line.Message != (event.Request{}).Kind().Message || line.Time.Before(since) {
 			continue
 		}
 		report.Dropped += line.Dropped
