--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,6 +1,7 @@
-// Package telemetry sets up logs and metrics: slog with a fixed order of
-// attributes, a Prometheus registry, the attributes of errors, and a recorder
-// of latencies.
+// Package telemetry sets up logs and metrics for every program: slog with a
+// fixed order of attributes, bounds on the rate of lines and on a slow reader,
+// the attributes of errors, and a Prometheus registry that can list its metrics.
+// It relies on no other package of this module.
 package telemetry
 
 import (
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"regexp"
 	"testing"
-	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/samber/oops"
@@ -69,24 +68,6 @@
 	}
 }
 
-func TestLatenciesSummarise(t *testing.T) {
-	left, right := telemetry.NewLatencies(), telemetry.NewLatencies()
-	for millisecond := range 50 {
-		left.Record(time.Duration(millisecond+1) * time.Millisecond)
-		right.Record(time.Duration(millisecond+51) * time.Millisecond)
-	}
-	left.Merge(right)
-	left.Record(time.Hour)
-	left.Record(-time.Second)
-	summary := left.Summary()
-	if summary.Count != 102 || summary.P50.Round(time.Millisecond) != 50*time.Millisecond || summary.Max < 9*time.Minute {
-		t.Fatalf("unexpected summary: %+v", summary)
-	}
-	if (telemetry.NewLatencies().Summary() != telemetry.LatencySummary{}) {
-		t.Fatal("an empty recorder has a summary")
-	}
-}
-
 func BenchmarkLogger(b *testing.B) {
 	logger := telemetry.NewLogger(discard{}, telemetry.LogConfig{}, "node-a1")
 	for b.Loop() {
