--- a/internal/leaf/metrics.go
+++ b/internal/leaf/metrics.go
@@ -4,7 +4,8 @@
 	"errors"
 
 	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/promauto"
+
+	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
 // The values of the label outcome of micaplank_leaf_attempts_total.
@@ -28,32 +29,20 @@
 
 // newMetrics registers the metrics, unless the registerer is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	factory := promauto.With(registerer)
+	factory := telemetry.NewFactory(registerer)
 	return &metrics{
-		attempts: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_leaf_attempts_total",
-			Help: "Execute calls to leaves, by outcome: executed, refused, unsent, lost, cancelled or rejected (an unusable reply).",
-		}, []string{"outcome"}),
-		crossed: factory.NewCounter(prometheus.CounterOpts{
-			Name: "micaplank_leaf_crossed_replies_total",
-			Help: "Replies that belong to another request; they are dropped.",
-		}),
-		truncated: factory.NewCounter(prometheus.CounterOpts{
-			Name: "micaplank_leaf_truncated_replies_total",
-			Help: "Replies with missing rows; they are dropped.",
-		}),
-		dials: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_leaf_dials_total",
-			Help: "Connections dialed to leaves, by result: opened or failed.",
-		}, []string{"result"}),
-		connections: factory.NewGauge(prometheus.GaugeOpts{
-			Name: "micaplank_leaf_open_connections",
-			Help: "Connections to leaves that are open.",
-		}),
-		replyBytes: factory.NewCounter(prometheus.CounterOpts{
-			Name: "micaplank_leaf_reply_bytes_total",
-			Help: "Bytes of reply bodies received from leaves.",
-		}),
+		attempts: factory.Counters("micaplank_leaf_attempts_total",
+			"Execute calls to leaves, by outcome: executed, refused, unsent, lost, cancelled or rejected (an unusable reply).", "outcome"),
+		crossed: factory.Counter("micaplank_leaf_crossed_replies_total",
+			"Replies that belong to another request; they are dropped."),
+		truncated: factory.Counter("micaplank_leaf_truncated_replies_total",
+			"Replies with missing rows; they are dropped."),
+		dials: factory.Counters("micaplank_leaf_dials_total",
+			"Connections dialed to leaves, by result: opened or failed.", "result"),
+		connections: factory.Gauge("micaplank_leaf_open_connections",
+			"Connections to leaves that are open."),
+		replyBytes: factory.Counter("micaplank_leaf_reply_bytes_total",
+			"Bytes of reply bodies received from leaves."),
 	}
 }
 
--- a/internal/scatter/metrics.go
+++ b/internal/scatter/metrics.go
@@ -5,6 +5,7 @@
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/leaf"
+	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
 // Metrics counts the ends of attempts. One value serves all Conns of a node.
@@ -16,22 +17,15 @@
 
 // NewMetrics registers the counters.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
-	metrics := &Metrics{
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_scatter_refusals_total",
-			Help: "Attempts that a leaf refused without running them, by reason.",
-		}, []string{"reason"}),
-		failures: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_scatter_failures_total",
-			Help: "Attempts that ended without a reply, by kind: aborted, not_sent or lost.",
-		}, []string{"kind"}),
-		closed: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "micaplank_scatter_closed_total",
-			Help: "Attempts whose leaf closed or reset the connection before a byte of its answer, as when its process ends. They count among the failures, too.",
-		}),
+	factory := telemetry.NewFactory(registerer)
+	return &Metrics{
+		refusals: factory.Counters("micaplank_scatter_refusals_total",
+			"Attempts that a leaf refused without running them, by reason.", "reason"),
+		failures: factory.Counters("micaplank_scatter_failures_total",
+			"Attempts that ended without a reply, by kind: aborted, not_sent or lost.", "kind"),
+		closed: factory.Counter("micaplank_scatter_closed_total",
+			"Attempts whose leaf closed or reset the connection before a byte of its answer, as when its process ends. They count among the failures, too."),
 	}
-	registerer.MustRegister(metrics.refusals, metrics.failures, metrics.closed)
-	return metrics
 }
 
 func (m *Metrics) countRefusal(reason leaf.Refusal) {
--- a/internal/selfhosted/dissemination/metrics.go
+++ b/internal/selfhosted/dissemination/metrics.go
@@ -2,6 +2,8 @@
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
 type metrics struct {
@@ -14,40 +16,29 @@
 
 const namespace = "micaplank_dissemination_"
 
+// newMetrics registers the metrics, unless the registerer is nil.
 func newMetrics(s *Service, registerer prometheus.Registerer) *metrics {
-	m := &metrics{
-		packets:   counterVec("packets_total", "Packets, by kind and direction.", "kind", "direction"),
-		bytes:     counterVec("bytes_total", "Payload bytes of packets, by direction.", "direction"),
-		fetches:   counterVec("fetches_total", "Fetches of changes from peers, by result.", "result"),
-		store:     counterVec("store_operations_total", "Operations on the store, by kind and result.", "kind", "result"),
-		proposals: counterVec("proposals_total", "Proposals ended here, by fate.", "fate"),
-	}
-	if registerer == nil {
-		return m
+	factory := telemetry.NewFactory(registerer)
+	gauge := func(name, help string, value func() float64) { factory.GaugeFunc(namespace+name, help, value) }
+	gauge("revision", "Revision of the catalog that this node holds.",
+		func() float64 { return float64(s.Current().Revision) })
+	gauge("fresh_seconds", "Time for which this node may serve on without another confirmation; zero or less if it may not.",
+		func() float64 { return s.FreshFor().Seconds() })
+	gauge("voter_recovered", "Whether this node is a voter whose answers count (1) or not (0).",
+		s.flag(func(c *Core) bool { return c.Recovered() }))
+	gauge("superseded", "Whether a newer process has taken over this node's voter slot (1) or not (0).",
+		s.flag(func(c *Core) bool { return c.Superseded() }))
+	gauge("store_diverged", "Whether the store lacks a change that this node holds (1) or not (0).",
+		s.flag(func(c *Core) bool { return c.StoreDiverged() }))
+	gauge("log_broken", "Whether the next change of the log cannot be applied by this process (1) or not (0).",
+		s.flag(func(c *Core) bool { return c.Broken() != nil }))
+	return &metrics{
+		packets:   factory.Counters(namespace+"packets_total", "Packets, by kind and direction.", "kind", "direction"),
+		bytes:     factory.Counters(namespace+"bytes_total", "Payload bytes of packets, by direction.", "direction"),
+		fetches:   factory.Counters(namespace+"fetches_total", "Fetches of changes from peers, by result.", "result"),
+		store:     factory.Counters(namespace+"store_operations_total", "Operations on the store, by kind and result.", "kind", "result"),
+		proposals: factory.Counters(namespace+"proposals_total", "Proposals ended here, by fate.", "fate"),
 	}
-	registerer.MustRegister(m.packets, m.bytes, m.fetches, m.store, m.proposals,
-		gauge("revision", "Revision of the catalog that this node holds.",
-			func() float64 { return float64(s.Current().Revision) }),
-		gauge("fresh_seconds", "Time for which this node may serve on without another confirmation; zero or less if it may not.",
-			func() float64 { return s.FreshFor().Seconds() }),
-		gauge("voter_recovered", "Whether this node is a voter whose answers count (1) or not (0).",
-			s.flag(func(c *Core) bool { return c.Recovered() })),
-		gauge("superseded", "Whether a newer process has taken over this node's voter slot (1) or not (0).",
-			s.flag(func(c *Core) bool { return c.Superseded() })),
-		gauge("store_diverged", "Whether the store lacks a change that this node holds (1) or not (0).",
-			s.flag(func(c *Core) bool { return c.StoreDiverged() })),
-		gauge("log_broken", "Whether the next change of the log cannot be applied by this process (1) or not (0).",
-			s.flag(func(c *Core) bool { return c.Broken() != nil })),
-	)
-	return m
-}
-
-func counterVec(name, help string, labels ...string) *prometheus.CounterVec {
-	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: namespace + name, Help: help}, labels)
-}
-
-func gauge(name, help string, value func() float64) prometheus.GaugeFunc {
-	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: namespace + name, Help: help}, value)
 }
 
 func (s *Service) flag(read func(*Core) bool) func() float64 {
--- a/internal/selfhosted/executor/metrics.go
+++ b/internal/selfhosted/executor/metrics.go
@@ -7,6 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
+	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
 // latencyBuckets are the upper bounds of the latency histogram, in seconds.
@@ -20,19 +21,13 @@
 
 // NewMetrics registers the counters.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
-	metrics := &Metrics{
-		queries: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_executor_queries_total",
-			Help: "Queries of callers, by service and fate: the outcome of an answer or the type of a problem.",
-		}, []string{"service", "fate"}),
-		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name:    "micaplank_executor_query_duration_seconds",
-			Help:    "Time from the arrival of a query to its answer, of answered queries, by service and class.",
-			Buckets: latencyBuckets,
-		}, []string{"service", "class"}),
+	factory := telemetry.NewFactory(registerer)
+	return &Metrics{
+		queries: factory.Counters("micaplank_executor_queries_total",
+			"Queries of callers, by service and fate: the outcome of an answer or the type of a problem.", "service", "fate"),
+		latency: factory.Histograms("micaplank_executor_query_duration_seconds",
+			"Time from the arrival of a query to its answer, of answered queries, by service and class.", latencyBuckets, "service", "class"),
 	}
-	registerer.MustRegister(metrics.queries, metrics.latency)
-	return metrics
 }
 
 // unknownService is the label of services that do not exist.
--- a/internal/selfhosted/machines/metrics.go
+++ b/internal/selfhosted/machines/metrics.go
@@ -1,24 +1,23 @@
 package machines
 
-import "github.com/prometheus/client_golang/prometheus"
+import (
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/micaplank/micaplank/internal/telemetry"
+)
 
 type metrics struct {
 	polls *prometheus.CounterVec
 }
 
+// newMetrics registers the metrics, unless the registerer is nil.
 func newMetrics(poller *Poller, registerer prometheus.Registerer) *metrics {
-	m := &metrics{polls: prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "micaplank_machines_polls_total",
-		Help: "Readings of the platform's machine list, by result (ok or failed).",
-	}, []string{"result"})}
-	age := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "micaplank_machines_list_age_seconds",
-		Help: "Time since the last successful reading of the machine list was asked for; 0 before the first.",
-	}, func() float64 { return poller.Last().Age.Seconds() })
-	if registerer != nil {
-		registerer.MustRegister(m.polls, age)
-	}
-	return m
+	factory := telemetry.NewFactory(registerer)
+	factory.GaugeFunc("micaplank_machines_list_age_seconds",
+		"Time since the last successful reading of the machine list was asked for; 0 before the first.",
+		func() float64 { return poller.Last().Age.Seconds() })
+	return &metrics{polls: factory.Counters("micaplank_machines_polls_total",
+		"Readings of the platform's machine list, by result (ok or failed).", "result")}
 }
 
 func (m *metrics) count(err error) {
--- a/internal/selfhosted/store/metrics.go
+++ b/internal/selfhosted/store/metrics.go
@@ -5,10 +5,16 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
 const resultOK = "ok"
 
+// durationBuckets are the upper bounds of the time of a call, 1 ms to 4 s, in
+// seconds.
+var durationBuckets = prometheus.ExponentialBuckets(0.001, 2, 13)
+
 type metrics struct {
 	calls       *prometheus.CounterVec
 	duration    *prometheus.HistogramVec
@@ -16,30 +22,19 @@
 	watches     prometheus.Gauge
 }
 
+// newMetrics registers the metrics, unless the registerer is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	m := &metrics{
-		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_store_calls_total",
-			Help: "Calls to the configuration store, by step and result.",
-		}, []string{"step", "result"}),
-		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name:    "micaplank_store_call_duration_seconds",
-			Help:    "Time of a call to the configuration store, with the wait for the client's own limiter.",
-			Buckets: prometheus.ExponentialBuckets(0.001, 2, 13),
-		}, []string{"step"}),
-		watchEvents: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "micaplank_store_watch_events_total",
-			Help: "Changes of keys received over watches.",
-		}),
-		watches: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "micaplank_store_watches_open",
-			Help: "Watches that are open now.",
-		}),
-	}
-	if registerer != nil {
-		registerer.MustRegister(m.calls, m.duration, m.watchEvents, m.watches)
+	factory := telemetry.NewFactory(registerer)
+	return &metrics{
+		calls: factory.Counters("micaplank_store_calls_total",
+			"Calls to the configuration store, by step and result.", "step", "result"),
+		duration: factory.Histograms("micaplank_store_call_duration_seconds",
+			"Time of a call to the configuration store, with the wait for the client's own limiter.", durationBuckets, "step"),
+		watchEvents: factory.Counter("micaplank_store_watch_events_total",
+			"Changes of keys received over watches."),
+		watches: factory.Gauge("micaplank_store_watches_open",
+			"Watches that are open now."),
 	}
-	return m
 }
 
 func (m *metrics) observe(step Step, err error, elapsed time.Duration) {
