--- a/cmd/micactl/explain.go
+++ b/cmd/micactl/explain.go
@@ -12,7 +12,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// explainCommand tells the story of a request from logs; it asks no node.
+// explainCommand shows the timeline of a request from logs; it asks no node.
 type explainCommand struct {
 	id string
 	logFlags
@@ -41,14 +41,14 @@
 	if err != nil {
 		return err
 	}
-	story := explain.Tell(lines, c.id, since)
-	if len(story.Steps) == 0 {
+	timeline := explain.Request(lines, c.id, since)
+	if len(timeline.Steps) == 0 {
 		return fmt.Errorf("none of the %d lines names request %q", len(lines), c.id)
 	}
 	if session.Format == operator.FormatJSON {
-		return explain.WriteJSON(session.Output, story)
+		return explain.WriteJSON(session.Output, timeline)
 	}
-	return explain.WriteText(session.Output, story)
+	return explain.WriteText(session.Output, timeline)
 }
 
 // read returns the lines of the logs, and the time from which they count.
--- a/cmd/micactl/rollouts.go
+++ b/cmd/micactl/rollouts.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// rolloutsCommand tells the history of roll-outs from logs; it asks no node.
+// rolloutsCommand shows the timeline of roll-outs from logs; it asks no node.
 type rolloutsCommand struct {
 	service string
 	logFlags
--- a/internal/event/announced.go
+++ b/internal/event/announced.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ConfigRejected tells that a configuration cannot be used.
+// ConfigRejected reports that a configuration cannot be used.
 type ConfigRejected struct {
 	Key      string `event:"key" doc:"where it lies"`
 	Revision uint64 `event:"revision" doc:"revision of the store that wrote it"`
@@ -18,7 +18,7 @@
 	return Kind{"configuration rejected", slog.LevelError, "The last good configuration stays in force."}
 }
 
-// ConfigInstalled tells that a configuration is in force.
+// ConfigInstalled reports that a configuration is in force.
 type ConfigInstalled struct {
 	Version  uint64 `event:"version" doc:"its version"`
 	Revision uint64 `event:"revision" doc:"revision of the store that wrote it"`
@@ -31,7 +31,7 @@
 	return Kind{"configuration installed", slog.LevelInfo, "Requests are handled by this version from now on; never by an older one again."}
 }
 
-// LeafChanged tells that what a leaf announces has changed.
+// LeafChanged reports that what a leaf announces has changed.
 type LeafChanged struct {
 	Leaf     string         `event:"leaf" doc:"id of the leaf's incarnation"`
 	Service  string         `event:"service" doc:"service that it is of; empty with a removal"`
@@ -47,7 +47,7 @@
 	return Kind{"leaf changed", slog.LevelInfo, "A leaf came, changed, drains or is gone."}
 }
 
-// ZoneCordoned tells that operators took a zone out of service, or put it back.
+// ZoneCordoned reports that operators took a zone out of service, or put it back.
 type ZoneCordoned struct {
 	Zone     string `event:"zone" doc:"the zone"`
 	Cordoned bool   `event:"cordoned" doc:"whether its leaves get no new attempts"`
@@ -59,7 +59,7 @@
 	return Kind{"cordon changed", slog.LevelInfo, "Operators took a zone out of service, or put it back. Attempts in flight at its leaves are left to finish."}
 }
 
-// LeafRejected tells that the announcement of a leaf cannot be read.
+// LeafRejected reports that the announcement of a leaf cannot be read.
 type LeafRejected struct {
 	Key      string `event:"key" doc:"where it lies"`
 	Revision uint64 `event:"revision" doc:"revision of the store that wrote it"`
@@ -71,7 +71,7 @@
 	return Kind{"leaf rejected", slog.LevelError, "What was known of the leaf stays."}
 }
 
-// NodeChanged tells that another node came or is gone.
+// NodeChanged reports that another node came or is gone.
 type NodeChanged struct {
 	Peer     string `event:"peer" doc:"name of the node"`
 	Removed  bool   `event:"removed" doc:"whether its announcement is gone; it counts for 20 s more"`
@@ -83,7 +83,7 @@
 	return Kind{"node changed", slog.LevelInfo, "The nodes share the extra load and the connections to leaves by their number."}
 }
 
-// NodeRejected tells that the announcement of a node cannot be read.
+// NodeRejected reports that the announcement of a node cannot be read.
 type NodeRejected struct {
 	Key      string `event:"key" doc:"where it lies"`
 	Revision uint64 `event:"revision" doc:"revision of the store that wrote it"`
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,7 @@
-// Package event has a type for each line of a node's log that tells a decision
-// or a change of what the node believes. The types are the description of the
-// log: docs/EVENTS.md is made from them.
+// Package event has a type for each line of a node's log that reports a decision
+// or a change of what the node believes. It owns the messages, levels and fields
+// of these lines; a test writes docs/EVENTS.md from them. It relies on
+// internal/telemetry for the attributes of errors.
 //
 // A field is logged under the name in its tag "event"; its tag "doc" says what
 // it means, with its unit.
--- a/internal/event/nodes.go
+++ b/internal/event/nodes.go
@@ -4,7 +4,7 @@
 	"log/slog"
 )
 
-// NodeNotAnnounced tells that this node cannot announce itself.
+// NodeNotAnnounced reports that this node cannot announce itself.
 type NodeNotAnnounced struct {
 	Error error `event:"error" doc:"why"`
 }
@@ -14,7 +14,7 @@
 	return Kind{"node not announced", slog.LevelError, "The other nodes do not count this one."}
 }
 
-// LeaseLapsed tells that the lease of this node's announcement is over.
+// LeaseLapsed reports that the lease of this node's announcement is over.
 type LeaseLapsed struct {
 	Key string `event:"key" doc:"the announcement"`
 }
@@ -24,7 +24,7 @@
 	return Kind{"lease lapsed", slog.LevelWarn, "The node announces itself again."}
 }
 
-// LeaseNotRenewed tells that a call for the lease failed, once for each time.
+// LeaseNotRenewed reports that a call for the lease failed, once for each time.
 type LeaseNotRenewed struct {
 	Key   string `event:"key" doc:"the announcement"`
 	Error error  `event:"error" doc:"why"`
@@ -35,7 +35,7 @@
 	return Kind{"lease is not renewed", slog.LevelWarn, "Without a renewal the other nodes count this one for 50 s more."}
 }
 
-// ExecutorsLost tells that executors do not answer any more.
+// ExecutorsLost reports that executors do not answer any more.
 type ExecutorsLost struct {
 	Lost int `event:"lost" doc:"how many were lost now"`
 	Left int `event:"left" doc:"how many this node is in touch with"`
@@ -46,7 +46,7 @@
 	return Kind{"executors lost", slog.LevelWarn, "Without any, the node runs requests of many shards itself."}
 }
 
-// ExecutorInTouch tells that an executor answers.
+// ExecutorInTouch reports that an executor answers.
 type ExecutorInTouch struct {
 	Peer      string `event:"peer" doc:"name of the executor"`
 	Version   uint64 `event:"version" doc:"version of its configuration"`
@@ -59,7 +59,7 @@
 	return Kind{"executor in touch", slog.LevelInfo, "Requests of many shards may be handed to it."}
 }
 
-// CombinerLost tells that a node of another zone does not answer any more.
+// CombinerLost reports that a node of another zone does not answer any more.
 type CombinerLost struct {
 	Peer     string `event:"peer" doc:"name of the node"`
 	InFlight int    `event:"in_flight" doc:"attempts that it had in hand, which are lost with it"`
@@ -70,7 +70,7 @@
 	return Kind{"combiner lost", slog.LevelWarn, "Attempts at leaves of its zone go through another node there, or directly."}
 }
 
-// CombinerInTouch tells that a node of another zone answers.
+// CombinerInTouch reports that a node of another zone answers.
 type CombinerInTouch struct {
 	Peer string `event:"peer" doc:"name of the node"`
 	Zone string `event:"zone" doc:"its zone"`
--- a/internal/event/process.go
+++ b/internal/event/process.go
@@ -37,7 +37,7 @@
 	return Kind{"stopped", slog.LevelInfo, "A planned stop has ended; nothing runs any more."}
 }
 
-// SettingsRead tells that the settings were read again.
+// SettingsRead reports that the settings were read again.
 type SettingsRead struct {
 	Changed bool `event:"changed" doc:"whether they differ from those in use; a restart takes them"`
 }
@@ -47,7 +47,7 @@
 	return Kind{"settings read again", slog.LevelInfo, "The settings were read again after a hangup signal."}
 }
 
-// SettingsRejected tells that settings could not be read again.
+// SettingsRejected reports that settings could not be read again.
 type SettingsRejected struct {
 	Error error `event:"error" doc:"what is wrong; the settings in use stay"`
 }
@@ -67,7 +67,7 @@
 	return Kind{"failed", slog.LevelError, "The process ends with an error."}
 }
 
-// Woke tells that the machine was suspended.
+// Woke reports that the machine was suspended.
 type Woke struct {
 	Suspended time.Duration `event:"suspended" doc:"for how long; the steady clock does not count it, deadlines and terms do"`
 }
--- a/internal/event/quarantine.go
+++ b/internal/event/quarantine.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// RequestSuspected tells that leaves ended under a request that has no answer.
+// RequestSuspected reports that leaves ended under a request that has no answer.
 type RequestSuspected struct {
 	Content fmt.Stringer `event:"content" doc:"what it asks, as in the line on the request"`
 	Route   string       `event:"route" doc:"its route"`
@@ -17,7 +17,7 @@
 	return Kind{"request suspected", slog.LevelWarn, "The other nodes are told. Once enough leaves ended under it, it is tried on one alone; an answer of any leaf clears it."}
 }
 
-// RequestTried tells that a leaf ended under a request that was tried on it alone.
+// RequestTried reports that a leaf ended under a request that was tried on it alone.
 type RequestTried struct {
 	Content fmt.Stringer `event:"content" doc:"what it asks, as in the line on the request"`
 	Route   string       `event:"route" doc:"its route"`
@@ -32,7 +32,7 @@
 	return Kind{"request tried", slog.LevelWarn, "It is held after two such trials, if their odds are 100 or more."}
 }
 
-// RequestHeld tells that a request gets no leaf from now on.
+// RequestHeld reports that a request gets no leaf from now on.
 type RequestHeld struct {
 	Content  fmt.Stringer `event:"content" doc:"what it asks, as in the line on the request"`
 	Route    string       `event:"route" doc:"its route"`
@@ -47,7 +47,7 @@
 	return Kind{"request held", slog.LevelError, "It is refused at once, at all nodes, for 5 to 10 minutes; then it is tried on one leaf first."}
 }
 
-// RequestReleased tells that a request is not held any more.
+// RequestReleased reports that a request is not held any more.
 type RequestReleased struct {
 	Content fmt.Stringer `event:"content" doc:"what it asks, as in the line on the request"`
 }
@@ -57,7 +57,7 @@
 	return Kind{"request released", slog.LevelInfo, "Its time is over, or an operator took its key out of the store. It is tried on one leaf before it may run as usual."}
 }
 
-// QuarantineNotWritten tells that the store did not take what is known of a request.
+// QuarantineNotWritten reports that the store did not take what is known of a request.
 type QuarantineNotWritten struct {
 	Content fmt.Stringer `event:"content" doc:"what it asks, as in the line on the request"`
 	Error   error        `event:"error" doc:"how the call failed"`
@@ -68,7 +68,7 @@
 	return Kind{"quarantine not written", slog.LevelWarn, "This node goes by what it knows; it writes it again after a pause of 3 s at most."}
 }
 
-// QuarantineRejected tells that a record of a request cannot be read.
+// QuarantineRejected reports that a record of a request cannot be read.
 type QuarantineRejected struct {
 	Key      string `event:"key" doc:"where it lies"`
 	Revision uint64 `event:"revision" doc:"revision of the store that wrote it"`
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -54,7 +54,7 @@
 	Budget   float64 `json:"budget" event:"budget" doc:"extra attempts that the shard's budget held, before this one"`
 }
 
-// RequestLost tells that a request is lost with the node that ran it.
+// RequestLost reports that a request is lost with the node that ran it.
 type RequestLost struct {
 	RequestID string `event:"request_id" doc:"the client's id of this attempt of its own"`
 	Executor  string `event:"executor" doc:"node that ran it"`
--- a/internal/event/rollouts.go
+++ b/internal/event/rollouts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RolloutOrdered tells that an operator ordered a roll-out, or withdrew the order.
+// RolloutOrdered reports that an operator ordered a roll-out, or withdrew the order.
 type RolloutOrdered struct {
 	Service   string        `event:"service" doc:"service that it is of"`
 	Version   string        `event:"target" doc:"version that the traffic shall move to"`
@@ -19,7 +19,7 @@
 	return Kind{"roll-out ordered", slog.LevelInfo, "Leaves of the version get only what the exposure allows, until the roll-out shifts the traffic. If the order is gone, what was begun is rolled back."}
 }
 
-// RolloutRejected tells that an order, or a record, of a roll-out cannot be read.
+// RolloutRejected reports that an order, or a record, of a roll-out cannot be read.
 type RolloutRejected struct {
 	Key      string `event:"key" doc:"where it lies"`
 	Revision uint64 `event:"revision" doc:"revision of the store that wrote it"`
@@ -31,7 +31,7 @@
 	return Kind{"roll-out rejected", slog.LevelError, "What was known of the roll-out stays."}
 }
 
-// RolloutChanged tells that a roll-out has come to another phase.
+// RolloutChanged reports that a roll-out has entered another phase.
 type RolloutChanged struct {
 	Service string        `event:"service" doc:"service that it is of"`
 	Version string        `event:"target" doc:"version that is rolled out"`
@@ -46,7 +46,7 @@
 	return Kind{"roll-out changed", slog.LevelInfo, "The node goes by this phase from now on. Each node writes the line when it hears of the phase, from the store or from the node that decides."}
 }
 
-// RolloutDecided tells that this node has written a phase of a roll-out.
+// RolloutDecided reports that this node has written a phase of a roll-out.
 type RolloutDecided struct {
 	Service  string `event:"service" doc:"service that it is of"`
 	Version  string `event:"target" doc:"version that is rolled out"`
@@ -66,7 +66,7 @@
 	return Kind{"roll-out decided", level, "This node decides on roll-outs, and has written a step, or tried to."}
 }
 
-// RolloutDecider tells that this node reports to another decider.
+// RolloutDecider reports that this node reports to another decider.
 type RolloutDecider struct {
 	Peer   string `event:"peer" doc:"name of the node that decides from now on"`
 	Former string `event:"former" doc:"name of the one before; empty without one"`
--- a/internal/event/store.go
+++ b/internal/event/store.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// StoreRead tells that the whole of the store was read.
+// StoreRead reports that the whole of the store was read.
 type StoreRead struct {
 	Leaves   int  `event:"leaves" doc:"leaves announced"`
 	Nodes    int  `event:"nodes" doc:"nodes announced"`
@@ -19,7 +19,7 @@
 	return Kind{"store read", slog.LevelInfo, "Configuration and announcements were read as a whole: at the start, or because the history after the last revision was gone."}
 }
 
-// SourceUsed tells that a node that starts took over the copy of another one.
+// SourceUsed reports that a node that starts took over the copy of another one.
 type SourceUsed struct {
 	Source   netip.AddrPort `event:"source" doc:"the other node"`
 	Revision uint64         `event:"revision" doc:"revision of the store that the copy is of"`
@@ -32,7 +32,7 @@
 	return Kind{"copied from node", slog.LevelInfo, "The node took configuration and announcements from another node in place of the store, and follows the changes from there on."}
 }
 
-// SourceFailed tells that the copy of another node could not be taken over.
+// SourceFailed reports that the copy of another node could not be taken over.
 type SourceFailed struct {
 	Source netip.AddrPort `event:"source" doc:"the other node"`
 	Error  error          `event:"error" doc:"why"`
@@ -43,7 +43,7 @@
 	return Kind{"copy from node failed", slog.LevelInfo, "The node asks a further source, or reads the store itself."}
 }
 
-// StoreLost tells that the store does not answer.
+// StoreLost reports that the store does not answer.
 type StoreLost struct {
 	Error error `event:"error" doc:"how it shows; \"the watcher has lost the store\" if another node told so"`
 }
@@ -53,7 +53,7 @@
 	return Kind{"store lost", slog.LevelWarn, "The node serves on with the configuration and the leaves that it knows."}
 }
 
-// StoreRegained tells that the store answers again.
+// StoreRegained reports that the store answers again.
 type StoreRegained struct {
 	Away time.Duration `event:"away" doc:"how long it did not answer"`
 }
@@ -63,7 +63,7 @@
 	return Kind{"store regained", slog.LevelInfo, "For some seconds, leaves whose announcement is gone are doubted, not dropped."}
 }
 
-// WatcherFailed tells that a node that watches the store for others did not
+// WatcherFailed reports that a node that watches the store for others did not
 // answer well.
 type WatcherFailed struct {
 	Watcher netip.AddrPort `event:"watcher" doc:"the node that was asked"`
--- a/internal/explain/belief.go
+++ b/internal/explain/belief.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// beliefs is what one node believed, as its log tells it.
+// beliefs is what one node believed, as its log shows.
 type beliefs struct {
 	startedAt time.Time // zero if the log begins later
 	config    string
@@ -67,7 +67,7 @@
 	}
 }
 
-// at tells what was believed at the time of a line, with its age.
+// at returns what was believed at the time of a line, with its age.
 func (b *beliefs) at(line *Line) []string {
 	var texts []string
 	if !b.startedAt.IsZero() {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,7 @@
-// Package explain tells the story of one request from the logs of nodes: each
-// decision about it in the order of time, with what the node believed then.
+// Package explain is behind "micactl explain" and "micactl rollouts": from the
+// logs of nodes it puts together the timeline of one request, each decision about
+// it with what the node believed at that time, and the timeline of roll-outs.
+// It is pure, and relies on the lines that internal/event writes.
 package explain
 
 import (
@@ -83,7 +85,7 @@
 	return lines, nil
 }
 
-// Step is one step of a story.
+// Step is one step of a timeline.
 type Step struct {
 	Time time.Time `json:"time"`
 	Node string    `json:"node"`
@@ -101,21 +103,21 @@
 	KindLost    = "lost"
 )
 
-// Story is what the logs tell of a request.
-type Story struct {
+// Timeline is what the logs contain about a request, or about roll-outs.
+type Timeline struct {
 	RequestID string `json:"request_id"`
 	Steps     []Step `json:"steps"`
-	// Dropped counts lines of requests that the nodes of the story dropped for
+	// Dropped counts lines of requests that the nodes of the timeline dropped for
 	// their rate: they may be missing here.
 	Dropped int `json:"dropped_lines"`
 }
 
-// Tell returns the story of a request. Lines before since are left out, but for
-// what they say of beliefs. The story has no steps if no line names the request.
-func Tell(lines []Line, requestID string, since time.Time) Story {
+// Request returns the timeline of a request. Lines before since are left out, but
+// for what they say of beliefs. It has no steps if no line names the request.
+func Request(lines []Line, requestID string, since time.Time) Timeline {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	story := Story{RequestID: requestID}
+	timeline := Timeline{RequestID: requestID}
 	beliefs := make(map[string]*beliefs)
 	nodes := make(map[string]bool)
 	for index := range sorted {
@@ -126,19 +128,19 @@
 		beliefs[line.Node].learn(line)
 		if line.RequestID == requestID && !line.Time.Before(since) {
 			nodes[line.Node] = true
-			story.Steps = append(story.Steps, stepsOf(line, beliefs[line.Node])...)
+			timeline.Steps = append(timeline.Steps, stepsOf(line, beliefs[line.Node])...)
 		}
 	}
-	slices.SortStableFunc(story.Steps, func(a, b Step) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(timeline.Steps, func(a, b Step) int { return a.Time.Compare(b.Time) })
 	for index := range sorted {
 		if line := &sorted[index]; nodes[line.Node] && line.Message == (event.Request{}).Kind().Message {
-			story.Dropped += line.Dropped
+			timeline.Dropped += line.Dropped
 		}
 	}
-	return story
+	return timeline
 }
 
-// stepsOf tells one line of a request: what the node believed, the request, its
+// stepsOf returns the steps of one line of a request: what the node believed, the request, its
 // attempts and its end.
 func stepsOf(line *Line, known *beliefs) []Step {
 	if line.Message == (event.RequestLost{}).Kind().Message {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -38,21 +38,21 @@
 		"started": "18bea8a1172d3c6d", "refused": "6b6ffc4791fe821e", "late": "886af99c970498dc",
 	} {
 		var text bytes.Buffer
-		if err := WriteText(&text, Tell(lines, id, time.Time{})); err != nil {
+		if err := WriteText(&text, Request(lines, id, time.Time{})); err != nil {
 			t.Fatal(err)
 		}
 		goldie.New(t).Assert(t, name, text.Bytes())
 	}
 	var document bytes.Buffer
-	if err := WriteJSON(&document, Tell(lines, "886af99c970498dc", time.Time{})); err != nil {
+	if err := WriteJSON(&document, Request(lines, "886af99c970498dc", time.Time{})); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "late_json", document.Bytes())
 }
 
 func TestUnknownRequestHasNoSteps(t *testing.T) {
-	if story := Tell(read(t), "nobody", time.Time{}); len(story.Steps) != 0 {
-		t.Errorf("%+v", story)
+	if timeline := Request(read(t), "nobody", time.Time{}); len(timeline.Steps) != 0 {
+		t.Errorf("%+v", timeline)
 	}
 }
 
@@ -65,12 +65,12 @@
 			at = line.Time
 		}
 	}
-	if story := Tell(lines, "886af99c970498dc", at.Add(-time.Second)); len(story.Steps) != 0 {
-		t.Errorf("older: %+v", story)
+	if timeline := Request(lines, "886af99c970498dc", at.Add(-time.Second)); len(timeline.Steps) != 0 {
+		t.Errorf("older: %+v", timeline)
 	}
-	story := Tell(lines, "6b6ffc4791fe821e", at.Add(-time.Second))
-	if len(story.Steps) == 0 || story.Steps[0].Kind != KindBelief {
-		t.Errorf("%+v", story)
+	timeline := Request(lines, "6b6ffc4791fe821e", at.Add(-time.Second))
+	if len(timeline.Steps) == 0 || timeline.Steps[0].Kind != KindBelief {
+		t.Errorf("%+v", timeline)
 	}
 }
 
@@ -78,7 +78,7 @@
 func TestOrderOfFilesDoesNotMatter(t *testing.T) {
 	lines := read(t)
 	var forward, backward bytes.Buffer
-	if err := WriteText(&forward, Tell(lines, "6b6ffc4791fe821e", time.Time{})); err != nil {
+	if err := WriteText(&forward, Request(lines, "6b6ffc4791fe821e", time.Time{})); err != nil {
 		t.Fatal(err)
 	}
 	byNode := make(map[string][]Line)
@@ -89,7 +89,7 @@
 	for _, name := range []string{"edge-ben-thanh-7", "edge-ben-thanh-1", "edge-go-vap-9", "edge-go-vap-12"} {
 		turned = append(turned, byNode[name]...)
 	}
-	if err := WriteText(&backward, Tell(turned, "6b6ffc4791fe821e", time.Time{})); err != nil {
+	if err := WriteText(&backward, Request(turned, "6b6ffc4791fe821e", time.Time{})); err != nil {
 		t.Fatal(err)
 	}
 	if len(strings.Split(forward.String(), "\n")) != len(strings.Split(backward.String(), "\n")) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestDroppedLinesAreTold, since the story may lack them.
+// TestDroppedLinesAreTold, since the timeline may lack them.
 func TestDroppedLinesAreTold(t *testing.T) {
 	lines, err := Read(strings.NewReader(`
 text of a collector 1.5 {"time":"2026-01-01T00:00:00Z","msg":"request","node":"a","request_id":"x","fate":"merged"}
@@ -108,8 +108,8 @@
 	if err != nil || len(lines) != 3 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
-	if story := Tell(lines, "x", time.Time{}); story.Dropped != 7 {
-		t.Errorf("%+v", story)
+	if timeline := Request(lines, "x", time.Time{}); timeline.Dropped != 7 {
+		t.Errorf("%+v", timeline)
 	}
 }
 
@@ -122,7 +122,7 @@
 		if err != nil {
 			return
 		}
-		if err := WriteText(&bytes.Buffer{}, Tell(lines, "x", time.Time{})); err != nil {
+		if err := WriteText(&bytes.Buffer{}, Request(lines, "x", time.Time{})); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -32,7 +32,7 @@
 
 // Rollouts returns the history of roll-outs since a time: orders, what was decided and
 // why, and how soon the nodes followed. With a service, only its own.
-func Rollouts(lines []Line, service string, since time.Time) Story {
+func Rollouts(lines []Line, service string, since time.Time) Timeline {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	var steps []Step
@@ -66,7 +66,7 @@
 		steps = append(steps, Step{nodes.last, nodes.lastNode, KindFollowed, text})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Text, b.Text)) })
-	return Story{Steps: steps}
+	return Timeline{Steps: steps}
 }
 
 func follow(followed map[phaseKey]*followers, line *Line) {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses adds up, from the logs of nodes, what requests lost and why: the
-// requests without an answer, and the shards that answers lack. It is pure.
+// Package losses is behind "micactl losses": it adds up, from the logs of nodes,
+// the requests without an answer and the shards that answers lack, by cause. It is
+// pure, and relies on internal/explain to read the lines.
 package losses
 
 import (
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings holds the settings of one node process: a TOML file,
-// overridden by flags. Unknown keys, wrong types and values out of range are
+// Package settings holds the settings of one node process, of either node
+// program: a TOML file, overridden by flags. It owns the names, forms, defaults
+// and ranges of all keys. Unknown keys, wrong types and values out of range are
 // errors that name the file, line and key, and what was expected there.
 package settings
 
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// Settings is everything that a node process is told at its start. The tags
+// Settings is everything that a node process is configured with at its start. The tags
 // "expect" say in words what a value must be, "comment" what it does.
 type Settings struct {
 	Name      string     `toml:"name" comment:"Slot of this node, unique among the nodes. A replacement machine takes its predecessor's." validate:"required,slot" expect:"a lower-case letter and at most 62 more lower-case letters, digits and hyphens, such as \"node-a1\""`
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -17,7 +17,7 @@
 	types map[string]MetricType
 }
 
-// TypedCollector is a collector that tells the types of its metrics by name,
+// TypedCollector is a collector that gives the types of its metrics by name,
 // so that they are known before there is a sample.
 type TypedCollector interface {
 	prometheus.Collector
