--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -2,7 +2,8 @@
 //
 // A Catalog is the result of applying a totally ordered log of changes, one
 // after another, to the empty catalog. Apply is pure and deterministic, so
-// every node that holds the same revision holds the same catalog.
+// every node that holds the same revision holds the same catalog. The package owns
+// the operations of a change and their stored form, and relies on no other state.
 package catalog
 
 import (
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
 // Package clock reads the time since an arbitrary origin, the form in which the pure
-// decision packages take time.
+// decision packages take time, with the time for which the machine was suspended
+// counted. It relies on the system's clocks only.
 package clock
 
 import (
@@ -10,13 +11,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time since an arbitrary origin. It never goes back, is not moved by
+// Clock reads the time since an arbitrary origin. It never goes back, is not moved by
 // changes of the time of day, and counts the time for which the machine was
 // suspended: whatever is valid for some time is over when that time is.
 //
 // What only paces calls, or measures how long a peer is silent, reads the steady time
-// of package time instead, which stands still while the machine does: to wake must
-// not look like the silence of all others.
+// of package time instead, which stands still while the machine does: a resume must
+// not look as if all others had been silent.
 type Clock interface {
 	Now() time.Duration
 }
@@ -126,7 +127,7 @@
 // not seen then.
 func (m *Monotonic) Failures() int64 { return m.failures.Load() }
 
-// Watch calls woke after each suspension, with its length, until ctx ends. It looks
+// Watch calls woke after each suspension, with its length, until ctx ends. It checks
 // once in each interval of steady time: timers stand still with the machine, and go
 // off too late after it.
 func (m *Monotonic) Watch(ctx context.Context, interval time.Duration, woke func(length time.Duration)) {
--- a/internal/leaf/errors.go
+++ b/internal/leaf/errors.go
@@ -36,7 +36,7 @@
 	// hand: it says nothing of the leaf.
 	OnTheWay bool
 	// Closed is set if the leaf's end of the connection was closed or reset before
-	// a byte of its answer: as when its process ends under the call.
+	// a byte of its answer, as when its process crashes during the call.
 	Closed bool
 	// Err is the cause. It carries the attributes step and peer.
 	Err error
--- a/internal/leaf/protocol.go
+++ b/internal/leaf/protocol.go
@@ -1,5 +1,8 @@
-// Package leaf is the client of the leaf protocol: HTTP/2 cleartext with JSON
-// bodies.
+// Package leaf is the client of the self-hosted deployment's leaf protocol: HTTP/2
+// without TLS, with JSON bodies. It owns the connections to leaves and the proof of
+// whether a byte of a request left. Both deployments use its types of load and
+// refusal. It relies on internal/catalog and internal/rows for what the messages
+// hold.
 package leaf
 
 import (
@@ -70,7 +73,7 @@
 	Slots     int   `json:"slots"`
 	Queue     int   `json:"queue"`
 	// Pace is how long work takes on the leaf's machine at present, in percent
-	// of what is usual; zero if the leaf does not tell. The machine is shared,
+	// of what is usual; zero if the leaf does not report it. The machine is shared,
 	// and the figure changes many times a second.
 	Pace int `json:"pace,omitempty"`
 }
--- a/internal/peer/client_link.go
+++ b/internal/peer/client_link.go
@@ -155,7 +155,7 @@
 }
 
 // closeIfSilent ends the connection if it has gone silent, by the wait of a call
-// that has been given up: all that waits on it would wait in vain.
+// that has been given up: no other call on it would get an answer.
 func (l *clientLink) closeIfSilent(begun time.Time) {
 	l.mutex.Lock()
 	silent := l.silence.waited(begun, time.Now())
@@ -192,7 +192,7 @@
 	return got.failure
 }
 
-// giveUp ends a call whose context has ended and tells the peer.
+// giveUp ends a call whose context has ended and cancels it at the peer.
 func (l *clientLink) giveUp(ctx context.Context, call uint64, frame *outgoing) *Error {
 	if frame.withdraw() {
 		return &Error{Step: StepQueue, Err: ctx.Err()}
--- a/internal/peer/drain.go
+++ b/internal/peer/drain.go
@@ -6,7 +6,7 @@
 )
 
 // leaveTimeout is how long a connection is kept open, after the answers to its
-// calls, for a peer that was told to leave it: until then its calls on the way are
+// calls, for a peer that was asked to leave it: until then its calls on the way are
 // refused, not cut off. A peer in touch leaves within a round trip; the bound
 // counts for one that is frozen or cut off, and is what that adds to a stop.
 const leaveTimeout = time.Second
@@ -32,8 +32,8 @@
 	return err
 }
 
-// drain tells the peers to leave. Connections that are greeting are told once
-// they have; they get no longer for it than the others.
+// drain asks the peers to leave. Connections still in the handshake are asked once
+// it is done; they get no longer for it than the others.
 func (s *Server) drain() {
 	_ = s.listener.Close()
 	s.mutex.Lock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// end tells the peer to leave, waits until the running handlers have been
+// end asks the peer to leave, waits until the running handlers have been
 // answered and the peer has closed the connection, and closes it if it has not.
 func (l *serverLink) end() {
 	l.goAway()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -4,7 +4,7 @@
 //
 // The package knows nothing of what the messages mean. It bounds their size,
 // counts them, and says of a call that failed whether the peer can have seen
-// it.
+// it. It owns the sockets between nodes and relies on no package that decides.
 package peer
 
 import (
--- a/internal/peer/silence.go
+++ b/internal/peer/silence.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// silentAfter is how long calls must have waited in vain until a connection is
-	// taken to be silent for good. It is below the time after which a node that
+	// silentAfter is how long calls must have waited without an answer until a
+	// connection counts as dead. It is below the time after which a node that
 	// answers no question counts as lost (0.8 s), so that the next question goes
 	// over a new connection.
 	silentAfter = 700 * time.Millisecond
@@ -13,8 +13,8 @@
 	shortestWait = 300 * time.Millisecond
 )
 
-// silence tells whether a connection has gone silent for good, without a reset,
-// while new ones may work. It is not safe for concurrent use.
+// silence detects a connection that is dead without a reset, while new ones may
+// work. It is not safe for concurrent use.
 type silence struct {
 	// since is up to when waits are counted, and counted how long they are, since
 	// the last frame. Waits at the same time count once.
@@ -22,13 +22,13 @@
 	counted time.Duration
 }
 
-// heard takes in that a frame came.
+// heard records that a frame was received.
 func (s *silence) heard(now time.Time) {
 	s.since, s.counted = now, 0
 }
 
-// waited takes in that a call was given up, and reports whether the connection is
-// silent.
+// waited records that a call was given up, and reports whether the connection is
+// dead.
 func (s *silence) waited(begun, now time.Time) bool {
 	if now.Sub(begun) < shortestWait || begun.Before(s.since) && s.counted == 0 {
 		return false
--- a/internal/rehearsal/cluster/process.go
+++ b/internal/rehearsal/cluster/process.go
@@ -1,6 +1,7 @@
 // Package cluster runs a whole deployment as real processes on loopback: the
 // stand-ins of the platform, the leaves and the nodes. The demo and the tests
-// use it. It injects faults: kill, freeze and planned stop.
+// use it. It injects faults: kill, freeze and planned stop. It owns the processes
+// and their files, and relies on the built programs micaplank and micarehearse.
 package cluster
 
 import (
@@ -20,13 +21,13 @@
 // startTimeout bounds the time from the start of a process until it listens.
 const startTimeout = 20 * time.Second
 
-// listeningMessage is the log line by which a process tells its addresses.
+// listeningMessage is the log line in which a process reports its addresses.
 const listeningMessage = "listening"
 
 // logBytes is how much of a process's newest log is kept.
 const logBytes = 64 << 10
 
-// announcement is the part of a log line that tells addresses.
+// announcement is the part of a log line that holds addresses.
 type announcement struct {
 	Message string         `json:"msg"`
 	HTTP    netip.AddrPort `json:"http"`
--- a/internal/rehearsal/history/recorder.go
+++ b/internal/rehearsal/history/recorder.go
@@ -1,5 +1,5 @@
-// Package history records what callers, operators and leaves saw of a
-// deployment, and checks the recorded history against the promises that
+// Package history is test support: no program imports it. It records what callers,
+// operators and leaves saw of a deployment, and checks the recorded history against the promises that
 // micaplank gives. It knows nothing of how a node works: the checkers use only
 // requests, answers, the leaves' execution logs and the generated data.
 package history
--- a/internal/rehearsal/leaf/faults.go
+++ b/internal/rehearsal/leaf/faults.go
@@ -26,7 +26,7 @@
 	ReportScale float64 `json:"report_scale"`
 	// ReportLagMilliseconds is the age of the reported load.
 	ReportLagMilliseconds int64 `json:"report_lag_ms"`
-	// ReportState is reported in place of the true state; empty tells it.
+	// ReportState is reported in place of the true state; empty reports the true one.
 	ReportState protocol.State `json:"report_state"`
 	// ReportFixed is reported in place of the true load, if set.
 	ReportFixed *protocol.LoadSummary `json:"report_fixed"`
--- a/internal/rehearsal/leaf/holdings.go
+++ b/internal/rehearsal/leaf/holdings.go
@@ -72,7 +72,7 @@
 	return &shardTable{table: table, shard: key.shard, shardCount: shardCount}
 }
 
-// inserted makes the versions after the given one be built anew.
+// inserted makes the versions after the given one be built again.
 func (h *holdings) inserted(version uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/rehearsal/leaf/report.go
+++ b/internal/rehearsal/leaf/report.go
@@ -13,7 +13,7 @@
 // keptSamples bounds the lag that a report can have to about a minute.
 const keptSamples = 6000
 
-// reporter tells the leaf's load, truly or not.
+// reporter reports the leaf's load, truly or not.
 type reporter struct {
 	server  *Server
 	mutex   sync.Mutex
@@ -25,7 +25,7 @@
 	summary protocol.LoadSummary
 }
 
-// summary returns the load as the leaf tells it.
+// summary returns the load as the leaf reports it.
 func (r *reporter) summary() protocol.LoadSummary {
 	faults := r.server.faults.get()
 	if faults.ReportFixed != nil {
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -1,5 +1,5 @@
-// Package machines is a stand-in for the platform's machine list, for tests,
-// demonstrations and experiments. The list lags by a settable time.
+// Package machines is a stand-in for the platform's machine list, for tests and
+// the demo. The list lags by a settable time.
 package machines
 
 import (
--- a/internal/rehearsal/store/config.go
+++ b/internal/rehearsal/store/config.go
@@ -1,7 +1,7 @@
 // Package store is a stand-in for the platform's configuration store, for
-// tests, demonstrations and experiments. It serves the same part of the etcd
+// tests and the demo. It serves the same part of the etcd
 // v3 HTTP/JSON gateway that internal/selfhosted/store calls, keeps everything in memory,
-// and can be told to fail in the ways that the real one does.
+// and can be made to fail in the ways that the real one does.
 package store
 
 import (
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -1,5 +1,5 @@
 // Package rows holds the typed values, rows and tables that leaves return and
-// nodes merge.
+// nodes of the self-hosted deployment merge, and their JSON form, which it owns.
 package rows
 
 // Kind is the type of a Value.
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -65,7 +65,7 @@
 	return &leaf.TransportError{Step: step, Peer: peer, Sent: false, Err: err}
 }
 
-// report tells the dispatcher how an attempt ended.
+// report passes the end of an attempt to the Dispatcher.
 func (c *Conn[Q, P]) report(now dispatch.Time, started *attempt, running *query[Q, P], response *Response[P], err error) []dispatch.Action {
 	id := started.send.Attempt
 	if _, active := c.queries[started.send.Query]; active && c.config.Trace {
--- a/internal/scatter/conn.go
+++ b/internal/scatter/conn.go
@@ -113,7 +113,7 @@
 	return running
 }
 
-// query returns what the Dispatcher is told of a request.
+// query returns a request as the Dispatcher takes it.
 func (r *Request[Q]) query(id dispatch.QueryID, now dispatch.Time) dispatch.Query {
 	submitted := dispatch.Query{
 		ID:              id,
@@ -314,8 +314,8 @@
 	c.step(c.dispatcher.Tick)
 }
 
-// Wake ends what has expired, which the timer tells too late once the machine was
-// suspended.
+// Wake ends what has expired. After a suspension of the machine the timer fires too
+// late for it.
 func (c *Conn[Q, P]) Wake() { c.tick() }
 
 func (c *Conn[Q, P]) start(send dispatch.Send) {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -4,7 +4,8 @@
 // A Conn belongs to one service. It serialises the calls to the Dispatcher,
 // sends attempts, collects the tables of replies and hands the ones that count
 // to the caller. It repeats nothing on its own: a second attempt happens only
-// if the Dispatcher returns another Send.
+// if the Dispatcher returns another Send. It owns the attempts in flight and the
+// timer of one service, and relies on internal/decide/dispatch for every decision.
 package scatter
 
 import (
@@ -62,7 +63,7 @@
 // that was frozen, or cut off from the majority of voters, may not.
 type Guard func() error
 
-// DrainingFunc is told of a leaf whose reply says that it is leaving.
+// DrainingFunc is called with a leaf whose reply says that it is leaving.
 type DrainingFunc func(address netip.AddrPort, bootID string)
 
 // Config is what a Conn needs besides its Dispatcher.
@@ -112,7 +113,7 @@
 	Part  P
 }
 
-// AttemptTrace is the story of one attempt, up to the end of its query.
+// AttemptTrace records one attempt, up to the end of its query.
 type AttemptTrace struct {
 	dispatch.Send
 	// At is when it was sent, and Took how long it took, since the query was
@@ -142,7 +143,7 @@
 	EndLost     AttemptEnd = "lost"     // sent, and no whole answer came
 )
 
-// Result is the fate of a query, with the parts that count.
+// Result is the outcome of a query, with the parts that count.
 type Result[P any] struct {
 	dispatch.Finish
 	Parts []ShardPart[P]
@@ -151,6 +152,6 @@
 	// Failure is the last answer with which a leaf itself failed, if HasFailure.
 	Failure    P
 	HasFailure bool
-	// Detail is a leaf's word on why a statement cannot run, if one said so.
+	// Detail is the reason that a leaf gave why a statement cannot run, if one did.
 	Detail string
 }
--- a/internal/selfhosted/dissemination/takeover.go
+++ b/internal/selfhosted/dissemination/takeover.go
@@ -37,7 +37,7 @@
 	return c.takeover.recovered || c.omit.recovery
 }
 
-// resetTakeover makes a node that is no voter any more start anew if it
+// resetTakeover makes a node that is no voter any more start over if it
 // becomes one again.
 func (c *Core) resetTakeover() {
 	if c.holdsSlot() || (!c.takeover.complete && !c.takeover.recovered) {
--- a/internal/selfhosted/executor/answer.go
+++ b/internal/selfhosted/executor/answer.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// answer turns the fate of a scattered query into what the caller is told. A
+// answer turns the outcome of a scattered query into what the caller receives. A
 // statement that leaves refuse, and none has run, is the caller's mistake.
 func (p *plan) answer(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
 	switch result.Outcome {
--- a/internal/selfhosted/executor/ledger.go
+++ b/internal/selfhosted/executor/ledger.go
@@ -74,7 +74,7 @@
 	return once.Reading{Wall: l.wall(), Monotonic: l.clock.Now()}
 }
 
-// SetVoters tells of the newest change of the voting set. The revision counts,
+// SetVoters takes the newest change of the voting set. The revision counts,
 // not the names: a node that missed two changes which cancel out must be
 // suspended too, since an owner in between may have run its ids.
 func (l *Ledger) SetVoters(votersRevision uint64) {
@@ -120,7 +120,7 @@
 
 // begin decides about an id that this node owns by the voting set of a
 // catalog, which is named by the revision of its newest change. It may be newer
-// than the one that SetVoters was last told of: it is installed first. If it is
+// than the one that SetVoters took last: it is installed first. If it is
 // older, the node may not be the owner any more, and the id is refused.
 func (l *Ledger) begin(id ulid.ULID, votersRevision uint64) once.Decision[fate] {
 	l.mutex.Lock()
--- a/internal/selfhosted/executor/once.go
+++ b/internal/selfhosted/executor/once.go
@@ -44,7 +44,7 @@
 }
 
 // forward asks the owner, once. If its answer is lost, the query may have run,
-// and that is what the caller is told.
+// and that is what the caller receives.
 func (e *Executor) forward(ctx context.Context, planned *plan, owner string) (*api.QueryResponse, error) {
 	waiting, cancel := context.WithTimeout(ctx, planned.timeout)
 	defer cancel()
--- a/internal/selfhosted/machines/list.go
+++ b/internal/selfhosted/machines/list.go
@@ -20,7 +20,7 @@
 	KindNode Kind = "node"
 )
 
-// State is the platform's word on a machine.
+// State is the state that the platform reports of a machine.
 type State string
 
 // The states of a machine.
--- a/internal/selfhosted/membership/core.go
+++ b/internal/selfhosted/membership/core.go
@@ -135,7 +135,7 @@
 }
 
 // Members returns all known members that are not gone, this node included,
-// ordered by name. The list is made anew only after a change; it must not be
+// ordered by name. The list is rebuilt only after a change; it must not be
 // modified.
 func (c *Core) Members() []Member {
 	if c.listed == nil || c.listedVersion != c.view.version || c.listed[c.listedSelf] != c.self {
--- a/internal/selfhosted/membership/suspicion.go
+++ b/internal/selfhosted/membership/suspicion.go
@@ -51,14 +51,14 @@
 	c.setDeadline(p.suspicion)
 }
 
-// setDeadline sets the end of a suspicion; the last check begins anew.
+// setDeadline sets the end of a suspicion; the last check starts over.
 func (c *Core) setDeadline(s *suspicion) {
 	s.checks, s.witnessedChecks = 0, 0
 	confirmations := len(s.accusers) - 1
 	s.deadline = s.raisedAt + c.config.suspicionTime(c.members(), confirmations)*s.patience
 }
 
-// confirmSuspicion counts a further accuser and passes its word on.
+// confirmSuspicion counts a further accuser and passes its suspicion on.
 func (c *Core) confirmSuspicion(p *peer, update Update) {
 	s := p.suspicion
 	if len(s.accusers) > c.config.SuspicionConfirmations || slices.Contains(s.accusers, update.Accuser) {
--- a/internal/selfhosted/node/install.go
+++ b/internal/selfhosted/node/install.go
@@ -6,16 +6,16 @@
 )
 
 // installation is the revision up to which the parts that act on the catalog
-// have been told of it.
+// have received it.
 type installation struct {
 	revision atomic.Uint64
 	mutex    sync.Mutex
 }
 
 // install hands the newest catalog to the parts that act on it, unless they
-// have it. It returns when they do. Freshness speaks of the newest catalog, so
-// whoever relies on it calls install: a node that has just woken is fresh again
-// before followCatalog has had its turn.
+// have it. It returns when they do. Freshness is a statement about the newest catalog,
+// so whoever relies on it calls install: a node that has just resumed is fresh
+// again before followCatalog has run.
 func (n *Node) install() {
 	if n.installed.revision.Load() >= n.dissemination.Current().Revision {
 		return
