--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -12,7 +12,6 @@
 	"fmt"
 	"log/slog"
 	"reflect"
-	"strings"
 	"sync"
 
 	"github.com/micaplank/micaplank/internal/telemetry"
@@ -69,9 +68,6 @@
 	index int
 }
 
-// Fields returns the fields of an event in the order in which they are logged.
-func Fields(event any) []Field { return fieldsOf(reflect.TypeOf(event)) }
-
 // known holds the fields of each type that was logged.
 var known sync.Map
 
@@ -89,27 +85,3 @@
 	known.Store(of, fields)
 	return fields
 }
-
-// WritePage returns the page that describes events, below its head.
-func WritePage(head string, events []Event) string {
-	var page strings.Builder
-	page.WriteString(head)
-	for _, one := range events {
-		kind := one.Kind()
-		fmt.Fprintf(&page, "\n## %s\n\n%s Level: %s.\n", kind.Message, kind.Meaning, strings.ToLower(kind.Level.String()))
-		writeFields(&page, Fields(one))
-	}
-	page.WriteString("\n## An attempt, in the field `attempts`\n")
-	writeFields(&page, Fields(Attempt{}))
-	return page.String()
-}
-
-func writeFields(page *strings.Builder, fields []Field) {
-	if len(fields) == 0 {
-		return
-	}
-	page.WriteString("\n| Field | Meaning |\n| --- | --- |\n")
-	for _, field := range fields {
-		fmt.Fprintf(page, "| `%s` | %s |\n", field.Name, field.Doc)
-	}
-}
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -24,13 +24,13 @@
 `
 
 func TestPage(t *testing.T) {
-	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "EVENTS", []byte(WritePage(pageHead, All())))
+	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "EVENTS", []byte(writePage(pageHead, all())))
 }
 
 // TestEveryFieldIsDescribed checks the types that the page is made from.
 func TestEveryFieldIsDescribed(t *testing.T) {
 	messages := make(map[string]bool)
-	for _, one := range All() {
+	for _, one := range all() {
 		if messages[one.Kind().Message] || one.Kind().Message == "" || one.Kind().Meaning == "" {
 			t.Errorf("%T: message %q", one, one.Kind().Message)
 		}
@@ -91,7 +91,7 @@
 
 // TestEveryEventCanBeLogged also when its fields are empty.
 func TestEveryEventCanBeLogged(t *testing.T) {
-	for _, one := range All() {
+	for _, one := range all() {
 		if line := logged(t, one); line["msg"] != one.Kind().Message {
 			t.Errorf("%T: %v", one, line)
 		}
--- /dev/null
+++ b/internal/event/page_test.go
@@ -0,0 +1,46 @@
+package event
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+)
+
+// all returns one event of each type, in the order of the page.
+func all() []Event {
+	return []Event{
+		Request{}, RequestLost{},
+		StoreRead{}, SourceUsed{}, SourceFailed{}, StoreLost{}, StoreRegained{}, WatcherFailed{},
+		ConfigInstalled{}, ConfigRejected{},
+		LeafChanged{}, LeafRejected{}, ZoneCordoned{},
+		RequestSuspected{}, RequestTried{}, RequestHeld{}, RequestReleased{}, QuarantineNotWritten{}, QuarantineRejected{},
+		RolloutOrdered{}, RolloutRejected{}, RolloutChanged{}, RolloutDecided{}, RolloutDecider{},
+		NodeChanged{}, NodeRejected{}, NodeNotAnnounced{}, LeaseLapsed{}, LeaseNotRenewed{},
+		ExecutorInTouch{}, ExecutorsLost{}, CombinerInTouch{}, CombinerLost{},
+		Started{}, Woke{}, Draining{}, Stopped{}, SettingsRead{}, SettingsRejected{}, Failed{},
+	}
+}
+
+// writePage returns the page that describes events, below its head.
+func writePage(head string, events []Event) string {
+	var page strings.Builder
+	page.WriteString(head)
+	for _, one := range events {
+		kind := one.Kind()
+		fmt.Fprintf(&page, "\n## %s\n\n%s Level: %s.\n", kind.Message, kind.Meaning, strings.ToLower(kind.Level.String()))
+		writeFields(&page, fieldsOf(reflect.TypeOf(one)))
+	}
+	page.WriteString("\n## An attempt, in the field `attempts`\n")
+	writeFields(&page, fieldsOf(reflect.TypeFor[Attempt]()))
+	return page.String()
+}
+
+func writeFields(page *strings.Builder, fields []Field) {
+	if len(fields) == 0 {
+		return
+	}
+	page.WriteString("\n| Field | Meaning |\n| --- | --- |\n")
+	for _, field := range fields {
+		fmt.Fprintf(page, "| `%s` | %s |\n", field.Name, field.Doc)
+	}
+}
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -65,18 +65,3 @@
 func (RequestLost) Kind() Kind {
 	return Kind{"request lost with its executor", slog.LevelWarn, "It may have run, so it is not run again; its client may send it again."}
 }
-
-// All returns one event of each type, in the order of the page.
-func All() []Event {
-	return []Event{
-		Request{}, RequestLost{},
-		StoreRead{}, SourceUsed{}, SourceFailed{}, StoreLost{}, StoreRegained{}, WatcherFailed{},
-		ConfigInstalled{}, ConfigRejected{},
-		LeafChanged{}, LeafRejected{}, ZoneCordoned{},
-		RequestSuspected{}, RequestTried{}, RequestHeld{}, RequestReleased{}, QuarantineNotWritten{}, QuarantineRejected{},
-		RolloutOrdered{}, RolloutRejected{}, RolloutChanged{}, RolloutDecided{}, RolloutDecider{},
-		NodeChanged{}, NodeRejected{}, NodeNotAnnounced{}, LeaseLapsed{}, LeaseNotRenewed{},
-		ExecutorInTouch{}, ExecutorsLost{}, CombinerInTouch{}, CombinerLost{},
-		Started{}, Woke{}, Draining{}, Stopped{}, SettingsRead{}, SettingsRejected{}, Failed{},
-	}
-}
--- a/internal/leaf/client.go
+++ b/internal/leaf/client.go
@@ -44,12 +44,6 @@
 	}
 }
 
-// Prepare starts to open the connections to a leaf, so that the first call
-// finds them open. It does not block.
-func (c *Client) Prepare(address netip.AddrPort) {
-	c.pool(address)
-}
-
 // Execute sends one attempt and blocks until its reply has been checked or ctx
 // is done, in which case the stream is reset so that the leaf stops. Errors
 // are of type *TransportError. If the leaf announced on the connection that it
--- a/internal/leaf/once_test.go
+++ b/internal/leaf/once_test.go
@@ -222,7 +222,7 @@
 		return true
 	})
 	client := newTestClient(t, Config{ConnectionsPerLeaf: 3})
-	client.Prepare(server.address())
+	client.pool(server.address())
 	for ctx := testContext(t); server.dials.Load() < 3 && ctx.Err() == nil; {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/peer/datagrams.go
+++ b/internal/peer/datagrams.go
@@ -8,7 +8,6 @@
 	"sync"
 	"sync/atomic"
 
-	"github.com/prometheus/client_golang/prometheus"
 	"github.com/samber/oops"
 )
 
@@ -56,12 +55,8 @@
 	reader   sync.WaitGroup
 }
 
-// ListenDatagrams opens a UDP socket at address (port 0 picks a free one) and
-// starts to read from it. A nil registerer leaves the counters unregistered.
-func ListenDatagrams(address netip.AddrPort, registerer prometheus.Registerer) (*Datagrams, error) {
-	return listenDatagrams(address, newDatagramMetrics(registerer))
-}
-
+// listenDatagrams opens a UDP socket at address (port 0 picks a free one) and
+// starts to read from it.
 func listenDatagrams(address netip.AddrPort, metrics *datagramMetrics) (*Datagrams, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
--- /dev/null
+++ b/internal/peer/export_test.go
@@ -0,0 +1,8 @@
+package peer
+
+import "net/netip"
+
+// ListenDatagrams opens a socket for datagrams alone, without a Server.
+func ListenDatagrams(address netip.AddrPort) (*Datagrams, error) {
+	return listenDatagrams(address, newDatagramMetrics(nil))
+}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -232,7 +232,7 @@
 	if server.Address() != left.Address() {
 		t.Fatalf("pair listens on %s and %s", server.Address(), left.Address())
 	}
-	right, err := peer.ListenDatagrams(loopback, nil)
+	right, err := peer.ListenDatagrams(loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/leaf/leaf_test.go
+++ b/internal/rehearsal/leaf/leaf_test.go
@@ -85,7 +85,7 @@
 	server, client := startTestLeaf(t, testConfig())
 	response := execute(t, server, client, testRequest("r", "select * from rate-desk"))
 	expected := Rows(testService, testSnapshot, 0, 1)
-	rows.SortRows(expected.Rows)
+	slices.SortStableFunc(expected.Rows, rows.CompareRows)
 	if !response.Table.Equal(expected) {
 		t.Fatalf("%d rows, expected %d", len(response.Table.Rows), len(expected.Rows))
 	}
@@ -97,13 +97,13 @@
 func TestUnionOfShardsIsTheSameForEveryEpoch(t *testing.T) {
 	for _, service := range []string{"rate-desk", "inspector-desk", "refund-clerk"} {
 		whole := Rows(service, testSnapshot, 0, 1)
-		rows.SortRows(whole.Rows)
+		slices.SortStableFunc(whole.Rows, rows.CompareRows)
 		for _, shards := range []int{2, 7} {
 			union := rows.Table{Columns: whole.Columns}
 			for shard := range shards {
 				union.Rows = append(union.Rows, Rows(service, catalog.Snapshot{Version: 1, Epoch: 9}, shard, shards).Rows...)
 			}
-			rows.SortRows(union.Rows)
+			slices.SortStableFunc(union.Rows, rows.CompareRows)
 			if !union.Equal(whole) {
 				t.Errorf("%s: %d shards have %d rows, the whole %d", service, shards, len(union.Rows), len(whole.Rows))
 			}
--- a/internal/rehearsal/leaf/server.go
+++ b/internal/rehearsal/leaf/server.go
@@ -64,19 +64,6 @@
 	return s, nil
 }
 
-// Run serves until ctx is done, then drains: it refuses new requests, lets
-// those in flight finish within DrainTimeout, and returns.
-func Run(ctx context.Context, config Config, logger *slog.Logger) error {
-	s, err := Start(config, logger)
-	if err != nil {
-		return err
-	}
-	<-ctx.Done()
-	deadline, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(config.DrainTimeout))
-	defer cancel()
-	return s.Drain(deadline)
-}
-
 func newServer(config Config, logger *slog.Logger, listener net.Listener) *Server {
 	if config.BootID == "" {
 		config.BootID = ulid.Make().String()
@@ -170,16 +157,6 @@
 // Executions returns the execution log.
 func (s *Server) Executions() Executions { return s.executions.snapshot(s.bootID) }
 
-// Control changes faults and holdings, as POST /control does. The faults are
-// those given, all of them.
-func (s *Server) Control(control Control) {
-	s.faults.update(func(faults *Faults) { *faults = control.Faults })
-	s.applyControl(control)
-}
-
-// Faults returns the faults in force.
-func (s *Server) Faults() Faults { return s.faults.get() }
-
 // state is the leaf's true state.
 func (s *Server) state() protocol.State {
 	switch {
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -3,7 +3,6 @@
 package machines
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"log/slog"
@@ -93,18 +92,6 @@
 	return server, nil
 }
 
-// Run serves until ctx ends.
-func Run(ctx context.Context, config Config, logger *slog.Logger) error {
-	server, err := Start(config, logger)
-	if err != nil {
-		return err
-	}
-	logger.Info("machine list stand-in is serving", "address", server.Address())
-	<-ctx.Done()
-	server.Close()
-	return nil
-}
-
 // Address is the address that the stand-in listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
--- a/internal/rehearsal/store/server.go
+++ b/internal/rehearsal/store/server.go
@@ -1,7 +1,6 @@
 package store
 
 import (
-	"context"
 	"log/slog"
 	"net"
 	"net/http"
@@ -72,18 +71,6 @@
 
 const headerTimeout = 5 * time.Second
 
-// Run serves until ctx ends.
-func Run(ctx context.Context, config Config, logger *slog.Logger) error {
-	server, err := Start(config, logger)
-	if err != nil {
-		return err
-	}
-	logger.Info("store stand-in is serving", "address", server.Address())
-	<-ctx.Done()
-	server.Close()
-	return nil
-}
-
 // Address is the address that the stand-in listens on.
 func (s *Server) Address() string { return s.address }
 
--- a/internal/rows/table.go
+++ b/internal/rows/table.go
@@ -43,8 +43,3 @@
 	return slices.Equal(t.Columns, other.Columns) &&
 		slices.EqualFunc(t.Rows, other.Rows, func(a, b Row) bool { return CompareRows(a, b) == 0 })
 }
-
-// SortRows orders rows by their values from left to right.
-func SortRows(rows []Row) {
-	slices.SortStableFunc(rows, CompareRows)
-}
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -225,6 +225,23 @@
 	}
 }
 
+// parseAll returns the statements of a text of at most MaximumStatement bytes;
+// there may be none. Its errors are of type *SyntaxError.
+func parseAll(text string) ([]Statement, error) {
+	if len(text) > MaximumStatement {
+		return nil, tooLong(len(text), MaximumStatement)
+	}
+	located, err := parseText(text)
+	if err != nil {
+		return nil, err
+	}
+	statements := make([]Statement, len(located))
+	for i := range located {
+		statements[i] = located[i].Statement
+	}
+	return statements, nil
+}
+
 // FuzzParse checks that no text panics, that errors carry a place, and that
 // what is taken has a canonical text that parses to the same text.
 func FuzzParse(f *testing.F) {
@@ -236,7 +253,7 @@
 	f.Add("stop service 'x\nshow nodes")
 	f.Fuzz(func(t *testing.T, text string) {
 		requireSameTokens(t, text)
-		statements, err := Parse(text)
+		statements, err := parseAll(text)
 		var syntaxError *SyntaxError
 		if err != nil && (!errors.As(err, &syntaxError) || syntaxError.Line < 1 || syntaxError.Column < 1 || syntaxError.Message == "") {
 			t.Fatalf("the error has no place or message: %#v", err)
--- a/internal/selfhosted/language/parse.go
+++ b/internal/selfhosted/language/parse.go
@@ -17,23 +17,6 @@
 	Line      int
 }
 
-// Parse returns the statements of a text of at most MaximumStatement bytes;
-// there may be none. Its errors are of type *SyntaxError.
-func Parse(text string) ([]Statement, error) {
-	if len(text) > MaximumStatement {
-		return nil, tooLong(len(text), MaximumStatement)
-	}
-	located, err := parseText(text)
-	if err != nil {
-		return nil, err
-	}
-	statements := make([]Statement, len(located))
-	for i := range located {
-		statements[i] = located[i].Statement
-	}
-	return statements, nil
-}
-
 // ParseOne returns the only statement of a text; a text with none or with
 // more than one is an error. Its errors are of type *SyntaxError.
 func ParseOne(text string) (Statement, error) {
--- a/internal/selfhosted/machines/list.go
+++ b/internal/selfhosted/machines/list.go
@@ -5,7 +5,6 @@
 import (
 	"fmt"
 	"net/netip"
-	"time"
 )
 
 // ListPath is where the list is read by GET.
@@ -71,9 +70,6 @@
 	return nil
 }
 
-// AsOf returns the platform's time of the list.
-func (l List) AsOf() time.Time { return time.UnixMilli(l.AsOfUnixMilliseconds) }
-
 // Find returns the entry of an address.
 func (l List) Find(address netip.AddrPort) (Machine, bool) {
 	for _, machine := range l.Machines {
--- a/internal/selfhosted/machines/poller_test.go
+++ b/internal/selfhosted/machines/poller_test.go
@@ -24,7 +24,7 @@
 	config := Config{Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 	poller := NewPoller(config, rand.New(rand.NewPCG(1, 1)), registry)
 	defer poller.client.CloseIdleConnections()
-	if list, err := poller.Poll(context.Background()); err != nil || list.AsOf() != time.UnixMilli(5) {
+	if list, err := poller.Poll(context.Background()); err != nil || list.AsOfUnixMilliseconds != 5 {
 		t.Fatalf("%+v, %v", list, err)
 	}
 	for _, body = range []string{
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -14,12 +14,6 @@
 
 var checker = newChecker()
 
-// Check reports every value that is out of range, as Problems; nil if there
-// is none.
-func Check(settings Settings) error {
-	return check(settings, nil).orNil()
-}
-
 func check(settings Settings, origins map[string]Origin) Problems {
 	var problems Problems
 	var failures validator.ValidationErrors
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -78,18 +78,3 @@
 	attributes = append(attributes, slog.String(AttributeError, err.Error()))
 	return slog.Group("", attributes...)
 }
-
-// StepOf returns the step at which an error arose, or "".
-func StepOf(err error) string { return textOf(err, AttributeStep) }
-
-// PeerOf returns the peer at which an error arose, or "".
-func PeerOf(err error) string { return textOf(err, AttributePeer) }
-
-func textOf(err error, name string) string {
-	detailed, ok := oops.AsOops(err)
-	if !ok {
-		return ""
-	}
-	text, _ := detailed.Context()[name].(string)
-	return text
-}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -31,16 +31,6 @@
 	}
 }
 
-func TestStepAndPeerOfAnError(t *testing.T) {
-	inner := oops.With("step", "dial", "peer", "127.0.0.1:1").Errorf("refused")
-	if telemetry.StepOf(inner) != "dial" || telemetry.PeerOf(inner) != "127.0.0.1:1" {
-		t.Fatalf("step %q, peer %q", telemetry.StepOf(inner), telemetry.PeerOf(inner))
-	}
-	if plain := errors.New("plain"); telemetry.StepOf(plain) != "" || telemetry.PeerOf(nil) != "" {
-		t.Fatal("a plain error has neither step nor peer")
-	}
-}
-
 func TestMetricsListNamesEveryMetric(t *testing.T) {
 	registry := telemetry.NewRegistry("test")
 	counter := prometheus.CounterOpts{Name: "micaplank_a_calls_total", Help: "Calls, by \"result\" | step."}
