--- a/Makefile
+++ b/Makefile
@@ -27,6 +27,7 @@
 	if [ -n "$$unformatted" ]; then echo "gofmt would change:"; echo "$$unformatted"; exit 1; fi
 	go vet ./...
 	go tool staticcheck ./...
+	.ci/deadcode
 
 demo: build
 	$(BIN)/micarehearse demo --binaries $(BIN)
