--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,7 @@
-// Package event has a type for each line of a node's log that tells a decision
-// or a change of what the node believes. The types are the description of the
-// log: docs/EVENTS.md is made from them.
+// Package event has a type for each line of a node's log that reports a decision
+// or a change of what the node believes. It owns the messages, levels and fields
+// of these lines; a test writes docs/EVENTS.md from them. It relies on
+// internal/telemetry for the attributes of errors.
 //
 // A field is logged under the name in its tag "event"; its tag "doc" says what
 // it means, with its unit.
@@ -11,7 +12,6 @@
 	"fmt"
 	"log/slog"
 	"reflect"
-	"strings"
 	"sync"
 
 	"github.com/micaplank/micaplank/internal/telemetry"
@@ -19,18 +19,23 @@
 
 // Event is one line of the log. It is a struct whose fields have tags.
 type Event interface {
+	Kind() Kind
+}
+
+// Kind is what a line has beside its fields.
+type Kind struct {
 	// Message is the text of the line, the same for all events of a type.
-	Message() string
-	// Level says how urgent the line is.
-	Level() slog.Level
-	// Describe says what the line means, in a sentence.
-	Describe() string
+	Message string
+	Level   slog.Level
+	// Meaning says what the line means, in a sentence.
+	Meaning string
 }
 
 // Log writes an event, if its level is logged.
 func Log(logger *slog.Logger, event Event) {
 	ctx := context.Background()
-	if !logger.Enabled(ctx, event.Level()) {
+	kind := event.Kind()
+	if !logger.Enabled(ctx, kind.Level) {
 		return
 	}
 	value := reflect.ValueOf(event)
@@ -38,7 +43,7 @@
 	for _, field := range fieldsOf(value.Type()) {
 		attributes = append(attributes, attribute(field.Name, value.Field(field.index)))
 	}
-	logger.LogAttrs(ctx, event.Level(), event.Message(), attributes...)
+	logger.LogAttrs(ctx, kind.Level, kind.Message, attributes...)
 }
 
 // attribute returns a field as it is logged. An error brings its step and peer
@@ -63,9 +68,6 @@
 	index int
 }
 
-// Fields returns the fields of an event in the order in which they are logged.
-func Fields(event any) []Field { return fieldsOf(reflect.TypeOf(event)) }
-
 // known holds the fields of each type that was logged.
 var known sync.Map
 
@@ -83,26 +85,3 @@
 	known.Store(of, fields)
 	return fields
 }
-
-// WritePage returns the page that describes events, below its head.
-func WritePage(head string, events []Event) string {
-	var page strings.Builder
-	page.WriteString(head)
-	for _, one := range events {
-		fmt.Fprintf(&page, "\n## %s\n\n%s Level: %s.\n", one.Message(), one.Describe(), strings.ToLower(one.Level().String()))
-		writeFields(&page, Fields(one))
-	}
-	page.WriteString("\n## An attempt, in the field `attempts`\n")
-	writeFields(&page, Fields(Attempt{}))
-	return page.String()
-}
-
-func writeFields(page *strings.Builder, fields []Field) {
-	if len(fields) == 0 {
-		return
-	}
-	page.WriteString("\n| Field | Meaning |\n| --- | --- |\n")
-	for _, field := range fields {
-		fmt.Fprintf(page, "| `%s` | %s |\n", field.Name, field.Doc)
-	}
-}
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -24,17 +24,17 @@
 `
 
 func TestPage(t *testing.T) {
-	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "EVENTS", []byte(WritePage(pageHead, All())))
+	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "EVENTS", []byte(writePage(pageHead, all())))
 }
 
 // TestEveryFieldIsDescribed checks the types that the page is made from.
 func TestEveryFieldIsDescribed(t *testing.T) {
 	messages := make(map[string]bool)
-	for _, one := range All() {
-		if messages[one.Message()] || one.Message() == "" || one.Describe() == "" {
-			t.Errorf("%T: message %q", one, one.Message())
+	for _, one := range all() {
+		if messages[one.Kind().Message] || one.Kind().Message == "" || one.Kind().Meaning == "" {
+			t.Errorf("%T: message %q", one, one.Kind().Message)
 		}
-		messages[one.Message()] = true
+		messages[one.Kind().Message] = true
 		checkFields(t, one)
 	}
 	checkFields(t, Attempt{})
@@ -91,8 +91,8 @@
 
 // TestEveryEventCanBeLogged also when its fields are empty.
 func TestEveryEventCanBeLogged(t *testing.T) {
-	for _, one := range All() {
-		if line := logged(t, one); line["msg"] != one.Message() {
+	for _, one := range all() {
+		if line := logged(t, one); line["msg"] != one.Kind().Message {
 			t.Errorf("%T: %v", one, line)
 		}
 	}
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -23,15 +23,9 @@
 	urgency slog.Level
 }
 
-// Message implements Event.
-func (Request) Message() string { return "request" }
-
-// Level implements Event.
-func (r Request) Level() slog.Level { return r.urgency }
-
-// Describe implements Event.
-func (Request) Describe() string {
-	return "Level warn if the client got no answer, info otherwise. A request that was handed to another node has a line at both."
+// Kind implements Event.
+func (r Request) Kind() Kind {
+	return Kind{"request", r.urgency, "Level warn if the client got no answer, info otherwise. A request that was handed to another node has a line at both."}
 }
 
 // WithLevel returns the event with a level.
@@ -60,35 +54,14 @@
 	Budget   float64 `json:"budget" event:"budget" doc:"extra attempts that the shard's budget held, before this one"`
 }
 
-// RequestLost tells that a request is lost with the node that ran it.
+// RequestLost reports that a request is lost with the node that ran it.
 type RequestLost struct {
 	RequestID string `event:"request_id" doc:"the client's id of this attempt of its own"`
 	Executor  string `event:"executor" doc:"node that ran it"`
 	Error     error  `event:"error" doc:"how it was lost"`
 }
 
-// Message implements Event.
-func (RequestLost) Message() string { return "request lost with its executor" }
-
-// Level implements Event.
-func (RequestLost) Level() slog.Level { return slog.LevelWarn }
-
-// Describe implements Event.
-func (RequestLost) Describe() string {
-	return "It may have run, so it is not run again; its client may send it again."
-}
-
-// All returns one event of each type, in the order of the page.
-func All() []Event {
-	return []Event{
-		Request{}, RequestLost{},
-		StoreRead{}, SourceUsed{}, SourceFailed{}, StoreLost{}, StoreRegained{}, WatcherFailed{},
-		ConfigInstalled{}, ConfigRejected{},
-		LeafChanged{}, LeafRejected{}, ZoneCordoned{},
-		RequestSuspected{}, RequestTried{}, RequestHeld{}, RequestReleased{}, QuarantineNotWritten{}, QuarantineRejected{},
-		RolloutOrdered{}, RolloutRejected{}, RolloutChanged{}, RolloutDecided{}, RolloutDecider{},
-		NodeChanged{}, NodeRejected{}, NodeNotAnnounced{}, LeaseLapsed{}, LeaseNotRenewed{},
-		ExecutorInTouch{}, ExecutorsLost{}, CombinerInTouch{}, CombinerLost{},
-		Started{}, Woke{}, Draining{}, Stopped{}, SettingsRead{}, SettingsRejected{}, Failed{},
-	}
+// Kind implements Event.
+func (RequestLost) Kind() Kind {
+	return Kind{"request lost with its executor", slog.LevelWarn, "It may have run, so it is not run again; its client may send it again."}
 }
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -32,7 +32,7 @@
 
 // Rollouts returns the history of roll-outs since a time: orders, what was decided and
 // why, and how soon the nodes followed. With a service, only its own.
-func Rollouts(lines []Line, service string, since time.Time) Story {
+func Rollouts(lines []Line, service string, since time.Time) Timeline {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	var steps []Step
@@ -40,23 +40,23 @@
 	followed := make(map[phaseKey]*followers)
 	for index := range sorted {
 		line := &sorted[index]
-		if line.Time.Before(since) || service != "" && line.Service != service && line.Message != (event.RolloutDecider{}).Message() {
+		if line.Time.Before(since) || service != "" && line.Service != service && line.Message != (event.RolloutDecider{}).Kind().Message {
 			continue
 		}
 		switch line.Message {
-		case event.RolloutOrdered{}.Message():
+		case event.RolloutOrdered{}.Kind().Message:
 			text := orderText(line)
 			if !told[text] {
 				told[text] = true
 				steps = append(steps, Step{line.Time, line.Node, KindOrdered, text})
 			}
-		case event.RolloutDecided{}.Message():
+		case event.RolloutDecided{}.Kind().Message:
 			steps = append(steps, Step{line.Time, line.Node, KindDecided, decidedText(line)})
-		case event.RolloutDecider{}.Message():
+		case event.RolloutDecider{}.Kind().Message:
 			if line.Former != "" {
 				steps = append(steps, Step{line.Time, line.Node, KindDecider, deciderText(line)})
 			}
-		case event.RolloutChanged{}.Message():
+		case event.RolloutChanged{}.Kind().Message:
 			follow(followed, line)
 		}
 	}
@@ -66,7 +66,7 @@
 		steps = append(steps, Step{nodes.last, nodes.lastNode, KindFollowed, text})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Text, b.Text)) })
-	return Story{Steps: steps}
+	return Timeline{Steps: steps}
 }
 
 func follow(followed map[phaseKey]*followers, line *Line) {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses adds up, from the logs of nodes, what requests lost and why: the
-// requests without an answer, and the shards that answers lack. It is pure.
+// Package losses is behind "micactl losses": it adds up, from the logs of nodes,
+// the requests without an answer and the shards that answers lack, by cause. It is
+// pure, and relies on internal/explain to read the lines.
 package losses
 
 import (
@@ -90,7 +91,7 @@
 	requests := make(map[string]request)
 	for index := range lines {
 		line := &lines[index]
-		if line.Message != (event.Request{}).Message() || line.Time.Before(since) {
+		if line.Message != (event.Request{}).Kind().Message || line.Time.Before(since) {
 			continue
 		}
 		report.Dropped += line.Dropped
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -1,9 +1,8 @@
-// Package machines is a stand-in for the platform's machine list, for tests,
-// demonstrations and experiments. The list lags by a settable time.
+// Package machines is a stand-in for the platform's machine list, for tests and
+// the demo. The list lags by a settable time.
 package machines
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"log/slog"
@@ -93,18 +92,6 @@
 	return server, nil
 }
 
-// Run serves until ctx ends.
-func Run(ctx context.Context, config Config, logger *slog.Logger) error {
-	server, err := Start(config, logger)
-	if err != nil {
-		return err
-	}
-	logger.Info("machine list stand-in is serving", "address", server.Address())
-	<-ctx.Done()
-	server.Close()
-	return nil
-}
-
 // Address is the address that the stand-in listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,6 +1,7 @@
-// Package telemetry sets up logs and metrics: slog with a fixed order of
-// attributes, a Prometheus registry, the attributes of errors, and a recorder
-// of latencies.
+// Package telemetry sets up logs and metrics for every program: slog with a
+// fixed order of attributes, bounds on the rate of lines and on a slow reader,
+// the attributes of errors, and a Prometheus registry that can list its metrics.
+// It relies on no other package of this module.
 package telemetry
 
 import (
@@ -77,18 +78,3 @@
 	attributes = append(attributes, slog.String(AttributeError, err.Error()))
 	return slog.Group("", attributes...)
 }
-
-// StepOf returns the step at which an error arose, or "".
-func StepOf(err error) string { return textOf(err, AttributeStep) }
-
-// PeerOf returns the peer at which an error arose, or "".
-func PeerOf(err error) string { return textOf(err, AttributePeer) }
-
-func textOf(err error, name string) string {
-	detailed, ok := oops.AsOops(err)
-	if !ok {
-		return ""
-	}
-	text, _ := detailed.Context()[name].(string)
-	return text
-}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"regexp"
 	"testing"
-	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/samber/oops"
@@ -32,16 +31,6 @@
 	}
 }
 
-func TestStepAndPeerOfAnError(t *testing.T) {
-	inner := oops.With("step", "dial", "peer", "127.0.0.1:1").Errorf("refused")
-	if telemetry.StepOf(inner) != "dial" || telemetry.PeerOf(inner) != "127.0.0.1:1" {
-		t.Fatalf("step %q, peer %q", telemetry.StepOf(inner), telemetry.PeerOf(inner))
-	}
-	if plain := errors.New("plain"); telemetry.StepOf(plain) != "" || telemetry.PeerOf(nil) != "" {
-		t.Fatal("a plain error has neither step nor peer")
-	}
-}
-
 func TestMetricsListNamesEveryMetric(t *testing.T) {
 	registry := telemetry.NewRegistry("test")
 	counter := prometheus.CounterOpts{Name: "micaplank_a_calls_total", Help: "Calls, by \"result\" | step."}
@@ -69,24 +58,6 @@
 	}
 }
 
-func TestLatenciesSummarise(t *testing.T) {
-	left, right := telemetry.NewLatencies(), telemetry.NewLatencies()
-	for millisecond := range 50 {
-		left.Record(time.Duration(millisecond+1) * time.Millisecond)
-		right.Record(time.Duration(millisecond+51) * time.Millisecond)
-	}
-	left.Merge(right)
-	left.Record(time.Hour)
-	left.Record(-time.Second)
-	summary := left.Summary()
-	if summary.Count != 102 || summary.P50.Round(time.Millisecond) != 50*time.Millisecond || summary.Max < 9*time.Minute {
-		t.Fatalf("unexpected summary: %+v", summary)
-	}
-	if (telemetry.NewLatencies().Summary() != telemetry.LatencySummary{}) {
-		t.Fatal("an empty recorder has a summary")
-	}
-}
-
 func BenchmarkLogger(b *testing.B) {
 	logger := telemetry.NewLogger(discard{}, telemetry.LogConfig{}, "node-a1")
 	for b.Loop() {
