--- /dev/null
+++ b/internal/decide/dispatch/golden_test.go
@@ -0,0 +1,191 @@
+package dispatch
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sebdah/goldie/v2"
+
+	"github.com/micaplank/micaplank/internal/decide/hedge"
+)
+
+// The golden files hold what the Dispatcher did with random events: the first
+// events in full, and a digest with counts for each block of them. They are not
+// recorded anew for a change that is to leave what it does as it is.
+const (
+	playedBlock  = 300 // events of a block
+	playedBlocks = 24  // of a seed
+	playedInFull = 250 // events of the first seed
+)
+
+var playedSeeds = []uint64{1, 2, 3, 4, 5}
+
+// edgeConfig has the fields that the nodes of the platform set.
+func edgeConfig() Config {
+	config := DefaultConfig()
+	config.BudgetByShard = true
+	config.ChargeRefusals = true
+	config.WorkByLeaf = true
+	config.EqualSlots = true
+	config.Score.Tie = 0.2
+	config.Score.LossPrice = 5
+	config.Hedge.Queue = 1
+	config.Probation.ProbeInterval = 2 * time.Second
+	config.Score.Crowding = 0.6
+	config.EndWithoutBudget = true
+	config.RequireCoverage = true
+	config.Settle.ObjectiveShare = 0.9
+	config.Budget.Earned = 0.9
+	config.Budget.Resize(hedge.Bounds{Initial: 1, Capacity: 3, Reserve: 0.75, Refill: 2})
+	config.Budget.Debt = 0
+	return config
+}
+
+func TestActionsOfRandomEvents(t *testing.T) {
+	reasons := []Reason{ReasonNone, ReasonOverload, ReasonDeadline, ReasonStopped, ReasonNoLeaf, ReasonNoSnapshot, ReasonCancelled, ReasonLost, ReasonRefused, ReasonInvalid}
+	for _, play := range []struct {
+		name    string
+		config  Config
+		reasons []Reason
+	}{
+		{name: "actions-default", config: DefaultConfig(), reasons: reasons},
+		{name: "actions-edge", config: edgeConfig(), reasons: append(slices.Clone(reasons), ReasonBudget)},
+	} {
+		t.Run(play.name, func(t *testing.T) {
+			play.config.Zone = "a"
+			record := newRecorder()
+			for _, seed := range playedSeeds {
+				record.play(play.config, seed)
+			}
+			record.mustHave(t, play.reasons)
+			goldie.New(t).Assert(t, play.name, record.text())
+		})
+	}
+}
+
+// recorder writes events and actions in a stable text form.
+type recorder struct {
+	full   strings.Builder
+	blocks strings.Builder
+	block  hash.Hash
+	events int
+	sends  int
+	aborts int
+	ends   int // Finish actions
+	counts map[string]int
+}
+
+func newRecorder() *recorder {
+	return &recorder{block: sha256.New(), counts: make(map[string]int)}
+}
+
+// play records all blocks of a seed.
+func (r *recorder) play(config Config, seed uint64) {
+	p := newPlayer(config, seed, r)
+	for block := range playedBlocks {
+		if block > 0 { // the first requests meet no topology
+			p.setMood(block - 1 + int(seed))
+		} else {
+			p.mood = moods[0]
+			p.changeAt = 20 * time.Millisecond
+		}
+		for range playedBlock {
+			p.step()
+		}
+		r.closeBlock(fmt.Sprintf("seed %d block %d %s", seed, block, p.mood.name), p.d)
+	}
+}
+
+// closeBlock writes the digest of a block, with the state that shows outside.
+func (r *recorder) closeBlock(name string, d *Dispatcher) {
+	fmt.Fprintf(r.block, "%+v waiting %d\n", d.Counters(), d.Load().Waiting)
+	for _, state := range d.LeafStates() {
+		fmt.Fprintf(r.block, "%s %s %s %t %t %d/%d others %.6g pace %d latency %s slowness %.6g %t %s\n", state.Address, state.Zone, state.BootID,
+			state.Usable, state.Draining, state.InFlight, state.Limit, state.Others, state.Pace, state.Latency, state.Slowness, state.Probation, state.HeldUntil)
+	}
+	fmt.Fprintf(&r.blocks, "%s: %d sends, %d aborts, %d finished, sha256 %x\n", name, r.sends, r.aborts, r.ends, r.block.Sum(nil)[:12])
+	r.block.Reset()
+	r.sends, r.aborts, r.ends = 0, 0, 0
+}
+
+// event records one event with its actions.
+func (r *recorder) event(now Time, event string, actions []Action, d *Dispatcher) {
+	var text strings.Builder
+	next, known := d.NextTick()
+	fmt.Fprintf(&text, "%s %s; next %s %t\n", now, event, next, known)
+	for _, action := range actions {
+		fmt.Fprintf(&text, "  %s\n", r.describe(action))
+	}
+	r.block.Write([]byte(text.String()))
+	if r.events++; r.events <= playedInFull {
+		r.full.WriteString(text.String())
+	}
+}
+
+// describe writes an action, and counts it.
+func (r *recorder) describe(action Action) string {
+	switch action := action.(type) {
+	case Send:
+		r.sends++
+		r.counts["cause "+string(action.Cause)]++
+		return describeSend(&action)
+	case Abort:
+		r.aborts++
+		r.counts[fmt.Sprintf("abort overdue %t", action.Overdue)]++
+		return fmt.Sprintf("abort %x %t", action.Attempt, action.Overdue)
+	case Finish:
+		r.ends++
+		r.counts["outcome "+string(action.Outcome)]++
+		r.counts["reason "+string(action.Reason)]++
+		return fmt.Sprintf("finish q%d %s %q at %d/%d: %x of %d, missing %v, retry after %s", action.Query, action.Outcome, action.Reason,
+			action.Snapshot.Epoch, action.Snapshot.Version, action.Answered, action.Total, action.Missing, action.RetryAfter)
+	default:
+		return "unknown action"
+	}
+}
+
+func describeSend(send *Send) string {
+	basis := &send.Basis
+	return fmt.Sprintf("send %x q%d shard %d to %s %s %s at %d/%d, left %s, %s %t; %d of %d, others %.6g %s, pace %d, slowness %.6g, budget %.6g",
+		send.Attempt, send.Query, send.Shard, send.Leaf, send.Zone, send.BootID, send.Snapshot.Epoch, send.Snapshot.Version, send.Remaining, send.Cause, send.Extra,
+		basis.InFlight, basis.Limit, basis.Others, basis.Age, basis.Pace, basis.Slowness, basis.Budget)
+}
+
+// mustHave fails if a cause, an outcome or one of the reasons did not occur: then
+// the events do not guard it.
+func (r *recorder) mustHave(t *testing.T, reasons []Reason) {
+	wanted := []string{"abort overdue true", "abort overdue false"}
+	for _, cause := range []Cause{CauseNeeded, CauseResend, CauseRetry, CauseRestart, CauseHedge, CauseProbe} {
+		wanted = append(wanted, "cause "+string(cause))
+	}
+	for _, outcome := range []Outcome{OutcomeAnswered, OutcomePartial, OutcomeNotRun, OutcomeFailed, OutcomeUnknown} {
+		wanted = append(wanted, "outcome "+string(outcome))
+	}
+	for _, reason := range reasons {
+		wanted = append(wanted, "reason "+string(reason))
+	}
+	for _, key := range wanted {
+		if r.counts[key] == 0 {
+			t.Errorf("no %q among the actions", key)
+		}
+	}
+}
+
+// text is the content of the golden file.
+func (r *recorder) text() []byte {
+	keys := make([]string, 0, len(r.counts))
+	for key := range r.counts {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	var text strings.Builder
+	for _, key := range keys {
+		fmt.Fprintf(&text, "%s: %d\n", key, r.counts[key])
+	}
+	return []byte(text.String() + r.blocks.String() + r.full.String())
+}
