--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -7,6 +7,42 @@
 	"github.com/micaplank/micaplank/internal/decide/admission"
 )
 
+// unfit returns why a query cannot be taken at all.
+func (d *Dispatcher) unfit(q *query) Reason {
+	switch {
+	case d.topology.Stopped:
+		return ReasonStopped
+	case q.Deadline <= d.now:
+		return ReasonDeadline
+	case len(d.views) == 0:
+		return ReasonNoSnapshot
+	default:
+		return ReasonNone
+	}
+}
+
+// reject answers a query that was not taken.
+func (d *Dispatcher) reject(q *query, reason Reason) {
+	d.counters.NotRun++
+	d.actions = append(d.actions, Finish{Query: q.ID, Outcome: OutcomeNotRun, Reason: reason})
+}
+
+// servable reports whether enough shards have a leaf for the coverage that the
+// query needs. Without that, its attempts would be work in vain for the leaves that
+// there are.
+func (d *Dispatcher) servable(q *query) bool {
+	if !d.config.RequireCoverage {
+		return true
+	}
+	reachable := q.progress
+	for position := range q.shards {
+		if q.shards[position].group == nil {
+			reachable.Unavailable++
+		}
+	}
+	return reachable.Attainable(q.MinimumCoverage)
+}
+
 // admit predicts the wait of the slowest shard of a query and reports whether
 // the query is taken.
 func (d *Dispatcher) admit(q *query) (time.Duration, bool) {
@@ -57,9 +93,6 @@
 	d.finish(q, OutcomeNotRun, ReasonOverload)
 }
 
-// fullSaturation is the saturation from which the service counts as overloaded.
-const fullSaturation = 1.0
-
 // predictWait returns the time until a new query gets a slot of the group: for
 // each class that goes first, the work that waits for the leaves of the group
 // over the rate at which such work can be sent there. That is the rate of
@@ -109,46 +142,6 @@
 	return max(seconds(work/rate), g.waiting.age(class, d.now))
 }
 
-// saturation is the share of the slots of all leaves that are in use, as a
-// running mean. It is above one if the leaves queue work.
-type saturation struct {
-	mean float64
-	at   Time
-}
-
-// saturationMemory is the time constant of the mean: a few bursts long.
-const saturationMemory = 100 * time.Millisecond
-
-// saturated reports whether the service is overloaded, as far as the leaves
-// tell.
-func (d *Dispatcher) saturated() bool {
-	return d.saturation.mean >= fullSaturation
-}
-
-// sampleSaturation takes in the present use of the slots.
-func (d *Dispatcher) sampleSaturation() {
-	busy, slots := 0.0, 0
-	for _, l := range d.leaves {
-		if l.takesWork() && !l.held(d.now) {
-			busy += l.othersMean + float64(len(l.running))
-			slots += l.slots
-		}
-	}
-	weight := 1 - fade(d.now-d.saturation.at, saturationMemory)
-	d.saturation.mean += weight * (busy/float64(max(slots, 1)) - d.saturation.mean)
-	d.saturation.at = d.now
-}
-
-// leftByUrgent returns the share of the node's work that the most urgent work
-// leaves to the rest, if the leaves are saturated.
-func (d *Dispatcher) leftByUrgent() float64 {
-	sent := d.throughput.rate(d.now, shortMemory)
-	if sent == 0 {
-		return 1
-	}
-	return max(1-d.urgent.rate(d.now, shortMemory)/sent, 0)
-}
-
 // leafLoad is a leaf of a group while a wait is predicted.
 type leafLoad struct {
 	leaf     *leafState
@@ -164,3 +157,13 @@
 	}
 	return 0.005
 }
+
+// leftByUrgent returns the share of the node's work that the most urgent work
+// leaves to the rest, if the leaves are saturated.
+func (d *Dispatcher) leftByUrgent() float64 {
+	sent := d.throughput.rate(d.now, shortMemory)
+	if sent == 0 {
+		return 1
+	}
+	return max(1-d.urgent.rate(d.now, shortMemory)/sent, 0)
+}
--- a/internal/decide/dispatch/attempt.go
+++ b/internal/decide/dispatch/attempt.go
@@ -2,40 +2,6 @@
 
 import "github.com/micaplank/micaplank/internal/catalog"
 
-// cause says why an attempt was sent.
-type cause uint8
-
-const (
-	causeNeeded  cause = iota // the first attempt of a shard
-	causeResend               // after proof that the former did not execute
-	causeRetry                // after one that was lost
-	causeRestart              // again, at another snapshot
-	causeHedge                // beside one that is late
-	causeProbe                // beside one, to measure a slow leaf
-)
-
-// public returns the cause as actions carry it.
-func (c cause) public() Cause {
-	switch c {
-	case causeResend:
-		return CauseResend
-	case causeRetry:
-		return CauseRetry
-	case causeRestart:
-		return CauseRestart
-	case causeHedge:
-		return CauseHedge
-	case causeProbe:
-		return CauseProbe
-	default:
-		return CauseNeeded
-	}
-}
-
-func (c cause) extra() bool {
-	return c >= causeRetry
-}
-
 // attempt is one request to one leaf, from its Send until its end is
 // reported, also after its Abort.
 type attempt struct {
--- /dev/null
+++ b/internal/decide/dispatch/choose.go
@@ -0,0 +1,171 @@
+package dispatch
+
+import "github.com/micaplank/micaplank/internal/decide/replica"
+
+// group is the set of leaves that hold one shard at one snapshot.
+type group struct {
+	leaves []*leafState
+	// canaries hold it, too, and are used within an Allowance only: for first
+	// attempts, so that whatever they do costs no request its answer.
+	canaries []*leafState
+	// shard is its number.
+	shard   int
+	waiting groupQueue
+	skipped uint64 // the round of pump that passed it over
+}
+
+// choice is the outcome of looking for a leaf for a shard.
+type choice uint8
+
+const (
+	choiceNone choice = iota // no leaf holds the shard
+	choiceHeld               // all that hold it are held off, or full
+	choiceSend               // take the leaf
+)
+
+// choose picks the leaf for a shard. Leaves that were tried for it already
+// come last.
+func (d *Dispatcher) choose(q *query, shard *shardState, waiting bool) (*leafState, choice) {
+	if shard.group == nil {
+		return nil, choiceNone
+	}
+	if l := d.canaryFor(q, shard); l != nil {
+		return l, choiceSend
+	}
+	avoided := shard.tried
+	if !q.Class.Repeatable {
+		avoided |= shard.group.doubtful()
+	}
+	verdict := d.collect(shard, q.priority(d.now), avoided)
+	if verdict == choiceNone && avoided != 0 {
+		verdict = d.collect(shard, q.priority(d.now), 0)
+	}
+	if verdict != choiceSend {
+		return nil, verdict
+	}
+	ahead := shard.group.waiting.live
+	if waiting {
+		ahead = 0
+	}
+	work := replica.Work{Base: q.class.base, Mean: d.workOf(shard.group.leaves[0]), Ahead: ahead}
+	index := d.chooser.Choose(d.candidates, work)
+	chosen := d.candidateLeaves[index]
+	if d.candidates[index].Full() {
+		return nil, choiceHeld
+	}
+	return chosen, choiceSend
+}
+
+// doubtful returns the replicas that have failed and not answered since. A
+// request that may not be repeated is not the one to try them.
+func (g *group) doubtful() uint32 {
+	mask := uint32(0)
+	for index, l := range g.leaves {
+		if l.failures > 0 {
+			mask |= replicaBit(index)
+		}
+	}
+	return mask
+}
+
+// collect fills the candidates for a shard, without the excluded replicas.
+// Those on standby are candidates only if no other replica is.
+func (d *Dispatcher) collect(shard *shardState, priority int, excluded uint32) choice {
+	d.candidates = d.candidates[:0]
+	d.candidateLeaves = d.candidateLeaves[:0]
+	verdict := d.collectFrom(shard, priority, excluded, false)
+	if verdict == choiceSend {
+		return verdict
+	}
+	return max(verdict, d.collectFrom(shard, priority, excluded, true))
+}
+
+// collectFrom adds the candidates that are on standby, or those that are not.
+func (d *Dispatcher) collectFrom(shard *shardState, priority int, excluded uint32, standby bool) choice {
+	verdict := choiceNone
+	for index, l := range shard.group.leaves {
+		if excluded&replicaBit(index) != 0 || !l.takesWork() || l.standby != standby {
+			continue
+		}
+		if l.warmup.closed(d.now) {
+			continue
+		}
+		if l.held(d.now) || !l.warmup.allows(d.now) {
+			verdict = max(verdict, choiceHeld)
+			continue
+		}
+		verdict = choiceSend
+		d.candidates = append(d.candidates, d.candidate(l, priority))
+		d.candidateLeaves = append(d.candidateLeaves, l)
+	}
+	return verdict
+}
+
+// candidate describes the leaf for the choice of a replica for work of the
+// priority.
+func (d *Dispatcher) candidate(l *leafState, priority int) replica.Candidate {
+	others := l.estimateOthers(d.now)
+	return replica.Candidate{
+		InFlight: len(l.running),
+		Others:   others,
+		Slots:    l.slots,
+		Limit:    d.limitFor(l, priority, others),
+		Slowness: d.slowness(l),
+		Loss:     l.losses.Share(&d.config.Losses, d.now),
+		Latency:  l.latency,
+		Near:     l.near,
+	}
+}
+
+// canaryFor returns the canary for the first attempt of a shard; nil if none is
+// due, or can take it. Each gets its turn: a choice by what is known of them would
+// leave most of them untried. A request that could be sent again goes there only
+// while the budget pays for that: else a bad version would cost callers answers.
+func (d *Dispatcher) canaryFor(q *query, shard *shardState) *leafState {
+	if len(d.allowances) == 0 || shard.sends > 0 || len(shard.group.canaries) == 0 {
+		return nil
+	}
+	allowance, found := d.allowances[shard.group.shard]
+	if !found || !allowance.Allows(d.now) {
+		return nil
+	}
+	if q.Class.Repeatable && !d.canRetryCanaries(shard.group) {
+		return nil
+	}
+	var chosen *leafState
+	for _, l := range shard.group.canaries {
+		if !l.takesWork() || l.held(d.now) || l.full() || d.now < l.warmAt || !l.warmup.allows(d.now) {
+			continue
+		}
+		if chosen == nil || len(l.running) < len(chosen.running) || len(l.running) == len(chosen.running) && l.lastSent < chosen.lastSent {
+			chosen = l
+		}
+	}
+	return chosen
+}
+
+// canRetryCanaries reports whether the budget pays for another attempt in place of
+// each that runs at the canaries of a group, and one more.
+func (d *Dispatcher) canRetryCanaries(g *group) bool {
+	running := 0
+	for _, l := range g.canaries {
+		running += len(l.running)
+	}
+	budget := d.budgetOfShard(g.shard)
+	return budget.CanRetry() && budget.Tokens()+d.config.Budget.Debt >= float64(running+1)
+}
+
+// replicaBit returns the bit of a replica in the masks of a shard. Replicas
+// beyond the width of the mask share its last bit.
+func replicaBit(index int) uint32 {
+	return 1 << min(index, 31)
+}
+
+// try marks the leaf as one that got an attempt of the shard.
+func (s *shardState) try(l *leafState) {
+	for index, other := range s.group.leaves {
+		if other == l {
+			s.tried |= replicaBit(index)
+		}
+	}
+}
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -3,7 +3,6 @@
 import (
 	"math/rand/v2"
 	"net/netip"
-	"slices"
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/hedge"
@@ -124,96 +123,6 @@
 	return d.actions
 }
 
-// unfit returns why a query cannot be taken at all.
-func (d *Dispatcher) unfit(q *query) Reason {
-	switch {
-	case d.topology.Stopped:
-		return ReasonStopped
-	case q.Deadline <= d.now:
-		return ReasonDeadline
-	case len(d.views) == 0:
-		return ReasonNoSnapshot
-	default:
-		return ReasonNone
-	}
-}
-
-// reject answers a query that was not taken.
-func (d *Dispatcher) reject(q *query, reason Reason) {
-	d.counters.NotRun++
-	d.actions = append(d.actions, Finish{Query: q.ID, Outcome: OutcomeNotRun, Reason: reason})
-}
-
-// postpone lets a query wait for the concurrency limit.
-func (d *Dispatcher) postpone(q *query) {
-	at, _ := slices.BinarySearchFunc(d.pending, q, func(a, b *query) int {
-		if a.Class.Priority < b.Class.Priority ||
-			a.Class.Priority == b.Class.Priority && a.Deadline <= b.Deadline {
-			return -1
-		}
-		return 1
-	})
-	d.pending = slices.Insert(d.pending, at, q)
-	d.timers.set(q, q.Deadline)
-}
-
-// startPending starts postponed queries as the concurrency limit allows.
-func (d *Dispatcher) startPending() {
-	if d.starting {
-		return
-	}
-	d.starting = true
-	defer func() { d.starting = false }()
-	for len(d.pending) > 0 && (d.topology.Concurrency == 0 || d.started < d.topology.Concurrency) {
-		q := d.pending[0]
-		d.pending = slices.Delete(d.pending, 0, 1)
-		d.start(q)
-	}
-}
-
-// start pins a snapshot and places all needed shards.
-func (d *Dispatcher) start(q *query) {
-	q.started = true
-	q.startedAt = d.now
-	d.started++
-	if reason := d.pin(q); reason != ReasonNone {
-		d.finish(q, q.failure(), reason)
-		return
-	}
-	if !q.Class.Repeatable && q.progress.Total != 1 {
-		d.finish(q, OutcomeNotRun, ReasonInvalid)
-		return
-	}
-	if !d.servable(q) {
-		d.finish(q, OutcomeNotRun, ReasonNoLeaf)
-		return
-	}
-	if wait, admitted := d.admit(q); !admitted {
-		d.refuse(q, wait)
-		return
-	}
-	for position := range q.shards {
-		d.place(q, int32(position))
-	}
-	d.review(q)
-}
-
-// servable reports whether enough shards have a leaf for the coverage that the
-// query needs. Without that, its attempts would be work in vain for the leaves that
-// there are.
-func (d *Dispatcher) servable(q *query) bool {
-	if !d.config.RequireCoverage {
-		return true
-	}
-	reachable := q.progress
-	for position := range q.shards {
-		if q.shards[position].group == nil {
-			reachable.Unavailable++
-		}
-	}
-	return reachable.Attainable(q.MinimumCoverage)
-}
-
 // Cancel ends a query whose caller went away, and aborts its attempts.
 func (d *Dispatcher) Cancel(now Time, id QueryID) []Action {
 	d.begin(now)
@@ -253,45 +162,6 @@
 	return d.actions
 }
 
-// Load describes what a Dispatcher holds at one moment.
-type Load struct {
-	// Waiting is the number of shards that wait for a leaf.
-	Waiting int
-	// Budget is the extra attempts that all budgets hold together.
-	Budget float64
-}
-
-// Load returns the present load.
-func (d *Dispatcher) Load() Load {
-	load := Load{Waiting: d.waiters, Budget: d.budget.Tokens()}
-	if d.config.BudgetByShard {
-		load.Budget = 0
-		for _, budget := range d.budgets {
-			load.Budget += budget.Tokens()
-		}
-	}
-	return load
-}
-
-// ResizeBudgets changes the bounds of the budget of each shard, if
-// Config.BudgetByShard. It keeps the function, which must be pure.
-func (d *Dispatcher) ResizeBudgets(bounds func(shard int) hedge.Bounds) {
-	d.budgetBounds = bounds
-	for shard, budget := range d.budgets {
-		budget.Resize(bounds(shard))
-	}
-}
-
-// SetProbeInterval changes the time between two probes of a slow leaf by this node.
-func (d *Dispatcher) SetProbeInterval(interval time.Duration) {
-	d.config.Probation.ProbeInterval = interval
-}
-
-// busy reports whether shards wait in the node.
-func (d *Dispatcher) busy() bool {
-	return d.waiters > 0 || len(d.parked) > 0
-}
-
 // NextTick returns when Tick has to be called next, and false if no time is
 // known. It changes with each call of the other methods.
 func (d *Dispatcher) NextTick() (Time, bool) {
@@ -313,7 +183,12 @@
 	return next, known
 }
 
-// Counters returns the counts so far.
-func (d *Dispatcher) Counters() Counters {
-	return d.counters
+// busy reports whether shards wait in the node.
+func (d *Dispatcher) busy() bool {
+	return d.waiters > 0 || len(d.parked) > 0
+}
+
+// SetProbeInterval changes the time between two probes of a slow leaf by this node.
+func (d *Dispatcher) SetProbeInterval(interval time.Duration) {
+	d.config.Probation.ProbeInterval = interval
 }
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -1,10 +1,6 @@
 package dispatch
 
-import (
-	"time"
-
-	"github.com/micaplank/micaplank/internal/leaf"
-)
+import "github.com/micaplank/micaplank/internal/leaf"
 
 // Reply takes in the answer of an executed attempt. If no Finish or Abort
 // dropped the attempt, the answer counts for its shard.
@@ -106,36 +102,6 @@
 	return d.actions
 }
 
-// heed learns from a refusal about the leaf.
-func (d *Dispatcher) heed(ended *attempt, refusal Refusal) {
-	l := ended.leaf
-	switch refusal.Reason {
-	case leaf.RefusedShed:
-		l.losses.Ended(&d.config.Losses, d.now, true)
-		l.limiter.Refused(d.now)
-		l.hold(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Shed))
-	case leaf.RefusedCold:
-		l.limiter.Restart(true)
-		l.hold(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Initial))
-	case leaf.RefusedDraining:
-		if l.drains(refusal.BootID) {
-			d.rebuild()
-		}
-	case leaf.RefusedSnapshot:
-		d.forget(l, goneHolding{snapshot: ended.snapshot, shard: allShards})
-	case leaf.RefusedMoved:
-		d.forget(l, goneHolding{snapshot: ended.snapshot, shard: ended.shard})
-	}
-}
-
-// pause returns how long a leaf is left alone that asked for a time, or none.
-func (d *Dispatcher) pause(asked, otherwise time.Duration) time.Duration {
-	if asked <= 0 {
-		return otherwise
-	}
-	return min(asked, d.config.Backoff.Maximum)
-}
-
 // refused books a refused attempt with its query.
 func (d *Dispatcher) refused(ended *attempt, refusal Refusal) {
 	q := ended.query
@@ -201,15 +167,6 @@
 	shard.fallDue()
 }
 
-// placeDue places the shard of an attempt that has ended, unless that was
-// done, or the query ended or was pinned anew, meanwhile.
-func (d *Dispatcher) placeDue(ended *attempt) {
-	q := ended.query
-	if ended.wanted && !q.finished && q.snapshot == ended.snapshot && q.shards[ended.position].due() {
-		d.place(q, ended.position)
-	}
-}
-
 // lost handles an attempt that may have executed and whose answer is lost.
 func (d *Dispatcher) lost(ended *attempt) {
 	q := ended.query
--- a/internal/decide/dispatch/hedging.go
+++ b/internal/decide/dispatch/hedge.go
@@ -78,30 +78,6 @@
 	return delay, true
 }
 
-// replace gives up the only attempt of a shard and lets the shard wait for
-// another leaf, if the attempt is that late that its answer will not come, and
-// the query has no time to wait for the certainty.
-func (d *Dispatcher) replace(q *query, position int32) {
-	shard := &q.shards[position]
-	only := &d.attempts.slots[shard.first]
-	age := (d.now - only.sentAt).Seconds()
-	if !q.rescuing(d.now) || !q.maySend(shard, &d.config) || age < lostAge*only.expected || !d.budgetOf(q, position).CanRetry() {
-		return
-	}
-	if shard.group == nil || d.collect(shard, q.priority(d.now), 0) == choiceNone {
-		return // no leaf takes work any more: this answer is all that may come
-	}
-	d.abort(only)
-	shard.lost++
-	shard.spent = true
-	shard.fallDue()
-	d.place(q, position)
-}
-
-// lostAge is the age of an attempt, over the time expected of an ordinary leaf,
-// from which its answer is taken to be lost.
-const lostAge = 10
-
 // hedgeShard sends a second attempt if another leaf has room and is expected
 // to answer before the first.
 func (d *Dispatcher) hedgeShard(q *query, position int32, first *attempt) bool {
@@ -147,40 +123,26 @@
 // expected to take.
 const hedgeTolerance = 1.2
 
-// probeInterval returns the time between two probes of a leaf. It is short
-// once the leaf answered in time, so that it comes back soon.
-func (d *Dispatcher) probeInterval(l *leafState) time.Duration {
-	if l.recovering {
-		return d.config.Probation.ProbeInterval / recoveringProbes
-	}
-	return d.config.Probation.ProbeInterval
-}
-
-// recoveringProbes is how many probes a recovering leaf gets in place of one.
-const recoveringProbes = 8
-
-// probe sends a second attempt, beside or after the one to the chosen leaf, to a
-// slow leaf of the group that had none for long, to learn whether it is still slow.
-//
-// A query of several shards probes a shard only once that is answered: before, the
-// probe would take the place of a hedge or a retry. With 0.15 to 0.5 of the leaves
-// slow, probes were two thirds of all second attempts; sent after the answer, they
-// leave 0.01 more of the worth of such a day (six days, 0.004 to 0.011 each).
-func (d *Dispatcher) probe(q *query, position int32, chosen *leafState) {
+// replace gives up the only attempt of a shard and lets the shard wait for
+// another leaf, if the attempt is that late that its answer will not come, and
+// the query has no time to wait for the certainty.
+func (d *Dispatcher) replace(q *query, position int32) {
 	shard := &q.shards[position]
-	if d.config.Probation.Disabled || !q.Class.Repeatable || len(shard.group.leaves) < 2 || !q.maySend(shard, &d.config) {
+	only := &d.attempts.slots[shard.first]
+	age := (d.now - only.sentAt).Seconds()
+	if !q.rescuing(d.now) || !q.maySend(shard, &d.config) || age < lostAge*only.expected || !d.budgetOf(q, position).CanRetry() {
 		return
 	}
-	for _, l := range shard.group.leaves {
-		if l == chosen || len(l.running) > 0 || d.now-l.lastSent < d.probeInterval(l) {
-			continue
-		}
-		if !l.takesWork() || l.standby || l.held(d.now) || !l.warmup.allows(d.now) {
-			continue
-		}
-		if d.slowness(l) > d.config.Probation.Slowness*d.slowness(chosen) && d.budgetOf(q, position).SpendHedge() {
-			d.send(q, position, l, causeProbe)
-			return
-		}
+	if shard.group == nil || d.collect(shard, q.priority(d.now), 0) == choiceNone {
+		return // no leaf takes work any more: this answer is all that may come
 	}
+	d.abort(only)
+	shard.lost++
+	shard.spent = true
+	shard.fallDue()
+	d.place(q, position)
 }
+
+// lostAge is the age of an attempt, over the time expected of an ordinary leaf,
+// from which its answer is taken to be lost.
+const lostAge = 10
--- /dev/null
+++ b/internal/decide/dispatch/lifecycle.go
@@ -0,0 +1,149 @@
+package dispatch
+
+// start pins a snapshot and places all needed shards.
+func (d *Dispatcher) start(q *query) {
+	q.started = true
+	q.startedAt = d.now
+	d.started++
+	if reason := d.pin(q); reason != ReasonNone {
+		d.finish(q, q.failure(), reason)
+		return
+	}
+	if !q.Class.Repeatable && q.progress.Total != 1 {
+		d.finish(q, OutcomeNotRun, ReasonInvalid)
+		return
+	}
+	if !d.servable(q) {
+		d.finish(q, OutcomeNotRun, ReasonNoLeaf)
+		return
+	}
+	if wait, admitted := d.admit(q); !admitted {
+		d.refuse(q, wait)
+		return
+	}
+	for position := range q.shards {
+		d.place(q, int32(position))
+	}
+	d.review(q)
+}
+
+// review ends the query if it is to end now, and otherwise sets its timer.
+// Every event of a query ends with it.
+func (d *Dispatcher) review(q *query) {
+	if q.finished || !q.started {
+		d.reviewPending(q)
+		return
+	}
+	d.letGo(q)
+	if !q.invalid && !q.unknown {
+		d.armHedges(q)
+	}
+	if q.snapshotLost {
+		q.snapshotLost = false
+		d.restart(q)
+	}
+	if outcome, reason, settled := d.settle(q); settled {
+		d.finish(q, outcome, reason)
+		return
+	}
+	d.setTimer(q)
+}
+
+func (d *Dispatcher) reviewPending(q *query) {
+	if !q.finished && d.now >= q.Deadline {
+		d.finish(q, OutcomeNotRun, ReasonDeadline)
+	}
+}
+
+func (d *Dispatcher) setTimer(q *query) {
+	next := q.Deadline
+	if q.settleAt > d.now {
+		next = min(next, q.settleAt)
+	}
+	if q.hedgeAt > 0 {
+		next = min(next, max(q.hedgeAt, d.now+1))
+	}
+	if q.rescueAt > d.now {
+		next = min(next, q.rescueAt)
+	}
+	if next != q.timerAt || q.timer < 0 {
+		d.timers.set(q, next)
+	}
+}
+
+// abandon aborts and withdraws all that the query has under way, and returns
+// the number of its attempts that may have executed.
+func (d *Dispatcher) abandon(q *query) int {
+	spent := 0
+	for position := range q.shards {
+		shard := &q.shards[position]
+		if shard.status == shardWaiting && shard.waitFor != 0 {
+			d.withdraw(q, shard)
+		}
+		if shard.status == shardAnswered || shard.spent || shard.first != none {
+			spent++
+		}
+		for shard.first != none {
+			d.abort(&d.attempts.slots[shard.first])
+		}
+	}
+	return spent
+}
+
+// finish ends a query.
+func (d *Dispatcher) finish(q *query, outcome Outcome, reason Reason) {
+	d.abandon(q)
+	q.finished = true
+	d.timers.remove(q)
+	delete(d.byID, q.ID)
+	last := len(d.running) - 1
+	d.running[q.index] = d.running[last]
+	d.running[q.index].index = q.index
+	d.running[last] = nil
+	d.running = d.running[:last]
+	d.countOutcome(outcome)
+	if q.started && q.progress.Answered > 0 {
+		d.duration += durationWeight * ((d.now - q.startedAt).Seconds() - d.duration)
+	}
+	result := q.result()
+	result.Outcome = outcome
+	result.Reason = reason
+	if outcome == OutcomeNotRun || outcome == OutcomeFailed {
+		result.RetryAfter = d.retryAfter(q, reason)
+	}
+	d.actions = append(d.actions, result)
+	d.releaseShards(q)
+	if q.started {
+		d.started--
+		d.startPending()
+		return
+	}
+	d.removePending(q)
+}
+
+// durationWeight is the weight of one query in the mean duration.
+const durationWeight = 0.05
+
+func (d *Dispatcher) removePending(q *query) {
+	for index, other := range d.pending {
+		if other == q {
+			d.pending = append(d.pending[:index], d.pending[index+1:]...)
+			return
+		}
+	}
+}
+
+func (d *Dispatcher) countOutcome(outcome Outcome) {
+	switch outcome {
+	case OutcomeAnswered:
+		d.counters.Answered++
+	case OutcomePartial:
+		d.counters.Partial++
+	case OutcomeNotRun:
+		d.counters.NotRun++
+	case OutcomeFailed:
+		d.counters.Failed++
+	case OutcomeUnknown:
+		d.counters.Unknown++
+	}
+}
--- a/internal/decide/dispatch/query.go
+++ b/internal/decide/dispatch/query.go
@@ -87,17 +87,6 @@
 	lastReason   Reason
 }
 
-// highestPriority is the priority of the most urgent work.
-const highestPriority = 1
-
-// priority returns the priority of the query at a moment.
-func (q *query) priority(now Time) int {
-	if now >= q.promoteAt {
-		return min(q.Class.Priority, highestPriority)
-	}
-	return q.Class.Priority
-}
-
 func (q *query) mayHaveRun() bool {
 	return q.executed || q.unresolved > 0
 }
@@ -110,32 +99,11 @@
 	return q.firstShard + position
 }
 
-// maySend reports whether the shard may cause another attempt. Attempts that
-// provably did not execute do not count against the query's own bound.
-func (q *query) maySend(shard *shardState, config *Config) bool {
-	if int(shard.sends) >= config.MaximumSends {
-		return false
-	}
-	return q.MaximumSends == 0 || int(shard.sends-shard.proved) < q.MaximumSends
-}
-
 // outstanding returns the number of shards without an answer.
 func (q *query) outstanding() int {
 	return q.progress.Total - q.progress.Answered
 }
 
-// failure returns the outcome of a query that ends without any answer.
-func (q *query) failure() Outcome {
-	switch {
-	case !q.mayHaveRun():
-		return OutcomeNotRun
-	case !q.Class.Repeatable:
-		return OutcomeUnknown
-	default:
-		return OutcomeFailed
-	}
-}
-
 // result fills in what a Finish says of the shards.
 func (q *query) result() Finish {
 	finish := Finish{Query: q.ID, Snapshot: q.snapshot, Total: q.progress.Total}
--- a/internal/decide/dispatch/queue.go
+++ b/internal/decide/dispatch/queue.go
@@ -1,6 +1,20 @@
 package dispatch
 
-import "time"
+import (
+	"slices"
+	"time"
+)
+
+// highestPriority is the priority of the most urgent work.
+const highestPriority = 1
+
+// priority returns the priority of the query at a moment.
+func (q *query) priority(now Time) int {
+	if now >= q.promoteAt {
+		return min(q.Class.Priority, highestPriority)
+	}
+	return q.Class.Priority
+}
 
 // waiter is a shard of a query that waits in the node for a leaf.
 type waiter struct {
@@ -49,86 +63,110 @@
 	return w.order < other.order
 }
 
-// groupQueue holds the waiters of a group, in a heap for each class.
-type groupQueue struct {
-	byClass perClass[waitQueue]
-	live    int
+// enqueue lets the shard wait for the leaves of its group.
+func (d *Dispatcher) enqueue(q *query, position int32) {
+	shard := &q.shards[position]
+	d.order++
+	shard.status = shardWaiting
+	shard.waitFor = uint32(d.order)
+	shard.waitWork = seconds(q.class.base) / time.Duration(len(shard.group.leaves))
+	shard.group.waiting.push(waiter{query: q, position: position, ticket: shard.waitFor, order: d.order})
+	d.addWaiting(q, shard, 1)
 }
 
-func (g *groupQueue) push(w waiter) {
-	g.byClass.at(w.query.class).push(w)
-	g.live++
+// withdraw takes the shard out of the queue of its group.
+func (d *Dispatcher) withdraw(q *query, shard *shardState) {
+	shard.waitFor = 0
+	shard.group.waiting.live--
+	d.addWaiting(q, shard, -1)
 }
 
-// head returns the first live waiter, or nil.
-func (g *groupQueue) head(now Time) *waiter {
-	var best *waiter
-	for index := range g.byClass.values {
-		head := g.byClass.values[index].head()
-		if head != nil && (best == nil || head.precedes(best, now)) {
-			best = head
-		}
+func (d *Dispatcher) addWaiting(q *query, shard *shardState, sign int) {
+	d.waiters += sign
+	for _, l := range shard.group.leaves {
+		*l.waiting.at(q.class) += time.Duration(sign) * shard.waitWork
 	}
-	return best
 }
 
-// age returns for how long the first waiter of a class has been in the node.
-func (g *groupQueue) age(class *classState, now Time) time.Duration {
-	head := g.byClass.at(class).head()
-	if head == nil {
-		return 0
+// pump gives free slots of the leaf to the shards that wait for it.
+func (d *Dispatcher) pump(l *leafState) {
+	if d.waiters == 0 || !l.takesWork() || l.held(d.now) {
+		return
 	}
-	return now - head.query.submitted
-}
-
-// waitQueue is a binary heap of waiters. Withdrawn ones are dropped when they
-// reach the top.
-type waitQueue struct {
-	heap []waiter
-}
-
-func (q *waitQueue) push(w waiter) {
-	q.heap = append(q.heap, w)
-	child := len(q.heap) - 1
-	for child > 0 {
-		parent := (child - 1) / 2
-		if !q.heap[child].before(&q.heap[parent]) {
+	d.pumpRound++
+	for !l.full() {
+		next := d.firstWaiting(l)
+		if next == nil {
 			return
 		}
-		q.heap[child], q.heap[parent] = q.heap[parent], q.heap[child]
-		child = parent
+		waiting := *next.waiting.head(d.now)
+		if d.now >= waiting.query.Deadline {
+			d.review(waiting.query)
+			continue
+		}
+		if !d.placeWaiting(waiting.query, waiting.position) {
+			next.skipped = d.pumpRound
+		}
+		d.review(waiting.query)
 	}
 }
 
-// head returns the first live waiter, or nil.
-func (q *waitQueue) head() *waiter {
-	for len(q.heap) > 0 {
-		if q.heap[0].live() {
-			return &q.heap[0]
+// firstWaiting returns the group of the leaf whose first waiter goes before
+// those of the others, without the groups skipped in this round.
+func (d *Dispatcher) firstWaiting(l *leafState) *group {
+	var best *group
+	var bestHead *waiter
+	for _, candidate := range l.groups {
+		if candidate.waiting.live == 0 || candidate.skipped == d.pumpRound {
+			continue
+		}
+		head := candidate.waiting.head(d.now)
+		if head != nil && (best == nil || head.precedes(bestHead, d.now)) {
+			best, bestHead = candidate, head
 		}
-		q.dropHead()
 	}
-	return nil
+	return best
 }
 
-func (q *waitQueue) dropHead() {
-	last := len(q.heap) - 1
-	q.heap[0] = q.heap[last]
-	q.heap[last] = waiter{}
-	q.heap = q.heap[:last]
-	parent := 0
-	for {
-		child := 2*parent + 1
-		if child >= last {
-			return
+// pumpAll looks at all waiting and parked shards again.
+func (d *Dispatcher) pumpAll() {
+	d.reviewAt = d.now + d.config.Review
+	parked := d.parked
+	d.parked = nil
+	for _, entry := range parked {
+		if entry.parked() {
+			d.place(entry.query, entry.position)
+			d.review(entry.query)
 		}
-		if child+1 < last && q.heap[child+1].before(&q.heap[child]) {
-			child++
-		}
-		if !q.heap[child].before(&q.heap[parent]) {
-			return
+	}
+	for _, l := range d.leaves {
+		d.pump(l)
+	}
+}
+
+// postpone lets a query wait for the concurrency limit.
+func (d *Dispatcher) postpone(q *query) {
+	at, _ := slices.BinarySearchFunc(d.pending, q, func(a, b *query) int {
+		if a.Class.Priority < b.Class.Priority ||
+			a.Class.Priority == b.Class.Priority && a.Deadline <= b.Deadline {
+			return -1
 		}
-		q.heap[child], q.heap[parent] = q.heap[parent], q.heap[child]
-		parent = child
+		return 1
+	})
+	d.pending = slices.Insert(d.pending, at, q)
+	d.timers.set(q, q.Deadline)
+}
+
+// startPending starts postponed queries as the concurrency limit allows.
+func (d *Dispatcher) startPending() {
+	if d.starting {
+		return
+	}
+	d.starting = true
+	defer func() { d.starting = false }()
+	for len(d.pending) > 0 && (d.topology.Concurrency == 0 || d.started < d.topology.Concurrency) {
+		q := d.pending[0]
+		d.pending = slices.Delete(d.pending, 0, 1)
+		d.start(q)
 	}
 }
--- /dev/null
+++ b/internal/decide/dispatch/status.go
@@ -0,0 +1,144 @@
+package dispatch
+
+import (
+	"math"
+	"net/netip"
+	"time"
+)
+
+// LeafState describes one leaf for status pages.
+type LeafState struct {
+	Address  netip.AddrPort
+	Zone     string
+	BootID   string
+	Usable   bool
+	Draining bool
+	// InFlight is the number of attempts whose end was not reported yet, and
+	// Limit the most that there may be.
+	InFlight, Limit int
+	// Others is the estimated number of attempts of other nodes.
+	Others float64
+	// Pace is how long work takes on its machine, in percent of the usual, by its
+	// last word; zero if it tells none.
+	Pace int
+	// Latency is the running mean of the latency of its replies.
+	Latency time.Duration
+	// Slowness is the ratio of its service time to that of an ordinary leaf.
+	Slowness float64
+	// Probation is set while the leaf gets probes because it is slow.
+	Probation bool
+	// HeldUntil is when work is given again after failures or refusals.
+	HeldUntil Time
+}
+
+// LeafStates describes all leaves of the topology, in its order.
+func (d *Dispatcher) LeafStates() []LeafState {
+	states := make([]LeafState, 0, len(d.leaves))
+	best := math.Inf(1)
+	for _, l := range d.leaves {
+		best = min(best, d.slowness(l))
+	}
+	for _, l := range d.leaves {
+		slowness := d.slowness(l)
+		states = append(states, LeafState{
+			Address:   l.address,
+			Zone:      l.zone,
+			BootID:    l.boot(),
+			Usable:    l.takesWork(),
+			Draining:  l.draining(),
+			InFlight:  len(l.running),
+			Limit:     l.limiter.Current(),
+			Others:    l.estimateOthers(d.now),
+			Pace:      l.pace,
+			Latency:   time.Duration(l.latency * float64(time.Second)),
+			Slowness:  slowness,
+			Probation: slowness > d.config.Probation.Slowness*best,
+			HeldUntil: l.heldUntil,
+		})
+	}
+	return states
+}
+
+// Counters are counts since the start of the Dispatcher; they only grow.
+type Counters struct {
+	Submitted uint64
+	// Queries by outcome.
+	Answered, Partial, NotRun, Failed, Unknown uint64
+	// Overloaded counts the queries refused by admission.
+	Overloaded uint64
+	Restarts   uint64
+	// Needed counts the first attempts of each shard of each query. Resent
+	// counts attempts after proof that the former did not execute.
+	Needed, Resent uint64
+	// Extra attempts, by cause.
+	Hedges, Probes, Retries, RestartSends uint64
+	// HedgesWon counts the shards answered by a hedge or a probe.
+	HedgesWon uint64
+	// Ends of attempts.
+	Replies, Refusals, FailedUnsent, FailedSent, Aborts uint64
+	// LateReplies came for attempts that were not wanted any more, and
+	// CrossedReplies echoed another shard or snapshot; both were dropped.
+	LateReplies, CrossedReplies uint64
+	// UnknownAttempts counts reports on attempts that had ended already.
+	UnknownAttempts uint64
+}
+
+// Extra returns the attempts beyond those needed.
+func (c Counters) Extra() uint64 {
+	return c.Hedges + c.Probes + c.Retries + c.RestartSends
+}
+
+// CauseCount is the number of attempts of a cause.
+type CauseCount struct {
+	Cause Cause
+	Count uint64
+}
+
+// ByCause returns the attempts sent, by their cause.
+func (c Counters) ByCause() []CauseCount {
+	return []CauseCount{
+		{CauseNeeded, c.Needed},
+		{CauseResend, c.Resent},
+		{CauseHedge, c.Hedges},
+		{CauseProbe, c.Probes},
+		{CauseRetry, c.Retries},
+		{CauseRestart, c.RestartSends},
+	}
+}
+
+// Counters returns the counts so far.
+func (d *Dispatcher) Counters() Counters {
+	return d.counters
+}
+
+// Load describes what a Dispatcher holds at one moment.
+type Load struct {
+	// Waiting is the number of shards that wait for a leaf.
+	Waiting int
+	// Budget is the extra attempts that all budgets hold together.
+	Budget float64
+}
+
+// Load returns the present load.
+func (d *Dispatcher) Load() Load {
+	load := Load{Waiting: d.waiters, Budget: d.budget.Tokens()}
+	if d.config.BudgetByShard {
+		load.Budget = 0
+		for _, budget := range d.budgets {
+			load.Budget += budget.Tokens()
+		}
+	}
+	return load
+}
+
+// InFlightAt returns how many attempts run at the leaves that a function selects by
+// their boot id.
+func (d *Dispatcher) InFlightAt(selects func(boot string) bool) int {
+	count := 0
+	for _, l := range d.byAddress {
+		if len(l.running) > 0 && selects(l.listedBoot) {
+			count += len(l.running)
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/decide/dispatch/views.go
@@ -0,0 +1,112 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/decide/snapshot"
+	"github.com/micaplank/micaplank/internal/leaf"
+)
+
+// view is one snapshot with the leaves that hold its shards.
+type view struct {
+	snapshot catalog.Snapshot
+	groups   []group
+}
+
+// group returns the group of a shard, or nil if no leaf holds it.
+func (v *view) group(shard int) *group {
+	if shard >= len(v.groups) || len(v.groups[shard].leaves) == 0 {
+		return nil
+	}
+	return &v.groups[shard]
+}
+
+// rebuild computes the views anew and moves all queries over to them.
+func (d *Dispatcher) rebuild() {
+	d.dropExpired()
+	holdings := make([][]leaf.Holding, len(d.leaves))
+	for index, l := range d.leaves {
+		l.groups = nil
+		if l.takesWork() {
+			holdings[index] = l.offered()
+		}
+		l.waiting = perClass[time.Duration]{}
+	}
+	d.snapshots = snapshot.Build(d.topology.Partitions, holdings)
+	d.views = make([]view, len(d.snapshots))
+	for index := range d.views {
+		d.fillView(&d.views[index], &d.snapshots[index])
+	}
+	d.waiters = 0
+	starting := d.starting
+	d.starting = true // postponed queries wait until all others have moved
+	for _, q := range slices.Clone(d.running) {
+		if q.started && !q.finished {
+			d.move(q)
+		}
+	}
+	d.starting = starting
+	d.startPending()
+}
+
+func (d *Dispatcher) fillView(v *view, built *snapshot.View) {
+	v.snapshot = built.Snapshot
+	v.groups = make([]group, len(built.Replicas))
+	for shard, replicas := range built.Replicas {
+		target := &v.groups[shard]
+		target.shard = shard
+		target.leaves = make([]*leafState, 0, len(replicas))
+		for _, index := range replicas {
+			l := d.leaves[index]
+			if l.canary {
+				target.canaries = append(target.canaries, l)
+				continue
+			}
+			target.leaves = append(target.leaves, l)
+			l.groups = append(l.groups, target)
+		}
+	}
+}
+
+// move hands a running query over to the new views. Shards that wait, or that
+// no leaf could answer, are placed anew.
+func (d *Dispatcher) move(q *query) {
+	var pinned *view
+	for index := range d.views {
+		if d.views[index].snapshot == q.snapshot {
+			pinned = &d.views[index]
+		}
+	}
+	for position := range q.shards {
+		shard := &q.shards[position]
+		shard.group = nil
+		if pinned != nil {
+			shard.group = pinned.group(q.shardAt(position))
+		}
+		d.markTried(shard)
+		if shard.status == shardUnavailable {
+			q.progress.Unavailable--
+			shard.status = shardWaiting
+		}
+		shard.waitFor = 0
+	}
+	for position := range q.shards {
+		if q.shards[position].due() {
+			d.place(q, int32(position))
+		}
+	}
+	d.review(q)
+}
+
+// markTried sets the mask of the replicas that run an attempt of the shard.
+func (d *Dispatcher) markTried(shard *shardState) {
+	shard.tried = 0
+	if shard.group == nil {
+		return
+	}
+	for slot := shard.first; slot != none; slot = d.attempts.slots[slot].next {
+		shard.try(d.attempts.slots[slot].leaf)
+	}
+}
--- /dev/null
+++ b/internal/decide/dispatch/work.go
@@ -0,0 +1,21 @@
+package dispatch
+
+// meanWorkWeight is the weight of one attempt in the mean work.
+const meanWorkWeight = 0.02
+
+// workOf returns the mean work of the attempts that a leaf gets.
+func (d *Dispatcher) workOf(l *leafState) float64 {
+	if d.config.WorkByLeaf && l.meanWork > 0 {
+		return l.meanWork
+	}
+	return d.meanWork
+}
+
+// learnWork takes in the work of one attempt.
+func (d *Dispatcher) learnWork(l *leafState, work float64) {
+	d.meanWork += meanWorkWeight * (work - d.meanWork)
+	if l.meanWork == 0 {
+		l.meanWork = work
+	}
+	l.meanWork += meanWorkWeight * (work - l.meanWork)
+}
