--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -7,8 +7,8 @@
 	"github.com/micaplank/micaplank/internal/decide/admission"
 )
 
-// unfit returns why a query cannot be taken at all.
-func (d *Dispatcher) unfit(q *query) Reason {
+// rejectReason returns why a query cannot be taken at all.
+func (d *Dispatcher) rejectReason(q *query) Reason {
 	switch {
 	case d.topology.Stopped:
 		return ReasonStopped
@@ -82,12 +82,12 @@
 		Urgent:    true,
 	})
 	if !admitted {
-		d.refuse(q, wait)
+		d.refuseForLoad(q, wait)
 	}
 }
 
-// refuse ends a query that is not taken because of load.
-func (d *Dispatcher) refuse(q *query, wait time.Duration) {
+// refuseForLoad ends a query that is not taken because of load.
+func (d *Dispatcher) refuseForLoad(q *query, wait time.Duration) {
 	d.counters.Overloaded++
 	q.retryAfter = d.config.Admission.RetryAfter(wait)
 	d.finish(q, OutcomeNotRun, ReasonOverload)
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -49,9 +49,9 @@
 
 func nextCause(q *query, shard *shardState) cause {
 	switch {
-	case shard.spent && q.restarted:
+	case shard.needsRetry && q.restarted:
 		return causeRestart
-	case shard.spent, shard.charged:
+	case shard.needsRetry, shard.chargeNext:
 		return causeRetry
 	case shard.resend || shard.sends > 0:
 		return causeResend
--- a/internal/decide/dispatch/choose.go
+++ b/internal/decide/dispatch/choose.go
@@ -161,8 +161,8 @@
 	return 1 << min(index, 31)
 }
 
-// try marks the leaf as one that got an attempt of the shard.
-func (s *shardState) try(l *leafState) {
+// markTried marks the leaf as one that got an attempt of the shard.
+func (s *shardState) markTried(l *leafState) {
 	for index, other := range s.group.leaves {
 		if other == l {
 			s.tried |= replicaBit(index)
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -28,15 +28,15 @@
 	snapshots  []snapshot.View // of the views
 	topologies uint64          // number of topologies so far
 	goneUntil  Time            // when the next override of a holding ends; zero if none
-	reborn     []*leafState    // those that the topology being taken in lists anew
+	restarted  []*leafState    // those that the topology being taken in lists anew
 
-	byID     map[QueryID]*query
-	running  []*query // all unfinished queries, started or not
-	pending  []*query // those that wait for the concurrency limit, in order
-	started  int
-	starting bool // startPending must not start any now
-	attempts attemptTable
-	timers   timerHeap
+	byID       map[QueryID]*query
+	running    []*query // all unfinished queries, started or not
+	pending    []*query // those that wait for the concurrency limit, in order
+	started    int
+	startsHeld bool // startPending must not start any now
+	attempts   attemptTable
+	timers     timerHeap
 
 	classes  map[string]*classState
 	ranked   []*classState // in the order in which their work goes
@@ -107,7 +107,7 @@
 	if d.mayHedge(q) {
 		q.rescueAt = d.now + time.Duration(d.config.Hedge.Rescue*float64(request.Deadline-d.now))
 	}
-	if reason := d.unfit(q); reason != ReasonNone {
+	if reason := d.rejectReason(q); reason != ReasonNone {
 		d.reject(q, reason)
 		return d.actions
 	}
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -18,19 +18,19 @@
 		d.counters.LateReplies++
 	case reply.Shard != ended.shard || reply.Snapshot != ended.snapshot:
 		d.counters.CrossedReplies++
-		d.lost(&ended)
+		d.attemptLost(&ended)
 	default:
 		d.answer(&ended)
 	}
-	d.measure(&ended, reply)
+	d.learnFromReply(&ended, reply)
 	d.placeDue(&ended)
 	d.review(q)
 	d.pump(l)
 	return d.actions
 }
 
-// measure learns from the time that an attempt took.
-func (d *Dispatcher) measure(ended *attempt, reply Reply) {
+// learnFromReply learns from the time that an attempt took.
+func (d *Dispatcher) learnFromReply(ended *attempt, reply Reply) {
 	l, q := ended.leaf, ended.query
 	latency := d.now - ended.sentAt
 	ratio := latency.Seconds() / ended.expected
@@ -45,13 +45,13 @@
 
 // observe takes in what a leaf says of itself.
 func (d *Dispatcher) observe(l *leafState, boot string, load leaf.LoadSummary, own int) {
-	if l.sawBoot(boot) {
-		d.restarted(l, load.State == leaf.StateCold)
+	if l.noteBoot(boot) {
+		d.resetLeaf(l, load.State == leaf.StateCold)
 	}
 	if load.Slots > 0 {
 		l.report(d.now, load, own)
 	}
-	if load.State == leaf.StateDraining && l.drains(boot) {
+	if load.State == leaf.StateDraining && l.noteDraining(boot) {
 		d.rebuild()
 	}
 }
@@ -90,10 +90,10 @@
 	l, q := ended.leaf, ended.query
 	awaited := ended.wanted && q.shards[ended.position].status != shardAnswered
 	if awaited {
-		d.refused(&ended, refusal)
+		d.attemptRefused(&ended, refusal)
 	}
 	d.observe(l, refusal.BootID, refusal.Load, len(l.running))
-	d.heed(&ended, refusal)
+	d.learnFromRefusal(&ended, refusal)
 	if awaited {
 		d.placeDue(&ended)
 	}
@@ -102,8 +102,8 @@
 	return d.actions
 }
 
-// refused books a refused attempt with its query.
-func (d *Dispatcher) refused(ended *attempt, refusal Refusal) {
+// attemptRefused books a refused attempt with its query.
+func (d *Dispatcher) attemptRefused(ended *attempt, refusal Refusal) {
 	q := ended.query
 	shard := &q.shards[ended.position]
 	q.lastReason = ReasonRefused
@@ -115,9 +115,9 @@
 		q.retryAfter = max(q.retryAfter, d.config.Admission.RetryAfter(refusal.RetryAfter))
 	}
 	shard.resend = true
-	shard.proved++
-	shard.charged = d.config.ChargeRefusals
-	shard.fallDue()
+	shard.unexecuted++
+	shard.chargeNext = d.config.ChargeRefusals
+	shard.markDue()
 }
 
 // Fail takes in the end of an attempt without a word of the leaf.
@@ -130,7 +130,7 @@
 	l, q := ended.leaf, ended.query
 	ratio := (d.now - ended.sentAt).Seconds() / ended.expected
 	if failure.Closed {
-		q.closed++
+		q.crashes++
 	}
 	if failure.Sent {
 		d.counters.FailedSent++
@@ -146,7 +146,7 @@
 		l.losses.Ended(&d.config.Losses, d.now, true)
 	}
 	if ended.wanted && q.shards[ended.position].status != shardAnswered {
-		d.failed(&ended, failure)
+		d.attemptFailed(&ended, failure)
 		d.placeDue(&ended)
 	}
 	d.review(q)
@@ -154,21 +154,21 @@
 	return d.actions
 }
 
-func (d *Dispatcher) failed(ended *attempt, failure Failure) {
+func (d *Dispatcher) attemptFailed(ended *attempt, failure Failure) {
 	if failure.Sent {
-		d.lost(ended)
+		d.attemptLost(ended)
 		return
 	}
 	q := ended.query
 	shard := &q.shards[ended.position]
 	q.lastReason = ReasonLost
 	shard.resend = true
-	shard.proved++
-	shard.fallDue()
+	shard.unexecuted++
+	shard.markDue()
 }
 
-// lost handles an attempt that may have executed and whose answer is lost.
-func (d *Dispatcher) lost(ended *attempt) {
+// attemptLost handles an attempt that may have executed and whose answer is lost.
+func (d *Dispatcher) attemptLost(ended *attempt) {
 	q := ended.query
 	shard := &q.shards[ended.position]
 	q.lastReason = ReasonLost
@@ -177,8 +177,8 @@
 		return
 	}
 	shard.lost++
-	shard.spent = true
-	shard.fallDue()
+	shard.needsRetry = true
+	shard.markDue()
 }
 
 // resolve takes the attempt whose end is reported out of the tables.
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -82,7 +82,7 @@
 // to answer before the first.
 func (d *Dispatcher) hedgeShard(q *query, position int32, first *attempt) bool {
 	shard := &q.shards[position]
-	if shard.group == nil || shard.group.waiting.live > 0 || !q.maySend(shard, &d.config) || q.barren() {
+	if shard.group == nil || shard.group.waiting.live > 0 || !q.maySend(shard, &d.config) || q.suspected() {
 		return false
 	}
 	if d.collect(shard, q.priority(d.now), shard.tried) != choiceSend {
@@ -95,17 +95,17 @@
 	if chosen.Full() || queue > d.config.Hedge.Queue {
 		return false
 	}
-	if d.config.Score.Expected(chosen, work) > d.remaining(q, first)*hedgeTolerance || !d.payHedge(q, position) {
+	if d.config.Score.Expected(chosen, work) > d.timeToAnswer(q, first)*hedgeTolerance || !d.payHedge(q, position) {
 		return false
 	}
 	d.send(q, position, d.candidateLeaves[index], causeHedge)
 	return true
 }
 
-// remaining returns how long an attempt is expected to take yet, in seconds: as
+// timeToAnswer returns how long an attempt is expected to take yet, in seconds: as
 // long as one that starts now at its leaf, and at least as long as it took
 // already, since what makes attempts late (a pause, a queue, a slow leaf) lasts.
-func (d *Dispatcher) remaining(q *query, of *attempt) float64 {
+func (d *Dispatcher) timeToAnswer(q *query, of *attempt) float64 {
 	anew := d.config.Score.Significant(d.slowness(of.leaf)) * q.class.base
 	return max(anew, (d.now - of.sentAt).Seconds())
 }
@@ -130,7 +130,7 @@
 	shard := &q.shards[position]
 	only := &d.attempts.slots[shard.first]
 	age := (d.now - only.sentAt).Seconds()
-	if !q.rescuing(d.now) || !q.maySend(shard, &d.config) || age < lostAge*only.expected || !d.budgetOf(q, position).CanRetry() {
+	if !q.rescuing(d.now) || !q.maySend(shard, &d.config) || age < lostAgeFactor*only.expected || !d.budgetOf(q, position).CanRetry() {
 		return
 	}
 	if shard.group == nil || d.collect(shard, q.priority(d.now), 0) == choiceNone {
@@ -138,11 +138,11 @@
 	}
 	d.abort(only)
 	shard.lost++
-	shard.spent = true
-	shard.fallDue()
+	shard.needsRetry = true
+	shard.markDue()
 	d.place(q, position)
 }
 
-// lostAge is the age of an attempt, over the time expected of an ordinary leaf,
+// lostAgeFactor is the age of an attempt, over the time expected of an ordinary leaf,
 // from which its answer is taken to be lost.
-const lostAge = 10
+const lostAgeFactor = 10
--- a/internal/decide/dispatch/holdings.go
+++ b/internal/decide/dispatch/holdings.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// forget overrides the topology: the leaf does not hold what it refused.
-func (d *Dispatcher) forget(l *leafState, gone goneHolding) {
+// markGone overrides the topology: the leaf does not hold what it refused.
+func (d *Dispatcher) markGone(l *leafState, gone goneHolding) {
 	if l.lacks(gone.snapshot, gone.shard) {
 		return
 	}
--- a/internal/decide/dispatch/holdoff.go
+++ b/internal/decide/dispatch/holdoff.go
@@ -6,8 +6,8 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// heed learns from a refusal about the leaf.
-func (d *Dispatcher) heed(ended *attempt, refusal Refusal) {
+// learnFromRefusal learns from a refusal about the leaf.
+func (d *Dispatcher) learnFromRefusal(ended *attempt, refusal Refusal) {
 	l := ended.leaf
 	switch refusal.Reason {
 	case leaf.RefusedShed:
@@ -18,13 +18,13 @@
 		l.limiter.Restart(true)
 		l.hold(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Initial))
 	case leaf.RefusedDraining:
-		if l.drains(refusal.BootID) {
+		if l.noteDraining(refusal.BootID) {
 			d.rebuild()
 		}
 	case leaf.RefusedSnapshot:
-		d.forget(l, goneHolding{snapshot: ended.snapshot, shard: allShards})
+		d.markGone(l, goneHolding{snapshot: ended.snapshot, shard: allShards})
 	case leaf.RefusedMoved:
-		d.forget(l, goneHolding{snapshot: ended.snapshot, shard: ended.shard})
+		d.markGone(l, goneHolding{snapshot: ended.snapshot, shard: ended.shard})
 	}
 }
 
--- a/internal/decide/dispatch/incarnation.go
+++ b/internal/decide/dispatch/incarnation.go
@@ -9,9 +9,9 @@
 	return l.boots[len(l.boots)-1]
 }
 
-// sawBoot records the boot id of a message and reports whether the leaf was
+// noteBoot records the boot id of a message and reports whether the leaf was
 // started anew. A boot id that was replaced before is stale.
-func (l *leafState) sawBoot(boot string) bool {
+func (l *leafState) noteBoot(boot string) bool {
 	if boot == "" || slices.Contains(l.boots, boot) {
 		return false
 	}
@@ -23,9 +23,9 @@
 	return anew
 }
 
-// drains records that the leaf said so under the boot id, and reports whether
+// noteDraining records that the leaf said so under the boot id, and reports whether
 // that was news. It holds until the leaf has another boot id.
-func (l *leafState) drains(boot string) bool {
+func (l *leafState) noteDraining(boot string) bool {
 	if boot == "" {
 		boot = l.boot()
 	}
--- a/internal/decide/dispatch/leafstate.go
+++ b/internal/decide/dispatch/leafstate.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	othersWeight  = 0.1                    // least weight of one report in the mean of others
-	othersMemory  = 200 * time.Millisecond // time constant of that mean
-	othersFades   = 50 * time.Millisecond  // time constant of the last report
-	latencyWeight = 0.1                    // of one reply in the mean latency
-	defaultSlots  = 2                      // of a leaf that names none
-	maximumBoots  = 8                      // boot ids remembered for each leaf
+	othersWeight     = 0.1                    // least weight of one report in the mean of others
+	othersMeanMemory = 200 * time.Millisecond // time constant of that mean
+	lastReportMemory = 50 * time.Millisecond  // time constant of the last report
+	latencyWeight    = 0.1                    // of one reply in the mean latency
+	defaultSlots     = 2                      // of a leaf that names none
+	maximumBoots     = 8                      // boot ids remembered for each leaf
 )
 
 // leafState is what the Dispatcher knows of one leaf.
--- a/internal/decide/dispatch/lifecycle.go
+++ b/internal/decide/dispatch/lifecycle.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if wait, admitted := d.admit(q); !admitted {
-		d.refuse(q, wait)
+		d.refuseForLoad(q, wait)
 		return
 	}
 	for position := range q.shards {
@@ -34,7 +34,7 @@
 		d.reviewPending(q)
 		return
 	}
-	d.letGo(q)
+	d.releaseWithheld(q)
 	if !q.invalid && !q.unknown {
 		d.armHedges(q)
 	}
@@ -74,20 +74,20 @@
 // abandon aborts and withdraws all that the query has under way, and returns
 // the number of its attempts that may have executed.
 func (d *Dispatcher) abandon(q *query) int {
-	spent := 0
+	executed := 0
 	for position := range q.shards {
 		shard := &q.shards[position]
 		if shard.status == shardWaiting && shard.waitFor != 0 {
 			d.withdraw(q, shard)
 		}
-		if shard.status == shardAnswered || shard.spent || shard.first != none {
-			spent++
+		if shard.status == shardAnswered || shard.needsRetry || shard.first != none {
+			executed++
 		}
 		for shard.first != none {
 			d.abort(&d.attempts.slots[shard.first])
 		}
 	}
-	return spent
+	return executed
 }
 
 // finish ends a query.
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -17,21 +17,21 @@
 	if d.now >= q.Deadline {
 		return false
 	}
-	if (shard.spent || shard.charged) && !d.budgetOf(q, position).CanRetry() {
+	if (shard.needsRetry || shard.chargeNext) && !d.budgetOf(q, position).CanRetry() {
 		if d.config.EndWithoutBudget {
 			q.lastReason = ReasonBudget
-			d.lose(q, position, waiting)
+			d.markUnavailable(q, position, waiting)
 			return true
 		}
 		d.park(q, position, waiting)
 		return true
 	}
 	if !q.maySend(shard, &d.config) || int(shard.lost) >= d.config.MaximumLost {
-		d.lose(q, position, waiting)
+		d.markUnavailable(q, position, waiting)
 		return true
 	}
-	if shard.spent && q.barren() {
-		d.holdBack(q, position, waiting)
+	if shard.needsRetry && q.suspected() {
+		d.withhold(q, position, waiting)
 		return true
 	}
 	chosen, verdict := d.choose(q, shard, waiting)
@@ -41,7 +41,7 @@
 			q.lastReason = ReasonNoLeaf
 		}
 		q.snapshotLost = true
-		d.lose(q, position, waiting)
+		d.markUnavailable(q, position, waiting)
 		return true
 	case choiceHeld:
 		if !waiting {
@@ -69,8 +69,8 @@
 	d.parked = append(d.parked, waiter{query: q, position: position})
 }
 
-// lose marks a shard that no leaf can answer for now.
-func (d *Dispatcher) lose(q *query, position int32, waiting bool) {
+// markUnavailable marks a shard that no leaf can answer for now.
+func (d *Dispatcher) markUnavailable(q *query, position int32, waiting bool) {
 	shard := &q.shards[position]
 	if waiting {
 		d.withdraw(q, shard)
--- a/internal/decide/dispatch/query.go
+++ b/internal/decide/dispatch/query.go
@@ -20,25 +20,25 @@
 
 // shardState is one needed shard of a query.
 type shardState struct {
-	status   shardStatus
-	sends    uint8
-	lost     uint8
-	proved   uint8  // sends that provably did not execute
-	resend   bool   // the former attempt provably did not execute
-	spent    bool   // an attempt that may have executed has ended without use
-	charged  bool   // the next attempt is extra load, though the former did not execute
-	tried    uint32 // replicas that got an attempt
-	heldBack bool   // see Dispatcher.holdBack
-	group    *group
-	first    int32 // list of wanted attempts in flight
-	answer   AttemptID
-	waitFor  uint32 // ticket of the live entry in the queue of the group
+	status     shardStatus
+	sends      uint8
+	lost       uint8
+	unexecuted uint8  // sends that provably did not execute
+	resend     bool   // the former attempt provably did not execute
+	needsRetry bool   // an attempt that may have executed ended without an answer
+	chargeNext bool   // the next attempt is extra load, though the former did not execute
+	tried      uint32 // replicas that got an attempt
+	withheld   bool   // see Dispatcher.withhold
+	group      *group
+	first      int32 // list of wanted attempts in flight
+	answer     AttemptID
+	waitFor    uint32 // ticket of the live entry in the queue of the group
 	// waitWork is the share of the waiting work for each leaf of the group.
 	waitWork time.Duration
 }
 
-// fallDue lets the shard be placed again if no attempt of it is left.
-func (s *shardState) fallDue() {
+// markDue makes the shard due if no attempt of it is left.
+func (s *shardState) markDue() {
 	if s.status == shardInFlight && s.first == none {
 		s.status = shardWaiting
 		s.waitFor = 0
@@ -63,9 +63,9 @@
 	unresolved int // attempts whose end was not reported yet, wanted or not
 	// executed is set if an attempt has ended that may have executed.
 	executed bool
-	// closed counts the attempts whose leaf closed the connection before a byte of its
-	// answer, and heldBack the shards that wait for an answer of another one.
-	closed, heldBack int
+	// crashes counts the attempts whose leaf closed the connection before a byte of
+	// its answer, and withheld the shards that wait for an answer of another one.
+	crashes, withheld int
 	// snapshotLost is set if no leaf holds a needed shard at the snapshot.
 	snapshotLost bool
 	invalid      bool // a leaf cannot run the statement
--- a/internal/decide/dispatch/queue.go
+++ b/internal/decide/dispatch/queue.go
@@ -159,11 +159,11 @@
 
 // startPending starts postponed queries as the concurrency limit allows.
 func (d *Dispatcher) startPending() {
-	if d.starting {
+	if d.startsHeld {
 		return
 	}
-	d.starting = true
-	defer func() { d.starting = false }()
+	d.startsHeld = true
+	defer func() { d.startsHeld = false }()
 	for len(d.pending) > 0 && (d.topology.Concurrency == 0 || d.started < d.topology.Concurrency) {
 		q := d.pending[0]
 		d.pending = slices.Delete(d.pending, 0, 1)
--- a/internal/decide/dispatch/reports.go
+++ b/internal/decide/dispatch/reports.go
@@ -7,7 +7,7 @@
 func (l *leafState) estimateOthers(now Time) float64 {
 	if now != l.estimatedAt || now == 0 {
 		l.estimatedAt = now
-		l.estimated = l.othersMean + (l.others-l.othersMean)*fade(now-l.othersAt, othersFades)
+		l.estimated = l.othersMean + (l.others-l.othersMean)*fade(now-l.othersAt, lastReportMemory)
 	}
 	return l.estimated
 }
@@ -17,7 +17,7 @@
 func (l *leafState) report(now Time, load leaf.LoadSummary, own int) {
 	others := max(float64(load.SlotsBusy+load.Queue-own), 0)
 	age := now - l.othersAt
-	l.othersMean += max(othersWeight, 1-fade(age, othersMemory)) * (others - l.othersMean)
+	l.othersMean += max(othersWeight, 1-fade(age, othersMeanMemory)) * (others - l.othersMean)
 	l.othersLong += (1 - fade(age, longMemory)) * (others - l.othersLong)
 	l.others, l.othersAt = others, now
 	l.estimated, l.estimatedAt = others, now
--- a/internal/decide/dispatch/restart.go
+++ b/internal/decide/dispatch/restart.go
@@ -24,13 +24,13 @@
 	if covered*q.progress.Total <= reachable*needed {
 		return
 	}
-	spent := d.abandon(q)
+	executed := d.abandon(q)
 	q.restarted = true
 	q.hedgesArmed, q.hedgeAt = false, 0
 	d.counters.Restarts++
 	d.pinTo(q, &d.views[index])
 	for position := range q.shards {
-		q.shards[position].spent = position < spent
+		q.shards[position].needsRetry = position < executed
 		d.place(q, int32(position))
 	}
 }
--- a/internal/decide/dispatch/restart_test.go
+++ b/internal/decide/dispatch/restart_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// reborn sends a query to a leaf that ends behind a cut, and lists all leaves as
+// restarted sends a query to a leaf that ends behind a cut, and lists all leaves as
 // started anew after a time.
-func (r *rig) reborn(length time.Duration, once bool) QueryID {
+func (r *rig) restarted(length time.Duration, once bool) QueryID {
 	r.shape = func(query *Query) {
 		query.Deadline = r.now + time.Minute
 		query.Class.Repeatable = !once
@@ -26,7 +26,7 @@
 // start, long before its time is over.
 func TestAttemptAtAFormerStartIsLost(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
-	id := r.reborn(startLag, false)
+	id := r.restarted(restartLag, false)
 	r.run(50 * time.Millisecond)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeAnswered {
 		t.Errorf("%+v, %v", finish, ended)
@@ -40,7 +40,7 @@
 // its caller is told so at once.
 func TestAttemptThatMayRunOnceAtAFormerStart(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
-	id := r.reborn(startLag, true)
+	id := r.restarted(restartLag, true)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeUnknown {
 		t.Errorf("%+v, %v", finish, ended)
 	}
@@ -52,7 +52,7 @@
 // TestYoungAttemptMayRunAtTheNextStart: the news of a start comes after it.
 func TestYoungAttemptMayRunAtTheNextStart(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
-	id := r.reborn(startLag/2, false)
+	id := r.restarted(restartLag/2, false)
 	if len(r.aborted) != 0 {
 		t.Errorf("%d attempts given up", len(r.aborted))
 	}
--- a/internal/decide/dispatch/send.go
+++ b/internal/decide/dispatch/send.go
@@ -33,7 +33,7 @@
 		shard.status = shardInFlight
 	}
 	shard.sends++
-	shard.try(l)
+	shard.markTried(l)
 	q.inFlight++
 	q.unresolved++
 	d.learnWork(l, q.class.base)
--- a/internal/decide/dispatch/settle.go
+++ b/internal/decide/dispatch/settle.go
@@ -49,5 +49,5 @@
 	if int(shard.sends) >= config.MaximumSends {
 		return false
 	}
-	return q.MaximumSends == 0 || int(shard.sends-shard.proved) < q.MaximumSends
+	return q.MaximumSends == 0 || int(shard.sends-shard.unexecuted) < q.MaximumSends
 }
--- a/internal/decide/dispatch/topology.go
+++ b/internal/decide/dispatch/topology.go
@@ -36,7 +36,7 @@
 	if changed {
 		d.rebuild()
 	}
-	d.loseFormer()
+	d.loseFormerAttempts()
 	d.startPending()
 	d.pumpAll()
 	return d.actions
@@ -78,9 +78,9 @@
 		l.slots = slots
 		l.limiter.Resize(slots)
 	}
-	if l.sawBoot(listed.BootID) {
-		d.restarted(l, listed.Cold)
-		d.reborn = append(d.reborn, l)
+	if l.noteBoot(listed.BootID) {
+		d.resetLeaf(l, listed.Cold)
+		d.restarted = append(d.restarted, l)
 	}
 	same := slices.EqualFunc(l.holdings, listed.Holdings, equalHoldings)
 	l.holdings = listed.Holdings
@@ -91,8 +91,8 @@
 	return a.Snapshot == b.Snapshot && slices.Equal(a.Shards, b.Shards)
 }
 
-// restarted forgets what was learned of a leaf before it was started anew.
-func (d *Dispatcher) restarted(l *leafState, cold bool) {
+// resetLeaf forgets what was learned of a leaf before it was started anew.
+func (d *Dispatcher) resetLeaf(l *leafState, cold bool) {
 	l.limiter.Restart(cold)
 	l.speed = replica.NewSpeed(&d.config.Speed)
 	l.failures = 0
--- a/internal/decide/dispatch/views.go
+++ b/internal/decide/dispatch/views.go
@@ -40,14 +40,14 @@
 		d.fillView(&d.views[index], &d.snapshots[index])
 	}
 	d.waiters = 0
-	starting := d.starting
-	d.starting = true // postponed queries wait until all others have moved
+	starting := d.startsHeld
+	d.startsHeld = true // postponed queries wait until all others have moved
 	for _, q := range slices.Clone(d.running) {
 		if q.started && !q.finished {
-			d.move(q)
+			d.regroup(q)
 		}
 	}
-	d.starting = starting
+	d.startsHeld = starting
 	d.startPending()
 }
 
@@ -70,9 +70,9 @@
 	}
 }
 
-// move hands a running query over to the new views. Shards that wait, or that
+// regroup hands a running query over to the new views. Shards that wait, or that
 // no leaf could answer, are placed anew.
-func (d *Dispatcher) move(q *query) {
+func (d *Dispatcher) regroup(q *query) {
 	var pinned *view
 	for index := range d.views {
 		if d.views[index].snapshot == q.snapshot {
@@ -85,7 +85,7 @@
 		if pinned != nil {
 			shard.group = pinned.group(q.shardAt(position))
 		}
-		d.markTried(shard)
+		d.refreshTried(shard)
 		if shard.status == shardUnavailable {
 			q.progress.Unavailable--
 			shard.status = shardWaiting
@@ -100,13 +100,13 @@
 	d.review(q)
 }
 
-// markTried sets the mask of the replicas that run an attempt of the shard.
-func (d *Dispatcher) markTried(shard *shardState) {
+// refreshTried sets the mask of the replicas that run an attempt of the shard.
+func (d *Dispatcher) refreshTried(shard *shardState) {
 	shard.tried = 0
 	if shard.group == nil {
 		return
 	}
 	for slot := shard.first; slot != none; slot = d.attempts.slots[slot].next {
-		shard.try(d.attempts.slots[slot].leaf)
+		shard.markTried(d.attempts.slots[slot].leaf)
 	}
 }
