--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -1,3 +1,23 @@
+// Rule: admit or refuse. A query is refused at once if it cannot be served at all (service
+// stopped, deadline passed, no snapshot, too few shards with a leaf) or if its predicted
+// wait and service time fill more of its remaining time than admission.Config allows.
+// The wait is predicted for its slowest shard: for each class that goes first, the waiting
+// work over the rate at which such work was sent, or could be sent into free slots.
+//
+// Inputs: waiting work by class (seconds of one slot), rates of work sent (seconds of work
+// a second), slots that others leave free, slowness (ratio), time until the deadline and
+// until the promotion of the query, saturation (share of slots in use).
+//
+// Reason: a caller that is refused at once can retry elsewhere or later; one that waits
+// until its deadline has lost its time and leaves have done work in vain.
+//
+// Measured (simulation at 150 % load): without admission 0.22 and 0.33 of the urgent
+// queries were answered whole in place of 1.0000, and refusals took 1,000 and 1,800 ms at
+// the 99th percentile in place of less than 1 ms. The end of the wait at the promotion:
+// sweeps answered whole while a version rolls out 0.9993 without, 1.0000 with (10 seeds).
+// Refusing what cannot reach its coverage, worth before and after: 0.562 and 0.567, 0.570
+// and 0.574, 0.749 and 0.750, 0.530 and 0.507 (pairs of four days).
+
 package dispatch
 
 import (
@@ -95,9 +115,8 @@
 
 // predictWait returns the time until a new query gets a slot of the group: for
 // each class that goes first, the work that waits for the leaves of the group
-// over the rate at which such work can be sent there. That is the rate of
-// late, or that of the slots that others and the classes before it leave free.
-// Unless the service is saturated, the query waits until its promotion, and
+// over the rate at which such work can be sent there. That is the recent rate,
+// or that of the slots that others and the classes before it leave free. Unless the service is saturated, the query waits until its promotion, and
 // then for the most urgent work only.
 func (d *Dispatcher) predictWait(g *group, q *query) time.Duration {
 	d.loads = d.loads[:0]
@@ -149,13 +168,22 @@
 	spare    float64 // slots that others and the classes before leave free
 }
 
-// leastShare returns the share of the limit that work of a class is assumed to
-// get at least: the most urgent work has only itself to wait for.
+// The shares of the limit of a leaf that work of a class is assumed to get at least, so
+// that a leaf which seems full does not make its predicted wait infinite. Not measured:
+// chosen because the most urgent work has only itself to wait for, while other work may
+// starve.
+const (
+	leastUrgentShare = 0.25
+	leastOtherShare  = 0.005
+)
+
+// leastShare returns the share of the limit that work of a class is assumed to get at
+// least.
 func leastShare(urgent bool) float64 {
 	if urgent {
-		return 0.25
+		return leastUrgentShare
 	}
-	return 0.005
+	return leastOtherShare
 }
 
 // leftByUrgent returns the share of the node's work that the most urgent work
--- a/internal/decide/dispatch/budget.go
+++ b/internal/decide/dispatch/budget.go
@@ -1,3 +1,16 @@
+// Rule: the budget of extra load. Each needed attempt earns a share of a token, time earns
+// some where a refill is set, and each extra attempt costs one; one budget serves all
+// shards, or each shard has its own (Config.BudgetByShard).
+//
+// Inputs: the share of extra load of the class (0 to 1), the bounds of each shard's budget
+// (tokens, tokens a second; ResizeBudgets).
+//
+// Reason: extra attempts load the leaves most when they are slow already, so what may be
+// added is bounded by what was needed. Back ends that are metered one by one have budgets
+// of their own, so that one slow shard does not spend what the others earned.
+//
+// Measured: the figures of hedge.BudgetConfig are with its defaults.
+
 package dispatch
 
 import "github.com/micaplank/micaplank/internal/decide/hedge"
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -1,3 +1,34 @@
+// Rule: second attempts. A shard gets another attempt after one that ended without an
+// answer, or beside one that is late; attempts that may have executed before, or execute
+// beside another one, are extra load and paid for by a budget (budget.go).
+//
+//	cause    caused by                          paid by             bounded by                withheld
+//	needed   the first attempt of a shard       nothing; it earns   one a shard and pin       no leaf has room: queued
+//	resend   proof that the former attempt      nothing             MaximumSends              no leaf has room: queued
+//	         did not execute (refused, or no
+//	         byte left the node)
+//	retry    an attempt that was lost after it  SpendRetry, which   MaximumSends,             no budget: parked, or the shard is
+//	         was sent, replaced because it is   may go into debt    MaximumLost,              given up (EndWithoutBudget); query
+//	         too old, or refused where          (Budget.Debt)       Query.MaximumSends        suspected: see withhold.go
+//	         refusals are charged
+//	         (ChargeRefusals)
+//	restart  a newer snapshot that covers more  SpendRetry          one restart a query;      as retry
+//	         (restart.go); as many as may have                      MaximumSends
+//	         executed before it
+//	hedge    an only attempt older than the     SpendHedge, from    one beside an attempt;    no leaf with room is expected to
+//	         hedge delay (hedge.go)             half of the time    MaximumSends, Query.      answer in time; shards are queued for
+//	                                            on SpendRetry       MaximumSends              the group; query suspected
+//	probe    a leaf in probation without an     SpendHedge          one a leaf and            beside a shard that is not answered
+//	         attempt for the probe interval                         ProbeInterval;            yet, unless the query has one shard
+//	         (probe.go)                                             MaximumSends
+//
+// Requests that may not be repeated get resends only: never a second attempt after one
+// that may have executed.
+//
+// Inputs: how the former attempt ended, its age, the budget (tokens, one an attempt).
+//
+// Measured: see hedge.go, probe.go, restart.go, crash.go, withhold.go and budget.go.
+
 package dispatch
 
 // Cause says why an attempt is sent.
--- a/internal/decide/dispatch/choose.go
+++ b/internal/decide/dispatch/choose.go
@@ -1,3 +1,24 @@
+// Rule: choose a leaf. Among the leaves that hold the shard, take work, are not held off
+// and may get another attempt of this node, the one with the least expected completion
+// time gets the attempt (see package replica). Leaves that already got an attempt of the
+// shard come last, those on standby only if no other leaf can take it, and a canary only
+// gets a first attempt that its allowance covers.
+//
+// Inputs: the work of the class and the mean work (seconds on an ordinary leaf), own
+// attempts in flight, estimated attempts of other nodes, slots, the limit of own attempts,
+// slowness (ratio to an ordinary leaf), share of lost attempts (0 to 1), zone.
+//
+// Reason: a query is as slow as its slowest shard, so the expected end of the attempt
+// counts, not the number of attempts at a leaf. A request that may not be repeated avoids
+// doubtful leaves, which have failed and not answered since: lost there, its outcome would
+// be unknown. Canaries are chosen in turn, since a choice by what is known of them would
+// leave most of them untried.
+//
+// Measured: the weights of the choice are with package replica. Without the rule on
+// doubtful leaves 4 of 4 requests that may not be repeated went to a leaf that had failed.
+// Not measured: that standby comes last and that canaries take turns; chosen because
+// standby capacity is to stay free and each canary is to be judged.
+
 package dispatch
 
 import "github.com/micaplank/micaplank/internal/decide/replica"
@@ -56,8 +77,7 @@
 	return chosen, choiceSend
 }
 
-// doubtful returns the replicas that have failed and not answered since. A
-// request that may not be repeated is not the one to try them.
+// doubtful returns the replicas that have failed and not answered since.
 func (g *group) doubtful() uint32 {
 	mask := uint32(0)
 	for index, l := range g.leaves {
@@ -118,9 +138,8 @@
 }
 
 // canaryFor returns the canary for the first attempt of a shard; nil if none is
-// due, or can take it. Each gets its turn: a choice by what is known of them would
-// leave most of them untried. A request that could be sent again goes there only
-// while the budget pays for that: else a bad version would cost callers answers.
+// due, or can take it. A repeatable request goes there only while the budget pays for
+// a retry: otherwise a bad version would cost callers answers.
 func (d *Dispatcher) canaryFor(q *query, shard *shardState) *leafState {
 	if len(d.allowances) == 0 || shard.sends > 0 || len(shard.group.canaries) == 0 {
 		return nil
@@ -155,10 +174,13 @@
 	return budget.CanRetry() && budget.Tokens()+d.config.Budget.Debt >= float64(running+1)
 }
 
+// replicaBits is the width of the masks of replicas.
+const replicaBits = 32
+
 // replicaBit returns the bit of a replica in the masks of a shard. Replicas
 // beyond the width of the mask share its last bit.
 func replicaBit(index int) uint32 {
-	return 1 << min(index, 31)
+	return 1 << min(index, replicaBits-1)
 }
 
 // markTried marks the leaf as one that got an attempt of the shard.
--- a/internal/decide/dispatch/crash.go
+++ b/internal/decide/dispatch/crash.go
@@ -1,3 +1,13 @@
+// Rule: attempts at a former incarnation. When the topology lists a leaf with a new boot
+// ID, the attempts sent to its former incarnation count as lost, unless they are younger
+// than restartLag, which may run at the new one.
+//
+// Inputs: the boot ID in the topology, the age of each attempt.
+//
+// Reason: where the connection to the former process is still open, its end is reported
+// by the driver. A leaf that crashed behind a network partition reports nothing, and its
+// requests would wait until their deadlines.
+
 package dispatch
 
 import (
@@ -5,15 +15,13 @@
 	"time"
 )
 
-// restartLag is how much later than its start a leaf is listed anew, at most: the pause
-// of a watch while much changes is 0.5 s, and the entry and the news are on their way
-// for less than that. An attempt that is younger may run at the new start.
+// restartLag is the longest time from the restart of a leaf until the topology lists its
+// new boot ID: the pause of a watch while much changes is 0.5 s, and the entry and the
+// notification of it take less than that. Not measured: the sum of the two, rounded up.
 const restartLag = time.Second
 
-// loseFormerAttempts takes the attempts at the former starts of leaves that were listed anew
-// to be lost. Where the process ended in reach, its end of the connection told so; a
-// leaf that ended behind a cut says nothing, and its requests would wait until their
-// time is over.
+// loseFormerAttempts counts the attempts at the former incarnations of the restarted
+// leaves as lost.
 func (d *Dispatcher) loseFormerAttempts() {
 	restarted := d.restarted
 	d.restarted = d.restarted[:0]
@@ -24,7 +32,7 @@
 	}
 }
 
-// loseFormerAttempt takes one attempt to be lost with its leaf, if its query still waits.
+// loseFormerAttempt counts one attempt as lost, if its query still waits for it.
 func (d *Dispatcher) loseFormerAttempt(entry *attempt) {
 	if !entry.wanted || d.now-entry.sentAt < restartLag {
 		return
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -1,3 +1,20 @@
+// Rule: hedges. Once few enough shards of a query are outstanding, a shard whose only
+// attempt is older than the hedge delay gets a second one at a leaf that has room, where
+// nobody waits, and which is expected to answer before the first. With the share
+// HedgeConfig.Rescue of the query's time gone, hedges are paid for as retries, and an
+// attempt of lostAgeFactor times its expected time is replaced.
+//
+// Inputs: age of the attempt, its expected time (seconds, with the queue of its leaf), the
+// quantile of the latency of the class, Query.HedgeDelay, the budget of the shard.
+//
+// Reason: the last missing shards decide when a query ends. Hedges into a busy group would
+// add to the queue that makes attempts late.
+//
+// Measured: no hedges -0.020 to -0.025 of worth on three deployments (ablation, two
+// seeds); without rescue 0.9948 and 0.9887 of the urgent queries whole after the loss of a
+// leaf, in place of 1.0000 (simulation, 60 % load, 10 seeds). The age of the first attempt
+// as a bound from below: worth 0.6493 without, 0.6585 with (three days, two seeds).
+
 package dispatch
 
 import (
@@ -58,7 +75,7 @@
 		due := only.sentAt + delay
 		if due <= d.now && !d.hedgeShard(q, int32(position), only) {
 			d.replace(q, int32(position))
-			due = d.now + delay/4 + 1
+			due = d.now + delay/hedgeRetries + 1
 		}
 		if due > d.now {
 			q.hedgeAt = min(q.hedgeAt, due)
@@ -66,6 +83,10 @@
 	}
 }
 
+// hedgeRetries is how many times within one hedge delay a hedge that could not be sent
+// is tried again. Not measured: chosen because leaves get free within a fraction of it.
+const hedgeRetries = 4
+
 // hedgeDelay returns the age at which an attempt of the query counts as late.
 func (d *Dispatcher) hedgeDelay(q *query) (time.Duration, bool) {
 	if q.class.latency.Samples() < d.config.Hedge.Samples {
@@ -106,8 +127,8 @@
 // long as one that starts now at its leaf, and at least as long as it took
 // already, since what makes attempts late (a pause, a queue, a slow leaf) lasts.
 func (d *Dispatcher) timeToAnswer(q *query, of *attempt) float64 {
-	anew := d.config.Score.Significant(d.slowness(of.leaf)) * q.class.base
-	return max(anew, (d.now - of.sentAt).Seconds())
+	fresh := d.config.Score.Significant(d.slowness(of.leaf)) * q.class.base
+	return max(fresh, (d.now - of.sentAt).Seconds())
 }
 
 // payHedge takes what a hedge costs.
@@ -119,13 +140,14 @@
 	return budget.SpendHedge()
 }
 
-// hedgeTolerance is how much longer than the first attempt the second may be
-// expected to take.
+// hedgeTolerance is the ratio of the expected time of a hedge to that which the first
+// attempt may still take up to which the hedge is sent. Not measured: chosen because
+// both times are estimates, and a hedge that is slightly later still covers a loss.
 const hedgeTolerance = 1.2
 
-// replace gives up the only attempt of a shard and lets the shard wait for
-// another leaf, if the attempt is that late that its answer will not come, and
-// the query has no time to wait for the certainty.
+// replace aborts the only attempt of a shard and lets the shard wait for another leaf, if
+// the attempt is so late that its answer counts as lost, and half of the query's time is
+// gone.
 func (d *Dispatcher) replace(q *query, position int32) {
 	shard := &q.shards[position]
 	only := &d.attempts.slots[shard.first]
@@ -144,5 +166,6 @@
 }
 
 // lostAgeFactor is the age of an attempt, over the time expected of an ordinary leaf,
-// from which its answer is taken to be lost.
+// from which its answer is taken to be lost. Partial checks with a zone lost: 11 of
+// 11,979 without the replacement, 0 with it (4 seeds). Other factors were not compared.
 const lostAgeFactor = 10
--- a/internal/decide/dispatch/holdoff.go
+++ b/internal/decide/dispatch/holdoff.go
@@ -1,3 +1,17 @@
+// Rule: hold-off. A leaf that failed gets nothing for a pause that doubles with each
+// failure in a row, one that refused for load or because it is cold for the pause that it
+// asks for, within BackoffConfig.Maximum; its next answer ends the pause.
+//
+// Inputs: the end of each attempt, the pause that the leaf asks for (zero for none), the
+// configured pauses.
+//
+// Reason: a failed leaf costs each attempt its time, and failures of attempts that were in
+// flight together are one event, so they lengthen the pause once.
+//
+// Not measured: the lengths of the pauses (config.go). That refusals for load count as
+// lost attempts, too: with requests 10 ms apart at a service of two leaves, one of which
+// refuses all, 22 of 40 plays served fewer than 15 of 20 requests without, none with.
+
 package dispatch
 
 import (
--- a/internal/decide/dispatch/probe.go
+++ b/internal/decide/dispatch/probe.go
@@ -1,14 +1,25 @@
+// Rule: probes. A leaf that is slower than the chosen one by ProbationConfig.Slowness and
+// had no attempt for the probe interval gets an attempt of a shard beside the chosen leaf,
+// to measure whether it is still slow. A query of one shard sends it beside the attempt, a
+// query of several once the shard is answered.
+//
+// Inputs: slowness of both leaves (ratio to an ordinary one), time since the last attempt
+// at the leaf, the budget of the shard.
+//
+// Reason: a slow leaf gets no work while its replicas have room, so without probes it would
+// never be measured again. In a query of several shards, a probe beside the first attempt
+// would take the place of a hedge or a retry.
+//
+// Measured: of 0.15 to 0.5 slow leaves, probes were two thirds of all second attempts; sent
+// after the answer, they leave 0.01 more of the worth of such a day (six days, 0.004 to
+// 0.011 each). No probes at all: worth 0.7808 in place of 0.7863 (paired trials).
+
 package dispatch
 
 import "time"
 
-// probe sends a second attempt, beside or after the one to the chosen leaf, to a
-// slow leaf of the group that had none for long, to learn whether it is still slow.
-//
-// A query of several shards probes a shard only once that is answered: before, the
-// probe would take the place of a hedge or a retry. With 0.15 to 0.5 of the leaves
-// slow, probes were two thirds of all second attempts; sent after the answer, they
-// leave 0.01 more of the worth of such a day (six days, 0.004 to 0.011 each).
+// probe sends a second attempt to a slow leaf of the group, beside or after the one to
+// the chosen leaf.
 func (d *Dispatcher) probe(q *query, position int32, chosen *leafState) {
 	shard := &q.shards[position]
 	if d.config.Probation.Disabled || !q.Class.Repeatable || len(shard.group.leaves) < 2 || !q.maySend(shard, &d.config) {
@@ -28,8 +39,8 @@
 	}
 }
 
-// probeInterval returns the time between two probes of a leaf. It is short
-// once the leaf answered in time, so that it comes back soon.
+// probeInterval returns the time between two probes of a leaf. It is short once the
+// leaf answered in time, so that it gets its share of the work again soon.
 func (d *Dispatcher) probeInterval(l *leafState) time.Duration {
 	if l.recovering {
 		return d.config.Probation.ProbeInterval / recoveringProbes
@@ -37,5 +48,7 @@
 	return d.config.Probation.ProbeInterval
 }
 
-// recoveringProbes is how many probes a recovering leaf gets in place of one.
+// recoveringProbes is how many probes a recovering leaf gets in place of one. With it,
+// and a faster forgetting of the past (package replica), a recovered leaf got 20 or more
+// of 100 attempts after three seconds, and 2 without; other numbers were not compared.
 const recoveringProbes = 8
--- a/internal/decide/dispatch/queue.go
+++ b/internal/decide/dispatch/queue.go
@@ -1,3 +1,18 @@
+// Rule: queue and order. What waits in the node, shards for a leaf and queries for the
+// concurrency limit, goes by priority (1 first), then by deadline, then by arrival. A
+// query that has waited for the share Config.Promotion of its time counts as most urgent
+// from then on.
+//
+// Inputs: priority of the class, absolute deadline, time of the submission, order of
+// arrival. Parked shards, which need a retry that the budget does not pay for now, are
+// tried again at each review (Config.Review).
+//
+// Reason: waiting in the node can be reordered and cancelled, waiting at a leaf cannot. A
+// query that was admitted was promised to run, so it must not starve behind urgent work.
+//
+// Measured: without the promotion there were refusals at the deadline in the services
+// with two and three slots a leaf (simulation at 150 % load).
+
 package dispatch
 
 import (
--- a/internal/decide/dispatch/restart.go
+++ b/internal/decide/dispatch/restart.go
@@ -1,3 +1,16 @@
+// Rule: restart. A query whose pinned snapshot lost a leaf for a needed shard runs again,
+// as a whole and once, at a newer snapshot that covers more of its shards than the pinned
+// one can still reach, if the time of one attempt is left.
+//
+// Inputs: shards reachable at the pinned and at the newest suitable snapshot, the work of
+// the class (seconds), the deadline.
+//
+// Reason: rows of two snapshots are not mixed, so a shard that no leaf holds any more at
+// the pinned one can only be answered by starting again. Twice could go on for ever while
+// versions roll out.
+//
+// Not measured: that it is done once; chosen because it bounds the extra load of a query.
+
 package dispatch
 
 import (
@@ -6,8 +19,7 @@
 	"github.com/micaplank/micaplank/internal/decide/snapshot"
 )
 
-// restart runs the whole query again at a newer snapshot, once, if that can
-// cover more of it and time is left.
+// restart runs the whole query again at a newer snapshot, if that is allowed.
 func (d *Dispatcher) restart(q *query) {
 	if q.restarted || !q.Class.Repeatable {
 		return
--- a/internal/decide/dispatch/retryafter.go
+++ b/internal/decide/dispatch/retryafter.go
@@ -1,9 +1,22 @@
+// Rule: Retry-After of a Finish that gives no answer (OutcomeNotRun or OutcomeFailed). A
+// query refused for load carries its predicted wait, one whose leaves shed its attempts
+// the longest pause that a leaf asked for, and one that ran out of time without either the
+// shortest pause, all within the bounds of admission.Config; others carry none.
+//
+// Inputs: the predicted wait and the pauses that leaves ask for (durations), the reason.
+//
+// Reason: the caller may retry when the work that was in its way is done. A request that
+// had too little time, with no leaf in its way, may be retried almost at once. Where no
+// time is known (no leaf, no snapshot) the driver sets the time of the response.
+//
+// Measured: the bounds are with admission.Config.
+
 package dispatch
 
 import "time"
 
-// retryAfter returns when a caller that got nothing may ask again. Without a
-// better guess, a request that had too little time may come at once.
+// retryAfter returns the time after which a caller that got no answer may retry; zero if
+// none is known.
 func (d *Dispatcher) retryAfter(q *query, reason Reason) time.Duration {
 	if q.retryAfter == 0 && reason == ReasonDeadline {
 		return d.config.Admission.RetryAfter(0)
--- a/internal/decide/dispatch/settle.go
+++ b/internal/decide/dispatch/settle.go
@@ -1,3 +1,17 @@
+// Rule: give up and settle. A query ends when all its shards are answered, when an answer
+// is impossible (attempt of unknown fate, invalid statement, no shard or too few that can
+// still be answered) or at its deadline; with enough coverage it also ends when no shard
+// is awaited any more, or at its settle time shortly before the objective or deadline.
+//
+// Inputs: shards answered, unavailable and needed, the least coverage (share from 0 to 1),
+// the settle time (coverage.Config), the deadline; by shard, the attempts sent and lost.
+//
+// Reason: waiting on has no worth once the outcome cannot improve, and an answer that
+// comes after the objective is worth little.
+//
+// Measured: the figures of the settle time are with coverage.Config. Not measured by
+// itself: that a query ends at once which no budget or leaf can complete.
+
 package dispatch
 
 // settle decides whether and how a query ends now.
--- a/internal/decide/dispatch/withhold.go
+++ b/internal/decide/dispatch/withhold.go
@@ -1,19 +1,31 @@
+// Rule: withheld retries. Once suspectCrashes attempts of a query of several shards ended
+// because their leaves closed the connection, and no shard is answered, the query may be
+// what crashes them: second attempts wait. An answer releases them; without one that could
+// still come, their shards are given up.
+//
+// Inputs: attempts whose leaf closed the connection before a byte of its answer, shards
+// answered, attempts in flight and shards queued.
+//
+// Reason: within one try, a request that crashes leaves would take both replicas of each
+// of its shards before anyone could know of it.
+//
+// Measured: of 8 leaves of 4 shards that crash under a request which comes 32 times at
+// three nodes, 5 crash before it is known in place of all 8, and 2 under its trials (three
+// plays each).
+
 package dispatch
 
-// suspectCrashes is how many attempts of a query of several shards have to end with their
-// leaves, while none is answered, before second ones wait. One leaf ends now and then.
+// suspectCrashes is the number of crashes from which a query is suspected. Not measured
+// against other numbers: chosen because a single leaf crashes now and then.
 const suspectCrashes = 2
 
-// suspected reports whether leaves ended under the query and none has answered: it may be
-// the query that ends them. Then no second leaf of a shard gets it. Of 8 leaves of 4
-// shards that end under a request which comes 32 times at three nodes, 5 end before it
-// is known in place of all 8, and 2 under its trials (three plays each).
+// suspected reports whether the query may be what crashes leaves.
 func (q *query) suspected() bool {
 	return len(q.shards) > 1 && q.crashes >= suspectCrashes && q.progress.Answered == 0
 }
 
-// withhold lets a shard whose attempt was lost wait for an answer of another one. It
-// gives the shard up once there is none left that could come.
+// withhold lets a shard whose attempt was lost wait for the answer of another shard. It
+// gives the shard up if no such answer can come any more.
 func (d *Dispatcher) withhold(q *query, position int32, waiting bool) {
 	shard := &q.shards[position]
 	if q.inFlight == 0 && !q.waitsForLeaf(shard) {
@@ -29,17 +41,17 @@
 	}
 }
 
-// waitsForLeaf reports whether a shard but this one waits for a leaf.
-func (q *query) waitsForLeaf(but *shardState) bool {
+// waitsForLeaf reports whether a shard other than the given one waits for a leaf.
+func (q *query) waitsForLeaf(except *shardState) bool {
 	for position := range q.shards {
-		if one := &q.shards[position]; one != but && one.waitFor != 0 {
+		if shard := &q.shards[position]; shard != except && shard.waitFor != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// releaseWithheld places the shards that were held back, once another one was answered, or none
+// releaseWithheld places the withheld shards once another shard was answered, or none
 // can be.
 func (d *Dispatcher) releaseWithheld(q *query) {
 	if q.withheld == 0 || q.suspected() && (q.inFlight > 0 || q.waitsForLeaf(nil)) {
