--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -121,8 +121,8 @@
 func (d *Dispatcher) predictWait(g *group, q *query) time.Duration {
 	d.loads = d.loads[:0]
 	for _, l := range g.leaves {
-		if l.takesWork() && !l.held(d.now) {
-			d.loads = append(d.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.othersLong})
+		if l.takesWork() && !l.holdOff.active(d.now) {
+			d.loads = append(d.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.reports.longMean})
 		}
 	}
 	longest, urgent := time.Duration(0), time.Duration(0)
--- a/internal/decide/dispatch/choose.go
+++ b/internal/decide/dispatch/choose.go
@@ -81,7 +81,7 @@
 func (g *group) doubtful() uint32 {
 	mask := uint32(0)
 	for index, l := range g.leaves {
-		if l.failures > 0 {
+		if l.holdOff.failures > 0 {
 			mask |= replicaBit(index)
 		}
 	}
@@ -110,7 +110,7 @@
 		if l.warmup.closed(d.now) {
 			continue
 		}
-		if l.held(d.now) || !l.warmup.allows(d.now) {
+		if l.holdOff.active(d.now) || !l.warmup.allows(d.now) {
 			verdict = max(verdict, choiceHeld)
 			continue
 		}
@@ -124,7 +124,7 @@
 // candidate describes the leaf for the choice of a replica for work of the
 // priority.
 func (d *Dispatcher) candidate(l *leafState, priority int) replica.Candidate {
-	others := l.estimateOthers(d.now)
+	others := l.reports.others(d.now)
 	return replica.Candidate{
 		InFlight: len(l.running),
 		Others:   others,
@@ -153,10 +153,10 @@
 	}
 	var chosen *leafState
 	for _, l := range shard.group.canaries {
-		if !l.takesWork() || l.held(d.now) || l.full() || d.now < l.warmAt || !l.warmup.allows(d.now) {
+		if !l.takesWork() || l.holdOff.active(d.now) || l.full() || d.now < l.warmAt || !l.warmup.allows(d.now) {
 			continue
 		}
-		if chosen == nil || len(l.running) < len(chosen.running) || len(l.running) == len(chosen.running) && l.lastSent < chosen.lastSent {
+		if chosen == nil || len(l.running) < len(chosen.running) || len(l.running) == len(chosen.running) && l.probation.lastSent < chosen.probation.lastSent {
 			chosen = l
 		}
 	}
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -35,8 +35,9 @@
 	latency := d.now - ended.sentAt
 	ratio := latency.Seconds() / ended.expected
 	l.speed.Completed(d.now, ratio)
-	l.recovering = ratio < d.config.Probation.Slowness
-	l.succeeded(latency)
+	l.probation.recovering = ratio < d.config.Probation.Slowness
+	l.holdOff = holdOff{}
+	l.learnLatency(latency)
 	l.losses.Ended(&d.config.Losses, d.now, false)
 	q.class.learn(latency, ended.expected/q.class.base)
 	l.limiter.Succeeded(d.now, len(l.running)+1, reply.Load.Queue)
@@ -49,7 +50,7 @@
 		d.resetLeaf(l, load.State == leaf.StateCold)
 	}
 	if load.Slots > 0 {
-		l.report(d.now, load, own)
+		l.reports.add(d.now, load, own)
 	}
 	if load.State == leaf.StateDraining && l.noteDraining(boot) {
 		d.rebuild()
@@ -142,7 +143,7 @@
 		d.counters.FailedUnsent++
 	}
 	if ended.wanted && !failure.Aborted && !failure.OnTheWay {
-		l.failed(d.now, d.config.Backoff)
+		l.holdOff.failed(d.now, d.config.Backoff)
 		l.losses.Ended(&d.config.Losses, d.now, true)
 	}
 	if ended.wanted && q.shards[ended.position].status != shardAnswered {
@@ -199,7 +200,7 @@
 	l.running[ended.running] = moved
 	d.attempts.slots[moved].running = ended.running
 	l.running = l.running[:last]
-	l.overdueAt = unknown
+	l.overdue.at = unknown
 	d.attempts.remove(entry)
 	return ended, true
 }
--- a/internal/decide/dispatch/holdoff.go
+++ b/internal/decide/dispatch/holdoff.go
@@ -27,10 +27,10 @@
 	case leaf.RefusedShed:
 		l.losses.Ended(&d.config.Losses, d.now, true)
 		l.limiter.Refused(d.now)
-		l.hold(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Shed))
+		l.holdOff.extend(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Shed))
 	case leaf.RefusedCold:
 		l.limiter.Restart(true)
-		l.hold(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Initial))
+		l.holdOff.extend(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Initial))
 	case leaf.RefusedDraining:
 		if l.noteDraining(refusal.BootID) {
 			d.rebuild()
@@ -50,31 +50,32 @@
 	return min(asked, d.config.Backoff.Maximum)
 }
 
-// failed holds the leaf off, longer with each failure in a row. Failures of
-// attempts that were in flight together count once.
-func (l *leafState) failed(now Time, config BackoffConfig) {
-	if l.failures > 0 && l.held(now) {
-		return
-	}
-	pause := min(config.Initial<<min(l.failures, 16), config.Maximum)
-	l.failures++
-	l.hold(now + pause)
+// holdOff is until when a leaf gets no work, and why.
+type holdOff struct {
+	failures int // in a row
+	until    Time
 }
 
-func (l *leafState) hold(until Time) {
-	l.heldUntil = max(l.heldUntil, until)
+// maximumDoublings bounds the shift of the pause; BackoffConfig.Maximum ends it long before.
+const maximumDoublings = 16
+
+// failed holds the leaf off, longer with each failure in a row. Failures of attempts
+// that were in flight together count once.
+func (h *holdOff) failed(now Time, config BackoffConfig) {
+	if h.failures > 0 && h.active(now) {
+		return
+	}
+	pause := min(config.Initial<<min(h.failures, maximumDoublings), config.Maximum)
+	h.failures++
+	h.extend(now + pause)
 }
 
-func (l *leafState) held(now Time) bool {
-	return now < l.heldUntil
+// extend holds the leaf off until a time at least.
+func (h *holdOff) extend(until Time) {
+	h.until = max(h.until, until)
 }
 
-// succeeded takes in the latency of a reply.
-func (l *leafState) succeeded(latency time.Duration) {
-	l.failures = 0
-	l.heldUntil = 0
-	if l.latency == 0 {
-		l.latency = latency.Seconds()
-	}
-	l.latency += latencyWeight * (latency.Seconds() - l.latency)
+// active reports whether the leaf gets no work now.
+func (h *holdOff) active(now Time) bool {
+	return now < h.until
 }
--- a/internal/decide/dispatch/incarnation.go
+++ b/internal/decide/dispatch/incarnation.go
@@ -2,43 +2,55 @@
 
 import "slices"
 
-func (l *leafState) boot() string {
-	if len(l.boots) == 0 {
+// maximumBoots is how many boot IDs are remembered of a leaf. Not measured: chosen to bound
+// the memory; messages of older incarnations than these do not arrive any more.
+const maximumBoots = 8
+
+// incarnations are the boot IDs of a leaf: one for each time that its process started.
+type incarnations struct {
+	boots   []string // those seen, the current one last
+	drained []string // those that said they drain
+}
+
+// boot returns the current boot ID; empty if none was seen.
+func (i *incarnations) boot() string {
+	if len(i.boots) == 0 {
 		return ""
 	}
-	return l.boots[len(l.boots)-1]
+	return i.boots[len(i.boots)-1]
 }
 
-// noteBoot records the boot id of a message and reports whether the leaf was
-// started anew. A boot id that was replaced before is stale.
-func (l *leafState) noteBoot(boot string) bool {
-	if boot == "" || slices.Contains(l.boots, boot) {
+// noteBoot records the boot ID of a message and reports whether the leaf restarted. A
+// boot ID that was replaced before is stale.
+func (i *incarnations) noteBoot(boot string) bool {
+	if boot == "" || slices.Contains(i.boots, boot) {
 		return false
 	}
-	anew := len(l.boots) > 0
-	if len(l.boots) == maximumBoots {
-		l.boots = slices.Delete(l.boots, 0, 1)
+	restarted := len(i.boots) > 0
+	if len(i.boots) == maximumBoots {
+		i.boots = slices.Delete(i.boots, 0, 1)
 	}
-	l.boots = append(l.boots, boot)
-	return anew
+	i.boots = append(i.boots, boot)
+	return restarted
 }
 
-// noteDraining records that the leaf said so under the boot id, and reports whether
-// that was news. It holds until the leaf has another boot id.
-func (l *leafState) noteDraining(boot string) bool {
+// noteDraining records that the leaf said under the boot ID that it drains, and reports
+// whether that was news. It holds until the leaf has another boot ID.
+func (i *incarnations) noteDraining(boot string) bool {
 	if boot == "" {
-		boot = l.boot()
+		boot = i.boot()
 	}
-	if slices.Contains(l.drained, boot) {
+	if slices.Contains(i.drained, boot) {
 		return false
 	}
-	if len(l.drained) == maximumBoots {
-		l.drained = slices.Delete(l.drained, 0, 1)
+	if len(i.drained) == maximumBoots {
+		i.drained = slices.Delete(i.drained, 0, 1)
 	}
-	l.drained = append(l.drained, boot)
-	return boot == l.boot()
+	i.drained = append(i.drained, boot)
+	return boot == i.boot()
 }
 
-func (l *leafState) draining() bool {
-	return slices.Contains(l.drained, l.boot())
+// draining reports whether the current incarnation drains.
+func (i *incarnations) draining() bool {
+	return slices.Contains(i.drained, i.boot())
 }
--- a/internal/decide/dispatch/limits.go
+++ b/internal/decide/dispatch/limits.go
@@ -24,7 +24,7 @@
 	if priority <= highestPriority || d.config.Limit.Disabled || d.config.EqualSlots {
 		return limit
 	}
-	busy := others * fade(d.now-l.othersAt, busyMemory)
+	busy := others * fade(d.now-l.reports.at, busyMemory)
 	return min(limit, int(float64(l.slots)-busy+freeSlotTolerance))
 }
 
--- a/internal/decide/dispatch/probe.go
+++ b/internal/decide/dispatch/probe.go
@@ -26,10 +26,10 @@
 		return
 	}
 	for _, l := range shard.group.leaves {
-		if l == chosen || len(l.running) > 0 || d.now-l.lastSent < d.probeInterval(l) {
+		if l == chosen || len(l.running) > 0 || d.now-l.probation.lastSent < d.probeInterval(l) {
 			continue
 		}
-		if !l.takesWork() || l.standby || l.held(d.now) || !l.warmup.allows(d.now) {
+		if !l.takesWork() || l.standby || l.holdOff.active(d.now) || !l.warmup.allows(d.now) {
 			continue
 		}
 		if d.slowness(l) > d.config.Probation.Slowness*d.slowness(chosen) && d.budgetOf(q, position).SpendHedge() {
@@ -42,7 +42,7 @@
 // probeInterval returns the time between two probes of a leaf. It is short once the
 // leaf answered in time, so that it gets its share of the work again soon.
 func (d *Dispatcher) probeInterval(l *leafState) time.Duration {
-	if l.recovering {
+	if l.probation.recovering {
 		return d.config.Probation.ProbeInterval / recoveringProbes
 	}
 	return d.config.Probation.ProbeInterval
--- a/internal/decide/dispatch/queue.go
+++ b/internal/decide/dispatch/queue.go
@@ -105,7 +105,7 @@
 
 // pump gives free slots of the leaf to the shards that wait for it.
 func (d *Dispatcher) pump(l *leafState) {
-	if d.waiters == 0 || !l.takesWork() || l.held(d.now) {
+	if d.waiters == 0 || !l.takesWork() || l.holdOff.active(d.now) {
 		return
 	}
 	d.pumpRound++
--- a/internal/decide/dispatch/saturation.go
+++ b/internal/decide/dispatch/saturation.go
@@ -38,8 +38,8 @@
 func (d *Dispatcher) sampleSaturation() {
 	busy, slots := 0.0, 0
 	for _, l := range d.leaves {
-		if l.takesWork() && !l.held(d.now) {
-			busy += l.othersMean + float64(len(l.running))
+		if l.takesWork() && !l.holdOff.active(d.now) {
+			busy += l.reports.mean + float64(len(l.running))
 			slots += l.slots
 		}
 	}
--- a/internal/decide/dispatch/send.go
+++ b/internal/decide/dispatch/send.go
@@ -10,7 +10,7 @@
 	if l.canary {
 		d.spendAllowance(q.shardAt(int(position)))
 	}
-	queue := replica.Queue(float64(len(l.running))+l.estimateOthers(d.now), l.slots)
+	queue := replica.Queue(float64(len(l.running))+l.reports.others(d.now), l.slots)
 	slot, entry := d.attempts.add()
 	entry.query = q
 	entry.wanted = true
@@ -24,7 +24,7 @@
 	entry.expected = q.class.base + d.workOf(l)*queue
 	entry.running = int32(len(l.running))
 	l.running = append(l.running, slot)
-	l.lastSent = d.now
+	l.probation.lastSent = d.now
 	l.warmup.spend(d.now)
 	l.sent.at(q.class).add(d.now, longMemory, q.class.base)
 	d.throughput.add(d.now, shortMemory, q.class.base)
@@ -58,9 +58,9 @@
 	return Basis{
 		InFlight: len(l.running),
 		Limit:    l.limiter.Current(),
-		Others:   l.estimateOthers(d.now),
-		Age:      d.now - l.othersAt,
-		Pace:     l.pace,
+		Others:   l.reports.others(d.now),
+		Age:      d.now - l.reports.at,
+		Pace:     l.reports.pace,
 		Slowness: d.slowness(l),
 		Budget:   budget.Tokens(),
 	}
--- a/internal/decide/dispatch/status.go
+++ b/internal/decide/dispatch/status.go
@@ -48,12 +48,12 @@
 			Draining:  l.draining(),
 			InFlight:  len(l.running),
 			Limit:     l.limiter.Current(),
-			Others:    l.estimateOthers(d.now),
-			Pace:      l.pace,
+			Others:    l.reports.others(d.now),
+			Pace:      l.reports.pace,
 			Latency:   time.Duration(l.latency * float64(time.Second)),
 			Slowness:  slowness,
 			Probation: slowness > d.config.Probation.Slowness*best,
-			HeldUntil: l.heldUntil,
+			HeldUntil: l.holdOff.until,
 		})
 	}
 	return states
--- a/internal/decide/dispatch/topology.go
+++ b/internal/decide/dispatch/topology.go
@@ -45,15 +45,18 @@
 func (d *Dispatcher) newLeaf(listed *Leaf) *leafState {
 	slots := slotsOf(listed)
 	return &leafState{
-		address:   listed.Address,
-		slots:     slots,
+		listing:   listing{address: listed.Address, slots: slots},
 		limiter:   limit.New(&d.config.Limit, slots, listed.Cold),
 		speed:     replica.NewSpeed(&d.config.Speed),
-		lastSent:  d.now,
-		overdueAt: unknown,
+		probation: probation{lastSent: d.now},
+		overdue:   overdueSum{at: unknown},
 	}
 }
 
+// defaultSlots are assumed of a leaf that names none. Not measured: chosen as the fewest
+// with which a leaf can work on two attempts at once.
+const defaultSlots = 2
+
 func slotsOf(listed *Leaf) int {
 	if listed.Slots > 0 {
 		return listed.Slots
@@ -91,18 +94,17 @@
 	return a.Snapshot == b.Snapshot && slices.Equal(a.Shards, b.Shards)
 }
 
-// resetLeaf forgets what was learned of a leaf before it was started anew.
+// resetLeaf forgets what was learned of a leaf before it restarted.
 func (d *Dispatcher) resetLeaf(l *leafState, cold bool) {
 	l.limiter.Restart(cold)
 	l.speed = replica.NewSpeed(&d.config.Speed)
-	l.failures = 0
 	l.losses = replica.Losses{}
-	l.heldUntil = 0
+	l.holdOff = holdOff{}
 	l.gone = nil
 }
 
-// unlistedMemory is how long a leaf that left the topology is remembered, with
-// its word that it drains.
+// unlistedMemory is how long a leaf that left the topology is remembered, with what it
+// said of draining. Not measured: chosen longer than a leaf takes to stop.
 const unlistedMemory = 10 * time.Minute
 
 // dropUnlisted gives no more work to the leaves that left the topology, and
