--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -109,7 +109,7 @@
 // refuseForLoad ends a query that is not taken because of load.
 func (d *Dispatcher) refuseForLoad(q *query, wait time.Duration) {
 	d.counters.Overloaded++
-	q.retryAfter = d.config.Admission.RetryAfter(wait)
+	q.findings.retryAfter = d.config.Admission.RetryAfter(wait)
 	d.finish(q, OutcomeNotRun, ReasonOverload)
 }
 
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -97,15 +97,17 @@
 	}
 	d.counters.Submitted++
 	q := &query{
-		Query:     request,
-		class:     d.classOf(request.Class),
-		submitted: d.now,
-		settleAt:  d.config.Settle.SettleAt(d.now, request.Deadline, request.Objective),
-		promoteAt: d.now + time.Duration(d.config.Promotion*float64(request.Deadline-d.now)),
-		timer:     -1,
+		Query: request,
+		class: d.classOf(request.Class),
+		schedule: schedule{
+			submitted: d.now,
+			settleAt:  d.config.Settle.SettleAt(d.now, request.Deadline, request.Objective),
+			promoteAt: d.now + time.Duration(d.config.Promotion*float64(request.Deadline-d.now)),
+		},
+		timer: timer{index: -1},
 	}
 	if d.mayHedge(q) {
-		q.rescueAt = d.now + time.Duration(d.config.Hedge.Rescue*float64(request.Deadline-d.now))
+		q.hedging.rescueAt = d.now + time.Duration(d.config.Hedge.Rescue*float64(request.Deadline-d.now))
 	}
 	if reason := d.rejectReason(q); reason != ReasonNone {
 		d.reject(q, reason)
@@ -149,7 +151,7 @@
 	if d.goneUntil > 0 && d.now >= d.goneUntil {
 		d.rebuild()
 	}
-	for len(d.timers) > 0 && d.timers[0].timerAt <= d.now {
+	for len(d.timers) > 0 && d.timers[0].timer.at <= d.now {
 		q := d.timers[0]
 		if q.hedgeDue(d.now) {
 			d.hedge(q)
@@ -172,7 +174,7 @@
 		}
 	}
 	if len(d.timers) > 0 {
-		consider(d.timers[0].timerAt)
+		consider(d.timers[0].timer.at)
 	}
 	if d.busy() {
 		consider(d.reviewAt)
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -107,13 +107,13 @@
 func (d *Dispatcher) attemptRefused(ended *attempt, refusal Refusal) {
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.lastReason = ReasonRefused
+	q.findings.lastReason = ReasonRefused
 	if refusal.Reason == leaf.RefusedInvalid {
-		q.invalid = true
+		q.findings.invalid = true
 		return
 	}
 	if refusal.Reason == leaf.RefusedShed {
-		q.retryAfter = max(q.retryAfter, d.config.Admission.RetryAfter(refusal.RetryAfter))
+		q.findings.retryAfter = max(q.findings.retryAfter, d.config.Admission.RetryAfter(refusal.RetryAfter))
 	}
 	shard.resend = true
 	shard.unexecuted++
@@ -162,7 +162,7 @@
 	}
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.lastReason = ReasonLost
+	q.findings.lastReason = ReasonLost
 	shard.resend = true
 	shard.unexecuted++
 	shard.markDue()
@@ -172,9 +172,9 @@
 func (d *Dispatcher) attemptLost(ended *attempt) {
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.lastReason = ReasonLost
+	q.findings.lastReason = ReasonLost
 	if !q.Class.Repeatable {
-		q.unknown = true
+		q.findings.unknown = true
 		return
 	}
 	shard.lost++
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -30,7 +30,7 @@
 // armHedges sets the time of the next look at hedges, once few enough shards
 // are outstanding.
 func (d *Dispatcher) armHedges(q *query) {
-	if q.hedgesArmed || !d.mayHedge(q) || q.inFlight == 0 || q.outstanding() == 0 {
+	if q.hedging.armed || !d.mayHedge(q) || q.inFlight == 0 || q.outstanding() == 0 {
 		return
 	}
 	allowed := max(1, int(d.config.Hedge.Outstanding*float64(q.progress.Total)))
@@ -45,19 +45,14 @@
 	if !q.started || now >= q.Deadline {
 		return false
 	}
-	return q.hedgeAt > 0 && q.hedgeAt <= now || q.rescuing(now) && !q.hedgesArmed
-}
-
-// rescuing reports whether hedges are paid for as retries.
-func (q *query) rescuing(now Time) bool {
-	return q.rescueAt > 0 && now >= q.rescueAt
+	return q.hedging.at > 0 && q.hedging.at <= now || q.hedging.rescuing(now) && !q.hedging.armed
 }
 
 // hedge sends second attempts for the shards that are late, and sets the time
 // of the next look.
 func (d *Dispatcher) hedge(q *query) {
-	q.hedgeAt = 0
-	q.hedgesArmed = true
+	q.hedging.at = 0
+	q.hedging.armed = true
 	if d.now >= q.Deadline {
 		return
 	}
@@ -65,7 +60,7 @@
 	if !known {
 		return
 	}
-	q.hedgeAt = q.Deadline
+	q.hedging.at = q.Deadline
 	for position := range q.shards {
 		shard := &q.shards[position]
 		if shard.status != shardInFlight || d.attempts.slots[shard.first].next != none {
@@ -78,7 +73,7 @@
 			due = d.now + delay/hedgeRetries + 1
 		}
 		if due > d.now {
-			q.hedgeAt = min(q.hedgeAt, due)
+			q.hedging.at = min(q.hedging.at, due)
 		}
 	}
 }
@@ -134,7 +129,7 @@
 // payHedge takes what a hedge costs.
 func (d *Dispatcher) payHedge(q *query, position int32) bool {
 	budget := d.budgetOf(q, position)
-	if q.rescuing(d.now) {
+	if q.hedging.rescuing(d.now) {
 		return budget.SpendRetry(1)
 	}
 	return budget.SpendHedge()
@@ -152,7 +147,7 @@
 	shard := &q.shards[position]
 	only := &d.attempts.slots[shard.first]
 	age := (d.now - only.sentAt).Seconds()
-	if !q.rescuing(d.now) || !q.maySend(shard, &d.config) || age < lostAgeFactor*only.expected || !d.budgetOf(q, position).CanRetry() {
+	if !q.hedging.rescuing(d.now) || !q.maySend(shard, &d.config) || age < lostAgeFactor*only.expected || !d.budgetOf(q, position).CanRetry() {
 		return
 	}
 	if shard.group == nil || d.collect(shard, q.priority(d.now), 0) == choiceNone {
--- a/internal/decide/dispatch/lifecycle.go
+++ b/internal/decide/dispatch/lifecycle.go
@@ -35,11 +35,11 @@
 		return
 	}
 	d.releaseWithheld(q)
-	if !q.invalid && !q.unknown {
+	if !q.findings.invalid && !q.findings.unknown {
 		d.armHedges(q)
 	}
-	if q.snapshotLost {
-		q.snapshotLost = false
+	if q.findings.snapshotLost {
+		q.findings.snapshotLost = false
 		d.restart(q)
 	}
 	if outcome, reason, settled := d.settle(q); settled {
@@ -60,13 +60,13 @@
 	if q.settleAt > d.now {
 		next = min(next, q.settleAt)
 	}
-	if q.hedgeAt > 0 {
-		next = min(next, max(q.hedgeAt, d.now+1))
+	if q.hedging.at > 0 {
+		next = min(next, max(q.hedging.at, d.now+1))
 	}
-	if q.rescueAt > d.now {
-		next = min(next, q.rescueAt)
+	if q.hedging.rescueAt > d.now {
+		next = min(next, q.hedging.rescueAt)
 	}
-	if next != q.timerAt || q.timer < 0 {
+	if next != q.timer.at || q.timer.index < 0 {
 		d.timers.set(q, next)
 	}
 }
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -19,7 +19,7 @@
 	}
 	if (shard.needsRetry || shard.chargeNext) && !d.budgetOf(q, position).CanRetry() {
 		if d.config.EndWithoutBudget {
-			q.lastReason = ReasonBudget
+			q.findings.lastReason = ReasonBudget
 			d.markUnavailable(q, position, waiting)
 			return true
 		}
@@ -37,10 +37,10 @@
 	chosen, verdict := d.choose(q, shard, waiting)
 	switch verdict {
 	case choiceNone:
-		if q.lastReason == ReasonNone {
-			q.lastReason = ReasonNoLeaf
+		if q.findings.lastReason == ReasonNone {
+			q.findings.lastReason = ReasonNoLeaf
 		}
-		q.snapshotLost = true
+		q.findings.snapshotLost = true
 		d.markUnavailable(q, position, waiting)
 		return true
 	case choiceHeld:
--- a/internal/decide/dispatch/query.go
+++ b/internal/decide/dispatch/query.go
@@ -54,41 +54,81 @@
 // query is a submitted query until its Finish.
 type query struct {
 	Query
-	class      *classState
+	class *classState
+	pinned
+	attemptCounts
+	suspicion
+	schedule
+	findings  findings
+	hedging   hedging
+	timer     timer
+	index     int  // among the running queries of the Dispatcher
+	started   bool // not waiting for the concurrency limit
+	restarted bool // runs at its second snapshot
+	finished  bool
+}
+
+// pinned is the snapshot that a query reads, and its shards there.
+type pinned struct {
 	snapshot   catalog.Snapshot
 	firstShard int // the number of the shard at position 0
 	shards     []shardState
 	progress   coverage.Progress
-	inFlight   int // wanted attempts
-	unresolved int // attempts whose end was not reported yet, wanted or not
-	// executed is set if an attempt has ended that may have executed.
-	executed bool
-	// crashes counts the attempts whose leaf closed the connection before a byte of
-	// its answer, and withheld the shards that wait for an answer of another one.
-	crashes, withheld int
-	// snapshotLost is set if no leaf holds a needed shard at the snapshot.
-	snapshotLost bool
+}
+
+// attemptCounts are the attempts of a query.
+type attemptCounts struct {
+	inFlight   int  // wanted attempts
+	unresolved int  // those whose end was not reported yet, wanted or not
+	executed   bool // one has ended that may have executed
+}
+
+// mayHaveRun reports whether an attempt has executed, or may have or may yet.
+func (c *attemptCounts) mayHaveRun() bool {
+	return c.executed || c.unresolved > 0
+}
+
+// suspicion is what says that the query may crash leaves; see withhold.go.
+type suspicion struct {
+	crashes  int // attempts whose leaf closed the connection before a byte of its answer
+	withheld int // shards that wait for the answer of another one
+}
+
+// schedule is when the things of a query happen.
+type schedule struct {
+	submitted Time
+	startedAt Time
+	settleAt  Time
+	promoteAt Time // when it becomes as urgent as the most urgent
+}
+
+// findings are what the attempts of a query said that decides how it ends.
+type findings struct {
+	snapshotLost bool // no leaf holds a needed shard at the snapshot
 	invalid      bool // a leaf cannot run the statement
 	unknown      bool // its only attempt is lost and may have executed
-	restarted    bool
-	hedgesArmed  bool
-	started      bool // not waiting for the concurrency limit
-	finished     bool
-	index        int // among the queries of the Dispatcher
-	startedAt    Time
-	submitted    Time
-	settleAt     Time
-	promoteAt    Time // when it becomes as urgent as the most urgent
-	rescueAt     Time // when hedges may go into debt; zero for never
-	hedgeAt      Time // zero if no hedge is due
-	timer        int  // index in the timer heap, -1 if not in it
-	timerAt      Time
-	retryAfter   Time // the longest pause that a leaf asked for
 	lastReason   Reason
+	// retryAfter is the predicted wait of a refused query, or the longest pause that a
+	// leaf asked for.
+	retryAfter time.Duration
+}
+
+// hedging is when hedges of a query are due.
+type hedging struct {
+	armed    bool
+	at       Time // of the next look; zero if no hedge is due
+	rescueAt Time // when hedges are paid for as retries; zero for never
+}
+
+// rescuing reports whether hedges are paid for as retries.
+func (h *hedging) rescuing(now Time) bool {
+	return h.rescueAt > 0 && now >= h.rescueAt
 }
 
-func (q *query) mayHaveRun() bool {
-	return q.executed || q.unresolved > 0
+// timer is the place of a query in the timerHeap.
+type timer struct {
+	index int // -1 if not in it
+	at    Time
 }
 
 // shardAt returns the number of the shard at a position.
--- a/internal/decide/dispatch/restart.go
+++ b/internal/decide/dispatch/restart.go
@@ -38,7 +38,7 @@
 	}
 	executed := d.abandon(q)
 	q.restarted = true
-	q.hedgesArmed, q.hedgeAt = false, 0
+	q.hedging.armed, q.hedging.at = false, 0
 	d.counters.Restarts++
 	d.pinTo(q, &d.views[index])
 	for position := range q.shards {
--- a/internal/decide/dispatch/retryafter.go
+++ b/internal/decide/dispatch/retryafter.go
@@ -18,8 +18,8 @@
 // retryAfter returns the time after which a caller that got no answer may retry; zero if
 // none is known.
 func (d *Dispatcher) retryAfter(q *query, reason Reason) time.Duration {
-	if q.retryAfter == 0 && reason == ReasonDeadline {
+	if q.findings.retryAfter == 0 && reason == ReasonDeadline {
 		return d.config.Admission.RetryAfter(0)
 	}
-	return q.retryAfter
+	return q.findings.retryAfter
 }
--- a/internal/decide/dispatch/settle.go
+++ b/internal/decide/dispatch/settle.go
@@ -20,14 +20,14 @@
 	switch {
 	case progress.Whole():
 		return OutcomeAnswered, ReasonNone, true
-	case q.unknown:
+	case q.findings.unknown:
 		return OutcomeUnknown, ReasonLost, true
-	case q.invalid:
+	case q.findings.invalid:
 		return q.failure(), ReasonInvalid, true
 	case progress.Hopeless():
-		return q.failure(), q.lastReason, true
+		return q.failure(), q.findings.lastReason, true
 	case d.config.RequireCoverage && !progress.Attainable(q.MinimumCoverage):
-		return q.failure(), q.lastReason, true
+		return q.failure(), q.findings.lastReason, true
 	case d.now >= q.Deadline && d.config.RequireCoverage && !progress.Enough(q.MinimumCoverage):
 		return q.failure(), ReasonDeadline, true
 	case d.now >= q.Deadline && progress.Answered > 0:
@@ -37,7 +37,7 @@
 	case !progress.Enough(q.MinimumCoverage):
 		return "", ReasonNone, false
 	case progress.Exhausted():
-		return OutcomePartial, q.lastReason, true
+		return OutcomePartial, q.findings.lastReason, true
 	case d.now >= q.settleAt:
 		return OutcomePartial, ReasonDeadline, true
 	default:
--- a/internal/decide/dispatch/timers.go
+++ b/internal/decide/dispatch/timers.go
@@ -5,23 +5,23 @@
 
 // set moves the query to the time at, adding it if needed.
 func (h *timerHeap) set(q *query, at Time) {
-	q.timerAt = at
-	if q.timer < 0 {
-		q.timer = len(*h)
+	q.timer.at = at
+	if q.timer.index < 0 {
+		q.timer.index = len(*h)
 		*h = append(*h, q)
 	}
-	h.down(h.up(q.timer))
+	h.down(h.up(q.timer.index))
 }
 
 func (h *timerHeap) remove(q *query) {
-	if q.timer < 0 {
+	if q.timer.index < 0 {
 		return
 	}
-	index, last := q.timer, len(*h)-1
+	index, last := q.timer.index, len(*h)-1
 	h.swap(index, last)
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	q.timer = -1
+	q.timer.index = -1
 	if index < last {
 		h.down(h.up(index))
 	}
@@ -29,13 +29,13 @@
 
 func (h timerHeap) swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].timer, h[j].timer = i, j
+	h[i].timer.index, h[j].timer.index = i, j
 }
 
 func (h timerHeap) up(index int) int {
 	for index > 0 {
 		parent := (index - 1) / 2
-		if h[parent].timerAt <= h[index].timerAt {
+		if h[parent].timer.at <= h[index].timer.at {
 			break
 		}
 		h.swap(index, parent)
@@ -50,10 +50,10 @@
 		if child >= len(h) {
 			return
 		}
-		if child+1 < len(h) && h[child+1].timerAt < h[child].timerAt {
+		if child+1 < len(h) && h[child+1].timer.at < h[child].timer.at {
 			child++
 		}
-		if h[index].timerAt <= h[child].timerAt {
+		if h[index].timer.at <= h[child].timer.at {
 			return
 		}
 		h.swap(index, child)
