--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -30,11 +30,11 @@
 // rejectReason returns why a query cannot be taken at all.
 func (d *Dispatcher) rejectReason(q *query) Reason {
 	switch {
-	case d.topology.Stopped:
+	case d.fleet.topology.Stopped:
 		return ReasonStopped
 	case q.Deadline <= d.now:
 		return ReasonDeadline
-	case len(d.views) == 0:
+	case len(d.fleet.views) == 0:
 		return ReasonNoSnapshot
 	default:
 		return ReasonNone
@@ -66,12 +66,12 @@
 // admit predicts the wait of the slowest shard of a query and reports whether
 // the query is taken.
 func (d *Dispatcher) admit(q *query) (time.Duration, bool) {
-	urgent := q.class.priority <= d.ranked[0].priority
+	urgent := d.classes.mostUrgent(q.class)
 	if urgent {
-		d.urgent.add(d.now, shortMemory, q.class.base*float64(len(q.shards)))
+		d.load.urgent.add(d.now, shortMemory, q.class.base*float64(len(q.shards)))
 	}
 	d.sampleSaturation()
-	if d.waiters == 0 {
+	if d.waiting.count == 0 {
 		return 0, true
 	}
 	wait := time.Duration(0)
@@ -85,19 +85,19 @@
 		Service:   seconds(q.class.base),
 		Remaining: q.Deadline - d.now,
 		Urgent:    urgent,
-		Saturated: d.saturated(),
-		Left:      d.leftByUrgent(),
+		Saturated: d.load.saturation.full(),
+		Left:      d.load.leftByUrgent(d.now),
 	})
 }
 
 // admitPending refuses a postponed query if the queries before it are expected
 // to take too long.
 func (d *Dispatcher) admitPending(q *query) {
-	ahead := slices.Index(d.pending, q) + 1
-	wait := seconds(float64(ahead) * d.duration / float64(d.topology.Concurrency))
+	ahead := slices.Index(d.queries.pending, q) + 1
+	wait := seconds(float64(ahead) * d.means.queryTime / float64(d.fleet.topology.Concurrency))
 	admitted := d.config.Admission.Admit(admission.Prediction{
 		Wait:      wait,
-		Service:   seconds(d.duration),
+		Service:   seconds(d.means.queryTime),
 		Remaining: q.Deadline - d.now,
 		Urgent:    true,
 	})
@@ -119,23 +119,23 @@
 // or that of the slots that others and the classes before it leave free. Unless the service is saturated, the query waits until its promotion, and
 // then for the most urgent work only.
 func (d *Dispatcher) predictWait(g *group, q *query) time.Duration {
-	d.loads = d.loads[:0]
+	d.scratch.loads = d.scratch.loads[:0]
 	for _, l := range g.leaves {
 		if l.takesWork() && !l.holdOff.active(d.now) {
-			d.loads = append(d.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.reports.longMean})
+			d.scratch.loads = append(d.scratch.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.reports.longMean})
 		}
 	}
 	longest, urgent := time.Duration(0), time.Duration(0)
-	for _, other := range d.ranked {
+	for _, other := range d.classes.ranked {
 		longest = max(longest, d.predictClass(g, other))
-		if other.priority <= d.ranked[0].priority {
+		if d.classes.mostUrgent(other) {
 			urgent = longest
 		}
 		if other == q.class {
 			break
 		}
 	}
-	if d.saturated() {
+	if d.load.saturation.full() {
 		return longest
 	}
 	return min(longest, urgent+q.promoteAt-d.now)
@@ -145,10 +145,10 @@
 // slots from the loads. The wait is at least that of the first that waits.
 func (d *Dispatcher) predictClass(g *group, class *classState) time.Duration {
 	work, sent, free := 0.0, 0.0, 0.0
-	for index := range d.loads {
-		load := &d.loads[index]
+	for index := range d.scratch.loads {
+		load := &d.scratch.loads[index]
 		work += load.leaf.waiting.of(class).Seconds()
-		least := leastShare(class.priority <= d.ranked[0].priority) * float64(load.leaf.limiter.Current())
+		least := leastShare(d.classes.mostUrgent(class)) * float64(load.leaf.limiter.Current())
 		free += max(load.spare, least) / load.slowness
 		rate := load.leaf.sent.of(class).rate(d.now, longMemory)
 		load.spare -= rate * load.slowness
@@ -185,13 +185,3 @@
 	}
 	return leastOtherShare
 }
-
-// leftByUrgent returns the share of the node's work that the most urgent work
-// leaves to the rest, if the leaves are saturated.
-func (d *Dispatcher) leftByUrgent() float64 {
-	sent := d.throughput.rate(d.now, shortMemory)
-	if sent == 0 {
-		return 1
-	}
-	return max(1-d.urgent.rate(d.now, shortMemory)/sent, 0)
-}
--- a/internal/decide/dispatch/allowance.go
+++ b/internal/decide/dispatch/allowance.go
@@ -9,7 +9,7 @@
 		return
 	}
 	if d.allowances == nil {
-		d.allowances = make(map[int]*rollout.Allowance)
+		d.allowances = make(allowances)
 	}
 	d.allowances[shard] = allowance
 }
@@ -28,19 +28,25 @@
 	}
 }
 
-// earnAllowance books a request that is sent to a shard.
-func (d *Dispatcher) earnAllowance(shard int) {
-	if len(d.allowances) == 0 {
-		return
-	}
-	if allowance, found := d.allowances[shard]; found {
-		allowance.Earn(d.now)
+// allowances are what the canaries of shards may get, by shard; nil without any.
+type allowances map[int]*rollout.Allowance
+
+// earn books a request that is sent to a shard.
+func (a allowances) earn(shard int, now Time) {
+	if allowance, found := a[shard]; found {
+		allowance.Earn(now)
 	}
 }
 
-// spendAllowance books an attempt at a canary.
-func (d *Dispatcher) spendAllowance(shard int) {
-	if allowance, found := d.allowances[shard]; found {
+// allow reports whether an attempt at a canary of the shard may be sent now.
+func (a allowances) allow(shard int, now Time) bool {
+	allowance, found := a[shard]
+	return found && allowance.Allows(now)
+}
+
+// spend books an attempt at a canary of the shard.
+func (a allowances) spend(shard int) {
+	if allowance, found := a[shard]; found {
 		allowance.Spend()
 	}
 }
--- a/internal/decide/dispatch/budget.go
+++ b/internal/decide/dispatch/budget.go
@@ -15,36 +15,71 @@
 
 import "github.com/micaplank/micaplank/internal/decide/hedge"
 
-// budgetOf returns the budget that pays for extra attempts of a shard.
-func (d *Dispatcher) budgetOf(q *query, position int32) *hedge.Budget {
-	return d.budgetOfShard(q.shardAt(int(position)))
+// budgets pay for extra attempts: one budget for all shards, or one for each.
+type budgets struct {
+	config  hedge.BudgetConfig
+	byShard bool
+	common  hedge.Budget
+	shards  map[int]*hedge.Budget
+	// bounds returns those of the budget of a shard; nil for those of the config.
+	bounds func(shard int) hedge.Bounds
 }
 
-// budgetOfShard returns the same by the number of the shard.
-func (d *Dispatcher) budgetOfShard(shard int) *hedge.Budget {
-	if !d.config.BudgetByShard {
-		d.budget.Pass(d.now)
-		return &d.budget
+func newBudgets(config hedge.BudgetConfig, byShard bool) budgets {
+	return budgets{
+		config:  config,
+		byShard: byShard,
+		common:  hedge.NewBudget(config),
+		shards:  make(map[int]*hedge.Budget),
 	}
-	budget, known := d.budgets[shard]
-	if !known {
-		config := d.config.Budget
-		if d.budgetBounds != nil {
-			config.Resize(d.budgetBounds(shard))
-		}
-		created := hedge.NewBudget(config)
-		budget = &created
-		d.budgets[shard] = budget
+}
+
+// of returns the budget that pays for extra attempts of a shard, as of now.
+func (b *budgets) of(shard int, now Time) *hedge.Budget {
+	budget := &b.common
+	if b.byShard {
+		budget = b.ofShard(shard)
 	}
-	budget.Pass(d.now)
+	budget.Pass(now)
 	return budget
 }
 
+// ofShard returns the budget of a shard, and makes it if it is not known yet.
+func (b *budgets) ofShard(shard int) *hedge.Budget {
+	if budget, known := b.shards[shard]; known {
+		return budget
+	}
+	config := b.config
+	if b.bounds != nil {
+		config.Resize(b.bounds(shard))
+	}
+	created := hedge.NewBudget(config)
+	b.shards[shard] = &created
+	return &created
+}
+
+// tokens returns the extra attempts that all budgets hold together.
+func (b *budgets) tokens() float64 {
+	if !b.byShard {
+		return b.common.Tokens()
+	}
+	sum := 0.0
+	for _, budget := range b.shards {
+		sum += budget.Tokens()
+	}
+	return sum
+}
+
+// budgetOf returns the budget that pays for extra attempts of a shard of the query.
+func (d *Dispatcher) budgetOf(q *query, position int32) *hedge.Budget {
+	return d.budgets.of(q.shardAt(int(position)), d.now)
+}
+
 // ResizeBudgets changes the bounds of the budget of each shard, if
 // Config.BudgetByShard. It keeps the function, which must be pure.
 func (d *Dispatcher) ResizeBudgets(bounds func(shard int) hedge.Bounds) {
-	d.budgetBounds = bounds
-	for shard, budget := range d.budgets {
+	d.budgets.bounds = bounds
+	for shard, budget := range d.budgets.shards {
 		budget.Resize(bounds(shard))
 	}
 }
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -97,7 +97,7 @@
 	switch why {
 	case causeNeeded:
 		d.counters.Needed++
-		d.earnAllowance(q.shardAt(int(position)))
+		d.allowances.earn(q.shardAt(int(position)), d.now)
 		budget.Earn(q.Class.ExtraLoad)
 	case causeResend:
 		d.counters.Resent++
--- a/internal/decide/dispatch/choose.go
+++ b/internal/decide/dispatch/choose.go
@@ -69,9 +69,9 @@
 		ahead = 0
 	}
 	work := replica.Work{Base: q.class.base, Mean: d.workOf(shard.group.leaves[0]), Ahead: ahead}
-	index := d.chooser.Choose(d.candidates, work)
-	chosen := d.candidateLeaves[index]
-	if d.candidates[index].Full() {
+	index := d.chooser.Choose(d.scratch.candidates, work)
+	chosen := d.scratch.leaves[index]
+	if d.scratch.candidates[index].Full() {
 		return nil, choiceHeld
 	}
 	return chosen, choiceSend
@@ -91,8 +91,8 @@
 // collect fills the candidates for a shard, without the excluded replicas.
 // Those on standby are candidates only if no other replica is.
 func (d *Dispatcher) collect(shard *shardState, priority int, excluded uint32) choice {
-	d.candidates = d.candidates[:0]
-	d.candidateLeaves = d.candidateLeaves[:0]
+	d.scratch.candidates = d.scratch.candidates[:0]
+	d.scratch.leaves = d.scratch.leaves[:0]
 	verdict := d.collectFrom(shard, priority, excluded, false)
 	if verdict == choiceSend {
 		return verdict
@@ -115,8 +115,8 @@
 			continue
 		}
 		verdict = choiceSend
-		d.candidates = append(d.candidates, d.candidate(l, priority))
-		d.candidateLeaves = append(d.candidateLeaves, l)
+		d.scratch.candidates = append(d.scratch.candidates, d.candidate(l, priority))
+		d.scratch.leaves = append(d.scratch.leaves, l)
 	}
 	return verdict
 }
@@ -144,8 +144,7 @@
 	if len(d.allowances) == 0 || shard.sends > 0 || len(shard.group.canaries) == 0 {
 		return nil
 	}
-	allowance, found := d.allowances[shard.group.shard]
-	if !found || !allowance.Allows(d.now) {
+	if !d.allowances.allow(shard.group.shard, d.now) {
 		return nil
 	}
 	if q.Class.Repeatable && !d.canRetryCanaries(shard.group) {
@@ -170,7 +169,7 @@
 	for _, l := range g.canaries {
 		running += len(l.running)
 	}
-	budget := d.budgetOfShard(g.shard)
+	budget := d.budgets.of(g.shard, d.now)
 	return budget.CanRetry() && budget.Tokens()+d.config.Budget.Debt >= float64(running+1)
 }
 
--- a/internal/decide/dispatch/class.go
+++ b/internal/decide/dispatch/class.go
@@ -22,27 +22,45 @@
 	latency hedge.Quantiles
 }
 
+// Neither number was compared with others: they are chosen so that the base follows some
+// fifty attempts, and one that met a pause of its leaf counts little.
 const (
 	baseWeight   = 0.02 // of one sample, once there are many
 	baseOutliers = 4    // samples count at most this many times the base
 )
 
-// classOf returns the state of a class, by its name, with the priority and
-// deadline that it has now.
-func (d *Dispatcher) classOf(defined catalog.Class) *classState {
-	class, known := d.classes[defined.Name]
+// classTable holds the classes by name, and in the order in which their work goes.
+type classTable struct {
+	initial time.Duration // latency assumed before the first reply
+	byName  map[string]*classState
+	ranked  []*classState
+}
+
+func newClassTable(initial time.Duration) classTable {
+	return classTable{initial: initial, byName: make(map[string]*classState)}
+}
+
+// of returns the state of a class, by its name, with the priority and deadline that it
+// has now.
+func (t *classTable) of(defined catalog.Class) *classState {
+	class, known := t.byName[defined.Name]
 	if !known {
-		class = &classState{index: len(d.ranked), base: d.config.InitialLatency.Seconds()}
-		d.classes[defined.Name] = class
-		d.ranked = append(d.ranked, class)
+		class = &classState{index: len(t.ranked), base: t.initial.Seconds()}
+		t.byName[defined.Name] = class
+		t.ranked = append(t.ranked, class)
 	}
 	if !known || class.priority != defined.Priority || class.deadline != defined.Deadline {
 		class.priority, class.deadline = defined.Priority, defined.Deadline
-		slices.SortStableFunc(d.ranked, byUrgency)
+		slices.SortStableFunc(t.ranked, byUrgency)
 	}
 	return class
 }
 
+// mostUrgent reports whether no class has a higher priority.
+func (t *classTable) mostUrgent(class *classState) bool {
+	return class.priority <= t.ranked[0].priority
+}
+
 // byUrgency orders classes as their work goes: by priority, then by deadline.
 func byUrgency(a, b *classState) int {
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.deadline, b.deadline))
--- a/internal/decide/dispatch/crash.go
+++ b/internal/decide/dispatch/crash.go
@@ -23,8 +23,8 @@
 // loseFormerAttempts counts the attempts at the former incarnations of the restarted
 // leaves as lost.
 func (d *Dispatcher) loseFormerAttempts() {
-	restarted := d.restarted
-	d.restarted = d.restarted[:0]
+	restarted := d.fleet.restarted
+	d.fleet.restarted = d.fleet.restarted[:0]
 	for _, l := range restarted {
 		for _, slot := range slices.Clone(l.running) {
 			d.loseFormerAttempt(&d.attempts.slots[slot])
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -5,9 +5,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/decide/hedge"
 	"github.com/micaplank/micaplank/internal/decide/replica"
-	"github.com/micaplank/micaplank/internal/decide/rollout"
 	"github.com/micaplank/micaplank/internal/decide/snapshot"
 	"github.com/micaplank/micaplank/internal/leaf"
 )
@@ -21,49 +19,56 @@
 	chooser replica.Chooser
 	now     Time
 
+	fleet    fleet
+	queries  queryTable
+	attempts attemptTable
+	timers   timerHeap
+	waiting  waitingShards
+
+	classes    classTable
+	means      means
+	load       loadEstimate
+	budgets    budgets
+	allowances allowances
+
+	counters Counters
+	actions  []Action // of the present call
+	spare    shardPool
+	scratch  scratch
+}
+
+// fleet is the topology with what is computed from it and known of its leaves.
+type fleet struct {
 	topology   Topology
+	topologies uint64       // number of topologies so far
 	leaves     []*leafState // those of the topology, in its order
 	byAddress  map[netip.AddrPort]*leafState
+	restarted  []*leafState    // those that the topology being taken in lists with a new boot ID
 	views      []view          // newest first
 	snapshots  []snapshot.View // of the views
-	topologies uint64          // number of topologies so far
 	goneUntil  Time            // when the next override of a holding ends; zero if none
-	restarted  []*leafState    // those that the topology being taken in lists anew
+}
 
+// queryTable holds the unfinished queries.
+type queryTable struct {
 	byID       map[QueryID]*query
-	running    []*query // all unfinished queries, started or not
+	running    []*query // all, started or not
 	pending    []*query // those that wait for the concurrency limit, in order
 	started    int
 	startsHeld bool // startPending must not start any now
-	attempts   attemptTable
-	timers     timerHeap
-
-	classes  map[string]*classState
-	ranked   []*classState // in the order in which their work goes
-	meanWork float64       // mean base of the attempts, in seconds
-	budget   hedge.Budget
-	budgets  map[int]*hedge.Budget // by shard, if Config.BudgetByShard
-	// budgetBounds returns the bounds of each; nil for those of the Config.
-	budgetBounds func(shard int) hedge.Bounds
-	// allowances are those of the shards with canaries; nil without any.
-	allowances map[int]*rollout.Allowance
-
-	saturation         saturation
-	urgent, throughput meter   // work that arrived with the highest priority, and that was sent
-	duration           float64 // mean time that queries run, in seconds
-	waiters            int
-	parked             []waiter
-	order              uint64
-	pumpRound          uint64
-	reviewAt           Time
-
-	counters    Counters
-	actions     []Action
-	spareShards [][]shardState
-	// Scratch space of choose and of predictWait.
-	candidates      []replica.Candidate
-	candidateLeaves []*leafState
-	loads           []leafLoad
+}
+
+// means are running means over the attempts and queries of all classes, in seconds.
+type means struct {
+	attemptWork float64 // base of the attempts
+	queryTime   float64 // time that queries run
+}
+
+// scratch is space that choose and predictWait use again.
+type scratch struct {
+	candidates []replica.Candidate
+	leaves     []*leafState // of the candidates
+	loads      []leafLoad
 }
 
 // New returns a Dispatcher without a topology: it answers every query with
@@ -71,14 +76,13 @@
 func New(config Config, random *rand.Rand) *Dispatcher {
 	config.Budget.Chance = random.Float64
 	return &Dispatcher{
-		config:    config,
-		chooser:   replica.NewChooser(config.Policy, config.Score, random),
-		byAddress: make(map[netip.AddrPort]*leafState),
-		byID:      make(map[QueryID]*query),
-		classes:   make(map[string]*classState),
-		meanWork:  config.InitialLatency.Seconds(),
-		budget:    hedge.NewBudget(config.Budget),
-		budgets:   make(map[int]*hedge.Budget),
+		config:  config,
+		chooser: replica.NewChooser(config.Policy, config.Score, random),
+		fleet:   fleet{byAddress: make(map[netip.AddrPort]*leafState)},
+		queries: queryTable{byID: make(map[QueryID]*query)},
+		classes: newClassTable(config.InitialLatency),
+		means:   means{attemptWork: config.InitialLatency.Seconds()},
+		budgets: newBudgets(config.Budget, config.BudgetByShard),
 	}
 }
 
@@ -92,13 +96,13 @@
 // is ignored.
 func (d *Dispatcher) Submit(now Time, request Query) []Action {
 	d.begin(now)
-	if _, known := d.byID[request.ID]; known {
+	if _, known := d.queries.byID[request.ID]; known {
 		return nil
 	}
 	d.counters.Submitted++
 	q := &query{
 		Query: request,
-		class: d.classOf(request.Class),
+		class: d.classes.of(request.Class),
 		schedule: schedule{
 			submitted: d.now,
 			settleAt:  d.config.Settle.SettleAt(d.now, request.Deadline, request.Objective),
@@ -113,10 +117,10 @@
 		d.reject(q, reason)
 		return d.actions
 	}
-	q.index = len(d.running)
-	d.running = append(d.running, q)
-	d.byID[q.ID] = q
-	if d.topology.Concurrency > 0 && d.started >= d.topology.Concurrency {
+	q.index = len(d.queries.running)
+	d.queries.running = append(d.queries.running, q)
+	d.queries.byID[q.ID] = q
+	if d.fleet.topology.Concurrency > 0 && d.queries.started >= d.fleet.topology.Concurrency {
 		d.postpone(q)
 		d.admitPending(q)
 		return d.actions
@@ -128,7 +132,7 @@
 // Cancel ends a query whose caller went away, and aborts its attempts.
 func (d *Dispatcher) Cancel(now Time, id QueryID) []Action {
 	d.begin(now)
-	if q, known := d.byID[id]; known {
+	if q, known := d.queries.byID[id]; known {
 		d.finish(q, q.failure(), ReasonCancelled)
 	}
 	return d.actions
@@ -138,7 +142,7 @@
 // or mislead, except that a leaf which says it drains gets no more work.
 func (d *Dispatcher) Observe(now Time, address netip.AddrPort, load leaf.LoadSummary) []Action {
 	d.begin(now)
-	if l, known := d.byAddress[address]; known {
+	if l, known := d.fleet.byAddress[address]; known {
 		d.observe(l, l.boot(), load, len(l.running))
 		d.pump(l)
 	}
@@ -148,7 +152,7 @@
 // Tick performs what is due; see NextTick.
 func (d *Dispatcher) Tick(now Time) []Action {
 	d.begin(now)
-	if d.goneUntil > 0 && d.now >= d.goneUntil {
+	if d.fleet.goneUntil > 0 && d.now >= d.fleet.goneUntil {
 		d.rebuild()
 	}
 	for len(d.timers) > 0 && d.timers[0].timer.at <= d.now {
@@ -158,7 +162,7 @@
 		}
 		d.review(q)
 	}
-	if d.busy() && d.now >= d.reviewAt {
+	if d.waiting.any() && d.now >= d.waiting.reviewAt {
 		d.pumpAll()
 	}
 	return d.actions
@@ -176,20 +180,15 @@
 	if len(d.timers) > 0 {
 		consider(d.timers[0].timer.at)
 	}
-	if d.busy() {
-		consider(d.reviewAt)
+	if d.waiting.any() {
+		consider(d.waiting.reviewAt)
 	}
-	if d.goneUntil > 0 {
-		consider(d.goneUntil)
+	if d.fleet.goneUntil > 0 {
+		consider(d.fleet.goneUntil)
 	}
 	return next, known
 }
 
-// busy reports whether shards wait in the node.
-func (d *Dispatcher) busy() bool {
-	return d.waiters > 0 || len(d.parked) > 0
-}
-
 // SetProbeInterval changes the time between two probes of a slow leaf by this node.
 func (d *Dispatcher) SetProbeInterval(interval time.Duration) {
 	d.config.Probation.ProbeInterval = interval
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -105,8 +105,8 @@
 		return false
 	}
 	work := replica.Work{Base: q.class.base, Mean: d.workOf(shard.group.leaves[0])}
-	index := d.chooser.Choose(d.candidates, work)
-	chosen := &d.candidates[index]
+	index := d.chooser.Choose(d.scratch.candidates, work)
+	chosen := &d.scratch.candidates[index]
 	queue := float64(chosen.InFlight) + chosen.Others + 1 - float64(chosen.Slots)
 	if chosen.Full() || queue > d.config.Hedge.Queue {
 		return false
@@ -114,7 +114,7 @@
 	if d.config.Score.Expected(chosen, work) > d.timeToAnswer(q, first)*hedgeTolerance || !d.payHedge(q, position) {
 		return false
 	}
-	d.send(q, position, d.candidateLeaves[index], causeHedge)
+	d.send(q, position, d.scratch.leaves[index], causeHedge)
 	return true
 }
 
--- a/internal/decide/dispatch/holdback_test.go
+++ b/internal/decide/dispatch/holdback_test.go
@@ -56,8 +56,8 @@
 	for range 3 {
 		r.close()
 	}
-	if r.d.byID[id].withheld != 2 {
-		t.Fatalf("%d shards held back", r.d.byID[id].withheld)
+	if r.d.queries.byID[id].withheld != 2 {
+		t.Fatalf("%d shards held back", r.d.queries.byID[id].withheld)
 	}
 	r.run(50 * time.Millisecond)
 	if finish := r.finishes[id]; finish.Outcome != OutcomeAnswered {
--- a/internal/decide/dispatch/holdings.go
+++ b/internal/decide/dispatch/holdings.go
@@ -55,12 +55,12 @@
 }
 
 func (d *Dispatcher) dropExpired() {
-	d.goneUntil = 0
-	for _, l := range d.leaves {
+	d.fleet.goneUntil = 0
+	for _, l := range d.fleet.leaves {
 		l.gone = slices.DeleteFunc(l.gone, func(g goneHolding) bool { return g.until <= d.now })
 		for _, gone := range l.gone {
-			if d.goneUntil == 0 || gone.until < d.goneUntil {
-				d.goneUntil = gone.until
+			if d.fleet.goneUntil == 0 || gone.until < d.fleet.goneUntil {
+				d.fleet.goneUntil = gone.until
 			}
 		}
 	}
--- a/internal/decide/dispatch/lifecycle.go
+++ b/internal/decide/dispatch/lifecycle.go
@@ -4,7 +4,7 @@
 func (d *Dispatcher) start(q *query) {
 	q.started = true
 	q.startedAt = d.now
-	d.started++
+	d.queries.started++
 	if reason := d.pin(q); reason != ReasonNone {
 		d.finish(q, q.failure(), reason)
 		return
@@ -95,15 +95,15 @@
 	d.abandon(q)
 	q.finished = true
 	d.timers.remove(q)
-	delete(d.byID, q.ID)
-	last := len(d.running) - 1
-	d.running[q.index] = d.running[last]
-	d.running[q.index].index = q.index
-	d.running[last] = nil
-	d.running = d.running[:last]
+	delete(d.queries.byID, q.ID)
+	last := len(d.queries.running) - 1
+	d.queries.running[q.index] = d.queries.running[last]
+	d.queries.running[q.index].index = q.index
+	d.queries.running[last] = nil
+	d.queries.running = d.queries.running[:last]
 	d.countOutcome(outcome)
 	if q.started && q.progress.Answered > 0 {
-		d.duration += durationWeight * ((d.now - q.startedAt).Seconds() - d.duration)
+		d.means.queryTime += queryTimeWeight * ((d.now - q.startedAt).Seconds() - d.means.queryTime)
 	}
 	result := q.result()
 	result.Outcome = outcome
@@ -112,22 +112,23 @@
 		result.RetryAfter = d.retryAfter(q, reason)
 	}
 	d.actions = append(d.actions, result)
-	d.releaseShards(q)
+	d.spare.give(q.shards)
+	q.shards = nil
 	if q.started {
-		d.started--
+		d.queries.started--
 		d.startPending()
 		return
 	}
 	d.removePending(q)
 }
 
-// durationWeight is the weight of one query in the mean duration.
-const durationWeight = 0.05
+// queryTimeWeight is the weight of one query in the mean duration.
+const queryTimeWeight = 0.05
 
 func (d *Dispatcher) removePending(q *query) {
-	for index, other := range d.pending {
+	for index, other := range d.queries.pending {
 		if other == q {
-			d.pending = append(d.pending[:index], d.pending[index+1:]...)
+			d.queries.pending = append(d.queries.pending[:index], d.queries.pending[index+1:]...)
 			return
 		}
 	}
--- a/internal/decide/dispatch/machine_check_test.go
+++ b/internal/decide/dispatch/machine_check_test.go
@@ -36,7 +36,7 @@
 		t.Fatalf("send to a leaf that is not usable: %+v", send)
 	}
 	listed := m.topology.Leaves[index]
-	entry.boot = cmp.Or(m.d.byAddress[send.Leaf].boot(), listed.BootID)
+	entry.boot = cmp.Or(m.d.fleet.byAddress[send.Leaf].boot(), listed.BootID)
 	if m.drained[entry.boot] {
 		t.Fatalf("send to a leaf that drains: %+v", send)
 	}
@@ -119,7 +119,7 @@
 // check runs after each event.
 func (m *machine) check(t *rapid.T) {
 	for id, query := range m.queries {
-		if query.finish == nil && m.d.byID[id] == nil {
+		if query.finish == nil && m.d.queries.byID[id] == nil {
 			t.Fatalf("query %d is forgotten without a finish", id)
 		}
 		if at, known := m.d.NextTick(); query.finish == nil && (!known || at > query.Deadline) {
@@ -161,14 +161,14 @@
 			t.Fatalf("query %d never finished", id)
 		}
 	}
-	for _, l := range m.d.leaves {
+	for _, l := range m.d.fleet.leaves {
 		for _, work := range l.waiting.values {
 			if work != 0 {
 				t.Fatalf("waiting work is left over at a leaf: %v", l.waiting.values)
 			}
 		}
 	}
-	if m.d.waiters != 0 || m.d.started != 0 || len(m.d.running) != 0 || len(m.d.pending) != 0 {
-		t.Fatalf("left over: %d waiters, %d started, %d running, %d pending", m.d.waiters, m.d.started, len(m.d.running), len(m.d.pending))
+	if m.d.waiting.count != 0 || m.d.queries.started != 0 || len(m.d.queries.running) != 0 || len(m.d.queries.pending) != 0 {
+		t.Fatalf("left over: %d waiters, %d started, %d running, %d pending", m.d.waiting.count, m.d.queries.started, len(m.d.queries.running), len(m.d.queries.pending))
 	}
 }
--- a/internal/decide/dispatch/mechanism_test.go
+++ b/internal/decide/dispatch/mechanism_test.go
@@ -192,12 +192,12 @@
 	r.load(200)
 	id := r.submit(1)
 	late := r.d.attempts.find(r.open[0].Attempt)
-	fresh := r.d.timeToAnswer(r.d.byID[id], late)
+	fresh := r.d.timeToAnswer(r.d.queries.byID[id], late)
 	if fresh < 0.009 || fresh > 0.012 {
 		t.Errorf("a fresh attempt of 10 ms is expected to take %.3f s", fresh)
 	}
 	r.d.now += 50 * time.Millisecond
-	if left := r.d.timeToAnswer(r.d.byID[id], late); left < 0.05 {
+	if left := r.d.timeToAnswer(r.d.queries.byID[id], late); left < 0.05 {
 		t.Errorf("after 50 ms it is expected to take %.3f s more", left)
 	}
 }
--- a/internal/decide/dispatch/pin.go
+++ b/internal/decide/dispatch/pin.go
@@ -13,14 +13,14 @@
 
 // pin fixes the snapshot of a query and the shards that it needs there.
 func (d *Dispatcher) pin(q *query) Reason {
-	index, found := snapshot.Pick(d.snapshots, q.need())
+	index, found := snapshot.Pick(d.fleet.snapshots, q.need())
 	if !found {
-		if len(d.views) == 0 {
+		if len(d.fleet.views) == 0 {
 			return ReasonNoSnapshot
 		}
 		return ReasonNoLeaf
 	}
-	d.pinTo(q, &d.views[index])
+	d.pinTo(q, &d.fleet.views[index])
 	return ReasonNone
 }
 
@@ -34,7 +34,7 @@
 	if len(q.Shards) > 0 {
 		count = len(q.Shards)
 	}
-	q.shards = d.newShards(count)
+	q.shards = d.spare.take(count)
 	for position := range q.shards {
 		q.shards[position].group = pinned.group(q.shardAt(position))
 		q.shards[position].first = none
@@ -43,26 +43,28 @@
 	q.progress = coverage.Progress{Total: count}
 }
 
-// newShards returns count zero shards, if possible from a finished query.
-func (d *Dispatcher) newShards(count int) []shardState {
-	last := len(d.spareShards) - 1
-	if last < 0 || cap(d.spareShards[last]) < count {
+// shardPool keeps the lists of shards of finished queries.
+type shardPool [][]shardState
+
+// shardPoolLimit is how many lists are kept. Not measured: chosen to bound the memory.
+const shardPoolLimit = 16
+
+// take returns count zero shards, if possible from a finished query.
+func (p *shardPool) take(count int) []shardState {
+	lists := *p
+	last := len(lists) - 1
+	if last < 0 || cap(lists[last]) < count {
 		return make([]shardState, count)
 	}
-	shards := d.spareShards[last][:count]
-	d.spareShards = d.spareShards[:last]
+	shards := lists[last][:count]
+	*p = lists[:last]
 	clear(shards)
 	return shards
 }
 
-// spareLimit is how many lists of shards are kept for newShards.
-const spareLimit = 16
-
-// releaseShards keeps the shards of a finished query for newShards. Nothing
-// looks at the shards of a finished query.
-func (d *Dispatcher) releaseShards(q *query) {
-	if len(d.spareShards) < spareLimit && q.shards != nil {
-		d.spareShards = append(d.spareShards, q.shards)
+// give keeps the shards of a finished query. Nothing looks at them any more.
+func (p *shardPool) give(shards []shardState) {
+	if len(*p) < shardPoolLimit && shards != nil {
+		*p = append(*p, shards)
 	}
-	q.shards = nil
 }
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -66,7 +66,7 @@
 		d.withdraw(q, shard)
 	}
 	shard.status = shardParked
-	d.parked = append(d.parked, waiter{query: q, position: position})
+	d.waiting.parked = append(d.waiting.parked, waiter{query: q, position: position})
 }
 
 // markUnavailable marks a shard that no leaf can answer for now.
--- a/internal/decide/dispatch/queue.go
+++ b/internal/decide/dispatch/queue.go
@@ -31,6 +31,21 @@
 	return q.Class.Priority
 }
 
+// waitingShards counts the shards that wait for a leaf, and holds those that wait for the
+// budget. The shards that wait for a leaf are in the queues of their groups.
+type waitingShards struct {
+	count    int
+	parked   []waiter
+	order    uint64 // of the last arrival
+	round    uint64 // of pump
+	reviewAt Time   // when all are looked at again
+}
+
+// any reports whether shards wait in the node.
+func (w *waitingShards) any() bool {
+	return w.count > 0 || len(w.parked) > 0
+}
+
 // waiter is a shard of a query that waits in the node for a leaf.
 type waiter struct {
 	query    *query
@@ -81,11 +96,11 @@
 // enqueue lets the shard wait for the leaves of its group.
 func (d *Dispatcher) enqueue(q *query, position int32) {
 	shard := &q.shards[position]
-	d.order++
+	d.waiting.order++
 	shard.status = shardWaiting
-	shard.waitFor = uint32(d.order)
+	shard.waitFor = uint32(d.waiting.order)
 	shard.waitWork = seconds(q.class.base) / time.Duration(len(shard.group.leaves))
-	shard.group.waiting.push(waiter{query: q, position: position, ticket: shard.waitFor, order: d.order})
+	shard.group.waiting.push(waiter{query: q, position: position, ticket: shard.waitFor, order: d.waiting.order})
 	d.addWaiting(q, shard, 1)
 }
 
@@ -97,7 +112,7 @@
 }
 
 func (d *Dispatcher) addWaiting(q *query, shard *shardState, sign int) {
-	d.waiters += sign
+	d.waiting.count += sign
 	for _, l := range shard.group.leaves {
 		*l.waiting.at(q.class) += time.Duration(sign) * shard.waitWork
 	}
@@ -105,10 +120,10 @@
 
 // pump gives free slots of the leaf to the shards that wait for it.
 func (d *Dispatcher) pump(l *leafState) {
-	if d.waiters == 0 || !l.takesWork() || l.holdOff.active(d.now) {
+	if d.waiting.count == 0 || !l.takesWork() || l.holdOff.active(d.now) {
 		return
 	}
-	d.pumpRound++
+	d.waiting.round++
 	for !l.full() {
 		next := d.firstWaiting(l)
 		if next == nil {
@@ -120,7 +135,7 @@
 			continue
 		}
 		if !d.placeWaiting(waiting.query, waiting.position) {
-			next.skipped = d.pumpRound
+			next.skipped = d.waiting.round
 		}
 		d.review(waiting.query)
 	}
@@ -132,7 +147,7 @@
 	var best *group
 	var bestHead *waiter
 	for _, candidate := range l.groups {
-		if candidate.waiting.live == 0 || candidate.skipped == d.pumpRound {
+		if candidate.waiting.live == 0 || candidate.skipped == d.waiting.round {
 			continue
 		}
 		head := candidate.waiting.head(d.now)
@@ -145,43 +160,43 @@
 
 // pumpAll looks at all waiting and parked shards again.
 func (d *Dispatcher) pumpAll() {
-	d.reviewAt = d.now + d.config.Review
-	parked := d.parked
-	d.parked = nil
+	d.waiting.reviewAt = d.now + d.config.Review
+	parked := d.waiting.parked
+	d.waiting.parked = nil
 	for _, entry := range parked {
 		if entry.parked() {
 			d.place(entry.query, entry.position)
 			d.review(entry.query)
 		}
 	}
-	for _, l := range d.leaves {
+	for _, l := range d.fleet.leaves {
 		d.pump(l)
 	}
 }
 
 // postpone lets a query wait for the concurrency limit.
 func (d *Dispatcher) postpone(q *query) {
-	at, _ := slices.BinarySearchFunc(d.pending, q, func(a, b *query) int {
+	at, _ := slices.BinarySearchFunc(d.queries.pending, q, func(a, b *query) int {
 		if a.Class.Priority < b.Class.Priority ||
 			a.Class.Priority == b.Class.Priority && a.Deadline <= b.Deadline {
 			return -1
 		}
 		return 1
 	})
-	d.pending = slices.Insert(d.pending, at, q)
+	d.queries.pending = slices.Insert(d.queries.pending, at, q)
 	d.timers.set(q, q.Deadline)
 }
 
 // startPending starts postponed queries as the concurrency limit allows.
 func (d *Dispatcher) startPending() {
-	if d.startsHeld {
+	if d.queries.startsHeld {
 		return
 	}
-	d.startsHeld = true
-	defer func() { d.startsHeld = false }()
-	for len(d.pending) > 0 && (d.topology.Concurrency == 0 || d.started < d.topology.Concurrency) {
-		q := d.pending[0]
-		d.pending = slices.Delete(d.pending, 0, 1)
+	d.queries.startsHeld = true
+	defer func() { d.queries.startsHeld = false }()
+	for len(d.queries.pending) > 0 && (d.fleet.topology.Concurrency == 0 || d.queries.started < d.fleet.topology.Concurrency) {
+		q := d.queries.pending[0]
+		d.queries.pending = slices.Delete(d.queries.pending, 0, 1)
 		d.start(q)
 	}
 }
--- a/internal/decide/dispatch/restart.go
+++ b/internal/decide/dispatch/restart.go
@@ -27,11 +27,11 @@
 	if d.now+time.Duration(q.class.base*float64(time.Second)) >= q.Deadline {
 		return
 	}
-	index, found := snapshot.Pick(d.snapshots, q.need())
-	if !found || !q.snapshot.Less(d.views[index].snapshot) {
+	index, found := snapshot.Pick(d.fleet.snapshots, q.need())
+	if !found || !q.snapshot.Less(d.fleet.views[index].snapshot) {
 		return
 	}
-	covered, needed := q.need().Covered(&d.snapshots[index])
+	covered, needed := q.need().Covered(&d.fleet.snapshots[index])
 	reachable := q.progress.Total - q.progress.Unavailable
 	if covered*q.progress.Total <= reachable*needed {
 		return
@@ -40,7 +40,7 @@
 	q.restarted = true
 	q.hedging.armed, q.hedging.at = false, 0
 	d.counters.Restarts++
-	d.pinTo(q, &d.views[index])
+	d.pinTo(q, &d.fleet.views[index])
 	for position := range q.shards {
 		q.shards[position].needsRetry = position < executed
 		d.place(q, int32(position))
--- a/internal/decide/dispatch/restart_test.go
+++ b/internal/decide/dispatch/restart_test.go
@@ -31,7 +31,7 @@
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeAnswered {
 		t.Errorf("%+v, %v", finish, ended)
 	}
-	if len(r.d.leaves[0].running)+len(r.d.leaves[1].running) != 0 {
+	if len(r.d.fleet.leaves[0].running)+len(r.d.fleet.leaves[1].running) != 0 {
 		t.Error("the former start still counts as busy")
 	}
 }
--- a/internal/decide/dispatch/send.go
+++ b/internal/decide/dispatch/send.go
@@ -8,7 +8,7 @@
 	basis := d.basis(q, position, l)
 	d.count(q, position, why)
 	if l.canary {
-		d.spendAllowance(q.shardAt(int(position)))
+		d.allowances.spend(q.shardAt(int(position)))
 	}
 	queue := replica.Queue(float64(len(l.running))+l.reports.others(d.now), l.slots)
 	slot, entry := d.attempts.add()
@@ -27,7 +27,7 @@
 	l.probation.lastSent = d.now
 	l.warmup.spend(d.now)
 	l.sent.at(q.class).add(d.now, longMemory, q.class.base)
-	d.throughput.add(d.now, shortMemory, q.class.base)
+	d.load.sent.add(d.now, shortMemory, q.class.base)
 	shard.first = slot
 	if shard.status != shardAnswered { // by another attempt: this one is a probe
 		shard.status = shardInFlight
--- a/internal/decide/dispatch/status.go
+++ b/internal/decide/dispatch/status.go
@@ -33,12 +33,12 @@
 
 // LeafStates describes all leaves of the topology, in its order.
 func (d *Dispatcher) LeafStates() []LeafState {
-	states := make([]LeafState, 0, len(d.leaves))
+	states := make([]LeafState, 0, len(d.fleet.leaves))
 	best := math.Inf(1)
-	for _, l := range d.leaves {
+	for _, l := range d.fleet.leaves {
 		best = min(best, d.slowness(l))
 	}
-	for _, l := range d.leaves {
+	for _, l := range d.fleet.leaves {
 		slowness := d.slowness(l)
 		states = append(states, LeafState{
 			Address:   l.address,
@@ -121,21 +121,14 @@
 
 // Load returns the present load.
 func (d *Dispatcher) Load() Load {
-	load := Load{Waiting: d.waiters, Budget: d.budget.Tokens()}
-	if d.config.BudgetByShard {
-		load.Budget = 0
-		for _, budget := range d.budgets {
-			load.Budget += budget.Tokens()
-		}
-	}
-	return load
+	return Load{Waiting: d.waiting.count, Budget: d.budgets.tokens()}
 }
 
 // InFlightAt returns how many attempts run at the leaves that a function selects by
 // their boot id.
 func (d *Dispatcher) InFlightAt(selects func(boot string) bool) int {
 	count := 0
-	for _, l := range d.byAddress {
+	for _, l := range d.fleet.byAddress {
 		if len(l.running) > 0 && selects(l.listedBoot) {
 			count += len(l.running)
 		}
--- a/internal/decide/dispatch/topology.go
+++ b/internal/decide/dispatch/topology.go
@@ -13,24 +13,24 @@
 // new attempt from now on; its attempts in flight are left to finish.
 func (d *Dispatcher) SetTopology(now Time, topology Topology) []Action {
 	d.begin(now)
-	changed := !slices.Equal(d.topology.Partitions, topology.Partitions)
-	d.topology = topology
-	d.topologies++
-	former := d.leaves
-	d.leaves = make([]*leafState, 0, len(topology.Leaves))
+	changed := !slices.Equal(d.fleet.topology.Partitions, topology.Partitions)
+	d.fleet.topology = topology
+	d.fleet.topologies++
+	former := d.fleet.leaves
+	d.fleet.leaves = make([]*leafState, 0, len(topology.Leaves))
 	for index := range topology.Leaves {
 		listed := &topology.Leaves[index]
-		l, known := d.byAddress[listed.Address]
+		l, known := d.fleet.byAddress[listed.Address]
 		if !known {
 			l = d.newLeaf(listed)
-			d.byAddress[listed.Address] = l
+			d.fleet.byAddress[listed.Address] = l
 		}
-		if l.listedIn == d.topologies {
+		if l.listedIn == d.fleet.topologies {
 			continue // listed twice: the first entry counts
 		}
-		l.listedIn = d.topologies
+		l.listedIn = d.fleet.topologies
 		changed = d.update(l, listed) || changed
-		d.leaves = append(d.leaves, l)
+		d.fleet.leaves = append(d.fleet.leaves, l)
 	}
 	changed = d.dropUnlisted(former) || changed
 	if changed {
@@ -83,7 +83,7 @@
 	}
 	if l.noteBoot(listed.BootID) {
 		d.resetLeaf(l, listed.Cold)
-		d.restarted = append(d.restarted, l)
+		d.fleet.restarted = append(d.fleet.restarted, l)
 	}
 	same := slices.EqualFunc(l.holdings, listed.Holdings, equalHoldings)
 	l.holdings = listed.Holdings
@@ -112,16 +112,16 @@
 func (d *Dispatcher) dropUnlisted(former []*leafState) bool {
 	dropped := false
 	for _, l := range former {
-		if l.listedIn != d.topologies {
+		if l.listedIn != d.fleet.topologies {
 			dropped = dropped || l.takesWork()
 			l.usable = false
 			l.groups = nil
 			l.unlistedAt = d.now
 		}
 	}
-	for address, l := range d.byAddress {
-		if l.listedIn != d.topologies && d.now-l.unlistedAt > unlistedMemory {
-			delete(d.byAddress, address)
+	for address, l := range d.fleet.byAddress {
+		if l.listedIn != d.fleet.topologies && d.now-l.unlistedAt > unlistedMemory {
+			delete(d.fleet.byAddress, address)
 		}
 	}
 	return dropped
--- a/internal/decide/dispatch/views.go
+++ b/internal/decide/dispatch/views.go
@@ -26,28 +26,28 @@
 // rebuild computes the views anew and moves all queries over to them.
 func (d *Dispatcher) rebuild() {
 	d.dropExpired()
-	holdings := make([][]leaf.Holding, len(d.leaves))
-	for index, l := range d.leaves {
+	holdings := make([][]leaf.Holding, len(d.fleet.leaves))
+	for index, l := range d.fleet.leaves {
 		l.groups = nil
 		if l.takesWork() {
 			holdings[index] = l.offered()
 		}
 		l.waiting = perClass[time.Duration]{}
 	}
-	d.snapshots = snapshot.Build(d.topology.Partitions, holdings)
-	d.views = make([]view, len(d.snapshots))
-	for index := range d.views {
-		d.fillView(&d.views[index], &d.snapshots[index])
+	d.fleet.snapshots = snapshot.Build(d.fleet.topology.Partitions, holdings)
+	d.fleet.views = make([]view, len(d.fleet.snapshots))
+	for index := range d.fleet.views {
+		d.fillView(&d.fleet.views[index], &d.fleet.snapshots[index])
 	}
-	d.waiters = 0
-	starting := d.startsHeld
-	d.startsHeld = true // postponed queries wait until all others have moved
-	for _, q := range slices.Clone(d.running) {
+	d.waiting.count = 0
+	starting := d.queries.startsHeld
+	d.queries.startsHeld = true // postponed queries wait until all others have moved
+	for _, q := range slices.Clone(d.queries.running) {
 		if q.started && !q.finished {
 			d.regroup(q)
 		}
 	}
-	d.startsHeld = starting
+	d.queries.startsHeld = starting
 	d.startPending()
 }
 
@@ -59,7 +59,7 @@
 		target.shard = shard
 		target.leaves = make([]*leafState, 0, len(replicas))
 		for _, index := range replicas {
-			l := d.leaves[index]
+			l := d.fleet.leaves[index]
 			if l.canary {
 				target.canaries = append(target.canaries, l)
 				continue
@@ -74,9 +74,9 @@
 // no leaf could answer, are placed anew.
 func (d *Dispatcher) regroup(q *query) {
 	var pinned *view
-	for index := range d.views {
-		if d.views[index].snapshot == q.snapshot {
-			pinned = &d.views[index]
+	for index := range d.fleet.views {
+		if d.fleet.views[index].snapshot == q.snapshot {
+			pinned = &d.fleet.views[index]
 		}
 	}
 	for position := range q.shards {
--- a/internal/decide/dispatch/work.go
+++ b/internal/decide/dispatch/work.go
@@ -8,12 +8,12 @@
 	if d.config.WorkByLeaf && l.meanWork > 0 {
 		return l.meanWork
 	}
-	return d.meanWork
+	return d.means.attemptWork
 }
 
 // learnWork takes in the work of one attempt.
 func (d *Dispatcher) learnWork(l *leafState, work float64) {
-	d.meanWork += meanWorkWeight * (work - d.meanWork)
+	d.means.attemptWork += meanWorkWeight * (work - d.means.attemptWork)
 	if l.meanWork == 0 {
 		l.meanWork = work
 	}
