--- a/internal/decide/dispatch/attempt.go
+++ b/internal/decide/dispatch/attempt.go
@@ -14,7 +14,7 @@
 	position int32 // of the shard in the query
 	next     int32 // the next attempt of the same shard
 	running  int32 // place among the running attempts of the leaf
-	cause    cause
+	cause    Cause
 	sentAt   Time
 	// expected is the time in seconds that an ordinary leaf with the same
 	// queue needs.
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -44,72 +44,49 @@
 	CauseProbe   Cause = "probe"   // beside one, to measure a slow leaf
 )
 
-// cause says why an attempt was sent.
-type cause uint8
-
-const (
-	causeNeeded  cause = iota // the first attempt of a shard
-	causeResend               // after proof that the former did not execute
-	causeRetry                // after one that was lost
-	causeRestart              // again, at another snapshot
-	causeHedge                // beside one that is late
-	causeProbe                // beside one, to measure a slow leaf
-)
-
-// public returns the cause as actions carry it.
-func (c cause) public() Cause {
+// extra reports whether attempts of the cause are beyond those needed.
+func (c Cause) extra() bool {
 	switch c {
-	case causeResend:
-		return CauseResend
-	case causeRetry:
-		return CauseRetry
-	case causeRestart:
-		return CauseRestart
-	case causeHedge:
-		return CauseHedge
-	case causeProbe:
-		return CauseProbe
+	case CauseNeeded, CauseResend:
+		return false
 	default:
-		return CauseNeeded
+		return true
 	}
 }
 
-func (c cause) extra() bool {
-	return c >= causeRetry
-}
-
-func nextCause(q *query, shard *shardState) cause {
+// nextCause returns the cause of the next attempt of a shard that has none in flight.
+func nextCause(q *query, shard *shardState) Cause {
 	switch {
 	case shard.needsRetry && q.restarted:
-		return causeRestart
+		return CauseRestart
 	case shard.needsRetry, shard.chargeNext:
-		return causeRetry
+		return CauseRetry
 	case shard.resend || shard.sends > 0:
-		return causeResend
+		return CauseResend
 	default:
-		return causeNeeded
+		return CauseNeeded
 	}
 }
 
 // count books the attempt with the budget and the counters.
-func (d *Dispatcher) count(q *query, position int32, why cause) {
+func (d *Dispatcher) count(q *query, position int32, why Cause) {
 	budget := d.budgetOf(q, position)
 	switch why {
-	case causeNeeded:
+	case CauseNeeded:
 		d.counters.Needed++
 		d.allowances.earn(q.shardAt(int(position)), d.now)
 		budget.Earn(q.Class.ExtraLoad)
-	case causeResend:
+	case CauseResend:
 		d.counters.Resent++
-	case causeRetry:
+	case CauseRetry:
 		d.counters.Retries++
 		budget.SpendRetry(1)
-	case causeRestart:
+	case CauseRestart:
 		d.counters.RestartSends++
 		budget.SpendRetry(1)
-	case causeHedge:
+	case CauseHedge:
 		d.counters.Hedges++
-	case causeProbe:
+	case CauseProbe:
 		d.counters.Probes++
 	}
 }
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -65,13 +65,13 @@
 	shard.status = shardAnswered
 	shard.answer = ended.id
 	q.progress.Answered++
-	if ended.cause == causeHedge || ended.cause == causeProbe {
+	if ended.cause == CauseHedge || ended.cause == CauseProbe {
 		d.counters.HedgesWon++
 	}
 	for slot := shard.first; slot != none; {
 		entry := &d.attempts.slots[slot]
 		slot = entry.next
-		if entry.cause != causeProbe {
+		if entry.cause != CauseProbe {
 			d.abort(entry)
 		}
 	}
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -114,7 +114,7 @@
 	if d.config.Score.Expected(chosen, work) > d.timeToAnswer(q, first)*hedgeTolerance || !d.payHedge(q, position) {
 		return false
 	}
-	d.send(q, position, d.scratch.leaves[index], causeHedge)
+	d.send(q, position, d.scratch.leaves[index], CauseHedge)
 	return true
 }
 
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -12,36 +12,20 @@
 	return d.placeNext(q, position, true)
 }
 
+// placeNext does the work of place and placeWaiting. It reports whether the shard is
+// dealt with: if not, it waits in the queue, or for the deadline.
 func (d *Dispatcher) placeNext(q *query, position int32, waiting bool) bool {
-	shard := &q.shards[position]
 	if d.now >= q.Deadline {
 		return false
 	}
-	if (shard.needsRetry || shard.chargeNext) && !d.budgetOf(q, position).CanRetry() {
-		if d.config.EndWithoutBudget {
-			q.findings.lastReason = ReasonBudget
-			d.markUnavailable(q, position, waiting)
-			return true
-		}
-		d.park(q, position, waiting)
-		return true
-	}
-	if !q.maySend(shard, &d.config) || int(shard.lost) >= d.config.MaximumLost {
-		d.markUnavailable(q, position, waiting)
-		return true
-	}
-	if shard.needsRetry && q.suspected() {
-		d.withhold(q, position, waiting)
+	if d.barred(q, position, waiting) {
 		return true
 	}
+	shard := &q.shards[position]
 	chosen, verdict := d.choose(q, shard, waiting)
 	switch verdict {
 	case choiceNone:
-		if q.findings.lastReason == ReasonNone {
-			q.findings.lastReason = ReasonNoLeaf
-		}
-		q.findings.snapshotLost = true
-		d.markUnavailable(q, position, waiting)
+		d.noLeaf(q, position, waiting)
 		return true
 	case choiceHeld:
 		if !waiting {
@@ -59,6 +43,42 @@
 	return true
 }
 
+// barred parks, gives up or withholds a shard that may not get another attempt now, and
+// reports whether it did.
+func (d *Dispatcher) barred(q *query, position int32, waiting bool) bool {
+	shard := &q.shards[position]
+	switch {
+	case (shard.needsRetry || shard.chargeNext) && !d.budgetOf(q, position).CanRetry():
+		d.lackBudget(q, position, waiting)
+	case !q.maySend(shard, &d.config) || int(shard.lost) >= d.config.MaximumLost:
+		d.markUnavailable(q, position, waiting)
+	case shard.needsRetry && q.suspected():
+		d.withhold(q, position, waiting)
+	default:
+		return false
+	}
+	return true
+}
+
+// lackBudget parks a shard that needs a retry without a budget for it, or gives it up.
+func (d *Dispatcher) lackBudget(q *query, position int32, waiting bool) {
+	if d.config.EndWithoutBudget {
+		q.findings.lastReason = ReasonBudget
+		d.markUnavailable(q, position, waiting)
+		return
+	}
+	d.park(q, position, waiting)
+}
+
+// noLeaf gives up a shard that no leaf holds at the snapshot of the query.
+func (d *Dispatcher) noLeaf(q *query, position int32, waiting bool) {
+	if q.findings.lastReason == ReasonNone {
+		q.findings.lastReason = ReasonNoLeaf
+	}
+	q.findings.snapshotLost = true
+	d.markUnavailable(q, position, waiting)
+}
+
 // park lets a shard wait until the budget allows a retry.
 func (d *Dispatcher) park(q *query, position int32, waiting bool) {
 	shard := &q.shards[position]
--- a/internal/decide/dispatch/probe.go
+++ b/internal/decide/dispatch/probe.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		if d.slowness(l) > d.config.Probation.Slowness*d.slowness(chosen) && d.budgetOf(q, position).SpendHedge() {
-			d.send(q, position, l, causeProbe)
+			d.send(q, position, l, CauseProbe)
 			return
 		}
 	}
