--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// RetryAfter returns when a refused caller may ask again: after the work that
-// was in the way is done.
+// RetryAfter returns the time after which a refused caller may retry: when the work that
+// was in its way is done.
 func (c Config) RetryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, c.RetryMinimum), c.RetryMaximum)
 }
--- a/internal/decide/dispatch/actions.go
+++ b/internal/decide/dispatch/actions.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// Outcome is the fate of a query.
+// Outcome is how a query ended.
 type Outcome string
 
 // The outcomes of a query.
@@ -80,7 +80,7 @@
 	Others float64
 	Age    time.Duration
 	// Pace is how long work takes on its machine, in percent of the usual, by
-	// that report; zero if it told none.
+	// that report; zero if it has none.
 	Pace int
 	// Slowness is the ratio of its service time to that of an ordinary leaf.
 	Slowness float64
@@ -98,7 +98,7 @@
 }
 
 // Finish ends a query. It is returned exactly once for each submitted query,
-// at once when the query is given up on.
+// at once when the query is given up.
 type Finish struct {
 	Query    QueryID
 	Outcome  Outcome
@@ -110,7 +110,7 @@
 	Missing []int
 	// Total is the number of shards needed at Snapshot.
 	Total int
-	// RetryAfter is when the caller may ask again, for OutcomeNotRun and
+	// RetryAfter is the time after which the caller may retry, for OutcomeNotRun and
 	// OutcomeFailed; zero if no time is known.
 	RetryAfter time.Duration
 }
--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -9,7 +9,7 @@
 // until the promotion of the query, saturation (share of slots in use).
 //
 // Reason: a caller that is refused at once can retry elsewhere or later; one that waits
-// until its deadline has lost its time and leaves have done work in vain.
+// until its deadline has lost its time, and leaves have worked for nothing.
 //
 // Measured (simulation at 150 % load): without admission 0.22 and 0.33 of the urgent
 // queries were answered whole in place of 1.0000, and refusals took 1,000 and 1,800 ms at
@@ -47,9 +47,8 @@
 	d.actions = append(d.actions, Finish{Query: q.ID, Outcome: OutcomeNotRun, Reason: reason})
 }
 
-// servable reports whether enough shards have a leaf for the coverage that the
-// query needs. Without that, its attempts would be work in vain for the leaves that
-// there are.
+// servable reports whether enough shards have a leaf for the coverage that the query
+// needs. Otherwise its attempts would be work for nothing.
 func (d *Dispatcher) servable(q *query) bool {
 	if !d.config.RequireCoverage {
 		return true
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -2,25 +2,24 @@
 // answer, or beside one that is late; attempts that may have executed before, or execute
 // beside another one, are extra load and paid for by a budget (budget.go).
 //
-//	cause    caused by                          paid by             bounded by                withheld
-//	needed   the first attempt of a shard       nothing; it earns   one a shard and pin       no leaf has room: queued
-//	resend   proof that the former attempt      nothing             MaximumSends              no leaf has room: queued
-//	         did not execute (refused, or no
-//	         byte left the node)
-//	retry    an attempt that was lost after it  SpendRetry, which   MaximumSends,             no budget: parked, or the shard is
-//	         was sent, replaced because it is   may go into debt    MaximumLost,              given up (EndWithoutBudget); query
-//	         too old, or refused where          (Budget.Debt)       Query.MaximumSends        suspected: see withhold.go
-//	         refusals are charged
-//	         (ChargeRefusals)
-//	restart  a newer snapshot that covers more  SpendRetry          one restart a query;      as retry
-//	         (restart.go); as many as may have                      MaximumSends
-//	         executed before it
-//	hedge    an only attempt older than the     SpendHedge, from    one beside an attempt;    no leaf with room is expected to
-//	         hedge delay (hedge.go)             half of the time    MaximumSends, Query.      answer in time; shards are queued for
-//	                                            on SpendRetry       MaximumSends              the group; query suspected
-//	probe    a leaf in probation without an     SpendHedge          one a leaf and            beside a shard that is not answered
-//	         attempt for the probe interval                         ProbeInterval;            yet, unless the query has one shard
-//	         (probe.go)                                             MaximumSends
+//	cause    caused by                        paid by         bounded by         withheld while
+//	needed   a shard without an attempt       nothing; it     one a shard and    no leaf has room (queued)
+//	                                          earns a share   snapshot
+//	resend   proof that the last attempt did  nothing         MaximumSends       no leaf has room (queued)
+//	         not execute
+//	retry    an attempt that was lost after   a token, also   MaximumSends,      no budget (parked, or given up with
+//	         it was sent, replaced as too     into debt       MaximumLost,       EndWithoutBudget); the query is
+//	         old, or refused where refusals                   Query.             suspected (withhold.go); no leaf
+//	         are charged (ChargeRefusals)                     MaximumSends       has room (queued)
+//	restart  a newer snapshot, for as many    as retry        as retry; once a   as retry
+//	         shards as may have executed,                     query
+//	         and their retries
+//	hedge    an only attempt that is older    a token above   MaximumSends,      no leaf with room is expected to
+//	         than the hedge delay             the reserve;    Query.             answer in time; other shards wait
+//	                                          late in a       MaximumSends; one  for these leaves; the query is
+//	                                          query as retry  beside an attempt  suspected
+//	probe    a leaf in probation without an   a token above   as hedge; one a    the shard is not answered, unless
+//	         attempt for the probe interval   the reserve     probe interval     it is the only one of its query
 //
 // Requests that may not be repeated get resends only: never a second attempt after one
 // that may have executed.
@@ -55,6 +54,7 @@
 }
 
 // nextCause returns the cause of the next attempt of a shard that has none in flight.
+// Retries of a query that restarted count as restarts.
 func nextCause(q *query, shard *shardState) Cause {
 	switch {
 	case shard.needsRetry && q.restarted:
--- a/internal/decide/dispatch/config.go
+++ b/internal/decide/dispatch/config.go
@@ -58,7 +58,7 @@
 	Hedge HedgeConfig
 	// Probation is how stragglers are kept out and let back.
 	Probation ProbationConfig
-	// Backoff is how long a failing leaf is left alone.
+	// Backoff is how long a failing leaf is held off.
 	Backoff BackoffConfig
 	// InitialLatency is the latency assumed of a class before its first
 	// reply.
@@ -116,8 +116,8 @@
 	Maximum time.Duration
 	// Shed is the pause after a refusal for load that names no time.
 	Shed time.Duration
-	// SnapshotGone is how long a leaf is taken not to hold a snapshot that it
-	// refused, against a topology that lags.
+	// SnapshotGone is how long a leaf counts as not holding a snapshot that it
+	// refused, since the topology may lag.
 	SnapshotGone time.Duration
 }
 
--- a/internal/decide/dispatch/restart_test.go
+++ b/internal/decide/dispatch/crash_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// restarted sends a query to a leaf that ends behind a cut, and lists all leaves as
-// started anew after a time.
+// restarted sends a query to a leaf that crashes behind a network partition, and lists
+// all leaves as restarted after a time.
 func (r *rig) restarted(length time.Duration, once bool) QueryID {
 	r.shape = func(query *Query) {
 		query.Deadline = r.now + time.Minute
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -6,6 +6,29 @@
 // performs the actions returned, in order. The same code runs in a node over
 // real sockets and in the simulator in virtual time. It is not safe for
 // concurrent use; the driver serialises the calls.
+//
+// Each rule has a file, which begins with the rule, its inputs, its reason and its
+// measurement:
+//
+//	choose.go      which leaf gets an attempt
+//	admit.go       which queries are taken, by their predicted wait
+//	saturation.go  when the service counts as saturated
+//	retryafter.go  when a refused caller may retry
+//	queue.go       in which order waiting work goes
+//	causes.go      second attempts: the table of causes
+//	hedge.go       attempts beside a late one
+//	probe.go       attempts that measure a slow leaf
+//	restart.go     running a query again at another snapshot
+//	crash.go       attempts at a former incarnation of a leaf
+//	withhold.go    retries of a query that may crash leaves
+//	budget.go      what extra attempts cost
+//	settle.go      when a query ends, and how
+//	limits.go      how many attempts a leaf may have
+//	holdoff.go     how long a failing leaf gets nothing
+//	warmup.go      what a cold leaf gets
+//
+// It relies on the packages replica, admission, limit, hedge, coverage and snapshot for
+// the arithmetic of these rules, and owns all state between two calls.
 package dispatch
 
 import (
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/replica"
-	"github.com/micaplank/micaplank/internal/decide/snapshot"
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
@@ -37,33 +36,6 @@
 	scratch  scratch
 }
 
-// fleet is the topology with what is computed from it and known of its leaves.
-type fleet struct {
-	topology   Topology
-	topologies uint64       // number of topologies so far
-	leaves     []*leafState // those of the topology, in its order
-	byAddress  map[netip.AddrPort]*leafState
-	restarted  []*leafState    // those that the topology being taken in lists with a new boot ID
-	views      []view          // newest first
-	snapshots  []snapshot.View // of the views
-	goneUntil  Time            // when the next override of a holding ends; zero if none
-}
-
-// queryTable holds the unfinished queries.
-type queryTable struct {
-	byID       map[QueryID]*query
-	running    []*query // all, started or not
-	pending    []*query // those that wait for the concurrency limit, in order
-	started    int
-	startsHeld bool // startPending must not start any now
-}
-
-// means are running means over the attempts and queries of all classes, in seconds.
-type means struct {
-	attemptWork float64 // base of the attempts
-	queryTime   float64 // time that queries run
-}
-
 // scratch is space that choose and predictWait use again.
 type scratch struct {
 	candidates []replica.Candidate
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -121,7 +121,7 @@
 	shard.markDue()
 }
 
-// Fail takes in the end of an attempt without a word of the leaf.
+// Fail takes in the end of an attempt without a reply or a refusal.
 func (d *Dispatcher) Fail(now Time, id AttemptID, failure Failure) []Action {
 	d.begin(now)
 	ended, known := d.resolve(id)
--- a/internal/decide/dispatch/events.go
+++ b/internal/decide/dispatch/events.go
@@ -25,14 +25,14 @@
 	Load       leaf.LoadSummary
 }
 
-// Failure reports that an attempt ended without a word of the leaf.
+// Failure reports that an attempt ended without a reply or a refusal.
 type Failure struct {
 	// Sent is false only if provably no byte of the request left the node.
 	Sent bool
 	// Aborted is set if the attempt ended because the driver cancelled it.
 	Aborted bool
-	// OnTheWay is set if the attempt was lost with another node that had it in
-	// hand, which says nothing of the leaf.
+	// OnTheWay is set if the attempt was lost with another node that forwarded it,
+	// which says nothing of the leaf.
 	OnTheWay bool
 	// Closed is set if the leaf closed the connection before a byte of its answer, as
 	// when its process ends.
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -161,6 +161,6 @@
 }
 
 // lostAgeFactor is the age of an attempt, over the time expected of an ordinary leaf,
-// from which its answer is taken to be lost. Partial checks with a zone lost: 11 of
+// from which its answer counts as lost. Partial checks with a zone lost: 11 of
 // 11,979 without the replacement, 0 with it (4 seeds). Other factors were not compared.
 const lostAgeFactor = 10
--- a/internal/decide/dispatch/holdoff.go
+++ b/internal/decide/dispatch/holdoff.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// pause returns how long a leaf is left alone that asked for a time, or none.
+// pause returns how long a leaf is held off that asked for a time, or for none.
 func (d *Dispatcher) pause(asked, otherwise time.Duration) time.Duration {
 	if asked <= 0 {
 		return otherwise
--- a/internal/decide/dispatch/lifecycle.go
+++ b/internal/decide/dispatch/lifecycle.go
@@ -1,5 +1,33 @@
 package dispatch
 
+import "slices"
+
+// queryTable holds the unfinished queries.
+type queryTable struct {
+	byID       map[QueryID]*query
+	running    []*query // all, started or not
+	pending    []*query // those that wait for the concurrency limit, in order
+	started    int
+	startsHeld bool // startPending must not start any now
+}
+
+// remove takes a query out of those that run.
+func (t *queryTable) remove(q *query) {
+	delete(t.byID, q.ID)
+	last := len(t.running) - 1
+	t.running[q.index] = t.running[last]
+	t.running[q.index].index = q.index
+	t.running[last] = nil
+	t.running = t.running[:last]
+}
+
+// removePending takes a query out of those that wait for the concurrency limit.
+func (t *queryTable) removePending(q *query) {
+	if index := slices.Index(t.pending, q); index >= 0 {
+		t.pending = append(t.pending[:index], t.pending[index+1:]...)
+	}
+}
+
 // start pins a snapshot and places all needed shards.
 func (d *Dispatcher) start(q *query) {
 	q.started = true
@@ -49,12 +77,14 @@
 	d.setTimer(q)
 }
 
+// reviewPending ends a query that waits for the concurrency limit, at its deadline.
 func (d *Dispatcher) reviewPending(q *query) {
 	if !q.finished && d.now >= q.Deadline {
 		d.finish(q, OutcomeNotRun, ReasonDeadline)
 	}
 }
 
+// setTimer sets the time of the next event of a query without one from outside.
 func (d *Dispatcher) setTimer(q *query) {
 	next := q.Deadline
 	if q.settleAt > d.now {
@@ -95,13 +125,8 @@
 	d.abandon(q)
 	q.finished = true
 	d.timers.remove(q)
-	delete(d.queries.byID, q.ID)
-	last := len(d.queries.running) - 1
-	d.queries.running[q.index] = d.queries.running[last]
-	d.queries.running[q.index].index = q.index
-	d.queries.running[last] = nil
-	d.queries.running = d.queries.running[:last]
-	d.countOutcome(outcome)
+	d.queries.remove(q)
+	d.counters.finished(outcome)
 	if q.started && q.progress.Answered > 0 {
 		d.means.queryTime += queryTimeWeight * ((d.now - q.startedAt).Seconds() - d.means.queryTime)
 	}
@@ -119,32 +144,9 @@
 		d.startPending()
 		return
 	}
-	d.removePending(q)
+	d.queries.removePending(q)
 }
 
-// queryTimeWeight is the weight of one query in the mean duration.
+// queryTimeWeight is the weight of one query in the mean time of queries. Not measured:
+// chosen so that the mean follows some twenty queries.
 const queryTimeWeight = 0.05
-
-func (d *Dispatcher) removePending(q *query) {
-	for index, other := range d.queries.pending {
-		if other == q {
-			d.queries.pending = append(d.queries.pending[:index], d.queries.pending[index+1:]...)
-			return
-		}
-	}
-}
-
-func (d *Dispatcher) countOutcome(outcome Outcome) {
-	switch outcome {
-	case OutcomeAnswered:
-		d.counters.Answered++
-	case OutcomePartial:
-		d.counters.Partial++
-	case OutcomeNotRun:
-		d.counters.NotRun++
-	case OutcomeFailed:
-		d.counters.Failed++
-	case OutcomeUnknown:
-		d.counters.Unknown++
-	}
-}
--- a/internal/decide/dispatch/meter.go
+++ b/internal/decide/dispatch/meter.go
@@ -36,16 +36,20 @@
 	at  Time
 }
 
+// The memories of meters. A shorter one in place of longMemory refused sweeps while a zone
+// was lost, at 80 % use of a pair of leaves; shortMemory was not compared with others.
 const (
-	longMemory  = 2 * time.Second
-	shortMemory = 300 * time.Millisecond
+	longMemory  = 2 * time.Second        // of the work sent to a leaf
+	shortMemory = 300 * time.Millisecond // of the work of the node
 )
 
+// add books work, in seconds, that was sent or arrived now.
 func (m *meter) add(now Time, memory time.Duration, work float64) {
 	m.sum = m.sum*fade(now-m.at, memory) + work
 	m.at = now
 }
 
+// rate returns the recent work, in seconds of work a second.
 func (m meter) rate(now Time, memory time.Duration) float64 {
 	return m.sum * fade(now-m.at, memory) / memory.Seconds()
 }
@@ -58,6 +62,7 @@
 	return math.Exp(-float64(age) / float64(memory))
 }
 
+// seconds converts a number of seconds.
 func seconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Second))
 }
--- a/internal/decide/dispatch/pin.go
+++ b/internal/decide/dispatch/pin.go
@@ -7,6 +7,7 @@
 	"github.com/micaplank/micaplank/internal/decide/snapshot"
 )
 
+// need returns the shards that the query needs.
 func (q *query) need() snapshot.Need {
 	return snapshot.Need{KeyHash: q.KeyHash, HasKey: q.HasKey, Shards: q.Shards}
 }
@@ -24,6 +25,7 @@
 	return ReasonNone
 }
 
+// pinTo fixes the snapshot, and starts with none of its shards sent.
 func (d *Dispatcher) pinTo(q *query, pinned *view) {
 	q.snapshot = pinned.snapshot
 	q.firstShard = 0
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -99,8 +99,8 @@
 	q.progress.Unavailable++
 }
 
-// placeDue places the shard of an attempt that has ended, unless that was
-// done, or the query ended or was pinned anew, meanwhile.
+// placeDue places the shard of an attempt that has ended, unless that was done, or the
+// query ended or restarted, meanwhile.
 func (d *Dispatcher) placeDue(ended *attempt) {
 	q := ended.query
 	if ended.wanted && !q.finished && q.snapshot == ended.snapshot && q.shards[ended.position].due() {
--- a/internal/decide/dispatch/queue.go
+++ b/internal/decide/dispatch/queue.go
@@ -1,7 +1,7 @@
 // Rule: queue and order. What waits in the node, shards for a leaf and queries for the
-// concurrency limit, goes by priority (1 first), then by deadline, then by arrival. A
-// query that has waited for the share Config.Promotion of its time counts as most urgent
-// from then on.
+// concurrency limit, goes by priority (1 first), then by deadline, then by arrival. The
+// shards of a query count as most urgent once the share Config.Promotion of its time has
+// passed.
 //
 // Inputs: priority of the class, absolute deadline, time of the submission, order of
 // arrival. Parked shards, which need a retry that the budget does not pay for now, are
--- a/internal/decide/dispatch/reports.go
+++ b/internal/decide/dispatch/reports.go
@@ -23,7 +23,7 @@
 	// estimated is others at estimatedAt.
 	estimated   float64
 	estimatedAt Time
-	// pace is that of the last report that told one, in percent of the usual.
+	// pace is that of the last report that has one, in percent of the usual.
 	pace int
 }
 
--- a/internal/decide/dispatch/saturation.go
+++ b/internal/decide/dispatch/saturation.go
@@ -1,5 +1,5 @@
 // Rule: when the service counts as saturated. The share of the slots of all usable leaves
-// that are in use, by this node and as far as reports tell by others, is kept as a running
+// that are in use, by this node and by reports of other nodes, is kept as a running
 // mean; from fullSaturation on, admission is strict and waiting work is not predicted to
 // be promoted in time.
 //
@@ -13,7 +13,7 @@
 
 import "time"
 
-// loadEstimate is how loaded the service is, as far as the leaves tell.
+// loadEstimate is how loaded the service is, by what the leaves report.
 type loadEstimate struct {
 	saturation saturation
 	urgent     meter // work that arrived with the highest priority
--- a/internal/decide/dispatch/status.go
+++ b/internal/decide/dispatch/status.go
@@ -19,7 +19,7 @@
 	// Others is the estimated number of attempts of other nodes.
 	Others float64
 	// Pace is how long work takes on its machine, in percent of the usual, by its
-	// last word; zero if it tells none.
+	// last report; zero if it reports none.
 	Pace int
 	// Latency is the running mean of the latency of its replies.
 	Latency time.Duration
@@ -88,6 +88,22 @@
 	return c.Hedges + c.Probes + c.Retries + c.RestartSends
 }
 
+// finished counts a query by its outcome.
+func (c *Counters) finished(outcome Outcome) {
+	switch outcome {
+	case OutcomeAnswered:
+		c.Answered++
+	case OutcomePartial:
+		c.Partial++
+	case OutcomeNotRun:
+		c.NotRun++
+	case OutcomeFailed:
+		c.Failed++
+	case OutcomeUnknown:
+		c.Unknown++
+	}
+}
+
 // CauseCount is the number of attempts of a cause.
 type CauseCount struct {
 	Cause Cause
--- a/internal/decide/dispatch/topology.go
+++ b/internal/decide/dispatch/topology.go
@@ -1,14 +1,28 @@
 package dispatch
 
 import (
+	"net/netip"
 	"slices"
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/limit"
 	"github.com/micaplank/micaplank/internal/decide/replica"
+	"github.com/micaplank/micaplank/internal/decide/snapshot"
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
+// fleet is the topology with what is computed from it and known of its leaves.
+type fleet struct {
+	topology   Topology
+	topologies uint64       // number of topologies so far
+	leaves     []*leafState // those of the topology, in its order
+	byAddress  map[netip.AddrPort]*leafState
+	restarted  []*leafState    // those that the topology being taken in lists with a new boot ID
+	views      []view          // newest first
+	snapshots  []snapshot.View // of the views
+	goneUntil  Time            // when the next override of a holding ends; zero if none
+}
+
 // SetTopology replaces the topology. A leaf that is not usable in it gets no
 // new attempt from now on; its attempts in flight are left to finish.
 func (d *Dispatcher) SetTopology(now Time, topology Topology) []Action {
--- a/internal/decide/dispatch/views.go
+++ b/internal/decide/dispatch/views.go
@@ -23,7 +23,7 @@
 	return &v.groups[shard]
 }
 
-// rebuild computes the views anew and moves all queries over to them.
+// rebuild computes the views from the topology and moves all queries over to them.
 func (d *Dispatcher) rebuild() {
 	d.dropExpired()
 	holdings := make([][]leaf.Holding, len(d.fleet.leaves))
@@ -71,7 +71,7 @@
 }
 
 // regroup hands a running query over to the new views. Shards that wait, or that
-// no leaf could answer, are placed anew.
+// no leaf could answer, are placed again.
 func (d *Dispatcher) regroup(q *query) {
 	var pinned *view
 	for index := range d.fleet.views {
--- a/internal/decide/dispatch/warmup.go
+++ b/internal/decide/dispatch/warmup.go
@@ -25,7 +25,7 @@
 	takenAt Time // when tokens was computed
 }
 
-// set changes the bounds. A leaf that turns cold begins with a full bucket.
+// set changes the bounds. A leaf that turns cold starts with a full bucket.
 func (w *warmup) set(now, until Time, rate float64) {
 	if now >= w.until {
 		w.tokens, w.takenAt = 1, now
--- a/internal/decide/dispatch/work.go
+++ b/internal/decide/dispatch/work.go
@@ -1,6 +1,13 @@
 package dispatch
 
-// meanWorkWeight is the weight of one attempt in the mean work.
+// means are running means over the attempts and queries of all classes, in seconds.
+type means struct {
+	attemptWork float64 // base of the attempts
+	queryTime   float64 // time that queries run
+}
+
+// meanWorkWeight is the weight of one attempt in the mean work. Not measured: chosen so
+// that the mean follows some fifty attempts.
 const meanWorkWeight = 0.02
 
 // workOf returns the mean work of the attempts that a leaf gets.
--- a/internal/decide/replica/speed.go
+++ b/internal/decide/replica/speed.go
@@ -38,7 +38,7 @@
 // It is the estimate of the mean of an exponential distribution from censored
 // samples: the sum of the times spent, by completed and by given up attempts,
 // over the number of completed ones. So attempts that are still running, or
-// were given up on, tell of a straggler before its first reply. Samples lose
+// were given up, show a straggler before its first reply. Samples lose
 // weight with each newer one. All times are ratios to the expected time.
 type Speed struct {
 	config   *SpeedConfig
