--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -6,8 +6,6 @@
 
 // Config holds the policy of admission.
 type Config struct {
-	// Disabled takes every query; it is meant for experiments.
-	Disabled bool
 	// Safety is the share of the remaining time that the predicted time of the
 	// most urgent work may fill.
 	Safety float64
@@ -72,9 +70,6 @@
 
 // Admit reports whether the query is taken.
 func (c Config) Admit(p Prediction) bool {
-	if c.Disabled {
-		return true
-	}
 	if p.Wait <= 0 {
 		return p.Remaining > 0
 	}
--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -11,7 +11,7 @@
 // TestLastAttemptIsWaitedFor runs a query whose bound on attempts is used up:
 // the attempts in flight must not be given up, since no other may follow.
 func TestLastAttemptIsWaitedFor(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Probation.Disabled = true })
+	r := newRig(t, 2, withoutProbes)
 	r.load(60)
 	r.shape = func(query *Query) { query.MaximumSends = 1 }
 	r.took[0], r.took[1] = 150*time.Millisecond, 150*time.Millisecond
@@ -63,7 +63,7 @@
 // TestSettlesBeforeItsObjective answers with enough coverage shortly before
 // the objective, not at the deadline.
 func TestSettlesBeforeItsObjective(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled, config.Probation.Disabled = true, true })
+	r := newRig(t, 2, func(config *Config) { withoutHedges(config); withoutProbes(config) })
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 2}}
 	for index := range r.topology.Leaves {
 		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: first, Shards: []int{index}}}
--- a/internal/decide/dispatch/choose.go
+++ b/internal/decide/dispatch/choose.go
@@ -132,7 +132,6 @@
 		Limit:    d.limitFor(l, priority, others),
 		Slowness: d.slowness(l),
 		Loss:     l.losses.Share(&d.config.Losses, d.now),
-		Latency:  l.latency,
 		Near:     l.near,
 	}
 }
--- a/internal/decide/dispatch/config.go
+++ b/internal/decide/dispatch/config.go
@@ -15,8 +15,6 @@
 type Config struct {
 	// Zone is the zone of the node; it breaks ties between replicas.
 	Zone string
-	// Policy chooses between replicas.
-	Policy replica.Policy
 	// Score tunes the choice between replicas.
 	Score replica.ScoreConfig
 	// Speed is how the slowness of a leaf is estimated.
@@ -80,8 +78,6 @@
 // HedgeConfig is the policy of hedges. The quantile after which a hedge is
 // sent belongs to the class.
 type HedgeConfig struct {
-	// Disabled turns hedging off, whatever the class says.
-	Disabled bool
 	// Outstanding is the share of a query's shards that may be outstanding
 	// when hedges start; one may always be.
 	Outstanding float64
@@ -98,8 +94,6 @@
 
 // ProbationConfig is the policy towards stragglers.
 type ProbationConfig struct {
-	// Disabled sends no probes.
-	Disabled bool
 	// Slowness is the ratio to the best replica above which a leaf is in
 	// probation: it gets probes.
 	Slowness float64
@@ -124,7 +118,6 @@
 // DefaultConfig returns the defaults, with the reason of each.
 func DefaultConfig() Config {
 	return Config{
-		Policy:    replica.ExpectedCompletion,
 		Score:     replica.DefaultScoreConfig(),
 		Speed:     replica.DefaultSpeedConfig(),
 		Losses:    replica.DefaultLossConfig(),
--- a/internal/decide/dispatch/crash_test.go
+++ b/internal/decide/dispatch/crash_test.go
@@ -25,7 +25,7 @@
 // TestAttemptAtAFormerStartIsLost with it: the query has its answer from the next
 // start, long before its time is over.
 func TestAttemptAtAFormerStartIsLost(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
+	r := newRig(t, 2, withoutHedges)
 	id := r.restarted(restartLag, false)
 	r.run(50 * time.Millisecond)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeAnswered {
@@ -39,7 +39,7 @@
 // TestAttemptThatMayRunOnceAtAFormerStart is not sent again: its fate is unknown, and
 // its caller is told so at once.
 func TestAttemptThatMayRunOnceAtAFormerStart(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
+	r := newRig(t, 2, withoutHedges)
 	id := r.restarted(restartLag, true)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeUnknown {
 		t.Errorf("%+v, %v", finish, ended)
@@ -51,7 +51,7 @@
 
 // TestYoungAttemptMayRunAtTheNextStart: the news of a start comes after it.
 func TestYoungAttemptMayRunAtTheNextStart(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
+	r := newRig(t, 2, withoutHedges)
 	id := r.restarted(restartLag/2, false)
 	if len(r.aborted) != 0 {
 		t.Errorf("%d attempts given up", len(r.aborted))
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -49,7 +49,7 @@
 	config.Budget.Chance = random.Float64
 	return &Dispatcher{
 		config:  config,
-		chooser: replica.NewChooser(config.Policy, config.Score, random),
+		chooser: replica.NewChooser(config.Score, random),
 		fleet:   fleet{byAddress: make(map[netip.AddrPort]*leafState)},
 		queries: queryTable{byID: make(map[QueryID]*query)},
 		classes: newClassTable(config.InitialLatency),
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -24,7 +24,7 @@
 )
 
 func (d *Dispatcher) mayHedge(q *query) bool {
-	return !d.config.Hedge.Disabled && q.Class.Repeatable && q.Class.HedgePercentile > 0
+	return q.Class.Repeatable && q.Class.HedgePercentile > 0
 }
 
 // armHedges sets the time of the next look at hedges, once few enough shards
--- a/internal/decide/dispatch/limits.go
+++ b/internal/decide/dispatch/limits.go
@@ -21,7 +21,7 @@
 // priority is sent.
 func (d *Dispatcher) limitFor(l *leafState, priority int, others float64) int {
 	limit := l.limiter.Current()
-	if priority <= highestPriority || d.config.Limit.Disabled || d.config.EqualSlots {
+	if priority <= highestPriority || d.config.EqualSlots {
 		return limit
 	}
 	busy := others * fade(d.now-l.reports.at, busyMemory)
--- a/internal/decide/dispatch/mechanism_test.go
+++ b/internal/decide/dispatch/mechanism_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -34,6 +35,11 @@
 	shape    func(*Query) // changes each query; nil for nothing
 }
 
+// withoutHedges lets no latency count as known, and withoutProbes no leaf get a probe
+// within the time of a test.
+func withoutHedges(config *Config) { config.Hedge.Samples = math.MaxInt }
+func withoutProbes(config *Config) { config.Probation.ProbeInterval = time.Hour }
+
 func newRig(t *testing.T, replicas int, change func(*Config)) *rig {
 	config := DefaultConfig()
 	if change != nil {
@@ -146,7 +152,7 @@
 }
 
 func TestHedgeGoesToTheOtherReplicaAndTheLoserIsAborted(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Probation.Disabled = true })
+	r := newRig(t, 2, withoutProbes)
 	r.load(100)
 	id := r.submit(1)
 	late := r.open[0]
--- a/internal/decide/dispatch/probe.go
+++ b/internal/decide/dispatch/probe.go
@@ -22,7 +22,7 @@
 // the chosen leaf.
 func (d *Dispatcher) probe(q *query, position int32, chosen *leafState) {
 	shard := &q.shards[position]
-	if d.config.Probation.Disabled || !q.Class.Repeatable || len(shard.group.leaves) < 2 || !q.maySend(shard, &d.config) {
+	if !q.Class.Repeatable || len(shard.group.leaves) < 2 || !q.maySend(shard, &d.config) {
 		return
 	}
 	for _, l := range shard.group.leaves {
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -7,15 +7,10 @@
 // happens in the nodes. The package is pure: time comes in as an argument.
 package limit
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // Config holds the policy of a Limiter.
 type Config struct {
-	// Disabled removes the limit; it is meant for experiments.
-	Disabled bool
 	// Headroom is how many attempts more than the slots of the leaf may be in
 	// flight, so that a slot does not idle for a round trip.
 	Headroom int
@@ -87,16 +82,8 @@
 	}
 }
 
-// Starting reports whether the limit still doubles from a cold start.
-func (l *Limiter) Starting() bool {
-	return l.starting
-}
-
 // Current returns the limit, at least one.
 func (l *Limiter) Current() int {
-	if l.config.Disabled {
-		return math.MaxInt32
-	}
 	return int(l.limit)
 }
 
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-func newChooser(policy Policy) Chooser {
-	return NewChooser(policy, DefaultScoreConfig(), rand.New(rand.NewPCG(1, 2)))
+func newChooser() Chooser {
+	return NewChooser(DefaultScoreConfig(), rand.New(rand.NewPCG(1, 2)))
 }
 
 func TestChosenReplicaExists(t *testing.T) {
@@ -23,7 +23,7 @@
 		})
 		candidates := rapid.SliceOfN(candidate, 1, 5).Draw(t, "candidates")
 		work := Work{Base: 0.01, Mean: 0.02, Ahead: rapid.IntRange(0, 9).Draw(t, "ahead")}
-		chooser := newChooser(rapid.SampledFrom(Policies).Draw(t, "policy"))
+		chooser := newChooser()
 		if index := chooser.Choose(candidates, work); index < 0 || index >= len(candidates) {
 			t.Fatalf("chose %d of %d", index, len(candidates))
 		}
@@ -50,7 +50,7 @@
 		{"a queue counts more than the zone", []Candidate{busy, ordinary, near}, 0, 2},
 		{"the zone breaks a tie", []Candidate{ordinary, near}, 0, 1},
 	} {
-		chooser := newChooser(ExpectedCompletion)
+		chooser := newChooser()
 		if got := chooser.Choose(test.candidates, Work{Base: 1, Mean: 1, Ahead: test.ahead}); got != test.want {
 			t.Errorf("%s: chose %d", test.name, got)
 		}
--- a/internal/decide/replica/score.go
+++ b/internal/decide/replica/score.go
@@ -40,20 +40,6 @@
 	}
 }
 
-// scoreOf returns the score of a candidate under the policy; the lowest wins.
-func (h *Chooser) scoreOf(c *Candidate, work Work) float64 {
-	switch h.policy {
-	case LeastInFlight:
-		return float64(c.InFlight)
-	case LatencyInFlight:
-		return latencyInFlight(c)
-	case WorkPriced:
-		return PricedWork(c, work)
-	default:
-		return h.score.completion(c, work)
-	}
-}
-
 // completion is Expected with the prices of crowding and of losses.
 func (s *ScoreConfig) completion(c *Candidate, work Work) float64 {
 	attempts := float64(c.InFlight) + s.OthersWeight*c.Others
@@ -75,29 +61,6 @@
 	return max(slowness/s.Noise, 1)
 }
 
-// latencyInFlight follows the rule of Prequal: a replica is hot if most of its
-// slots are in use; cold ones are ordered by latency, and hot ones, which come
-// last, by their attempts in flight.
-func latencyInFlight(c *Candidate) float64 {
-	const hotShare = 0.84
-	const hotPenalty = 1e6
-	total := float64(c.InFlight) + c.Others
-	if total > hotShare*float64(c.Slots) {
-		return hotPenalty * (1 + total)
-	}
-	return c.Latency
-}
-
-// PricedWork returns the work waiting on the leaf plus the incoming work,
-// over the rate of the leaf, in seconds. The rate is that of all its slots.
-func PricedWork(c *Candidate, work Work) float64 {
-	waiting := (float64(c.InFlight) + c.Others) * work.Mean
-	if c.Full() {
-		waiting += float64(work.Ahead) * work.Mean
-	}
-	return c.Slowness * (waiting + work.Base) / float64(c.Slots)
-}
-
 // Completion returns the expected time until the leaf has done the incoming
 // work, in seconds: the wait for a slot, and the work at the leaf's speed.
 func Completion(c *Candidate, work Work) float64 {
