--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -1,3 +1,23 @@
+// Rule: admit or refuse. A query is refused at once if it cannot be served at all (service
+// stopped, deadline passed, no snapshot, too few shards with a leaf) or if its predicted
+// wait and service time fill more of its remaining time than admission.Config allows.
+// The wait is predicted for its slowest shard: for each class that goes first, the waiting
+// work over the rate at which such work was sent, or could be sent into free slots.
+//
+// Inputs: waiting work by class (seconds of one slot), rates of work sent (seconds of work
+// a second), slots that others leave free, slowness (ratio), time until the deadline and
+// until the promotion of the query, saturation (share of slots in use).
+//
+// Reason: a caller that is refused at once can retry elsewhere or later; one that waits
+// until its deadline has lost its time, and leaves have worked for nothing.
+//
+// Measured (simulation at 150 % load): without admission 0.22 and 0.33 of the urgent
+// queries were answered whole in place of 1.0000, and refusals took 1,000 and 1,800 ms at
+// the 99th percentile in place of less than 1 ms. The end of the wait at the promotion:
+// sweeps answered whole while a version rolls out 0.9993 without, 1.0000 with (10 seeds).
+// Refusing what cannot reach its coverage, worth before and after: 0.562 and 0.567, 0.570
+// and 0.574, 0.749 and 0.750, 0.530 and 0.507 (pairs of four days).
+
 package dispatch
 
 import (
@@ -7,15 +27,50 @@
 	"github.com/micaplank/micaplank/internal/decide/admission"
 )
 
+// rejectReason returns why a query cannot be taken at all.
+func (d *Dispatcher) rejectReason(q *query) Reason {
+	switch {
+	case d.fleet.topology.Stopped:
+		return ReasonStopped
+	case q.Deadline <= d.now:
+		return ReasonDeadline
+	case len(d.fleet.views) == 0:
+		return ReasonNoSnapshot
+	default:
+		return ReasonNone
+	}
+}
+
+// reject answers a query that was not taken.
+func (d *Dispatcher) reject(q *query, reason Reason) {
+	d.counters.NotRun++
+	d.actions = append(d.actions, Finish{Query: q.ID, Outcome: OutcomeNotRun, Reason: reason})
+}
+
+// servable reports whether enough shards have a leaf for the coverage that the query
+// needs. Otherwise its attempts would be work for nothing.
+func (d *Dispatcher) servable(q *query) bool {
+	if !d.config.RequireCoverage {
+		return true
+	}
+	reachable := q.progress
+	for position := range q.shards {
+		if q.shards[position].group == nil {
+			reachable.Unavailable++
+		}
+	}
+	return reachable.Attainable(q.MinimumCoverage)
+}
+
 // admit predicts the wait of the slowest shard of a query and reports whether
 // the query is taken.
 func (d *Dispatcher) admit(q *query) (time.Duration, bool) {
-	urgent := q.class.priority <= d.ranked[0].priority
+	urgent := d.classes.mostUrgent(q.class)
 	if urgent {
-		d.urgent.add(d.now, shortMemory, q.class.base*float64(len(q.shards)))
+		d.load.urgent.add(d.now, shortMemory, q.class.base*float64(len(q.shards)))
 	}
 	d.sampleSaturation()
-	if d.waiters == 0 {
+	if d.waiting.count == 0 {
 		return 0, true
 	}
 	wait := time.Duration(0)
@@ -29,61 +84,57 @@
 		Service:   seconds(q.class.base),
 		Remaining: q.Deadline - d.now,
 		Urgent:    urgent,
-		Saturated: d.saturated(),
-		Left:      d.leftByUrgent(),
+		Saturated: d.load.saturation.full(),
+		Left:      d.load.leftByUrgent(d.now),
 	})
 }
 
 // admitPending refuses a postponed query if the queries before it are expected
 // to take too long.
 func (d *Dispatcher) admitPending(q *query) {
-	ahead := slices.Index(d.pending, q) + 1
-	wait := seconds(float64(ahead) * d.duration / float64(d.topology.Concurrency))
+	ahead := slices.Index(d.queries.pending, q) + 1
+	wait := seconds(float64(ahead) * d.means.queryTime / float64(d.fleet.topology.Concurrency))
 	admitted := d.config.Admission.Admit(admission.Prediction{
 		Wait:      wait,
-		Service:   seconds(d.duration),
+		Service:   seconds(d.means.queryTime),
 		Remaining: q.Deadline - d.now,
 		Urgent:    true,
 	})
 	if !admitted {
-		d.refuse(q, wait)
+		d.refuseForLoad(q, wait)
 	}
 }
 
-// refuse ends a query that is not taken because of load.
-func (d *Dispatcher) refuse(q *query, wait time.Duration) {
+// refuseForLoad ends a query that is not taken because of load.
+func (d *Dispatcher) refuseForLoad(q *query, wait time.Duration) {
 	d.counters.Overloaded++
-	q.retryAfter = d.config.Admission.RetryAfter(wait)
+	q.findings.retryAfter = d.config.Admission.RetryAfter(wait)
 	d.finish(q, OutcomeNotRun, ReasonOverload)
 }
 
-// fullSaturation is the saturation from which the service counts as overloaded.
-const fullSaturation = 1.0
-
 // predictWait returns the time until a new query gets a slot of the group: for
 // each class that goes first, the work that waits for the leaves of the group
-// over the rate at which such work can be sent there. That is the rate of
-// late, or that of the slots that others and the classes before it leave free.
-// Unless the service is saturated, the query waits until its promotion, and
+// over the rate at which such work can be sent there. That is the recent rate,
+// or that of the slots that others and the classes before it leave free. Unless the service is saturated, the query waits until its promotion, and
 // then for the most urgent work only.
 func (d *Dispatcher) predictWait(g *group, q *query) time.Duration {
-	d.loads = d.loads[:0]
+	d.scratch.loads = d.scratch.loads[:0]
 	for _, l := range g.leaves {
-		if l.takesWork() && !l.held(d.now) {
-			d.loads = append(d.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.othersLong})
+		if l.takesWork() && !l.holdOff.active(d.now) {
+			d.scratch.loads = append(d.scratch.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.reports.longMean})
 		}
 	}
 	longest, urgent := time.Duration(0), time.Duration(0)
-	for _, other := range d.ranked {
+	for _, other := range d.classes.ranked {
 		longest = max(longest, d.predictClass(g, other))
-		if other.priority <= d.ranked[0].priority {
+		if d.classes.mostUrgent(other) {
 			urgent = longest
 		}
 		if other == q.class {
 			break
 		}
 	}
-	if d.saturated() {
+	if d.load.saturation.full() {
 		return longest
 	}
 	return min(longest, urgent+q.promoteAt-d.now)
@@ -93,10 +144,10 @@
 // slots from the loads. The wait is at least that of the first that waits.
 func (d *Dispatcher) predictClass(g *group, class *classState) time.Duration {
 	work, sent, free := 0.0, 0.0, 0.0
-	for index := range d.loads {
-		load := &d.loads[index]
+	for index := range d.scratch.loads {
+		load := &d.scratch.loads[index]
 		work += load.leaf.waiting.of(class).Seconds()
-		least := leastShare(class.priority <= d.ranked[0].priority) * float64(load.leaf.limiter.Current())
+		least := leastShare(d.classes.mostUrgent(class)) * float64(load.leaf.limiter.Current())
 		free += max(load.spare, least) / load.slowness
 		rate := load.leaf.sent.of(class).rate(d.now, longMemory)
 		load.spare -= rate * load.slowness
@@ -109,46 +160,6 @@
 	return max(seconds(work/rate), g.waiting.age(class, d.now))
 }
 
-// saturation is the share of the slots of all leaves that are in use, as a
-// running mean. It is above one if the leaves queue work.
-type saturation struct {
-	mean float64
-	at   Time
-}
-
-// saturationMemory is the time constant of the mean: a few bursts long.
-const saturationMemory = 100 * time.Millisecond
-
-// saturated reports whether the service is overloaded, as far as the leaves
-// tell.
-func (d *Dispatcher) saturated() bool {
-	return d.saturation.mean >= fullSaturation
-}
-
-// sampleSaturation takes in the present use of the slots.
-func (d *Dispatcher) sampleSaturation() {
-	busy, slots := 0.0, 0
-	for _, l := range d.leaves {
-		if l.takesWork() && !l.held(d.now) {
-			busy += l.othersMean + float64(len(l.running))
-			slots += l.slots
-		}
-	}
-	weight := 1 - fade(d.now-d.saturation.at, saturationMemory)
-	d.saturation.mean += weight * (busy/float64(max(slots, 1)) - d.saturation.mean)
-	d.saturation.at = d.now
-}
-
-// leftByUrgent returns the share of the node's work that the most urgent work
-// leaves to the rest, if the leaves are saturated.
-func (d *Dispatcher) leftByUrgent() float64 {
-	sent := d.throughput.rate(d.now, shortMemory)
-	if sent == 0 {
-		return 1
-	}
-	return max(1-d.urgent.rate(d.now, shortMemory)/sent, 0)
-}
-
 // leafLoad is a leaf of a group while a wait is predicted.
 type leafLoad struct {
 	leaf     *leafState
@@ -156,11 +167,20 @@
 	spare    float64 // slots that others and the classes before leave free
 }
 
-// leastShare returns the share of the limit that work of a class is assumed to
-// get at least: the most urgent work has only itself to wait for.
+// The shares of the limit of a leaf that work of a class is assumed to get at least, so
+// that a leaf which seems full does not make its predicted wait infinite. Not measured:
+// chosen because the most urgent work has only itself to wait for, while other work may
+// starve.
+const (
+	leastUrgentShare = 0.25
+	leastOtherShare  = 0.005
+)
+
+// leastShare returns the share of the limit that work of a class is assumed to get at
+// least.
 func leastShare(urgent bool) float64 {
 	if urgent {
-		return 0.25
+		return leastUrgentShare
 	}
-	return 0.005
+	return leastOtherShare
 }
--- a/internal/decide/dispatch/restart_test.go
+++ b/internal/decide/dispatch/crash_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// reborn sends a query to a leaf that ends behind a cut, and lists all leaves as
-// started anew after a time.
-func (r *rig) reborn(length time.Duration, once bool) QueryID {
+// restarted sends a query to a leaf that crashes behind a network partition, and lists
+// all leaves as restarted after a time.
+func (r *rig) restarted(length time.Duration, once bool) QueryID {
 	r.shape = func(query *Query) {
 		query.Deadline = r.now + time.Minute
 		query.Class.Repeatable = !once
@@ -25,13 +25,13 @@
 // TestAttemptAtAFormerStartIsLost with it: the query has its answer from the next
 // start, long before its time is over.
 func TestAttemptAtAFormerStartIsLost(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
-	id := r.reborn(startLag, false)
+	r := newRig(t, 2, withoutHedges)
+	id := r.restarted(restartLag, false)
 	r.run(50 * time.Millisecond)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeAnswered {
 		t.Errorf("%+v, %v", finish, ended)
 	}
-	if len(r.d.leaves[0].running)+len(r.d.leaves[1].running) != 0 {
+	if len(r.d.fleet.leaves[0].running)+len(r.d.fleet.leaves[1].running) != 0 {
 		t.Error("the former start still counts as busy")
 	}
 }
@@ -39,8 +39,8 @@
 // TestAttemptThatMayRunOnceAtAFormerStart is not sent again: its fate is unknown, and
 // its caller is told so at once.
 func TestAttemptThatMayRunOnceAtAFormerStart(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
-	id := r.reborn(startLag, true)
+	r := newRig(t, 2, withoutHedges)
+	id := r.restarted(restartLag, true)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeUnknown {
 		t.Errorf("%+v, %v", finish, ended)
 	}
@@ -51,8 +51,8 @@
 
 // TestYoungAttemptMayRunAtTheNextStart: the news of a start comes after it.
 func TestYoungAttemptMayRunAtTheNextStart(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Hedge.Disabled = true })
-	id := r.reborn(startLag/2, false)
+	r := newRig(t, 2, withoutHedges)
+	id := r.restarted(restartLag/2, false)
 	if len(r.aborted) != 0 {
 		t.Errorf("%d attempts given up", len(r.aborted))
 	}
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -3,13 +3,9 @@
 import (
 	"math/rand/v2"
 	"net/netip"
-	"slices"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/decide/hedge"
 	"github.com/micaplank/micaplank/internal/decide/replica"
-	"github.com/micaplank/micaplank/internal/decide/rollout"
-	"github.com/micaplank/micaplank/internal/decide/snapshot"
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
@@ -22,49 +18,29 @@
 	chooser replica.Chooser
 	now     Time
 
-	topology   Topology
-	leaves     []*leafState // those of the topology, in its order
-	byAddress  map[netip.AddrPort]*leafState
-	views      []view          // newest first
-	snapshots  []snapshot.View // of the views
-	topologies uint64          // number of topologies so far
-	goneUntil  Time            // when the next override of a holding ends; zero if none
-	reborn     []*leafState    // those that the topology being taken in lists anew
-
-	byID     map[QueryID]*query
-	running  []*query // all unfinished queries, started or not
-	pending  []*query // those that wait for the concurrency limit, in order
-	started  int
-	starting bool // startPending must not start any now
+	fleet    fleet
+	queries  queryTable
 	attempts attemptTable
 	timers   timerHeap
+	waiting  waitingShards
 
-	classes  map[string]*classState
-	ranked   []*classState // in the order in which their work goes
-	meanWork float64       // mean base of the attempts, in seconds
-	budget   hedge.Budget
-	budgets  map[int]*hedge.Budget // by shard, if Config.BudgetByShard
-	// budgetBounds returns the bounds of each; nil for those of the Config.
-	budgetBounds func(shard int) hedge.Bounds
-	// allowances are those of the shards with canaries; nil without any.
-	allowances map[int]*rollout.Allowance
+	classes    classTable
+	means      means
+	load       loadEstimate
+	budgets    budgets
+	allowances allowances
 
-	saturation         saturation
-	urgent, throughput meter   // work that arrived with the highest priority, and that was sent
-	duration           float64 // mean time that queries run, in seconds
-	waiters            int
-	parked             []waiter
-	order              uint64
-	pumpRound          uint64
-	reviewAt           Time
+	counters Counters
+	actions  []Action // of the present call
+	spare    shardPool
+	scratch  scratch
+}
 
-	counters    Counters
-	actions     []Action
-	spareShards [][]shardState
-	// Scratch space of choose and of predictWait.
-	candidates      []replica.Candidate
-	candidateLeaves []*leafState
-	loads           []leafLoad
+// scratch is space that choose and predictWait use again.
+type scratch struct {
+	candidates []replica.Candidate
+	leaves     []*leafState // of the candidates
+	loads      []leafLoad
 }
 
 // New returns a Dispatcher without a topology: it answers every query with
@@ -72,14 +48,13 @@
 func New(config Config, random *rand.Rand) *Dispatcher {
 	config.Budget.Chance = random.Float64
 	return &Dispatcher{
-		config:    config,
-		chooser:   replica.NewChooser(config.Policy, config.Score, random),
-		byAddress: make(map[netip.AddrPort]*leafState),
-		byID:      make(map[QueryID]*query),
-		classes:   make(map[string]*classState),
-		meanWork:  config.InitialLatency.Seconds(),
-		budget:    hedge.NewBudget(config.Budget),
-		budgets:   make(map[int]*hedge.Budget),
+		config:  config,
+		chooser: replica.NewChooser(config.Score, random),
+		fleet:   fleet{byAddress: make(map[netip.AddrPort]*leafState)},
+		queries: queryTable{byID: make(map[QueryID]*query)},
+		classes: newClassTable(config.InitialLatency),
+		means:   means{attemptWork: config.InitialLatency.Seconds()},
+		budgets: newBudgets(config.Budget, config.BudgetByShard),
 	}
 }
 
@@ -93,29 +68,31 @@
 // is ignored.
 func (d *Dispatcher) Submit(now Time, request Query) []Action {
 	d.begin(now)
-	if _, known := d.byID[request.ID]; known {
+	if _, known := d.queries.byID[request.ID]; known {
 		return nil
 	}
 	d.counters.Submitted++
 	q := &query{
-		Query:     request,
-		class:     d.classOf(request.Class),
-		submitted: d.now,
-		settleAt:  d.config.Settle.SettleAt(d.now, request.Deadline, request.Objective),
-		promoteAt: d.now + time.Duration(d.config.Promotion*float64(request.Deadline-d.now)),
-		timer:     -1,
+		Query: request,
+		class: d.classes.of(request.Class),
+		schedule: schedule{
+			submitted: d.now,
+			settleAt:  d.config.Settle.SettleAt(d.now, request.Deadline, request.Objective),
+			promoteAt: d.now + time.Duration(d.config.Promotion*float64(request.Deadline-d.now)),
+		},
+		timer: timer{index: -1},
 	}
 	if d.mayHedge(q) {
-		q.rescueAt = d.now + time.Duration(d.config.Hedge.Rescue*float64(request.Deadline-d.now))
+		q.hedging.rescueAt = d.now + time.Duration(d.config.Hedge.Rescue*float64(request.Deadline-d.now))
 	}
-	if reason := d.unfit(q); reason != ReasonNone {
+	if reason := d.rejectReason(q); reason != ReasonNone {
 		d.reject(q, reason)
 		return d.actions
 	}
-	q.index = len(d.running)
-	d.running = append(d.running, q)
-	d.byID[q.ID] = q
-	if d.topology.Concurrency > 0 && d.started >= d.topology.Concurrency {
+	q.index = len(d.queries.running)
+	d.queries.running = append(d.queries.running, q)
+	d.queries.byID[q.ID] = q
+	if d.fleet.topology.Concurrency > 0 && d.queries.started >= d.fleet.topology.Concurrency {
 		d.postpone(q)
 		d.admitPending(q)
 		return d.actions
@@ -124,100 +101,10 @@
 	return d.actions
 }
 
-// unfit returns why a query cannot be taken at all.
-func (d *Dispatcher) unfit(q *query) Reason {
-	switch {
-	case d.topology.Stopped:
-		return ReasonStopped
-	case q.Deadline <= d.now:
-		return ReasonDeadline
-	case len(d.views) == 0:
-		return ReasonNoSnapshot
-	default:
-		return ReasonNone
-	}
-}
-
-// reject answers a query that was not taken.
-func (d *Dispatcher) reject(q *query, reason Reason) {
-	d.counters.NotRun++
-	d.actions = append(d.actions, Finish{Query: q.ID, Outcome: OutcomeNotRun, Reason: reason})
-}
-
-// postpone lets a query wait for the concurrency limit.
-func (d *Dispatcher) postpone(q *query) {
-	at, _ := slices.BinarySearchFunc(d.pending, q, func(a, b *query) int {
-		if a.Class.Priority < b.Class.Priority ||
-			a.Class.Priority == b.Class.Priority && a.Deadline <= b.Deadline {
-			return -1
-		}
-		return 1
-	})
-	d.pending = slices.Insert(d.pending, at, q)
-	d.timers.set(q, q.Deadline)
-}
-
-// startPending starts postponed queries as the concurrency limit allows.
-func (d *Dispatcher) startPending() {
-	if d.starting {
-		return
-	}
-	d.starting = true
-	defer func() { d.starting = false }()
-	for len(d.pending) > 0 && (d.topology.Concurrency == 0 || d.started < d.topology.Concurrency) {
-		q := d.pending[0]
-		d.pending = slices.Delete(d.pending, 0, 1)
-		d.start(q)
-	}
-}
-
-// start pins a snapshot and places all needed shards.
-func (d *Dispatcher) start(q *query) {
-	q.started = true
-	q.startedAt = d.now
-	d.started++
-	if reason := d.pin(q); reason != ReasonNone {
-		d.finish(q, q.failure(), reason)
-		return
-	}
-	if !q.Class.Repeatable && q.progress.Total != 1 {
-		d.finish(q, OutcomeNotRun, ReasonInvalid)
-		return
-	}
-	if !d.servable(q) {
-		d.finish(q, OutcomeNotRun, ReasonNoLeaf)
-		return
-	}
-	if wait, admitted := d.admit(q); !admitted {
-		d.refuse(q, wait)
-		return
-	}
-	for position := range q.shards {
-		d.place(q, int32(position))
-	}
-	d.review(q)
-}
-
-// servable reports whether enough shards have a leaf for the coverage that the
-// query needs. Without that, its attempts would be work in vain for the leaves that
-// there are.
-func (d *Dispatcher) servable(q *query) bool {
-	if !d.config.RequireCoverage {
-		return true
-	}
-	reachable := q.progress
-	for position := range q.shards {
-		if q.shards[position].group == nil {
-			reachable.Unavailable++
-		}
-	}
-	return reachable.Attainable(q.MinimumCoverage)
-}
-
 // Cancel ends a query whose caller went away, and aborts its attempts.
 func (d *Dispatcher) Cancel(now Time, id QueryID) []Action {
 	d.begin(now)
-	if q, known := d.byID[id]; known {
+	if q, known := d.queries.byID[id]; known {
 		d.finish(q, q.failure(), ReasonCancelled)
 	}
 	return d.actions
@@ -227,7 +114,7 @@
 // or mislead, except that a leaf which says it drains gets no more work.
 func (d *Dispatcher) Observe(now Time, address netip.AddrPort, load leaf.LoadSummary) []Action {
 	d.begin(now)
-	if l, known := d.byAddress[address]; known {
+	if l, known := d.fleet.byAddress[address]; known {
 		d.observe(l, l.boot(), load, len(l.running))
 		d.pump(l)
 	}
@@ -237,61 +124,22 @@
 // Tick performs what is due; see NextTick.
 func (d *Dispatcher) Tick(now Time) []Action {
 	d.begin(now)
-	if d.goneUntil > 0 && d.now >= d.goneUntil {
+	if d.fleet.goneUntil > 0 && d.now >= d.fleet.goneUntil {
 		d.rebuild()
 	}
-	for len(d.timers) > 0 && d.timers[0].timerAt <= d.now {
+	for len(d.timers) > 0 && d.timers[0].timer.at <= d.now {
 		q := d.timers[0]
 		if q.hedgeDue(d.now) {
 			d.hedge(q)
 		}
 		d.review(q)
 	}
-	if d.busy() && d.now >= d.reviewAt {
+	if d.waiting.any() && d.now >= d.waiting.reviewAt {
 		d.pumpAll()
 	}
 	return d.actions
 }
 
-// Load describes what a Dispatcher holds at one moment.
-type Load struct {
-	// Waiting is the number of shards that wait for a leaf.
-	Waiting int
-	// Budget is the extra attempts that all budgets hold together.
-	Budget float64
-}
-
-// Load returns the present load.
-func (d *Dispatcher) Load() Load {
-	load := Load{Waiting: d.waiters, Budget: d.budget.Tokens()}
-	if d.config.BudgetByShard {
-		load.Budget = 0
-		for _, budget := range d.budgets {
-			load.Budget += budget.Tokens()
-		}
-	}
-	return load
-}
-
-// ResizeBudgets changes the bounds of the budget of each shard, if
-// Config.BudgetByShard. It keeps the function, which must be pure.
-func (d *Dispatcher) ResizeBudgets(bounds func(shard int) hedge.Bounds) {
-	d.budgetBounds = bounds
-	for shard, budget := range d.budgets {
-		budget.Resize(bounds(shard))
-	}
-}
-
-// SetProbeInterval changes the time between two probes of a slow leaf by this node.
-func (d *Dispatcher) SetProbeInterval(interval time.Duration) {
-	d.config.Probation.ProbeInterval = interval
-}
-
-// busy reports whether shards wait in the node.
-func (d *Dispatcher) busy() bool {
-	return d.waiters > 0 || len(d.parked) > 0
-}
-
 // NextTick returns when Tick has to be called next, and false if no time is
 // known. It changes with each call of the other methods.
 func (d *Dispatcher) NextTick() (Time, bool) {
@@ -302,18 +150,18 @@
 		}
 	}
 	if len(d.timers) > 0 {
-		consider(d.timers[0].timerAt)
+		consider(d.timers[0].timer.at)
 	}
-	if d.busy() {
-		consider(d.reviewAt)
+	if d.waiting.any() {
+		consider(d.waiting.reviewAt)
 	}
-	if d.goneUntil > 0 {
-		consider(d.goneUntil)
+	if d.fleet.goneUntil > 0 {
+		consider(d.fleet.goneUntil)
 	}
 	return next, known
 }
 
-// Counters returns the counts so far.
-func (d *Dispatcher) Counters() Counters {
-	return d.counters
+// SetProbeInterval changes the time between two probes of a slow leaf by this node.
+func (d *Dispatcher) SetProbeInterval(interval time.Duration) {
+	d.config.Probation.ProbeInterval = interval
 }
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -1,10 +1,6 @@
 package dispatch
 
-import (
-	"time"
-
-	"github.com/micaplank/micaplank/internal/leaf"
-)
+import "github.com/micaplank/micaplank/internal/leaf"
 
 // Reply takes in the answer of an executed attempt. If no Finish or Abort
 // dropped the attempt, the answer counts for its shard.
@@ -22,25 +18,26 @@
 		d.counters.LateReplies++
 	case reply.Shard != ended.shard || reply.Snapshot != ended.snapshot:
 		d.counters.CrossedReplies++
-		d.lost(&ended)
+		d.attemptLost(&ended)
 	default:
 		d.answer(&ended)
 	}
-	d.measure(&ended, reply)
+	d.learnFromReply(&ended, reply)
 	d.placeDue(&ended)
 	d.review(q)
 	d.pump(l)
 	return d.actions
 }
 
-// measure learns from the time that an attempt took.
-func (d *Dispatcher) measure(ended *attempt, reply Reply) {
+// learnFromReply learns from the time that an attempt took.
+func (d *Dispatcher) learnFromReply(ended *attempt, reply Reply) {
 	l, q := ended.leaf, ended.query
 	latency := d.now - ended.sentAt
 	ratio := latency.Seconds() / ended.expected
 	l.speed.Completed(d.now, ratio)
-	l.recovering = ratio < d.config.Probation.Slowness
-	l.succeeded(latency)
+	l.probation.recovering = ratio < d.config.Probation.Slowness
+	l.holdOff = holdOff{}
+	l.learnLatency(latency)
 	l.losses.Ended(&d.config.Losses, d.now, false)
 	q.class.learn(latency, ended.expected/q.class.base)
 	l.limiter.Succeeded(d.now, len(l.running)+1, reply.Load.Queue)
@@ -49,13 +46,13 @@
 
 // observe takes in what a leaf says of itself.
 func (d *Dispatcher) observe(l *leafState, boot string, load leaf.LoadSummary, own int) {
-	if l.sawBoot(boot) {
-		d.restarted(l, load.State == leaf.StateCold)
+	if l.noteBoot(boot) {
+		d.resetLeaf(l, load.State == leaf.StateCold)
 	}
 	if load.Slots > 0 {
-		l.report(d.now, load, own)
+		l.reports.add(d.now, load, own)
 	}
-	if load.State == leaf.StateDraining && l.drains(boot) {
+	if load.State == leaf.StateDraining && l.noteDraining(boot) {
 		d.rebuild()
 	}
 }
@@ -68,13 +65,13 @@
 	shard.status = shardAnswered
 	shard.answer = ended.id
 	q.progress.Answered++
-	if ended.cause == causeHedge || ended.cause == causeProbe {
+	if ended.cause == CauseHedge || ended.cause == CauseProbe {
 		d.counters.HedgesWon++
 	}
 	for slot := shard.first; slot != none; {
 		entry := &d.attempts.slots[slot]
 		slot = entry.next
-		if entry.cause != causeProbe {
+		if entry.cause != CauseProbe {
 			d.abort(entry)
 		}
 	}
@@ -94,10 +91,10 @@
 	l, q := ended.leaf, ended.query
 	awaited := ended.wanted && q.shards[ended.position].status != shardAnswered
 	if awaited {
-		d.refused(&ended, refusal)
+		d.attemptRefused(&ended, refusal)
 	}
 	d.observe(l, refusal.BootID, refusal.Load, len(l.running))
-	d.heed(&ended, refusal)
+	d.learnFromRefusal(&ended, refusal)
 	if awaited {
 		d.placeDue(&ended)
 	}
@@ -106,55 +103,25 @@
 	return d.actions
 }
 
-// heed learns from a refusal about the leaf.
-func (d *Dispatcher) heed(ended *attempt, refusal Refusal) {
-	l := ended.leaf
-	switch refusal.Reason {
-	case leaf.RefusedShed:
-		l.losses.Ended(&d.config.Losses, d.now, true)
-		l.limiter.Refused(d.now)
-		l.hold(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Shed))
-	case leaf.RefusedCold:
-		l.limiter.Restart(true)
-		l.hold(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Initial))
-	case leaf.RefusedDraining:
-		if l.drains(refusal.BootID) {
-			d.rebuild()
-		}
-	case leaf.RefusedSnapshot:
-		d.forget(l, goneHolding{snapshot: ended.snapshot, shard: allShards})
-	case leaf.RefusedMoved:
-		d.forget(l, goneHolding{snapshot: ended.snapshot, shard: ended.shard})
-	}
-}
-
-// pause returns how long a leaf is left alone that asked for a time, or none.
-func (d *Dispatcher) pause(asked, otherwise time.Duration) time.Duration {
-	if asked <= 0 {
-		return otherwise
-	}
-	return min(asked, d.config.Backoff.Maximum)
-}
-
-// refused books a refused attempt with its query.
-func (d *Dispatcher) refused(ended *attempt, refusal Refusal) {
+// attemptRefused books a refused attempt with its query.
+func (d *Dispatcher) attemptRefused(ended *attempt, refusal Refusal) {
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.lastReason = ReasonRefused
+	q.findings.lastReason = ReasonRefused
 	if refusal.Reason == leaf.RefusedInvalid {
-		q.invalid = true
+		q.findings.invalid = true
 		return
 	}
 	if refusal.Reason == leaf.RefusedShed {
-		q.retryAfter = max(q.retryAfter, d.config.Admission.RetryAfter(refusal.RetryAfter))
+		q.findings.retryAfter = max(q.findings.retryAfter, d.config.Admission.RetryAfter(refusal.RetryAfter))
 	}
 	shard.resend = true
-	shard.proved++
-	shard.charged = d.config.ChargeRefusals
-	shard.fallDue()
+	shard.unexecuted++
+	shard.chargeNext = d.config.ChargeRefusals
+	shard.markDue()
 }
 
-// Fail takes in the end of an attempt without a word of the leaf.
+// Fail takes in the end of an attempt without a reply or a refusal.
 func (d *Dispatcher) Fail(now Time, id AttemptID, failure Failure) []Action {
 	d.begin(now)
 	ended, known := d.resolve(id)
@@ -164,7 +131,7 @@
 	l, q := ended.leaf, ended.query
 	ratio := (d.now - ended.sentAt).Seconds() / ended.expected
 	if failure.Closed {
-		q.closed++
+		q.crashes++
 	}
 	if failure.Sent {
 		d.counters.FailedSent++
@@ -176,11 +143,11 @@
 		d.counters.FailedUnsent++
 	}
 	if ended.wanted && !failure.Aborted && !failure.OnTheWay {
-		l.failed(d.now, d.config.Backoff)
+		l.holdOff.failed(d.now, d.config.Backoff)
 		l.losses.Ended(&d.config.Losses, d.now, true)
 	}
 	if ended.wanted && q.shards[ended.position].status != shardAnswered {
-		d.failed(&ended, failure)
+		d.attemptFailed(&ended, failure)
 		d.placeDue(&ended)
 	}
 	d.review(q)
@@ -188,40 +155,31 @@
 	return d.actions
 }
 
-func (d *Dispatcher) failed(ended *attempt, failure Failure) {
+func (d *Dispatcher) attemptFailed(ended *attempt, failure Failure) {
 	if failure.Sent {
-		d.lost(ended)
+		d.attemptLost(ended)
 		return
 	}
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.lastReason = ReasonLost
+	q.findings.lastReason = ReasonLost
 	shard.resend = true
-	shard.proved++
-	shard.fallDue()
-}
-
-// placeDue places the shard of an attempt that has ended, unless that was
-// done, or the query ended or was pinned anew, meanwhile.
-func (d *Dispatcher) placeDue(ended *attempt) {
-	q := ended.query
-	if ended.wanted && !q.finished && q.snapshot == ended.snapshot && q.shards[ended.position].due() {
-		d.place(q, ended.position)
-	}
+	shard.unexecuted++
+	shard.markDue()
 }
 
-// lost handles an attempt that may have executed and whose answer is lost.
-func (d *Dispatcher) lost(ended *attempt) {
+// attemptLost handles an attempt that may have executed and whose answer is lost.
+func (d *Dispatcher) attemptLost(ended *attempt) {
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.lastReason = ReasonLost
+	q.findings.lastReason = ReasonLost
 	if !q.Class.Repeatable {
-		q.unknown = true
+		q.findings.unknown = true
 		return
 	}
 	shard.lost++
-	shard.spent = true
-	shard.fallDue()
+	shard.needsRetry = true
+	shard.markDue()
 }
 
 // resolve takes the attempt whose end is reported out of the tables.
@@ -242,7 +200,7 @@
 	l.running[ended.running] = moved
 	d.attempts.slots[moved].running = ended.running
 	l.running = l.running[:last]
-	l.overdueAt = unknown
+	l.overdue.at = unknown
 	d.attempts.remove(entry)
 	return ended, true
 }
--- /dev/null
+++ b/internal/decide/dispatch/lifecycle.go
@@ -0,0 +1,152 @@
+package dispatch
+
+import "slices"
+
+// queryTable holds the unfinished queries.
+type queryTable struct {
+	byID       map[QueryID]*query
+	running    []*query // all, started or not
+	pending    []*query // those that wait for the concurrency limit, in order
+	started    int
+	startsHeld bool // startPending must not start any now
+}
+
+// remove takes a query out of those that run.
+func (t *queryTable) remove(q *query) {
+	delete(t.byID, q.ID)
+	last := len(t.running) - 1
+	t.running[q.index] = t.running[last]
+	t.running[q.index].index = q.index
+	t.running[last] = nil
+	t.running = t.running[:last]
+}
+
+// removePending takes a query out of those that wait for the concurrency limit.
+func (t *queryTable) removePending(q *query) {
+	if index := slices.Index(t.pending, q); index >= 0 {
+		t.pending = append(t.pending[:index], t.pending[index+1:]...)
+	}
+}
+
+// start pins a snapshot and places all needed shards.
+func (d *Dispatcher) start(q *query) {
+	q.started = true
+	q.startedAt = d.now
+	d.queries.started++
+	if reason := d.pin(q); reason != ReasonNone {
+		d.finish(q, q.failure(), reason)
+		return
+	}
+	if !q.Class.Repeatable && q.progress.Total != 1 {
+		d.finish(q, OutcomeNotRun, ReasonInvalid)
+		return
+	}
+	if !d.servable(q) {
+		d.finish(q, OutcomeNotRun, ReasonNoLeaf)
+		return
+	}
+	if wait, admitted := d.admit(q); !admitted {
+		d.refuseForLoad(q, wait)
+		return
+	}
+	for position := range q.shards {
+		d.place(q, int32(position))
+	}
+	d.review(q)
+}
+
+// review ends the query if it is to end now, and otherwise sets its timer.
+// Every event of a query ends with it.
+func (d *Dispatcher) review(q *query) {
+	if q.finished || !q.started {
+		d.reviewPending(q)
+		return
+	}
+	d.releaseWithheld(q)
+	if !q.findings.invalid && !q.findings.unknown {
+		d.armHedges(q)
+	}
+	if q.findings.snapshotLost {
+		q.findings.snapshotLost = false
+		d.restart(q)
+	}
+	if outcome, reason, settled := d.settle(q); settled {
+		d.finish(q, outcome, reason)
+		return
+	}
+	d.setTimer(q)
+}
+
+// reviewPending ends a query that waits for the concurrency limit, at its deadline.
+func (d *Dispatcher) reviewPending(q *query) {
+	if !q.finished && d.now >= q.Deadline {
+		d.finish(q, OutcomeNotRun, ReasonDeadline)
+	}
+}
+
+// setTimer sets the time of the next event of a query without one from outside.
+func (d *Dispatcher) setTimer(q *query) {
+	next := q.Deadline
+	if q.settleAt > d.now {
+		next = min(next, q.settleAt)
+	}
+	if q.hedging.at > 0 {
+		next = min(next, max(q.hedging.at, d.now+1))
+	}
+	if q.hedging.rescueAt > d.now {
+		next = min(next, q.hedging.rescueAt)
+	}
+	if next != q.timer.at || q.timer.index < 0 {
+		d.timers.set(q, next)
+	}
+}
+
+// abandon aborts and withdraws all that the query has under way, and returns
+// the number of its attempts that may have executed.
+func (d *Dispatcher) abandon(q *query) int {
+	executed := 0
+	for position := range q.shards {
+		shard := &q.shards[position]
+		if shard.status == shardWaiting && shard.waitFor != 0 {
+			d.withdraw(q, shard)
+		}
+		if shard.status == shardAnswered || shard.needsRetry || shard.first != none {
+			executed++
+		}
+		for shard.first != none {
+			d.abort(&d.attempts.slots[shard.first])
+		}
+	}
+	return executed
+}
+
+// finish ends a query.
+func (d *Dispatcher) finish(q *query, outcome Outcome, reason Reason) {
+	d.abandon(q)
+	q.finished = true
+	d.timers.remove(q)
+	d.queries.remove(q)
+	d.counters.finished(outcome)
+	if q.started && q.progress.Answered > 0 {
+		d.means.queryTime += queryTimeWeight * ((d.now - q.startedAt).Seconds() - d.means.queryTime)
+	}
+	result := q.result()
+	result.Outcome = outcome
+	result.Reason = reason
+	if outcome == OutcomeNotRun || outcome == OutcomeFailed {
+		result.RetryAfter = d.retryAfter(q, reason)
+	}
+	d.actions = append(d.actions, result)
+	d.spare.give(q.shards)
+	q.shards = nil
+	if q.started {
+		d.queries.started--
+		d.startPending()
+		return
+	}
+	d.queries.removePending(q)
+}
+
+// queryTimeWeight is the weight of one query in the mean time of queries. Not measured:
+// chosen so that the mean follows some twenty queries.
+const queryTimeWeight = 0.05
--- a/internal/decide/dispatch/mechanism_test.go
+++ b/internal/decide/dispatch/mechanism_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -34,6 +35,11 @@
 	shape    func(*Query) // changes each query; nil for nothing
 }
 
+// withoutHedges lets no latency count as known, and withoutProbes no leaf get a probe
+// within the time of a test.
+func withoutHedges(config *Config) { config.Hedge.Samples = math.MaxInt }
+func withoutProbes(config *Config) { config.Probation.ProbeInterval = time.Hour }
+
 func newRig(t *testing.T, replicas int, change func(*Config)) *rig {
 	config := DefaultConfig()
 	if change != nil {
@@ -146,7 +152,7 @@
 }
 
 func TestHedgeGoesToTheOtherReplicaAndTheLoserIsAborted(t *testing.T) {
-	r := newRig(t, 2, func(config *Config) { config.Probation.Disabled = true })
+	r := newRig(t, 2, withoutProbes)
 	r.load(100)
 	id := r.submit(1)
 	late := r.open[0]
@@ -192,12 +198,12 @@
 	r.load(200)
 	id := r.submit(1)
 	late := r.d.attempts.find(r.open[0].Attempt)
-	fresh := r.d.remaining(r.d.byID[id], late)
+	fresh := r.d.timeToAnswer(r.d.queries.byID[id], late)
 	if fresh < 0.009 || fresh > 0.012 {
 		t.Errorf("a fresh attempt of 10 ms is expected to take %.3f s", fresh)
 	}
 	r.d.now += 50 * time.Millisecond
-	if left := r.d.remaining(r.d.byID[id], late); left < 0.05 {
+	if left := r.d.timeToAnswer(r.d.queries.byID[id], late); left < 0.05 {
 		t.Errorf("after 50 ms it is expected to take %.3f s more", left)
 	}
 }
--- a/internal/decide/dispatch/restart.go
+++ b/internal/decide/dispatch/restart.go
@@ -1,41 +1,48 @@
+// Rule: restart. A query whose pinned snapshot lost a leaf for a needed shard runs again,
+// as a whole and once, at a newer snapshot that covers more of its shards than the pinned
+// one can still reach, if the time of one attempt is left.
+//
+// Inputs: shards reachable at the pinned and at the newest suitable snapshot, the work of
+// the class (seconds), the deadline.
+//
+// Reason: rows of two snapshots are not mixed, so a shard that no leaf holds any more at
+// the pinned one can only be answered by starting again. Twice could go on for ever while
+// versions roll out.
+//
+// Not measured: that it is done once; chosen because it bounds the extra load of a query.
+
 package dispatch
 
 import (
-	"slices"
 	"time"
-)
 
-// startLag is how much later than its start a leaf is listed anew, at most: the pause
-// of a watch while much changes is 0.5 s, and the entry and the news are on their way
-// for less than that. An attempt that is younger may run at the new start.
-const startLag = time.Second
+	"github.com/micaplank/micaplank/internal/decide/snapshot"
+)
 
-// loseFormer takes the attempts at the former starts of leaves that were listed anew
-// to be lost. Where the process ended in reach, its end of the connection told so; a
-// leaf that ended behind a cut says nothing, and its requests would wait until their
-// time is over.
-func (d *Dispatcher) loseFormer() {
-	reborn := d.reborn
-	d.reborn = d.reborn[:0]
-	for _, l := range reborn {
-		for _, slot := range slices.Clone(l.running) {
-			d.loseAttempt(&d.attempts.slots[slot])
-		}
+// restart runs the whole query again at a newer snapshot, if that is allowed.
+func (d *Dispatcher) restart(q *query) {
+	if q.restarted || !q.Class.Repeatable {
+		return
 	}
-}
-
-// loseAttempt takes one attempt to be lost with its leaf, if its query still waits.
-func (d *Dispatcher) loseAttempt(entry *attempt) {
-	if !entry.wanted || d.now-entry.sentAt < startLag {
+	if d.now+time.Duration(q.class.base*float64(time.Second)) >= q.Deadline {
+		return
+	}
+	index, found := snapshot.Pick(d.fleet.snapshots, q.need())
+	if !found || !q.snapshot.Less(d.fleet.views[index].snapshot) {
+		return
+	}
+	covered, needed := q.need().Covered(&d.fleet.snapshots[index])
+	reachable := q.progress.Total - q.progress.Unavailable
+	if covered*q.progress.Total <= reachable*needed {
 		return
 	}
-	lost := *entry
-	q := lost.query
-	d.abort(entry)
-	q.executed = true
-	if q.shards[lost.position].status != shardAnswered {
-		d.lost(&lost)
-		d.placeDue(&lost)
+	executed := d.abandon(q)
+	q.restarted = true
+	q.hedging.armed, q.hedging.at = false, 0
+	d.counters.Restarts++
+	d.pinTo(q, &d.fleet.views[index])
+	for position := range q.shards {
+		q.shards[position].needsRetry = position < executed
+		d.place(q, int32(position))
 	}
-	d.review(q)
 }
--- a/internal/decide/replica/score.go
+++ b/internal/decide/replica/score.go
@@ -1,43 +1,42 @@
 package replica
 
-// ScoreConfig tunes the scores. Its defaults were found by simulation; see
-// docs/design/0007-replica-choice.md.
+// ScoreConfig tunes the scores.
 type ScoreConfig struct {
 	// OthersWeight is the weight of the estimated attempts of other nodes,
 	// from 0 to 1: they are known late, and from what the leaf says. Own
-	// attempts have the weight 1. Default 0.3.
+	// attempts have the weight 1.
 	OthersWeight float64
 	// Crowding is the price of a leaf whose slots are all in use, over that of
 	// an empty one, in mean attempts; it spreads work before queues form.
-	// Default 0.3.
 	Crowding float64
-	// Noise is the slowness up to which a leaf counts as ordinary. Default
-	// 1.4.
+	// Noise is the slowness up to which a leaf counts as ordinary.
 	Noise float64
 	// LossPrice is the price of a lost attempt, over the time of one that is
-	// answered: it takes of the budget, and a shard has few. Default 0.
+	// answered: it takes of the budget, and a shard has few.
 	LossPrice float64
 	// Tie is the relative difference up to which two scores count as equal,
-	// so that the zone decides. Default 0.03.
+	// so that the zone decides.
 	Tie float64
 }
 
-// DefaultScoreConfig returns the defaults.
+// DefaultScoreConfig returns the defaults. The figures are the 99th percentile of short
+// queries over that of an oracle, simulated without faults at 60 % load for three services
+// (one simulation each, 4 seeds): 1.113, 1.061 and 1.074 with full weights, no noise and
+// no price of crowding.
 func DefaultScoreConfig() ScoreConfig {
-	return ScoreConfig{OthersWeight: 0.3, Crowding: 0.3, Noise: 1.4, Tie: 0.03}
-}
-
-// scoreOf returns the score of a candidate under the policy; the lowest wins.
-func (h *Chooser) scoreOf(c *Candidate, work Work) float64 {
-	switch h.policy {
-	case LeastInFlight:
-		return float64(c.InFlight)
-	case LatencyInFlight:
-		return latencyInFlight(c)
-	case WorkPriced:
-		return PricedWork(c, work)
-	default:
-		return h.score.completion(c, work)
+	return ScoreConfig{
+		// 1.052, 1.061 and 1.039 with 0.5 and the noise below, 1.055, 1.099 and 1.008 with 0;
+		// 1.032, 1.031 and 1.003 with 0.3 and the price of crowding.
+		OthersWeight: 0.3,
+		// As before; other prices were not compared there.
+		Crowding: 0.3,
+		// 1.098, 1.054 and 1.075 with 1.4 alone. Other values were not compared.
+		Noise: 1.4,
+		// No price by default; nodes whose leaves are lossy set one.
+		LossPrice: 0,
+		// Not measured in the simulation: chosen so that only scores which differ by less
+		// than their error count as equal.
+		Tie: 0.03,
 	}
 }
 
@@ -62,29 +61,6 @@
 	return max(slowness/s.Noise, 1)
 }
 
-// latencyInFlight follows the rule of Prequal: a replica is hot if most of its
-// slots are in use; cold ones are ordered by latency, and hot ones, which come
-// last, by their attempts in flight.
-func latencyInFlight(c *Candidate) float64 {
-	const hotShare = 0.84
-	const hotPenalty = 1e6
-	total := float64(c.InFlight) + c.Others
-	if total > hotShare*float64(c.Slots) {
-		return hotPenalty * (1 + total)
-	}
-	return c.Latency
-}
-
-// PricedWork returns the work waiting on the leaf plus the incoming work,
-// over the rate of the leaf, in seconds. The rate is that of all its slots.
-func PricedWork(c *Candidate, work Work) float64 {
-	waiting := (float64(c.InFlight) + c.Others) * work.Mean
-	if c.Full() {
-		waiting += float64(work.Ahead) * work.Mean
-	}
-	return c.Slowness * (waiting + work.Base) / float64(c.Slots)
-}
-
 // Completion returns the expected time until the leaf has done the incoming
 // work, in seconds: the wait for a slot, and the work at the leaf's speed.
 func Completion(c *Candidate, work Work) float64 {
