--- a/internal/edge/relay/equals_test.go
+++ b/internal/decide/executors/equals_test.go
@@ -1,4 +1,4 @@
-package relay
+package executors
 
 import (
 	"fmt"
@@ -24,17 +24,17 @@
 	byRole := make(map[Role]int)
 	zones := make(map[string]int)
 	for _, self := range members {
-		fleet := Fleet{Least: 24}
+		fleet := Assigner{EqualNodes: 24}
 		roles := fleet.Assign(self, members)
 		byRole[roles.Self]++
 		if roles.Self == RoleExecutor {
 			zones[self.Zone]++
 		}
 	}
-	if byRole[RoleExecutor] != 8 || byRole[RoleRelay] != 68 || len(zones) != 4 {
+	if byRole[RoleExecutor] != 8 || byRole[RoleDelegator] != 68 || len(zones) != 4 {
 		t.Errorf("roles %v, executors by zone %v", byRole, zones)
 	}
-	for _, fleet := range []Fleet{{}, {Least: 77}} {
+	for _, fleet := range []Assigner{{}, {EqualNodes: 77}} {
 		if roles := fleet.Assign(members[0], members); roles.Self != RoleAlone || len(roles.Executors) > 0 {
 			t.Errorf("%+v: %+v", fleet, roles)
 		}
@@ -43,12 +43,12 @@
 	for index := range small {
 		small[index].Cores = 0.192
 	}
-	slow := Fleet{Least: 24}
+	slow := Assigner{EqualNodes: 24}
 	if roles := slow.Assign(small[0], small); roles.Self != RoleAlone {
 		t.Errorf("small nodes: %+v", roles)
 	}
 	sizes := append(equals(76, 4), node("large", "zone-0", 1.6))
-	fleet := Fleet{Least: 24}
+	fleet := Assigner{EqualNodes: 24}
 	if roles := fleet.Assign(sizes[0], sizes); len(roles.Executors) != 1 || roles.Executors[0].Name != "large" {
 		t.Errorf("beside a large node: %+v", roles)
 	}
@@ -57,7 +57,7 @@
 // TestFleetKeepsItsExecutors while a few nodes come and go.
 func TestFleetKeepsItsExecutors(t *testing.T) {
 	members := equals(30, 3)
-	fleet := Fleet{Least: 24}
+	fleet := Assigner{EqualNodes: 24}
 	for _, test := range []struct {
 		nodes  int
 		chosen bool
--- /dev/null
+++ b/internal/decide/executors/table.go
@@ -0,0 +1,208 @@
+package executors
+
+import (
+	"slices"
+	"time"
+
+	"github.com/micaplank/micaplank/internal/edge/liveness"
+	"github.com/micaplank/micaplank/internal/roster"
+)
+
+// Config is the policy of a Table.
+type Config struct {
+	// HeartbeatInterval is the time between two questions to an executor.
+	HeartbeatInterval time.Duration
+	// HeartbeatTimeout is how long after its last answer an executor counts as
+	// lost.
+	HeartbeatTimeout time.Duration
+}
+
+// DefaultConfig returns the defaults.
+//
+// 250 ms between heartbeats: 50 ms until an executor first answers gained 0.018 on the
+// mean in the window of a power-off, within the spread of its runs. 800 ms until one is
+// lost: not measured, chosen as three heartbeats.
+func DefaultConfig() Config {
+	return Config{HeartbeatInterval: 250 * time.Millisecond, HeartbeatTimeout: 800 * time.Millisecond}
+}
+
+const (
+	// watchedExecutors is how many executors a node keeps in touch with, beside those
+	// that are lost. Not measured: chosen as those of its zone and one of another.
+	watchedExecutors = 3
+	// MaxOffers is how many executors a request is offered to before the node runs
+	// it itself. Not measured: chosen because each refusal costs a round trip.
+	MaxOffers = 2
+	// latencyWeight is the weight of one request, or one heartbeat, in an executor's
+	// mean latency and round trip, from 0 to 1. Not measured.
+	latencyWeight = 0.1
+	// slowFactor is how many times slower than another an executor must be, by its
+	// mean latency, to be passed over for it. Not measured: chosen above the spread
+	// between sound ones.
+	slowFactor = 1.5
+	// Handling is the time that it takes to read a whole answer and to write it
+	// again, beyond what a heartbeat takes. Not measured.
+	Handling = 1500 * time.Microsecond
+	// Grace is how long after a request's timeout its executor may answer: it ends
+	// the request in time, and the answer has a way to come. Not measured.
+	Grace = 100 * time.Millisecond
+)
+
+// Executor is what a node knows of one executor. Its Member and Near never change.
+type Executor struct {
+	roster.Member
+	liveness.State
+	// Near says that it is in the node's own zone.
+	Near bool
+	// InFlight counts the requests of this node that it runs.
+	InFlight int
+	// Status is its last one.
+	Status Status
+	// knownAt is since when it is asked.
+	knownAt time.Duration
+	// latency is the mean of its requests, in seconds; zero without one.
+	latency float64
+}
+
+// Table holds the executors of a node, and chooses among them. It is not safe for
+// concurrent use.
+type Table struct {
+	config Config
+	self   roster.Member
+	// preferred holds all executors, those first that this node prefers.
+	preferred []roster.Member
+	// watched are the first of them, so many that watchedExecutors are not lost.
+	watched []*Executor
+}
+
+// NewTable returns a Table of a node that knows no executor yet.
+func NewTable(config Config, self roster.Member) Table {
+	return Table{config: config, self: self}
+}
+
+// Replace sets the executors there are; what is known of those that stay is kept.
+// Requests that run on one that goes are left to finish.
+func (t *Table) Replace(now time.Duration, executors []roster.Member) {
+	t.preferred = roster.Preferred(t.self, executors)
+	t.Watch(now)
+}
+
+// Watch chooses the executors to keep in touch with: the preferred ones, and a
+// further one for each that is lost.
+func (t *Table) Watch(now time.Duration) {
+	known := make(map[string]*Executor, len(t.watched))
+	for _, one := range t.watched {
+		known[one.Name] = one
+	}
+	t.watched = t.watched[:0:0]
+	inTouch := 0
+	for _, member := range t.preferred {
+		if inTouch == watchedExecutors {
+			return
+		}
+		kept := known[member.Name]
+		if kept == nil || kept.Member != member {
+			kept = &Executor{Member: member, State: liveness.State{Weight: latencyWeight}, knownAt: now, Near: member.Zone == t.self.Zone}
+		}
+		if !t.lost(now, kept) {
+			inTouch++
+		}
+		t.watched = append(t.watched, kept)
+	}
+}
+
+// Watched returns the executors to keep in touch with.
+func (t *Table) Watched() []*Executor { return slices.Clone(t.watched) }
+
+// Len counts the executors to keep in touch with.
+func (t *Table) Len() int { return len(t.watched) }
+
+// Alive counts those of them that answer.
+func (t *Table) Alive() int {
+	return t.count(func(one *Executor) bool { return one.Alive() != nil })
+}
+
+// Usable counts those of them that would take a request under the terms.
+func (t *Table) Usable(terms Terms) int {
+	return t.count(func(one *Executor) bool { return one.usable(terms) })
+}
+
+func (t *Table) count(counts func(*Executor) bool) int {
+	count := 0
+	for _, one := range t.watched {
+		if counts(one) {
+			count++
+		}
+	}
+	return count
+}
+
+// lost reports whether an executor does not answer. One that was not asked for
+// long enough yet may be well.
+func (t *Table) lost(now time.Duration, one *Executor) bool {
+	return one.Alive() == nil && now-max(one.HeardAt, one.knownAt) > t.config.HeartbeatTimeout
+}
+
+// Heard records the answer of an executor to a heartbeat, and reports whether it was
+// lost before.
+func (t *Table) Heard(now, roundTrip time.Duration, from *Executor, status Status) (regained bool) {
+	from.Status = status
+	return from.Answered(now, roundTrip)
+}
+
+// Expire counts those executors as lost that were not heard for the timeout.
+func (t *Table) Expire(now time.Duration) {
+	for _, one := range t.watched {
+		if one.Silent(now, t.config.HeartbeatTimeout) {
+			one.Lose()
+		}
+	}
+}
+
+// Choose returns the executor for a request under the terms, or nil: none of those
+// tried already. Those near come first; among equals, the one with the least in
+// flight, unless it is slow.
+func (t *Table) Choose(terms Terms, tried []*Executor) *Executor {
+	var best *Executor
+	for _, one := range t.watched {
+		if !one.usable(terms) || slices.Contains(tried, one) {
+			continue
+		}
+		if best == nil || one.before(best) {
+			best = one
+		}
+	}
+	return best
+}
+
+// usable reports whether the executor is alive, and takes requests under the
+// terms.
+func (e *Executor) usable(terms Terms) bool {
+	return e.Alive() != nil && e.Status.Takes(terms)
+}
+
+// before reports whether a request should go to e rather than to other.
+func (e *Executor) before(other *Executor) bool {
+	switch {
+	case e.Near != other.Near:
+		return e.Near
+	case e.latency > 0 && other.latency > 0 && e.latency > slowFactor*other.latency:
+		return false
+	case e.latency > 0 && other.latency > 0 && other.latency > slowFactor*e.latency:
+		return true
+	default:
+		return e.InFlight < other.InFlight
+	}
+}
+
+// Away is the time that a request and its answer spend on the way to the executor
+// and back.
+func (e *Executor) Away() time.Duration { return e.RoundTrip + Handling }
+
+// Completed records the time that a request took.
+func (e *Executor) Completed(took time.Duration) {
+	if e.latency == 0 {
+		e.latency = took.Seconds()
+	}
+	e.latency += latencyWeight * (took.Seconds() - e.latency)
+}
--- a/internal/edge/node/cold.go
+++ b/internal/edge/node/cold.go
@@ -1,12 +1,10 @@
 package node
 
 import (
-	"slices"
-
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/edge/relay"
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/roster"
 )
@@ -58,7 +56,7 @@
 // shareCold says how many attempts this node may send to each cold leaf whose
 // service bounds them. No node asks another for that: all compute the same shares
 // from the nodes that are announced. The caller holds the mutex.
-func (f *Node) shareCold(topology *dispatch.Topology, roles relay.Roles, members []roster.Member) {
+func (f *Node) shareCold(topology *dispatch.Topology, roles executors.Roles, members []roster.Member) {
 	now := f.clock.Now()
 	for index := range topology.Leaves {
 		one := &topology.Leaves[index]
@@ -75,16 +73,14 @@
 
 // coldSharers returns the nodes with which this one divides a part of what a cold
 // leaf of a service bears.
-func coldSharers(self roster.Member, roles relay.Roles, members []roster.Member, shard bool) ([]roster.Member, float64) {
+func coldSharers(self roster.Member, roles executors.Roles, members []roster.Member, shard bool) ([]roster.Member, float64) {
 	if !shard || len(roles.Executors) == 0 {
 		return members, 1
 	}
-	if roles.Self == relay.RoleExecutor {
+	if roles.Self == executors.RoleExecutor {
 		return roles.Executors, coldExecutors
 	}
-	return slices.DeleteFunc(slices.Clone(members), func(member roster.Member) bool {
-		return slices.Contains(roles.Executors, member)
-	}), 1 - coldExecutors
+	return roles.Others(members), 1 - coldExecutors
 }
 
 // coldRate returns the share of one node in a rate that some nodes divide at a
--- a/internal/edge/node/cold_test.go
+++ b/internal/edge/node/cold_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/micaplank/micaplank/internal/edge/relay"
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/roster"
 )
@@ -33,7 +33,7 @@
 		borne := rapid.Float64Range(10, 200).Draw(t, "borne")
 		all := 0.0
 		for _, member := range members {
-			sharers, part := coldSharers(member, relay.Assign(member, members), members, shard)
+			sharers, part := coldSharers(member, executors.Assign(member, members), members, shard)
 			all += coldRate(member.Name, "leaf-7", sharers, coldUsed*part*borne)
 		}
 		if all > coldUsed*borne+1e-6 || all < coldUsed*(1-coldExecutors)*borne-1e-6 {
--- a/internal/edge/node/connections_test.go
+++ b/internal/edge/node/connections_test.go
@@ -76,7 +76,7 @@
 func (f *Node) standby() map[string]bool {
 	marked := make(map[string]bool)
 	topology := f.leaves.Topology()
-	f.shareLeaves(&topology, shareOf(f.fleet.Assign(f.member, f.nodes.Members(0)), f.nodes.Members(0), f.nodes.Count(0)))
+	f.shareLeaves(&topology, shareOf(f.roles.Assign(f.member, f.nodes.Members(0)), f.nodes.Members(0), f.nodes.Count(0)))
 	for _, one := range topology.Leaves {
 		marked[one.BootID] = one.Standby
 	}
--- a/internal/edge/node/executor.go
+++ b/internal/edge/node/executor.go
@@ -6,6 +6,7 @@
 
 	"github.com/oklog/ulid/v2"
 
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/combine"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/relay"
@@ -17,16 +18,11 @@
 // executor runs requests of other nodes.
 type executor struct{ *Node }
 
-// queriesPerCore bounds the queries that run here for others to take more: they
-// take memory while they wait for leaves.
-const queriesPerCore = 50
-
 // room reports whether this node can take requests of others.
 func (e executor) room() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	few := float64(e.conn.InFlight()) < queriesPerCore*e.member.Cores
-	return few && e.load.Room(e.clock.Now(), e.member.Cores)
+	return e.load.Accepts(e.clock.Now(), e.member.Cores, e.conn.InFlight())
 }
 
 // ran books the attempts of a request that took some time.
@@ -38,8 +34,8 @@
 }
 
 // Status implements relay.Executor.
-func (e executor) Status() relay.Status {
-	return relay.Status{
+func (e executor) Status() executors.Status {
+	return executors.Status{
 		Version:   e.forwarder.Version(),
 		Accepting: e.room() && e.ready(),
 		Fresh:     e.forwarder.Fresh(),
@@ -48,8 +44,8 @@
 }
 
 // terms are those of a request that is taken now.
-func (f *Node) terms() relay.Terms {
-	return relay.Terms{Version: f.forwarder.Version(), Fresh: f.forwarder.Fresh(), Cordoned: f.cordoned()}
+func (f *Node) terms() executors.Terms {
+	return executors.Terms{Version: f.forwarder.Version(), Fresh: f.forwarder.Fresh(), Cordoned: f.cordoned()}
 }
 
 // cordoned returns the zones that are out of service, by name.
@@ -90,19 +86,6 @@
 	return server, nil
 }
 
-// combiners returns the nodes through which attempts at leaves of other zones
-// may go. A node that hands its requests to executors needs none.
-func combiners(roles relay.Roles, members []roster.Member) []roster.Member {
-	switch {
-	case roles.Self == relay.RoleRelay:
-		return nil
-	case len(roles.Executors) > 0:
-		return roles.Executors
-	default:
-		return members
-	}
-}
-
 // self is what a node tells the others.
 func (f *Node) self() roster.Member {
 	return roster.Member{
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -18,6 +18,7 @@
 
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/combine"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/mirror"
@@ -66,8 +67,8 @@
 	firstRead chan struct{}
 	former    uint64
 	nodes     *roster.Roster
-	load      relay.Load
-	fleet     relay.Fleet
+	load      executors.Load
+	roles     executors.Assigner
 	rollouts  *rollouts
 	gate      *quarantined
 }
@@ -110,8 +111,8 @@
 	f.forwarder = forward.New(forwardConfig(f.settings.Forward, f.clock), f.conn, f.gate, f.index)
 	f.nodes = roster.New(nodesMemory, f.settings.Forward.ExtraNodes)
 	f.shared = mirror.NewShared(mirror.DefaultSharedConfig(), f.ports.Store, watchPeers{client: f.peers, self: f.member.Name}, f.clock, f.logger)
-	f.fleet = relay.Fleet{Least: f.settings.Forward.EqualNodes}
-	f.relay = relay.New(relay.DefaultConfig(), f.member, f.peers, f.clock, registerer, f.logger)
+	f.roles = executors.Assigner{EqualNodes: f.settings.Forward.EqualNodes}
+	f.relay = relay.New(executors.DefaultConfig(), f.member, f.peers, f.clock, registerer, f.logger)
 	f.rollouts = newRollouts(f, registerer)
 	registerer.MustRegister(newCollector(f))
 	f.expiry = time.AfterFunc(time.Hour, f.publish)
@@ -127,10 +128,6 @@
 	return answer
 }
 
-// relayGrace is how long after a request's time its executor may answer: it ends
-// the request in time, and the answer has a way to come.
-const relayGrace = 100 * time.Millisecond
-
 // execute hands a request of many shards to an executor, or runs it here.
 func (f *Node) execute(ctx context.Context, request *forward.Request) forward.Answer {
 	if timeout, spread := f.forwarder.Spread(request); spread && f.relay.InUse() {
@@ -146,7 +143,7 @@
 
 // handOn offers a request to executors. It returns false if none takes it.
 func (f *Node) handOn(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
-	relaying, cancel := context.WithTimeout(ctx, timeout+relayGrace)
+	relaying, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
 	defer cancel()
 	return f.relay.Execute(relaying, f.terms(), request)
 }
--- a/internal/edge/node/node_test.go
+++ b/internal/edge/node/node_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/forward"
-	"github.com/micaplank/micaplank/internal/edge/relay"
 	"github.com/micaplank/micaplank/internal/edge/subset"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/scatter"
@@ -50,22 +50,22 @@
 	for _, shard := range []bool{true, false} {
 		saved := 0.0
 		for _, member := range members {
-			bounds := slackOf(relay.Assign(member, members), members, len(members), shard).budget(from)
+			bounds := slackOf(executors.Assign(member, members), members, len(members), shard).budget(from)
 			saved += bounds.Capacity + bounds.Refill*from.ExtraWindow.Duration().Seconds() + bounds.Initial
 		}
 		if saved > from.ExtraSlack+0.001 || saved < 0.9*from.ExtraSlack {
 			t.Errorf("shard %v: %.1f of %.0f", shard, saved, from.ExtraSlack)
 		}
 	}
-	executor := slackOf(relay.Assign(members[0], members), members, len(members), true).budget(from)
+	executor := slackOf(executors.Assign(members[0], members), members, len(members), true).budget(from)
 	if executor.Initial < 1+executor.Reserve {
 		t.Errorf("an executor that starts has nothing for a hedge: %+v", executor)
 	}
 	if part := 8 * executor.Capacity; part < 0.8*slackShare*savedShare*from.ExtraSlack {
 		t.Errorf("executors save up to %.1f of %.0f at a shard", part, from.ExtraSlack)
 	}
-	other := slackOf(relay.Assign(members[63], members), members, len(members), false).budget(from)
-	if alone := slackOf(relay.Assign(members[0], members), members, len(members), false).budget(from); alone != other {
+	other := slackOf(executors.Assign(members[63], members), members, len(members), false).budget(from)
+	if alone := slackOf(executors.Assign(members[0], members), members, len(members), false).budget(from); alone != other {
 		t.Errorf("at a service that is no shard an executor saves %+v, another node %+v", alone, other)
 	}
 }
--- a/internal/edge/node/share.go
+++ b/internal/edge/node/share.go
@@ -1,11 +1,10 @@
 package node
 
 import (
-	"slices"
 	"time"
 
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/decide/hedge"
-	"github.com/micaplank/micaplank/internal/edge/relay"
 	"github.com/micaplank/micaplank/internal/edge/subset"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/settings"
@@ -27,17 +26,14 @@
 
 // shareOf returns what a node with a role divides, and with whom. The number of
 // nodes may be larger than that of the members known.
-func shareOf(roles relay.Roles, members []roster.Member, nodes int) share {
+func shareOf(roles executors.Roles, members []roster.Member, nodes int) share {
 	if len(roles.Executors) == 0 {
 		return share{census: censusOf(members, nodes), part: 1, alone: true}
 	}
-	if roles.Self == relay.RoleExecutor {
+	if roles.Self == executors.RoleExecutor {
 		return share{census: censusOf(roles.Executors, len(roles.Executors)), part: executorPart}
 	}
-	others := slices.DeleteFunc(slices.Clone(members), func(member roster.Member) bool {
-		return slices.Contains(roles.Executors, member)
-	})
-	return share{census: censusOf(others, nodes-len(roles.Executors)), part: 1 - executorPart}
+	return share{census: censusOf(roles.Others(members), nodes-len(roles.Executors)), part: 1 - executorPart}
 }
 
 // executorSlack is the part of the extra load beyond the ratio that executors divide
@@ -50,14 +46,14 @@
 // slackOf returns what a node with a role divides of the extra load beyond the ratio,
 // and with whom: at a service that is a shard of a route, or at another one, whose
 // requests run where they came in.
-func slackOf(roles relay.Roles, members []roster.Member, nodes int, shard bool) share {
+func slackOf(roles executors.Roles, members []roster.Member, nodes int, shard bool) share {
 	divided := shareOf(roles, members, nodes)
 	switch {
 	case divided.alone:
 		return divided
 	case !shard:
 		return share{census: censusOf(members, nodes), part: 1}
-	case roles.Self == relay.RoleExecutor:
+	case roles.Self == executors.RoleExecutor:
 		divided.part = executorSlack
 	default:
 		divided.part = 1 - executorSlack
@@ -67,7 +63,7 @@
 
 // budgets returns the bounds of the extra load that this node may cause at each shard
 // of the Dispatcher, by what the configuration in force says of its service.
-func (f *Node) budgets(roles relay.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
+func (f *Node) budgets(roles executors.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
 	shards := make(map[int]bool, len(f.shards))
 	for service := range f.shards {
 		shards[f.index.Of(service)] = true
--- a/internal/edge/node/slack_test.go
+++ b/internal/edge/node/slack_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/decide/hedge"
 	"github.com/micaplank/micaplank/internal/edge/registry"
-	"github.com/micaplank/micaplank/internal/edge/relay"
 	"github.com/micaplank/micaplank/internal/leaf"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/settings"
@@ -134,7 +134,7 @@
 		}
 		members = append(members, member)
 	}
-	roles := relay.Assign(members[0], members)
+	roles := executors.Assign(members[0], members)
 	half := shareOf(roles, members, len(members)).budget(from)
 	own := slackOf(roles, members, len(members), true).budget(from)
 	before, now := 0, 0
@@ -158,10 +158,10 @@
 	for index := range 76 {
 		members = append(members, roster.Member{Name: fmt.Sprint(index), Zone: fmt.Sprint("zone-", index%4), Cores: 0.8})
 	}
-	fleet := relay.Fleet{Least: from.EqualNodes}
+	fleet := executors.Assigner{EqualNodes: from.EqualNodes}
 	chosen := fleet.Assign(members[0], members)
 	executor := slackOf(fleet.Assign(chosen.Executors[0], members), members, len(members), true).budget(from)
-	alone := slackOf(relay.Assign(members[0], members), members, len(members), true).budget(from)
+	alone := slackOf(executors.Assign(members[0], members), members, len(members), true).budget(from)
 	before, now := 0, 0
 	for seed := range uint64(20) {
 		before += newSlackPlay(alone, alonePause, oneHangs, seed).run()
--- a/internal/edge/relay/executor.go
+++ b/internal/edge/relay/executor.go
@@ -4,6 +4,7 @@
 	"context"
 	"net/netip"
 
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/peer"
 )
@@ -11,7 +12,7 @@
 // Executor runs requests of other nodes.
 type Executor interface {
 	// Status says whether requests are taken now, and under which version.
-	Status() Status
+	Status() executors.Status
 	// Run runs a request of another node under a version of the configuration
 	// and blocks until its fate is known. It returns false, and has run nothing,
 	// if another version is in force.
@@ -20,7 +21,7 @@
 
 // Serve takes requests of other nodes. It is called before the server serves.
 func Serve(server *peer.Server, executor Executor) {
-	peer.Register(server, methodStatus, func(context.Context, netip.AddrPort, *statusRequest) (*Status, error) {
+	peer.Register(server, methodStatus, func(context.Context, netip.AddrPort, *statusRequest) (*executors.Status, error) {
 		status := executor.Status()
 		return &status, nil
 	})
@@ -31,7 +32,7 @@
 
 func execute(ctx context.Context, executor Executor, request *executeRequest) *executeResponse {
 	status := executor.Status()
-	if !status.takes(request.Terms) {
+	if !status.Takes(request.Terms) {
 		return &executeResponse{Refusal: refusedTerms, Status: status}
 	}
 	answer, ran := executor.Run(ctx, request.From, request.Terms.Version, &forward.Request{
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -1,3 +1,12 @@
+// Package relay hands requests of many shards to executors: nodes that run them for
+// others.
+//
+// It owns the connections, heartbeats and calls; who is an executor, and which one
+// gets a request, is decided by package executors.
+//
+// A request is delegated at most once. If the executor proves that it did not run it,
+// another one gets it, and last the node itself. If the executor is lost with it, the
+// request may have run and has failed.
 package relay
 
 import (
@@ -11,6 +20,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/event"
 	"github.com/micaplank/micaplank/internal/peer"
@@ -24,16 +34,16 @@
 
 // Relay hands requests to executors. It is safe for concurrent use.
 type Relay struct {
-	config  Config
+	config  executors.Config
 	self    roster.Member
 	caller  Caller
 	clock   clock.Clock
 	logger  *slog.Logger
 	metrics *metrics
 
-	mutex sync.Mutex
-	board board
-	terms Terms // of a request now
+	mutex     sync.Mutex
+	executors executors.Table
+	terms     executors.Terms // of a request now
 }
 
 // metrics are those of a Relay.
@@ -56,39 +66,43 @@
 }
 
 // New returns a Relay that knows no executor yet.
-func New(config Config, self roster.Member, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Relay {
+func New(config executors.Config, self roster.Member, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Relay {
 	return &Relay{
 		config: config, self: self, caller: caller, clock: time, logger: logger,
-		metrics: newMetrics(registerer), board: board{config: config},
+		metrics: newMetrics(registerer), executors: executors.NewTable(config, self),
 	}
 }
 
-// SetRoles takes in who runs the requests of whom, and the terms of requests now.
-func (r *Relay) SetRoles(roles Roles, terms Terms) {
+// SetRoles sets who runs the requests of whom, and the terms of requests now.
+func (r *Relay) SetRoles(roles executors.Roles, terms executors.Terms) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.terms = terms
-	executors := roles.Executors
-	if roles.Self != RoleRelay {
-		executors = nil
+	used := roles.Executors
+	if roles.Self != executors.RoleDelegator {
+		used = nil
 	}
-	r.board.set(r.clock.Now(), r.self, executors)
-	r.metrics.up.Set(float64(r.usable()))
+	r.executors.Replace(r.clock.Now(), used)
+	r.showUsable()
 }
 
-// SetTerms takes in the terms of requests now.
-func (r *Relay) SetTerms(terms Terms) {
+// SetTerms sets the terms of requests now.
+func (r *Relay) SetTerms(terms executors.Terms) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.terms = terms
-	r.metrics.up.Set(float64(r.usable()))
+	r.showUsable()
 }
 
+// showUsable counts the executors that would take a request now. The caller holds the
+// mutex.
+func (r *Relay) showUsable() { r.metrics.up.Set(float64(r.executors.Usable(r.terms))) }
+
 // InUse reports whether this node hands requests to executors at all.
 func (r *Relay) InUse() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return len(r.board.targets) > 0
+	return r.executors.Len() > 0
 }
 
 // Run keeps in touch with the executors until ctx ends.
@@ -109,87 +123,57 @@
 	}
 }
 
-// due returns the executors to be asked, and takes those to be lost that were
-// silent.
-func (r *Relay) due() []*target {
+// due returns the executors to be asked, and counts those as lost that were silent.
+func (r *Relay) due() []*executors.Executor {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	up := r.up()
-	r.board.expire(r.clock.Now())
-	if now := r.up(); now < up {
+	up := r.executors.Alive()
+	r.executors.Expire(r.clock.Now())
+	if now := r.executors.Alive(); now < up {
 		event.Log(r.logger, event.ExecutorsLost{Lost: up - now, Left: now})
 	}
-	r.board.watch(r.clock.Now())
-	r.metrics.up.Set(float64(r.usable()))
-	return append([]*target(nil), r.board.targets...)
-}
-
-// up counts the executors in touch.
-func (r *Relay) up() int {
-	count := 0
-	for _, one := range r.board.targets {
-		if one.Alive() != nil {
-			count++
-		}
-	}
-	return count
-}
-
-// usable counts the executors that would take a request.
-func (r *Relay) usable() int {
-	count := 0
-	for _, one := range r.board.targets {
-		if one.usable(r.terms) {
-			count++
-		}
-	}
-	return count
+	r.executors.Watch(r.clock.Now())
+	r.showUsable()
+	return r.executors.Watched()
 }
 
 // ask asks one executor for its status.
-func (r *Relay) ask(ctx context.Context, of *target) {
+func (r *Relay) ask(ctx context.Context, of *executors.Executor) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.HeartbeatTimeout)
 	defer cancel()
-	var status Status
+	var status executors.Status
 	started := r.clock.Now()
 	err := r.caller.Call(ctx, of.Peer, methodStatus, &statusRequest{From: r.self.Name}, &status)
 	if err != nil {
-		return // its silence is noticed by expire
+		return // executors.Table.Expire notices its silence
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.clock.Now()
-	regained := r.board.heard(now, now-started, of, status)
-	r.metrics.up.Set(float64(r.usable()))
+	regained := r.executors.Heard(now, now-started, of, status)
+	r.showUsable()
 	if regained {
 		event.Log(r.logger, event.ExecutorInTouch{Peer: of.Name, Version: status.Version, Accepting: status.Accepting, Fresh: status.Fresh})
 	}
 }
 
-// handling is the time that reading a whole answer and writing it again takes
-// beyond what a question takes.
-const handling = 1500 * time.Microsecond
-
-// maxTries is how many executors a request is offered to.
-const maxTries = 2
-
 // Execute hands a request to an executor that can keep its terms, and blocks
 // until its answer or the end of ctx. It returns false if the request has run
 // nowhere and this node should run it itself.
-func (r *Relay) Execute(ctx context.Context, terms Terms, request *forward.Request) (forward.Answer, bool) {
-	var tried []*target
-	for range maxTries {
-		chosen, alive, away := r.take(terms, tried)
+func (r *Relay) Execute(ctx context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
+	var tried []*executors.Executor
+	for range executors.MaxOffers {
+		chosen, alive, away := r.choose(terms, tried)
 		if chosen == nil {
 			return forward.Answer{}, false
 		}
 		tried = append(tried, chosen)
-		handed := *request
-		if handed.Patience > 0 {
-			handed.Patience = request.Left(r.clock.Now())
+		delegated := *request
+		if delegated.Patience > 0 {
+			delegated.Patience = request.Left(r.clock.Now())
 		}
-		handed.Away = away
-		answer, done := r.offer(ctx, chosen, alive, terms, &handed)
+		delegated.Away = away
+		answer, done := r.offer(ctx, chosen, alive, terms, &delegated)
 		if done {
 			return answer, true
 		}
@@ -197,23 +181,23 @@
 	return forward.Answer{}, false
 }
 
-// take chooses an executor. It returns with it the context that ends when it is
+// choose chooses an executor. It returns with it the context that ends when it is
 // lost, and the time that the way to it and back takes.
-func (r *Relay) take(terms Terms, tried []*target) (chosen *target, alive context.Context, away time.Duration) {
+func (r *Relay) choose(terms executors.Terms, tried []*executors.Executor) (chosen *executors.Executor, alive context.Context, away time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.board.expire(r.clock.Now())
-	chosen = r.board.pick(terms, tried)
+	r.executors.Expire(r.clock.Now())
+	chosen = r.executors.Choose(terms, tried)
 	if chosen == nil {
 		return nil, nil, 0
 	}
-	chosen.inFlight++
-	return chosen, chosen.Alive(), chosen.RoundTrip + handling
+	chosen.InFlight++
+	return chosen, chosen.Alive(), chosen.Away()
 }
 
 // offer hands a request to one executor. It returns false if the request did
 // not run there and never will.
-func (r *Relay) offer(ctx context.Context, to *target, alive context.Context, terms Terms, request *forward.Request) (forward.Answer, bool) {
+func (r *Relay) offer(ctx context.Context, to *executors.Executor, alive context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
 	calling, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := context.AfterFunc(alive, func() { cancel(errSilent) })
@@ -244,20 +228,20 @@
 	return response.answer(to.Name, terms.Version), true
 }
 
-// errSilent is why a call to an executor is given up that is not heard any more.
+// errSilent is why a call is given up: the executor does not answer heartbeats.
 var errSilent = errors.New("executor is silent")
 
-// release books the end of an offer.
-func (r *Relay) release(to *target, took time.Duration, err error, response *executeResponse) {
+// release records the end of an offer.
+func (r *Relay) release(to *executors.Executor, took time.Duration, err error, response *executeResponse) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	to.inFlight--
+	to.InFlight--
 	switch {
 	case errors.Is(err, peer.ErrLost), peer.NotExecuted(err):
-		to.Lose() // its process has ended, most likely; it is asked again at the next beat
+		to.Lose() // its process has ended, most likely; it is asked again at the next heartbeat
 	case err == nil && response.Refusal != "":
-		to.status = response.Status
+		to.Status = response.Status
 	case err == nil:
-		to.ended(took)
+		to.Completed(took)
 	}
 }
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
@@ -21,64 +22,6 @@
 	return roster.Member{Name: name, Zone: zone, Cores: cores, Peer: netip.MustParseAddrPort("127.0.0.1:" + fmt.Sprint(1000+len(name)+int(name[len(name)-1])))}
 }
 
-// fleet returns large and small nodes, spread over zones.
-func fleet(large, small int) []roster.Member {
-	zones := []string{"a", "b", "c", "d"}
-	var members []roster.Member
-	for number := range large {
-		members = append(members, node(fmt.Sprintf("large-%d", number), zones[number%4], 0.8))
-	}
-	for number := range small {
-		members = append(members, node(fmt.Sprintf("small-%d", number), zones[number%4], 0.2))
-	}
-	return members
-}
-
-func TestAssign(t *testing.T) {
-	for _, test := range []struct {
-		name      string
-		members   []roster.Member
-		self      roster.Member
-		role      Role
-		executors int
-	}{
-		{"small among large", fleet(8, 56), node("small-1", "a", 0.2), RoleRelay, 8},
-		{"large", fleet(8, 56), node("large-1", "a", 0.8), RoleExecutor, 8},
-		{"between", append(fleet(8, 56), node("middle-1", "a", 0.5)), node("middle-1", "a", 0.5), RoleAlone, 8},
-		{"all alike", fleet(0, 56), node("small-1", "a", 0.2), RoleAlone, 0},
-		{"only one large", fleet(1, 4), node("small-1", "a", 0.2), RoleRelay, 1},
-		{"few for many", fleet(2, 100), node("small-1", "a", 0.2), RoleRelay, 2},
-		{"none small enough", []roster.Member{node("x-1", "a", 0.8), node("x-2", "a", 0.5)}, node("x-2", "a", 0.5), RoleAlone, 0},
-		{"nobody known", nil, node("small-1", "a", 0.2), RoleAlone, 0},
-		{"cores not told", []roster.Member{{Name: "x"}, {Name: "y"}}, node("small-1", "a", 0.2), RoleAlone, 0},
-	} {
-		roles := Assign(test.self, test.members)
-		if roles.Self != test.role || len(roles.Executors) != test.executors {
-			t.Errorf("%s: role %d, %d executors", test.name, roles.Self, len(roles.Executors))
-		}
-	}
-}
-
-// TestWatchedSpreadOverExecutors keeps in touch with those of the zone, and with
-// others, not all nodes with the same.
-func TestWatchedSpreadOverExecutors(t *testing.T) {
-	members := fleet(8, 56)
-	executors := Assign(members[10], members).Executors
-	asked := make(map[string]int)
-	for _, self := range members[8:] {
-		b := board{config: DefaultConfig()}
-		b.set(0, self, executors)
-		chosen := b.targets
-		if len(chosen) != watchedExecutors || chosen[0].Zone != self.Zone || chosen[1].Zone != self.Zone {
-			t.Fatalf("%s watches %+v", self.Name, chosen)
-		}
-		asked[chosen[2].Name]++
-	}
-	if len(asked) < 6 {
-		t.Errorf("executors of other zones: %v", asked)
-	}
-}
-
 // fakeClock is set by a test.
 type fakeClock struct{ now time.Duration }
 
@@ -87,7 +30,7 @@
 // fakePeers answers calls by the executor's address.
 type fakePeers struct {
 	mutex   sync.Mutex
-	status  Status
+	status  executors.Status
 	execute map[netip.AddrPort]func(ctx context.Context, request *executeRequest) (executeResponse, error)
 	calls   []netip.AddrPort
 }
@@ -96,7 +39,7 @@
 	if method == methodStatus {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		*response.(*Status) = f.status
+		*response.(*executors.Status) = f.status
 		return nil
 	}
 	f.mutex.Lock()
@@ -110,7 +53,7 @@
 
 const version = 7
 
-var terms = Terms{Version: version, Fresh: true}
+var terms = executors.Terms{Version: version, Fresh: true}
 
 // rig is a Relay in touch with two executors.
 type rig struct {
@@ -127,13 +70,13 @@
 	r := &rig{
 		T: t, clock: &fakeClock{now: time.Second}, near: node("large-1", "a", 0.8), far: node("large-2", "b", 0.8),
 		peers: &fakePeers{
-			status:  Status{Version: version, Accepting: true, Fresh: true},
+			status:  executors.Status{Version: version, Accepting: true, Fresh: true},
 			execute: make(map[netip.AddrPort]func(context.Context, *executeRequest) (executeResponse, error)),
 		},
 	}
 	self := node("small-1", "a", 0.2)
-	r.relay = New(DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
-	r.relay.SetRoles(Assign(self, []roster.Member{r.near, r.far, self}), terms)
+	r.relay = New(executors.DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
+	r.relay.SetRoles(executors.Assign(self, []roster.Member{r.near, r.far, self}), terms)
 	for _, member := range []roster.Member{r.near, r.far} {
 		r.peers.execute[member.Peer] = answered(member.Name)
 	}
@@ -174,7 +117,7 @@
 
 func TestNoExecutorInTouch(t *testing.T) {
 	r := newRig(t)
-	r.clock.now += DefaultConfig().HeartbeatTimeout + 1
+	r.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
 	r.wantExecutor("")
 	r.beat()
 	r.wantExecutor("large-1")
@@ -216,7 +159,7 @@
 	r.peers.status.Fresh = false
 	r.beat()
 	r.wantExecutor("")
-	answer, done := r.relay.Execute(context.Background(), Terms{Version: version}, &forward.Request{ID: "x"})
+	answer, done := r.relay.Execute(context.Background(), executors.Terms{Version: version}, &forward.Request{ID: "x"})
 	if !done || answer.Executor != "large-1" {
 		t.Errorf("%+v, %v", answer, done)
 	}
@@ -272,7 +215,7 @@
 		ended <- answer
 	}()
 	<-begun
-	r.clock.now += DefaultConfig().HeartbeatTimeout + 1
+	r.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
 	r.relay.due()
 	if answer := <-ended; answer.Fate != forward.FateFailed {
 		t.Errorf("%+v", answer)
@@ -298,14 +241,14 @@
 // TestWayToTheExecutorCounts for the objective of a request.
 func TestWayToTheExecutorCounts(t *testing.T) {
 	r := newRig(t)
-	r.relay.board.targets[0].RoundTrip = 5 * time.Millisecond
+	r.relay.executors.Watched()[0].RoundTrip = 5 * time.Millisecond
 	var away time.Duration
 	r.peers.execute[r.near.Peer] = func(_ context.Context, request *executeRequest) (executeResponse, error) {
 		away = request.Away
 		return executeResponse{Fate: forward.FateMerged, Body: []byte("large-1")}, nil
 	}
 	r.wantExecutor("large-1")
-	if away != 5*time.Millisecond+handling {
+	if away != 5*time.Millisecond+executors.Handling {
 		t.Errorf("away for %v", away)
 	}
 }
@@ -313,7 +256,9 @@
 // TestSlowExecutorIsPassedOver by its mean latency.
 func TestSlowExecutorIsPassedOver(t *testing.T) {
 	r := newRig(t)
-	r.relay.board.targets[0].near, r.relay.board.targets[1].near = true, true
+	for _, one := range r.relay.executors.Watched() {
+		one.Near = true
+	}
 	took := map[string]time.Duration{"large-1": 300 * time.Millisecond, "large-2": 100 * time.Millisecond}
 	for _, member := range []roster.Member{r.near, r.far} {
 		r.peers.execute[member.Peer] = func(context.Context, *executeRequest) (executeResponse, error) {
@@ -321,8 +266,8 @@
 			return executeResponse{Fate: forward.FateMerged, Body: []byte(member.Name)}, nil
 		}
 	}
-	for _, one := range r.relay.board.targets {
-		one.ended(took[one.Name])
+	for _, one := range r.relay.executors.Watched() {
+		one.Completed(took[one.Name])
 	}
 	for range 5 {
 		r.beat()
@@ -335,7 +280,7 @@
 func TestRequestOnADroppedExecutorIsLeftToFinish(t *testing.T) {
 	r := newRig(t)
 	r.peers.execute[r.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
-		r.relay.SetRoles(Roles{}, terms)
+		r.relay.SetRoles(executors.Roles{}, terms)
 		r.relay.due()
 		select {
 		case <-ctx.Done():
@@ -350,9 +295,9 @@
 // TestRolesChangeWhileRequestsRun drops executors that are no members any more.
 func TestRolesChangeWhileRequestsRun(t *testing.T) {
 	r := newRig(t)
-	r.relay.SetRoles(Roles{}, terms)
+	r.relay.SetRoles(executors.Roles{}, terms)
 	r.wantExecutor("")
-	r.relay.SetRoles(Roles{Self: RoleRelay, Executors: []roster.Member{r.far}}, terms)
+	r.relay.SetRoles(executors.Roles{Self: executors.RoleDelegator, Executors: []roster.Member{r.far}}, terms)
 	r.wantExecutor("")
 	r.beat()
 	r.wantExecutor("large-2")
