--- a/internal/edge/node/connections.go
+++ b/internal/edge/node/connections.go
@@ -2,25 +2,54 @@
 
 import (
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/executors"
+	"github.com/micaplank/micaplank/internal/decide/hedge"
+	"github.com/micaplank/micaplank/internal/decide/share"
 	"github.com/micaplank/micaplank/internal/edge/subset"
+	"github.com/micaplank/micaplank/internal/roster"
+	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// shareLeaves returns how many connections this node may keep to each leaf, and
-// marks as standby those to which it keeps none while others of their service
-// have some.
-func (f *Node) shareLeaves(topology *dispatch.Topology, divided share) []LeafShare {
+// extraLoad returns what the settings say of the extra load beyond the ratio.
+func extraLoad(from settings.Forward) share.Extra {
+	return share.Extra{Attempts: from.ExtraSlack, Window: from.ExtraWindow.Duration()}
+}
+
+// budgets returns the bounds of the extra load that this node may cause at each shard
+// of the Dispatcher, by what the configuration in force says of its service.
+func (f *Node) budgets(roles executors.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
+	shards := make(map[int]bool, len(f.shards))
+	for service := range f.shards {
+		shards[f.index.Of(service)] = true
+	}
+	allowed := extraLoad(f.settings.Forward)
+	ofShards := share.OfSlack(roles, members, nodes, true).Budget(allowed)
+	ofOthers := share.OfSlack(roles, members, nodes, false).Budget(allowed)
+	return func(shard int) hedge.Bounds {
+		if shards[shard] {
+			return ofShards
+		}
+		return ofOthers
+	}
+}
+
+// shareLeaves returns how many connections this node may keep to each leaf, and marks
+// the leaves on standby.
+func (f *Node) shareLeaves(topology *dispatch.Topology, divided share.Share) []LeafShare {
 	taken := f.connectionsTaken()
+	self := subset.Node{Name: f.settings.Name, Zone: f.settings.Zone}
 	shares := make([]LeafShare, len(topology.Leaves))
 	for service, indexes := range f.byService(topology) {
-		kept := f.connectionsKept(topology, service, indexes, taken[service], divided)
-		some := false
+		leaves := make([]share.Leaf, len(indexes))
 		for position, index := range indexes {
 			one := &topology.Leaves[index]
-			shares[index] = LeafShare{Address: one.Address, Instance: one.BootID, Connections: kept[position]}
-			some = some || kept[position] > 0
+			leaves[position] = share.Leaf{ID: one.BootID, Zone: one.Zone, Usable: one.Usable}
 		}
-		for position, index := range indexes {
-			topology.Leaves[index].Standby = some && kept[position] == 0
+		bounds := share.Bounds{Taken: taken[service], PerNode: f.settings.Leaf.ConnectionsPerLeaf}
+		for position, kept := range divided.Connections(self, service, leaves, bounds) {
+			one := &topology.Leaves[indexes[position]]
+			one.Standby = kept.Standby
+			shares[indexes[position]] = LeafShare{Address: one.Address, Instance: one.BootID, Connections: kept.Connections}
 		}
 	}
 	return shares
@@ -36,35 +65,8 @@
 	return groups
 }
 
-// connectionsKept returns how many connections this node keeps to each leaf of
-// a service. Leaves that drain get none, and the others take over their share.
-func (f *Node) connectionsKept(topology *dispatch.Topology, service string, indexes []int, taken int, divided share) []int {
-	kept := make([]int, len(indexes))
-	var positions []int
-	var replicas []subset.Replica
-	for position, index := range indexes {
-		one := &topology.Leaves[index]
-		if !one.Usable {
-			continue
-		}
-		positions = append(positions, position)
-		replicas = append(replicas, subset.Replica{ID: one.BootID, Zone: one.Zone, Connections: int(divided.part * float64(taken))})
-	}
-	if taken == 0 {
-		for _, position := range positions {
-			kept[position] = f.settings.Leaf.ConnectionsPerLeaf
-		}
-		return kept
-	}
-	self := subset.Node{Name: f.settings.Name, Zone: f.settings.Zone}
-	for index, connections := range subset.Choose(self, divided.census, service, replicas) {
-		kept[positions[index]] = min(connections, f.settings.Leaf.ConnectionsPerLeaf)
-	}
-	return kept
-}
-
-// connectionsTaken returns how many connections a leaf of each service takes,
-// as far as the configuration tells.
+// connectionsTaken returns how many connections a leaf of each service takes, by the
+// configuration in force.
 func (f *Node) connectionsTaken() map[string]int {
 	taken := make(map[string]int)
 	if table := f.forwarder.Table(); table != nil {
--- a/internal/edge/node/connections_test.go
+++ b/internal/edge/node/connections_test.go
@@ -8,6 +8,7 @@
 	"net/netip"
 	"testing"
 
+	"github.com/micaplank/micaplank/internal/decide/share"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/lease"
 	"github.com/micaplank/micaplank/internal/edge/mirror"
@@ -76,7 +77,7 @@
 func (f *Node) standby() map[string]bool {
 	marked := make(map[string]bool)
 	topology := f.leaves.Topology()
-	f.shareLeaves(&topology, shareOf(f.roles.Assign(f.member, f.nodes.Members(0)), f.nodes.Members(0), f.nodes.Count(0)))
+	f.shareLeaves(&topology, share.Of(f.roles.Assign(f.member, f.nodes.Members(0)), f.nodes.Members(0), f.nodes.Count(0)))
 	for _, one := range topology.Leaves {
 		marked[one.BootID] = one.Standby
 	}
--- a/internal/edge/node/follow.go
+++ b/internal/edge/node/follow.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
+	"github.com/micaplank/micaplank/internal/decide/share"
 	"github.com/micaplank/micaplank/internal/edge/mirror"
 	"github.com/micaplank/micaplank/internal/edge/registry"
 	"github.com/micaplank/micaplank/internal/edge/route"
@@ -342,9 +343,9 @@
 	f.relay.SetRoles(roles, f.terms())
 	f.combine.SetMembers(roles.Combiners(members))
 	f.setWatchers(members)
-	divided := shareOf(roles, members, nodes)
+	divided := share.Of(roles, members, nodes)
 	f.conn.ResizeBudgets(f.budgets(roles, members, nodes))
-	f.conn.SetProbeInterval(divided.probeInterval())
+	f.conn.SetProbeInterval(divided.ProbeInterval())
 	f.shareCold(&topology, roles, members)
 	f.ports.OnLeaves(f.shareLeaves(&topology, divided))
 	f.conn.SetTopology(topology)
--- a/internal/edge/node/node_test.go
+++ b/internal/edge/node/node_test.go
@@ -8,68 +8,10 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
-	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/forward"
-	"github.com/micaplank/micaplank/internal/edge/subset"
-	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/scatter"
-	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// TestBudgetSharesStayWithinTheSlack adds up what all nodes may save.
-func TestBudgetSharesStayWithinTheSlack(t *testing.T) {
-	from := settings.Defaults().Forward
-	for _, nodes := range []int{1, 2, 8, 12, 60, 300, 3900} {
-		bounds := share{census: subset.Census{All: nodes}, part: 1, alone: true}.budget(from)
-		spent := bounds.Capacity + bounds.Refill*from.ExtraWindow.Duration().Seconds()
-		if all := spent * float64(nodes); all > from.ExtraSlack || all < from.ExtraSlack/2 {
-			t.Errorf("%d nodes save up to %.1f of %.0f", nodes, all, from.ExtraSlack)
-		}
-		if bounds.Reserve <= 0 || bounds.Reserve >= bounds.Capacity || bounds.Initial > bounds.Capacity {
-			t.Errorf("%d nodes: %+v", nodes, bounds)
-		}
-	}
-	if bounds := (share{part: 1}).budget(from); bounds.Capacity > from.ExtraSlack {
-		t.Errorf("no node is known: %+v", bounds)
-	}
-}
-
-// TestExecutorsAndOthersShareTheSlack adds up what all nodes save, and have when
-// all start at once.
-func TestExecutorsAndOthersShareTheSlack(t *testing.T) {
-	from := settings.Defaults().Forward
-	from.ExtraSlack = 168
-	var members []roster.Member
-	for index := range 64 {
-		member := roster.Member{Name: fmt.Sprint(index), Cores: 0.2}
-		if index < 8 {
-			member.Cores = 0.8
-		}
-		members = append(members, member)
-	}
-	for _, shard := range []bool{true, false} {
-		saved := 0.0
-		for _, member := range members {
-			bounds := slackOf(executors.Assign(member, members), members, len(members), shard).budget(from)
-			saved += bounds.Capacity + bounds.Refill*from.ExtraWindow.Duration().Seconds() + bounds.Initial
-		}
-		if saved > from.ExtraSlack+0.001 || saved < 0.9*from.ExtraSlack {
-			t.Errorf("shard %v: %.1f of %.0f", shard, saved, from.ExtraSlack)
-		}
-	}
-	executor := slackOf(executors.Assign(members[0], members), members, len(members), true).budget(from)
-	if executor.Initial < 1+executor.Reserve {
-		t.Errorf("an executor that starts has nothing for a hedge: %+v", executor)
-	}
-	if part := 8 * executor.Capacity; part < 0.8*slackShare*savedShare*from.ExtraSlack {
-		t.Errorf("executors save up to %.1f of %.0f at a shard", part, from.ExtraSlack)
-	}
-	other := slackOf(executors.Assign(members[63], members), members, len(members), false).budget(from)
-	if alone := slackOf(executors.Assign(members[0], members), members, len(members), false).budget(from); alone != other {
-		t.Errorf("at a service that is no shard an executor saves %+v, another node %+v", alone, other)
-	}
-}
-
 // TestLevelOfRequestLines: every request has its line, and those without an
 // answer are urgent.
 func TestLevelOfRequestLines(t *testing.T) {
@@ -135,16 +77,3 @@
 		t.Error("a label is not kept")
 	}
 }
-
-// TestProbesOfAllNodesTogetherAreBounded: what many nodes spend on probes of one
-// slow leaf would else eat the budget of its shard.
-func TestProbesOfAllNodesTogetherAreBounded(t *testing.T) {
-	for _, test := range []struct {
-		nodes int
-		want  time.Duration
-	}{{1, minProbeInterval}, {6, minProbeInterval}, {18, 18 * probeSpacing}, {300, maxProbeInterval}} {
-		if got := (share{census: subset.Census{All: test.nodes}}).probeInterval(); got != test.want {
-			t.Errorf("%d nodes probe each %v, want %v", test.nodes, got, test.want)
-		}
-	}
-}
--- a/internal/edge/node/policy.go
+++ b/internal/edge/node/policy.go
@@ -5,8 +5,8 @@
 
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/share"
 	"github.com/micaplank/micaplank/internal/edge/forward"
-	"github.com/micaplank/micaplank/internal/edge/subset"
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
@@ -54,14 +54,13 @@
 	config.Score.Tie = zoneTie
 	config.Score.LossPrice = lossPrice
 	config.Hedge.Queue = 1
-	config.Probation.ProbeInterval = minProbeInterval
+	config.Probation.ProbeInterval = share.MinProbeInterval
 	config.Score.Crowding = crowdingPrice
 	config.EndWithoutBudget = true
 	config.RequireCoverage = true
 	config.Settle.ObjectiveShare = from.Forward.SettleShare
 	config.Budget.Earned = earnedShare
-	assumed := share{census: subset.Census{All: from.Forward.ExtraNodes}, part: 1, alone: true}
-	config.Budget.Resize(assumed.budget(from.Forward))
+	config.Budget.Resize(share.Alone(from.Forward.ExtraNodes).Budget(extraLoad(from.Forward)))
 	config.Budget.Debt = 0
 	return config
 }
--- a/internal/edge/node/slack_test.go
+++ b/internal/edge/node/slack_test.go
@@ -13,6 +13,7 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/decide/hedge"
+	"github.com/micaplank/micaplank/internal/decide/share"
 	"github.com/micaplank/micaplank/internal/edge/registry"
 	"github.com/micaplank/micaplank/internal/leaf"
 	"github.com/micaplank/micaplank/internal/roster"
@@ -135,8 +136,8 @@
 		members = append(members, member)
 	}
 	roles := executors.Assign(members[0], members)
-	half := shareOf(roles, members, len(members)).budget(from)
-	own := slackOf(roles, members, len(members), true).budget(from)
+	half := share.Of(roles, members, len(members)).Budget(extraLoad(from))
+	own := share.OfSlack(roles, members, len(members), true).Budget(extraLoad(from))
 	before, now := 0, 0
 	for seed := range uint64(20) {
 		before += newSlackPlay(half, executorPause, anyHangs, seed).run()
@@ -160,8 +161,8 @@
 	}
 	fleet := executors.Assigner{EqualNodes: from.EqualNodes}
 	chosen := fleet.Assign(members[0], members)
-	executor := slackOf(fleet.Assign(chosen.Executors[0], members), members, len(members), true).budget(from)
-	alone := slackOf(executors.Assign(members[0], members), members, len(members), true).budget(from)
+	executor := share.OfSlack(fleet.Assign(chosen.Executors[0], members), members, len(members), true).Budget(extraLoad(from))
+	alone := share.OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(extraLoad(from))
 	before, now := 0, 0
 	for seed := range uint64(20) {
 		before += newSlackPlay(alone, alonePause, oneHangs, seed).run()
