--- a/internal/edge/node/follow.go
+++ b/internal/edge/node/follow.go
@@ -346,7 +346,7 @@
 	divided := share.Of(roles, members, nodes)
 	f.conn.ResizeBudgets(f.budgets(roles, members, nodes))
 	f.conn.SetProbeInterval(divided.ProbeInterval())
-	f.shareCold(&topology, roles, members)
+	f.boundColdLeaves(&topology, roles, members)
 	f.ports.OnLeaves(f.shareLeaves(&topology, divided))
 	f.conn.SetTopology(topology)
 }
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -19,6 +19,7 @@
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/executors"
+	"github.com/micaplank/micaplank/internal/decide/warmup"
 	"github.com/micaplank/micaplank/internal/edge/combine"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/mirror"
@@ -56,8 +57,8 @@
 	mutex      sync.Mutex
 	index      *registry.Index
 	leaves     *registry.Table
-	coldBounds map[string]coldBound // by service, as the configuration in force says
-	shards     map[string]bool      // services that are shards of some route, as it says
+	coldBounds map[string]warmup.Bound // by service, as the configuration in force says
+	shards     map[string]bool         // services that are shards of some route, as it says
 	expiry     *time.Timer
 	// leavesKnown is set once the Dispatcher has the leaves of a first reading.
 	leavesKnown bool
