--- /dev/null
+++ b/internal/decide/startup/startup_test.go
@@ -0,0 +1,75 @@
+package startup
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"testing"
+
+	"github.com/micaplank/micaplank/internal/roster"
+)
+
+// address returns that of a node by its number.
+func address(number int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 7380)
+}
+
+func announced(count int) []roster.Member {
+	members := make([]roster.Member, count)
+	for number := range members {
+		members[number] = roster.Member{Name: fmt.Sprint("node-", number), Zone: fmt.Sprint("zone-", number%4), Peer: address(number)}
+	}
+	return members
+}
+
+// reversed stands in for chance.
+func reversed(count int, swap func(i, j int)) {
+	for i, j := 0, count-1; i < j; i, j = i+1, j-1 {
+		swap(i, j)
+	}
+}
+
+// TestSourcesOfAStart by the number of announced nodes.
+func TestSourcesOfAStart(t *testing.T) {
+	seeds := []netip.AddrPort{address(0), address(1), address(2)}
+	for _, test := range []struct {
+		name           string
+		nodes          int
+		source, direct bool
+		others         int
+	}{
+		{"nobody is announced", 0, false, false, 3},
+		{"few", minNodesForSources - 1, false, true, 3},
+		{"many", minNodesForSources, false, false, 4},
+		{"more", 12 * nodesPerSource, false, false, 12},
+	} {
+		plan := NewPlan(address(9999), announced(test.nodes), seeds, reversed)
+		if plan.Source != test.source || plan.Direct != test.direct || len(plan.Others) < test.others {
+			t.Errorf("%s: %+v", test.name, plan)
+		}
+		seed := NewPlan(seeds[1], announced(test.nodes), seeds, reversed)
+		if seed.Source == test.direct || slices.Contains(seed.Others, seeds[1]) {
+			t.Errorf("%s: a seed starts by %+v", test.name, seed)
+		}
+	}
+	if plan := NewPlan(address(9), nil, seeds, reversed); !slices.Equal(plan.Others, []netip.AddrPort{seeds[2], seeds[1], seeds[0]}) {
+		t.Errorf("not in an order of its own: %v", plan.Others)
+	}
+}
+
+func TestReady(t *testing.T) {
+	for _, test := range []struct {
+		state State
+		want  bool
+	}{
+		{State{}, false},
+		{State{Configured: true}, false},
+		{State{LeavesKnown: true}, false},
+		{State{Configured: true, LeavesKnown: true}, true},
+		{State{Configured: true, LeavesKnown: true, Draining: true}, false},
+	} {
+		if got := test.state.Ready(); got != test.want {
+			t.Errorf("%+v: %v", test.state, got)
+		}
+	}
+}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -19,6 +19,7 @@
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/executors"
+	"github.com/micaplank/micaplank/internal/decide/startup"
 	"github.com/micaplank/micaplank/internal/decide/warmup"
 	"github.com/micaplank/micaplank/internal/edge/combine"
 	"github.com/micaplank/micaplank/internal/edge/forward"
@@ -168,5 +169,7 @@
 func (f *Node) ready() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return !f.draining.Load() && f.leavesKnown && f.forwarder.Table() != nil
+	return startup.State{
+		Configured: f.forwarder.Table() != nil, LeavesKnown: f.leavesKnown, Draining: f.draining.Load(),
+	}.Ready()
 }
--- a/internal/edge/node/watch.go
+++ b/internal/edge/node/watch.go
@@ -4,9 +4,9 @@
 	"context"
 	"math/rand/v2"
 	"net/netip"
-	"slices"
 	"time"
 
+	"github.com/micaplank/micaplank/internal/decide/startup"
 	"github.com/micaplank/micaplank/internal/edge/mirror"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
@@ -74,35 +74,9 @@
 	})
 }
 
-const (
-	// fewestForSources is the number of nodes from which a node that starts copies
-	// another one. Fewer can read the store all at once: a hundred ranges of 150 KB
-	// take the link of a store, of 1 Gbit/s, for 0.12 s, and nodes that others wait
-	// for may start 0.4 s later than those.
-	fewestForSources = 100
-	// nodesPerSource is how many copies a source hands out at the start of a whole
-	// fleet.
-	nodesPerSource = 25
-)
-
-// planStart implements mirror.Planner. Of a fleet that is announced, the nodes that
-// come first by a hash of their names read the store, and the others copy them.
-// Where nobody is announced, or the store does not tell, the seeds of the settings
-// stand in.
+// planStart implements mirror.Planner.
 func (f *Node) planStart(items []mirror.Item) mirror.Plan {
-	members := f.announcedMembers(items)
-	seeds := f.settings.Peers.Seeds
-	switch {
-	case len(members) == 0:
-		return f.planBy(seeds)
-	case len(members) < fewestForSources:
-		return mirror.Plan{Direct: true, Others: f.planBy(seeds).Others}
-	}
-	var sources []netip.AddrPort
-	for _, member := range roster.Spread(members, len(members)/nodesPerSource, seeds...) {
-		sources = append(sources, member.Peer)
-	}
-	return f.planBy(sources)
+	return mirror.Plan(startup.NewPlan(f.member.Peer, f.announcedMembers(items), f.settings.Peers.Seeds, rand.Shuffle))
 }
 
 // announcedMembers reads the nodes that are announced.
@@ -116,14 +90,6 @@
 	return known.Members(f.clock.Now())
 }
 
-// planBy plans a start with the nodes at some addresses as sources, each node in
-// an order of its own.
-func (f *Node) planBy(sources []netip.AddrPort) mirror.Plan {
-	others := slices.DeleteFunc(slices.Clone(sources), func(one netip.AddrPort) bool { return one == f.member.Peer })
-	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return mirror.Plan{Source: len(others) < len(sources), Others: others}
-}
-
 // setWatchers tells the source who watches the store.
 func (f *Node) setWatchers(members []roster.Member) {
 	watching := false
