--- a/internal/decide/startup/startup.go
+++ b/internal/decide/startup/startup.go
@@ -13,8 +13,8 @@
 // Reason: what a node reads with a large configuration is 600 KB; 295 that read it at
 // once take the store's link for longer than the timeout of a call, begin again and fill
 // it again. After a loss of all power with 1,848 new routes more than half of the
-// requests were refused until the end of that day, at 10,911 calls; with copies a node
-// of that fleet earned 0.555 in place of 0.126.
+// requests were refused until the end of that day, at 10,911 calls; with copies that
+// fleet earned 0.555 in place of 0.126.
 //
 // It owns nothing. Package mirror carries a Plan out.
 package startup
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/delegate/client.go
@@ -1,4 +1,4 @@
-// Package relay hands requests of many shards to executors: nodes that run them for
+// Package delegate hands requests of many shards to executors: nodes that run them for
 // others.
 //
 // It owns the connections, heartbeats and calls; who is an executor, and which one
@@ -7,7 +7,7 @@
 // A request is delegated at most once. If the executor proves that it did not run it,
 // another one gets it, and last the node itself. If the executor is lost with it, the
 // request may have run and has failed.
-package relay
+package delegate
 
 import (
 	"context"
@@ -32,8 +32,8 @@
 	Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error
 }
 
-// Relay hands requests to executors. It is safe for concurrent use.
-type Relay struct {
+// Client hands requests to executors. It is safe for concurrent use.
+type Client struct {
 	config  executors.Config
 	self    roster.Member
 	caller  Caller
@@ -46,7 +46,7 @@
 	terms     executors.Terms // of a request now
 }
 
-// metrics are those of a Relay.
+// metrics are those of a Client.
 type metrics struct {
 	requests *prometheus.CounterVec
 	up       prometheus.Gauge
@@ -65,49 +65,49 @@
 	return created
 }
 
-// New returns a Relay that knows no executor yet.
-func New(config executors.Config, self roster.Member, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Relay {
-	return &Relay{
+// New returns a Client that knows no executor yet.
+func New(config executors.Config, self roster.Member, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
+	return &Client{
 		config: config, self: self, caller: caller, clock: time, logger: logger,
 		metrics: newMetrics(registerer), executors: executors.NewTable(config, self),
 	}
 }
 
 // SetRoles sets who runs the requests of whom, and the terms of requests now.
-func (r *Relay) SetRoles(roles executors.Roles, terms executors.Terms) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.terms = terms
+func (c *Client) SetRoles(roles executors.Roles, terms executors.Terms) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.terms = terms
 	used := roles.Executors
 	if roles.Self != executors.RoleDelegator {
 		used = nil
 	}
-	r.executors.Replace(r.clock.Now(), used)
-	r.showUsable()
+	c.executors.Replace(c.clock.Now(), used)
+	c.showUsable()
 }
 
 // SetTerms sets the terms of requests now.
-func (r *Relay) SetTerms(terms executors.Terms) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.terms = terms
-	r.showUsable()
+func (c *Client) SetTerms(terms executors.Terms) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.terms = terms
+	c.showUsable()
 }
 
 // showUsable counts the executors that would take a request now. The caller holds the
 // mutex.
-func (r *Relay) showUsable() { r.metrics.up.Set(float64(r.executors.Usable(r.terms))) }
+func (c *Client) showUsable() { c.metrics.up.Set(float64(c.executors.Usable(c.terms))) }
 
 // InUse reports whether this node hands requests to executors at all.
-func (r *Relay) InUse() bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.executors.Len() > 0
+func (c *Client) InUse() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.executors.Len() > 0
 }
 
 // Run keeps in touch with the executors until ctx ends.
-func (r *Relay) Run(ctx context.Context) {
-	ticker := time.NewTicker(r.config.HeartbeatInterval)
+func (c *Client) Run(ctx context.Context) {
+	ticker := time.NewTicker(c.config.HeartbeatInterval)
 	defer ticker.Stop()
 	var asking sync.WaitGroup
 	defer asking.Wait()
@@ -117,63 +117,63 @@
 			return
 		case <-ticker.C:
 		}
-		for _, one := range r.due() {
-			asking.Go(func() { r.ask(ctx, one) })
+		for _, one := range c.due() {
+			asking.Go(func() { c.ask(ctx, one) })
 		}
 	}
 }
 
 // due returns the executors to be asked, and counts those as lost that were silent.
-func (r *Relay) due() []*executors.Executor {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	up := r.executors.Alive()
-	r.executors.Expire(r.clock.Now())
-	if now := r.executors.Alive(); now < up {
-		event.Log(r.logger, event.ExecutorsLost{Lost: up - now, Left: now})
+func (c *Client) due() []*executors.Executor {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	up := c.executors.Alive()
+	c.executors.Expire(c.clock.Now())
+	if now := c.executors.Alive(); now < up {
+		event.Log(c.logger, event.ExecutorsLost{Lost: up - now, Left: now})
 	}
-	r.executors.Watch(r.clock.Now())
-	r.showUsable()
-	return r.executors.Watched()
+	c.executors.Watch(c.clock.Now())
+	c.showUsable()
+	return c.executors.Watched()
 }
 
 // ask asks one executor for its status.
-func (r *Relay) ask(ctx context.Context, of *executors.Executor) {
-	ctx, cancel := context.WithTimeout(ctx, r.config.HeartbeatTimeout)
+func (c *Client) ask(ctx context.Context, of *executors.Executor) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.HeartbeatTimeout)
 	defer cancel()
 	var status executors.Status
-	started := r.clock.Now()
-	err := r.caller.Call(ctx, of.Peer, methodStatus, &statusRequest{From: r.self.Name}, &status)
+	started := c.clock.Now()
+	err := c.caller.Call(ctx, of.Peer, methodStatus, &statusRequest{From: c.self.Name}, &status)
 	if err != nil {
 		return // executors.Table.Expire notices its silence
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	now := r.clock.Now()
-	regained := r.executors.Heard(now, now-started, of, status)
-	r.showUsable()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.clock.Now()
+	regained := c.executors.Heard(now, now-started, of, status)
+	c.showUsable()
 	if regained {
-		event.Log(r.logger, event.ExecutorInTouch{Peer: of.Name, Version: status.Version, Accepting: status.Accepting, Fresh: status.Fresh})
+		event.Log(c.logger, event.ExecutorInTouch{Peer: of.Name, Version: status.Version, Accepting: status.Accepting, Fresh: status.Fresh})
 	}
 }
 
 // Execute hands a request to an executor that can keep its terms, and blocks
 // until its answer or the end of ctx. It returns false if the request has run
 // nowhere and this node should run it itself.
-func (r *Relay) Execute(ctx context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
+func (c *Client) Execute(ctx context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
 	var tried []*executors.Executor
 	for range executors.MaxOffers {
-		chosen, alive, away := r.choose(terms, tried)
+		chosen, alive, away := c.choose(terms, tried)
 		if chosen == nil {
 			return forward.Answer{}, false
 		}
 		tried = append(tried, chosen)
 		delegated := *request
 		if delegated.Patience > 0 {
-			delegated.Patience = request.Left(r.clock.Now())
+			delegated.Patience = request.Left(c.clock.Now())
 		}
 		delegated.Away = away
-		answer, done := r.offer(ctx, chosen, alive, terms, &delegated)
+		answer, done := c.offer(ctx, chosen, alive, terms, &delegated)
 		if done {
 			return answer, true
 		}
@@ -183,11 +183,11 @@
 
 // choose chooses an executor. It returns with it the context that ends when it is
 // lost, and the time that the way to it and back takes.
-func (r *Relay) choose(terms executors.Terms, tried []*executors.Executor) (chosen *executors.Executor, alive context.Context, away time.Duration) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.executors.Expire(r.clock.Now())
-	chosen = r.executors.Choose(terms, tried)
+func (c *Client) choose(terms executors.Terms, tried []*executors.Executor) (chosen *executors.Executor, alive context.Context, away time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.executors.Expire(c.clock.Now())
+	chosen = c.executors.Choose(terms, tried)
 	if chosen == nil {
 		return nil, nil, 0
 	}
@@ -197,34 +197,34 @@
 
 // offer hands a request to one executor. It returns false if the request did
 // not run there and never will.
-func (r *Relay) offer(ctx context.Context, to *executors.Executor, alive context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
+func (c *Client) offer(ctx context.Context, to *executors.Executor, alive context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
 	calling, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := context.AfterFunc(alive, func() { cancel(errSilent) })
 	defer stop()
-	started := r.clock.Now()
+	started := c.clock.Now()
 	var response executeResponse
-	err := r.caller.Call(calling, to.Peer, methodExecute, &executeRequest{
-		From: r.self.Name, Terms: terms, ID: request.ID, Method: request.Method, Host: request.Host,
+	err := c.caller.Call(calling, to.Peer, methodExecute, &executeRequest{
+		From: c.self.Name, Terms: terms, ID: request.ID, Method: request.Method, Host: request.Host,
 		Path: request.Path, Head: request.Head, Body: request.Body, Patience: request.Patience, Away: request.Away,
 	}, &response)
-	r.release(to, r.clock.Now()-started, err, &response)
+	c.release(to, c.clock.Now()-started, err, &response)
 	switch {
 	case peer.NotExecuted(err):
-		r.metrics.requests.WithLabelValues("not_sent").Inc()
+		c.metrics.requests.WithLabelValues("not_sent").Inc()
 		return forward.Answer{}, false
 	case err != nil && ctx.Err() != nil:
-		r.metrics.requests.WithLabelValues("left").Inc()
+		c.metrics.requests.WithLabelValues("left").Inc()
 		return forward.Answer{Fate: forward.FateLate, Version: terms.Version, Executor: to.Name}, true
 	case err != nil:
-		r.metrics.requests.WithLabelValues("lost").Inc()
-		event.Log(r.logger, event.RequestLost{RequestID: request.ID, Executor: to.Name, Error: err})
+		c.metrics.requests.WithLabelValues("lost").Inc()
+		event.Log(c.logger, event.RequestLost{RequestID: request.ID, Executor: to.Name, Error: err})
 		return forward.Answer{Fate: forward.FateFailed, Version: terms.Version, Executor: to.Name}, true
 	case response.Refusal != "":
-		r.metrics.requests.WithLabelValues("refused").Inc()
+		c.metrics.requests.WithLabelValues("refused").Inc()
 		return forward.Answer{}, false
 	}
-	r.metrics.requests.WithLabelValues("answered").Inc()
+	c.metrics.requests.WithLabelValues("answered").Inc()
 	return response.answer(to.Name, terms.Version), true
 }
 
@@ -232,9 +232,9 @@
 var errSilent = errors.New("executor is silent")
 
 // release records the end of an offer.
-func (r *Relay) release(to *executors.Executor, took time.Duration, err error, response *executeResponse) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+func (c *Client) release(to *executors.Executor, took time.Duration, err error, response *executeResponse) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	to.InFlight--
 	switch {
 	case errors.Is(err, peer.ErrLost), peer.NotExecuted(err):
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/delegate/client_test.go
@@ -1,4 +1,4 @@
-package relay
+package delegate
 
 import (
 	"context"
@@ -55,14 +55,14 @@
 
 var terms = executors.Terms{Version: version, Fresh: true}
 
-// rig is a Relay in touch with two executors.
+// rig is a Client in touch with two executors.
 type rig struct {
 	*testing.T
-	relay *Relay
-	clock *fakeClock
-	peers *fakePeers
-	near  roster.Member
-	far   roster.Member
+	client *Client
+	clock  *fakeClock
+	peers  *fakePeers
+	near   roster.Member
+	far    roster.Member
 }
 
 func newRig(t *testing.T) *rig {
@@ -75,8 +75,8 @@
 		},
 	}
 	self := node("small-1", "a", 0.2)
-	r.relay = New(executors.DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
-	r.relay.SetRoles(executors.Assign(self, []roster.Member{r.near, r.far, self}), terms)
+	r.client = New(executors.DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
+	r.client.SetRoles(executors.Assign(self, []roster.Member{r.near, r.far, self}), terms)
 	for _, member := range []roster.Member{r.near, r.far} {
 		r.peers.execute[member.Peer] = answered(member.Name)
 	}
@@ -92,13 +92,13 @@
 
 // beat asks all executors once.
 func (r *rig) beat() {
-	for _, one := range r.relay.due() {
-		r.relay.ask(context.Background(), one)
+	for _, one := range r.client.due() {
+		r.client.ask(context.Background(), one)
 	}
 }
 
 func (r *rig) execute() (forward.Answer, bool) {
-	return r.relay.Execute(context.Background(), terms, &forward.Request{ID: "x", Patience: time.Second})
+	return r.client.Execute(context.Background(), terms, &forward.Request{ID: "x", Patience: time.Second})
 }
 
 // wantExecutor expects an answer by a node; empty for none.
@@ -140,7 +140,7 @@
 	cordoned.Cordoned = []string{"b"}
 	ask := func() bool {
 		r.beat()
-		_, done := r.relay.Execute(context.Background(), cordoned, &forward.Request{ID: "x"})
+		_, done := r.client.Execute(context.Background(), cordoned, &forward.Request{ID: "x"})
 		return done
 	}
 	if ask() {
@@ -159,7 +159,7 @@
 	r.peers.status.Fresh = false
 	r.beat()
 	r.wantExecutor("")
-	answer, done := r.relay.Execute(context.Background(), executors.Terms{Version: version}, &forward.Request{ID: "x"})
+	answer, done := r.client.Execute(context.Background(), executors.Terms{Version: version}, &forward.Request{ID: "x"})
 	if !done || answer.Executor != "large-1" {
 		t.Errorf("%+v, %v", answer, done)
 	}
@@ -216,7 +216,7 @@
 	}()
 	<-begun
 	r.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
-	r.relay.due()
+	r.client.due()
 	if answer := <-ended; answer.Fate != forward.FateFailed {
 		t.Errorf("%+v", answer)
 	}
@@ -231,7 +231,7 @@
 		<-ctx.Done()
 		return executeResponse{}, &peer.Error{Sent: true, Err: ctx.Err()}
 	}
-	if _, done := r.relay.Execute(ctx, terms, &forward.Request{ID: "x"}); !done || !errors.Is(ctx.Err(), context.Canceled) {
+	if _, done := r.client.Execute(ctx, terms, &forward.Request{ID: "x"}); !done || !errors.Is(ctx.Err(), context.Canceled) {
 		t.Error("the request of a client that left is run again")
 	}
 	r.peers.execute[r.near.Peer] = answered("large-1")
@@ -241,7 +241,7 @@
 // TestWayToTheExecutorCounts for the objective of a request.
 func TestWayToTheExecutorCounts(t *testing.T) {
 	r := newRig(t)
-	r.relay.executors.Watched()[0].RoundTrip = 5 * time.Millisecond
+	r.client.executors.Watched()[0].RoundTrip = 5 * time.Millisecond
 	var away time.Duration
 	r.peers.execute[r.near.Peer] = func(_ context.Context, request *executeRequest) (executeResponse, error) {
 		away = request.Away
@@ -256,7 +256,7 @@
 // TestSlowExecutorIsPassedOver by its mean latency.
 func TestSlowExecutorIsPassedOver(t *testing.T) {
 	r := newRig(t)
-	for _, one := range r.relay.executors.Watched() {
+	for _, one := range r.client.executors.Watched() {
 		one.Near = true
 	}
 	took := map[string]time.Duration{"large-1": 300 * time.Millisecond, "large-2": 100 * time.Millisecond}
@@ -266,7 +266,7 @@
 			return executeResponse{Fate: forward.FateMerged, Body: []byte(member.Name)}, nil
 		}
 	}
-	for _, one := range r.relay.executors.Watched() {
+	for _, one := range r.client.executors.Watched() {
 		one.Completed(took[one.Name])
 	}
 	for range 5 {
@@ -280,8 +280,8 @@
 func TestRequestOnADroppedExecutorIsLeftToFinish(t *testing.T) {
 	r := newRig(t)
 	r.peers.execute[r.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
-		r.relay.SetRoles(executors.Roles{}, terms)
-		r.relay.due()
+		r.client.SetRoles(executors.Roles{}, terms)
+		r.client.due()
 		select {
 		case <-ctx.Done():
 			return executeResponse{}, &peer.Error{Sent: true, Err: ctx.Err()}
@@ -295,9 +295,9 @@
 // TestRolesChangeWhileRequestsRun drops executors that are no members any more.
 func TestRolesChangeWhileRequestsRun(t *testing.T) {
 	r := newRig(t)
-	r.relay.SetRoles(executors.Roles{}, terms)
+	r.client.SetRoles(executors.Roles{}, terms)
 	r.wantExecutor("")
-	r.relay.SetRoles(executors.Roles{Self: executors.RoleDelegator, Executors: []roster.Member{r.far}}, terms)
+	r.client.SetRoles(executors.Roles{Self: executors.RoleDelegator, Executors: []roster.Member{r.far}}, terms)
 	r.wantExecutor("")
 	r.beat()
 	r.wantExecutor("large-2")
--- a/internal/edge/relay/message.go
+++ b/internal/edge/delegate/message.go
@@ -1,4 +1,4 @@
-package relay
+package delegate
 
 import (
 	"time"
--- a/internal/edge/relay/executor.go
+++ b/internal/edge/delegate/server.go
@@ -1,4 +1,4 @@
-package relay
+package delegate
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/micaplank/micaplank/internal/peer"
 )
 
-// Executor runs requests of other nodes.
-type Executor interface {
+// Runner runs requests of other nodes.
+type Runner interface {
 	// Status says whether requests are taken now, and under which version.
 	Status() executors.Status
 	// Run runs a request of another node under a version of the configuration
@@ -19,28 +19,29 @@
 	Run(ctx context.Context, from string, version uint64, request *forward.Request) (forward.Answer, bool)
 }
 
-// Serve takes requests of other nodes. It is called before the server serves.
-func Serve(server *peer.Server, executor Executor) {
+// Serve registers the calls by which other nodes delegate requests to a Runner. It is
+// called before the server serves.
+func Serve(server *peer.Server, runner Runner) {
 	peer.Register(server, methodStatus, func(context.Context, netip.AddrPort, *statusRequest) (*executors.Status, error) {
-		status := executor.Status()
+		status := runner.Status()
 		return &status, nil
 	})
 	peer.Register(server, methodExecute, func(ctx context.Context, _ netip.AddrPort, request *executeRequest) (*executeResponse, error) {
-		return execute(ctx, executor, request), nil
+		return execute(ctx, runner, request), nil
 	})
 }
 
-func execute(ctx context.Context, executor Executor, request *executeRequest) *executeResponse {
-	status := executor.Status()
+func execute(ctx context.Context, runner Runner, request *executeRequest) *executeResponse {
+	status := runner.Status()
 	if !status.Takes(request.Terms) {
 		return &executeResponse{Refusal: refusedTerms, Status: status}
 	}
-	answer, ran := executor.Run(ctx, request.From, request.Terms.Version, &forward.Request{
+	answer, ran := runner.Run(ctx, request.From, request.Terms.Version, &forward.Request{
 		ID: request.ID, Method: request.Method, Host: request.Host, Path: request.Path,
 		Head: request.Head, Body: request.Body, Patience: request.Patience, Away: request.Away,
 	})
 	if !ran {
-		return &executeResponse{Refusal: refusedVersion, Status: executor.Status()}
+		return &executeResponse{Refusal: refusedVersion, Status: runner.Status()}
 	}
 	return &executeResponse{
 		Status: status, Fate: answer.Fate, Reason: answer.Reason, Body: answer.Body, Signatures: answer.Signatures,
--- a/internal/edge/node/executor.go
+++ b/internal/edge/node/executor.go
@@ -8,8 +8,8 @@
 
 	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/combine"
+	"github.com/micaplank/micaplank/internal/edge/delegate"
 	"github.com/micaplank/micaplank/internal/edge/forward"
-	"github.com/micaplank/micaplank/internal/edge/relay"
 	"github.com/micaplank/micaplank/internal/event"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
@@ -33,7 +33,7 @@
 	f.rollouts.observe(answer, took)
 }
 
-// Status implements relay.Executor.
+// Status implements delegate.Runner.
 func (e executor) Status() executors.Status {
 	return executors.Status{
 		Version:   e.forwarder.Version(),
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Run implements relay.Executor.
+// Run implements delegate.Runner.
 func (e executor) Run(ctx context.Context, from string, version uint64, request *forward.Request) (forward.Answer, bool) {
 	started := e.clock.Now()
 	request.Arrived = started
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	relay.Serve(server, executor{f})
+	delegate.Serve(server, executor{f})
 	combine.Serve(server, f.ports.Leaves, f.conn.MayGetWork)
 	f.serveWatches(server)
 	f.rollouts.serve(server)
--- a/internal/edge/node/follow.go
+++ b/internal/edge/node/follow.go
@@ -181,7 +181,7 @@
 // that goes with it.
 func (s storeSink) install(config *route.Config, revision uint64) {
 	s.forwarder.Install(route.NewTable(config))
-	s.relay.SetTerms(s.terms())
+	s.delegate.SetTerms(s.terms())
 	s.metrics.configVersion.Set(float64(config.Version))
 	event.Log(s.logger, event.ConfigInstalled{
 		Version: config.Version, Revision: revision, Routes: len(config.Routes), Services: len(config.Services),
@@ -340,7 +340,7 @@
 	members := f.nodes.Members(f.clock.Now())
 	f.rollouts.share(members)
 	roles := f.roles.Assign(f.member, members)
-	f.relay.SetRoles(roles, f.terms())
+	f.delegate.SetRoles(roles, f.terms())
 	f.combine.SetMembers(roles.Combiners(members))
 	f.setWatchers(members)
 	divided := share.Of(roles, members, nodes)
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -22,10 +22,10 @@
 	"github.com/micaplank/micaplank/internal/decide/startup"
 	"github.com/micaplank/micaplank/internal/decide/warmup"
 	"github.com/micaplank/micaplank/internal/edge/combine"
+	"github.com/micaplank/micaplank/internal/edge/delegate"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/mirror"
 	"github.com/micaplank/micaplank/internal/edge/registry"
-	"github.com/micaplank/micaplank/internal/edge/relay"
 	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
@@ -46,7 +46,7 @@
 
 	peers     *peer.Client
 	shared    *mirror.Shared
-	relay     *relay.Relay
+	delegate  *delegate.Client
 	combine   *combine.Client
 	conn      *scatter.Conn[*forward.Request, forward.Part]
 	forwarder *forward.Forwarder
@@ -114,7 +114,7 @@
 	f.nodes = roster.New(nodesMemory, f.settings.Forward.ExtraNodes)
 	f.shared = mirror.NewShared(mirror.DefaultSharedConfig(), f.ports.Store, watchPeers{client: f.peers, self: f.member.Name}, f.clock, f.logger)
 	f.roles = executors.Assigner{EqualNodes: f.settings.Forward.EqualNodes}
-	f.relay = relay.New(executors.DefaultConfig(), f.member, f.peers, f.clock, registerer, f.logger)
+	f.delegate = delegate.New(executors.DefaultConfig(), f.member, f.peers, f.clock, registerer, f.logger)
 	f.rollouts = newRollouts(f, registerer)
 	registerer.MustRegister(newCollector(f))
 	f.expiry = time.AfterFunc(time.Hour, f.publish)
@@ -132,8 +132,8 @@
 
 // execute hands a request of many shards to an executor, or runs it here.
 func (f *Node) execute(ctx context.Context, request *forward.Request) forward.Answer {
-	if timeout, spread := f.forwarder.Spread(request); spread && f.relay.InUse() {
-		if answer, done := f.handOn(ctx, timeout, request); done {
+	if timeout, spread := f.forwarder.Spread(request); spread && f.delegate.InUse() {
+		if answer, done := f.delegated(ctx, timeout, request); done {
 			return answer
 		}
 	}
@@ -143,11 +143,11 @@
 	return answer
 }
 
-// handOn offers a request to executors. It returns false if none takes it.
-func (f *Node) handOn(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
-	relaying, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
+// delegated hands a request to an executor. It returns false if none takes it.
+func (f *Node) delegated(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
+	delegating, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
 	defer cancel()
-	return f.relay.Execute(relaying, f.terms(), request)
+	return f.delegate.Execute(delegating, f.terms(), request)
 }
 
 // Now implements Service.
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -55,7 +55,7 @@
 	var background sync.WaitGroup
 	background.Go(func() { f.mirror().Run(following) })
 	background.Go(func() { f.announce(following) })
-	background.Go(func() { f.relay.Run(following) })
+	background.Go(func() { f.delegate.Run(following) })
 	background.Go(func() { f.combine.Run(following) })
 	background.Go(func() { f.rollouts.run(following) })
 	background.Go(func() { f.gate.run(following) })
