--- a/internal/edge/delegate/client.go
+++ b/internal/edge/delegate/client.go
@@ -25,6 +25,7 @@
 	"github.com/micaplank/micaplank/internal/event"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
+	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
 // Caller makes calls to other nodes; *peer.Client is one.
@@ -53,16 +54,14 @@
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	created := &metrics{
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_relay_requests_total",
-			Help: "Requests handed to executors, by result: answered, refused, not_sent, lost, left.",
-		}, []string{"result"}),
-		up: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "micaplank_relay_executors", Help: "Executors that would take a request of this node, by their last word."}),
+	create := telemetry.NewFactory(registerer)
+	return &metrics{
+		requests: create.Counters("micaplank_relay_requests_total",
+			"Requests handed to executors, by result: answered, refused, not_sent, lost, left.",
+			"result"),
+		up: create.Gauge("micaplank_relay_executors",
+			"Executors that would take a request of this node, by their last word."),
 	}
-	registerer.MustRegister(created.requests, created.up)
-	return created
 }
 
 // New returns a Client that knows no executor yet.
