--- a/internal/edge/delegate/client_test.go
+++ b/internal/edge/delegate/client_test.go
@@ -3,113 +3,15 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"log/slog"
-	"net/netip"
-	"sync"
 	"testing"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-func node(name, zone string, cores float64) roster.Member {
-	return roster.Member{Name: name, Zone: zone, Cores: cores, Peer: netip.MustParseAddrPort("127.0.0.1:" + fmt.Sprint(1000+len(name)+int(name[len(name)-1])))}
-}
-
-// fakeClock is set by a test.
-type fakeClock struct{ now time.Duration }
-
-func (c *fakeClock) Now() time.Duration { return c.now }
-
-// fakePeers answers calls by the executor's address.
-type fakePeers struct {
-	mutex   sync.Mutex
-	status  executors.Status
-	execute map[netip.AddrPort]func(ctx context.Context, request *executeRequest) (executeResponse, error)
-	calls   []netip.AddrPort
-}
-
-func (f *fakePeers) Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error {
-	if method == methodStatus {
-		f.mutex.Lock()
-		defer f.mutex.Unlock()
-		*response.(*executors.Status) = f.status
-		return nil
-	}
-	f.mutex.Lock()
-	f.calls = append(f.calls, to)
-	run := f.execute[to]
-	f.mutex.Unlock()
-	answer, err := run(ctx, request.(*executeRequest))
-	*response.(*executeResponse) = answer
-	return err
-}
-
-const version = 7
-
-var terms = executors.Terms{Version: version, Fresh: true}
-
-// rig is a Client in touch with two executors.
-type rig struct {
-	*testing.T
-	client *Client
-	clock  *fakeClock
-	peers  *fakePeers
-	near   roster.Member
-	far    roster.Member
-}
-
-func newRig(t *testing.T) *rig {
-	t.Helper()
-	r := &rig{
-		T: t, clock: &fakeClock{now: time.Second}, near: node("large-1", "a", 0.8), far: node("large-2", "b", 0.8),
-		peers: &fakePeers{
-			status:  executors.Status{Version: version, Accepting: true, Fresh: true},
-			execute: make(map[netip.AddrPort]func(context.Context, *executeRequest) (executeResponse, error)),
-		},
-	}
-	self := node("small-1", "a", 0.2)
-	r.client = New(executors.DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
-	r.client.SetRoles(executors.Assign(self, []roster.Member{r.near, r.far, self}), terms)
-	for _, member := range []roster.Member{r.near, r.far} {
-		r.peers.execute[member.Peer] = answered(member.Name)
-	}
-	r.beat()
-	return r
-}
-
-func answered(by string) func(context.Context, *executeRequest) (executeResponse, error) {
-	return func(context.Context, *executeRequest) (executeResponse, error) {
-		return executeResponse{Fate: forward.FateMerged, Body: []byte(by)}, nil
-	}
-}
-
-// beat asks all executors once.
-func (r *rig) beat() {
-	for _, one := range r.client.due() {
-		r.client.ask(context.Background(), one)
-	}
-}
-
-func (r *rig) execute() (forward.Answer, bool) {
-	return r.client.Execute(context.Background(), terms, &forward.Request{ID: "x", Patience: time.Second})
-}
-
-// wantExecutor expects an answer by a node; empty for none.
-func (r *rig) wantExecutor(name string) {
-	r.Helper()
-	answer, done := r.execute()
-	if done != (name != "") || string(answer.Body) != name || answer.Executor != name {
-		r.Errorf("executed by %q (%v), want %q", answer.Executor, done, name)
-	}
-}
-
 func TestNearExecutorIsPreferred(t *testing.T) {
 	r := newRig(t)
 	r.wantExecutor("large-1")
