--- /dev/null
+++ b/internal/edge/delegate/client.go
@@ -0,0 +1,246 @@
+// Package delegate hands requests of many shards to executors: nodes that run them for
+// others.
+//
+// It owns the connections, heartbeats and calls; who is an executor, and which one
+// gets a request, is decided by package executors.
+//
+// A request is delegated at most once. If the executor proves that it did not run it,
+// another one gets it, and last the node itself. If the executor is lost with it, the
+// request may have run and has failed.
+package delegate
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/executors"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/event"
+	"github.com/micaplank/micaplank/internal/peer"
+	"github.com/micaplank/micaplank/internal/roster"
+	"github.com/micaplank/micaplank/internal/telemetry"
+)
+
+// Caller makes calls to other nodes; *peer.Client is one.
+type Caller interface {
+	Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error
+}
+
+// Client hands requests to executors. It is safe for concurrent use.
+type Client struct {
+	config  executors.Config
+	self    roster.Member
+	caller  Caller
+	clock   clock.Clock
+	logger  *slog.Logger
+	metrics *metrics
+
+	mutex     sync.Mutex
+	executors executors.Table
+	terms     executors.Terms // of a request now
+}
+
+// metrics are those of a Client.
+type metrics struct {
+	requests *prometheus.CounterVec
+	up       prometheus.Gauge
+}
+
+func newMetrics(registerer prometheus.Registerer) *metrics {
+	create := telemetry.NewFactory(registerer)
+	return &metrics{
+		requests: create.Counters("micaplank_relay_requests_total",
+			"Requests handed to executors, by result: answered, refused, not_sent, lost, left.",
+			"result"),
+		up: create.Gauge("micaplank_relay_executors",
+			"Executors that would take a request of this node, by their last word."),
+	}
+}
+
+// New returns a Client that knows no executor yet.
+func New(config executors.Config, self roster.Member, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
+	return &Client{
+		config: config, self: self, caller: caller, clock: time, logger: logger,
+		metrics: newMetrics(registerer), executors: executors.NewTable(config, self),
+	}
+}
+
+// SetRoles sets who runs the requests of whom, and the terms of requests now.
+func (c *Client) SetRoles(roles executors.Roles, terms executors.Terms) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.terms = terms
+	used := roles.Executors
+	if roles.Self != executors.RoleDelegator {
+		used = nil
+	}
+	c.executors.Replace(c.clock.Now(), used)
+	c.showUsable()
+}
+
+// SetTerms sets the terms of requests now.
+func (c *Client) SetTerms(terms executors.Terms) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.terms = terms
+	c.showUsable()
+}
+
+// showUsable counts the executors that would take a request now. The caller holds the
+// mutex.
+func (c *Client) showUsable() { c.metrics.up.Set(float64(c.executors.Usable(c.terms))) }
+
+// InUse reports whether this node hands requests to executors at all.
+func (c *Client) InUse() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.executors.Len() > 0
+}
+
+// Run keeps in touch with the executors until ctx ends.
+func (c *Client) Run(ctx context.Context) {
+	ticker := time.NewTicker(c.config.HeartbeatInterval)
+	defer ticker.Stop()
+	var asking sync.WaitGroup
+	defer asking.Wait()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		for _, one := range c.due() {
+			asking.Go(func() { c.ask(ctx, one) })
+		}
+	}
+}
+
+// due returns the executors to be asked, and counts those as lost that were silent.
+func (c *Client) due() []*executors.Executor {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	up := c.executors.Alive()
+	c.executors.Expire(c.clock.Now())
+	if now := c.executors.Alive(); now < up {
+		event.Log(c.logger, event.ExecutorsLost{Lost: up - now, Left: now})
+	}
+	c.executors.Watch(c.clock.Now())
+	c.showUsable()
+	return c.executors.Watched()
+}
+
+// ask asks one executor for its status.
+func (c *Client) ask(ctx context.Context, of *executors.Executor) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.HeartbeatTimeout)
+	defer cancel()
+	var status executors.Status
+	started := c.clock.Now()
+	err := c.caller.Call(ctx, of.Peer, methodStatus, &statusRequest{From: c.self.Name}, &status)
+	if err != nil {
+		return // executors.Table.Expire notices its silence
+	}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.clock.Now()
+	regained := c.executors.Heard(now, now-started, of, status)
+	c.showUsable()
+	if regained {
+		event.Log(c.logger, event.ExecutorInTouch{Peer: of.Name, Version: status.Version, Accepting: status.Accepting, Fresh: status.Fresh})
+	}
+}
+
+// Execute hands a request to an executor that can keep its terms, and blocks
+// until its answer or the end of ctx. It returns false if the request has run
+// nowhere and this node should run it itself.
+func (c *Client) Execute(ctx context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
+	var tried []*executors.Executor
+	for range executors.MaxOffers {
+		chosen, alive, away := c.choose(terms, tried)
+		if chosen == nil {
+			return forward.Answer{}, false
+		}
+		tried = append(tried, chosen)
+		delegated := *request
+		if delegated.Patience > 0 {
+			delegated.Patience = request.Left(c.clock.Now())
+		}
+		delegated.Away = away
+		answer, done := c.offer(ctx, chosen, alive, terms, &delegated)
+		if done {
+			return answer, true
+		}
+	}
+	return forward.Answer{}, false
+}
+
+// choose chooses an executor. It returns with it the context that ends when it is
+// lost, and the time that the way to it and back takes.
+func (c *Client) choose(terms executors.Terms, tried []*executors.Executor) (chosen *executors.Executor, alive context.Context, away time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.executors.Expire(c.clock.Now())
+	chosen = c.executors.Choose(terms, tried)
+	if chosen == nil {
+		return nil, nil, 0
+	}
+	chosen.InFlight++
+	return chosen, chosen.Alive(), chosen.Away()
+}
+
+// offer hands a request to one executor. It returns false if the request did
+// not run there and never will.
+func (c *Client) offer(ctx context.Context, to *executors.Executor, alive context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
+	calling, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	stop := context.AfterFunc(alive, func() { cancel(errSilent) })
+	defer stop()
+	started := c.clock.Now()
+	var response executeResponse
+	err := c.caller.Call(calling, to.Peer, methodExecute, &executeRequest{
+		From: c.self.Name, Terms: terms, ID: request.ID, Method: request.Method, Host: request.Host,
+		Path: request.Path, Head: request.Head, Body: request.Body, Patience: request.Patience, Away: request.Away,
+	}, &response)
+	c.release(to, c.clock.Now()-started, err, &response)
+	switch {
+	case peer.NotExecuted(err):
+		c.metrics.requests.WithLabelValues("not_sent").Inc()
+		return forward.Answer{}, false
+	case err != nil && ctx.Err() != nil:
+		c.metrics.requests.WithLabelValues("left").Inc()
+		return forward.Answer{Fate: forward.FateLate, Version: terms.Version, Executor: to.Name}, true
+	case err != nil:
+		c.metrics.requests.WithLabelValues("lost").Inc()
+		event.Log(c.logger, event.RequestLost{RequestID: request.ID, Executor: to.Name, Error: err})
+		return forward.Answer{Fate: forward.FateFailed, Version: terms.Version, Executor: to.Name}, true
+	case response.Refusal != "":
+		c.metrics.requests.WithLabelValues("refused").Inc()
+		return forward.Answer{}, false
+	}
+	c.metrics.requests.WithLabelValues("answered").Inc()
+	return response.answer(to.Name, terms.Version), true
+}
+
+// errSilent is why a call is given up: the executor does not answer heartbeats.
+var errSilent = errors.New("executor is silent")
+
+// release records the end of an offer.
+func (c *Client) release(to *executors.Executor, took time.Duration, err error, response *executeResponse) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	to.InFlight--
+	switch {
+	case errors.Is(err, peer.ErrLost), peer.NotExecuted(err):
+		to.Lose() // its process has ended, most likely; it is asked again at the next heartbeat
+	case err == nil && response.Refusal != "":
+		to.Status = response.Status
+	case err == nil:
+		to.Completed(took)
+	}
+}
--- /dev/null
+++ b/internal/edge/node/request_log_test.go
@@ -0,0 +1,61 @@
+package node
+
+import (
+	"log/slog"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/scatter"
+)
+
+// TestLevelOfRequestLines: every request has its line, and those without an
+// answer are urgent.
+func TestLevelOfRequestLines(t *testing.T) {
+	for _, test := range []struct {
+		answer forward.Answer
+		want   slog.Level
+	}{
+		{forward.Answer{Fate: forward.FateMerged}, slog.LevelInfo},
+		{forward.Answer{Fate: forward.FateMerged, Missing: 1}, slog.LevelInfo},
+		{forward.Answer{Fate: forward.FateAnswered, Part: forward.Part{Status: 404}}, slog.LevelInfo},
+		{forward.Answer{Fate: forward.FateAnswered, Part: forward.Part{Status: 504}}, slog.LevelInfo},
+		{forward.Answer{Fate: forward.FateNotRun}, slog.LevelWarn},
+		{forward.Answer{Fate: forward.FateLate}, slog.LevelWarn},
+		{forward.Answer{Fate: forward.FateFailed}, slog.LevelWarn},
+		{forward.Answer{Fate: forward.FateNoRoute}, slog.LevelWarn},
+	} {
+		if got := levelOf(test.answer); got != test.want {
+			t.Errorf("%+v: %v", test.answer, got)
+		}
+	}
+}
+
+// TestLinesTellTheAttemptsThatMatter leaves out the plain attempts of a request
+// to many shards, and bounds the rest.
+func TestLinesTellTheAttemptsThatMatter(t *testing.T) {
+	plain := scatter.AttemptTrace{Send: dispatch.Send{Cause: dispatch.CauseNeeded, Leaf: netip.MustParseAddrPort("10.0.0.1:80")}, End: scatter.EndAnswered}
+	late := plain
+	late.End, late.At, late.Basis.Slowness = scatter.EndOpen, 54*time.Millisecond, 1.23456
+	hedge := plain
+	hedge.Extra, hedge.Cause = true, dispatch.CauseHedge
+	lines := attemptLines(forward.Answer{Total: 3, Attempts: []scatter.AttemptTrace{plain, late, hedge}})
+	if len(lines) != 2 || lines[0].End != "open" || lines[0].AtMS != 54 || lines[0].Slowness != 1.23 || lines[1].Cause != "hedge" {
+		t.Errorf("%+v", lines)
+	}
+	if lines := attemptLines(forward.Answer{Total: 1, Attempts: []scatter.AttemptTrace{plain}}); len(lines) != 1 {
+		t.Errorf("of a request to one leaf: %+v", lines)
+	}
+	many := make([]scatter.AttemptTrace, 100)
+	for index := range many {
+		many[index] = late
+	}
+	if lines := attemptLines(forward.Answer{Total: 100, Attempts: many}); len(lines) != maxAttemptLines {
+		t.Errorf("%d lines", len(lines))
+	}
+	if lines := attemptLines(forward.Answer{Total: 100, Answered: 100, Attempts: many}); len(lines) != maxPlainAttemptLines {
+		t.Errorf("%d lines of a request that lacks nothing", len(lines))
+	}
+}
