--- /dev/null
+++ b/internal/decide/retryafter/retryafter_test.go
@@ -0,0 +1,32 @@
+package retryafter
+
+import (
+	"testing"
+	"time"
+)
+
+// TestWithoutLeafKeepsWhatIsAdvised, and falls back on what the store would tell.
+func TestWithoutLeafKeepsWhatIsAdvised(t *testing.T) {
+	for _, test := range []struct {
+		advised   time.Duration
+		storeAway bool
+		want      time.Duration
+	}{
+		{0, false, Unknown}, {0, true, Outage},
+		{time.Millisecond, false, time.Millisecond}, {3 * time.Second, true, 3 * time.Second},
+	} {
+		if got := WithoutLeaf(test.advised, test.storeAway); got != test.want {
+			t.Errorf("advised %v, store away %v: %v, want %v", test.advised, test.storeAway, got, test.want)
+		}
+	}
+}
+
+func TestNoTimeOnTheWireIsZero(t *testing.T) {
+	for _, test := range []struct{ advised, want time.Duration }{
+		{0, Least}, {Least - 1, Least}, {Least + 1, Least + 1}, {time.Hour, time.Hour},
+	} {
+		if got := OnWire(test.advised); got != test.want {
+			t.Errorf("%v: %v on the wire, want %v", test.advised, got, test.want)
+		}
+	}
+}
--- a/internal/edge/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -8,6 +8,7 @@
 
 	"github.com/micaplank/micaplank/internal/decide/coverage"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/retryafter"
 	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
@@ -35,8 +36,8 @@
 	default:
 		answer.Fate = failureOf(result)
 	}
-	if answer.Fate == FateNotRun && answer.Reason == dispatch.ReasonNoLeaf && answer.RetryAfter == 0 {
-		answer.RetryAfter = f.unknownAgain() // at once it would meet the same
+	if answer.Fate == FateNotRun && answer.Reason == dispatch.ReasonNoLeaf {
+		answer.RetryAfter = retryafter.WithoutLeaf(answer.RetryAfter, f.outage.Load())
 	}
 	return answer
 }
--- a/internal/edge/forward/forward.go
+++ b/internal/edge/forward/forward.go
@@ -17,6 +17,7 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/retryafter"
 	"github.com/micaplank/micaplank/internal/edge/registry"
 	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
@@ -94,7 +95,8 @@
 	Body       []byte
 	Signatures []string
 	Missing    int
-	// RetryAfter is when the client may come again, with FateNotRun.
+	// RetryAfter is the time after which the client may retry, with FateNotRun; see
+	// package retryafter.
 	RetryAfter time.Duration
 	// Route is the name of the route, and Version that of the configuration;
 	// both are empty if there is none.
@@ -125,13 +127,6 @@
 	// ClientAllowance is the time on the way between a client and the node
 	// that counts for the objective and is not seen here.
 	ClientAllowance time.Duration
-	// UnknownRetryAfter is when a client may come again that met a node
-	// without the configuration, or without a leaf for its request.
-	UnknownRetryAfter time.Duration
-	// OutageRetryAfter takes its place while the store does not answer: the
-	// configuration will not come sooner, and a client comes again only once or
-	// twice.
-	OutageRetryAfter time.Duration
 	// Clock tells how much of a client's patience is left.
 	Clock clock.Clock
 }
@@ -267,16 +262,7 @@
 }
 
 func (f *Forwarder) notRun(reason dispatch.Reason) Answer {
-	return Answer{Fate: FateNotRun, Reason: reason, RetryAfter: f.unknownAgain()}
-}
-
-// unknownAgain returns when a client may come again that could not be served for
-// want of what the store tells.
-func (f *Forwarder) unknownAgain() time.Duration {
-	if f.outage.Load() {
-		return f.config.OutageRetryAfter
-	}
-	return f.config.UnknownRetryAfter
+	return Answer{Fate: FateNotRun, Reason: reason, RetryAfter: retryafter.Uninformed(f.outage.Load())}
 }
 
 // plan makes the query of a request.
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
+	"github.com/micaplank/micaplank/internal/decide/retryafter"
 	"github.com/micaplank/micaplank/internal/edge/registry"
 	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
@@ -39,7 +40,7 @@
 	scatterer := &fakeScatterer{result: result}
 	forwarder := New(Config{
 		HedgeShare: 0.5, HedgePercentile: 0.9, ExtraLoad: 0.2,
-		ClientAllowance: 10 * time.Millisecond, UnknownRetryAfter: time.Second, Clock: &stopped{},
+		ClientAllowance: 10 * time.Millisecond, Clock: &stopped{},
 	}, scatterer, openGate{}, registry.NewIndex())
 	forwarder.Install(route.NewTable(testConfig(5)))
 	forwarder.SetFresh(true)
@@ -135,11 +136,11 @@
 // TestClientComesAgainLaterInAnOutage: without the store, a configuration does
 // not come soon, and a client does not come often.
 func TestClientComesAgainLaterInAnOutage(t *testing.T) {
-	empty := New(Config{UnknownRetryAfter: time.Millisecond, OutageRetryAfter: time.Second}, nil, openGate{}, registry.NewIndex())
+	empty := New(Config{}, nil, openGate{}, registry.NewIndex())
 	for _, test := range []struct {
 		outage bool
 		want   time.Duration
-	}{{false, time.Millisecond}, {true, time.Second}, {false, time.Millisecond}} {
+	}{{false, retryafter.Unknown}, {true, retryafter.Outage}, {false, retryafter.Unknown}} {
 		empty.SetOutage(test.outage)
 		if answer := empty.Execute(context.Background(), sweep()); answer.Fate != FateNotRun || answer.RetryAfter != test.want {
 			t.Errorf("outage %v: %+v", test.outage, answer)
@@ -157,7 +158,7 @@
 	if answer := forwarder.Execute(context.Background(), unknown); answer.Fate != FateNotRun || answer.RetryAfter <= 0 {
 		t.Errorf("not fresh: %+v", answer)
 	}
-	empty := New(Config{UnknownRetryAfter: time.Second}, nil, openGate{}, registry.NewIndex())
+	empty := New(Config{}, nil, openGate{}, registry.NewIndex())
 	empty.SetFresh(true)
 	if answer := empty.Execute(context.Background(), unknown); answer.Fate != FateNotRun || answer.RetryAfter <= 0 {
 		t.Errorf("without a configuration: %+v", answer)
@@ -168,7 +169,7 @@
 func TestClientWithoutALeafComesAgainLater(t *testing.T) {
 	without := scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: dispatch.ReasonNoLeaf, Total: 3}}
 	forwarder, _ := newForwarder(without)
-	if answer := forwarder.Execute(context.Background(), sweep()); answer.Fate != FateNotRun || answer.RetryAfter != time.Second {
+	if answer := forwarder.Execute(context.Background(), sweep()); answer.Fate != FateNotRun || answer.RetryAfter != retryafter.Unknown {
 		t.Errorf("%+v", answer)
 	}
 }
--- a/internal/edge/node/policy.go
+++ b/internal/edge/node/policy.go
@@ -19,24 +19,13 @@
 // again: to begin anew is quicker.
 const peerDialTimeout = 500 * time.Millisecond
 
-// unknownRetryAfter is when a client may come again that met a node without
-// the configuration, and outageRetryAfter the same while the store is away. Nodes
-// of a fleet of 295 that started as a whole had it 0.5 to 0.9 s after the first
-// of them listened, and a client that comes too early is lost, as a rule.
-const (
-	unknownRetryAfter = 600 * time.Millisecond
-	outageRetryAfter  = 2 * time.Second
-)
-
 func forwardConfig(from settings.Forward, clock clock.Clock) forward.Config {
 	return forward.Config{
-		Clock:             clock,
-		HedgeShare:        from.HedgeShare,
-		HedgePercentile:   from.HedgePercentile,
-		ExtraLoad:         from.ExtraRatio,
-		ClientAllowance:   from.ClientAllowance.Duration(),
-		UnknownRetryAfter: unknownRetryAfter,
-		OutageRetryAfter:  outageRetryAfter,
+		Clock:           clock,
+		HedgeShare:      from.HedgeShare,
+		HedgePercentile: from.HedgePercentile,
+		ExtraLoad:       from.ExtraRatio,
+		ClientAllowance: from.ClientAllowance.Duration(),
 	}
 }
 
--- a/internal/edge/node/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -11,6 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
+	"github.com/micaplank/micaplank/internal/decide/retryafter"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/lease"
 )
@@ -87,7 +88,7 @@
 			break
 		}
 	}
-	return q.refuse(quarantine.Decision{RetryAfter: unknownRetryAfter})
+	return q.refuse(quarantine.Decision{RetryAfter: retryafter.Unknown})
 }
 
 // await decides on a request once no trial of it is under way, or after a while: its
