--- /dev/null
+++ b/internal/decide/quarantine/trial_test.go
@@ -0,0 +1,27 @@
+package quarantine
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestTrialReachesOneLeafOfOneShard plans the trials of requests of one and of many
+// shards.
+func TestTrialReachesOneLeafOfOneShard(t *testing.T) {
+	last := func(count int) int { return count - 1 }
+	for _, test := range []struct {
+		shards  []int
+		want    []int
+		timeout time.Duration
+		whole   bool
+	}{
+		{[]int{7}, []int{7}, time.Second, true},
+		{[]int{7, 8, 9}, []int{9}, 500 * time.Millisecond, false},
+	} {
+		plan := PlanTrial(test.shards, time.Second, last)
+		if !slices.Equal(plan.Shards, test.want) || plan.Timeout != test.timeout || plan.Whole != test.whole || plan.Attempts != 1 {
+			t.Errorf("shards %v: %+v", test.shards, plan)
+		}
+	}
+}
--- a/internal/edge/forward/gate.go
+++ b/internal/edge/forward/gate.go
@@ -59,25 +59,15 @@
 	}
 }
 
-// trialShare is the part of the time of a request of many shards that its trial may
-// take: the rest is for the request itself.
-const trialShare = 0.5
-
-// try runs a request on one leaf of one shard, without a second attempt. If the leaf
-// answers, a request of many shards may run as a whole; of one to a single shard,
-// that is the answer.
+// try runs the trial of a request. It returns false, and the answer, unless the trial
+// was of one shard out of many and was answered: then the request may run as a whole.
 func (f *Forwarder) try(ctx context.Context, matched *route.Route, request *Request, content quarantine.Content) (Answer, bool) {
 	planned := f.plan(matched, request)
-	planned.MaximumSends = 1
-	spread := len(planned.Shards) > 1
-	if spread {
-		chosen := rand.IntN(len(planned.Shards))
-		planned.Shards = planned.Shards[chosen : chosen+1]
-		planned.Timeout = time.Duration(trialShare * float64(planned.Timeout))
-	}
+	trial := quarantine.PlanTrial(planned.Shards, planned.Timeout, rand.IntN)
+	planned.Shards, planned.Timeout, planned.MaximumSends = trial.Shards, trial.Timeout, trial.Attempts
 	result := f.scatterer.Execute(ctx, planned)
 	f.gate.Ended(content, Tried{RequestID: request.ID, Route: matched.Name, Attempts: result.Attempts, Trial: true})
-	if !spread {
+	if trial.Whole {
 		return f.answerOf(ctx, matched, planned.Class.Name, result), false
 	}
 	if len(result.Parts) == 0 {
