--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -15,7 +15,9 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/decide/cordon"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/removal"
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
@@ -42,22 +44,14 @@
 	Revision uint64
 }
 
-// Config is the policy of a Table.
-type Config struct {
-	// Doubt is how long a leaf is still used whose announcement went while the
-	// store was away, or was just back: the store may have dropped it though
-	// the leaf is well. It is shorter than the time in which a leaf that left
-	// must get no more work.
-	Doubt time.Duration
-	// Settling is the time after an outage of the store in which removals are
-	// doubted: the leaves need it to announce themselves again.
-	Settling time.Duration
-}
+// Config is the policy of a Table: for how long a leaf is still used whose announcement
+// has vanished.
+type Config = removal.Config
 
 // entry is what the Table knows of one id.
 type entry struct {
 	Leaf
-	// goneAt is when the leaf stops being used, after its announcement went;
+	// goneAt is when the leaf stops being used, after its announcement vanished;
 	// zero while it is announced.
 	goneAt time.Duration
 	// coldUntil is when the leaf is warm, by its word or by what is assumed.
@@ -66,23 +60,22 @@
 
 // Table is the set of leaves. It is not safe for concurrent use.
 type Table struct {
-	config       Config
-	index        *Index
-	entries      map[string]*entry
-	cordoned     map[string]bool   // zones out of service
-	stages       map[string]Stage  // by service
-	mixed        map[string]uint64 // orders under which another version was seen, by service
-	births       births
-	coldTimes    map[string]time.Duration // by service
-	settledAfter time.Duration
-	revision     uint64
+	index     *Index
+	entries   map[string]*entry
+	removals  removal.Rule
+	zones     *cordon.Zones
+	stages    map[string]Stage  // by service
+	mixed     map[string]uint64 // orders under which another version was seen, by service
+	births    births
+	coldTimes map[string]time.Duration // by service
+	revision  uint64
 }
 
 // NewTable returns an empty Table that numbers services by index.
 func NewTable(config Config, index *Index) *Table {
 	return &Table{
-		config: config, index: index, entries: make(map[string]*entry),
-		cordoned: make(map[string]bool), mixed: make(map[string]uint64), births: make(births),
+		index: index, entries: make(map[string]*entry), removals: removal.NewRule(config),
+		zones: cordon.NewZones(), mixed: make(map[string]uint64), births: make(births),
 	}
 }
 
@@ -123,17 +116,19 @@
 // SetColdTimes says how long the leaves of each service are cold after a start.
 func (t *Table) SetColdTimes(times map[string]time.Duration) { t.coldTimes = times }
 
-// Remove takes in that the announcement of an id is gone.
+// Remove takes in that the announcement of an id has vanished. The leaf may be used for
+// a while more, by the rule of package removal.
 func (t *Table) Remove(now time.Duration, id string) {
 	known, found := t.entries[id]
 	if !found || known.goneAt > 0 {
 		return
 	}
-	if now >= t.settledAfter || known.Draining {
+	until, doubted := t.removals.UsedUntil(now, known.Draining)
+	if !doubted {
 		delete(t.entries, id)
 		return
 	}
-	known.goneAt = now + t.config.Doubt
+	known.goneAt = until
 }
 
 // Replace takes in all announcements there are. They may be old: a leaf that was
@@ -153,14 +148,12 @@
 	}
 }
 
-// Outage tells that the store was away until now.
-func (t *Table) Outage(now time.Duration) {
-	t.settledAfter = now + t.config.Settling
-}
+// Outage takes in that the store was away until now.
+func (t *Table) Outage(now time.Duration) { t.removals.Outage(now) }
 
-// Expire drops the leaves whose doubt has ended, and what is remembered of others for
-// long enough, and reports whether there were
-// any, and when it has to be called next; zero for never.
+// Expire drops the leaves whose announcements are not doubted to be gone any more, and
+// what was remembered of others for long enough. It reports whether it dropped a leaf,
+// and when it has to be called next, on the node's clock; zero for never.
 func (t *Table) Expire(now time.Duration) (changed bool, next time.Duration) {
 	t.births.expire(now)
 	for id, known := range t.entries {
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -41,7 +41,7 @@
 }
 
 // usable reports whether a leaf may get work but for its version.
-func (t *Table) usable(known *entry) bool { return !known.Draining && !t.cordoned[known.Zone] }
+func (t *Table) usable(known *entry) bool { return !known.Draining && !t.zones.Cordoned(known.Zone) }
 
 // canary reports whether a leaf may get attempts only within an allowance.
 func (t *Table) canary(known *entry) bool {
