--- /dev/null
+++ b/internal/decide/requestclass/requestclass_test.go
@@ -0,0 +1,26 @@
+package requestclass
+
+import (
+	"testing"
+	"time"
+)
+
+// TestClassIsThatOfTheKind: what is not declared by the kind of a route makes no class
+// of its own, and the most urgent route has the most urgent class.
+func TestClassIsThatOfTheKind(t *testing.T) {
+	declared := Route{Objective: 100 * time.Millisecond, Timeout: time.Second, TopK: 5, Repeatable: true}
+	extra := Extra{HedgePercentile: 0.9, Load: 0.2}
+	got := Of(declared, extra)
+	if got.Name != "0/100ms/1s/5" || got.Priority != 1 || got.Deadline != time.Second || got.HedgePercentile != 0.9 || got.ExtraLoad != 0.2 || !got.Repeatable {
+		t.Errorf("%+v", got)
+	}
+	for _, change := range []func(*Route){
+		func(r *Route) { r.Priority++ }, func(r *Route) { r.Objective++ }, func(r *Route) { r.Timeout++ }, func(r *Route) { r.TopK++ },
+	} {
+		other := declared
+		change(&other)
+		if Of(other, extra).Name == got.Name {
+			t.Errorf("%+v has the class of another kind", other)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decide/timeleft/timeleft_test.go
@@ -0,0 +1,45 @@
+package timeleft
+
+import (
+	"testing"
+	"time"
+)
+
+// TestTimeoutIsTheShorter covers which of the two ends a request.
+func TestTimeoutIsTheShorter(t *testing.T) {
+	const route = 500 * time.Millisecond
+	for _, test := range []struct{ client, sinceArrival, want time.Duration }{
+		{0, time.Minute, route},
+		{time.Second, 0, route},
+		{400 * time.Millisecond, 0, 400 * time.Millisecond},
+		{time.Second, 800 * time.Millisecond, 200 * time.Millisecond},
+		{time.Second, time.Second, leastRemaining},
+		{time.Second, time.Minute, leastRemaining},
+	} {
+		if got := Timeout(route, test.client, test.sinceArrival); got != test.want {
+			t.Errorf("client %v, since arrival %v: %v, want %v", test.client, test.sinceArrival, got, test.want)
+		}
+	}
+}
+
+// TestAllThatIsSpentCountsAgainstTheObjective, each quantity by itself and all
+// together.
+func TestAllThatIsSpentCountsAgainstTheObjective(t *testing.T) {
+	const route = 100 * time.Millisecond
+	for _, test := range []struct {
+		spent Spent
+		want  time.Duration
+	}{
+		{Spent{}, route},
+		{Spent{BeforeArrival: 10 * time.Millisecond}, 90 * time.Millisecond},
+		{Spent{SinceArrival: 10 * time.Millisecond}, 90 * time.Millisecond},
+		{Spent{RelayTime: 10 * time.Millisecond}, 90 * time.Millisecond},
+		{Spent{ClientLink: 10 * time.Millisecond}, 90 * time.Millisecond},
+		{Spent{BeforeArrival: 1, SinceArrival: 2, RelayTime: 3, ClientLink: 4}, route - 10},
+		{Spent{SinceArrival: time.Second}, 0},
+	} {
+		if got := Objective(route, test.spent); got != test.want {
+			t.Errorf("%+v: %v, want %v", test.spent, got, test.want)
+		}
+	}
+}
--- a/internal/edge/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -45,7 +45,7 @@
 // mergeParts makes the answer of a request to many shards.
 func (f *Forwarder) mergeParts(ctx context.Context, answer *Answer, matched *route.Route, kind string, result scatter.Result[Part]) {
 	parts, body, missed := greatestOf(ctx, matched.TopK, result.Parts)
-	f.floors.learn(kind, matched.TopK, parts, missed)
+	f.learned.learnFloor(kind, matched.TopK, parts, missed)
 	progress := coverage.Progress{Total: len(matched.Shards), Answered: len(parts)}
 	if !progress.Enough(matched.MinCoverage) {
 		answer.Fate = failureOf(result)
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -57,7 +57,7 @@
 }
 
 func sweep() *Request {
-	return &Request{ID: "1", Host: "h", Path: "/sweep/x", Patience: 800 * time.Millisecond}
+	return &Request{ID: "1", Host: "h", Path: "/sweep/x", ClientTimeout: 800 * time.Millisecond}
 }
 
 func parts(count int) scatter.Result[Part] {
@@ -79,7 +79,7 @@
 		t.Errorf("planned %+v", last)
 	}
 	late := sweep()
-	late.Patience = 500 * time.Millisecond
+	late.ClientTimeout = 500 * time.Millisecond
 	forwarder.Execute(context.Background(), late)
 	if scatterer.last.Objective != 0 {
 		t.Errorf("objective %v of a client that has waited too long", scatterer.last.Objective)
@@ -174,11 +174,11 @@
 	}
 }
 
-// TestTimeOnThisNodeIsTakenOffThePatience, a suspension too: a request that was read
+// TestTimeOnThisNodeIsTakenOffTheClientTimeout, a suspension too: a request that was read
 // before it is planned with what its client has left.
-func TestTimeOnThisNodeIsTakenOffThePatience(t *testing.T) {
+func TestTimeOnThisNodeIsTakenOffTheClientTimeout(t *testing.T) {
 	for _, test := range []struct{ spent, left time.Duration }{
-		{0, 800 * time.Millisecond}, {300 * time.Millisecond, 500 * time.Millisecond}, {time.Minute, leastPatience},
+		{0, 800 * time.Millisecond}, {300 * time.Millisecond, 500 * time.Millisecond}, {time.Minute, time.Millisecond},
 	} {
 		forwarder, scatterer := newForwarder(parts(3))
 		forwarder.config.Clock = &stopped{now: time.Hour + test.spent}
--- a/internal/edge/forward/greatest_test.go
+++ b/internal/edge/forward/greatest_test.go
@@ -7,6 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
+	"github.com/micaplank/micaplank/internal/decide/recordfloor"
 	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/scatter"
 )
@@ -77,20 +78,20 @@
 func TestFloorLeavesOutMuchAndMissesLittle(t *testing.T) {
 	const k, count, whole, size = 50, 30, 10, 62
 	random := rand.New(rand.NewPCG(1, 2))
-	learned := newFloors()
+	learned := newLearned()
 	missed, sent := 0, 0
 	const answers = 400
 	for number := range answers {
 		parts := randomParts(random, count, count, size)
-		floor := learned.of("kind")
-		if number < floorSamples && floor != nil {
+		floor := learned.floor("kind")
+		if number < recordfloor.Samples && floor != nil {
 			t.Fatal("a floor is told that rests on too little")
 		}
 		above := 0
 		for _, one := range parts {
 			above += len(records.NotBelow(one.Part.Body, floor)) / records.Size
 		}
-		if number >= floorSamples {
+		if number >= recordfloor.Samples {
 			sent += above
 		}
 		if above < k {
@@ -99,33 +100,33 @@
 		for index := whole; index < count; index++ {
 			parts[index].Part = restOf(recordsOf(0), nil)
 		}
-		learned.learn("kind", k, parts, above < k)
+		learned.learnFloor("kind", k, parts, above < k)
 	}
 	if missed > answers/100 {
 		t.Errorf("%d of %d answers missed records", missed, answers)
 	}
-	if mean := sent / (answers - floorSamples); mean > 4*k {
+	if mean := sent / (answers - recordfloor.Samples); mean > 4*k {
 		t.Errorf("%d records for answers of %d", mean, k)
 	}
 }
 
 func TestFloorIsForgottenWhenItMissed(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	learned := newFloors()
-	for range floorSamples {
-		learned.learn("kind", 5, randomParts(random, 6, 3, 20), false)
+	learned := newLearned()
+	for range recordfloor.Samples {
+		learned.learnFloor("kind", 5, randomParts(random, 6, 3, 20), false)
 	}
-	if learned.of("kind") == nil || learned.of("other") != nil {
+	if learned.floor("kind") == nil || learned.floor("other") != nil {
 		t.Fatal("floors of the wrong kinds")
 	}
-	learned.learn("kind", 5, randomParts(random, 6, 3, 20), true)
-	if learned.of("kind") != nil {
+	learned.learnFloor("kind", 5, randomParts(random, 6, 3, 20), true)
+	if learned.floor("kind") != nil {
 		t.Error("the floor is still told")
 	}
-	for range 2 * floorSamples {
-		learned.learn("far", 5, randomParts(random, 6, 0, 20), false)
+	for range 2 * recordfloor.Samples {
+		learned.learnFloor("far", 5, randomParts(random, 6, 0, 20), false)
 	}
-	if learned.of("far") != nil {
+	if learned.floor("far") != nil {
 		t.Error("a floor is told without a whole part")
 	}
 }
--- /dev/null
+++ b/internal/edge/forward/plan.go
@@ -0,0 +1,75 @@
+package forward
+
+import (
+	"time"
+
+	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/decide/requestclass"
+	"github.com/micaplank/micaplank/internal/decide/timeleft"
+	"github.com/micaplank/micaplank/internal/edge/route"
+	"github.com/micaplank/micaplank/internal/scatter"
+)
+
+// plan makes the query of a request.
+func (f *Forwarder) plan(matched *route.Route, request *Request) scatter.Request[*Request] {
+	class := f.class(matched)
+	objective := f.objective(matched, class.Name, request)
+	request.TopK, request.Floor = 0, nil
+	if len(matched.Shards) > 0 {
+		request.TopK, request.Floor = matched.TopK, f.learned.floor(class.Name)
+	}
+	return scatter.Request[*Request]{
+		RequestID:       request.ID,
+		Class:           class,
+		Payload:         request,
+		Shards:          f.shards(matched),
+		Timeout:         f.timeout(matched, request),
+		Objective:       objective,
+		HedgeDelay:      time.Duration(f.config.HedgeShare * float64(matched.Objective)),
+		MaximumSends:    matched.MaxAttempts,
+		MinimumCoverage: matched.MinCoverage,
+	}
+}
+
+// timeout returns the time from now on after which a request ends.
+func (f *Forwarder) timeout(matched *route.Route, request *Request) time.Duration {
+	return timeleft.Timeout(matched.Timeout, request.ClientTimeout, f.sinceArrival(request))
+}
+
+// objective returns the time from now on within which an answer is worth most; zero if
+// it has passed, or there is none.
+func (f *Forwarder) objective(matched *route.Route, kind string, request *Request) time.Duration {
+	return timeleft.Objective(matched.Objective, timeleft.Spent{
+		BeforeArrival: f.learned.beforeArrival(kind, request.ClientTimeout),
+		SinceArrival:  f.sinceArrival(request),
+		RelayTime:     request.RelayTime,
+		ClientLink:    f.config.ClientAllowance,
+	})
+}
+
+// sinceArrival returns the time that a request has spent on this node.
+func (f *Forwarder) sinceArrival(request *Request) time.Duration {
+	if request.ClientTimeout == 0 {
+		return 0 // nothing says when it came
+	}
+	return f.config.Clock.Now() - request.Arrived
+}
+
+func (f *Forwarder) shards(matched *route.Route) []int {
+	if len(matched.Shards) == 0 {
+		return []int{f.index.Of(f.splitter.Pick(matched))}
+	}
+	shards := make([]int, len(matched.Shards))
+	for position, service := range matched.Shards {
+		shards[position] = f.index.Of(service)
+	}
+	return shards
+}
+
+func (f *Forwarder) class(matched *route.Route) catalog.Class {
+	declared := requestclass.Route{
+		Priority: matched.Priority, Objective: matched.Objective, Timeout: matched.Timeout,
+		TopK: matched.TopK, Repeatable: matched.Repeatable,
+	}
+	return requestclass.Of(declared, requestclass.Extra{HedgePercentile: f.config.HedgePercentile, Load: f.config.ExtraLoad})
+}
--- a/internal/edge/node/telemetry.go
+++ b/internal/edge/node/telemetry.go
@@ -87,7 +87,7 @@
 		RequestID: request.ID, Content: request.Content().String(), Route: answer.Route, Version: answer.Version,
 		Fate: string(answer.Fate), Reason: string(answer.Reason),
 		Answered: answer.Answered, Total: answer.Total, Status: answer.Part.Status,
-		TookMS: took.Milliseconds(), PatienceMS: request.Patience.Milliseconds(),
+		TookMS: took.Milliseconds(), PatienceMS: request.ClientTimeout.Milliseconds(),
 		RetryAfterMS: answer.RetryAfter.Milliseconds(),
 		From:         from, Executor: answer.Executor,
 		Attempts: attemptLines(answer),
--- a/internal/edge/relay/executor.go
+++ b/internal/edge/relay/executor.go
@@ -36,7 +36,7 @@
 	}
 	answer, ran := executor.Run(ctx, request.From, request.Terms.Version, &forward.Request{
 		ID: request.ID, Method: request.Method, Host: request.Host, Path: request.Path,
-		Head: request.Head, Body: request.Body, Patience: request.Patience, Away: request.Away,
+		Head: request.Head, Body: request.Body, ClientTimeout: request.Patience, RelayTime: request.Away,
 	})
 	if !ran {
 		return &executeResponse{Refusal: refusedVersion, Status: executor.Status()}
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -185,10 +185,10 @@
 		}
 		tried = append(tried, chosen)
 		handed := *request
-		if handed.Patience > 0 {
-			handed.Patience = request.Left(r.clock.Now())
+		if handed.ClientTimeout > 0 {
+			handed.ClientTimeout = request.Remaining(r.clock.Now())
 		}
-		handed.Away = away
+		handed.RelayTime = away
 		answer, done := r.offer(ctx, chosen, alive, terms, &handed)
 		if done {
 			return answer, true
@@ -222,7 +222,7 @@
 	var response executeResponse
 	err := r.caller.Call(calling, to.Peer, methodExecute, &executeRequest{
 		From: r.self.Name, Terms: terms, ID: request.ID, Method: request.Method, Host: request.Host,
-		Path: request.Path, Head: request.Head, Body: request.Body, Patience: request.Patience, Away: request.Away,
+		Path: request.Path, Head: request.Head, Body: request.Body, Patience: request.ClientTimeout, Away: request.RelayTime,
 	}, &response)
 	r.release(to, r.clock.Now()-started, err, &response)
 	switch {
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -155,7 +155,7 @@
 }
 
 func (r *rig) execute() (forward.Answer, bool) {
-	return r.relay.Execute(context.Background(), terms, &forward.Request{ID: "x", Patience: time.Second})
+	return r.relay.Execute(context.Background(), terms, &forward.Request{ID: "x", ClientTimeout: time.Second})
 }
 
 // wantExecutor expects an answer by a node; empty for none.
