--- a/internal/decide/quarantine/background_test.go
+++ b/internal/decide/quarantine/background_test.go
@@ -11,7 +11,7 @@
 	for run := range 140 {
 		background.Add(0, good, false, 1, run < 50)
 	}
-	const later = 30 * momentTime
+	const later = 30 * momentHalfLife
 	if chance := background.Chance(later, bad, 1); chance < 0.25 || chance > 0.4 {
 		t.Errorf("chance %v with 50 of 140 runs ended", chance)
 	}
@@ -19,7 +19,7 @@
 		at      time.Duration
 		service int
 	}{{later, 0}, {later, 7}, {time.Hour, 1}} {
-		if chance := background.Chance(one.at, bad, one.service); chance > 1.01*priorEnds/priorRuns {
+		if chance := background.Chance(one.at, bad, one.service); chance > 1.01*priorCrashes/priorRuns {
 			t.Errorf("chance %v at %v of service %d", chance, one.at, one.service)
 		}
 	}
--- a/internal/decide/quarantine/config.go
+++ b/internal/decide/quarantine/config.go
@@ -6,22 +6,21 @@
 type Config struct {
 	// Self names this process.
 	Self string
-	// MinEnded is how many leaves have to end under a request, of which none has
-	// answered it, before it is tried on one alone.
-	MinEnded int
-	// MinTrials is how many trials have to end with their leaf before the request is
-	// held.
+	// MinCrashes is how many leaves have to crash under a request, which none has
+	// answered, before it is tried on one alone.
+	MinCrashes int
+	// MinTrials is how many trials have to crash their leaf before the request is held.
 	MinTrials int
 	// MinOdds is what Record.Odds has to reach before the request is held.
 	MinOdds float64
-	// TrialTime is how long a trial is taken to be under way that does not end: its
-	// node may be lost.
+	// TrialTime is for how long a trial counts as running of which nothing more is heard:
+	// its node may be lost.
 	TrialTime time.Duration
 	// TrialPause is the pause after MinTrials trials without an answer. It doubles with
 	// each further one, up to MaxTrialPause.
 	TrialPause, MaxTrialPause time.Duration
-	// TrialRetryAfter is how long a request waits that meets a trial under way, and
-	// when its client may come again if that did not end.
+	// TrialRetryAfter is how long a request waits for a running trial, and the
+	// Retry-After of its client if that did not end.
 	TrialRetryAfter time.Duration
 	// HoldTime is the least time for which a request is held.
 	HoldTime time.Duration
@@ -38,17 +37,20 @@
 
 // DefaultConfig returns the policy of a process.
 //
-// Two trials: a leaf that is lost to something else under the one trial would else
-// have the request refused. With odds of 100, two trials are enough where no more than
-// one in ten runs ends with its leaf by itself, and five where it is one in three.
-// A quarter of a second holds the trials that were measured (28 to 220 ms of work).
-// 10 reports a second are a fortieth of the writes of the smallest store that the
-// product was run with; in 10 minutes, after which the store forgets them, they are
-// 6,000 records of about 300 bytes. 1,024 entries of at most 1.5 KB take 1.5 MB.
+// Three crashes (the setting forward.quarantine_after, which replaces it) and the times
+// and pauses of trials and holds are not measured: they are chosen because a request may
+// reach leaves in three more tries at most once three have crashed. Two trials: with one,
+// a leaf that crashes for another reason would have the request refused. With odds of 100,
+// two trials are enough where no more than one in ten runs crashes its leaf whatever the
+// request, and five where it is one in three. A quarter of a second holds the trials that
+// were measured (28 to 220 ms of work). 10 reports a second are a fortieth of the writes
+// of the smallest store that the product was run with; in 10 minutes, after which the
+// store forgets them, they are 6,000 records of about 300 bytes. 1,024 entries of at most
+// 1.5 KB take 1.5 MB.
 func DefaultConfig(self string) Config {
 	return Config{
-		Self:     self,
-		MinEnded: 3, MinTrials: 2, MinOdds: 100,
+		Self:       self,
+		MinCrashes: 3, MinTrials: 2, MinOdds: 100,
 		TrialTime: 5 * time.Second, TrialPause: time.Second, MaxTrialPause: 30 * time.Second,
 		TrialRetryAfter: 250 * time.Millisecond,
 		HoldTime:        5 * time.Minute, Memory: time.Hour,
--- a/internal/decide/quarantine/content.go
+++ b/internal/decide/quarantine/content.go
@@ -1,5 +1,3 @@
-// Package quarantine decides which requests get no leaf any more, since leaves
-// ended under them.
 package quarantine
 
 import (
--- a/internal/decide/quarantine/fleet_test.go
+++ b/internal/decide/quarantine/fleet_test.go
@@ -66,16 +66,16 @@
 }
 
 // leaf returns the end of a leaf, which always has the same name.
-func (f *fleet) leaf() []End {
+func (f *fleet) leaf() []Crash {
 	f.ended++
-	return []End{{Leaf: "leaf", Request: fmt.Sprint(f.ended)}}
+	return []Crash{{Leaf: "leaf", Request: fmt.Sprint(f.ended)}}
 }
 
 // send sends the request to one node: leaves end under it, unless it is refused.
 func (f *fleet) send(node int) {
 	table := f.tables[node]
 	switch decision := table.Admit(f.now, bad); decision.Verdict {
-	case Pass:
+	case Run:
 		table.Suspect(f.now, bad, "r", f.leaf())
 	case Trial:
 		if !f.store.write(decision.Change) {
@@ -85,7 +85,7 @@
 		}
 		table.Written(f.now, decision.Change, f.store.revision)
 		f.trials++
-		table.Tried(f.now, bad, f.leaf(), 0.05)
+		table.TrialCrashed(f.now, bad, f.leaf(), 0.05)
 	}
 }
 
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -23,11 +23,11 @@
 func newPlay(t *testing.T) *play { return &play{T: t, table: NewTable(DefaultConfig("self"))} }
 
 // leaves returns incarnations that were not named before.
-func (p *play) leaves(count int) []End {
-	var all []End
+func (p *play) leaves(count int) []Crash {
+	var all []Crash
 	for range count {
 		p.ended++
-		all = append(all, NewEnd(fmt.Sprint("leaf-", p.ended), strings.Repeat("a long id", 100)))
+		all = append(all, NewCrash(fmt.Sprint("leaf-", p.ended), strings.Repeat("a long id", 100)))
 	}
 	return all
 }
@@ -45,14 +45,14 @@
 func (p *play) fail(content Content, chance float64) bool {
 	p.Helper()
 	p.require(content, Trial)
-	return p.table.Tried(p.now, content, p.leaves(1), chance)
+	return p.table.TrialCrashed(p.now, content, p.leaves(1), chance)
 }
 
 // TestRequestIsHeldAfterTwoTrials, and not before three leaves have ended.
 func TestRequestIsHeldAfterTwoTrials(t *testing.T) {
 	p := newPlay(t)
 	p.table.Suspect(p.now, bad, "r", p.leaves(2))
-	p.require(bad, Pass)
+	p.require(bad, Run)
 	p.table.Suspect(p.now, bad, "r", p.leaves(1))
 	if p.fail(bad, 0.05) {
 		t.Fatal("held after one trial")
@@ -63,7 +63,7 @@
 	if wait := p.require(bad, Refuse); !wait.Held || wait.RetryAfter != 5*time.Minute {
 		t.Errorf("held: %+v", wait)
 	}
-	p.require(good, Pass)
+	p.require(good, Run)
 }
 
 // TestTrialsHavePauses from the second on, which grow: a request that is not answered
@@ -73,14 +73,14 @@
 	p.table.Suspect(p.now, bad, "r", p.leaves(3))
 	for _, want := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second} {
 		p.require(bad, Trial)
-		if wait := p.require(bad, Refuse); !wait.UnderWay {
+		if wait := p.require(bad, Refuse); !wait.TrialRunning {
 			t.Errorf("beside a trial: %+v", wait)
 		}
-		p.table.TrialOpen(p.now, bad)
+		p.table.TrialInconclusive(p.now, bad)
 		if want == 0 {
 			continue
 		}
-		if wait := p.require(bad, Refuse); wait.Held || wait.UnderWay || wait.RetryAfter != want {
+		if wait := p.require(bad, Refuse); wait.Held || wait.TrialRunning || wait.RetryAfter != want {
 			t.Errorf("after a trial: %+v, want %v", wait, want)
 		}
 		p.now += want
@@ -112,18 +112,18 @@
 // TestAnswerClears a request, also one that is held, and one that others reported.
 func TestAnswerClears(t *testing.T) {
 	p := newPlay(t)
-	p.table.Set(p.now, good, Known{Record: Record{Ended: p.leaves(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	p.table.Set(p.now, good, Known{Record: Record{Crashes: p.leaves(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	p.require(good, Refuse)
 	if !p.table.Answered(good) {
 		t.Fatal("the store is not told")
 	}
-	p.require(good, Pass)
+	p.require(good, Run)
 	change, wanted := p.table.Change(good)
 	if !wanted || !change.Remove || change.Former != 5 {
 		t.Fatalf("change %+v", change)
 	}
-	p.table.Set(p.now, good, Known{Record: Record{Ended: p.leaves(4), Odds: 1}, Revision: 6})
-	p.require(good, Pass)
+	p.table.Set(p.now, good, Known{Record: Record{Crashes: p.leaves(4), Odds: 1}, Revision: 6})
+	p.require(good, Run)
 	change, _ = p.table.Change(good)
 	if change.Former != 6 || !change.Remove {
 		t.Fatalf("change %+v after it was overtaken", change)
@@ -137,23 +137,23 @@
 // TestHeldRequestIsTriedOnceItsTimeIsOver, or an operator took its key away.
 func TestHeldRequestIsTriedOnceItsTimeIsOver(t *testing.T) {
 	p := newPlay(t)
-	p.table.Set(p.now, bad, Known{Record: Record{Ended: p.leaves(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	p.table.Set(p.now, bad, Known{Record: Record{Crashes: p.leaves(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	if !p.table.Remove(p.now, bad, 9) {
 		t.Error("it was not held")
 	}
 	if decision := p.require(bad, Trial); decision.Change.Former != 0 || decision.Change.Record.Trials != 1 {
 		t.Errorf("trial %+v", decision)
 	}
-	p.table.TrialOpen(p.now, bad)
+	p.table.TrialInconclusive(p.now, bad)
 	p.table.Written(p.now, Change{Content: bad, Record: p.table.entries[bad].Record}, 9)
 	p.table.Remove(p.now, bad, 9)
-	p.require(bad, Pass)
+	p.require(bad, Run)
 }
 
 // TestTrialOfALostNodeEnds for the others after a time.
 func TestTrialOfALostNodeEnds(t *testing.T) {
 	p := newPlay(t)
-	p.table.Set(p.now, bad, Known{Record: Record{Ended: p.leaves(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
+	p.table.Set(p.now, bad, Known{Record: Record{Crashes: p.leaves(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
 	p.require(bad, Refuse)
 	p.now += 5 * time.Second
 	if next := p.require(bad, Trial); next.Change.Record.Trials != 2 || next.Change.Record.Trial != "self" {
@@ -186,7 +186,7 @@
 		t.Errorf("%d requests are known", known)
 	}
 	for _, one := range p.table.entries {
-		if value, err := one.Encode(); err != nil || len(one.Ended) > maxEnded || len(value) > 1500 {
+		if value, err := one.Encode(); err != nil || len(one.Crashes) > maxCrashes || len(value) > 1500 {
 			t.Fatalf("%d bytes, %v: %s", len(value), err, value)
 		}
 	}
@@ -212,7 +212,7 @@
 // TestRemovalThatIsOldNews leaves a record alone that was written since.
 func TestRemovalThatIsOldNews(t *testing.T) {
 	p := newPlay(t)
-	p.table.Set(p.now, bad, Known{Record: Record{Ended: p.leaves(3), Odds: 400, Held: true}, Revision: 12})
+	p.table.Set(p.now, bad, Known{Record: Record{Crashes: p.leaves(3), Odds: 400, Held: true}, Revision: 12})
 	if p.table.Remove(p.now, bad, 10) {
 		t.Error("removed by news of before")
 	}
--- a/internal/decide/quarantine/recent.go
+++ b/internal/decide/quarantine/recent.go
@@ -4,7 +4,8 @@
 
 const (
 	// recentTime is for how long a request counts as answered lately, at least; twice
-	// that at most. Whoever is asked more often than that cannot be suspected.
+	// that at most. A request that comes more often cannot be suspected. Not measured:
+	// chosen because popular requests come more often than that.
 	recentTime = 10 * time.Second
 	// recentEntries bounds the requests of one generation: 4,096 of 16 bytes, in two
 	// generations, take 0.4 MB.
@@ -39,7 +40,7 @@
 	return young || old
 }
 
-// turn begins a new generation if the young one is old.
+// turn starts a new generation if the young one is old.
 func (r *Recent) turn(now time.Duration) {
 	age := now - r.since
 	if age < recentTime {
--- a/internal/decide/quarantine/record.go
+++ b/internal/decide/quarantine/record.go
@@ -7,41 +7,43 @@
 	"slices"
 )
 
-// Record is what all nodes know together of a request under which leaves ended.
+// Record is what all nodes know together of a request under which leaves crashed.
 type Record struct {
 	// Route is the name of its route, for operators.
 	Route string `json:"route"`
-	// Ended lists leaves that ended under it, maxEnded at most.
-	Ended []End `json:"ended"`
+	// Crashes lists leaves that crashed under it, maxCrashes at most.
+	Crashes []Crash `json:"ended"`
 	// Trials is how many times it was tried on one leaf alone, and Trial names the
 	// process that tries it now; empty if none does.
 	Trials int    `json:"trials"`
 	Trial  string `json:"trial,omitempty"`
-	// Odds is how many times likelier the ends of its trials are if it ends leaves
-	// than if they ended by themselves.
+	// Odds is how many times likelier the crashes of its trials are if it crashes leaves
+	// than if these crashed by themselves; 1 without a trial.
 	Odds float64 `json:"odds"`
-	// Held says that it gets no leaf.
+	// Held says that every node refuses it.
 	Held bool `json:"held"`
 }
 
-// End is the end of a leaf under one try of a request. A leaf that starts again under
-// the name that it had may end under the next try, too; two nodes that see the same
-// end with a try each count it as two, which only has the request tried sooner.
-type End struct {
+// Crash is the crash of a leaf under one try of a request. A leaf that restarts under its
+// name may crash under the next try, too; two nodes that see the same crash with a try
+// each count it as two, which only has the request tried sooner.
+type Crash struct {
 	Leaf    string `json:"leaf"`
 	Request string `json:"request"`
 }
 
 const (
-	// maxEnded bounds the ends that are named: they only need to be enough for a trial.
-	maxEnded = 8
-	// maxName bounds the names in them, in bytes, whatever callers and leaves send.
+	// maxCrashes bounds the crashes that a record names. Not measured: chosen because they
+	// only need to be enough for a trial, and forward.quarantine_after is 8 at most.
+	maxCrashes = 8
+	// maxName bounds the names in them, in bytes, whatever callers and leaves send. Not
+	// measured: chosen because a record then takes 1.5 KB at most.
 	maxName = 64
 )
 
-// NewEnd returns the end of a leaf under a try.
-func NewEnd(leaf, request string) End {
-	return End{Leaf: leaf[:min(len(leaf), maxName)], Request: request[:min(len(request), maxName)]}
+// NewCrash returns the crash of a leaf under a try. Longer names are cut to 64 bytes.
+func NewCrash(leaf, request string) Crash {
+	return Crash{Leaf: leaf[:min(len(leaf), maxName)], Request: request[:min(len(request), maxName)]}
 }
 
 // Encode returns the value of the record in the store.
@@ -53,7 +55,7 @@
 	if err := json.Unmarshal(value, &record); err != nil {
 		return Record{}, fmt.Errorf("record of a request: %w", err)
 	}
-	valid := record.Trials >= 0 && record.Odds >= 1 && len(record.Ended) <= maxEnded
+	valid := record.Trials >= 0 && record.Odds >= 1 && len(record.Crashes) <= maxCrashes
 	if !valid {
 		return Record{}, fmt.Errorf("record of a request: a field is out of its bounds")
 	}
@@ -85,21 +87,21 @@
 	return current.equal(c.Record)
 }
 
-// with returns the record with more leaves that ended.
-func (r Record) with(ended []End) Record {
-	r.Ended = slices.Clone(r.Ended)
-	for _, one := range ended {
-		if len(r.Ended) < maxEnded && !slices.Contains(r.Ended, one) {
-			r.Ended = append(r.Ended, one)
+// withCrashes returns the record with more leaves that crashed.
+func (r Record) withCrashes(crashes []Crash) Record {
+	r.Crashes = slices.Clone(r.Crashes)
+	for _, one := range crashes {
+		if len(r.Crashes) < maxCrashes && !slices.Contains(r.Crashes, one) {
+			r.Crashes = append(r.Crashes, one)
 		}
 	}
 	return r
 }
 
-// merged returns what two nodes know together. Nothing that either learned is lost,
+// mergeRecords returns what two nodes know together. Nothing that either learned is lost,
 // except the trial under way: the store has the last word on that.
-func merged(stored, own Record) Record {
-	both := stored.with(own.Ended)
+func mergeRecords(stored, own Record) Record {
+	both := stored.withCrashes(own.Crashes)
 	both.Trials = max(stored.Trials, own.Trials)
 	both.Odds = math.Max(stored.Odds, own.Odds)
 	both.Held = stored.Held || own.Held
@@ -110,6 +112,6 @@
 }
 
 func (r Record) equal(other Record) bool {
-	return r.Route == other.Route && slices.Equal(r.Ended, other.Ended) && r.Trials == other.Trials &&
+	return r.Route == other.Route && slices.Equal(r.Crashes, other.Crashes) && r.Trials == other.Trials &&
 		r.Trial == other.Trial && r.Odds == other.Odds && r.Held == other.Held
 }
--- a/internal/edge/forward/forward.go
+++ b/internal/edge/forward/forward.go
@@ -43,22 +43,22 @@
 
 // Forwarder runs requests. It is safe for concurrent use.
 type Forwarder struct {
-	config    Config
-	scatterer Scatterer
-	gate      Gate
-	index     *registry.Index
-	splitter  *route.Splitter
-	learned   *learned
-	table     atomic.Pointer[route.Table]
-	fresh     atomic.Bool
-	outage    atomic.Bool
+	config     Config
+	scatterer  Scatterer
+	quarantine Quarantine
+	index      *registry.Index
+	splitter   *route.Splitter
+	learned    *learned
+	table      atomic.Pointer[route.Table]
+	fresh      atomic.Bool
+	outage     atomic.Bool
 }
 
 // New returns a Forwarder without a configuration: it answers every request
 // with FateNotRun until Install is called.
-func New(config Config, scatterer Scatterer, gate Gate, index *registry.Index) *Forwarder {
+func New(config Config, scatterer Scatterer, quarantine Quarantine, index *registry.Index) *Forwarder {
 	return &Forwarder{
-		config: config, scatterer: scatterer, gate: gate, index: index,
+		config: config, scatterer: scatterer, quarantine: quarantine, index: index,
 		splitter: route.NewSplitter(rand.IntN), learned: newLearned(),
 	}
 }
@@ -143,15 +143,15 @@
 	return answer
 }
 
-// run runs a request, unless leaves end under it.
+// run runs a request, unless leaves crash under it.
 func (f *Forwarder) run(ctx context.Context, matched *route.Route, request *Request) Answer {
 	content := request.Content()
-	if answer, entered := f.enter(ctx, matched, request, content); !entered {
+	if answer, admitted := f.admit(ctx, matched, request, content); !admitted {
 		return answer
 	}
 	planned := f.plan(matched, request)
 	result := f.scatterer.Execute(ctx, planned)
-	f.gate.Ended(content, Tried{RequestID: request.ID, Route: matched.Name, Attempts: result.Attempts})
+	f.quarantine.Finished(content, Execution{RequestID: request.ID, Route: matched.Name, Attempts: result.Attempts})
 	return f.answerOf(ctx, matched, planned.Class.Name, result)
 }
 
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -30,18 +30,18 @@
 
 func (s *stopped) Now() time.Duration { return s.now }
 
-// openGate lets every request in.
-type openGate struct{}
+// noQuarantine admits every request.
+type noQuarantine struct{}
 
-func (openGate) Enter(context.Context, quarantine.Content) Pass { return Pass{} }
-func (openGate) Ended(quarantine.Content, Tried)                {}
+func (noQuarantine) Admit(context.Context, quarantine.Content) Admission { return Admission{} }
+func (noQuarantine) Finished(quarantine.Content, Execution)              {}
 
 func newForwarder(result scatter.Result[Part]) (*Forwarder, *fakeScatterer) {
 	scatterer := &fakeScatterer{result: result}
 	forwarder := New(Config{
 		HedgeShare: 0.5, HedgePercentile: 0.9, ExtraLoad: 0.2,
 		ClientAllowance: 10 * time.Millisecond, Clock: &stopped{},
-	}, scatterer, openGate{}, registry.NewIndex())
+	}, scatterer, noQuarantine{}, registry.NewIndex())
 	forwarder.Install(route.NewTable(testConfig(5)))
 	forwarder.SetFresh(true)
 	return forwarder, scatterer
@@ -136,7 +136,7 @@
 // TestClientComesAgainLaterInAnOutage: without the store, a configuration does
 // not come soon, and a client does not come often.
 func TestClientComesAgainLaterInAnOutage(t *testing.T) {
-	empty := New(Config{}, nil, openGate{}, registry.NewIndex())
+	empty := New(Config{}, nil, noQuarantine{}, registry.NewIndex())
 	for _, test := range []struct {
 		outage bool
 		want   time.Duration
@@ -158,7 +158,7 @@
 	if answer := forwarder.Execute(context.Background(), unknown); answer.Fate != FateNotRun || answer.RetryAfter <= 0 {
 		t.Errorf("not fresh: %+v", answer)
 	}
-	empty := New(Config{}, nil, openGate{}, registry.NewIndex())
+	empty := New(Config{}, nil, noQuarantine{}, registry.NewIndex())
 	empty.SetFresh(true)
 	if answer := empty.Execute(context.Background(), unknown); answer.Fate != FateNotRun || answer.RetryAfter <= 0 {
 		t.Errorf("without a configuration: %+v", answer)
--- a/internal/edge/forward/gate.go
+++ b/internal/edge/forward/quarantine.go
@@ -11,47 +11,49 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Why a Gate has a request refused.
+// Why a Quarantine refuses a request.
 const (
-	// ReasonQuarantined means that leaves end under the request.
+	// ReasonQuarantined means that leaves crash under the request.
 	ReasonQuarantined dispatch.Reason = "quarantined"
-	// ReasonTrial means that leaves ended under it, and that it is being tried on
-	// one alone.
+	// ReasonTrial means that leaves crashed under it, and that a trial of it is running
+	// or was a moment ago.
 	ReasonTrial dispatch.Reason = "trial"
 )
 
-// Pass is a Gate's word on a request.
-type Pass struct {
+// Admission is a Quarantine's decision on a request.
+type Admission struct {
 	Verdict quarantine.Verdict
 	// Reason and RetryAfter go with quarantine.Refuse.
 	Reason     dispatch.Reason
 	RetryAfter time.Duration
 }
 
-// Gate keeps requests under which leaves end from the leaves.
-type Gate interface {
-	// Enter decides whether a request may run.
-	Enter(ctx context.Context, content quarantine.Content) Pass
-	// Ended is told of a request that ran.
-	Ended(content quarantine.Content, tried Tried)
+// Quarantine keeps requests under which leaves crash from the leaves; package
+// quarantine has its rules.
+type Quarantine interface {
+	// Admit decides whether a request may run. It may block while a trial of the
+	// request runs elsewhere, until ctx ends.
+	Admit(ctx context.Context, content quarantine.Content) Admission
+	// Finished receives the end of each request that was admitted.
+	Finished(content quarantine.Content, ended Execution)
 }
 
-// Tried is what became of a request that a Gate let in.
-type Tried struct {
+// Execution is the trace of a request that a Quarantine admitted.
+type Execution struct {
 	RequestID string
 	Route     string
 	Attempts  []scatter.AttemptTrace
-	// Trial says that it was tried on one leaf alone.
+	// Trial says that it ran on one leaf alone.
 	Trial bool
 }
 
-// enter lets a request in, after its trial if it needs one. Otherwise it returns
-// false, and the answer.
-func (f *Forwarder) enter(ctx context.Context, matched *route.Route, request *Request, content quarantine.Content) (Answer, bool) {
-	pass := f.gate.Enter(ctx, content)
-	switch pass.Verdict {
+// admit admits a request, after its trial if it needs one. Otherwise it returns false,
+// and the answer.
+func (f *Forwarder) admit(ctx context.Context, matched *route.Route, request *Request, content quarantine.Content) (Answer, bool) {
+	admission := f.quarantine.Admit(ctx, content)
+	switch admission.Verdict {
 	case quarantine.Refuse:
-		return Answer{Fate: FateNotRun, Reason: pass.Reason, RetryAfter: pass.RetryAfter}, false
+		return Answer{Fate: FateNotRun, Reason: admission.Reason, RetryAfter: admission.RetryAfter}, false
 	case quarantine.Trial:
 		return f.try(ctx, matched, request, content)
 	default:
@@ -66,7 +68,7 @@
 	trial := quarantine.PlanTrial(planned.Shards, planned.Timeout, rand.IntN)
 	planned.Shards, planned.Timeout, planned.MaximumSends = trial.Shards, trial.Timeout, trial.Attempts
 	result := f.scatterer.Execute(ctx, planned)
-	f.gate.Ended(content, Tried{RequestID: request.ID, Route: matched.Name, Attempts: result.Attempts, Trial: true})
+	f.quarantine.Finished(content, Execution{RequestID: request.ID, Route: matched.Name, Attempts: result.Attempts, Trial: true})
 	if trial.Whole {
 		return f.answerOf(ctx, matched, planned.Class.Name, result), false
 	}
--- a/internal/edge/node/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -29,7 +29,7 @@
 )
 
 // quarantined is what a node does about requests under which leaves end. It
-// implements forward.Gate and is safe for concurrent use.
+// implements forward.Quarantine and is safe for concurrent use.
 type quarantined struct {
 	*Node
 	enabled bool
@@ -48,15 +48,15 @@
 	background quarantine.Background
 }
 
-var _ forward.Gate = (*quarantined)(nil)
+var _ forward.Quarantine = (*quarantined)(nil)
 
 func newQuarantined(f *Node, registerer prometheus.Registerer) *quarantined {
 	config := quarantine.DefaultConfig(f.member.Name + "/" + ulid.Make().String())
-	config.MinEnded = f.settings.Forward.QuarantineAfter
+	config.MinCrashes = f.settings.Forward.QuarantineAfter
 	config.HoldTime = quarantineTTL / 2
 	return &quarantined{
 		Node:    f,
-		enabled: config.MinEnded > 0 && f.ports.Quarantine != nil,
+		enabled: config.MinCrashes > 0 && f.ports.Quarantine != nil,
 		lease:   lease.NewShared(f.ports.Quarantine, quarantineTTL, f.clock.Now),
 		counts:  newQuarantineMetrics(registerer),
 		wake:    make(chan struct{}, 1),
@@ -66,23 +66,23 @@
 	}
 }
 
-// Enter implements forward.Gate. A trial is written first, so that no two nodes try
+// Admit implements forward.Quarantine. A trial is written first, so that no two nodes try
 // a request at the same time.
-func (q *quarantined) Enter(ctx context.Context, content quarantine.Content) forward.Pass {
+func (q *quarantined) Admit(ctx context.Context, content quarantine.Content) forward.Admission {
 	if !q.enabled {
-		return forward.Pass{}
+		return forward.Admission{}
 	}
 	for range trialTries {
 		decision := q.await(ctx, content)
 		switch decision.Verdict {
-		case quarantine.Pass:
-			return forward.Pass{}
+		case quarantine.Run:
+			return forward.Admission{}
 		case quarantine.Refuse:
 			return q.refuse(decision)
 		}
 		err := q.begin(ctx, decision.Change)
 		if err == nil {
-			return forward.Pass{Verdict: quarantine.Trial}
+			return forward.Admission{Verdict: quarantine.Trial}
 		}
 		if !errors.Is(err, ErrOvertaken) {
 			break
@@ -95,12 +95,12 @@
 // client would else spend a try of its own on what is known in a moment.
 func (q *quarantined) await(ctx context.Context, content quarantine.Content) quarantine.Decision {
 	decision, changed := q.admit(content)
-	if !decision.UnderWay {
+	if !decision.TrialRunning {
 		return decision
 	}
 	timer := time.NewTimer(decision.RetryAfter)
 	defer timer.Stop()
-	for decision.UnderWay {
+	for decision.TrialRunning {
 		select {
 		case <-changed:
 			decision, changed = q.admit(content)
@@ -121,8 +121,8 @@
 	return q.table.Admit(q.clock.Now(), content), q.changed
 }
 
-func (q *quarantined) refuse(decision quarantine.Decision) forward.Pass {
-	pass := forward.Pass{Verdict: quarantine.Refuse, Reason: forward.ReasonTrial, RetryAfter: decision.RetryAfter}
+func (q *quarantined) refuse(decision quarantine.Decision) forward.Admission {
+	pass := forward.Admission{Verdict: quarantine.Refuse, Reason: forward.ReasonTrial, RetryAfter: decision.RetryAfter}
 	if decision.Held {
 		pass.Reason = forward.ReasonQuarantined
 	}
--- a/internal/edge/node/quarantine_ends.go
+++ b/internal/edge/node/quarantine_ends.go
@@ -10,8 +10,8 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Ended implements forward.Gate.
-func (q *quarantined) Ended(content quarantine.Content, tried forward.Tried) {
+// Finished implements forward.Quarantine.
+func (q *quarantined) Finished(content quarantine.Content, tried forward.Execution) {
 	if !q.enabled {
 		return
 	}
@@ -43,13 +43,13 @@
 
 // endsOf returns the leaves that ended under some attempts, and whether a leaf
 // answered one, if only with a failure of its own.
-func endsOf(tried forward.Tried) (ended []quarantine.End, answered bool) {
+func endsOf(tried forward.Execution) (ended []quarantine.Crash, answered bool) {
 	for index := range tried.Attempts {
 		switch one := &tried.Attempts[index]; {
 		case one.End == scatter.EndAnswered, one.End == scatter.EndFailed:
 			answered = true
 		case one.Closed:
-			ended = append(ended, quarantine.NewEnd(one.BootID, tried.RequestID))
+			ended = append(ended, quarantine.NewCrash(one.BootID, tried.RequestID))
 		}
 	}
 	return ended, answered
@@ -75,17 +75,17 @@
 }
 
 // tried takes in a trial that brought no answer. The caller holds the guard.
-func (q *quarantined) tried(now time.Duration, content quarantine.Content, ended []quarantine.End, attempts []scatter.AttemptTrace) {
+func (q *quarantined) tried(now time.Duration, content quarantine.Content, ended []quarantine.Crash, attempts []scatter.AttemptTrace) {
 	switch {
 	case !reached(attempts):
 		q.table.Withdraw(content)
 		return
 	case len(ended) == 0:
-		q.table.TrialOpen(now, content)
+		q.table.TrialInconclusive(now, content)
 		return
 	}
 	chance := q.background.Chance(now, content, attempts[0].Shard)
-	held := q.table.Tried(now, content, ended, chance)
+	held := q.table.TrialCrashed(now, content, ended, chance)
 	known, _ := q.table.Of(content)
 	event.Log(q.logger, event.RequestTried{
 		Content: content, Route: known.Route, Leaf: ended[0].Leaf, Trials: known.Trials, Chance: rounded(chance), Odds: rounded(known.Odds),
@@ -97,7 +97,7 @@
 
 // suspect takes in that leaves ended under a request that has no answer. The caller
 // holds the guard.
-func (q *quarantined) suspect(now time.Duration, content quarantine.Content, route string, ended []quarantine.End) bool {
+func (q *quarantined) suspect(now time.Duration, content quarantine.Content, route string, ended []quarantine.Crash) bool {
 	news := q.table.Suspect(now, content, route, ended)
 	if news {
 		event.Log(q.logger, event.RequestSuspected{Content: content, Route: route, Leaves: leavesOf(ended)})
@@ -106,7 +106,7 @@
 	return news
 }
 
-func leavesOf(ended []quarantine.End) []string {
+func leavesOf(ended []quarantine.Crash) []string {
 	leaves := make([]string, 0, len(ended))
 	for _, one := range ended {
 		leaves = append(leaves, one.Leaf)
@@ -116,6 +116,6 @@
 
 func (q *quarantined) logHeld(content quarantine.Content, known quarantine.Known) {
 	event.Log(q.logger, event.RequestHeld{
-		Content: content, Route: known.Route, Leaves: leavesOf(known.Ended), Trials: known.Trials, Odds: rounded(known.Odds), Revision: known.Revision,
+		Content: content, Route: known.Route, Leaves: leavesOf(known.Crashes), Trials: known.Trials, Odds: rounded(known.Odds), Revision: known.Revision,
 	})
 }
--- a/internal/edge/node/quarantine_metrics.go
+++ b/internal/edge/node/quarantine_metrics.go
@@ -53,7 +53,7 @@
 }
 
 // trialResult says how a trial ended.
-func trialResult(ended []quarantine.End, answered bool) string {
+func trialResult(ended []quarantine.Crash, answered bool) string {
 	switch {
 	case answered:
 		return resultAnswered
