--- /dev/null
+++ b/internal/decide/leafanswer/leafanswer_test.go
@@ -0,0 +1,22 @@
+package leafanswer
+
+import "testing"
+
+func TestUsable(t *testing.T) {
+	for _, test := range []struct {
+		answer Answer
+		want   bool
+	}{
+		{Answer{Status: 200, Signed: true}, true},
+		{Answer{Status: 200}, false},
+		{Answer{Status: 200, Signed: true, Encoded: true}, false},
+		{Answer{Status: 302}, true},
+		{Answer{Status: 404, Encoded: true}, true},
+		{Answer{Status: 500, Signed: true}, false},
+		{Answer{Status: 504, Signed: true}, false},
+	} {
+		if got := test.answer.Usable(); got != test.want {
+			t.Errorf("%+v: %v", test.answer, got)
+		}
+	}
+}
--- a/internal/decide/rollout/judgement.go
+++ b/internal/decide/rollout/judgement.go
@@ -9,8 +9,8 @@
 	// mostFailing is the share of failures, of leastForShare attempts or more, above which
 	// a target gets no traffic though the control may fail as often: where all leaves of a
 	// service are in trouble, nothing tells a bad version from a good one. Without it a
-	// version that failed three in ten was completed beside a control that did, too, and
-	// got 58 requests long after its 50th bad answer.
+	// bad version was completed beside a control that failed as often, and got 58 requests
+	// long after its 50th bad answer.
 	mostFailing   = 0.15
 	leastForShare = 5
 	// window is the time for which a version that turned bad later is judged apart, and
--- a/internal/decide/timeleft/timeleft.go
+++ b/internal/decide/timeleft/timeleft.go
@@ -4,7 +4,8 @@
 // The rule: a request ends after the shorter of the timeout of its route, from the
 // moment at which it is planned, and of what its client still waits. Its objective is
 // that of its route, less all the time that has gone since the client first sent it,
-// and that its answer still needs to reach the client.
+// and that its answer still needs to reach the client. Its body may take as long as the
+// client waits.
 //
 // The quantities, all of them durations, and their names everywhere:
 //
@@ -45,6 +46,19 @@
 	return min(route, Remaining(clientTimeout, sinceArrival))
 }
 
+// bodyTimeout bounds the time that a body may take whose client does not say how long it
+// waits. Not measured: chosen because it only has to free the connection of a client that
+// hangs.
+const bodyTimeout = time.Minute
+
+// Body returns how long the body of a request may take to arrive.
+func Body(clientTimeout time.Duration) time.Duration {
+	if clientTimeout == 0 {
+		return bodyTimeout
+	}
+	return clientTimeout
+}
+
 // Spent is what counts against an objective.
 type Spent struct {
 	BeforeArrival time.Duration
