--- /dev/null
+++ b/internal/edge/combine/rig_test.go
@@ -0,0 +1,143 @@
+package combine
+
+import (
+	"bytes"
+	"context"
+	"log/slog"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/edge/forward"
+	"github.com/micaplank/micaplank/internal/edge/records"
+	"github.com/micaplank/micaplank/internal/peer"
+	"github.com/micaplank/micaplank/internal/roster"
+	"github.com/micaplank/micaplank/internal/scatter"
+)
+
+// patient bounds the waits of these tests; none of them measures a time.
+const patient = 20 * time.Second
+
+const topK = 2
+
+// fakeLeaves runs attempts by a function and keeps them.
+type fakeLeaves struct {
+	run func(ctx context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error)
+
+	mutex    sync.Mutex
+	attempts []scatter.Attempt[*forward.Request]
+}
+
+func (f *fakeLeaves) Execute(ctx context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	f.mutex.Lock()
+	f.attempts = append(f.attempts, attempt)
+	f.mutex.Unlock()
+	return f.run(ctx, attempt)
+}
+
+func (f *fakeLeaves) count() int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return len(f.attempts)
+}
+
+// part returns a part of records that are one value each.
+func part(values ...byte) *scatter.Response[forward.Part] {
+	response := &scatter.Response[forward.Part]{Executed: true, Part: forward.Part{Status: 200, Signature: "signed"}}
+	for _, value := range values {
+		response.Part.Body = append(response.Part.Body, bytes.Repeat([]byte{value}, records.Size)...)
+	}
+	return response
+}
+
+func answers(values ...byte) *fakeLeaves {
+	return &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+		return part(values...), nil
+	}}
+}
+
+// rig is a Client in zone a, with a combiner in zone b over loopback.
+type rig struct {
+	*testing.T
+	client   *Client
+	direct   *fakeLeaves // as the client reaches them
+	combined *fakeLeaves // as the combiner reaches them
+	server   *peer.Server
+	leaving  atomic.Bool // whether the combiner gives the leaf no work
+}
+
+func newRig(t *testing.T, combined *fakeLeaves) *rig {
+	t.Helper()
+	r := &rig{T: t, direct: answers(9, 8, 7), combined: combined}
+	var err error
+	r.server, err = peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), prometheus.NewRegistry())
+	if err != nil {
+		t.Fatal(err)
+	}
+	Serve(r.server, combined, func(netip.AddrPort) bool { return !r.leaving.Load() })
+	r.server.Serve()
+	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
+	config := DefaultConfig()
+	config.MaxRoundTrip = patient
+	config.HeartbeatTimeout = patient
+	r.client = New(config, roster.Member{Name: "here", Zone: "a"}, r.direct, caller, clock.NewMonotonic(),
+		prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
+	r.client.SetMembers([]roster.Member{{Name: "there", Zone: "b", Peer: r.server.Address()}})
+	ctx, stop := context.WithCancel(context.Background())
+	running := make(chan struct{})
+	go func() {
+		r.client.Run(ctx)
+		close(running)
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-running
+		_ = caller.Close()
+		r.closeServer()
+	})
+	r.await("a combiner in touch", func() bool { return r.client.board.pick("b") != nil })
+	return r
+}
+
+func (r *rig) closeServer() {
+	ended, cancel := context.WithCancel(context.Background())
+	cancel()
+	_ = r.server.Close(ended) // what runs is cut off
+}
+
+// await waits for a condition under the client's mutex.
+func (r *rig) await(what string, holds func() bool) {
+	r.Helper()
+	for deadline := time.Now().Add(patient); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		r.client.mutex.Lock()
+		held := holds()
+		r.client.mutex.Unlock()
+		if held {
+			return
+		}
+	}
+	r.Fatalf("never: %s", what)
+}
+
+func query() *forward.Request {
+	return &forward.Request{ID: "q", Method: "GET", Head: []byte("GET /x HTTP/1.1\r\n"), TopK: topK}
+}
+
+func attemptAt(zone string, asked *forward.Request) scatter.Attempt[*forward.Request] {
+	return scatter.Attempt[*forward.Request]{
+		Send:      dispatch.Send{Zone: zone, BootID: "i-1", Leaf: netip.MustParseAddrPort("127.0.0.1:9"), Shard: 3},
+		RequestID: asked.ID, Remaining: patient, Payload: asked,
+	}
+}
+
+func (r *rig) execute(attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	ctx, cancel := context.WithTimeout(context.Background(), patient)
+	defer cancel()
+	return r.client.Execute(ctx, attempt)
+}
--- /dev/null
+++ b/internal/edge/mirror/starts_test.go
@@ -0,0 +1,82 @@
+package mirror
+
+import (
+	"errors"
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestStartsConverge plays changes, outages, lost histories, seeds that stop,
+// start and stand still, and nodes that start: what a node knows never gets
+// older, and all know the same once the store answers.
+func TestStartsConverge(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		f := newFleet(t, 3)
+		f.patience = 5 * time.Millisecond
+		f.store.put("first")
+		nodes := make(map[*Shared]uint64) // with the revision that each has
+		step := func(node *Shared) {
+			revision, loaded := nodes[node]
+			var got uint64
+			var err error
+			if loaded {
+				_, got, err = node.Watch(t.Context(), "", revision, 0)
+			}
+			if !loaded || errors.Is(err, ErrCompacted) {
+				_, got, err = node.Range(t.Context(), "")
+			}
+			if err != nil && !errors.Is(err, ErrStale) {
+				return
+			}
+			if got < revision {
+				rt.Fatalf("revision %d after %d", got, revision)
+			}
+			nodes[node] = got
+		}
+		all := func() {
+			for _, address := range f.seeds {
+				if node := f.peers.at(address); node != nil {
+					step(node)
+				}
+			}
+			for node := range nodes {
+				step(node)
+			}
+		}
+		rt.Repeat(map[string]func(*rapid.T){
+			"put":    func(*rapid.T) { f.store.put(fmt.Sprint("k", len(f.store.events)%5)) },
+			"remove": func(*rapid.T) { f.store.remove(fmt.Sprint("k", len(f.store.events)%5)) },
+			"outage": func(rt *rapid.T) { f.store.setDown(rapid.Bool().Draw(rt, "down")) },
+			"forget": func(*rapid.T) { f.store.forget() },
+			"start": func(rt *rapid.T) {
+				if len(nodes) < 8 {
+					step(f.node())
+				}
+			},
+			"seed": func(rt *rapid.T) { step(f.seed(rapid.IntRange(0, 2).Draw(rt, "seed"))) },
+			"cut": func(rt *rapid.T) {
+				f.peers.setCut(f.seeds[rapid.IntRange(0, 2).Draw(rt, "seed")], true)
+			},
+			"freeze": func(rt *rapid.T) {
+				if node := f.peers.at(f.seeds[rapid.IntRange(0, 2).Draw(rt, "seed")]); node != nil {
+					node.mutex.Lock() // a question of a start that has ended may still be under way
+					node.heardAt -= time.Minute
+					node.mutex.Unlock()
+				}
+			},
+			"step": func(*rapid.T) { all() },
+		})
+		f.store.setDown(false)
+		all()
+		all()
+		for node, revision := range nodes {
+			if got, want := node.contents.list(), f.store.items(); revision != uint64(len(f.store.events)) || !reflect.DeepEqual(got, want) {
+				rt.Fatalf("at revision %d of %d: %v, want %v", revision, len(f.store.events), got, want)
+			}
+		}
+	})
+}
