--- /dev/null
+++ b/internal/decide/quarantine/record_test.go
@@ -0,0 +1,20 @@
+package quarantine
+
+import "testing"
+
+// TestRecordKeepsItsForm in the store, whatever the fields are called here: nodes of
+// several versions read each other's records.
+func TestRecordKeepsItsForm(t *testing.T) {
+	const stored = `{"route":"r","ended":[{"leaf":"a","request":"b"}],"trials":2,"trial":"t","odds":400,"held":true}`
+	record, err := DecodeRecord([]byte(stored))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Record{Route: "r", Crashes: []Crash{NewCrash("a", "b")}, Trials: 2, Trial: "t", Odds: 400, Held: true}
+	if !record.equal(want) {
+		t.Errorf("read %+v", record)
+	}
+	if value, err := want.Encode(); err != nil || string(value) != stored {
+		t.Errorf("written %s, %v", value, err)
+	}
+}
