--- a/internal/edge/delegate/client.go
+++ b/internal/edge/delegate/client.go
@@ -168,10 +168,10 @@
 		}
 		tried = append(tried, chosen)
 		delegated := *request
-		if delegated.Patience > 0 {
-			delegated.Patience = request.Left(c.clock.Now())
+		if delegated.ClientTimeout > 0 {
+			delegated.ClientTimeout = request.Remaining(c.clock.Now())
 		}
-		delegated.Away = away
+		delegated.RelayTime = away
 		answer, done := c.offer(ctx, chosen, alive, terms, &delegated)
 		if done {
 			return answer, true
@@ -205,7 +205,7 @@
 	var response executeResponse
 	err := c.caller.Call(calling, to.Peer, methodExecute, &executeRequest{
 		From: c.self.Name, Terms: terms, ID: request.ID, Method: request.Method, Host: request.Host,
-		Path: request.Path, Head: request.Head, Body: request.Body, Patience: request.Patience, Away: request.Away,
+		Path: request.Path, Head: request.Head, Body: request.Body, Patience: request.ClientTimeout, Away: request.RelayTime,
 	}, &response)
 	c.release(to, c.clock.Now()-started, err, &response)
 	switch {
--- a/internal/edge/delegate/server.go
+++ b/internal/edge/delegate/server.go
@@ -38,7 +38,7 @@
 	}
 	answer, ran := runner.Run(ctx, request.From, request.Terms.Version, &forward.Request{
 		ID: request.ID, Method: request.Method, Host: request.Host, Path: request.Path,
-		Head: request.Head, Body: request.Body, Patience: request.Patience, Away: request.Away,
+		Head: request.Head, Body: request.Body, ClientTimeout: request.Patience, RelayTime: request.Away,
 	})
 	if !ran {
 		return &executeResponse{Refusal: refusedVersion, Status: runner.Status()}
--- a/internal/edge/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -8,6 +8,7 @@
 
 	"github.com/micaplank/micaplank/internal/decide/coverage"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/retryafter"
 	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/edge/route"
 	"github.com/micaplank/micaplank/internal/scatter"
@@ -35,8 +36,8 @@
 	default:
 		answer.Fate = failureOf(result)
 	}
-	if answer.Fate == FateNotRun && answer.Reason == dispatch.ReasonNoLeaf && answer.RetryAfter == 0 {
-		answer.RetryAfter = f.unknownAgain() // at once it would meet the same
+	if answer.Fate == FateNotRun && answer.Reason == dispatch.ReasonNoLeaf {
+		answer.RetryAfter = retryafter.WithoutLeaf(answer.RetryAfter, f.outage.Load())
 	}
 	return answer
 }
@@ -44,7 +45,7 @@
 // mergeParts makes the answer of a request to many shards.
 func (f *Forwarder) mergeParts(ctx context.Context, answer *Answer, matched *route.Route, kind string, result scatter.Result[Part]) {
 	parts, body, missed := greatestOf(ctx, matched.TopK, result.Parts)
-	f.floors.learn(kind, matched.TopK, parts, missed)
+	f.learned.learnFloor(kind, matched.TopK, parts, missed)
 	progress := coverage.Progress{Total: len(matched.Shards), Answered: len(parts)}
 	if !progress.Enough(matched.MinCoverage) {
 		answer.Fate = failureOf(result)
@@ -59,8 +60,9 @@
 	answer.Missing = len(matched.Shards) - len(parts)
 }
 
-// restTimeout bounds the wait for records that were left out on the way and
-// count after all.
+// restTimeout bounds the wait for records that were left out on the way and count after
+// all. Not measured: chosen because it is some times the way to another zone, and the
+// answer is late by it.
 const restTimeout = 100 * time.Millisecond
 
 // greatestOf returns the greatest records of the parts, and the parts that they
--- a/internal/edge/node/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -13,6 +13,7 @@
 
 	"github.com/micaplank/micaplank/internal/clock"
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
+	"github.com/micaplank/micaplank/internal/decide/retryafter"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/lease"
 	"github.com/micaplank/micaplank/internal/settings"
@@ -33,7 +34,7 @@
 
 // quarantineGate keeps requests under which leaves end from the leaves, by what all
 // nodes know of them together: what that is decides package quarantine. It implements
-// forward.Gate and is safe for concurrent use.
+// forward.Quarantine and is safe for concurrent use.
 type quarantineGate struct {
 	store   Quarantine
 	clock   clock.Clock
@@ -54,19 +55,19 @@
 	background quarantine.Background
 }
 
-var _ forward.Gate = (*quarantineGate)(nil)
+var _ forward.Quarantine = (*quarantineGate)(nil)
 
 // newQuarantineGate returns the gate of a node by name. It lets everything pass if it has
 // no store, or if the settings name no number of leaves.
 func newQuarantineGate(name string, from settings.Forward, store Quarantine, clock clock.Clock, logger *slog.Logger, registerer prometheus.Registerer) *quarantineGate {
 	config := quarantine.DefaultConfig(name + "/" + ulid.Make().String())
-	config.MinEnded = from.QuarantineAfter
+	config.MinCrashes = from.QuarantineAfter
 	config.HoldTime = quarantineTTL / 2
 	return &quarantineGate{
 		store:   store,
 		clock:   clock,
 		logger:  logger,
-		enabled: config.MinEnded > 0 && store != nil,
+		enabled: config.MinCrashes > 0 && store != nil,
 		lease:   lease.NewShared(store, quarantineTTL, clock.Now),
 		metrics: newQuarantineMetrics(registerer),
 		wake:    make(chan struct{}, 1),
@@ -76,41 +77,41 @@
 	}
 }
 
-// Enter implements forward.Gate. A trial is written first, so that no two nodes try
+// Admit implements forward.Quarantine. A trial is written first, so that no two nodes try
 // a request at the same time.
-func (q *quarantineGate) Enter(ctx context.Context, content quarantine.Content) forward.Pass {
+func (q *quarantineGate) Admit(ctx context.Context, content quarantine.Content) forward.Admission {
 	if !q.enabled {
-		return forward.Pass{}
+		return forward.Admission{}
 	}
 	for range maxTrialWrites {
 		decision := q.await(ctx, content)
 		switch decision.Verdict {
-		case quarantine.Pass:
-			return forward.Pass{}
+		case quarantine.Run:
+			return forward.Admission{}
 		case quarantine.Refuse:
 			return q.refuse(decision)
 		}
 		err := q.beginTrial(ctx, decision.Change)
 		if err == nil {
-			return forward.Pass{Verdict: quarantine.Trial}
+			return forward.Admission{Verdict: quarantine.Trial}
 		}
 		if !errors.Is(err, ErrOvertaken) {
 			break
 		}
 	}
-	return q.refuse(quarantine.Decision{RetryAfter: unknownRetryAfter})
+	return q.refuse(quarantine.Decision{RetryAfter: retryafter.Unknown})
 }
 
 // await decides on a request once no trial of it is under way, or after a while: its
 // client would else spend a retry on what is known in a moment.
 func (q *quarantineGate) await(ctx context.Context, content quarantine.Content) quarantine.Decision {
 	decision, changed := q.admit(content)
-	if !decision.UnderWay {
+	if !decision.TrialRunning {
 		return decision
 	}
 	timer := time.NewTimer(decision.RetryAfter)
 	defer timer.Stop()
-	for decision.UnderWay {
+	for decision.TrialRunning {
 		select {
 		case <-changed:
 			decision, changed = q.admit(content)
@@ -131,8 +132,8 @@
 	return q.table.Admit(q.clock.Now(), content), q.changed
 }
 
-func (q *quarantineGate) refuse(decision quarantine.Decision) forward.Pass {
-	pass := forward.Pass{Verdict: quarantine.Refuse, Reason: forward.ReasonTrial, RetryAfter: decision.RetryAfter}
+func (q *quarantineGate) refuse(decision quarantine.Decision) forward.Admission {
+	pass := forward.Admission{Verdict: quarantine.Refuse, Reason: forward.ReasonTrial, RetryAfter: decision.RetryAfter}
 	if decision.Held {
 		pass.Reason = forward.ReasonQuarantined
 	}
--- a/internal/edge/node/request_log.go
+++ b/internal/edge/node/request_log.go
@@ -22,7 +22,7 @@
 		RequestID: request.ID, Content: request.Content().String(), Route: answer.Route, Version: answer.Version,
 		Fate: string(answer.Fate), Reason: string(answer.Reason),
 		Answered: answer.Answered, Total: answer.Total, Status: answer.Part.Status,
-		TookMS: took.Milliseconds(), PatienceMS: request.Patience.Milliseconds(),
+		TookMS: took.Milliseconds(), PatienceMS: request.ClientTimeout.Milliseconds(),
 		RetryAfterMS: answer.RetryAfter.Milliseconds(),
 		From:         from, Executor: answer.Executor,
 		Attempts: attemptLines(answer),
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -62,8 +62,8 @@
 	incarnation string
 	metrics     *rolloutMetrics
 
-	book    *rollout.Book
-	tally   *rollout.Tally
+	book    *rollout.Table
+	tally   *rollout.Counter
 	decider *rollout.Decider
 	// allowances are those of the services with an order that is open.
 	allowances map[string]allowance
@@ -90,7 +90,7 @@
 
 func newRolloutDriver(ports rolloutPorts, from settings.Forward, registerer prometheus.Registerer) *rolloutDriver {
 	bounds := rollout.Bounds{Ratio: from.CanaryRatio, Slack: from.CanarySlack}
-	book := rollout.NewBook()
+	book := rollout.NewTable()
 	incarnation := ports.self.Name + "/" + ulid.Make().String()
 	return &rolloutDriver{
 		rolloutPorts: ports,
@@ -99,7 +99,7 @@
 		incarnation:  incarnation,
 		metrics:      newRolloutMetrics(registerer),
 		book:         book,
-		tally:        rollout.NewTally(),
+		tally:        rollout.NewCounter(),
 		decider:      rollout.NewDecider(book, incarnation),
 		allowances:   make(map[string]allowance),
 		wake:         make(chan struct{}, 1),
--- a/internal/edge/node/rollout_driver.go
+++ b/internal/edge/node/rollout_driver.go
@@ -170,7 +170,7 @@
 // applyGrant applies what the decider says of one order, and reports whether the phase
 // changed. The caller holds the mutex of the view.
 func (r *rolloutDriver) applyGrant(sent time.Duration, grant rollout.Grant) bool {
-	changed := r.book.Heard(r.clock.Now(), grant.Service, grant.Order, grant.Age, grant.Record, grant.Bad)
+	changed := r.book.Merge(r.clock.Now(), grant.Service, grant.Order, grant.Age, grant.Record, grant.Bad)
 	known := r.book.Of(grant.Service)
 	if grant.Open && known.Order.Revision == grant.Order && known.Bad == "" {
 		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent+rollout.GrantTTL)
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -8,8 +8,8 @@
 	Order   uint64
 	Version string
 	Phase   rollout.Phase
-	// Recorded is the revision at which the phase was written; zero if only another
-	// node told of it.
+	// Recorded is the revision at which the phase was written; zero if it came only from
+	// another node.
 	Recorded uint64
 }
 
@@ -41,7 +41,7 @@
 }
 
 // usable reports whether a leaf may get work but for its version.
-func (t *Table) usable(known *entry) bool { return !known.Draining && !t.cordoned[known.Zone] }
+func (t *Table) usable(known *entry) bool { return !known.Draining && !t.zones.Cordoned(known.Zone) }
 
 // canary reports whether a leaf may get attempts only within an allowance.
 func (t *Table) canary(known *entry) bool {
@@ -52,8 +52,8 @@
 	return !stage.Phase.Shifted() && stage.Phase != rollout.PhaseRolledBack
 }
 
-// barred reports whether a leaf gets nothing because of its version: one that was
-// taken back, or that is about to be stopped for another one.
+// barred reports whether a leaf gets no work because of its version: one that was rolled
+// back, or that is about to be stopped for another one.
 func (t *Table) barred(known *entry) bool {
 	stage, found := t.stages[known.Service]
 	if !found {
