--- a/internal/selfhosted/node/operating_page_test.go
+++ b/internal/selfhosted/node/operating_page_test.go
@@ -27,14 +27,12 @@
 	return metricInText.FindAllString(string(content), -1)
 }
 
+// operatingPages are the pages for operators, one for each deployment.
+var operatingPages = []string{"OPERATIONS.md", "OPERATIONS-SELFHOSTED.md"}
+
 // TestOperatingPageNamesWhatExists checks the metrics, problem types and
-// sections that docs/OPERATIONS.md names.
+// sections that the pages for operators name.
 func TestOperatingPageNamesWhatExists(t *testing.T) {
-	content, err := os.ReadFile("../../../docs/OPERATIONS.md")
-	if err != nil {
-		t.Fatal(err)
-	}
-	page := string(content)
 	_, registry := buildNode(t)
 	metrics, err := registry.Metrics("micaplank_")
 	if err != nil {
@@ -50,6 +48,19 @@
 	for _, description := range api.ProblemDescriptions() {
 		known[string(description.Type)] = true
 	}
+	for _, page := range operatingPages {
+		t.Run(page, func(t *testing.T) { checkOperatingPage(t, page, known) })
+	}
+}
+
+// checkOperatingPage checks one page. Known holds the metrics and problem types that
+// there are.
+func checkOperatingPage(t *testing.T, file string, known map[string]bool) {
+	content, err := os.ReadFile("../../../docs/" + file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	page := string(content)
 	for _, name := range append(metricInText.FindAllString(page, -1), problemInText.FindAllString(page, -1)...) {
 		if !known[name] {
 			t.Errorf("there is no %s", name)
