--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -35,7 +35,7 @@
 // whole, and the fields that are sent have the names and kinds that they had.
 func Gob[T any](t *testing.T, name string) {
 	t.Helper()
-	want := Filled[T](t)
+	want := filled[T](t, goName)
 	if recording() {
 		var encoded bytes.Buffer
 		if err := gob.NewEncoder(&encoded).Encode(&want); err != nil {
@@ -57,7 +57,7 @@
 // the same value is written byte for byte.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
-	want := Filled[T](t)
+	want := filled[T](t, jsonName)
 	encoded, err := json.Marshal(want)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
@@ -76,7 +76,7 @@
 // and decode reads the recorded ones as that value.
 func Encoded[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Helper()
-	want := Filled[T](t)
+	want := filled[T](t, goName)
 	encoded, err := encode(want)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
@@ -133,16 +133,28 @@
 	return content
 }
 
-// Filled returns a value whose exported fields are all set, each by its path of names.
-func Filled[T any](t *testing.T) T {
+// filled returns a value whose exported fields are all set, each by its path of names.
+func filled[T any](t *testing.T, nameOf naming) T {
 	t.Helper()
 	var value T
-	if err := fill(reflect.ValueOf(&value).Elem(), "", 0); err != nil {
+	if err := nameOf.fill(reflect.ValueOf(&value).Elem(), "", 0); err != nil {
 		t.Fatal(err)
 	}
 	return value
 }
 
+// naming returns the name that a field has in a form.
+type naming func(field reflect.StructField) string
+
+func goName(field reflect.StructField) string { return field.Name }
+
+func jsonName(field reflect.StructField) string {
+	if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
+		return name
+	}
+	return field.Name
+}
+
 // maxDepth bounds types that hold themselves.
 const maxDepth = 8
 
@@ -153,7 +165,7 @@
 	return 1 + uint64(hash.Sum32())%100
 }
 
-func fill(value reflect.Value, path string, depth int) error {
+func (n naming) fill(value reflect.Value, path string, depth int) error {
 	if depth > maxDepth {
 		return nil
 	}
@@ -183,37 +195,37 @@
 		// not sent
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		return fill(value.Elem(), path, depth+1)
+		return n.fill(value.Elem(), path, depth+1)
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
-		return fillElements(value, path, depth)
+		return n.fillElements(value, path, depth)
 	case reflect.Array:
-		return fillElements(value, path, depth)
+		return n.fillElements(value, path, depth)
 	case reflect.Map:
-		return fillMap(value, path, depth)
+		return n.fillMap(value, path, depth)
 	case reflect.Struct:
-		return fillFields(value, path, depth)
+		return n.fillFields(value, path, depth)
 	default:
 		return fmt.Errorf("%s: kind %s is not known", path, value.Kind())
 	}
 	return nil
 }
 
-func fillElements(value reflect.Value, path string, depth int) error {
+func (n naming) fillElements(value reflect.Value, path string, depth int) error {
 	for index := range value.Len() {
-		if err := fill(value.Index(index), fmt.Sprintf("%s[%d]", path, index), depth+1); err != nil {
+		if err := n.fill(value.Index(index), fmt.Sprintf("%s[%d]", path, index), depth+1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func fillMap(value reflect.Value, path string, depth int) error {
+func (n naming) fillMap(value reflect.Value, path string, depth int) error {
 	key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-	if err := fill(key, path+".key", depth+1); err != nil {
+	if err := n.fill(key, path+".key", depth+1); err != nil {
 		return err
 	}
-	if err := fill(element, path+".element", depth+1); err != nil {
+	if err := n.fill(element, path+".element", depth+1); err != nil {
 		return err
 	}
 	value.Set(reflect.MakeMap(value.Type()))
@@ -221,13 +233,13 @@
 	return nil
 }
 
-func fillFields(value reflect.Value, path string, depth int) error {
+func (n naming) fillFields(value reflect.Value, path string, depth int) error {
 	for index := range value.NumField() {
 		field := value.Type().Field(index)
 		if !field.IsExported() {
 			continue
 		}
-		if err := fill(value.Field(index), path+"."+field.Name, depth+1); err != nil {
+		if err := n.fill(value.Field(index), path+"."+n(field), depth+1); err != nil {
 			return err
 		}
 	}
