--- a/cmd/micarehearse/standins.go
+++ b/cmd/micarehearse/standins.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// announce tells, by a line of the log, which address a stand-in serves on.
+// announce logs the address that a stand-in serves on.
 func announce(logger *slog.Logger, address any) {
 	logger.Info("listening", "http", address)
 }
--- a/internal/rehearsal/history/recorder.go
+++ b/internal/rehearsal/history/recorder.go
@@ -65,18 +65,18 @@
 	}
 }
 
-// NotRun reports whether the caller was told that the request ran nowhere.
+// NotRun reports whether the caller received the answer that the request ran nowhere.
 func (s Submission) NotRun() bool {
 	return s.Problem != nil && (s.Problem.Outcome == dispatch.OutcomeNotRun || strings.HasPrefix(string(s.Problem.Type), notRunPrefix))
 }
 
-// Refused reports whether the caller was told that this submission ran
+// Refused reports whether the caller received the answer that this submission ran
 // nowhere; an earlier one of the same id may have.
 func (s Submission) Refused() bool {
 	return s.Problem != nil && s.Problem.Type == api.ProblemUnavailable
 }
 
-// Fate is one word for what the caller was told.
+// Fate is one word for the answer that the caller received.
 func (s Submission) Fate() string {
 	switch {
 	case s.Answer != nil:
@@ -112,13 +112,13 @@
 	}
 }
 
-// Accepted reports whether the operator was told that the change took effect
+// Accepted reports whether the operator received the answer that the change took effect
 // and never reverts.
 func (c Change) Accepted() bool {
 	return c.Response != nil && (c.Response.Fate == api.FateInForce || c.Response.Fate == api.FateAccepted)
 }
 
-// Unsettled reports whether the operator was told, with an id, that the change
+// Unsettled reports whether the operator received, with an id, the answer that the change
 // may or may not take effect.
 func (c Change) Unsettled() bool {
 	return c.Response != nil && c.Response.Fate == api.FateUnknown
--- a/internal/rehearsal/leaf/server.go
+++ b/internal/rehearsal/leaf/server.go
@@ -186,7 +186,7 @@
 // 24 busy processes on 8 cores.
 const shutdownRound = 500 * time.Millisecond
 
-// shutdown stops the HTTP server. One call of Shutdown tells only the HTTP/2
+// shutdown stops the HTTP server. One call of Shutdown notifies only the HTTP/2
 // connections that are up at that moment, and waits for those that come up later,
 // though nothing is asked on them: it is called again until none is left.
 func (s *Server) shutdown(ctx context.Context) error {
--- a/internal/selfhosted/api/status.go
+++ b/internal/selfhosted/api/status.go
@@ -33,7 +33,7 @@
 	Zone    string    `json:"zone"`
 	Address string    `json:"address"`
 	State   NodeState `json:"state"`
-	// Incarnation tells a restarted node from its predecessor of that name.
+	// Incarnation distinguishes a restarted node from its predecessor of that name.
 	Incarnation uint64 `json:"incarnation"`
 	// Revision is the highest revision that the node is known to hold.
 	Revision uint64 `json:"revision"`
--- a/internal/selfhosted/dissemination/core.go
+++ b/internal/selfhosted/dissemination/core.go
@@ -183,7 +183,7 @@
 	Incarnation uint64
 	Revision    uint64
 	// At is when that was learned. What was learned then may have been on the
-	// way for long; HeldAt tells what is proved.
+	// way for long; HeldAt says what is proved.
 	At Time
 }
 
--- a/internal/selfhosted/dissemination/doc.go
+++ b/internal/selfhosted/dissemination/doc.go
@@ -5,8 +5,8 @@
 //
 // Core is a pure state machine: it owns no goroutine, socket, clock or global
 // random source. A driver passes messages, results and ticks in and carries out
-// what Ready returns. Service is the driver of a node process; tests and the
-// rehearsal kit drive Core in virtual time.
+// what Ready returns. Service is the driver of a node process; tests drive Core in
+// virtual time.
 //
 // # Terms
 //
--- a/internal/selfhosted/dissemination/exchange.go
+++ b/internal/selfhosted/dissemination/exchange.go
@@ -205,7 +205,7 @@
 	c.revisions[name] = PeerRevision{Name: name, Incarnation: incarnation, Revision: revision, At: now}
 }
 
-// Hint tells the core that a member announced a revision elsewhere, as in a
+// Hint informs the core that a member announced a revision elsewhere, as in a
 // heartbeat.
 func (c *Core) Hint(now Time, from netip.AddrPort, revision uint64) { c.want(now, from, revision) }
 
--- a/internal/selfhosted/dissemination/types.go
+++ b/internal/selfhosted/dissemination/types.go
@@ -124,7 +124,7 @@
 	ChangeID string
 	// Revision is that of the change if the store has it, else the node's.
 	Revision uint64
-	// Stored says that the change is in the log for good. A stored change of
+	// Stored says that the change stays in the log. A stored change of
 	// unknown fate is not yet held by a majority of the voters.
 	Stored bool
 	// InForceOn counts the alive members known to hold the change, of Members.
--- a/internal/selfhosted/executor/executor.go
+++ b/internal/selfhosted/executor/executor.go
@@ -17,7 +17,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Catalogs tells what is in force on this node.
+// Catalogs returns what is in force on this node.
 type Catalogs interface {
 	// Current returns the installed catalog; it must not be modified.
 	Current() *catalog.Catalog
@@ -123,7 +123,7 @@
 	return e.queryOnce(ctx, planned)
 }
 
-// SetVoters tells of the voting set of a catalog that was installed.
+// SetVoters takes the voting set of a catalog that was installed.
 func (e *Executor) SetVoters(current *catalog.Catalog) {
 	e.config.Ledger.SetVoters(current.VotersRevision)
 }
--- a/internal/selfhosted/executor/ledger.go
+++ b/internal/selfhosted/executor/ledger.go
@@ -38,7 +38,7 @@
 // concurrent use.
 type Ledger struct {
 	clock clock.Clock
-	// wall tells the time of day.
+	// wall reads the time of day.
 	wall   func() time.Time
 	proved OwnershipProof
 
--- a/internal/selfhosted/membership/merge.go
+++ b/internal/selfhosted/membership/merge.go
@@ -50,7 +50,7 @@
 	c.adopt(update, known.Member)
 }
 
-// adopt stores a record, tells the node and passes the update on. What came in
+// adopt stores a record, notifies the node and passes the update on. What came in
 // answer to a digest is not passed on: the others have it, or get it by their
 // own digests, and a new node gets all members in this way.
 func (c *Core) adopt(update Update, previous Member) {
@@ -125,7 +125,7 @@
 }
 
 // observeSender takes in the sender's own record. A sender that is unknown is
-// asked for its addresses; one that others have judged, or replaced, is told.
+// asked for its addresses; one that others have judged, or replaced, is notified.
 func (c *Core) observeSender(from netip.AddrPort, packet Packet) {
 	sender := packet.From
 	if sender.Name == "" || sender.Name == c.self.Name {
@@ -162,7 +162,7 @@
 	c.ready.Packets = append(c.ready.Packets, Outgoing{To: to, Packet: packet})
 }
 
-// sendTo sends to a peer. One that is suspected or gone is told so, that it
+// sendTo sends to a peer. One that is suspected or gone is notified, so that it
 // can refute.
 func (c *Core) sendTo(p *peer, packet Packet) {
 	if p.State == StateSuspect || p.State == StateGone {
--- a/internal/selfhosted/membership/service.go
+++ b/internal/selfhosted/membership/service.go
@@ -282,7 +282,7 @@
 	}
 }
 
-// Close tells some members that this node is gone and stops. It blocks until
+// Close notifies some members that this node is gone and stops. It blocks until
 // the service no longer sends. A second call does nothing.
 func (s *Service) Close() {
 	s.do(func(time.Duration) { s.core.Depart() })
--- a/internal/selfhosted/membership/zones.go
+++ b/internal/selfhosted/membership/zones.go
@@ -72,7 +72,7 @@
 }
 
 // releaseZone ends a hold. Suspicions that still run get their whole time
-// again, and a few of the members are told, so that they can refute.
+// again, and a few of the members are notified, so that they can refute.
 func (c *Core) releaseZone(z *zone) {
 	const told = 4
 	z.held = false
--- a/internal/selfhosted/node/collector.go
+++ b/internal/selfhosted/node/collector.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// MetricTypes tells the types of the metrics, also before there is a sample.
+// MetricTypes returns the types of the metrics, also before there is a sample.
 func (c *collector) MetricTypes() map[string]telemetry.MetricType {
 	return map[string]telemetry.MetricType{
 		"micaplank_dispatch_attempts_total":   telemetry.TypeCounter,
--- a/internal/selfhosted/node/node.go
+++ b/internal/selfhosted/node/node.go
@@ -240,7 +240,7 @@
 	n.http = &http.Server{Handler: n.gateway, ReadHeaderTimeout: headerTimeout}
 }
 
-// catalogs tells the executor what is in force.
+// catalogs gives the executor what is in force.
 type catalogs struct {
 	node *Node
 }
--- a/internal/selfhosted/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -50,7 +50,7 @@
 	return changeResponse(result), nil
 }
 
-// Change tells the fate of an earlier change, named by its id or only by its
+// Change returns the fate of an earlier change, named by its id or only by its
 // token.
 func (o *operations) Change(ctx context.Context, id string) (*api.StatementResponse, error) {
 	id, problem := completeChangeID(o.node.dissemination.Current(), id)
--- a/internal/selfhosted/node/peers.go
+++ b/internal/selfhosted/node/peers.go
@@ -116,7 +116,7 @@
 	return reply.Answer, nil
 }
 
-// spread tells the other members of leaving leaves. It returns at once.
+// spread notifies the other members of leaving leaves. It returns at once.
 func (n *Node) spread(notices []topology.Notice) {
 	for _, member := range n.membership.Members() {
 		if member.Name == n.settings.Name || member.State == membership.StateGone {
--- a/internal/selfhosted/operator/session.go
+++ b/internal/selfhosted/operator/session.go
@@ -37,7 +37,7 @@
 	Format Format
 	// Timeout bounds a command that waits for something to happen.
 	Timeout time.Duration
-	// Now tells the time of day that watch shows; nil stands for time.Now.
+	// Now returns the time of day that watch shows; nil stands for time.Now.
 	Now func() time.Time
 	// told says that the error of the command is in the output already.
 	told bool
--- a/internal/selfhosted/store/watch.go
+++ b/internal/selfhosted/store/watch.go
@@ -12,7 +12,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
-// WatchKind says what a WatchEvent tells.
+// WatchKind says what a WatchEvent reports.
 type WatchKind string
 
 // The kinds of watch events.
