--- a/internal/rehearsal/store/listen.go
+++ b/internal/rehearsal/store/listen.go
@@ -75,7 +75,7 @@
 }
 
 // refuse breaks every connection and refuses new ones for the given time. What
-// the store holds stays; leases go on running out.
+// the store holds stays.
 func (s *Server) refuse(duration time.Duration) {
 	s.beginRefusal(duration)
 	s.closeHTTP()
--- a/internal/selfhosted/store/call.go
+++ b/internal/selfhosted/store/call.go
@@ -42,14 +42,11 @@
 	if err := json.NewDecoder(limited).Decode(response); err != nil {
 		return annotate(lost(ctx, step, endpoint, err))
 	}
-	if step != StepKeepAlive {
-		drain(limited)
-	}
+	drain(limited)
 	return nil
 }
 
 // drain reads the end of a response, so that the connection can be used again.
-// The response of a keep-alive may stay open: it is closed instead.
 func drain(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
 
 // post sends the body to the first endpoint that can be reached, and returns
--- a/internal/selfhosted/store/errors.go
+++ b/internal/selfhosted/store/errors.go
@@ -31,7 +31,7 @@
 	KindCanceled Kind = "canceled"
 	// KindCompacted: the revision asked for is not in the store's history any more.
 	KindCompacted Kind = "compacted"
-	// KindLeaseNotFound: the lease lapsed or was revoked.
+	// KindLeaseNotFound: the store did not find what the call names.
 	KindLeaseNotFound Kind = "lease_not_found"
 )
 
@@ -43,9 +43,6 @@
 	StepRange       Step = "store.range"
 	StepTxn         Step = "store.txn"
 	StepDeleteRange Step = "store.deleterange"
-	StepGrant       Step = "store.lease_grant"
-	StepKeepAlive   Step = "store.lease_keepalive"
-	StepRevoke      Step = "store.lease_revoke"
 	StepWatch       Step = "store.watch"
 )
 
--- a/internal/selfhosted/store/keys.go
+++ b/internal/selfhosted/store/keys.go
@@ -16,7 +16,6 @@
 	ModRevision    int64
 	// Version counts the writes since the key was created.
 	Version int64
-	Lease   LeaseID
 }
 
 // RangeResult is what a Range found.
@@ -51,14 +50,6 @@
 	StoreRevision int64
 }
 
-// PutOption changes how a value is written.
-type PutOption func(*wire.PutRequest)
-
-// WithLease attaches the key to a lease: it is deleted when the lease ends.
-func WithLease(id LeaseID) PutOption {
-	return func(put *wire.PutRequest) { put.Lease = wire.Integer(id) }
-}
-
 // Range reads the keys from key up to, not including, end, at most limit of
 // them (0 means all). An empty end reads the one key. The read is linearizable.
 func (c *Client) Range(ctx context.Context, key, end string, limit int64) (RangeResult, error) {
@@ -80,18 +71,15 @@
 
 // CreateIfAbsent writes the key if it does not exist, and returns the entry
 // that is there otherwise.
-func (c *Client) CreateIfAbsent(ctx context.Context, key string, value []byte, options ...PutOption) (CreateResult, error) {
-	result, err := c.CompareAndSwap(ctx, key, 0, value, options...)
+func (c *Client) CreateIfAbsent(ctx context.Context, key string, value []byte) (CreateResult, error) {
+	result, err := c.CompareAndSwap(ctx, key, 0, value)
 	return CreateResult{Created: result.Swapped, Existing: result.Existing, StoreRevision: result.StoreRevision}, err
 }
 
 // CompareAndSwap writes the key if its mod revision is modRevision (0: the key
 // does not exist), and returns the entry that is there otherwise.
-func (c *Client) CompareAndSwap(ctx context.Context, key string, modRevision int64, value []byte, options ...PutOption) (SwapResult, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, key string, modRevision int64, value []byte) (SwapResult, error) {
 	put := &wire.PutRequest{Key: []byte(key), Value: value}
-	for _, option := range options {
-		option(put)
-	}
 	revision := wire.Integer(modRevision)
 	request := wire.TxnRequest{
 		Compare: []wire.Compare{{
@@ -146,7 +134,6 @@
 		CreateRevision: int64(keyValue.CreateRevision),
 		ModRevision:    int64(keyValue.ModRevision),
 		Version:        int64(keyValue.Version),
-		Lease:          LeaseID(keyValue.Lease),
 	}
 }
 
--- a/internal/selfhosted/store/wire/messages.go
+++ b/internal/selfhosted/store/wire/messages.go
@@ -6,16 +6,11 @@
 
 // Paths of the gateway. All are called with POST.
 const (
-	RangePath          = "/v3/kv/range"
-	TxnPath            = "/v3/kv/txn"
-	DeleteRangePath    = "/v3/kv/deleterange"
-	CompactionPath     = "/v3/kv/compaction"
-	LeaseGrantPath     = "/v3/lease/grant"
-	LeaseKeepAlivePath = "/v3/lease/keepalive"
-	LeaseRevokePath    = "/v3/lease/revoke"
-	// LeaseRevokeOldPath is the path of older gateways, still served by newer ones.
-	LeaseRevokeOldPath = "/v3/kv/lease/revoke"
-	WatchPath          = "/v3/watch"
+	RangePath       = "/v3/kv/range"
+	TxnPath         = "/v3/kv/txn"
+	DeleteRangePath = "/v3/kv/deleterange"
+	CompactionPath  = "/v3/kv/compaction"
+	WatchPath       = "/v3/watch"
 )
 
 // ResponseHeader comes with every response.
@@ -34,7 +29,6 @@
 	ModRevision    Integer `json:"mod_revision,omitempty"`
 	Version        Integer `json:"version,omitempty"`
 	Value          []byte  `json:"value,omitempty"`
-	Lease          Integer `json:"lease,omitempty"`
 }
 
 // RangeRequest reads the keys from Key up to, not including, RangeEnd; only
@@ -58,9 +52,8 @@
 
 // PutRequest writes one key.
 type PutRequest struct {
-	Key   []byte  `json:"key,omitempty"`
-	Value []byte  `json:"value,omitempty"`
-	Lease Integer `json:"lease,omitempty"`
+	Key   []byte `json:"key,omitempty"`
+	Value []byte `json:"value,omitempty"`
 }
 
 // PutResponse answers a PutRequest.
@@ -150,41 +143,3 @@
 type CompactionResponse struct {
 	Header *ResponseHeader `json:"header,omitempty"`
 }
-
-// LeaseGrantRequest asks for a lease of TTL seconds; the store chooses the id
-// if ID is zero.
-type LeaseGrantRequest struct {
-	TTL Integer `json:"TTL,omitempty"`
-	ID  Integer `json:"ID,omitempty"`
-}
-
-// LeaseGrantResponse carries the granted lease.
-type LeaseGrantResponse struct {
-	Header *ResponseHeader `json:"header,omitempty"`
-	ID     Integer         `json:"ID,omitempty"`
-	TTL    Integer         `json:"TTL,omitempty"`
-	Error  string          `json:"error,omitempty"`
-}
-
-// LeaseKeepAliveRequest renews a lease.
-type LeaseKeepAliveRequest struct {
-	ID Integer `json:"ID,omitempty"`
-}
-
-// LeaseKeepAliveResponse carries the new time to live in seconds; zero if the
-// lease does not exist any more.
-type LeaseKeepAliveResponse struct {
-	Header *ResponseHeader `json:"header,omitempty"`
-	ID     Integer         `json:"ID,omitempty"`
-	TTL    Integer         `json:"TTL,omitempty"`
-}
-
-// LeaseRevokeRequest ends a lease and deletes the keys attached to it.
-type LeaseRevokeRequest struct {
-	ID Integer `json:"ID,omitempty"`
-}
-
-// LeaseRevokeResponse answers a LeaseRevokeRequest.
-type LeaseRevokeResponse struct {
-	Header *ResponseHeader `json:"header,omitempty"`
-}
