--- a/internal/decide/dispatch/attempt.go
+++ b/internal/decide/dispatch/attempt.go
@@ -7,13 +7,13 @@
 type attempt struct {
 	id       AttemptID
 	query    *query
-	wanted   bool // until its Abort
 	leaf     *leafState
 	snapshot catalog.Snapshot
 	shard    int
 	position int32 // of the shard in the query
 	next     int32 // the next attempt of the same shard
 	running  int32 // place among the running attempts of the leaf
+	wanted   bool  // until its Abort
 	cause    Cause
 	sentAt   Time
 	// expected is the time in seconds that an ordinary leaf with the same
