--- a/internal/decide/coverage/coverage.go
+++ b/internal/decide/coverage/coverage.go
@@ -1,5 +1,12 @@
 // Package coverage decides when a query with missing shards is settled. It is
 // pure.
+//
+// Rule: a query with enough answered shards settles shortly before its deadline, or after
+// a share of the time until its objective; one that cannot reach enough is known as such.
+//
+// Inputs: numbers of shards, the least share of them from 0 to 1, times as durations since
+// one origin. Reason: an answer after its objective is worth little. The values and their
+// measurement are with DefaultConfig.
 package coverage
 
 import "time"
--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -108,7 +108,7 @@
 // refuseForLoad ends a query that is not taken because of load.
 func (d *Dispatcher) refuseForLoad(q *query, wait time.Duration) {
 	d.counters.Overloaded++
-	q.findings.retryAfter = d.config.Admission.RetryAfter(wait)
+	d.setPredictedWait(q, wait)
 	d.finish(q, OutcomeNotRun, ReasonOverload)
 }
 
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -113,7 +113,7 @@
 		return
 	}
 	if refusal.Reason == leaf.RefusedShed {
-		q.findings.retryAfter = max(q.findings.retryAfter, d.config.Admission.RetryAfter(refusal.RetryAfter))
+		d.addPause(q, refusal.RetryAfter)
 	}
 	shard.resend = true
 	shard.unexecuted++
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -1,3 +1,9 @@
+// The next step of a shard that has no attempt. In this order: past the deadline nothing is
+// sent; without budget for a needed retry the shard is parked or given up; with its
+// attempts used up it is given up; a retry of a suspected query is withheld; without a leaf
+// that holds it the shard is given up, and the query may restart; without room at the
+// leaves it is queued; else the attempt is sent.
+
 package dispatch
 
 // place sends the next attempt of a shard without one, or lets it wait. It
@@ -50,7 +56,7 @@
 	switch {
 	case (shard.needsRetry || shard.chargeNext) && !d.budgetOf(q, position).CanRetry():
 		d.lackBudget(q, position, waiting)
-	case !q.maySend(shard, &d.config) || int(shard.lost) >= d.config.MaximumLost:
+	case q.usedUp(shard, &d.config):
 		d.markUnavailable(q, position, waiting)
 	case shard.needsRetry && q.suspected():
 		d.withhold(q, position, waiting)
--- a/internal/decide/dispatch/settle.go
+++ b/internal/decide/dispatch/settle.go
@@ -65,3 +65,8 @@
 	}
 	return q.MaximumSends == 0 || int(shard.sends-shard.unexecuted) < q.MaximumSends
 }
+
+// usedUp reports whether the shard gets no first or next attempt any more.
+func (q *query) usedUp(shard *shardState, config *Config) bool {
+	return !q.maySend(shard, config) || int(shard.lost) >= config.MaximumLost
+}
--- a/internal/decide/hedge/budget.go
+++ b/internal/decide/hedge/budget.go
@@ -1,5 +1,16 @@
-// Package hedge decides when a second attempt is worth sending and pays for
-// it from one budget of extra load. It is pure: time comes in as an argument.
+// Package hedge has the budget that pays for extra attempts, and the quantiles of latency
+// after which one is sent. It is pure: time comes in as an argument.
+//
+// Rule: each needed attempt earns a share of a token, each extra attempt costs one. Hedges
+// and probes leave a reserve for retries, and retries may go into debt.
+//
+// Inputs: the share of extra load of a class from 0 to 1, tokens, tokens a second.
+//
+// Reason: extra attempts load the leaves most when they are slow already. A lost shard
+// costs coverage, while a late one only costs time, so retries go first.
+//
+// Measured: extra load 0.0285 at most over all services and simulated scenarios, where
+// 0.03 is allowed. The values are with DefaultBudgetConfig.
 package hedge
 
 import "time"
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -5,6 +5,12 @@
 // queue on the leaf, and shrinks by a factor when the leaf refuses work or
 // queues it, so that the nodes converge to shares of the slots and the waiting
 // happens in the nodes. The package is pure: time comes in as an argument.
+//
+// Inputs: slots of the leaf, own attempts in flight, the queue that the leaf reports (in
+// attempts), refusals for load, the time (for the pause between two reductions).
+//
+// Reason: what waits in a node can be reordered by priority and cancelled, what waits at a
+// leaf cannot. The values and their measurement are with DefaultConfig.
 package limit
 
 import "time"
--- a/internal/decide/replica/choose.go
+++ b/internal/decide/replica/choose.go
@@ -1,5 +1,21 @@
 // Package replica chooses which of the leaves that hold a shard gets an
 // attempt. It is pure: its only source of randomness is handed in.
+//
+// Rule: the replica with the earliest expected completion gets the attempt: the wait for
+// a slot and the work itself at the estimated speed of the leaf, with a price for crowding
+// and for losses. Among equal scores the zone decides, and then chance.
+//
+// Inputs: work in seconds on an ordinary leaf, attempts in flight, estimated attempts of
+// other nodes, slots, the limit of own attempts, slowness as a ratio to an ordinary leaf,
+// the share of lost attempts from 0 to 1.
+//
+// Reason: a query is as slow as its slowest shard, and a slow leaf has a short queue when
+// it gets little work; so the time to the answer counts, and not the number of attempts.
+//
+// Measured: 99th percentile of short queries over that of an oracle, simulated with one
+// leaf eight times slower, two services, 10 seeds: 0.76 and 0.78; counting attempts 2.08 to
+// 2.20, at random 2.34 and 2.24, work over measured rate 1.21 and 0.96. The weights are
+// with DefaultScoreConfig, the estimates of speed and losses with their configs.
 package replica
 
 import "math/rand/v2"
