--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -29,6 +29,10 @@
 //
 // It relies on the packages replica, admission, limit, hedge, coverage and snapshot for
 // the arithmetic of these rules, and owns all state between two calls.
+//
+// In the figures, worth is what the answers of a played day earned, of 1 at most, less the
+// price of what they took; docs/ROUNDS.md and docs/MEASURED.md say how it and the simulated
+// figures were measured.
 package dispatch
 
 import (
