--- a/internal/decide/executors/table.go
+++ b/internal/decide/executors/table.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/edge/liveness"
+	"github.com/micaplank/micaplank/internal/decide/liveness"
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
--- a/internal/decide/share/budget_test.go
+++ b/internal/decide/share/budget_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"github.com/micaplank/micaplank/internal/decide/executors"
-	"github.com/micaplank/micaplank/internal/edge/subset"
+	"github.com/micaplank/micaplank/internal/decide/subset"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/settings"
 )
--- a/internal/decide/share/connections.go
+++ b/internal/decide/share/connections.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/micaplank/micaplank/internal/edge/subset"
+	"github.com/micaplank/micaplank/internal/decide/subset"
 )
 
 // Leaf is one leaf of a service.
--- a/internal/decide/share/probe_test.go
+++ b/internal/decide/share/probe_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/micaplank/micaplank/internal/edge/subset"
+	"github.com/micaplank/micaplank/internal/decide/subset"
 )
 
 // TestProbesOfAllNodesTogetherAreBounded: what many nodes spend on probes of one
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -21,7 +21,7 @@
 
 import (
 	"github.com/micaplank/micaplank/internal/decide/executors"
-	"github.com/micaplank/micaplank/internal/edge/subset"
+	"github.com/micaplank/micaplank/internal/decide/subset"
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
--- a/internal/edge/combine/target.go
+++ b/internal/edge/combine/target.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/micaplank/micaplank/internal/edge/liveness"
+	"github.com/micaplank/micaplank/internal/decide/liveness"
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
--- a/internal/edge/node/shares.go
+++ b/internal/edge/node/shares.go
@@ -5,8 +5,8 @@
 	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/decide/hedge"
 	"github.com/micaplank/micaplank/internal/decide/share"
+	"github.com/micaplank/micaplank/internal/decide/subset"
 	"github.com/micaplank/micaplank/internal/decide/warmup"
-	"github.com/micaplank/micaplank/internal/edge/subset"
 	"github.com/micaplank/micaplank/internal/roster"
 	"github.com/micaplank/micaplank/internal/settings"
 )
