--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -127,6 +127,9 @@
 	}
 	event.Log(f.logger, event.StoreRead{Leaves: len(all.leaves), Nodes: len(all.nodes), AfterGap: read.Gap, Stale: read.Stale})
 	f.config.SetFresh(!read.Stale)
+	if !read.Stale {
+		f.metrics.storeUp.Set(1)
+	}
 }
 
 // replaceView applies a reading to the view and publishes it. It returns the zones that
--- a/internal/edge/node/follower_test.go
+++ b/internal/edge/node/follower_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"github.com/prometheus/client_golang/prometheus/testutil"
+
 	"github.com/micaplank/micaplank/internal/decide/quarantine"
 	"github.com/micaplank/micaplank/internal/decide/rollout"
 	"github.com/micaplank/micaplank/internal/edge/forward"
@@ -127,3 +129,19 @@
 		t.Error("nothing was asked after the second reading")
 	}
 }
+
+// TestStoreIsUpFromTheFirstReading, and not from a stale copy of another node.
+func TestStoreIsUpFromTheFirstReading(t *testing.T) {
+	for _, test := range []struct {
+		read mirror.Reading
+		want float64
+	}{{mirror.Reading{}, 1}, {mirror.Reading{Stale: true}, 0}} {
+		n := New(settings.Defaults(), Ports{
+			Decoder: keyDecoder{}, Leaves: servingLeaves{}, OnLeaves: func([]LeafShare) {},
+		}, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
+		n.follower.Replace([]mirror.Item{{Key: "leaf/desk", Revision: 1}}, test.read)
+		if got := testutil.ToFloat64(n.metrics.storeUp); got != test.want {
+			t.Errorf("%+v: %v, want %v", test.read, got, test.want)
+		}
+	}
+}
