--- a/internal/edge/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -36,12 +36,18 @@
 	default:
 		answer.Fate = failureOf(result)
 	}
-	if answer.Fate == FateNotRun && answer.Reason == dispatch.ReasonNoLeaf {
+	if answer.Fate == FateNotRun && withoutLeaf(answer.Reason) {
 		answer.RetryAfter = retryafter.WithoutLeaf(answer.RetryAfter, f.outage.Load())
 	}
 	return answer
 }
 
+// withoutLeaf reports whether a request was refused since no leaf could take it. With no
+// leaf of any service the Dispatcher has no snapshot.
+func withoutLeaf(reason dispatch.Reason) bool {
+	return reason == dispatch.ReasonNoLeaf || reason == dispatch.ReasonNoSnapshot
+}
+
 // mergeParts makes the answer of a request to many shards.
 func (f *Forwarder) mergeParts(ctx context.Context, answer *Answer, matched *route.Route, kind string, result scatter.Result[Part]) {
 	parts, body, missed := greatestOf(ctx, matched.TopK, result.Parts)
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -165,12 +165,15 @@
 	}
 }
 
-// TestClientWithoutALeafComesAgainLater: at once it would meet the same.
+// TestClientWithoutALeafComesAgainLater: at once it would meet the same, whether one
+// service has no leaf or none has.
 func TestClientWithoutALeafComesAgainLater(t *testing.T) {
-	without := scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: dispatch.ReasonNoLeaf, Total: 3}}
-	forwarder, _ := newForwarder(without)
-	if answer := forwarder.Execute(context.Background(), sweep()); answer.Fate != FateNotRun || answer.RetryAfter != retryafter.Unknown {
-		t.Errorf("%+v", answer)
+	for _, reason := range []dispatch.Reason{dispatch.ReasonNoLeaf, dispatch.ReasonNoSnapshot} {
+		without := scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: reason, Total: 3}}
+		forwarder, _ := newForwarder(without)
+		if answer := forwarder.Execute(context.Background(), sweep()); answer.Fate != FateNotRun || answer.RetryAfter != retryafter.Unknown {
+			t.Errorf("%s: %+v", reason, answer)
+		}
 	}
 }
 
