--- a/cmd/micarehearse/deploy.go
+++ b/cmd/micarehearse/deploy.go
@@ -21,7 +21,7 @@
 func (c *clusterCommand) attach() *flaggy.Subcommand {
 	c.binaries, c.duration = "bin", time.Minute
 	sub := flaggy.NewSubcommand("cluster")
-	sub.Description = "Run the deployment of the demo on loopback for a while, to try commands."
+	sub.Description = "Run the deployment of the demo on loopback for a while, to try commands and load."
 	sub.String(&c.binaries, "", "binaries", "Folder of the programs.")
 	sub.Duration(&c.duration, "", "duration", "How long it runs.")
 	sub.String(&c.profiles, "", "profiles", "Folder for a processor profile of each node, written at its planned stop.")
--- a/cmd/micarehearse/main.go
+++ b/cmd/micarehearse/main.go
@@ -1,6 +1,6 @@
 // Command micarehearse is the rehearsal kit of the self-hosted deployment:
-// stand-ins of the store, the machine list and the leaves, and whole deployments
-// on loopback. It is never run beside callers.
+// stand-ins of the store, the machine list and the leaves, whole deployments on
+// loopback, and a load tool. It is never run beside callers.
 //
 // Exit codes: 0 done, 1 failed, 2 wrong usage.
 package main
@@ -45,13 +45,14 @@
 		newMachinesCommand(),
 		&demoCommand{},
 		&clusterCommand{},
+		&loadCommand{},
 	}
 }
 
 // execute parses the arguments and runs the chosen subcommand.
 func execute(ctx context.Context, all []command) int {
 	flaggy.SetName("micarehearse")
-	flaggy.SetDescription("Stand-ins and deployments on loopback for micaplank.")
+	flaggy.SetDescription("Stand-ins, deployments on loopback and load for micaplank.")
 	flaggy.SetVersion(version.Version)
 	subcommands := make([]*flaggy.Subcommand, len(all))
 	for i, candidate := range all {
--- /dev/null
+++ b/internal/rehearsal/load/load_test.go
@@ -0,0 +1,160 @@
+package load
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// fakeNode answers every query; answer may change the response.
+func fakeNode(t *testing.T, answer func(http.ResponseWriter, *api.QueryRequest) bool) string {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		var query api.QueryRequest
+		if err := json.NewDecoder(request.Body).Decode(&query); err != nil {
+			t.Error(err)
+		}
+		if answer != nil && answer(writer, &query) {
+			return
+		}
+		_ = json.NewEncoder(writer).Encode(api.QueryResponse{
+			RequestID: query.RequestID, Outcome: dispatch.OutcomeAnswered,
+			Coverage: api.Coverage{Answered: 4, Total: 4},
+		})
+	}))
+	t.Cleanup(server.Close)
+	return server.URL
+}
+
+func testConfig(target string) Config {
+	config := DefaultConfig()
+	config.Targets = []string{target}
+	config.Rate = 400
+	config.Duration = Duration(500 * time.Millisecond)
+	config.Classes = []Class{
+		{Service: "rate-desk", Class: "spot-check", Share: 3, Statement: "select {number} {value}", Numbers: 5, Values: []string{"x"}},
+		{Service: "filing-vault", Class: "file-quote", Share: 1, Statement: "insert {sequence}"},
+	}
+	return config
+}
+
+func TestRunCountsEveryRequest(t *testing.T) {
+	var mutex sync.Mutex
+	seen := make(map[string]int)
+	target := fakeNode(t, func(_ http.ResponseWriter, query *api.QueryRequest) bool {
+		mutex.Lock()
+		defer mutex.Unlock()
+		seen[query.RequestID]++
+		return false
+	})
+	var progress bytes.Buffer
+	result, err := Run(context.Background(), testConfig(target), &progress)
+	if err != nil {
+		t.Fatal(err)
+	}
+	answered := 0
+	for _, class := range result.Classes {
+		answered += class.Outcomes[dispatch.OutcomeAnswered]
+		if class.Wrong+class.Transport > 0 || class.Coverage != 1 {
+			t.Errorf("%+v", class)
+		}
+	}
+	if result.Sent == 0 || answered != result.Sent || len(seen) != result.Sent || progress.Len() == 0 {
+		t.Errorf("%d sent, %d answered, %d ids", result.Sent, answered, len(seen))
+	}
+}
+
+// TestStallCountsFromTheDueTime stalls the only slot for a while: the requests
+// that were due meanwhile must show the wait, though each is served at once.
+func TestStallCountsFromTheDueTime(t *testing.T) {
+	var once sync.Once
+	const stall = 300 * time.Millisecond
+	target := fakeNode(t, func(http.ResponseWriter, *api.QueryRequest) bool {
+		once.Do(func() { time.Sleep(stall) })
+		return false
+	})
+	config := testConfig(target)
+	config.MaximumInFlight = 1
+	config.Even = true
+	config.Classes = config.Classes[:1]
+	result, err := Run(context.Background(), config, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	class := result.Classes[0]
+	if class.Latency.P50 < 2*class.ServiceTime.P50 || class.Latency.P50 < 20 {
+		t.Errorf("p50 from the due time %.1f ms, from the sending %.1f ms", class.Latency.P50, class.ServiceTime.P50)
+	}
+}
+
+func TestRefusalsAndWrongAnswers(t *testing.T) {
+	target := fakeNode(t, func(writer http.ResponseWriter, query *api.QueryRequest) bool {
+		if query.Class == "spot-check" {
+			writer.WriteHeader(http.StatusTooManyRequests)
+			_ = json.NewEncoder(writer).Encode(api.Problem{Type: api.ProblemNotRunOverload, RequestID: query.RequestID, Outcome: dispatch.OutcomeNotRun})
+			return true
+		}
+		query.RequestID = "another"
+		return false
+	})
+	result, err := Run(context.Background(), testConfig(target), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	refused, crossed := result.Classes[0], result.Classes[1]
+	if refused.Outcomes[dispatch.OutcomeNotRun] != refused.Sent || refused.Bare != refused.Sent || refused.Refusal.Count == 0 {
+		t.Errorf("%+v", refused)
+	}
+	if crossed.Wrong != crossed.Sent || crossed.Sent == 0 {
+		t.Errorf("%+v", crossed)
+	}
+}
+
+func TestScheduleIsSeededAndBounded(t *testing.T) {
+	config := testConfig("http://127.0.0.1:1")
+	config.MaximumRequests = 50
+	first, second := newSchedule(&config, time.Time{}), newSchedule(&config, time.Time{})
+	for count := 0; ; count++ {
+		a, more := first.next()
+		b, also := second.next()
+		if a != b || more != also {
+			t.Fatalf("%+v and %+v", a, b)
+		}
+		if !more {
+			if count != config.MaximumRequests {
+				t.Errorf("%d requests", count)
+			}
+			return
+		}
+	}
+}
+
+func TestCommittedFilesLoad(t *testing.T) {
+	paths, err := filepath.Glob("../../../experiments/load/*.toml")
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("%v %v", paths, err)
+	}
+	for _, path := range paths {
+		config, err := Load(path)
+		if err != nil {
+			t.Errorf("%s: %v", path, err)
+		}
+		config.Targets = []string{"http://127.0.0.1:7201"}
+		if err := config.Validate(); err != nil {
+			t.Errorf("%s: %v", path, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/load/run.go
@@ -0,0 +1,169 @@
+package load
+
+import (
+	"context"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// call is one request that is due.
+type call struct {
+	class    int
+	target   string
+	body     string // the statement
+	due      time.Time
+	measured bool
+}
+
+// answer is what came of a call.
+type answer struct {
+	call
+	// latency counts from when the call was due, service from when it was
+	// sent.
+	latency, service time.Duration
+	received
+}
+
+// Run sends the load and blocks until every request has ended, at most the
+// duration and the timeout. If the context ends first it stops sending, waits
+// for what is in flight and returns what was measured so far, with the
+// context's error. Progress gets a line each second; nil means none.
+func Run(ctx context.Context, config Config, progress io.Writer) (Result, error) {
+	if err := config.Validate(); err != nil {
+		return Result{}, err
+	}
+	client := newClient(&config)
+	defer client.CloseIdleConnections()
+	collector := newCollector(&config, progress)
+	answers := make(chan answer, config.MaximumInFlight)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		collector.run(answers)
+	}()
+	err := send(ctx, &config, client, answers)
+	close(answers)
+	<-done
+	return collector.result(), err
+}
+
+func newClient(config *Config) *http.Client {
+	transport := &http.Transport{
+		MaxIdleConns:        config.MaximumInFlight,
+		MaxIdleConnsPerHost: config.MaximumInFlight,
+		IdleConnTimeout:     time.Minute,
+	}
+	return &http.Client{Transport: transport, Timeout: time.Duration(config.Timeout)}
+}
+
+// send starts each request when it is due, or as soon after as the bound on
+// requests in flight allows, and waits for the last one.
+func send(ctx context.Context, config *Config, client *http.Client, answers chan<- answer) error {
+	var running sync.WaitGroup
+	defer running.Wait()
+	room := make(chan struct{}, config.MaximumInFlight)
+	schedule := newSchedule(config, time.Now())
+	for {
+		next, ok := schedule.next()
+		if !ok {
+			return nil
+		}
+		if err := waitUntil(ctx, next.due); err != nil {
+			return err
+		}
+		select {
+		case room <- struct{}{}:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		running.Go(func() {
+			answers <- perform(config, client, next)
+			<-room
+		})
+	}
+}
+
+// waitUntil blocks until a moment, or until the context ends.
+func waitUntil(ctx context.Context, moment time.Time) error {
+	left := time.Until(moment)
+	if left <= 0 {
+		return ctx.Err()
+	}
+	timer := time.NewTimer(left)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// schedule draws the calls of a run, one after another.
+type schedule struct {
+	config *Config
+	random *rand.Rand
+	start  time.Time
+	offset time.Duration
+	count  int
+	shares float64
+}
+
+func newSchedule(config *Config, start time.Time) *schedule {
+	s := &schedule{config: config, random: rand.New(rand.NewPCG(config.Seed, 1)), start: start}
+	for _, class := range config.Classes {
+		s.shares += class.Share
+	}
+	return s
+}
+
+// next returns the next call, or false at the end of the run.
+func (s *schedule) next() (call, bool) {
+	gap := 1 / s.config.Rate
+	if !s.config.Even {
+		gap *= s.random.ExpFloat64()
+	}
+	s.offset += time.Duration(gap * float64(time.Second))
+	if s.offset > time.Duration(s.config.Duration) || s.count >= s.config.MaximumRequests {
+		return call{}, false
+	}
+	s.count++
+	class := s.drawClass()
+	return call{
+		class:    class,
+		target:   s.config.Targets[s.count%len(s.config.Targets)],
+		body:     s.statement(&s.config.Classes[class]),
+		due:      s.start.Add(s.offset),
+		measured: s.offset >= time.Duration(s.config.WarmUp),
+	}, true
+}
+
+func (s *schedule) drawClass() int {
+	drawn := s.random.Float64() * s.shares
+	for i, class := range s.config.Classes {
+		drawn -= class.Share
+		if drawn < 0 {
+			return i
+		}
+	}
+	return len(s.config.Classes) - 1
+}
+
+// statement fills the places of a class's statement.
+func (s *schedule) statement(class *Class) string {
+	value := ""
+	if len(class.Values) > 0 {
+		value = class.Values[s.random.IntN(len(class.Values))]
+	}
+	number := s.random.Int64N(max(class.Numbers, 1))
+	return strings.NewReplacer(
+		"{number}", strconv.FormatInt(number, 10),
+		"{sequence}", strconv.Itoa(s.count),
+		"{value}", value,
+	).Replace(class.Statement)
+}
