--- a/internal/selfhosted/membership/config.go
+++ b/internal/selfhosted/membership/config.go
@@ -12,10 +12,11 @@
 	TickInterval time.Duration
 	// ProbeInterval is the period in which each node probes one other.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take before relays are
+	// ProbeTimeout is how long a direct probe may take before proxies are
 	// asked. It must be above the largest round trip between regions.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of relays that are asked.
+	// IndirectProbes is the number of proxies that are asked to ping a member
+	// that did not answer.
 	IndirectProbes int
 	// GossipInterval and GossipFanout set how often, and to how many members,
 	// waiting updates are sent on packets of their own.
--- a/internal/selfhosted/membership/doc.go
+++ b/internal/selfhosted/membership/doc.go
@@ -2,7 +2,7 @@
 // gone, without a coordinator and without the configuration store.
 //
 // It is a SWIM protocol with the Lifeguard extensions: each node probes one
-// other node a period, directly and then through relays; a member that does
+// other node a period, directly and then through proxies; a member that does
 // not answer is suspected, and declared gone unless it refutes the suspicion
 // in time; updates travel as a bounded number of epidemic retransmissions on
 // every datagram; a low-rate exchange of digests repairs what was lost.
--- a/internal/selfhosted/membership/packet.go
+++ b/internal/selfhosted/membership/packet.go
@@ -9,12 +9,12 @@
 const (
 	// PacketPing asks the member named Target for an ack.
 	PacketPing PacketKind = iota + 1
-	// PacketAck answers a ping; an ack passed on by a relay names the member
+	// PacketAck answers a ping; an ack passed on by a proxy names the member
 	// that answered in Subject.
 	PacketAck
 	// PacketIndirectPing asks the receiver to ping Target for the sender.
 	PacketIndirectPing
-	// PacketNack is a relay's answer that Target has not acked in time. It
+	// PacketNack is the answer of a proxy that Target has not acked in time. It
 	// shows the prober that its own connection works.
 	PacketNack
 	// PacketGossip carries updates only.
@@ -86,7 +86,7 @@
 	// Target and TargetAddress name the member that is pinged.
 	Target        string
 	TargetAddress netip.AddrPort
-	// Subject is the member that answered a relayed ping.
+	// Subject is the member that answered an indirect ping.
 	Subject Update
 	Updates []Update
 	// Digest holds a power of two of four-byte bucket hashes.
--- a/internal/selfhosted/membership/probe.go
+++ b/internal/selfhosted/membership/probe.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// probing is the state of this node's own probes and of those it relays.
+// probing is the state of this node's own probes, and of those that it makes as a
+// proxy for others.
 type probing struct {
 	next     time.Duration
 	sequence uint64
@@ -20,15 +21,15 @@
 	incarnation uint64
 	current     uint64
 	sentAt      time.Duration
-	relayed     bool
+	indirect    bool
 	nacksDue    int
 	nacks       int
 
-	relays []relay
+	proxied []proxiedProbe
 }
 
-// relay is a probe that this node makes for another.
-type relay struct {
+// proxiedProbe is a probe that this node makes for another one, the origin.
+type proxiedProbe struct {
 	sequence uint64
 	origin   netip.AddrPort
 	original uint64
@@ -66,12 +67,12 @@
 	return nil
 }
 
-// tickProbe ends the running probe, asks relays, or begins the next probe.
+// tickProbe ends the running probe, asks proxies, or begins the next probe.
 func (c *Core) tickProbe() {
-	c.tickRelays()
+	c.tickProxied()
 	p := &c.probing
-	if p.target != nil && !p.relayed && c.now >= p.sentAt+c.patience(c.config.ProbeTimeout) {
-		c.askRelays()
+	if p.target != nil && !p.indirect && c.now >= p.sentAt+c.patience(c.config.ProbeTimeout) {
+		c.probeIndirectly()
 	}
 	if c.now < p.next {
 		return
@@ -95,7 +96,7 @@
 	p := &c.probing
 	p.sequence++
 	p.target, p.incarnation, p.current = target, target.Incarnation, p.sequence
-	p.sentAt, p.relayed, p.nacks, p.nacksDue = c.now, false, 0, 0
+	p.sentAt, p.indirect, p.nacks, p.nacksDue = c.now, false, 0, 0
 	c.statistics.Probes++
 	c.ping(target, p.sequence)
 }
@@ -104,38 +105,38 @@
 	c.sendTo(target, Packet{Kind: PacketPing, Sequence: sequence, Target: target.Name})
 }
 
-// askRelays pings the target again and through relays.
-func (c *Core) askRelays() {
+// probeIndirectly pings the target again, and through proxies.
+func (c *Core) probeIndirectly() {
 	p := &c.probing
-	p.relayed = true
+	p.indirect = true
 	c.statistics.ProbesIndirect++
 	c.ping(p.target, p.current)
 	if c.config.disabled.indirectProbes {
 		return
 	}
-	for _, relay := range c.chooseRelays(p.target) {
+	for _, proxy := range c.chooseProxies(p.target) {
 		p.nacksDue++
-		c.sendTo(relay, Packet{
+		c.sendTo(proxy, Packet{
 			Kind: PacketIndirectPing, Sequence: p.current,
 			Target: p.target.Name, TargetAddress: p.target.Address,
 		})
 	}
 }
 
-// chooseRelays picks one member in the target's zone, one in this node's own
+// chooseProxies picks one member in the target's zone, one in this node's own
 // zone, and the others anywhere, so that a broken link between two zones or
 // two machines does not look like a broken target.
-func (c *Core) chooseRelays(target *peer) []*peer {
-	var relays []*peer
+func (c *Core) chooseProxies(target *peer) []*peer {
+	var proxies []*peer
 	usable := func(p *peer) bool {
-		return p != target && p.State == StateAlive && !slices.Contains(relays, p)
+		return p != target && p.State == StateAlive && !slices.Contains(proxies, p)
 	}
 	add := func(candidates []*peer) {
-		if len(relays) >= c.config.IndirectProbes {
+		if len(proxies) >= c.config.IndirectProbes {
 			return
 		}
 		if p := pick(c.random, candidates, usable); p != nil {
-			relays = append(relays, p)
+			proxies = append(proxies, p)
 		}
 	}
 	add(c.view.zone(target.Zone).live)
@@ -143,7 +144,7 @@
 	for range c.config.IndirectProbes {
 		add(c.view.live)
 	}
-	return relays
+	return proxies
 }
 
 // failProbe ends a probe that nobody answered.
@@ -184,25 +185,27 @@
 		c.improve()
 		return
 	}
-	for i, relay := range p.relays {
-		if relay.sequence == packet.Sequence && relay.target == subject.Name {
-			c.send(relay.origin, Packet{Kind: PacketAck, Sequence: relay.original, Subject: subject})
-			p.relays = slices.Delete(p.relays, i, i+1)
+	for i, probe := range p.proxied {
+		if probe.sequence == packet.Sequence && probe.target == subject.Name {
+			c.send(probe.origin, Packet{Kind: PacketAck, Sequence: probe.original, Subject: subject})
+			p.proxied = slices.Delete(p.proxied, i, i+1)
 			return
 		}
 	}
 }
 
-// maximumRelays bounds the probes that one node makes for others at a time.
-const maximumRelays = 64
+// maximumProxied bounds the probes that one node makes for others at a time.
+// Not measured: chosen because it bounds what others can make a node send and
+// remember.
+const maximumProxied = 64
 
 func (c *Core) stepIndirectPing(from netip.AddrPort, packet Packet) {
 	p := &c.probing
-	if len(p.relays) >= maximumRelays {
+	if len(p.proxied) >= maximumProxied {
 		return
 	}
 	p.sequence++
-	p.relays = append(p.relays, relay{
+	p.proxied = append(p.proxied, proxiedProbe{
 		sequence: p.sequence, origin: from, original: packet.Sequence,
 		target: packet.Target, deadline: c.now + c.config.ProbeTimeout,
 	})
@@ -215,18 +218,18 @@
 	}
 }
 
-// tickRelays sends nacks for relayed probes that are late, and drops those
+// tickProxied sends nacks for proxied probes that are late, and drops those
 // that no answer can help any more.
-func (c *Core) tickRelays() {
+func (c *Core) tickProxied() {
 	p := &c.probing
-	for i := range p.relays {
-		relay := &p.relays[i]
-		if !relay.nackSent && c.now >= relay.deadline {
-			relay.nackSent = true
-			c.send(relay.origin, Packet{Kind: PacketNack, Sequence: relay.original, Target: relay.target})
+	for i := range p.proxied {
+		probe := &p.proxied[i]
+		if !probe.nackSent && c.now >= probe.deadline {
+			probe.nackSent = true
+			c.send(probe.origin, Packet{Kind: PacketNack, Sequence: probe.original, Target: probe.target})
 		}
 	}
-	p.relays = slices.DeleteFunc(p.relays, func(r relay) bool {
-		return c.now >= r.deadline+maximumHealthScore*c.config.ProbeInterval
+	p.proxied = slices.DeleteFunc(p.proxied, func(probe proxiedProbe) bool {
+		return c.now >= probe.deadline+maximumHealthScore*c.config.ProbeInterval
 	})
 }
