--- a/internal/selfhosted/node/install.go
+++ b/internal/selfhosted/node/install.go
@@ -28,6 +28,6 @@
 	}
 	n.health.SetCatalog(current)
 	n.services.setCatalog(current)
-	n.executor.SetVoters(current)
+	n.queries.SetVoters(current)
 	n.installed.revision.Store(current.Revision)
 }
--- a/internal/selfhosted/node/node.go
+++ b/internal/selfhosted/node/node.go
@@ -24,10 +24,10 @@
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
 	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
-	"github.com/micaplank/micaplank/internal/selfhosted/executor"
 	"github.com/micaplank/micaplank/internal/selfhosted/gateway"
 	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 	"github.com/micaplank/micaplank/internal/selfhosted/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/query"
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 	"github.com/micaplank/micaplank/internal/settings"
@@ -63,8 +63,8 @@
 	marks         marksClock
 	installed     installation
 	services      *services
-	ledger        *executor.Ledger
-	executor      *executor.Executor
+	ledger        *query.Ledger
+	queries       *query.Runner
 	gateway       *gateway.Gateway
 	http          *http.Server
 	listener      net.Listener
@@ -216,8 +216,8 @@
 		Interval: n.settings.Leaf.LoadInterval.Duration(),
 		Timeout:  loadTimeout,
 	})
-	n.ledger = executor.NewLedger(onceConfig(n.settings), n.clock, n.ownershipProved)
-	n.executor = executor.New(executor.Config{
+	n.ledger = query.NewLedger(onceConfig(n.settings), n.clock, n.ownershipProved)
+	n.queries = query.New(query.Config{
 		Self:           n.settings.Name,
 		Catalogs:       catalogs{n},
 		Scatterers:     n.services,
@@ -225,11 +225,11 @@
 		Ledger:         n.ledger,
 		Acknowledged:   n.acknowledged,
 		Clock:          n.clock,
-		Metrics:        executor.NewMetrics(n.registry),
+		Metrics:        query.NewMetrics(n.registry),
 		RetryWhenStale: n.settings.Freshness.ExchangeInterval.Duration(),
 	})
 	n.gateway = gateway.New(gateway.Config{
-		Queries:    newIntake(n.executor, n.draining, n.settings.Limits.Concurrency),
+		Queries:    newIntake(n.queries, n.draining, n.settings.Limits.Concurrency),
 		Operations: &operations{n},
 		Metrics:    n.registry.Handler(),
 		Logger:     n.logger,
@@ -240,7 +240,7 @@
 	n.http = &http.Server{Handler: n.gateway, ReadHeaderTimeout: headerTimeout}
 }
 
-// catalogs gives the executor what is in force.
+// catalogs gives the runner of queries what is in force.
 type catalogs struct {
 	node *Node
 }
--- a/internal/selfhosted/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -9,8 +9,8 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
-	"github.com/micaplank/micaplank/internal/selfhosted/executor"
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
+	"github.com/micaplank/micaplank/internal/selfhosted/query"
 )
 
 // operations carries out operators' commands on this node.
@@ -23,7 +23,7 @@
 func (o *operations) Statement(ctx context.Context, request api.StatementRequest) (*api.StatementResponse, error) {
 	statement, err := language.ParseOne(request.Statement)
 	if err != nil {
-		return nil, executor.SyntaxProblem(err)
+		return nil, query.SyntaxProblem(err)
 	}
 	switch statement := statement.(type) {
 	case *language.ChangeStatement:
--- a/internal/selfhosted/node/peers.go
+++ b/internal/selfhosted/node/peers.go
@@ -9,8 +9,8 @@
 
 	"github.com/micaplank/micaplank/internal/peer"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
-	"github.com/micaplank/micaplank/internal/selfhosted/executor"
 	"github.com/micaplank/micaplank/internal/selfhosted/membership"
+	"github.com/micaplank/micaplank/internal/selfhosted/query"
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
@@ -64,8 +64,8 @@
 	n.dissemination.Serve(n.datagrams, n.peerServer)
 }
 
-func (n *Node) takeForward(ctx context.Context, _ netip.AddrPort, forward *executor.Forward) (*queryReply, error) {
-	answer, err := n.executor.Own(ctx, *forward)
+func (n *Node) takeForward(ctx context.Context, _ netip.AddrPort, forward *query.Forward) (*queryReply, error) {
+	answer, err := n.queries.Own(ctx, *forward)
 	if err == nil {
 		return &queryReply{Answer: answer}, nil
 	}
@@ -98,20 +98,20 @@
 
 // Forward calls the owner once. A lost answer is not asked for again: the
 // query may have run.
-func (f forwarder) Forward(ctx context.Context, name string, forward executor.Forward) (*api.QueryResponse, error) {
+func (f forwarder) Forward(ctx context.Context, name string, forward query.Forward) (*api.QueryResponse, error) {
 	member, known := f.node.membership.Lookup(name)
 	if !known || member.State == membership.StateGone {
-		return nil, &executor.ForwardError{Node: name, Sent: false, Err: errors.New("the owner is not a member now")}
+		return nil, &query.ForwardError{Node: name, Sent: false, Err: errors.New("the owner is not a member now")}
 	}
 	var reply queryReply
 	if err := f.node.calls.Call(ctx, member.Address, methodQuery, &forward, &reply); err != nil {
-		return nil, &executor.ForwardError{Node: name, Sent: !peer.NotExecuted(err), Err: err}
+		return nil, &query.ForwardError{Node: name, Sent: !peer.NotExecuted(err), Err: err}
 	}
 	if reply.Problem != nil {
 		return nil, reply.Problem
 	}
 	if reply.Answer == nil {
-		return nil, &executor.ForwardError{Node: name, Sent: true, Err: errors.New("empty reply")}
+		return nil, &query.ForwardError{Node: name, Sent: true, Err: errors.New("empty reply")}
 	}
 	return reply.Answer, nil
 }
--- a/internal/selfhosted/node/services.go
+++ b/internal/selfhosted/node/services.go
@@ -13,7 +13,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 	"github.com/micaplank/micaplank/internal/rows"
 	"github.com/micaplank/micaplank/internal/scatter"
-	"github.com/micaplank/micaplank/internal/selfhosted/executor"
+	"github.com/micaplank/micaplank/internal/selfhosted/query"
 )
 
 // services holds one scatter connection for each service of the catalog. It is
@@ -40,7 +40,7 @@
 }
 
 // Scatterer returns the connection of a service.
-func (s *services) Scatterer(service string) (executor.Scatterer, bool) {
+func (s *services) Scatterer(service string) (query.Scatterer, bool) {
 	conn, ok := s.conn(service)
 	return conn, ok
 }
--- a/internal/selfhosted/node/wire_test.go
+++ b/internal/selfhosted/node/wire_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"github.com/micaplank/micaplank/internal/selfhosted/executor"
+	"github.com/micaplank/micaplank/internal/selfhosted/query"
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
 // TestMessagesReadAsRecorded guards a fleet of two versions.
 func TestMessagesReadAsRecorded(t *testing.T) {
-	wiretest.Gob[executor.Forward](t, "query.owner.request")
+	wiretest.Gob[query.Forward](t, "query.owner.request")
 	wiretest.Gob[queryReply](t, "query.owner.response")
 	wiretest.Gob[leavingCall](t, "topology.leaving.request")
 	wiretest.Gob[leavingReply](t, "topology.leaving.response")
--- a/internal/selfhosted/executor/fixture_test.go
+++ b/internal/selfhosted/query/fixture_test.go
@@ -1,4 +1,4 @@
-package executor
+package query
 
 import (
 	"context"
@@ -86,10 +86,10 @@
 
 func (c *manualClock) Now() time.Duration { return c.now }
 
-// fixture is an Executor of node-a1, one of the voters, with fake neighbours.
+// fixture is a Runner of node-a1, one of the voters, with fake neighbours.
 type fixture struct {
 	t          *testing.T
-	executor   *Executor
+	runner     *Runner
 	catalogs   *fakeCatalogs
 	scatterer  *fakeScatterer
 	scatterers *fakeScatterers
@@ -118,7 +118,7 @@
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeAnswered, Total: 1, Answered: []dispatch.ShardAnswer{{Shard: 0, Attempt: 1}}}}
 	f.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"lane"}}}}
 	f.ledger = newLedger(once.DefaultConfig(), f.clock, func() time.Time { return f.wall }, func(time.Duration, uint64) bool { return f.proved })
-	f.executor = New(Config{
+	f.runner = New(Config{
 		Self:           "node-a1",
 		Catalogs:       f.catalogs,
 		Scatterers:     f.scatterers,
@@ -129,7 +129,7 @@
 		Metrics:        NewMetrics(prometheus.NewRegistry()),
 		RetryWhenStale: retryWhenStale,
 	})
-	f.executor.SetVoters(f.catalogs.current)
+	f.runner.SetVoters(f.catalogs.current)
 	return f
 }
 
@@ -196,7 +196,7 @@
 func settled(t *testing.T) *fixture {
 	f := newFixture(t)
 	f.pass(time.Second)
-	_, _ = f.executor.Query(context.Background(), "rate-desk", f.filing()) // proves the ownership
+	_, _ = f.runner.Query(context.Background(), "rate-desk", f.filing()) // proves the ownership
 	f.pass(time.Minute)
 	f.scatterer.calls = 0
 	return f
--- a/internal/selfhosted/executor/metrics.go
+++ b/internal/selfhosted/query/metrics.go
@@ -1,4 +1,4 @@
-package executor
+package query
 
 import (
 	"errors"
--- a/internal/selfhosted/executor/once.go
+++ b/internal/selfhosted/query/once.go
@@ -1,4 +1,4 @@
-package executor
+package query
 
 import (
 	"context"
@@ -19,20 +19,20 @@
 const retryInProgress = 100 * time.Millisecond
 
 // queryOnce runs a query that must not run twice: at the owner of its id.
-func (e *Executor) queryOnce(ctx context.Context, planned *plan) (*api.QueryResponse, error) {
+func (r *Runner) queryOnce(ctx context.Context, planned *plan) (*api.QueryResponse, error) {
 	id, err := planned.onceID()
 	if err != nil {
 		return nil, err
 	}
-	current := e.config.Catalogs.Current()
+	current := r.config.Catalogs.Current()
 	owner := once.Owner(current.VoterNames(), id)
 	switch owner {
 	case "":
-		return nil, e.unavailable(planned.request, "No voters are configured.")
-	case e.config.Self:
-		return e.own(ctx, planned, id, current)
+		return nil, r.unavailable(planned.request, "No voters are configured.")
+	case r.config.Self:
+		return r.own(ctx, planned, id, current)
 	}
-	return e.forward(ctx, planned, owner)
+	return r.forward(ctx, planned, owner)
 }
 
 func (p *plan) onceID() (ulid.ULID, error) {
@@ -45,10 +45,10 @@
 
 // forward asks the owner, once. If its answer is lost, the query may have run,
 // and that is what the caller receives.
-func (e *Executor) forward(ctx context.Context, planned *plan, owner string) (*api.QueryResponse, error) {
+func (r *Runner) forward(ctx context.Context, planned *plan, owner string) (*api.QueryResponse, error) {
 	waiting, cancel := context.WithTimeout(ctx, planned.timeout)
 	defer cancel()
-	answer, err := e.config.Forwarder.Forward(waiting, owner, Forward{
+	answer, err := r.config.Forwarder.Forward(waiting, owner, Forward{
 		Service:   planned.service.Name,
 		Request:   planned.request,
 		Remaining: planned.timeout,
@@ -62,7 +62,7 @@
 	}
 	var failed *ForwardError
 	if errors.As(err, &failed) && !failed.Sent {
-		return nil, e.unavailable(planned.request, fmt.Sprintf("The owner of this request id, %s, cannot be reached.", owner))
+		return nil, r.unavailable(planned.request, fmt.Sprintf("The owner of this request id, %s, cannot be reached.", owner))
 	}
 	lost := planned.problem(api.ProblemOutcomeUnknown, err.Error())
 	lost.Outcome = dispatch.OutcomeUnknown
@@ -72,12 +72,12 @@
 
 // Own runs a query that another node forwarded because this node owns its id.
 // Errors are *api.Problem values.
-func (e *Executor) Own(ctx context.Context, forward Forward) (*api.QueryResponse, error) {
-	if !e.config.Catalogs.Fresh() {
-		return nil, e.unavailable(forward.Request, "The owner of this request id cannot show that its catalog is current.")
+func (r *Runner) Own(ctx context.Context, forward Forward) (*api.QueryResponse, error) {
+	if !r.config.Catalogs.Fresh() {
+		return nil, r.unavailable(forward.Request, "The owner of this request id cannot show that its catalog is current.")
 	}
-	current := e.config.Catalogs.Current()
-	planned, err := newPlan(e.statements, current, forward.Service, forward.Request)
+	current := r.config.Catalogs.Current()
+	planned, err := newPlan(r.statements, current, forward.Service, forward.Request)
 	if err != nil {
 		return nil, err
 	}
@@ -86,43 +86,43 @@
 	if err != nil {
 		return nil, err
 	}
-	if planned.class.Repeatable || once.Owner(current.VoterNames(), id) != e.config.Self {
-		return nil, e.unavailable(forward.Request, "The nodes do not agree yet on the owner of this request id.")
+	if planned.class.Repeatable || once.Owner(current.VoterNames(), id) != r.config.Self {
+		return nil, r.unavailable(forward.Request, "The nodes do not agree yet on the owner of this request id.")
 	}
-	return e.own(ctx, planned, id, current)
+	return r.own(ctx, planned, id, current)
 }
 
 // own decides about an id that this node owns by a catalog. The query goes on when the
 // caller goes away, so that a later submission learns its outcome.
-func (e *Executor) own(ctx context.Context, planned *plan, id ulid.ULID, current *catalog.Catalog) (*api.QueryResponse, error) {
-	decision := e.config.Ledger.begin(id, current.VotersRevision)
+func (r *Runner) own(ctx context.Context, planned *plan, id ulid.ULID, current *catalog.Catalog) (*api.QueryResponse, error) {
+	decision := r.config.Ledger.begin(id, current.VotersRevision)
 	// The decision counts only if the node was still fresh and in touch with
 	// the voters after it was made, and its ownership lasted until then.
-	fresh := e.config.Acknowledged() && e.config.Catalogs.Fresh() && e.config.Ledger.holds(decision)
+	fresh := r.config.Acknowledged() && r.config.Catalogs.Fresh() && r.config.Ledger.holds(decision)
 	switch decision.Kind {
 	case once.Replay:
 		return decision.Outcome.answer, decision.Outcome.err()
 	case once.InProgress:
 		return nil, planned.inProgress()
 	case once.Refuse:
-		return nil, e.refuseOnce(planned, decision, fresh)
+		return nil, r.refuseOnce(planned, decision, fresh)
 	}
 	if !fresh {
-		e.config.Ledger.release(id)
-		return nil, e.unavailable(planned.request, "The owner of this request id cannot show that its catalog is current.")
+		r.config.Ledger.release(id)
+		return nil, r.unavailable(planned.request, "The owner of this request id cannot show that its catalog is current.")
 	}
-	return e.runOnce(context.WithoutCancel(ctx), planned, id)
+	return r.runOnce(context.WithoutCancel(ctx), planned, id)
 }
 
 // runOnce runs a query that the ledger let through, and records its fate.
-func (e *Executor) runOnce(ctx context.Context, planned *plan, id ulid.ULID) (*api.QueryResponse, error) {
-	answer, err := e.scatter(ctx, planned)
+func (r *Runner) runOnce(ctx context.Context, planned *plan, id ulid.ULID) (*api.QueryResponse, error) {
+	answer, err := r.scatter(ctx, planned)
 	var problem *api.Problem
 	if errors.As(err, &problem) && problem.Outcome == dispatch.OutcomeNotRun {
-		e.config.Ledger.release(id)
+		r.config.Ledger.release(id)
 		return nil, err
 	}
-	e.config.Ledger.finish(id, fate{answer: answer, problem: problem})
+	r.config.Ledger.finish(id, fate{answer: answer, problem: problem})
 	return answer, err
 }
 
@@ -144,10 +144,10 @@
 
 // refuseOnce tells the caller of a refused id. "Not run" is said only if no
 // earlier submission of the id can have run.
-func (e *Executor) refuseOnce(planned *plan, decision once.Decision[fate], fresh bool) *api.Problem {
+func (r *Runner) refuseOnce(planned *plan, decision once.Decision[fate], fresh bool) *api.Problem {
 	detail := fmt.Sprintf("The request id was refused (%s): %s.", decision.Reason, refusalTexts[decision.Reason])
 	if decision.MayHaveRun || !fresh {
-		problem := e.unavailable(planned.request, detail)
+		problem := r.unavailable(planned.request, detail)
 		problem.RetryAfterMilliseconds = max(problem.RetryAfterMilliseconds, roundUpMilliseconds(decision.RetryAfter))
 		return problem
 	}
@@ -162,38 +162,38 @@
 
 // unavailable refuses a submission that ran nowhere, where an earlier one of
 // the same id may have run.
-func (e *Executor) unavailable(request api.QueryRequest, detail string) *api.Problem {
+func (r *Runner) unavailable(request api.QueryRequest, detail string) *api.Problem {
 	problem := requestProblem(request, api.ProblemUnavailable, detail+" This submission ran nowhere; an earlier one of the same id may have.")
 	problem.Outcome = dispatch.OutcomeFailed
-	problem.RetryAfterMilliseconds = e.config.RetryWhenStale.Milliseconds()
+	problem.RetryAfterMilliseconds = r.config.RetryWhenStale.Milliseconds()
 	return problem
 }
 
 // Refuse returns the problem for a query that this node does not take, with
 // the given "not run" type, and counts it. A request of a class that runs at
 // most once may have been submitted before, so for it "not run" is not claimed.
-func (e *Executor) Refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
-	problem := e.refuse(service, request, notRun)
-	e.config.Metrics.observe(e.known(service), request.Class, nil, problem, 0)
+func (r *Runner) Refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
+	problem := r.refuse(service, request, notRun)
+	r.config.Metrics.observe(r.known(service), request.Class, nil, problem, 0)
 	return problem
 }
 
 // known returns the name of a service, or "unknown" for one that a caller made
 // up: it would become a label of its own.
-func (e *Executor) known(service string) string {
-	if _, exists := e.config.Catalogs.Current().Services[service]; exists {
+func (r *Runner) known(service string) string {
+	if _, exists := r.config.Catalogs.Current().Services[service]; exists {
 		return service
 	}
 	return unknownService
 }
 
-func (e *Executor) refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
-	class, known := e.config.Catalogs.Current().Services[service].Classes[request.Class]
+func (r *Runner) refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
+	class, known := r.config.Catalogs.Current().Services[service].Classes[request.Class]
 	if request.RequestID != "" && (!known || !class.Repeatable) {
-		return e.unavailable(request, "This node takes no requests now.")
+		return r.unavailable(request, "This node takes no requests now.")
 	}
 	problem := requestProblem(request, notRun, "")
 	problem.Outcome = dispatch.OutcomeNotRun
-	problem.RetryAfterMilliseconds = e.config.RetryWhenStale.Milliseconds()
+	problem.RetryAfterMilliseconds = r.config.RetryWhenStale.Milliseconds()
 	return problem
 }
--- a/internal/selfhosted/executor/once_test.go
+++ b/internal/selfhosted/query/once_test.go
@@ -1,4 +1,4 @@
-package executor
+package query
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 func TestOnceRunsAndIsReplayed(t *testing.T) {
 	f := settled(t)
 	request := f.filing()
-	first, err := f.executor.Query(context.Background(), "rate-desk", request)
+	first, err := f.runner.Query(context.Background(), "rate-desk", request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeFailed}}
-	second, err := f.executor.Query(context.Background(), "rate-desk", request)
+	second, err := f.runner.Query(context.Background(), "rate-desk", request)
 	if err != nil || second != first || f.scatterer.calls != 1 {
 		t.Errorf("the replay is %v, %v after %d runs", second, err, f.scatterer.calls)
 	}
@@ -35,7 +35,7 @@
 	answered := f.scatterer.result
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonLost}}
 	for range 2 {
-		_, err := f.executor.Query(context.Background(), "rate-desk", request)
+		_, err := f.runner.Query(context.Background(), "rate-desk", request)
 		requireProblem(t, "lost", err, api.ProblemOutcomeUnknown)
 		f.scatterer.result = answered
 	}
@@ -50,10 +50,10 @@
 	request := f.filing()
 	answered := f.scatterer.result
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: dispatch.ReasonOverload}}
-	_, err := f.executor.Query(context.Background(), "rate-desk", request)
+	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "overload", err, api.ProblemNotRunOverload)
 	f.scatterer.result = answered
-	if _, err := f.executor.Query(context.Background(), "rate-desk", request); err != nil {
+	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil {
 		t.Errorf("the second submission: %v", err)
 	}
 }
@@ -63,13 +63,13 @@
 	request := f.filing()
 	f.scatterer.during = func(context.Context) {
 		f.scatterer.during = nil
-		_, err := f.executor.Query(context.Background(), "rate-desk", request)
+		_, err := f.runner.Query(context.Background(), "rate-desk", request)
 		problem := requireProblem(t, "in progress", err, api.ProblemOutcomeUnknown)
 		if problem.RetryAfterMilliseconds == 0 || !strings.Contains(problem.Detail, "running") {
 			t.Errorf("got %+v", problem)
 		}
 	}
-	if _, err := f.executor.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
+	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
 		t.Errorf("%v after %d runs", err, f.scatterer.calls)
 	}
 }
@@ -84,7 +84,7 @@
 			t.Error("the run was cancelled")
 		}
 	}
-	if _, err := f.executor.Query(ctx, "rate-desk", f.filing()); err != nil {
+	if _, err := f.runner.Query(ctx, "rate-desk", f.filing()); err != nil {
 		t.Error(err)
 	}
 }
@@ -94,7 +94,7 @@
 	request := f.filingOf("node-b1")
 	request.DeadlineMilliseconds = 700
 	f.forwarder.answer = &api.QueryResponse{RequestID: request.RequestID}
-	answer, err := f.executor.Query(context.Background(), "rate-desk", request)
+	answer, err := f.runner.Query(context.Background(), "rate-desk", request)
 	if err != nil || answer != f.forwarder.answer || f.forwarder.node != "node-b1" || f.forwarder.sent.Remaining != 700*time.Millisecond {
 		t.Errorf("got %v, %v by %+v", answer, err, f.forwarder)
 	}
@@ -120,7 +120,7 @@
 	for _, test := range cases {
 		f := settled(t)
 		f.forwarder.err = test.err
-		_, err := f.executor.Query(context.Background(), "rate-desk", f.filingOf("node-b1"))
+		_, err := f.runner.Query(context.Background(), "rate-desk", f.filingOf("node-b1"))
 		problem := requireProblem(t, test.name, err, test.want)
 		if problem != notRun && problem.Outcome == dispatch.OutcomeNotRun {
 			t.Errorf("%s: said to be not run", test.name)
@@ -137,17 +137,17 @@
 		return Forward{Service: "rate-desk", Request: f.filingOf(owner), Remaining: time.Second}
 	}
 	f := settled(t)
-	_, err := f.executor.Own(context.Background(), forward(f, "node-b1"))
+	_, err := f.runner.Own(context.Background(), forward(f, "node-b1"))
 	requireProblem(t, "not the owner", err, api.ProblemUnavailable)
 	repeatable := forward(f, "node-a1")
 	repeatable.Request.Class, repeatable.Request.Statement = "sweep", broadSelect
-	_, err = f.executor.Own(context.Background(), repeatable)
+	_, err = f.runner.Own(context.Background(), repeatable)
 	requireProblem(t, "repeatable here", err, api.ProblemUnavailable)
-	if _, err := f.executor.Own(context.Background(), forward(f, "node-a1")); err != nil || f.scatterer.last.Timeout != time.Second {
+	if _, err := f.runner.Own(context.Background(), forward(f, "node-a1")); err != nil || f.scatterer.last.Timeout != time.Second {
 		t.Errorf("own id: %v, with %s left", err, f.scatterer.last.Timeout)
 	}
 	f.catalogs.fresh = false
-	_, err = f.executor.Own(context.Background(), forward(f, "node-a1"))
+	_, err = f.runner.Own(context.Background(), forward(f, "node-a1"))
 	requireProblem(t, "stale owner", err, api.ProblemUnavailable)
 	if f.scatterer.calls != 1 {
 		t.Errorf("%d runs", f.scatterer.calls)
@@ -159,10 +159,10 @@
 	f := settled(t)
 	request := f.filing()
 	f.catalogs.staleAfter = 2 // fresh when it arrives, stale after the decision
-	_, err := f.executor.Query(context.Background(), "rate-desk", request)
+	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "stale", err, api.ProblemUnavailable)
 	f.catalogs.fresh = true
-	if _, err := f.executor.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
+	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
 		t.Errorf("%v after %d runs", err, f.scatterer.calls)
 	}
 }
@@ -173,13 +173,13 @@
 	f := settled(t)
 	request := f.filing()
 	f.cutOff = true
-	_, err := f.executor.Query(context.Background(), "rate-desk", request)
+	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "cut off", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
 	}
 	f.cutOff = false
-	if _, err := f.executor.Query(context.Background(), "rate-desk", request); err != nil {
+	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil {
 		t.Errorf("back in touch: %v", err)
 	}
 }
@@ -188,7 +188,7 @@
 	f := newFixture(t)
 	request := f.filing()
 	f.catalogs.current.Voters = nil
-	_, err := f.executor.Query(context.Background(), "rate-desk", request)
+	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "no voters", err, api.ProblemUnavailable)
 }
 
@@ -200,19 +200,19 @@
 	changed.Revision, changed.VotersRevision = 10, 10
 	changed.Voters = voters("node-a1", "node-b1")
 	f.catalogs.current = changed
-	f.executor.SetVoters(changed)
+	f.runner.SetVoters(changed)
 	f.proved = false
 	old := f.filing()
-	_, err := f.executor.Query(context.Background(), "rate-desk", old)
+	_, err := f.runner.Query(context.Background(), "rate-desk", old)
 	requireUnavailable(t, "suspended", err)
 	if !strings.Contains(err.Error(), "(suspended): the voters") {
 		t.Errorf("got %v", err)
 	}
 	f.proved = true
-	_, err = f.executor.Query(context.Background(), "rate-desk", old)
+	_, err = f.runner.Query(context.Background(), "rate-desk", old)
 	requireUnavailable(t, "fenced", err)
 	f.pass(time.Minute)
-	if _, err := f.executor.Query(context.Background(), "rate-desk", f.filing()); err != nil {
+	if _, err := f.runner.Query(context.Background(), "rate-desk", f.filing()); err != nil {
 		t.Errorf("past the fence: %v", err)
 	}
 	if f.scatterer.calls != 1 {
@@ -244,7 +244,7 @@
 		f.catalogs.current = changed
 	}
 	f.proved = false
-	_, err := f.executor.Query(context.Background(), "rate-desk", request)
+	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "new voters", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
@@ -259,10 +259,10 @@
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 10, 10
 	changed.Voters = voters("node-a1", "node-b1", "node-c1", "node-d1")
-	f.executor.SetVoters(changed)
+	f.runner.SetVoters(changed)
 	f.pass(time.Minute)
 	request.RequestID = f.ownedBy("node-a1")
-	_, err := f.executor.Query(context.Background(), "rate-desk", request) // on the catalog of revision 9
+	_, err := f.runner.Query(context.Background(), "rate-desk", request) // on the catalog of revision 9
 	requireUnavailable(t, "outdated", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
@@ -276,9 +276,9 @@
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 11, 11
 	f.catalogs.current = changed
-	f.executor.SetVoters(changed)
+	f.runner.SetVoters(changed)
 	f.proved = false
-	_, err := f.executor.Query(context.Background(), "rate-desk", f.filing())
+	_, err := f.runner.Query(context.Background(), "rate-desk", f.filing())
 	requireUnavailable(t, "changed back", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
@@ -292,8 +292,8 @@
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 10, 10
 	changed.Voters = voters("node-b1", "node-c1")
-	f.executor.config.Catalogs = &changingCatalogs{fakeCatalogs: f.catalogs, change: func() { f.executor.SetVoters(changed) }}
-	_, err := f.executor.Query(context.Background(), "rate-desk", f.filing())
+	f.runner.config.Catalogs = &changingCatalogs{fakeCatalogs: f.catalogs, change: func() { f.runner.SetVoters(changed) }}
+	_, err := f.runner.Query(context.Background(), "rate-desk", f.filing())
 	requireUnavailable(t, "ownership ended", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
--- a/internal/selfhosted/executor/executor.go
+++ b/internal/selfhosted/query/runner.go
@@ -1,10 +1,16 @@
-// Package executor runs callers' queries: it plans a statement against the
+// Package query runs callers' queries: it plans a statement against the
 // catalog, sends it to the owner of its id if it may run only once, has it
 // scattered over the shards, and merges what comes back.
 //
+// It owns the Ledger, which has the ids that this node decides about, and the
+// selects that were parsed of late. It relies on decide/once for the decision
+// about an id, on language and merge for statements, and on scatter for the
+// attempts at leaves; which catalog is in force, and whether this node may act
+// on it, it asks its Catalogs.
+//
 // Errors are *api.Problem values. A problem of a "not run" type is a promise
 // that the request ran nowhere and never will.
-package executor
+package query
 
 import (
 	"context"
@@ -69,7 +75,7 @@
 	return e.Err
 }
 
-// Config is what an Executor needs.
+// Config is what a Runner needs.
 type Config struct {
 	// Self is the name of this node's slot.
 	Self       string
@@ -89,48 +95,48 @@
 	RetryWhenStale time.Duration
 }
 
-// Executor runs queries. It is safe for concurrent use.
-type Executor struct {
+// Runner runs queries. It is safe for concurrent use.
+type Runner struct {
 	config     Config
 	statements *statements
 }
 
-// New returns an Executor.
-func New(config Config) *Executor {
-	return &Executor{config: config, statements: newStatements()}
+// New returns a Runner.
+func New(config Config) *Runner {
+	return &Runner{config: config, statements: newStatements()}
 }
 
 // Query runs a request that a caller sent to this node. It blocks until the
 // request has its final answer, at the latest until its deadline.
-func (e *Executor) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
-	started := e.config.Clock.Now()
-	answer, err := e.query(ctx, service, request)
-	e.config.Metrics.observe(e.known(service), request.Class, answer, err, e.config.Clock.Now()-started)
+func (r *Runner) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
+	started := r.config.Clock.Now()
+	answer, err := r.query(ctx, service, request)
+	r.config.Metrics.observe(r.known(service), request.Class, answer, err, r.config.Clock.Now()-started)
 	return answer, err
 }
 
-func (e *Executor) query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
-	if !e.config.Catalogs.Fresh() {
-		return nil, e.refuse(service, request, api.ProblemNotRunStale)
+func (r *Runner) query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
+	if !r.config.Catalogs.Fresh() {
+		return nil, r.refuse(service, request, api.ProblemNotRunStale)
 	}
-	planned, err := newPlan(e.statements, e.config.Catalogs.Current(), service, request)
+	planned, err := newPlan(r.statements, r.config.Catalogs.Current(), service, request)
 	if err != nil {
 		return nil, err
 	}
 	if planned.class.Repeatable {
-		return e.scatter(ctx, planned)
+		return r.scatter(ctx, planned)
 	}
-	return e.queryOnce(ctx, planned)
+	return r.queryOnce(ctx, planned)
 }
 
 // SetVoters takes the voting set of a catalog that was installed.
-func (e *Executor) SetVoters(current *catalog.Catalog) {
-	e.config.Ledger.SetVoters(current.VotersRevision)
+func (r *Runner) SetVoters(current *catalog.Catalog) {
+	r.config.Ledger.SetVoters(current.VotersRevision)
 }
 
 // scatter runs a planned query over the shards and merges the answer.
-func (e *Executor) scatter(ctx context.Context, planned *plan) (*api.QueryResponse, error) {
-	scatterer, ok := e.config.Scatterers.Scatterer(planned.service.Name)
+func (r *Runner) scatter(ctx context.Context, planned *plan) (*api.QueryResponse, error) {
+	scatterer, ok := r.config.Scatterers.Scatterer(planned.service.Name)
 	if !ok {
 		return nil, planned.problem(api.ProblemNotRunSnapshot, "The service is not installed on this node yet.")
 	}
--- a/internal/selfhosted/executor/executor_test.go
+++ b/internal/selfhosted/query/runner_test.go
@@ -1,4 +1,4 @@
-package executor
+package query
 
 import (
 	"context"
@@ -68,7 +68,7 @@
 	}
 	for _, test := range cases {
 		fixture := newFixture(t)
-		_, err := fixture.executor.Query(context.Background(), test.service, test.request)
+		_, err := fixture.runner.Query(context.Background(), test.service, test.request)
 		problem := requireProblem(t, test.name, err, test.want)
 		given := test.request.RequestID
 		if !strings.Contains(problem.Detail, test.detail) || (given != "" && problem.RequestID != given) {
@@ -82,7 +82,7 @@
 
 func TestSyntaxProblemPointsAtThePlace(t *testing.T) {
 	fixture := newFixture(t)
-	_, err := fixture.executor.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: "select lane\tform rate-desk"})
+	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: "select lane\tform rate-desk"})
 	problem := requireProblem(t, "syntax", err, api.ProblemSyntax)
 	if problem.Line != 1 || problem.Column != 13 || !strings.Contains(problem.Expected, "from") {
 		t.Errorf("got %+v", problem)
@@ -101,7 +101,7 @@
 		{api.QueryRequest{Class: "sweep", Statement: broadSelect, DeadlineMilliseconds: 2000, MinimumCoverage: share(1)}, 2 * time.Second, 1},
 	} {
 		fixture := newFixture(t)
-		answer, err := fixture.executor.Query(context.Background(), "rate-desk", test.request)
+		answer, err := fixture.runner.Query(context.Background(), "rate-desk", test.request)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,7 +118,7 @@
 func TestSelectOfOneKeyGoesToItsShard(t *testing.T) {
 	fixture := newFixture(t)
 	statement := "select * from rate-desk where lane = 'OTR-SPK' and quote = 'Q-17'"
-	if _, err := fixture.executor.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: statement}); err != nil {
+	if _, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: statement}); err != nil {
 		t.Fatal(err)
 	}
 	sent := fixture.scatterer.last
@@ -132,12 +132,12 @@
 func TestStaleNodeTakesNothing(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.catalogs.fresh = false
-	_, err := fixture.executor.Query(context.Background(), "rate-desk", api.QueryRequest{RequestID: "a", Class: "sweep", Statement: broadSelect})
+	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{RequestID: "a", Class: "sweep", Statement: broadSelect})
 	problem := requireProblem(t, "repeatable", err, api.ProblemNotRunStale)
 	if problem.Outcome != dispatch.OutcomeNotRun || problem.RetryAfterMilliseconds != retryWhenStale.Milliseconds() {
 		t.Errorf("got %+v", problem)
 	}
-	_, err = fixture.executor.Query(context.Background(), "rate-desk", fixture.filing())
+	_, err = fixture.runner.Query(context.Background(), "rate-desk", fixture.filing())
 	problem = requireProblem(t, "once", err, api.ProblemUnavailable)
 	if problem.Outcome == dispatch.OutcomeNotRun || !strings.Contains(problem.Detail, "an earlier one of the same id may have") {
 		t.Errorf("got %+v", problem)
@@ -178,7 +178,7 @@
 		fixture := newFixture(t)
 		test.finish.RetryAfter = 1500 * time.Microsecond
 		fixture.scatterer.result = scatter.Result[rows.Table]{Finish: test.finish, Detail: "a leaf's word"}
-		_, err := fixture.executor.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
+		_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
 		problem := requireProblem(t, test.name, err, test.want)
 		if problem.Outcome != test.finish.Outcome || problem.Reason != test.finish.Reason || problem.RetryAfterMilliseconds != 2 || problem.Detail != "a leaf's word" {
 			t.Errorf("%s: got %+v", test.name, problem)
@@ -204,7 +204,7 @@
 		},
 		Parts: []scatter.ShardPart[rows.Table]{{Shard: 2, Part: lane("b")}, {Shard: 0, Part: lane("a")}},
 	}
-	answer, err := fixture.executor.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
+	answer, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,14 +220,14 @@
 func TestTablesThatDoNotFitAreAnInternalError(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"other"}}}}
-	_, err := fixture.executor.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
+	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
 	requireProblem(t, "columns", err, api.ProblemInternal)
 }
 
 func TestServiceThatIsNotInstalledYet(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.scatterers.missing = true
-	_, err := fixture.executor.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
+	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: broadSelect})
 	requireProblem(t, "not installed", err, api.ProblemNotRunSnapshot)
 }
 
--- a/internal/selfhosted/executor/statements.go
+++ b/internal/selfhosted/query/statements.go
@@ -1,4 +1,4 @@
-package executor
+package query
 
 import (
 	lru "github.com/hashicorp/golang-lru/v2"
