--- a/internal/selfhosted/dissemination/push.go
+++ b/internal/selfhosted/dissemination/push.go
@@ -15,13 +15,13 @@
 	installed := c.log.append(push.Changes)
 	if len(installed) > 0 {
 		c.installed(now)
-		c.handOn(installed)
+		c.pushToRandom(installed)
 	}
 	c.want(now, from, push.Revision)
 }
 
-// handOn pushes changes that are new here to a few random members.
-func (c *Core) handOn(changes []catalog.Change) {
+// pushToRandom pushes changes that are new here to a few random members.
+func (c *Core) pushToRandom(changes []catalog.Change) {
 	alive := len(c.members.alive)
 	for _, index := range c.random.Perm(alive)[:min(alive, c.config.PushFanout)] {
 		c.push(c.members.alive[index].Address, changes)
--- a/internal/selfhosted/dissemination/storesync.go
+++ b/internal/selfhosted/dissemination/storesync.go
@@ -168,5 +168,5 @@
 	}
 	c.planCheckpoint(now)
 	c.installed(now)
-	c.handOn(installed)
+	c.pushToRandom(installed)
 }
--- a/internal/selfhosted/dissemination/write.go
+++ b/internal/selfhosted/dissemination/write.go
@@ -183,7 +183,7 @@
 		}
 	} else {
 		c.pushToVoters(changes)
-		c.handOn(changes)
+		c.pushToRandom(changes)
 	}
 	p.beginConfirm()
 }
