--- /dev/null
+++ b/internal/selfhosted/membership/core_view.go
@@ -0,0 +1,70 @@
+package membership
+
+import (
+	"slices"
+	"strings"
+)
+
+// Self returns this node's own record.
+func (c *Core) Self() Member { return c.self }
+
+// Joined reports whether this node has heard from any other, or has no seeds.
+func (c *Core) Joined() bool { return c.joined || len(c.seeds) == 0 }
+
+// Superseded reports whether the name belongs to a newer process.
+func (c *Core) Superseded() bool { return c.superseded }
+
+// Members returns all known members that are not gone, this node included,
+// ordered by name. The list is rebuilt only after a change; it must not be
+// modified.
+func (c *Core) Members() []Member {
+	if c.listed == nil || c.listedVersion != c.view.version || c.listed[c.listedSelf] != c.self {
+		c.listed = make([]Member, 0, c.members())
+		for _, p := range c.view.ordered {
+			c.listed = append(c.listed, p.Member)
+		}
+		c.listedSelf, _ = slices.BinarySearchFunc(c.listed, c.self.Name, func(m Member, name string) int {
+			return strings.Compare(m.Name, name)
+		})
+		c.listed = slices.Insert(c.listed, c.listedSelf, c.self)
+		c.listedVersion = c.view.version
+	}
+	return c.listed
+}
+
+// Lookup returns what is known of a member, gone ones included.
+func (c *Core) Lookup(name string) (Member, bool) {
+	if name == c.self.Name {
+		return c.self, true
+	}
+	p := c.view.byName[name]
+	if p == nil {
+		return Member{}, false
+	}
+	return p.Member, true
+}
+
+// ViewHash returns a hash of the view: the exclusive or of ViewHash of all
+// members that are not gone, this node included. Equal views have equal
+// hashes.
+func (c *Core) ViewHash() uint64 {
+	hash := c.self.ViewHash()
+	for _, p := range c.view.live {
+		hash ^= p.Member.ViewHash()
+	}
+	return hash
+}
+
+// HeldZones returns the names of the zones that are held.
+func (c *Core) HeldZones() []string {
+	var names []string
+	for _, z := range c.view.zones {
+		if z.held {
+			names = append(names, z.name)
+		}
+	}
+	return names
+}
+
+// members is the number of members that are not gone, this node included.
+func (c *Core) members() int { return len(c.view.live) + 1 }
--- /dev/null
+++ b/internal/selfhosted/membership/health.go
@@ -0,0 +1,16 @@
+package membership
+
+import "time"
+
+const maximumHealthScore = 8
+
+// worsen and improve move the local health score: the higher it is, the more
+// time this node gives others before it accuses them.
+func (c *Core) worsen() { c.health = min(c.health+1, maximumHealthScore) }
+
+func (c *Core) improve() { c.health = max(c.health-1, 0) }
+
+// patience stretches a time while this node's own health is in doubt.
+func (c *Core) patience(interval time.Duration) time.Duration {
+	return interval * time.Duration(c.health+1)
+}
--- a/internal/selfhosted/membership/probe.go
+++ b/internal/selfhosted/membership/probe.go
@@ -28,16 +28,6 @@
 	proxied []proxiedProbe
 }
 
-// proxiedProbe is a probe that this node makes for another one, the origin.
-type proxiedProbe struct {
-	sequence uint64
-	origin   netip.AddrPort
-	original uint64
-	target   string
-	deadline time.Duration
-	nackSent bool
-}
-
 // include puts a new member at a random place of what is left of the order.
 func (p *probing) include(random *rand.Rand, member *peer) {
 	p.order = append(p.order, member)
@@ -87,11 +77,6 @@
 	c.reprobeSuspects()
 }
 
-// patience stretches a time while this node's own health is in doubt.
-func (c *Core) patience(interval time.Duration) time.Duration {
-	return interval * time.Duration(c.health+1)
-}
-
 func (c *Core) beginProbe(target *peer) {
 	p := &c.probing
 	p.sequence++
@@ -194,42 +179,8 @@
 	}
 }
 
-// maximumProxied bounds the probes that one node makes for others at a time.
-// Not measured: chosen because it bounds what others can make a node send and
-// remember.
-const maximumProxied = 64
-
-func (c *Core) stepIndirectPing(from netip.AddrPort, packet Packet) {
-	p := &c.probing
-	if len(p.proxied) >= maximumProxied {
-		return
-	}
-	p.sequence++
-	p.proxied = append(p.proxied, proxiedProbe{
-		sequence: p.sequence, origin: from, original: packet.Sequence,
-		target: packet.Target, deadline: c.now + c.config.ProbeTimeout,
-	})
-	c.send(packet.TargetAddress, Packet{Kind: PacketPing, Sequence: p.sequence, Target: packet.Target})
-}
-
 func (c *Core) stepNack(packet Packet) {
 	if packet.Sequence == c.probing.current {
 		c.probing.nacks++
 	}
 }
-
-// tickProxied sends nacks for proxied probes that are late, and drops those
-// that no answer can help any more.
-func (c *Core) tickProxied() {
-	p := &c.probing
-	for i := range p.proxied {
-		probe := &p.proxied[i]
-		if !probe.nackSent && c.now >= probe.deadline {
-			probe.nackSent = true
-			c.send(probe.origin, Packet{Kind: PacketNack, Sequence: probe.original, Target: probe.target})
-		}
-	}
-	p.proxied = slices.DeleteFunc(p.proxied, func(probe proxiedProbe) bool {
-		return c.now >= probe.deadline+maximumHealthScore*c.config.ProbeInterval
-	})
-}
--- a/internal/selfhosted/membership/service.go
+++ b/internal/selfhosted/membership/service.go
@@ -52,9 +52,6 @@
 	stopped sync.WaitGroup
 }
 
-// subscriberBuffer is how many events a subscriber may lag behind.
-const subscriberBuffer = 256
-
 // NewService returns a service that is not yet started.
 func NewService(options Options) *Service {
 	if options.Self.Incarnation == 0 {
@@ -138,99 +135,6 @@
 	}
 }
 
-// publish hands events to the subscribers. One that does not keep up has its
-// channel closed, so that it cannot miss an event without noticing.
-func (s *Service) publish(events []Event) {
-	for _, event := range events {
-		s.log(event)
-		for id, subscriber := range s.subscribers {
-			select {
-			case subscriber <- event:
-			default:
-				close(subscriber)
-				delete(s.subscribers, id)
-				s.metrics.overruns.Inc()
-			}
-		}
-	}
-}
-
-func (s *Service) log(event Event) {
-	switch event.Kind {
-	case EventChanged:
-		s.logger.Info("member changed", "peer", event.Member.Name, "zone", event.Member.Zone,
-			"state", event.Member.State.String(), "previous_state", event.Previous.State.String(),
-			"incarnation", event.Member.Incarnation)
-	case EventSuperseded:
-		s.logger.Error("another process holds the name of this node",
-			"peer", event.Member.Address.String(), "incarnation", event.Member.Incarnation)
-	case EventZoneHeld:
-		s.logger.Warn("zone does not answer", "zone", event.Zone)
-	case EventZoneReleased:
-		s.logger.Info("zone is no longer held", "zone", event.Zone)
-	case EventPaused:
-		s.logger.Warn("process did not run", "pause", event.Pause)
-	case EventRevision:
-	}
-}
-
-// Members returns all known members that are not gone, this node included,
-// ordered by name. The list must not be modified.
-func (s *Service) Members() []Member {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.Members()
-}
-
-// Lookup returns what is known of a member, gone ones included.
-func (s *Service) Lookup(name string) (Member, bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.Lookup(name)
-}
-
-// ViewHash returns a hash of the view; see Core.ViewHash.
-func (s *Service) ViewHash() uint64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.ViewHash()
-}
-
-// Self returns this node's own record.
-func (s *Service) Self() Member {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.Self()
-}
-
-// Joined reports whether this node has heard from any other, or has no seeds.
-func (s *Service) Joined() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.Joined()
-}
-
-// Superseded reports whether a newer process holds the name of this node.
-func (s *Service) Superseded() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.Superseded()
-}
-
-// HeldZones returns the names of the zones that are held.
-func (s *Service) HeldZones() []string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.HeldZones()
-}
-
-// Statistics returns the counts of the core so far.
-func (s *Service) Statistics() Statistics {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.Statistics()
-}
-
 // SetRevision sets the catalog revision that packets announce.
 func (s *Service) SetRevision(revision uint64) {
 	s.mutex.Lock()
@@ -238,32 +142,6 @@
 	s.core.SetRevision(revision)
 }
 
-// Subscribe returns a channel of all events from now on, and a function that
-// ends the subscription. The channel is closed by that, by Close, or if the
-// reader lags too far behind: it then subscribes again and reads Members.
-func (s *Service) Subscribe() (<-chan Event, func()) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	events := make(chan Event, subscriberBuffer)
-	if s.closed {
-		close(events)
-		return events, func() {}
-	}
-	id := s.nextID
-	s.nextID++
-	s.subscribers[id] = events
-	return events, func() { s.unsubscribe(id) }
-}
-
-func (s *Service) unsubscribe(id int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if subscriber, ok := s.subscribers[id]; ok {
-		close(subscriber)
-		delete(s.subscribers, id)
-	}
-}
-
 // Leave announces a planned stop to the others. It blocks until the word has
 // been sent a few times, or until ctx ends. The node goes on answering probes
 // until Close.
--- /dev/null
+++ b/internal/selfhosted/membership/service_events.go
@@ -0,0 +1,66 @@
+package membership
+
+// subscriberBuffer is how many events a subscriber may lag behind.
+const subscriberBuffer = 256
+
+// publish hands events to the subscribers. One that does not keep up has its
+// channel closed, so that it cannot miss an event without noticing.
+func (s *Service) publish(events []Event) {
+	for _, event := range events {
+		s.log(event)
+		for id, subscriber := range s.subscribers {
+			select {
+			case subscriber <- event:
+			default:
+				close(subscriber)
+				delete(s.subscribers, id)
+				s.metrics.overruns.Inc()
+			}
+		}
+	}
+}
+
+func (s *Service) log(event Event) {
+	switch event.Kind {
+	case EventChanged:
+		s.logger.Info("member changed", "peer", event.Member.Name, "zone", event.Member.Zone,
+			"state", event.Member.State.String(), "previous_state", event.Previous.State.String(),
+			"incarnation", event.Member.Incarnation)
+	case EventSuperseded:
+		s.logger.Error("another process holds the name of this node",
+			"peer", event.Member.Address.String(), "incarnation", event.Member.Incarnation)
+	case EventZoneHeld:
+		s.logger.Warn("zone does not answer", "zone", event.Zone)
+	case EventZoneReleased:
+		s.logger.Info("zone is no longer held", "zone", event.Zone)
+	case EventPaused:
+		s.logger.Warn("process did not run", "pause", event.Pause)
+	case EventRevision:
+	}
+}
+
+// Subscribe returns a channel of all events from now on, and a function that
+// ends the subscription. The channel is closed by that, by Close, or if the
+// reader lags too far behind: it then subscribes again and reads Members.
+func (s *Service) Subscribe() (<-chan Event, func()) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	events := make(chan Event, subscriberBuffer)
+	if s.closed {
+		close(events)
+		return events, func() {}
+	}
+	id := s.nextID
+	s.nextID++
+	s.subscribers[id] = events
+	return events, func() { s.unsubscribe(id) }
+}
+
+func (s *Service) unsubscribe(id int) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if subscriber, ok := s.subscribers[id]; ok {
+		close(subscriber)
+		delete(s.subscribers, id)
+	}
+}
