--- a/internal/selfhosted/membership/metrics.go
+++ b/internal/selfhosted/membership/metrics.go
@@ -1,10 +1,9 @@
 package membership
 
-import "github.com/prometheus/client_golang/prometheus"
+import (
+	"github.com/prometheus/client_golang/prometheus"
 
-const (
-	metricNamespace = "micaplank"
-	metricSubsystem = "membership"
+	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
 // metrics holds the counters that the driver keeps itself; the others are
@@ -19,29 +18,22 @@
 }
 
 func newMetrics(s *Service, registerer prometheus.Registerer) *metrics {
-	m := &metrics{
-		packets:    counter("packets_sent_total", "Packets sent."),
-		sent:       counter("sent_bytes_total", "Payload bytes sent."),
-		received:   counter("received_bytes_total", "Payload bytes received."),
-		malformed:  counter("packets_malformed_total", "Packets dropped because they could not be decoded."),
-		sendErrors: counter("send_errors_total", "Packets that could not be sent."),
-		overruns:   counter("subscriber_overruns_total", "Subscriptions ended because the reader lagged."),
-	}
+	factory := telemetry.NewFactory(registerer)
 	if registerer != nil {
-		registerer.MustRegister(m.packets, m.sent, m.received, m.malformed, m.sendErrors, m.overruns)
 		registerer.MustRegister(&coreCollector{service: s})
 	}
-	return m
-}
-
-func counter(name, help string) prometheus.Counter {
-	return prometheus.NewCounter(prometheus.CounterOpts{
-		Namespace: metricNamespace, Subsystem: metricSubsystem, Name: name, Help: help,
-	})
+	return &metrics{
+		packets:    factory.Counter("micaplank_membership_packets_sent_total", "Packets sent."),
+		sent:       factory.Counter("micaplank_membership_sent_bytes_total", "Payload bytes sent."),
+		received:   factory.Counter("micaplank_membership_received_bytes_total", "Payload bytes received."),
+		malformed:  factory.Counter("micaplank_membership_packets_malformed_total", "Packets dropped because they could not be decoded."),
+		sendErrors: factory.Counter("micaplank_membership_send_errors_total", "Packets that could not be sent."),
+		overruns:   factory.Counter("micaplank_membership_subscriber_overruns_total", "Subscriptions ended because the reader lagged."),
+	}
 }
 
 func description(name, help string, labels ...string) *prometheus.Desc {
-	return prometheus.NewDesc(prometheus.BuildFQName(metricNamespace, metricSubsystem, name), help, labels, nil)
+	return prometheus.NewDesc("micaplank_membership_"+name, help, labels, nil)
 }
 
 var (
