--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -76,12 +76,14 @@
 
 // linkRetries is how often a call is tried again on another connection after
 // one that ended before anything was sent on it.
+// Not measured: chosen because each try needs a connection that ends just then.
 const linkRetries = 3
 
 // Call sends request to a method of a peer and waits for its response, which
 // it stores into response, a pointer to a struct. It never sends a request
-// twice: it tries again only if no byte of it was sent. It blocks until the response, the end of ctx or the loss of the
-// connection. Its errors are of type *Error (use errors.As).
+// twice: it tries again only if no byte of it was sent. It blocks until the
+// response, the end of ctx or the loss of the connection. Its errors are of type
+// *Error (use errors.As).
 func (c *Client) Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -14,12 +14,25 @@
 
 const (
 	// MaximumMessage bounds one request or response, in bytes of gob.
+	// Not measured: chosen because it bounds what a peer can make this process
+	// hold for one frame.
 	MaximumMessage = 8 << 20
 
-	maximumGreeting   = 64
-	frameLengthSize   = 4
-	handshakeTimeout  = 3 * time.Second
-	flushTimeout      = 10 * time.Second
+	// maximumGreeting is the longest first line that is read, in bytes.
+	maximumGreeting = 64
+	// frameLengthSize is the size in bytes of the length before each frame.
+	frameLengthSize = 4
+	// handshakeTimeout bounds the greeting of a connection that is accepted.
+	// Not measured: chosen because a client gives up its dial sooner, after
+	// ClientOptions.DialTimeout.
+	handshakeTimeout = 3 * time.Second
+	// flushTimeout bounds the writing of all frames that wait for a connection.
+	// Not measured: chosen because a peer that reads nothing for so long does not
+	// count as up.
+	flushTimeout = 10 * time.Second
+	// outgoingQueueSize is how many frames of a connection wait to be written;
+	// callers block beyond it.
+	// Not measured: chosen because it bounds the memory of a connection.
 	outgoingQueueSize = 256
 )
 
