--- a/internal/selfhosted/operator/client.go
+++ b/internal/selfhosted/operator/client.go
@@ -1,14 +1,14 @@
 // Package operator is the client side of the operators' interface: what the
 // command line program micactl does once its arguments are read.
+//
+// It owns which node is asked, when the next one is asked in its place, and how
+// answers are shown. It relies on the shapes of package api, and on language for
+// the statements of a file.
 package operator
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/netip"
@@ -18,7 +18,6 @@
 	"time"
 
 	"github.com/oklog/ulid/v2"
-	"github.com/samber/oops"
 
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
@@ -147,108 +146,3 @@
 	response := new(api.QueryResponse)
 	return response, c.call(ctx, call{method: http.MethodPost, path: path, body: request}, response)
 }
-
-// call is one request to whichever node can be reached.
-type call struct {
-	method string
-	path   string
-	body   any
-	// again allows the request to be sent to another node after it may have
-	// reached one.
-	again bool
-}
-
-func (c *Client) call(ctx context.Context, call call, target any) error {
-	_, err := c.send(ctx, call, target)
-	return err
-}
-
-// send makes the call. Besides the error of the last node it returns, if one
-// before it may have received the request, the error that says so.
-func (c *Client) send(ctx context.Context, call call, target any) (lost *UnreachableError, err error) {
-	failure := &UnreachableError{}
-	for _, node := range c.nodes {
-		err := c.callNode(ctx, node, call, target)
-		var problem *api.Problem
-		if err == nil || errors.As(err, &problem) {
-			return failure.ifSent(), err
-		}
-		sent := !isDialError(err)
-		failure.Sent = failure.Sent || sent
-		failure.Attempts = append(failure.Attempts, oops.In("operator").With("step", call.method+" "+call.path, "peer", node.String()).Wrapf(err, "node %s", node))
-		if ctx.Err() != nil || (sent && !call.again) {
-			break
-		}
-	}
-	return nil, failure
-}
-
-func isDialError(err error) bool {
-	var operation *net.OpError
-	return errors.As(err, &operation) && operation.Op == "dial"
-}
-
-func (c *Client) callNode(ctx context.Context, node netip.AddrPort, call call, target any) error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout+answerGrace)
-	defer cancel()
-	request, err := newRequest(ctx, node, call)
-	if err != nil {
-		return err
-	}
-	response, err := c.http.Do(request)
-	if err != nil {
-		return withoutURL(err)
-	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswer+1))
-	if err != nil {
-		return err
-	}
-	if len(body) > maximumAnswer {
-		return fmt.Errorf("the answer is larger than %d bytes", maximumAnswer)
-	}
-	if response.StatusCode >= http.StatusBadRequest {
-		return asProblem(response, body)
-	}
-	if err := json.Unmarshal(body, target); err != nil {
-		return fmt.Errorf("the answer is not understood: %w", err)
-	}
-	return nil
-}
-
-// withoutURL drops the method and URL that net/http puts before an error.
-func withoutURL(err error) error {
-	var wrapped *url.Error
-	if errors.As(err, &wrapped) {
-		return wrapped.Err
-	}
-	return err
-}
-
-func newRequest(ctx context.Context, node netip.AddrPort, call call) (*http.Request, error) {
-	var body io.Reader
-	if call.body != nil {
-		encoded, err := json.Marshal(call.body)
-		if err != nil {
-			return nil, err
-		}
-		body = bytes.NewReader(encoded)
-	}
-	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+node.String()+call.path, body)
-	if err != nil {
-		return nil, err
-	}
-	request.Header.Set("Content-Type", "application/json")
-	return request, nil
-}
-
-// asProblem reads a problem document. An error answer without one comes from
-// something that is no node.
-func asProblem(response *http.Response, body []byte) error {
-	problem := new(api.Problem)
-	isProblem := strings.HasPrefix(response.Header.Get("Content-Type"), api.ProblemContentType)
-	if isProblem && json.Unmarshal(body, problem) == nil && problem.Title != "" {
-		return problem
-	}
-	return fmt.Errorf("the answer has status %s and no problem document", response.Status)
-}
