--- a/internal/selfhosted/dissemination/evidence.go
+++ b/internal/selfhosted/dissemination/evidence.go
@@ -59,13 +59,13 @@
 		}
 	}
 	for _, s := range c.slots {
-		s.settle(c.log.revision())
+		s.countLatest(c.log.revision())
 	}
 	c.resetTakeover()
 }
 
-// settle counts the latest answer if this node holds what it names.
-func (s *slot) settle(revision uint64) {
+// countLatest counts the latest answer if this node holds what it names.
+func (s *slot) countLatest(revision uint64) {
 	if !s.latest.valid || !s.latest.voter || s.latest.revision > revision {
 		return
 	}
@@ -82,7 +82,7 @@
 		return
 	}
 	s.latest = got
-	s.settle(c.log.revision())
+	s.countLatest(c.log.revision())
 }
 
 // current says whether an incarnation of a slot is the highest known.
--- a/internal/selfhosted/node/run_test.go
+++ b/internal/selfhosted/node/run_test.go
@@ -58,7 +58,7 @@
 	return running
 }
 
-// exec runs a statement and returns what the operator is told.
+// exec runs a statement and returns what the operator receives.
 func (r *runningNode) exec(text string, options operator.ExecOptions) (string, error) {
 	r.output.Reset()
 	err := r.session.Exec(context.Background(), text, options)
--- a/internal/selfhosted/operator/exec.go
+++ b/internal/selfhosted/operator/exec.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			result.Error = err.Error()
 			errors.As(err, &result.Problem)
-			s.told = true
+			s.errorWritten = true
 		}
 		if writeErr := s.writeJSONLine(result); writeErr != nil {
 			return writeErr
--- a/internal/selfhosted/operator/session.go
+++ b/internal/selfhosted/operator/session.go
@@ -39,8 +39,8 @@
 	Timeout time.Duration
 	// Now returns the time of day that watch shows; nil stands for time.Now.
 	Now func() time.Time
-	// told says that the error of the command is in the output already.
-	told bool
+	// errorWritten says that the error of the command is in the output already.
+	errorWritten bool
 }
 
 // Failure is the JSON form of the error of a command.
@@ -52,7 +52,7 @@
 // Finish ends a command and returns its error. In JSON it first writes the
 // error as the last document of the output, unless a result has it already.
 func (s *Session) Finish(err error) error {
-	if err == nil || s.told || s.Format != FormatJSON {
+	if err == nil || s.errorWritten || s.Format != FormatJSON {
 		return err
 	}
 	failure := Failure{Error: err.Error()}
--- a/internal/selfhosted/operator/status.go
+++ b/internal/selfhosted/operator/status.go
@@ -44,9 +44,9 @@
 			s.printf("--- %s\nno status: %v\n\n", s.now().Format(time.TimeOnly), last)
 			continue
 		}
-		s.told = false
+		s.errorWritten = false
 		last = s.Finish(last)
-		s.told = true
+		s.errorWritten = true
 	}
 	return last
 }
--- a/internal/selfhosted/query/once_test.go
+++ b/internal/selfhosted/query/once_test.go
@@ -229,7 +229,7 @@
 }
 
 // TestVotersThatTheLedgerDoesNotKnowYet has a catalog with another voting set
-// that is current already, before the ledger was told of it: the id, which
+// that is current already, before the ledger was notified of it: the id, which
 // another node owned until now, must not run.
 func TestVotersThatTheLedgerDoesNotKnowYet(t *testing.T) {
 	f := settled(t)
