--- a/internal/catalog/apply_test.go
+++ b/internal/catalog/apply_test.go
@@ -1,13 +1,11 @@
 package catalog_test
 
 import (
-	"bytes"
 	"errors"
 	"flag"
 	"fmt"
 	"net/netip"
 	"os"
-	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -15,7 +13,6 @@
 	"pgregory.net/rapid"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
 func TestMain(m *testing.M) {
@@ -25,42 +22,6 @@
 	os.Exit(m.Run())
 }
 
-// drawCommand draws a command over a small set of names, so that commands of
-// one log meet each other; a few of its numbers are out of range.
-func drawCommand(t *rapid.T) catalog.Command {
-	service := rapid.SampledFrom([]string{"rate-desk", "filing-vault", "Bad"}).Draw(t, "service")
-	name := rapid.SampledFrom([]string{"a", "b", "c-1", "", "x y"}).Draw(t, "name")
-	address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(rapid.IntRange(0, 3).Draw(t, "port")))
-	number := rapid.OneOf(rapid.IntRange(0, 8), rapid.IntRange(catalog.MaximumShards, catalog.MaximumShards+1)).Draw(t, "number")
-	share := rapid.OneOf(rapid.Float64Range(0, 1), rapid.Float64(), rapid.SampledFrom([]float64{0, 1, 0.95, 0.999})).Draw(t, "share")
-	class := catalog.Class{
-		Name: name, Service: service, Priority: number,
-		Deadline: time.Duration(rapid.Int64Range(-1, int64(catalog.MaximumDeadline)).Draw(t, "deadline")),
-		Coverage: share, ExtraLoad: share / 2, Repeatable: number%2 == 0,
-	}
-	if class.Repeatable {
-		class.HedgePercentile = share
-	}
-	shards := rapid.SliceOfN(rapid.IntRange(0, 9), 0, 4).Draw(t, "shards")
-	return rapid.SampledFrom([]catalog.Command{
-		{CreateService: &catalog.CreateService{Name: service, Shards: number, Replicas: 2, KeyColumn: "quote"}},
-		{CreateService: &catalog.CreateService{Name: service, Shards: 8, Replicas: number}},
-		{DropService: &catalog.DropService{Name: service}},
-		{Repartition: &catalog.Repartition{Service: service, Shards: number}},
-		{DefineClass: &catalog.DefineClass{Class: class}},
-		{DropClass: &catalog.DropClass{Service: service, Name: name}},
-		{AddLeaf: &catalog.AddLeaf{Service: service, Address: address, Zone: name, Shards: shards}},
-		{RetireLeaf: &catalog.RetireLeaf{Address: address}},
-		{RemoveLeaf: &catalog.RemoveLeaf{Address: address}},
-		{LimitService: &catalog.LimitService{Service: service, Concurrency: number}},
-		{StopService: &catalog.StopService{Name: service}},
-		{StartService: &catalog.StartService{Name: service}},
-		{AddVoter: &catalog.AddVoter{Voter: catalog.Voter{Name: name, Zone: "a"}}},
-		{RemoveVoter: &catalog.RemoveVoter{Name: name}},
-		{},
-	}).Draw(t, "command")
-}
-
 func changeAt(revision uint64, command catalog.Command) catalog.Change {
 	at := time.Date(2026, 1, 2, 3, 4, 5, int(revision), time.FixedZone("JST", 9*3600))
 	return catalog.Change{Revision: revision, ID: fmt.Sprintf("%d-x", revision), Operator: "mori", At: at, Command: command}
@@ -74,98 +35,6 @@
 	return data
 }
 
-// TestApplyProperties checks along a random log that Apply never modifies its
-// input, grows the revision by one, refuses with a typed error, and that the
-// accepted changes, encoded and replayed, give the same digest.
-func TestApplyProperties(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		current := catalog.Empty()
-		var log [][]byte
-		for range rapid.IntRange(1, 40).Draw(t, "length") {
-			before := mustEncode(t, current)
-			change := changeAt(current.Revision+1, drawCommand(t))
-			next, err := catalog.Apply(current, change)
-			if !bytes.Equal(before, mustEncode(t, current)) {
-				t.Fatalf("%s modified the catalog that it was applied to", change.Command)
-			}
-			if err != nil {
-				requireTyped(t, next, err)
-				continue
-			}
-			if next.Revision != current.Revision+1 {
-				t.Fatalf("revision went from %d to %d", current.Revision, next.Revision)
-			}
-			if applied, found := next.Lookup(change.ID); !found || applied.Revision != next.Revision {
-				t.Fatalf("change %s is not remembered: %+v", change.ID, applied)
-			}
-			encoded, err := catalog.EncodeChange(change)
-			if err != nil {
-				t.Fatal(err)
-			}
-			log = append(log, encoded)
-			current = next
-		}
-		requireReplay(t, log, current)
-	})
-}
-
-// TestStatementProperties checks that the text of a valid command is read back
-// as the same command, with shares of every precision.
-func TestStatementProperties(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Float64Range(0, 1)
-		class := catalog.Class{
-			Name: "spot-check", Service: "rate-desk", Priority: 1, Repeatable: true,
-			Deadline:        time.Duration(rapid.Int64Range(1, int64(catalog.MaximumDeadline)).Draw(t, "deadline")),
-			Coverage:        share.Draw(t, "coverage"),
-			HedgePercentile: share.Draw(t, "percentile"),
-			ExtraLoad:       share.Draw(t, "extra"),
-		}
-		requireStatement(t, catalog.Command{DefineClass: &catalog.DefineClass{Class: class}})
-		if command := drawCommand(t); command.Validate() == nil {
-			requireStatement(t, command)
-		}
-	})
-}
-
-// requireStatement checks that the language reads the command's text back.
-func requireStatement(t *rapid.T, command catalog.Command) {
-	statement, err := language.ParseOne(command.String())
-	if err != nil {
-		t.Fatalf("%s: %v", command, err)
-	}
-	if change := statement.(*language.ChangeStatement); !reflect.DeepEqual(change.Command, command) {
-		t.Fatalf("%s parsed to %s", command, change.Command)
-	}
-}
-
-func requireTyped(t *rapid.T, next *catalog.Catalog, err error) {
-	var refused *catalog.Error
-	if next != nil || !errors.As(err, &refused) || !errors.Is(err, refused.Code) || refused.Message == "" {
-		t.Fatalf("refused with %#v and catalog %v", err, next)
-	}
-}
-
-func requireReplay(t *rapid.T, log [][]byte, want *catalog.Catalog) {
-	replayed := catalog.Empty()
-	for _, encoded := range log {
-		change, err := catalog.DecodeChange(encoded)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if replayed, err = catalog.Apply(replayed, change); err != nil {
-			t.Fatal(err)
-		}
-	}
-	decoded, err := catalog.Decode(mustEncode(t, want))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if replayed.Digest() != want.Digest() || decoded.Digest() != want.Digest() {
-		t.Fatalf("digests differ: replayed %x, decoded %x, want %x", replayed.Digest(), decoded.Digest(), want.Digest())
-	}
-}
-
 var leafAddress = netip.MustParseAddrPort("127.0.0.1:7101")
 
 // build applies the commands to the empty catalog, one revision each.
--- a/internal/selfhosted/gateway/gateway_test.go
+++ b/internal/selfhosted/gateway/gateway_test.go
@@ -1,13 +1,8 @@
 package gateway
 
 import (
-	"bytes"
-	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -16,100 +11,12 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
 const bodyBytes = 1024
 
-// fakeNode answers what is set; what it was asked is recorded.
-type fakeNode struct {
-	query      api.QueryRequest
-	service    string
-	answer     *api.QueryResponse
-	err        error
-	asked      int
-	deadlineIn time.Duration
-	panics     bool
-}
-
-func (f *fakeNode) Query(_ context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
-	f.asked++
-	f.query, f.service = request, service
-	if f.panics {
-		panic("a fault of the program")
-	}
-	return f.answer, f.err
-}
-
-func (f *fakeNode) Statement(ctx context.Context, _ api.StatementRequest) (*api.StatementResponse, error) {
-	return f.respond(ctx)
-}
-
-func (f *fakeNode) Change(ctx context.Context, _ string) (*api.StatementResponse, error) {
-	return f.respond(ctx)
-}
-
-func (f *fakeNode) respond(ctx context.Context) (*api.StatementResponse, error) {
-	f.asked++
-	if deadline, ok := ctx.Deadline(); ok {
-		f.deadlineIn = time.Until(deadline).Round(time.Minute)
-	}
-	return &api.StatementResponse{Kind: api.KindChange}, f.err
-}
-
-func (f *fakeNode) Status(context.Context) (*api.StatusResponse, error) {
-	return &api.StatusResponse{}, f.err
-}
-
-func (f *fakeNode) Catalog() *catalog.Catalog { return catalog.Empty() }
-
-func (f *fakeNode) Drain(_ context.Context, node string) (*api.DrainResponse, error) {
-	return &api.DrainResponse{Node: node, State: api.NodeLeaving}, f.err
-}
-
-func newGateway(node *fakeNode) (*Gateway, *bytes.Buffer) {
-	var log bytes.Buffer
-	return New(Config{
-		Queries:    node,
-		Operations: node,
-		Metrics:    http.NotFoundHandler(),
-		Logger:     slog.New(slog.NewTextHandler(&log, nil)),
-		BodyBytes:  bodyBytes,
-		Ready:      func() error { return nil },
-	}), &log
-}
-
-func serve(gateway http.Handler, method, path, body string) *http.Response {
-	recorder := httptest.NewRecorder()
-	gateway.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
-	return recorder.Result()
-}
-
-// describe writes what a client sees of a response.
-func describe(t *testing.T, response *http.Response) string {
-	t.Helper()
-	defer response.Body.Close()
-	body, err := io.ReadAll(response.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var text strings.Builder
-	fmt.Fprintf(&text, "%d %s\n", response.StatusCode, response.Header.Get("Content-Type"))
-	for _, name := range []string{"Retry-After", "Connection"} {
-		if value := response.Header.Get(name); value != "" {
-			fmt.Fprintf(&text, "%s: %s\n", name, value)
-		}
-	}
-	var indented bytes.Buffer
-	if json.Indent(&indented, body, "", "  ") == nil {
-		body = indented.Bytes()
-	}
-	fmt.Fprintf(&text, "%s\n\n", bytes.TrimSpace(body))
-	return text.String()
-}
-
 const (
 	queryPath     = "/v1/services/rate-desk/query"
 	statementPath = "/v1/operator/statements"
