--- a/internal/selfhosted/dissemination/core.go
+++ b/internal/selfhosted/dissemination/core.go
@@ -119,7 +119,7 @@
 	c.driveProposals(now)
 }
 
-// Step takes a packet in that came from an address.
+// Step processes a packet that was received from an address.
 func (c *Core) Step(now Time, from netip.AddrPort, packet Packet) {
 	switch {
 	case packet.Request != nil:
--- a/internal/selfhosted/dissemination/exchange.go
+++ b/internal/selfhosted/dissemination/exchange.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// addFallbacks adds random members: now and then, and each time while the
+// addFallbacks adds random members: in some rounds, and in each one while the
 // confirmation is getting old.
 func (c *Core) addFallbacks(now Time, targets map[netip.AddrPort]bool) {
 	if len(c.members.alive) == 0 {
--- a/internal/selfhosted/dissemination/fetch.go
+++ b/internal/selfhosted/dissemination/fetch.go
@@ -50,7 +50,7 @@
 	c.ready.Fetch = &Fetch{To: f.from, Request: FetchRequest{Revision: c.log.revision()}}
 }
 
-// StepFetched takes the end of a fetch in; response is nil if it failed. The
+// StepFetched processes the result of a fetch; response is nil if it failed. The
 // next answer of a peer that holds more starts another.
 func (c *Core) StepFetched(now Time, response *FetchResponse) {
 	c.fetching.running, c.fetching.revision = false, 0
--- a/internal/selfhosted/dissemination/push.go
+++ b/internal/selfhosted/dissemination/push.go
@@ -10,7 +10,7 @@
 // revision.
 const maximumPushed = 16
 
-// takePush installs pushed changes and hands the new ones on.
+// takePush installs pushed changes and pushes the new ones to other members.
 func (c *Core) takePush(now Time, from netip.AddrPort, push *Push) {
 	installed := c.log.append(push.Changes)
 	if len(installed) > 0 {
--- a/internal/selfhosted/dissemination/storesync.go
+++ b/internal/selfhosted/dissemination/storesync.go
@@ -71,7 +71,7 @@
 	return interval - interval/8 + Time(c.random.Int64N(int64(interval)/4+1))
 }
 
-// StepStore takes the end of a store operation in.
+// StepStore processes the result of a store operation.
 func (c *Core) StepStore(now Time, result StoreResult) {
 	pending, ok := c.store.operations[result.ID]
 	if !ok {
@@ -93,8 +93,8 @@
 	c.driveProposals(now)
 }
 
-// StepWatched takes changes in that a watch of the store delivered. They are
-// news, not evidence: a watch may lag.
+// StepWatched processes changes that a watch of the store delivered. They are
+// no evidence of being current: a watch may lag.
 func (c *Core) StepWatched(now Time, changes []catalog.Change) {
 	c.takeFromStore(now, changes)
 	if len(changes) > 0 && changes[len(changes)-1].Revision > c.log.revision() {
--- a/internal/selfhosted/dissemination/types.go
+++ b/internal/selfhosted/dissemination/types.go
@@ -67,7 +67,7 @@
 	Incarnation uint64
 }
 
-// Push hands new changes on. Changes is empty if they are too large for a
+// Push carries new changes to a peer. Changes is empty if they are too large for a
 // datagram; the receiver then fetches them.
 type Push struct {
 	Name     string
--- a/internal/selfhosted/dissemination/write.go
+++ b/internal/selfhosted/dissemination/write.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// takeCreate takes the end of a create in.
+// takeCreate processes the result of a create.
 func (c *Core) takeCreate(now Time, pending pendingOperation, result StoreResult) {
 	p := c.findProposal(pending.proposal, result.ID)
 	if p == nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// becomeStored installs the change here and hands it to the others.
+// becomeStored installs the change here and pushes it to the others.
 func (c *Core) becomeStored(now Time, p *proposal) {
 	p.stored, p.uncertain, p.operation = true, false, 0
 	changes := []catalog.Change{p.change}
--- a/internal/selfhosted/gateway/decode.go
+++ b/internal/selfhosted/gateway/decode.go
@@ -15,7 +15,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// queryBody tells a deadline of zero, which is a mistake, from an absent one.
+// queryBody distinguishes a deadline of zero, which is a mistake, from an absent
+// one.
 type queryBody struct {
 	api.QueryRequest
 	DeadlineMilliseconds *int64 `json:"deadline_ms"`
--- a/internal/selfhosted/gateway/handlers.go
+++ b/internal/selfhosted/gateway/handlers.go
@@ -123,6 +123,7 @@
 		g.config.Logger.Error("problem not encoded", "error", err)
 		return
 	}
-	// A write error means that the caller went away; nobody is left to tell.
+	// A write error means that the caller has disconnected: there is no one to
+	// report it to.
 	_ = c.Blob(problem.Status, api.ProblemContentType, encoded)
 }
--- a/internal/selfhosted/machines/poller.go
+++ b/internal/selfhosted/machines/poller.go
@@ -50,7 +50,7 @@
 	Err error
 }
 
-// Poller reads the machine list again and again, and keeps the last one. It
+// Poller reads the machine list periodically and keeps the last one. It
 // is safe for concurrent use.
 type Poller struct {
 	config  Config
--- a/internal/selfhosted/membership/core.go
+++ b/internal/selfhosted/membership/core.go
@@ -81,7 +81,7 @@
 	return ready
 }
 
-// Step takes one packet in.
+// Step processes one packet.
 func (c *Core) Step(now time.Duration, from netip.AddrPort, packet Packet) {
 	if c.silent() {
 		return
--- a/internal/selfhosted/membership/merge.go
+++ b/internal/selfhosted/membership/merge.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// merge takes one update in and passes it on if it is news.
+// merge processes one update and passes it on if it is newer than what is known.
 func (c *Core) merge(update Update) {
 	if update.Name == c.self.Name {
 		c.mergeSelf(update)
@@ -86,7 +86,7 @@
 	return update
 }
 
-// mergeSelf takes in what others say of this node.
+// mergeSelf processes what others say of this node.
 func (c *Core) mergeSelf(update Update) {
 	if update.Incarnation > c.self.Incarnation {
 		c.mergeSuccessor(update)
@@ -124,7 +124,7 @@
 	c.event(Event{Kind: EventSuperseded, Member: update.member(), Previous: c.self})
 }
 
-// observeSender takes in the sender's own record. A sender that is unknown is
+// observeSender processes the sender's own record. A sender that is unknown is
 // asked for its addresses; one that others have judged, or replaced, is notified.
 func (c *Core) observeSender(from netip.AddrPort, packet Packet) {
 	sender := packet.From
--- a/internal/selfhosted/membership/service.go
+++ b/internal/selfhosted/membership/service.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// Receive takes one datagram in. It is called by the owner of the socket.
+// Receive processes one datagram. It is called by the owner of the socket.
 func (s *Service) Receive(from netip.AddrPort, payload []byte) {
 	packet, err := DecodePacket(payload)
 	if err != nil {
--- a/internal/selfhosted/membership/sync.go
+++ b/internal/selfhosted/membership/sync.go
@@ -16,7 +16,7 @@
 	nextReconnect time.Duration
 	// rounds is how many more digests may follow in the exchange that runs.
 	rounds int
-	// receiving is set while the answer to a digest is taken in.
+	// receiving is set while the answer to a digest is processed.
 	receiving bool
 	// replies is how many digests were answered since repliesSince.
 	replies      int
--- a/internal/selfhosted/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -108,7 +108,7 @@
 }
 
 // followSlot ends the node when another process has taken over its slot. The
-// members or the voters may be the first to tell.
+// members or the voters may be the first to report it.
 func (n *Node) followSlot() {
 	events, cancel := n.membership.Subscribe()
 	defer cancel()
--- a/internal/selfhosted/query/metrics.go
+++ b/internal/selfhosted/query/metrics.go
@@ -33,7 +33,8 @@
 // unknownService is the label of services that do not exist.
 const unknownService = "unknown"
 
-// observe counts one query. Names that callers made up must not be handed in.
+// observe counts one query. Its names must be those of the catalog: any other
+// would become a label of its own.
 func (m *Metrics) observe(service, class string, answer *api.QueryResponse, err error, took time.Duration) {
 	if err == nil {
 		m.queries.WithLabelValues(service, string(answer.Outcome)).Inc()
--- a/internal/selfhosted/query/once.go
+++ b/internal/selfhosted/query/once.go
@@ -93,7 +93,7 @@
 }
 
 // own decides about an id that this node owns by a catalog. The query goes on when the
-// caller goes away, so that a later submission learns its outcome.
+// caller disconnects, so that a later submission learns its outcome.
 func (r *Runner) own(ctx context.Context, planned *plan, id ulid.ULID, current *catalog.Catalog) (*api.QueryResponse, error) {
 	decision := r.config.Ledger.begin(id, current.VotersRevision)
 	// The decision counts only if the node was still fresh and in touch with
@@ -142,7 +142,7 @@
 	once.ReasonSuspended: "the voters or their processes have changed, and its owner is not certain yet",
 }
 
-// refuseOnce tells the caller of a refused id. "Not run" is said only if no
+// refuseOnce returns the problem for a refused id. "Not run" is said only if no
 // earlier submission of the id can have run.
 func (r *Runner) refuseOnce(planned *plan, decision once.Decision[fate], fresh bool) *api.Problem {
 	detail := fmt.Sprintf("The request id was refused (%s): %s.", decision.Reason, refusalTexts[decision.Reason])
--- a/internal/selfhosted/query/statements.go
+++ b/internal/selfhosted/query/statements.go
@@ -22,7 +22,7 @@
 }
 
 // statements parses statements and keeps the newest selects, since callers
-// send the same few texts again and again. Inserts are not kept: each is
+// send the same few texts repeatedly. Inserts are not kept: each is
 // another text. It is safe for concurrent use.
 type statements struct {
 	selections *lru.Cache[string, *selection]
--- a/internal/selfhosted/store/call.go
+++ b/internal/selfhosted/store/call.go
@@ -156,7 +156,7 @@
 // Not measured: chosen because the store's messages are one line.
 const maximumErrorBytes = 64 << 10
 
-// Messages by which the store tells apart refusals with the same code.
+// Messages that distinguish refusals of the store with the same code.
 const (
 	messageCompacted = "mvcc: required revision has been compacted"
 )
--- a/internal/selfhosted/store/watch.go
+++ b/internal/selfhosted/store/watch.go
@@ -182,7 +182,7 @@
 	return &Error{Step: StepWatch, Peer: s.endpoint.String(), Kind: kind, Cause: cause}
 }
 
-// deliver hands the events of a message over; it is false if ctx ended first.
+// deliver sends the events of a message to the receiver; it is false if ctx ended first.
 func (s *watchStream) deliver(events chan<- WatchEvent, message *wire.WatchResponse) bool {
 	s.revision = revisionOf(message.Header)
 	if len(message.Events) == 0 {
@@ -210,7 +210,7 @@
 	}
 }
 
-// deliverEnd hands the last event over, or drops it if nobody reads any more.
+// deliverEnd sends the last event, or drops it if there is no reader any more.
 func (s *watchStream) deliverEnd(events chan<- WatchEvent, failure *Error) {
 	end := WatchEvent{Kind: WatchEnded, StoreRevision: s.revision, Err: annotate(failure)}
 	select {
--- a/internal/selfhosted/topology/healthcheck.go
+++ b/internal/selfhosted/topology/healthcheck.go
@@ -25,11 +25,11 @@
 // Sink takes what the HealthCheck learns. Its methods must not block and must
 // not call the HealthCheck.
 type Sink interface {
-	// SetTopology hands over a changed view of one service.
+	// SetTopology receives a changed view of one service.
 	SetTopology(service string, topology dispatch.Topology)
-	// Observe hands over one report of a leaf of a service.
+	// Observe receives one report of a leaf of a service.
 	Observe(service string, address netip.AddrPort, load leaf.LoadSummary)
-	// Notify hands over marks that other nodes should hear of.
+	// Notify receives marks that other nodes should be notified of.
 	Notify(notices []Notice)
 }
 
@@ -172,7 +172,7 @@
 	go h.poll(ctx, address)
 }
 
-// poll asks one leaf again and again, with jitter so that polls spread out.
+// poll asks one leaf periodically, with jitter so that polls spread out.
 func (h *HealthCheck) poll(ctx context.Context, address netip.AddrPort) {
 	defer h.running.Done()
 	for {
