--- a/internal/selfhosted/machines/poller.go
+++ b/internal/selfhosted/machines/poller.go
@@ -15,8 +15,11 @@
 )
 
 const (
+	// maximumListBytes bounds the list that is read, in bytes.
+	// Not measured: chosen because it bounds the memory of a reading.
 	maximumListBytes = 16 << 20
-	stepFetch        = "machines.fetch"
+	// stepFetch is the step of errors.
+	stepFetch = "machines.fetch"
 )
 
 // Config says where the machine list is and how often it is read.
@@ -47,7 +50,7 @@
 	Err error
 }
 
-// Poller reads the machine list again and again, and keeps the last one. It
+// Poller reads the machine list periodically and keeps the last one. It
 // is safe for concurrent use.
 type Poller struct {
 	config  Config
--- a/internal/selfhosted/membership/config.go
+++ b/internal/selfhosted/membership/config.go
@@ -12,10 +12,11 @@
 	TickInterval time.Duration
 	// ProbeInterval is the period in which each node probes one other.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take before relays are
+	// ProbeTimeout is how long a direct probe may take before proxies are
 	// asked. It must be above the largest round trip between regions.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of relays that are asked.
+	// IndirectProbes is the number of proxies that are asked to ping a member
+	// that did not answer.
 	IndirectProbes int
 	// GossipInterval and GossipFanout set how often, and to how many members,
 	// waiting updates are sent on packets of their own.
@@ -74,7 +75,9 @@
 }
 
 // DefaultConfig returns the values for a network with round trips below
-// 300 ms.
+// 300 ms. They were measured together, by the benchmarks of this package with
+// 100 nodes in virtual time: how soon a crashed node is suspected and gone, what
+// a node sends, and false suspicions at 20 % loss (docs/PROVED.md).
 func DefaultConfig() Config {
 	return Config{
 		TickInterval:           100 * time.Millisecond,
--- a/internal/selfhosted/membership/doc.go
+++ b/internal/selfhosted/membership/doc.go
@@ -2,13 +2,15 @@
 // gone, without a coordinator and without the configuration store.
 //
 // It is a SWIM protocol with the Lifeguard extensions: each node probes one
-// other node a period, directly and then through relays; a member that does
+// other node a period, directly and then through proxies; a member that does
 // not answer is suspected, and declared gone unless it refutes the suspicion
 // in time; updates travel as a bounded number of epidemic retransmissions on
 // every datagram; a low-rate exchange of digests repairs what was lost.
 //
 // Core is the protocol as a pure state machine: packets and ticks go in, Ready
 // returns what to send and what changed. Service drives a Core over datagrams.
+// The package owns what this node knows of the others. It relies on its caller for
+// the socket, and for an incarnation that grows with each start.
 //
 // # Identity
 //
