--- a/internal/decide/rollout/allowance.go
+++ b/internal/decide/rollout/allowance.go
@@ -1,6 +1,10 @@
 package rollout
 
-import "time"
+import (
+	"time"
+
+	"github.com/micaplank/micaplank/internal/roster"
+)
 
 const (
 	// trialRatio and burstRatio are the parts of the ratio of Bounds that a node spends;
@@ -40,8 +44,7 @@
 
 // NewAllowance returns the Allowance of one of some nodes that share the bounds, for an
 // order whose deadline is given, on the node's clock. Part is the node's part of the
-// slack, from 0 to 1; zero for a node that may be the successor of one that has spent
-// it. Chance returns a number from 0 to 1.
+// slack, from 0 to 1: see PartOfSlack. Chance returns a number from 0 to 1.
 func NewAllowance(bounds Bounds, part float64, deadline time.Duration, chance func() float64) *Allowance {
 	made := &Allowance{ratio: bounds.Ratio, closing: deadline}
 	made.credit = round(trialSlack*bounds.Slack*part, chance)
@@ -49,6 +52,22 @@
 	return made
 }
 
+// HasAllowance reports whether a node spends a part of the bounds. A node that knows of no
+// other must not: it would take all of the slack, and others may do the same.
+func HasAllowance(self string, participants []roster.Member) bool {
+	return containsNode(participants, self)
+}
+
+// PartOfSlack returns the part of the slack that each of some participants, one or more,
+// may spend for one order. For an order that the node found when it started it is zero:
+// the process before it may have spent that part.
+func PartOfSlack(participants int, found bool) float64 {
+	if found {
+		return 0
+	}
+	return 1 / float64(participants)
+}
+
 // round rounds a number up or down by chance, so that its mean stays.
 func round(number float64, chance func() float64) float64 {
 	whole := float64(int(number))
--- a/internal/decide/rollout/decider.go
+++ b/internal/decide/rollout/decider.go
@@ -16,6 +16,9 @@
 	// writePause is the time between two tries of the same transition. Not measured:
 	// chosen because a store that is away need not be asked more often.
 	writePause = 500 * time.Millisecond
+	// tickPause is how many times longer than a Tick the pause after it is at least: with
+	// 225 orders on a fifth of a core one takes 0.2 s, in which requests wait.
+	tickPause = 10
 )
 
 // Supply is what there is of a service's leaves.
@@ -108,6 +111,10 @@
 	return len(d.reports) > 0 && now-d.last < reportMemory
 }
 
+// TickPause returns the least pause from the start of a Tick, which took some time, to the
+// next.
+func TickPause(took time.Duration) time.Duration { return tickPause * took }
+
 // Tick judges the targets of all open roll-outs, and returns the steps to take. A
 // step that is not taken, or whose fate is not known, is returned again.
 func (d *Decider) Tick(now time.Duration, clock time.Time, supply func(service string) Supply) []Transition {
--- a/internal/decide/rollout/report.go
+++ b/internal/decide/rollout/report.go
@@ -105,4 +105,9 @@
 	return order[:min(len(order), count)]
 }
 
+// containsNode reports whether a node is among some.
+func containsNode(members []roster.Member, name string) bool {
+	return slices.ContainsFunc(members, func(one roster.Member) bool { return one.Name == name })
+}
+
 func hashOf(member roster.Member) uint64 { return xxhash.Sum64String("rollout\x00" + member.Name) }
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -18,13 +18,13 @@
 // a conditional write of its Record. docs/design/0015-rollouts.md has the argument and
 // what was weighed.
 //
-// Measurements behind the constants: see allowance.go, steps.go, verdict.go, judgement.go
-// and report.go. Together, in virtual time, 100 plays each (play_test.go): 0 to 1 good
-// versions taken back, 0 to 7 beside a bad leaf, 99 to 100 of those that fail three in ten
-// or are four times slower.
+// Measurements behind the constants: see allowance.go, steps.go, verdict.go, judgement.go,
+// report.go, reporting.go and decider.go. Together, in virtual time, 100 plays each
+// (play_test.go): 0 to 1 good versions taken back, 0 to 7 beside a bad leaf, 99 to 100 of
+// those that fail three in ten or are four times slower.
 //
-// The package owns what one node knows of roll-outs: Table, Counter, Allowance, Decider. It
-// is pure: what has to be written or sent is returned to the driver.
+// The package owns what one node knows of roll-outs: Table, Counter, Reporting,
+// Allowance, Decider. It is pure: what has to be written or sent is returned to the driver.
 package rollout
 
 import (
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -62,8 +62,8 @@
 	incarnation string
 	metrics     *rolloutMetrics
 
-	book    *rollout.Table
-	tally   *rollout.Counter
+	table   *rollout.Table
+	counter *rollout.Counter
 	decider *rollout.Decider
 	// allowances are those of the services with an order that is open.
 	allowances map[string]allowance
@@ -72,10 +72,14 @@
 	// wake wakes the reporter when the first of them comes.
 	wake chan struct{}
 
-	reporting reporting
+	// reports chooses the node to report to. That was reportedTo the last time, and
+	// reportFailure is how it failed; nil if it did not.
+	reports       *rollout.Reporting
+	reportedTo    string
+	reportFailure error
 	// writing holds the services whose step is being written.
 	writing map[string]bool
-	// nextTick is when roll-outs are judged again at the earliest.
+	// nextTick is when roll-outs are judged again at the earliest: rollout.TickPause.
 	nextTick time.Duration
 	// unwritableUntil is until when this node counts the store as one that rejects its
 	// writes.
@@ -90,7 +94,7 @@
 
 func newRolloutDriver(ports rolloutPorts, from settings.Forward, registerer prometheus.Registerer) *rolloutDriver {
 	bounds := rollout.Bounds{Ratio: from.CanaryRatio, Slack: from.CanarySlack}
-	book := rollout.NewTable()
+	table := rollout.NewTable()
 	incarnation := ports.self.Name + "/" + ulid.Make().String()
 	return &rolloutDriver{
 		rolloutPorts: ports,
@@ -98,12 +102,12 @@
 		bounds:       bounds,
 		incarnation:  incarnation,
 		metrics:      newRolloutMetrics(registerer),
-		book:         book,
-		tally:        rollout.NewCounter(),
-		decider:      rollout.NewDecider(book, incarnation),
+		table:        table,
+		counter:      rollout.NewCounter(),
+		decider:      rollout.NewDecider(table, incarnation),
 		allowances:   make(map[string]allowance),
 		wake:         make(chan struct{}, 1),
-		reporting:    newReporting(),
+		reports:      rollout.NewReporting(),
 		writing:      make(map[string]bool),
 	}
 }
@@ -115,18 +119,18 @@
 	})
 }
 
-// bookChanged follows a change of the book. The caller holds the mutex of the view.
-func (r *rolloutDriver) bookChanged() {
-	open := r.book.Open()
+// tableChanged follows a change of the table. The caller holds the mutex of the view.
+func (r *rolloutDriver) tableChanged() {
+	open := r.table.Open()
 	r.metrics.open.Set(float64(len(open)))
 	r.open.Store(len(open) > 0)
 	orders := make(map[string]uint64, len(open))
 	for _, service := range open {
-		orders[service] = r.book.Of(service).Order.Revision
+		orders[service] = r.table.Of(service).Order.Revision
 	}
-	r.tally.Retain(orders)
+	r.counter.Retain(orders)
 	if len(open) == 0 {
-		r.reporting.forget()
+		r.reports.Forget()
 		return
 	}
 	select {
@@ -138,13 +142,13 @@
 // stages returns the roll-outs as the registry takes them; nil without any. The
 // caller holds the mutex of the view.
 func (r *rolloutDriver) stages() map[string]registry.Stage {
-	services := r.book.Services()
+	services := r.table.Services()
 	if len(services) == 0 {
 		return nil
 	}
 	stages := make(map[string]registry.Stage, len(services))
 	for _, service := range services {
-		known := r.book.Of(service)
+		known := r.table.Of(service)
 		if known.Version() == "" {
 			continue
 		}
@@ -158,9 +162,9 @@
 // setAllowances hands the Dispatcher the allowances of this node: all that take part
 // divide the slack. The caller holds the mutex of the view.
 func (r *rolloutDriver) setAllowances(members []roster.Member) {
-	open := r.book.Open()
+	open := r.table.Open()
 	for service := range r.allowances {
-		if !slices.Contains(open, service) || r.book.Of(service).Phase().Shifted() {
+		if !slices.Contains(open, service) || r.table.Of(service).Phase().Shifted() {
 			r.dispatcher.SetAllowance(r.view.index.Of(service), nil)
 			delete(r.allowances, service)
 		}
@@ -169,11 +173,11 @@
 		return
 	}
 	participants := rollout.Participants(members)
-	if len(participants) == 0 || !r.takesPart(participants) {
-		return // a node that knows of no other must not take all of the slack
+	if !rollout.HasAllowance(r.self.Name, participants) {
+		return
 	}
 	for _, service := range open {
-		known := r.book.Of(service)
+		known := r.table.Of(service)
 		if known.Order.Revision != 0 && !known.Phase().Shifted() {
 			r.allow(known, len(participants))
 		}
@@ -185,10 +189,7 @@
 	service, order := known.Order.Service, known.Order.Revision
 	given := r.allowances[service]
 	if given.order != order {
-		part := 1 / float64(participants)
-		if known.Found {
-			part = 0
-		}
+		part := rollout.PartOfSlack(participants, known.Found)
 		now := r.clock.Now()
 		deadline := now - known.Age(now) + known.Order.Duration
 		r.dispatcher.SetAllowance(r.view.index.Of(service), rollout.NewAllowance(r.bounds, part, deadline, rand.Float64))
@@ -217,7 +218,7 @@
 // count counts one attempt of a request.
 func (r *rolloutDriver) count(answer *forward.Answer, attempt *scatter.AttemptTrace, took time.Duration) {
 	service := r.view.index.Name(attempt.Shard)
-	known := r.book.Of(service)
+	known := r.table.Of(service)
 	if known == nil || !known.Open() || known.Order.Revision == 0 {
 		return
 	}
@@ -233,11 +234,11 @@
 	case attempt.End == scatter.EndOpen && answer.Reason == dispatch.ReasonCancelled:
 		return // its client left: that says nothing of the leaf
 	case attempt.End == scatter.EndOpen:
-		r.tally.Took(subject, took-attempt.At)
+		r.counter.Took(subject, took-attempt.At)
 	case attempt.End == scatter.EndAnswered, attempt.Aborted:
-		r.tally.Took(subject, attempt.Took)
+		r.counter.Took(subject, attempt.Took)
 	default:
-		r.tally.Failed(subject)
+		r.counter.Failed(subject)
 	}
 	r.metrics.count(subject, attempt)
 }
--- a/internal/edge/node/rollout_driver.go
+++ b/internal/edge/node/rollout_driver.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"net/netip"
-	"slices"
 	"time"
 
 	"github.com/samber/oops"
@@ -18,19 +17,9 @@
 // methodReport is the call by which a node reports to the one that decides.
 const methodReport = "rollout.report"
 
-const (
-	// reportTimeout bounds a report. Three fit into the time for which a grant holds,
-	// so that a node finds the next decider before its grants end.
-	reportTimeout = 600 * time.Millisecond
-	// avoidTime is how long a node is avoided as decider that did not answer, or that
-	// cannot write to the store. Not measured: chosen as the time for which a grant
-	// holds.
-	avoidTime = 2 * time.Second
-)
-
-// tickPause is how many times longer than a judgment the pause after it is at least:
-// with 225 orders on a fifth of a core one takes 0.2 s, in which requests wait.
-const tickPause = 10
+// reportTimeout bounds a report. Three fit into the time for which a grant holds, so that
+// a node finds the next decider before its grants end.
+const reportTimeout = 600 * time.Millisecond
 
 // run reports while there are roll-outs, and takes their steps, until ctx ends.
 func (r *rolloutDriver) run(ctx context.Context) {
@@ -63,11 +52,11 @@
 	participants := rollout.Participants(members)
 	to := r.self
 	if candidates := rollout.Candidates(members); len(candidates) > 0 {
-		to = r.reporting.choose(started, candidates)
+		to = r.reports.Choose(started, candidates)
 	}
 	report := r.report(started, to.Name)
 	r.view.mutex.Unlock()
-	if !r.takesPart(participants) {
+	if !rollout.Reports(r.self.Name, participants) {
 		return rollout.Interval(len(participants))
 	}
 	reply, err := r.send(ctx, to, report)
@@ -76,21 +65,15 @@
 	return max(rollout.Interval(len(participants))-(r.clock.Now()-started), 0)
 }
 
-// takesPart reports whether this node is one of those that report. Alone, it is.
-func (r *rolloutDriver) takesPart(participants []roster.Member) bool {
-	own := func(one roster.Member) bool { return one.Name == r.self.Name }
-	return len(participants) == 0 || slices.ContainsFunc(participants, own)
-}
-
 // report makes the report of this node to another one. The caller holds the mutex of the
 // view.
 func (r *rolloutDriver) report(now time.Duration, to string) rollout.Report {
-	if to != r.reporting.current {
-		r.reporting.forget()
+	if to != r.reportedTo {
+		r.reports.Forget()
 	}
-	report := rollout.Report{Node: r.incarnation, Decider: r.reporting.incarnation, Rows: r.tally.Changed(r.reporting.received)}
-	for _, service := range r.book.Open() {
-		known := r.book.Of(service)
+	report := rollout.Report{Node: r.incarnation, Decider: r.reports.Decider(), Rows: r.counter.Changed(r.reports.Received())}
+	for _, service := range r.table.Open() {
+		known := r.table.Of(service)
 		others := r.view.leaves.Supply(service).Others
 		report.Orders = append(report.Orders, rollout.Progress{
 			Service: service, Order: known.Order.Revision, Phase: known.Phase(), Age: known.Age(now), Bad: known.Bad,
@@ -144,19 +127,19 @@
 	switch {
 	case err != nil:
 		result = resultFailed
-		r.reporting.avoid(now, to.Name)
+		r.reports.Avoid(now, to.Name)
 	case !reply.Deciding:
 		result = resultPassed
-		r.reporting.avoid(now, to.Name)
+		r.reports.Avoid(now, to.Name)
 	}
 	r.metrics.reports.WithLabelValues(result).Inc()
-	if to.Name != r.reporting.current {
-		event.Log(r.logger, event.RolloutDecider{Peer: to.Name, Former: r.reporting.current, Error: r.reporting.failure})
-		r.reporting.current = to.Name
+	if to.Name != r.reportedTo {
+		event.Log(r.logger, event.RolloutDecider{Peer: to.Name, Former: r.reportedTo, Error: r.reportFailure})
+		r.reportedTo = to.Name
 	}
-	r.reporting.failure = err
+	r.reportFailure = err
 	if err == nil {
-		r.reporting.answered(reply.Decider, report)
+		r.reports.Answered(reply.Decider, report)
 	}
 	changed := false
 	for _, grant := range reply.Grants {
@@ -170,8 +153,8 @@
 // applyGrant applies what the decider says of one order, and reports whether the phase
 // changed. The caller holds the mutex of the view.
 func (r *rolloutDriver) applyGrant(sent time.Duration, grant rollout.Grant) bool {
-	changed := r.book.Merge(r.clock.Now(), grant.Service, grant.Order, grant.Age, grant.Record, grant.Bad)
-	known := r.book.Of(grant.Service)
+	changed := r.table.Merge(r.clock.Now(), grant.Service, grant.Order, grant.Age, grant.Record, grant.Bad)
+	known := r.table.Of(grant.Service)
 	if grant.Open && known.Order.Revision == grant.Order && known.Bad == "" {
 		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent+rollout.GrantTTL)
 	}
@@ -180,7 +163,7 @@
 	}
 	if changed {
 		r.logPhase(known)
-		r.bookChanged()
+		r.tableChanged()
 	}
 	return changed
 }
@@ -195,7 +178,7 @@
 		return
 	}
 	steps := r.decider.Tick(now, time.Now(), r.supply)
-	r.nextTick = now + tickPause*(r.clock.Now()-now)
+	r.nextTick = now + rollout.TickPause(r.clock.Now()-now)
 	for _, step := range steps {
 		if service := step.Record.Service; !r.writing[service] {
 			r.writing[service] = true
@@ -225,7 +208,7 @@
 		result = resultOvertaken // the record that won comes with the next changes
 	case err != nil:
 		result = resultFailed
-		r.unwritableUntil = r.clock.Now() + avoidTime
+		r.unwritableUntil = r.clock.Now() + rollout.AvoidTime
 	case r.setRecord(record):
 		r.publish()
 	}
--- a/internal/edge/node/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -60,19 +60,19 @@
 		return
 	}
 	former := r.phases()
-	r.book.Replace(r.clock.Now(), time.Now(), all.orders, all.records, stale)
-	for _, service := range r.book.Services() {
-		if known := r.book.Of(service); known.Phase() != former[service] {
+	r.table.Replace(r.clock.Now(), time.Now(), all.orders, all.records, stale)
+	for _, service := range r.table.Services() {
+		if known := r.table.Of(service); known.Phase() != former[service] {
 			r.logPhase(known)
 		}
 	}
-	r.bookChanged()
+	r.tableChanged()
 }
 
 func (r *rolloutDriver) phases() map[string]rollout.Phase {
 	phases := make(map[string]rollout.Phase)
-	for _, service := range r.book.Services() {
-		phases[service] = r.book.Of(service).Phase()
+	for _, service := range r.table.Services() {
+		phases[service] = r.table.Of(service).Phase()
 	}
 	return phases
 }
@@ -95,15 +95,15 @@
 	defer r.view.mutex.Unlock()
 	applied := false
 	if changed.Removed {
-		applied = r.book.Withdraw(service)
+		applied = r.table.Withdraw(service)
 	} else {
-		applied = r.book.SetOrder(r.clock.Now(), order)
+		applied = r.table.SetOrder(r.clock.Now(), order)
 	}
 	if applied {
 		event.Log(r.logger, event.RolloutOrdered{
 			Service: service, Version: order.Version, Duration: order.Duration, Withdrawn: changed.Removed, Revision: changed.Revision,
 		})
-		r.bookChanged()
+		r.tableChanged()
 	}
 	return applied
 }
@@ -126,10 +126,10 @@
 // setRecord applies a record, and reports whether the phase changes. The caller
 // holds the mutex of the view.
 func (r *rolloutDriver) setRecord(record rollout.Record) bool {
-	if !r.book.SetRecord(record) {
+	if !r.table.SetRecord(record) {
 		return false
 	}
-	r.logPhase(r.book.Of(record.Service))
-	r.bookChanged()
+	r.logPhase(r.table.Of(record.Service))
+	r.tableChanged()
 	return true
 }
