--- a/internal/decide/startup/startup.go
+++ b/internal/decide/startup/startup.go
@@ -46,10 +46,13 @@
 	// Direct is set if each node reads the store itself, since there are few.
 	Direct bool
 	// Others are the nodes that are asked for their copy, in the order in which they
-	// are asked.
+	// are asked. A node that reads the store asks them only if the store does not answer.
 	Others []netip.AddrPort
 }
 
+// ReadsStore reports whether the node reads the store itself. Else it copies one of Others.
+func (p Plan) ReadsStore() bool { return p.Source || p.Direct || len(p.Others) == 0 }
+
 // Shuffle orders count elements by chance, as rand.Shuffle does.
 type Shuffle func(count int, swap func(i, j int))
 
--- a/internal/edge/mirror/fleet_test.go
+++ b/internal/edge/mirror/fleet_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/startup"
 )
 
 // linkedStore is a store behind a link that carries one range at a time.
@@ -47,8 +48,8 @@
 		fleet := make([]*Shared, nodes)
 		for index := range fleet {
 			fleet[index] = NewShared(DefaultSharedConfig(), store, peers, clock.NewMonotonic(), slog.New(slog.DiscardHandler))
-			plan := Plan{Source: index < sources, Others: addresses}
-			fleet[index].SetPlanner("nodes/", func([]Item) Plan { return plan })
+			plan := startup.Plan{Source: index < sources, Others: addresses}
+			fleet[index].SetPlanner("nodes/", func([]Item) startup.Plan { return plan })
 			if plan.Source {
 				peers.set(addresses[index], fleet[index])
 			}
--- a/internal/edge/mirror/shared.go
+++ b/internal/edge/mirror/shared.go
@@ -106,7 +106,7 @@
 	// when the contents were first known, on the clock.
 	heardAt, loadedAt time.Duration
 
-	// The start: see Plan.
+	// The start: see startup.Plan.
 	nodes   string // prefix under which nodes are announced
 	plan    Planner
 	source  bool
--- a/internal/edge/mirror/sources.go
+++ b/internal/edge/mirror/sources.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/startup"
 	"github.com/micaplank/micaplank/internal/event"
 )
 
@@ -39,24 +40,9 @@
 	return offer.State == OfferCurrent || s.lost && offer.State == OfferLost
 }
 
-// Plan says how a node starts.
-type Plan struct {
-	// Source is set if other nodes ask this one when they start. Such a node reads
-	// the store itself, or the sources would wait for each other.
-	Source bool
-	// Direct is set if each node reads the store itself, since there are few.
-	Direct bool
-	// Others are the nodes that are asked for their copy, in the order in which they
-	// are asked. A node that reads the store asks them only if it does not answer.
-	Others []netip.AddrPort
-}
-
-// reads reports whether the node reads the store itself.
-func (p Plan) reads() bool { return p.Source || p.Direct || len(p.Others) == 0 }
-
 // Planner makes the plan of a start from the announcements of nodes in the store.
 // They may be old, and are nil if they could not be read.
-type Planner func(nodes []Item) Plan
+type Planner func(nodes []Item) startup.Plan
 
 // SetPlanner says who plans the start, and under which prefix nodes are announced.
 // It is called before the first Range. Without it the store is read.
@@ -67,12 +53,12 @@
 }
 
 // planBy makes the plan of this start.
-func (s *Shared) planBy(planner Planner, nodes []Item) Plan {
+func (s *Shared) planBy(planner Planner, nodes []Item) startup.Plan {
 	plan := planner(nodes)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.source = plan.Source
-	if !plan.reads() {
+	if !plan.ReadsStore() {
 		s.sources = plan.Others
 	}
 	return plan
@@ -92,7 +78,7 @@
 		return s.loadWithoutStore(ctx, s.planBy(planner, nil), failure)
 	}
 	plan := s.planBy(planner, nodes)
-	if !plan.reads() {
+	if !plan.ReadsStore() {
 		items, revision, err := s.copyOf(ctx, plan.Others, whileStoreAnswers)
 		if err == nil || ctx.Err() != nil {
 			return items, revision, err
@@ -107,7 +93,7 @@
 
 // loadWithoutStore takes the copy that another node has, or returns the failure of
 // the store.
-func (s *Shared) loadWithoutStore(ctx context.Context, plan Plan, failure error) ([]Item, uint64, error) {
+func (s *Shared) loadWithoutStore(ctx context.Context, plan startup.Plan, failure error) ([]Item, uint64, error) {
 	items, revision, err := s.copyOf(ctx, plan.Others, withoutStore)
 	if errors.Is(err, errNoSource) {
 		return nil, 0, failure
--- a/internal/edge/mirror/sources_test.go
+++ b/internal/edge/mirror/sources_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/startup"
 )
 
 // fleet is a store and some nodes that ask each other.
@@ -62,7 +63,7 @@
 			others = append(others, seed)
 		}
 	}
-	node.SetPlanner("", func([]Item) Plan { return Plan{Source: true, Others: others} })
+	node.SetPlanner("", func([]Item) startup.Plan { return startup.Plan{Source: true, Others: others} })
 	f.peers.set(f.seeds[index], node)
 	f.peers.setCut(f.seeds[index], false)
 	return node
@@ -71,7 +72,7 @@
 // node starts a node that is no seed.
 func (f *fleet) node() *Shared {
 	node := NewShared(f.config(), f.store, f.peers, clock.NewMonotonic(), slog.New(slog.DiscardHandler))
-	node.SetPlanner("", func([]Item) Plan { return Plan{Others: f.seeds} })
+	node.SetPlanner("", func([]Item) startup.Plan { return startup.Plan{Others: f.seeds} })
 	return node
 }
 
@@ -149,7 +150,7 @@
 	f.load(f.seed(0), nil)
 	node := f.node()
 	var told []Item
-	node.SetPlanner("nodes/", func(nodes []Item) Plan { told = nodes; return Plan{} })
+	node.SetPlanner("nodes/", func(nodes []Item) startup.Plan { told = nodes; return startup.Plan{} })
 	f.load(node, nil)
 	if len(told) != 1 || told[0].Key != "nodes/a" {
 		t.Errorf("told of %v", told)
@@ -157,7 +158,7 @@
 	f.wantRanges(2)
 	f.store.setDown(true)
 	other := f.node()
-	other.SetPlanner("nodes/", func(nodes []Item) Plan { told = nodes; return Plan{Others: f.seeds} })
+	other.SetPlanner("nodes/", func(nodes []Item) startup.Plan { told = nodes; return startup.Plan{Others: f.seeds} })
 	f.load(other, nil)
 	if told != nil {
 		t.Errorf("told of %v by a store that is down", told)
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -203,12 +203,12 @@
 }
 
 // planStart implements mirror.Planner.
-func (f *follower) planStart(items []mirror.Item) mirror.Plan {
+func (f *follower) planStart(items []mirror.Item) startup.Plan {
 	known := roster.New(nodesMemory, 0)
 	for _, item := range items {
 		if member, ok := f.member(item); ok {
 			known.Add(f.clock.Now(), item.Key, member)
 		}
 	}
-	return mirror.Plan(startup.NewPlan(f.self.Peer, known.Members(f.clock.Now()), f.seeds, rand.Shuffle))
+	return startup.NewPlan(f.self.Peer, known.Members(f.clock.Now()), f.seeds, rand.Shuffle)
 }
