--- a/internal/edge/combine/benchmark_test.go
+++ b/internal/edge/combine/benchmark_test.go
@@ -12,6 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/combiners"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/records"
 	"github.com/micaplank/micaplank/internal/peer"
@@ -35,12 +36,12 @@
 	Serve(server, leaves, func(netip.AddrPort) bool { return true })
 	server.Serve()
 	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
-	client := New(DefaultConfig(), roster.Member{Name: "here", Zone: "a"}, leaves, caller, clock.NewMonotonic(),
+	client := New(combiners.DefaultConfig(), roster.Member{Name: "here", Zone: "a"}, leaves, caller, clock.NewMonotonic(),
 		prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
 	client.SetMembers([]roster.Member{{Name: "there", Zone: "b", Peer: server.Address()}})
 	running, stop := context.WithCancel(context.Background())
 	go client.Run(running)
-	for client.combiners.pick("b") == nil {
+	for client.combiners.Choose("b") == nil {
 		time.Sleep(time.Millisecond)
 	}
 	for b.Loop() {
--- a/internal/edge/combine/client.go
+++ b/internal/edge/combine/client.go
@@ -10,6 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/combiners"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/event"
 	"github.com/micaplank/micaplank/internal/leaf"
@@ -27,7 +28,7 @@
 // Client sends attempts to leaves, by way of a combiner where one helps. It
 // implements scatter.LeafClient and is safe for concurrent use.
 type Client struct {
-	config  Config
+	config  combiners.Config
 	self    roster.Member
 	direct  Leaves
 	caller  Caller
@@ -36,7 +37,7 @@
 	metrics *metrics
 
 	mutex       sync.Mutex
-	combiners   directory
+	combiners   *combiners.Table
 	lastSession uint64
 	sessions    map[sessionKey]*clientSession
 }
@@ -52,16 +53,16 @@
 // clientSession is a session while it has attempts in flight.
 type clientSession struct {
 	number   uint64
-	combiner *target
+	combiner *combiners.Combiner
 	inFlight int
 }
 
 // New returns a Client that knows no combiner yet: it sends all attempts
 // directly.
-func New(config Config, self roster.Member, direct Leaves, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
+func New(config combiners.Config, self roster.Member, direct Leaves, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
 	return &Client{
 		config: config, self: self, direct: direct, caller: caller, clock: time, logger: logger,
-		metrics: newMetrics(registerer), combiners: directory{config: config}, sessions: make(map[sessionKey]*clientSession),
+		metrics: newMetrics(registerer), combiners: combiners.NewTable(config), sessions: make(map[sessionKey]*clientSession),
 	}
 }
 
@@ -69,7 +70,7 @@
 func (c *Client) SetMembers(members []roster.Member) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.combiners.set(c.self, members)
+	c.combiners.Replace(c.self, members)
 }
 
 // Execute implements scatter.LeafClient.
@@ -99,7 +100,7 @@
 	defer c.mutex.Unlock()
 	found, open := c.sessions[key]
 	if !open {
-		chosen := c.combiners.pick(key.zone)
+		chosen := c.combiners.Choose(key.zone)
 		if chosen == nil {
 			return nil, nil, false
 		}
@@ -112,7 +113,7 @@
 		return nil, nil, false
 	}
 	found.inFlight++
-	found.combiner.inFlight++
+	found.combiner.InFlight++
 	return found, alive, !open
 }
 
@@ -121,7 +122,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	from.inFlight--
-	from.combiner.inFlight--
+	from.combiner.InFlight--
 	if from.inFlight == 0 && c.sessions[key] == from {
 		delete(c.sessions, key)
 	}
@@ -137,14 +138,14 @@
 }
 
 // lost takes a combiner to be lost. The caller holds the mutex.
-func (c *Client) lost(one *target) {
+func (c *Client) lost(one *combiners.Combiner) {
 	if one.Lose() {
-		event.Log(c.logger, event.CombinerLost{Peer: one.Name, InFlight: one.inFlight})
+		event.Log(c.logger, event.CombinerLost{Peer: one.Name, InFlight: one.InFlight})
 	}
 }
 
 // avoid gives a combiner no more attempts for now. The caller holds the mutex.
-func (c *Client) avoid(one *target) {
+func (c *Client) avoid(one *combiners.Combiner) {
 	if one.Avoid() {
 		event.Log(c.logger, event.CombinerLost{Peer: one.Name})
 	}
@@ -232,18 +233,18 @@
 
 // due returns the combiners to be asked, and takes those to be lost that were
 // silent.
-func (c *Client) due() []*target {
+func (c *Client) due() []*combiners.Combiner {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	asked, lost := c.combiners.due(c.clock.Now())
+	asked, lost := c.combiners.Due(c.clock.Now())
 	for _, one := range lost {
-		event.Log(c.logger, event.CombinerLost{Peer: one.Name, InFlight: one.inFlight})
+		event.Log(c.logger, event.CombinerLost{Peer: one.Name, InFlight: one.InFlight})
 	}
 	return asked
 }
 
 // ask asks one combiner whether it lives. Its silence is noticed by due.
-func (c *Client) ask(ctx context.Context, of *target) {
+func (c *Client) ask(ctx context.Context, of *combiners.Combiner) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.HeartbeatTimeout)
 	defer cancel()
 	started := c.clock.Now()
@@ -251,12 +252,12 @@
 	err := c.caller.Call(ctx, of.Peer, methodPing, &pingRequest{From: c.self.Name}, &response)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	of.asking = false
+	of.EndHeartbeat()
 	if err != nil {
 		return
 	}
 	now := c.clock.Now()
-	if of.answered(now, now-started) {
+	if of.Answered(now, now-started) {
 		event.Log(c.logger, event.CombinerInTouch{Peer: of.Name, Zone: of.Zone})
 	}
 }
--- a/internal/edge/combine/combine.go
+++ b/internal/edge/combine/combine.go
@@ -15,9 +15,9 @@
 // combiner at most. It is sent directly after that only on proof that the combiner did
 // nothing with it.
 //
-// The package owns the sessions of queries on both sides (Client, and the server of Serve)
-// and what a node knows of combiners. It relies on peer for calls, liveness for who
-// answers, records for the selection, and the Leaves that both sides send attempts to.
+// The package owns the sessions of queries on both sides (Client, and the server of Serve).
+// It relies on peer for calls, decide/combiners for which combiner gets a query and which
+// one is lost, records for the selection, and the Leaves that both sides send attempts to.
 // Errors are *leaf.TransportError, with the step "combiner" if the combiner is their
 // cause. docs/design/0012-combiners.md has the measurements.
 package combine
@@ -25,7 +25,6 @@
 import (
 	"context"
 	"net/netip"
-	"time"
 
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/scatter"
@@ -38,30 +37,3 @@
 
 // Leaves sends attempts to leaves.
 type Leaves = scatter.LeafClient[*forward.Request, forward.Part]
-
-// Config is the policy of a Client. All fields must be set.
-type Config struct {
-	// CombinersPerZone is how many nodes of each other zone are asked whether they live.
-	CombinersPerZone int
-	// HeartbeatInterval is how long a combiner may be silent before it is asked
-	// whether it lives.
-	HeartbeatInterval time.Duration
-	// HeartbeatTimeout is after how long a silence it is taken to be lost, with the
-	// attempts that it has in flight.
-	HeartbeatTimeout time.Duration
-	// MaxRoundTrip is the mean time of a question and its answer from which a
-	// combiner is too slow to be used.
-	MaxRoundTrip time.Duration
-}
-
-// DefaultConfig returns the defaults. Not measured by themselves: chosen because one of
-// two combiners may be lost, up to two heartbeats in a row may be lost on the way, and a
-// slower combiner would make parts late.
-func DefaultConfig() Config {
-	return Config{
-		CombinersPerZone:  2,
-		HeartbeatInterval: 100 * time.Millisecond,
-		HeartbeatTimeout:  350 * time.Millisecond,
-		MaxRoundTrip:      15 * time.Millisecond,
-	}
-}
--- a/internal/edge/combine/combine_test.go
+++ b/internal/edge/combine/combine_test.go
@@ -117,7 +117,7 @@
 	case <-time.After(patient):
 		t.Fatal("the leaf still works")
 	}
-	r.await("a combiner in touch", func() bool { return r.client.combiners.pick("b") != nil })
+	r.await("a combiner in touch", func() bool { return r.client.combiners.Choose("b") != nil })
 }
 
 // TestUnknownSession sends an attempt directly, once, whose query the combiner
@@ -126,7 +126,7 @@
 	r := newRig(t, answers(1))
 	asked := query()
 	r.client.mutex.Lock()
-	chosen := r.client.combiners.pick("b")
+	chosen := r.client.combiners.Choose("b")
 	r.client.sessions[sessionKey{asked, "b"}] = &clientSession{number: 77, combiner: chosen, inFlight: 1}
 	r.client.mutex.Unlock()
 	if _, err := r.execute(attemptAt("b", asked)); err != nil {
--- a/internal/edge/combine/rig_test.go
+++ b/internal/edge/combine/rig_test.go
@@ -13,6 +13,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/combiners"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/edge/forward"
 	"github.com/micaplank/micaplank/internal/edge/records"
@@ -83,7 +84,7 @@
 	Serve(r.server, combined, func(netip.AddrPort) bool { return !r.leaving.Load() })
 	r.server.Serve()
 	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
-	config := DefaultConfig()
+	config := combiners.DefaultConfig()
 	config.MaxRoundTrip = patient
 	config.HeartbeatTimeout = patient
 	r.client = New(config, roster.Member{Name: "here", Zone: "a"}, r.direct, caller, clock.NewMonotonic(),
@@ -101,7 +102,7 @@
 		_ = caller.Close()
 		r.closeServer()
 	})
-	r.await("a combiner in touch", func() bool { return r.client.combiners.pick("b") != nil })
+	r.await("a combiner in touch", func() bool { return r.client.combiners.Choose("b") != nil })
 	return r
 }
 
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -19,6 +19,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/combiners"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/decide/startup"
@@ -94,7 +95,7 @@
 // connectPeers makes what calls other nodes.
 func (n *Node) connectPeers(registerer prometheus.Registerer) {
 	n.peers = peer.NewClient(peer.ClientOptions{DialTimeout: peerDialTimeout}, registerer)
-	n.combine = combine.New(combine.DefaultConfig(), n.self, n.ports.Leaves, n.peers, n.clock, registerer, n.logger)
+	n.combine = combine.New(combiners.DefaultConfig(), n.self, n.ports.Leaves, n.peers, n.clock, registerer, n.logger)
 	n.mirror = mirror.NewShared(mirror.DefaultSharedConfig(), n.ports.Store, mirrorPeers{client: n.peers, self: n.self.Name}, n.clock, n.logger)
 	n.delegate = delegate.New(executors.DefaultConfig(), n.self, n.peers, n.clock, registerer, n.logger)
 }
