--- a/internal/decide/quarantine/config.go
+++ b/internal/decide/quarantine/config.go
@@ -2,6 +2,11 @@
 
 import "time"
 
+// RecordTTL is how long a record stays in the store at most, and half of it at least (see
+// lease.Shared): that is the time for which a request is held. Not measured: chosen as some
+// minutes.
+const RecordTTL = 10 * time.Minute
+
 // Config is the policy of a Table. All fields must be set.
 type Config struct {
 	// Self names this process.
@@ -53,7 +58,7 @@
 		MinCrashes: 3, MinTrials: 2, MinOdds: 100,
 		TrialTime: 5 * time.Second, TrialPause: time.Second, MaxTrialPause: 30 * time.Second,
 		TrialRetryAfter: 250 * time.Millisecond,
-		HoldTime:        5 * time.Minute, Memory: time.Hour,
+		HoldTime:        RecordTTL / 2, Memory: time.Hour,
 		MaxEntries: 1024, Burst: 4, FleetBurst: 400, Refill: 10,
 	}
 }
--- a/internal/decide/quarantine/trial.go
+++ b/internal/decide/quarantine/trial.go
@@ -2,6 +2,16 @@
 
 import "time"
 
+// The rule of a trial's start: it is written to the store first, so that no two nodes try
+// a request at the same time. While the store is away, a node tries without that. If the
+// write is overtaken by another node's, the request is decided on again, MaxTrialWrites
+// times in all; if it fails otherwise, the request is refused.
+//
+// Inputs: whether the store answers, and how the write ended.
+//
+// Reason: without a store each node refuses by itself a request that crashes leaves, after
+// as many trials as all nodes together would take.
+//
 // The rule of a trial: a suspected request runs on one leaf of one shard, with no
 // second attempt, so that it closes one leaf at most. If the leaf answers, a request of
 // many shards then runs as a whole in the time that is left; for a request of one shard
@@ -14,6 +24,19 @@
 // each of four plays with it. The shard is drawn at random, since only one of many may
 // be what the request closes.
 
+const (
+	// TrialWriteTimeout bounds the write before a trial, for which the client waits. It is
+	// about fifty times what the store takes as a rule, 4 ms and the way there.
+	TrialWriteTimeout = 250 * time.Millisecond
+	// MaxTrialWrites is how often the write of a trial is tried while those of other nodes
+	// come before it: nodes that saw the same leaves crash report at the same moment. Not
+	// measured: chosen so that a client waits for TrialWriteTimeout a few times at most.
+	MaxTrialWrites = 3
+)
+
+// WritesTrial reports whether a trial is to be written before it begins.
+func WritesTrial(storeAway bool) bool { return !storeAway }
+
 // trialShare is the part of the timeout of a request of many shards that its trial may
 // take; the rest is for the request itself. Not measured: chosen because both need
 // about the time of one attempt.
--- a/internal/decide/quarantine/trial_test.go
+++ b/internal/decide/quarantine/trial_test.go
@@ -25,3 +25,14 @@
 		}
 	}
 }
+
+// TestTrialIsWrittenUnlessTheStoreIsAway, and a hold lasts as long as its record does at
+// least.
+func TestTrialIsWrittenUnlessTheStoreIsAway(t *testing.T) {
+	if !WritesTrial(false) || WritesTrial(true) {
+		t.Error("a trial is written to a store that is away, or not to one that answers")
+	}
+	if hold := DefaultConfig("self").HoldTime; hold != RecordTTL/2 {
+		t.Errorf("held for %s, while records stay for %s", hold, RecordTTL)
+	}
+}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -61,7 +61,7 @@
 	delegate   *delegate.Client
 	combine    *combine.Client
 	rollouts   *rolloutDriver
-	quarantine *quarantineGate
+	quarantine *quarantineDriver
 }
 
 // New returns a Node that has not started anything.
@@ -112,7 +112,7 @@
 		Linger:        n.settings.Forward.Linger.Duration(),
 		Trace:         true,
 	}, dispatch.New(dispatchConfig(n.settings), random))
-	n.quarantine = newQuarantineGate(n.self.Name, n.settings.Forward, n.ports.Quarantine, n.clock, n.logger, registerer)
+	n.quarantine = newQuarantineDriver(n.self.Name, n.settings.Forward, n.ports.Quarantine, n.clock, n.logger, registerer)
 	n.forwarder = forward.New(forwardConfig(n.settings.Forward, n.clock), n.conn, n.quarantine, view.index)
 }
 
--- a/internal/edge/node/quarantine_ends.go
+++ b/internal/edge/node/quarantine_finished.go
@@ -10,13 +10,13 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Ended implements forward.Quarantine.
-func (q *quarantineGate) Finished(content quarantine.Content, tried forward.Execution) {
+// Finished implements forward.Quarantine.
+func (q *quarantineDriver) Finished(content quarantine.Content, ended forward.Execution) {
 	if !q.enabled {
 		return
 	}
-	attempts, trial := tried.Attempts, tried.Trial
-	ended, answered := endsOf(tried)
+	attempts, trial := ended.Attempts, ended.Trial
+	crashes, answered := crashesOf(ended)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.clock.Now()
@@ -27,13 +27,13 @@
 		q.recent.Add(now, content)
 		write = q.table.Answered(content)
 	case trial:
-		q.trialEnded(now, content, ended, attempts)
+		q.trialUnanswered(now, content, crashes, attempts)
 		write = true
-	case len(ended) > 0 && !q.recent.Has(now, content):
-		write = q.suspect(now, content, tried.Route, ended)
+	case len(crashes) > 0 && !q.recent.Has(now, content):
+		write = q.suspect(now, content, ended.Route, crashes)
 	}
 	if trial {
-		q.metrics.trials.WithLabelValues(trialResult(ended, answered)).Inc()
+		q.metrics.trials.WithLabelValues(trialResult(crashes, answered)).Inc()
 	}
 	if write {
 		q.tableChanged()
@@ -41,18 +41,18 @@
 	}
 }
 
-// endsOf returns the leaves that ended under some attempts, and whether a leaf
-// answered one, if only with a failure of its own.
-func endsOf(tried forward.Execution) (ended []quarantine.Crash, answered bool) {
-	for index := range tried.Attempts {
-		switch one := &tried.Attempts[index]; {
+// crashesOf returns the leaves that crashed under a request, and whether a leaf answered
+// it, if only with a failure of its own.
+func crashesOf(ended forward.Execution) (crashes []quarantine.Crash, answered bool) {
+	for index := range ended.Attempts {
+		switch one := &ended.Attempts[index]; {
 		case one.End == scatter.EndAnswered, one.End == scatter.EndFailed:
 			answered = true
 		case one.Closed:
-			ended = append(ended, quarantine.NewCrash(one.BootID, tried.RequestID))
+			crashes = append(crashes, quarantine.NewCrash(one.BootID, ended.RequestID))
 		}
 	}
-	return ended, answered
+	return crashes, answered
 }
 
 // reached reports whether a leaf may have begun to run one of some attempts.
@@ -63,7 +63,7 @@
 }
 
 // countBackground adds the attempts of a request to the background. The caller holds the mutex.
-func (q *quarantineGate) countBackground(now time.Duration, content quarantine.Content, attempts []scatter.AttemptTrace) {
+func (q *quarantineDriver) countBackground(now time.Duration, content quarantine.Content, attempts []scatter.AttemptTrace) {
 	_, suspected := q.table.Of(content)
 	for index := range attempts {
 		one := &attempts[index]
@@ -74,47 +74,47 @@
 	}
 }
 
-// trialEnded records a trial that brought no answer. The caller holds the mutex.
-func (q *quarantineGate) trialEnded(now time.Duration, content quarantine.Content, ended []quarantine.Crash, attempts []scatter.AttemptTrace) {
+// trialUnanswered records a trial that brought no answer. The caller holds the mutex.
+func (q *quarantineDriver) trialUnanswered(now time.Duration, content quarantine.Content, crashes []quarantine.Crash, attempts []scatter.AttemptTrace) {
 	switch {
 	case !reached(attempts):
 		q.table.Withdraw(content)
 		return
-	case len(ended) == 0:
+	case len(crashes) == 0:
 		q.table.TrialInconclusive(now, content)
 		return
 	}
 	chance := q.background.Chance(now, content, attempts[0].Shard)
-	held := q.table.TrialCrashed(now, content, ended, chance)
+	held := q.table.TrialCrashed(now, content, crashes, chance)
 	known, _ := q.table.Of(content)
 	event.Log(q.logger, event.RequestTried{
-		Content: content, Route: known.Route, Leaf: ended[0].Leaf, Trials: known.Trials, Chance: rounded(chance), Odds: rounded(known.Odds),
+		Content: content, Route: known.Route, Leaf: crashes[0].Leaf, Trials: known.Trials, Chance: rounded(chance), Odds: rounded(known.Odds),
 	})
 	if held {
 		q.logHeld(content, known)
 	}
 }
 
-// suspect records that leaves ended under a request that has no answer. The caller
+// suspect records that leaves crashed under a request that has no answer. The caller
 // holds the mutex.
-func (q *quarantineGate) suspect(now time.Duration, content quarantine.Content, route string, ended []quarantine.Crash) bool {
-	kept := q.table.Suspect(now, content, route, ended)
-	if kept {
-		event.Log(q.logger, event.RequestSuspected{Content: content, Route: route, Leaves: leavesOf(ended)})
+func (q *quarantineDriver) suspect(now time.Duration, content quarantine.Content, route string, crashes []quarantine.Crash) bool {
+	news := q.table.Suspect(now, content, route, crashes)
+	if news {
+		event.Log(q.logger, event.RequestSuspected{Content: content, Route: route, Leaves: leavesOf(crashes)})
 	}
-	q.metrics.reported(kept)
-	return kept
+	q.metrics.reported(news)
+	return news
 }
 
-func leavesOf(ended []quarantine.Crash) []string {
-	leaves := make([]string, 0, len(ended))
-	for _, one := range ended {
+func leavesOf(crashes []quarantine.Crash) []string {
+	leaves := make([]string, 0, len(crashes))
+	for _, one := range crashes {
 		leaves = append(leaves, one.Leaf)
 	}
 	return leaves
 }
 
-func (q *quarantineGate) logHeld(content quarantine.Content, known quarantine.Known) {
+func (q *quarantineDriver) logHeld(content quarantine.Content, known quarantine.Known) {
 	event.Log(q.logger, event.RequestHeld{
 		Content: content, Route: known.Route, Leaves: leavesOf(known.Crashes), Trials: known.Trials, Odds: rounded(known.Odds), Revision: known.Revision,
 	})
--- a/internal/edge/node/quarantine_metrics.go
+++ b/internal/edge/node/quarantine_metrics.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// quarantineMetrics are those of requests under which leaves end.
+// quarantineMetrics are those of requests under which leaves crash.
 type quarantineMetrics struct {
 	known   prometheus.Gauge
 	held    prometheus.Gauge
@@ -39,9 +39,9 @@
 	}
 }
 
-// reported counts a report.
-func (m *quarantineMetrics) reported(kept bool) {
-	if kept {
+// reported counts a report; news says that it brought some.
+func (m *quarantineMetrics) reported(news bool) {
+	if news {
 		m.reports.WithLabelValues("kept").Inc()
 		return
 	}
@@ -49,11 +49,11 @@
 }
 
 // trialResult says how a trial ended.
-func trialResult(ended []quarantine.Crash, answered bool) string {
+func trialResult(crashes []quarantine.Crash, answered bool) string {
 	switch {
 	case answered:
 		return resultAnswered
-	case len(ended) > 0:
+	case len(crashes) > 0:
 		return "ended"
 	default:
 		return "open"
--- a/internal/edge/node/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -13,7 +13,7 @@
 
 // write makes one change, and records what the store has then. If it was not done,
 // withdraw is called first, with the mutex held; nil for nothing.
-func (q *quarantineGate) write(ctx context.Context, change quarantine.Change, withdraw func()) error {
+func (q *quarantineDriver) write(ctx context.Context, change quarantine.Change, withdraw func()) error {
 	current, err := q.change(ctx, change)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -47,7 +47,7 @@
 
 // change makes one change. A call without an answer may have been done: another one
 // shows it, and then it counts as done.
-func (q *quarantineGate) change(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
+func (q *quarantineDriver) change(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
 	current, err := q.writeOnce(ctx, change)
 	if err != nil && !errors.Is(err, ErrOvertaken) && ctx.Err() == nil {
 		current, err = q.writeOnce(ctx, change)
@@ -59,7 +59,7 @@
 }
 
 // writeOnce calls the store for one change, under a new lease if the last one is over.
-func (q *quarantineGate) writeOnce(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
+func (q *quarantineDriver) writeOnce(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
 	if change.Remove {
 		return q.store.WriteQuarantine(ctx, change, 0)
 	}
@@ -78,7 +78,7 @@
 	return q.store.WriteQuarantine(ctx, change, under)
 }
 
-func (q *quarantineGate) wakeWriter() {
+func (q *quarantineDriver) wakeWriter() {
 	select {
 	case q.wake <- struct{}{}:
 	default: // it is awake
@@ -86,7 +86,7 @@
 }
 
 // run writes what this node learns, until ctx ends.
-func (q *quarantineGate) run(ctx context.Context) {
+func (q *quarantineDriver) run(ctx context.Context) {
 	failures := 0
 	for {
 		select {
@@ -107,7 +107,7 @@
 }
 
 // flush writes what is unwritten. It reports whether nothing is left.
-func (q *quarantineGate) flush(ctx context.Context) bool {
+func (q *quarantineDriver) flush(ctx context.Context) bool {
 	q.mutex.Lock()
 	pending := q.table.Unwritten()
 	q.mutex.Unlock()
@@ -129,7 +129,7 @@
 }
 
 // replace applies all records of a reading, or some if it is stale.
-func (q *quarantineGate) replace(items map[quarantine.Content]quarantine.Known, stale bool) {
+func (q *quarantineDriver) replace(items map[quarantine.Content]quarantine.Known, stale bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if stale {
@@ -141,7 +141,7 @@
 }
 
 // set applies one record of the store.
-func (q *quarantineGate) set(content quarantine.Content, stored quarantine.Known) {
+func (q *quarantineDriver) set(content quarantine.Content, stored quarantine.Known) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.table.Set(q.clock.Now(), content, stored) {
@@ -153,7 +153,7 @@
 }
 
 // remove removes a record that is gone from the store, as of a revision.
-func (q *quarantineGate) remove(content quarantine.Content, revision uint64) {
+func (q *quarantineDriver) remove(content quarantine.Content, revision uint64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.table.Remove(q.clock.Now(), content, revision) {
@@ -163,11 +163,11 @@
 }
 
 // setStoreAway says whether the store does not answer.
-func (q *quarantineGate) setStoreAway(away bool) { q.storeAway.Store(away) }
+func (q *quarantineDriver) setStoreAway(away bool) { q.storeAway.Store(away) }
 
 // setNodes says how many nodes there are. It comes with each topology, and what was
 // remembered for long enough is dropped with it.
-func (q *quarantineGate) setNodes(nodes int) {
+func (q *quarantineDriver) setNodes(nodes int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.table.SetNodes(nodes)
