--- a/internal/edge/combine/metrics.go
+++ b/internal/edge/combine/metrics.go
@@ -1,6 +1,10 @@
 package combine
 
-import "github.com/prometheus/client_golang/prometheus"
+import (
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/micaplank/micaplank/internal/telemetry"
+)
 
 // metrics are those of a Client.
 type metrics struct {
@@ -9,16 +13,12 @@
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	created := &metrics{
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "micaplank_combine_attempts_total",
-			Help: "Attempts of requests of many shards at leaves of other zones, by way: combined, direct (no combiner in touch), not_taken (the combiner did nothing, then direct), given_up (not wanted any more) or lost (with the combiner).",
-		}, []string{"way"}),
-		rests: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "micaplank_combine_rests_total",
-			Help: "Parts of which a combiner had left out records that counted after all.",
-		}),
+	create := telemetry.NewFactory(registerer)
+	return &metrics{
+		attempts: create.Counters("micaplank_combine_attempts_total",
+			"Attempts of requests of many shards at leaves of other zones, by way: combined, direct (no combiner in touch), not_taken (the combiner did nothing, then direct), given_up (not wanted any more) or lost (with the combiner).",
+			"way"),
+		rests: create.Counter("micaplank_combine_rests_total",
+			"Parts of which a combiner had left out records that counted after all."),
 	}
-	registerer.MustRegister(created.attempts, created.rests)
-	return created
 }
