--- a/internal/edge/http1/client.go
+++ b/internal/edge/http1/client.go
@@ -35,14 +35,15 @@
 var (
 	errClosed   = errors.New("client is closed")
 	errTooLarge = errors.New("answer is larger than the limit")
-	errStrange  = errors.New("answer belongs to another request")
+	errMismatch = errors.New("answer belongs to another request")
 )
 
 // Target is one incarnation of a back end. A connection to one incarnation is
 // never used for another.
 type Target struct {
-	Address  netip.AddrPort
-	Instance string
+	Address netip.AddrPort
+	// BootID names the incarnation: one start of the process.
+	BootID string
 }
 
 // Config bounds what a Client does. All fields must be set.
@@ -56,16 +57,16 @@
 	IdleTimeout time.Duration
 	// BodyBytes is the largest body of an answer.
 	BodyBytes int64
-	// StrangeAnswers is how many answers to other requests are skipped on a connection
-	// before the awaited one.
-	StrangeAnswers int
+	// MaxSkipped is how many answers to other requests are skipped on a connection before
+	// the awaited one.
+	MaxSkipped int
 }
 
 // DefaultConfig returns the bounds that seldom need to be changed; those that depend on the
 // deployment are zero. Not measured: chosen because they only bound what a faulty back end
 // can cost.
 func DefaultConfig() Config {
-	return Config{IdleTimeout: 20 * time.Second, BodyBytes: 16 << 20, StrangeAnswers: 2}
+	return Config{IdleTimeout: 20 * time.Second, BodyBytes: 16 << 20, MaxSkipped: 2}
 }
 
 // Response is a whole answer.
@@ -85,7 +86,7 @@
 
 	mutex  sync.Mutex
 	pools  map[Target]*pool
-	kept   map[Target]int
+	retain map[Target]int // see Retain
 	closed bool
 }
 
@@ -145,8 +146,8 @@
 	from, known := c.pools[target]
 	if !known {
 		from = newPool(c, target)
-		if kept, given := c.kept[target]; given {
-			from.setKept(kept)
+		if maxIdle, given := c.retain[target]; given {
+			from.setMaxIdle(maxIdle)
 		}
 		c.pools[target] = from
 	}
@@ -155,15 +156,15 @@
 
 // Retain closes the idle connections of all targets but those given, and
 // forgets these targets. Each target comes with the number of connections that
-// may be kept: with none, one is opened for each request and closed after it.
-func (c *Client) Retain(kept map[Target]int) {
+// may be idle: with none, one is opened for each request and closed after it.
+func (c *Client) Retain(maxIdle map[Target]int) {
 	var dropped []*pool
 	c.mutex.Lock()
-	c.kept = kept
+	c.retain = maxIdle
 	for target, candidate := range c.pools {
-		connections, stays := kept[target]
+		connections, stays := maxIdle[target]
 		if stays {
-			candidate.setKept(connections)
+			candidate.setMaxIdle(connections)
 			continue
 		}
 		delete(c.pools, target)
--- a/internal/edge/http1/client_test.go
+++ b/internal/edge/http1/client_test.go
@@ -73,13 +73,13 @@
 }
 
 func (b *backend) target() Target {
-	return Target{Address: netip.MustParseAddrPort(b.listener.Addr().String()), Instance: "one"}
+	return Target{Address: netip.MustParseAddrPort(b.listener.Addr().String()), BootID: "one"}
 }
 
 func newClient(t *testing.T, connections int) *Client {
 	client := New(Config{
 		ConnectionsPerTarget: connections, DialTimeout: time.Second, IdleTimeout: time.Minute,
-		BodyBytes: 100, StrangeAnswers: 1,
+		BodyBytes: 100, MaxSkipped: 1,
 	}, prometheus.NewRegistry())
 	t.Cleanup(client.Close)
 	return client
@@ -247,7 +247,7 @@
 			t.Fatal(err)
 		}
 	}
-	target.Instance = "two"
+	target.BootID = "two"
 	client.Retain(map[Target]int{target: 1})
 	if _, err := get(t, client, target); err != nil {
 		t.Fatal(err)
@@ -265,7 +265,7 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5, max=1\r\n\r\nrest"))
 	f.Add([]byte("nonsense"))
-	client := New(Config{ConnectionsPerTarget: 1, IdleTimeout: time.Minute, BodyBytes: 100, StrangeAnswers: 1}, prometheus.NewRegistry())
+	client := New(Config{ConnectionsPerTarget: 1, IdleTimeout: time.Minute, BodyBytes: 100, MaxSkipped: 1}, prometheus.NewRegistry())
 	f.Fuzz(func(t *testing.T, content []byte) {
 		near, far := net.Pipe()
 		go func() { _, _ = far.Write(content); _ = far.Close() }()
--- a/internal/edge/http1/quiet.go
+++ b/internal/edge/http1/conncheck.go
@@ -5,11 +5,11 @@
 	"syscall"
 )
 
-// quiet reports whether nothing has arrived on an idle connection: neither its end
-// nor bytes that nobody asked for. The goroutine that reads sees it, too, but on a
-// busy machine later: with five busy processes a core, one request sent 5 ms after
-// the close was lost in a minute of trying, and none with this look.
-func (c *connection) quiet() bool {
+// reusable reports whether nothing has arrived on an idle connection: neither its end
+// nor surplus bytes. The goroutine that reads sees it, too, but on a busy machine later:
+// with five busy processes a core, one request sent 5 ms after the close was lost in a
+// minute of trying, and none with this check.
+func (c *connection) reusable() bool {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
 		return true // not a socket of the kernel: the reading tells
--- a/internal/edge/http1/quiet_test.go
+++ b/internal/edge/http1/conncheck_test.go
@@ -34,7 +34,7 @@
 		}
 	}()
 	client := newClient(t, 1)
-	target := Target{Address: netip.MustParseAddrPort(listener.Addr().String()), Instance: "one"}
+	target := Target{Address: netip.MustParseAddrPort(listener.Addr().String()), BootID: "one"}
 	message := request()
 	message.Once = true
 	for number := range 100 {
--- a/internal/edge/http1/connection.go
+++ b/internal/edge/http1/connection.go
@@ -135,27 +135,27 @@
 		current.done <- result{err: err}
 		return false
 	}
-	kept := idle > 0 && c.reader.Buffered() == 0 && c.rest(idle)
+	reusable := idle > 0 && c.reader.Buffered() == 0 && c.rest(idle)
 	current.done <- result{response: response}
-	return kept
+	return reusable
 }
 
 // receive reads the awaited answer. The duration is how long the connection
-// may rest then; zero if it must not be used again.
+// may be idle then; zero if it must not be used again.
 func (c *connection) receive(current *exchange) (*Response, time.Duration, error) {
-	for strange := 0; ; strange++ {
+	for skipped := 0; ; skipped++ {
 		response, idle, err := c.receiveOne(current.method)
 		if err != nil {
 			return nil, 0, err
 		}
 		if current.match(response) {
-			if strange > 0 {
+			if skipped > 0 {
 				idle = 0
 			}
 			return response, idle, nil
 		}
-		if idle == 0 || strange >= c.pool.client.config.StrangeAnswers {
-			return nil, 0, errStrange
+		if idle == 0 || skipped >= c.pool.client.config.MaxSkipped {
+			return nil, 0, errMismatch
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	return body, err
 }
 
-// idleTime returns how long the connection may rest after an answer; zero if
+// idleTime returns how long the connection may be idle after an answer; zero if
 // it must not be used again.
 func (c *connection) idleTime(received *http.Response) time.Duration {
 	framed := received.ContentLength >= 0 || len(received.TransferEncoding) > 0
@@ -214,7 +214,7 @@
 }
 
 // keepAliveMargin is how long before the back end a connection is closed here. Not
-// measured: chosen because it is some times the way of a request.
+// measured: chosen because it is a few times as long as a request is on the way.
 const keepAliveMargin = 500 * time.Millisecond
 
 // keepAlive returns the time of a Keep-Alive header.
--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -80,7 +80,7 @@
 	return append(content, m.Body...)
 }
 
-// usuallyHasBody reports whether the length is told also of no body.
+// usuallyHasBody reports whether the length is sent also where there is no body.
 func (m *Message) usuallyHasBody() bool {
 	switch m.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
--- a/internal/edge/http1/pool.go
+++ b/internal/edge/http1/pool.go
@@ -15,20 +15,20 @@
 	mutex   sync.Mutex
 	idle    []*connection
 	open    int             // idle, in use, or being opened
-	waiters []chan struct{} // each is told once that it may try again
+	waiters []chan struct{} // each receives once, and may try again then
 	closed  bool
-	kept    int // how many may rest
+	maxIdle int // how many may be idle
 }
 
 func newPool(client *Client, target Target) *pool {
-	return &pool{client: client, target: target, kept: client.config.ConnectionsPerTarget}
+	return &pool{client: client, target: target, maxIdle: client.config.ConnectionsPerTarget}
 }
 
-// setKept changes how many connections may rest; it closes those beyond.
-func (p *pool) setKept(kept int) {
+// setMaxIdle changes how many connections may be idle; it closes those beyond.
+func (p *pool) setMaxIdle(maxIdle int) {
 	p.mutex.Lock()
-	p.kept = kept
-	surplus := p.idle[min(len(p.idle), kept):]
+	p.maxIdle = maxIdle
+	surplus := p.idle[min(len(p.idle), maxIdle):]
 	p.idle = slices.Clone(p.idle[:len(p.idle)-len(surplus)])
 	p.mutex.Unlock()
 	for _, candidate := range surplus {
@@ -38,14 +38,14 @@
 
 // limit returns how many connections there may be.
 func (p *pool) limit() int {
-	return min(max(p.kept, 1), p.client.config.ConnectionsPerTarget)
+	return min(max(p.maxIdle, 1), p.client.config.ConnectionsPerTarget)
 }
 
-// idleTime returns how long an unused connection may rest.
+// idleTime returns how long a connection may be idle.
 func (p *pool) idleTime() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.kept == 0 {
+	if p.maxIdle == 0 {
 		return 0
 	}
 	return p.client.config.IdleTimeout
@@ -58,7 +58,7 @@
 	for {
 		found, wait, mayOpen := p.take()
 		switch {
-		case found != nil && once && !found.quiet():
+		case found != nil && once && !found.reusable():
 			found.close()
 			continue
 		case found != nil:
@@ -95,7 +95,7 @@
 	return nil, wait, false
 }
 
-// leave takes back a waiter; if it was told already, the next one is.
+// leave takes back a waiter; if it was woken already, the next one is.
 func (p *pool) leave(wait chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -106,7 +106,7 @@
 	p.wake()
 }
 
-// wake tells the first waiter that it may try again.
+// wake wakes the first waiter, which may try again.
 func (p *pool) wake() {
 	if len(p.waiters) > 0 {
 		p.waiters[0] <- struct{}{}
@@ -135,7 +135,7 @@
 	return true
 }
 
-// ended counts a connection out; nil is one that was never open.
+// ended takes a connection out of the count; nil is one that was never open.
 func (p *pool) ended(c *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/edge/http1/pool_test.go
+++ b/internal/edge/http1/pool_test.go
@@ -50,7 +50,7 @@
 	}
 	for _, test := range []struct{ kept, limit int }{{0, 1}, {1, 1}, {2, 2}, {9, 3}} {
 		from := newPool(client, Target{})
-		from.setKept(test.kept)
+		from.setMaxIdle(test.kept)
 		if got := from.limit(); got != test.limit {
 			t.Errorf("%d kept: at most %d", test.kept, got)
 		}
--- a/internal/edge/node/endpoints.go
+++ b/internal/edge/node/endpoints.go
@@ -29,7 +29,7 @@
 	return []endpoint{
 		{n.settings.Listen.HTTP, n.ports.Handler(n)},
 		{n.settings.Listen.Ready, readyHandler(n.ports.ReadyPath, n.ready)},
-		{n.settings.Listen.Metrics, metricsHandler(n.registry.Handler())},
+		{n.settings.Listen.Metrics, metricsHandler(n.metricsRegistry.Handler())},
 	}
 }
 
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -42,9 +42,10 @@
 	logger   *slog.Logger
 	clock    *clock.Monotonic
 	metrics  *metrics
-	registry *telemetry.Registry
-	self     roster.Member
-	draining atomic.Bool
+	// metricsRegistry holds the metrics of all parts of the node.
+	metricsRegistry *telemetry.Registry
+	self            roster.Member
+	draining        atomic.Bool
 
 	// Requests.
 	conn      *scatter.Conn[*forward.Request, forward.Part]
@@ -65,22 +66,22 @@
 }
 
 // New returns a Node that has not started anything.
-func New(configured settings.Settings, ports Ports, registry *telemetry.Registry, logger *slog.Logger) *Node {
+func New(configured settings.Settings, ports Ports, metricsRegistry *telemetry.Registry, logger *slog.Logger) *Node {
 	n := &Node{
-		settings: configured,
-		ports:    ports,
-		logger:   logger,
-		clock:    clock.NewMonotonic(),
-		metrics:  newMetrics(registry),
-		registry: registry,
-		self:     memberOf(configured),
+		settings:        configured,
+		ports:           ports,
+		logger:          logger,
+		clock:           clock.NewMonotonic(),
+		metrics:         newMetrics(metricsRegistry),
+		metricsRegistry: metricsRegistry,
+		self:            memberOf(configured),
 	}
 	view := newView(configured.Forward, n.clock)
-	n.connectPeers(registry)
-	n.buildRequests(view, registry)
-	n.buildFollowing(view, registry)
+	n.connectPeers(metricsRegistry)
+	n.buildRequests(view, metricsRegistry)
+	n.buildFollowing(view, metricsRegistry)
 	n.runner = n.newRunner()
-	registry.MustRegister(newCollector(n.conn, n.mirror))
+	metricsRegistry.MustRegister(newCollector(n.conn, n.mirror))
 	return n
 }
 
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -108,7 +108,7 @@
 // it may open one for a request that no other leaf can take.
 type LeafShare struct {
 	Address     netip.AddrPort
-	Instance    string
+	BootID      string // names its incarnation
 	Connections int
 }
 
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -105,7 +105,7 @@
 	if !n.settings.Listen.Peer.IsValid() {
 		return nil, nil
 	}
-	server, err := peer.Listen(n.settings.Listen.Peer, n.registry)
+	server, err := peer.Listen(n.settings.Listen.Peer, n.metricsRegistry)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/edge/node/shares.go
+++ b/internal/edge/node/shares.go
@@ -63,10 +63,10 @@
 			leaves[position] = share.Leaf{ID: one.BootID, Zone: one.Zone, Usable: one.Usable}
 		}
 		bounds := share.Bounds{Taken: taken[service], PerNode: p.settings.Leaf.ConnectionsPerLeaf}
-		for position, kept := range divided.Connections(self, service, leaves, bounds) {
+		for position, part := range divided.Connections(self, service, leaves, bounds) {
 			one := &topology.Leaves[indexes[position]]
-			one.Standby = kept.Standby
-			shares[indexes[position]] = LeafShare{Address: one.Address, Instance: one.BootID, Connections: kept.Connections}
+			one.Standby = part.Standby
+			shares[indexes[position]] = LeafShare{Address: one.Address, BootID: one.BootID, Connections: part.Connections}
 		}
 	}
 	return shares
--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -49,7 +49,7 @@
 		n.publisher.publish()
 		kept := make(map[string]int)
 		for _, one := range handed {
-			kept[one.Instance] = one.Connections
+			kept[one.BootID] = one.Connections
 		}
 		return kept
 	}
