--- a/internal/edge/combine/server.go
+++ b/internal/edge/combine/server.go
@@ -17,8 +17,8 @@
 )
 
 // headTimeout bounds the wait for the attempt of a session that brings the query: it was
-// sent before the others, on the same connection. Not measured: chosen because it is some
-// times the way between zones.
+// sent before the others, on the same connection. Not measured: chosen because it is a few
+// times as long as the way between zones.
 const headTimeout = 20 * time.Millisecond
 
 // remoteKey names a query of another node, by the connection that it came on.
--- a/internal/edge/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -60,9 +60,9 @@
 	answer.Missing = len(matched.Shards) - len(parts)
 }
 
-// restTimeout bounds the wait for records that were left out on the way and count after
-// all. Not measured: chosen because it is some times the way to another zone, and the
-// answer is late by it.
+// restTimeout bounds the wait for records that a combiner left out and that count after
+// all. Not measured: chosen because it is a few times as long as the way to another zone,
+// and delays the answer by no more.
 const restTimeout = 100 * time.Millisecond
 
 // greatestOf returns the greatest records of the parts, and the parts that they
--- a/internal/edge/mirror/follow.go
+++ b/internal/edge/mirror/follow.go
@@ -97,10 +97,13 @@
 // watchesForOthers reports whether other nodes may ask this one for changes: it
 // is a watcher, or a source that has started lately.
 func (s *Shared) watchesForOthers() bool {
-	const late = 2 // times the term: others start later than the sources
-	return s.watching || s.source && s.clock.Now()-s.loadedAt < late*s.config.SourceTerm
+	return s.watching || s.source && s.clock.Now()-s.loadedAt < sourceTerms*s.config.SourceTerm
 }
 
+// sourceTerms is for how many times SharedConfig.SourceTerm a source answers others. Not
+// measured: chosen above one because others start later than the sources.
+const sourceTerms = 2
+
 // asked returns the nodes to ask for changes.
 func (s *Shared) asked() []netip.AddrPort {
 	s.mutex.Lock()
@@ -138,7 +141,7 @@
 type pause struct {
 	until time.Time
 	// lost says that it has lost the store. It is asked after the others, so that
-	// this node hears when the store is back.
+	// this node learns when the store is back.
 	lost bool
 }
 
--- a/internal/edge/mirror/shared.go
+++ b/internal/edge/mirror/shared.go
@@ -47,7 +47,7 @@
 	Probe time.Duration
 
 	// Fresh is the age up to which the copy of another node counts as current: a
-	// follower hears of the store once in Wait and Slack.
+	// follower receives an answer once in Wait and Slack.
 	Fresh time.Duration
 	// StartSpread is the time within which the processes of a fleet start that
 	// starts as a whole: for so long a source that does not answer is asked again.
--- a/internal/edge/node/announcer.go
+++ b/internal/edge/node/announcer.go
@@ -56,7 +56,7 @@
 	close(a.firstRead)
 }
 
-// run tells the other nodes that this one shares the extra load, until ctx ends. It
+// run announces to the other nodes that this one shares the extra load, until ctx ends. It
 // begins once the store was read: an announcement of a former process on this machine
 // is kept alive in place of a new one, which spares calls to the store and changes that
 // all nodes receive when many processes restart.
--- a/internal/edge/node/caller_server.go
+++ b/internal/edge/node/caller_server.go
@@ -10,7 +10,7 @@
 )
 
 // callerTimes bounds the time that a caller may take for the headers of a
-// request, and that its connection may rest between two.
+// request, and for which its connection may be idle between two.
 type callerTimes struct {
 	header time.Duration
 	idle   time.Duration
@@ -48,7 +48,7 @@
 			if s.isClosed() {
 				return http.ErrServerClosed
 			}
-			if passing(err) {
+			if temporary(err) {
 				time.Sleep(acceptPause)
 				continue
 			}
@@ -59,10 +59,12 @@
 }
 
 // acceptPause is the pause after an Accept that failed for want of descriptors,
-// or because the caller was gone again.
+// or because the caller was gone again. Not measured: chosen because it is short for a
+// caller, and keeps the loop from spinning.
 const acceptPause = 5 * time.Millisecond
 
-func passing(err error) bool {
+// temporary reports whether a later Accept may succeed.
+func temporary(err error) bool {
 	var network net.Error
 	return errors.As(err, &network) && !errors.Is(err, net.ErrClosed)
 }
@@ -95,7 +97,7 @@
 	return s.closed
 }
 
-// Shutdown stops accepting, closes connections that rest, and waits for the
+// Shutdown stops accepting, closes idle connections, and waits for the
 // others to end, or for ctx. It may be called again.
 func (s *callerServer) Shutdown(ctx context.Context) error {
 	s.mutex.Lock()
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -85,7 +85,7 @@
 	return n
 }
 
-// memberOf returns what a node tells the others of itself.
+// memberOf returns what a node announces of itself.
 func memberOf(configured settings.Settings) roster.Member {
 	return roster.Member{
 		Name: configured.Name, Zone: configured.Zone, Peer: configured.Listen.Peer,
--- a/internal/edge/node/request_log.go
+++ b/internal/edge/node/request_log.go
@@ -46,7 +46,7 @@
 	maxPlainAttemptLines = 4
 )
 
-// attemptLines tells the attempts that explain an answer: all of a request to
+// attemptLines returns the attempts that explain an answer: all of a request to
 // one leaf; of many shards those that were extra or did not bring a part.
 func attemptLines(answer forward.Answer) []event.Attempt {
 	most := maxAttemptLines
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -21,20 +21,21 @@
 	// is over. Not measured: chosen longer than a request takes.
 	shutdownTimeout = 10 * time.Second
 	// minBackoff and maxBackoff bound the pause between two calls to a store that does
-	// not answer. Not measured: who starts without it serves within half a second of
-	// its return.
+	// not answer. Not measured: chosen because a node that starts meanwhile then serves
+	// within half a second of the store's return.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 	// leaseTTL is how long the announcement of a node that is gone stays, and
-	// leaseBackoff bounds the pause between two tries to announce this one. Not
-	// measured.
+	// leaseBackoff bounds the pause between two tries to announce this one. Not measured:
+	// chosen because a node that misses two renewals in a row stays announced, and because
+	// some tries fit into the time of a lease.
 	leaseTTL     = 30 * time.Second
 	leaseBackoff = 3 * time.Second
 )
 
 // wakeInterval is how often a node looks whether it was suspended: its timers stand
 // still with the machine, so until then what is due waits for the next event. Not
-// measured.
+// measured: chosen because it is short against the time that a request may take.
 const wakeInterval = 100 * time.Millisecond
 
 // Run serves until ctx ends, and then stops as planned: it is not ready at
