--- a/internal/decide/rollout/report_test.go
+++ b/internal/decide/rollout/report_test.go
@@ -43,19 +43,19 @@
 	}
 }
 
-// TestCountsAreToldOnce: what a decider has answered to is told again only once it
+// TestCountsAreToldOnce: what a decider has answered to is reported again only once it
 // has changed, and stays with a decider that does not know the order yet.
 func TestCountsAreToldOnce(t *testing.T) {
-	counter, told := NewCounter(), make(map[Subject]Counts)
+	counter, reported := NewCounter(), make(map[Subject]Counts)
 	subject := Subject{Service: playService, Order: 1, Route: playRoute, Target: true, Leaf: "a", Zone: "z"}
 	counter.Failed(subject)
-	rows := counter.Changed(told)
+	rows := counter.Changed(reported)
 	if len(rows) != 1 {
 		t.Fatalf("%d rows", len(rows))
 	}
-	told[subject] = rows[0].Counts
-	if again := counter.Changed(told); len(again) != 0 {
-		t.Errorf("told again: %+v", again)
+	reported[subject] = rows[0].Counts
+	if again := counter.Changed(reported); len(again) != 0 {
+		t.Errorf("reported again: %+v", again)
 	}
 	table := NewTable()
 	decider := NewDecider(table, "d")
--- a/internal/edge/http1/pool_test.go
+++ b/internal/edge/http1/pool_test.go
@@ -48,11 +48,11 @@
 	if _, err := get(t, client, target); err != nil || b.connections.Load() != 3 {
 		t.Errorf("%v, %d connections", err, b.connections.Load())
 	}
-	for _, test := range []struct{ kept, limit int }{{0, 1}, {1, 1}, {2, 2}, {9, 3}} {
+	for _, test := range []struct{ maxIdle, limit int }{{0, 1}, {1, 1}, {2, 2}, {9, 3}} {
 		from := newPool(client, Target{})
-		from.setMaxIdle(test.kept)
+		from.setMaxIdle(test.maxIdle)
 		if got := from.limit(); got != test.limit {
-			t.Errorf("%d kept: at most %d", test.kept, got)
+			t.Errorf("%d idle at most: limit %d", test.maxIdle, got)
 		}
 	}
 }
--- a/internal/edge/mirror/mirror_test.go
+++ b/internal/edge/mirror/mirror_test.go
@@ -53,7 +53,7 @@
 	return answer.([]Event), after + 1, nil
 }
 
-// recorder is a Sink that writes down what it is told.
+// recorder is a Sink that writes down what it receives.
 type recorder []string
 
 func (r *recorder) Replace(items []Item, read Reading) {
@@ -67,7 +67,7 @@
 func (r *recorder) Lost(error)             { *r = append(*r, "lost") }
 func (r *recorder) Regained(time.Duration) { *r = append(*r, "regained") }
 
-func play(answers ...any) (asked, told []string) {
+func play(answers ...any) (asked, received []string) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	source := &script{answers: answers, stop: stop}
@@ -79,10 +79,10 @@
 func TestMirror(t *testing.T) {
 	items, events, none := []Item{{Key: "p/a"}}, []Event{{}}, []Event{}
 	for _, test := range []struct {
-		name    string
-		answers []any
-		asked   string
-		told    string
+		name     string
+		answers  []any
+		asked    string
+		received string
 	}{
 		{"range, then watch", []any{items, none, events}, "range p/, watch 10, watch 11, watch 12", "replace 1 gap=false, change 1"},
 		{"down at the start", []any{errAway, errAway, items}, "range p/, range p/, range p/, watch 10", "lost, regained, replace 1 gap=false"},
@@ -91,12 +91,12 @@
 		{"lost history", []any{items, ErrCompacted, items}, "range p/, watch 10, range p/, watch 10", "replace 1 gap=false, replace 1 gap=true"},
 		{"lost history after an outage", []any{items, errAway, ErrCompacted, errAway, items}, "range p/, watch 10, watch 10, range p/, range p/, watch 10", "replace 1 gap=false, lost, regained, lost, regained, replace 1 gap=true"},
 	} {
-		asked, told := play(test.answers...)
+		asked, received := play(test.answers...)
 		if !slices.Equal(asked, strings.Split(test.asked, ", ")) {
 			t.Errorf("%s: asked %v", test.name, asked)
 		}
-		if !slices.Equal(told, strings.Split(test.told, ", ")) {
-			t.Errorf("%s: told %v", test.name, told)
+		if !slices.Equal(received, strings.Split(test.received, ", ")) {
+			t.Errorf("%s: received %v", test.name, received)
 		}
 	}
 }
--- a/internal/edge/mirror/sources_test.go
+++ b/internal/edge/mirror/sources_test.go
@@ -149,19 +149,19 @@
 	f.store.put("other")
 	f.load(f.seed(0), nil)
 	node := f.node()
-	var told []Item
-	node.SetPlanner("nodes/", func(nodes []Item) startup.Plan { told = nodes; return startup.Plan{} })
+	var announced []Item
+	node.SetPlanner("nodes/", func(nodes []Item) startup.Plan { announced = nodes; return startup.Plan{} })
 	f.load(node, nil)
-	if len(told) != 1 || told[0].Key != "nodes/a" {
-		t.Errorf("told of %v", told)
+	if len(announced) != 1 || announced[0].Key != "nodes/a" {
+		t.Errorf("announced: %v", announced)
 	}
 	f.wantRanges(2)
 	f.store.setDown(true)
 	other := f.node()
-	other.SetPlanner("nodes/", func(nodes []Item) startup.Plan { told = nodes; return startup.Plan{Others: f.seeds} })
+	other.SetPlanner("nodes/", func(nodes []Item) startup.Plan { announced = nodes; return startup.Plan{Others: f.seeds} })
 	f.load(other, nil)
-	if told != nil {
-		t.Errorf("told of %v by a store that is down", told)
+	if announced != nil {
+		t.Errorf("announced: %v by a store that is down", announced)
 	}
 }
 
