--- a/internal/decide/quarantine/config.go
+++ b/internal/decide/quarantine/config.go
@@ -18,8 +18,8 @@
 	MinTrials int
 	// MinOdds is what Record.Odds has to reach before the request is held.
 	MinOdds float64
-	// TrialTime is for how long a trial counts as running of which nothing more is heard:
-	// its node may be lost.
+	// TrialTime is how long a trial counts as running if no end of it is received: its
+	// node may be lost.
 	TrialTime time.Duration
 	// TrialPause is the pause after MinTrials trials without an answer. It doubles with
 	// each further one, up to MaxTrialPause.
--- a/internal/edge/forward/forward.go
+++ b/internal/edge/forward/forward.go
@@ -40,7 +40,7 @@
 	// ClientAllowance is the time on the way between a client and the node that counts
 	// for the objective and is not seen here (timeleft.Spent.ClientLink).
 	ClientAllowance time.Duration
-	// Clock tells how much of a client's timeout is left.
+	// Clock measures how much of a client's timeout is left.
 	Clock clock.Clock
 }
 
--- a/internal/edge/forward/learned.go
+++ b/internal/edge/forward/learned.go
@@ -49,7 +49,7 @@
 	l.floors.Learn(kind, sample, missed)
 }
 
-// sampleOf returns the record of which recordfloor.Rank tells the place, among the parts
+// sampleOf returns the record whose place is recordfloor.Rank, among the parts
 // that came whole; nil if these are too few to tell.
 func sampleOf(k int, parts []scatter.ShardPart[Part]) []byte {
 	var whole [][]byte
--- a/internal/edge/http1/conncheck.go
+++ b/internal/edge/http1/conncheck.go
@@ -12,7 +12,7 @@
 func (c *connection) reusable() bool {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
-		return true // not a socket of the kernel: the reading tells
+		return true // not a socket of the kernel: the goroutine that reads sees it
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -65,7 +65,7 @@
 	return append(lines, "\r\n"...)
 }
 
-// lengthHeaderSpace is room for the line that tells the length of the body.
+// lengthHeaderSpace is room for the line with the length of the body, in bytes.
 const lengthHeaderSpace = 40
 
 // bytes returns the whole request.
--- a/internal/edge/node/endpoints.go
+++ b/internal/edge/node/endpoints.go
@@ -14,7 +14,8 @@
 )
 
 // headerTimeout bounds the time that a caller may take for its headers if the
-// configuration in force does not say. Not measured.
+// configuration in force does not say. Not measured: chosen because it only bounds for how
+// long a silent caller holds a connection.
 const headerTimeout = 10 * time.Second
 
 // endpoint is one address with what serves it.
--- a/internal/edge/node/terms.go
+++ b/internal/edge/node/terms.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/decide/executors"
 )
 
-// terms tells under what requests run on this node now.
+// terms holds the terms under which requests run on this node now.
 type terms struct {
 	config interface {
 		Version() uint64
