--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -65,7 +65,7 @@
 	return append(lines, "\r\n"...)
 }
 
-// lengthHeaderSpace is room for the line that tells the length of the body.
+// lengthHeaderSpace is room for the line with the length of the body, in bytes.
 const lengthHeaderSpace = 40
 
 // bytes returns the whole request.
@@ -80,7 +80,7 @@
 	return append(content, m.Body...)
 }
 
-// usuallyHasBody reports whether the length is told also of no body.
+// usuallyHasBody reports whether the length is sent also where there is no body.
 func (m *Message) usuallyHasBody() bool {
 	switch m.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
--- a/internal/edge/node/endpoints.go
+++ b/internal/edge/node/endpoints.go
@@ -14,7 +14,8 @@
 )
 
 // headerTimeout bounds the time that a caller may take for its headers if the
-// configuration in force does not say. Not measured.
+// configuration in force does not say. Not measured: chosen because it only bounds for how
+// long a silent caller holds a connection.
 const headerTimeout = 10 * time.Second
 
 // endpoint is one address with what serves it.
@@ -29,7 +30,7 @@
 	return []endpoint{
 		{n.settings.Listen.HTTP, n.ports.Handler(n)},
 		{n.settings.Listen.Ready, readyHandler(n.ports.ReadyPath, n.ready)},
-		{n.settings.Listen.Metrics, metricsHandler(n.registry.Handler())},
+		{n.settings.Listen.Metrics, metricsHandler(n.metricsRegistry.Handler())},
 	}
 }
 
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -19,6 +19,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/micaplank/micaplank/internal/clock"
+	"github.com/micaplank/micaplank/internal/decide/combiners"
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 	"github.com/micaplank/micaplank/internal/decide/executors"
 	"github.com/micaplank/micaplank/internal/decide/startup"
@@ -41,9 +42,10 @@
 	logger   *slog.Logger
 	clock    *clock.Monotonic
 	metrics  *metrics
-	registry *telemetry.Registry
-	self     roster.Member
-	draining atomic.Bool
+	// metricsRegistry holds the metrics of all parts of the node.
+	metricsRegistry *telemetry.Registry
+	self            roster.Member
+	draining        atomic.Bool
 
 	// Requests.
 	conn      *scatter.Conn[*forward.Request, forward.Part]
@@ -60,30 +62,30 @@
 	delegate   *delegate.Client
 	combine    *combine.Client
 	rollouts   *rolloutDriver
-	quarantine *quarantineGate
+	quarantine *quarantineDriver
 }
 
 // New returns a Node that has not started anything.
-func New(configured settings.Settings, ports Ports, registry *telemetry.Registry, logger *slog.Logger) *Node {
+func New(configured settings.Settings, ports Ports, metricsRegistry *telemetry.Registry, logger *slog.Logger) *Node {
 	n := &Node{
-		settings: configured,
-		ports:    ports,
-		logger:   logger,
-		clock:    clock.NewMonotonic(),
-		metrics:  newMetrics(registry),
-		registry: registry,
-		self:     memberOf(configured),
+		settings:        configured,
+		ports:           ports,
+		logger:          logger,
+		clock:           clock.NewMonotonic(),
+		metrics:         newMetrics(metricsRegistry),
+		metricsRegistry: metricsRegistry,
+		self:            memberOf(configured),
 	}
 	view := newView(configured.Forward, n.clock)
-	n.connectPeers(registry)
-	n.buildRequests(view, registry)
-	n.buildFollowing(view, registry)
+	n.connectPeers(metricsRegistry)
+	n.buildRequests(view, metricsRegistry)
+	n.buildFollowing(view, metricsRegistry)
 	n.runner = n.newRunner()
-	registry.MustRegister(newCollector(n.conn, n.mirror))
+	metricsRegistry.MustRegister(newCollector(n.conn, n.mirror))
 	return n
 }
 
-// memberOf returns what a node tells the others of itself.
+// memberOf returns what a node announces of itself.
 func memberOf(configured settings.Settings) roster.Member {
 	return roster.Member{
 		Name: configured.Name, Zone: configured.Zone, Peer: configured.Listen.Peer,
@@ -94,7 +96,7 @@
 // connectPeers makes what calls other nodes.
 func (n *Node) connectPeers(registerer prometheus.Registerer) {
 	n.peers = peer.NewClient(peer.ClientOptions{DialTimeout: peerDialTimeout}, registerer)
-	n.combine = combine.New(combine.DefaultConfig(), n.self, n.ports.Leaves, n.peers, n.clock, registerer, n.logger)
+	n.combine = combine.New(combiners.DefaultConfig(), n.self, n.ports.Leaves, n.peers, n.clock, registerer, n.logger)
 	n.mirror = mirror.NewShared(mirror.DefaultSharedConfig(), n.ports.Store, mirrorPeers{client: n.peers, self: n.self.Name}, n.clock, n.logger)
 	n.delegate = delegate.New(executors.DefaultConfig(), n.self, n.peers, n.clock, registerer, n.logger)
 }
@@ -111,7 +113,7 @@
 		Linger:        n.settings.Forward.Linger.Duration(),
 		Trace:         true,
 	}, dispatch.New(dispatchConfig(n.settings), random))
-	n.quarantine = newQuarantineGate(n.self.Name, n.settings.Forward, n.ports.Quarantine, n.clock, n.logger, registerer)
+	n.quarantine = newQuarantineDriver(n.self.Name, n.settings.Forward, n.ports.Quarantine, n.clock, n.logger, registerer)
 	n.forwarder = forward.New(forwardConfig(n.settings.Forward, n.clock), n.conn, n.quarantine, view.index)
 }
 
