--- /dev/null
+++ b/internal/decide/linger/linger_test.go
@@ -0,0 +1,23 @@
+package linger
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTime(t *testing.T) {
+	for _, test := range []struct {
+		allowed time.Duration
+		overdue bool
+		want    time.Duration
+	}{
+		{100 * time.Millisecond, false, 100 * time.Millisecond},
+		{100 * time.Millisecond, true, 0},
+		{0, false, 0},
+		{0, true, 0},
+	} {
+		if got := Time(test.allowed, test.overdue); got != test.want {
+			t.Errorf("%v, overdue %v: %v, want %v", test.allowed, test.overdue, got, test.want)
+		}
+	}
+}
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -5,8 +5,11 @@
 	"errors"
 	"net/netip"
 	"strconv"
+	"time"
 
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/linger"
+	"github.com/micaplank/micaplank/internal/decide/presend"
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
@@ -20,6 +23,47 @@
 // errNotUsable says that a leaf was given up between the decision and the send.
 var errNotUsable = errors.New("the leaf takes no new work any more")
 
+// attempt is one send in progress.
+type attempt struct {
+	send   dispatch.Send
+	cancel context.CancelFunc
+	// aborted is set before cancel is called, under the Conn's mutex.
+	aborted bool
+	// trace is its place in the trace of its query.
+	trace int
+	// linger cancels an aborted attempt later; nil without one.
+	linger *time.Timer
+}
+
+// start sends an attempt in the background.
+func (c *Conn[Q, P]) start(send dispatch.Send) {
+	running := c.queries[send.Query]
+	ctx, cancel := context.WithCancel(running.ctx)
+	running.open++
+	started := &attempt{send: send, cancel: cancel, trace: len(running.trace)}
+	if c.config.Trace {
+		running.trace = append(running.trace, AttemptTrace{Send: send, At: c.config.Clock.Now() - running.begun, End: EndOpen})
+	}
+	c.attempts[send.Attempt] = started
+	c.running.Add(1)
+	go c.run(ctx, started, running)
+}
+
+// abort gives up an attempt, at once or after a while (package linger).
+func (c *Conn[Q, P]) abort(given dispatch.Abort) {
+	started := c.attempts[given.Attempt]
+	if started == nil {
+		return
+	}
+	started.aborted = true
+	wait := linger.Time(c.config.Linger, given.Overdue)
+	if wait == 0 {
+		started.cancel()
+		return
+	}
+	started.linger = time.AfterFunc(wait, started.cancel)
+}
+
 // run performs one attempt and reports its end, exactly once.
 func (c *Conn[Q, P]) run(ctx context.Context, started *attempt, running *query[Q, P]) {
 	defer c.running.Done()
@@ -36,18 +80,17 @@
 	c.noteDraining(started.send.Leaf, response)
 }
 
-// execute sends one attempt, unless the guard or the deadline forbids it. The
-// checks come directly before the send: the process may have been frozen since
-// the decision was made.
+// execute sends one attempt, unless package presend forbids it.
 func (c *Conn[Q, P]) execute(ctx context.Context, send dispatch.Send, running *query[Q, P]) (*Response[P], error) {
-	if err := c.config.Guard(); err != nil {
-		return nil, notSent(stepGuard, send.Leaf, err)
-	}
-	if !c.MayGetWork(send.Leaf) {
+	state := presend.State{Guard: c.config.Guard()} // first: it may bring in a newer topology
+	state.Usable = c.MayGetWork(send.Leaf)
+	state.Remaining = running.deadline - c.config.Clock.Now()
+	switch presend.Decide(state) {
+	case presend.NotFresh:
+		return nil, notSent(stepGuard, send.Leaf, state.Guard)
+	case presend.NotUsable:
 		return nil, notSent(stepTopology, send.Leaf, errNotUsable)
-	}
-	remaining := running.deadline - c.config.Clock.Now()
-	if remaining <= 0 {
+	case presend.Expired:
 		return nil, notSent(stepDeadline, send.Leaf, context.DeadlineExceeded)
 	}
 	return c.config.Leaves.Execute(ctx, Attempt[Q]{
@@ -56,105 +99,12 @@
 		RequestID:  running.request.RequestID,
 		Service:    c.config.Service,
 		Repeatable: running.request.Class.Repeatable,
-		Remaining:  remaining,
+		Remaining:  state.Remaining,
 		Payload:    running.request.Payload,
 	})
 }
 
+// notSent returns the error of an attempt of which no byte left.
 func notSent(step leaf.Step, peer netip.AddrPort, err error) error {
 	return &leaf.TransportError{Step: step, Peer: peer, Sent: false, Err: err}
 }
-
-// report passes the end of an attempt to the Dispatcher.
-func (c *Conn[Q, P]) report(now dispatch.Time, started *attempt, running *query[Q, P], response *Response[P], err error) []dispatch.Action {
-	id := started.send.Attempt
-	if _, active := c.queries[started.send.Query]; active && c.config.Trace {
-		entry := &running.trace[started.trace]
-		entry.End, entry.Detail = endOf(response, err)
-		entry.Took = now - running.begun - entry.At
-		entry.Aborted = started.aborted
-		entry.Closed = err != nil && closedByLeaf(err)
-	}
-	if err != nil {
-		failure := dispatch.Failure{
-			Sent: mayHaveBeenSent(err), Aborted: started.aborted, OnTheWay: lostOnTheWay(err), Closed: closedByLeaf(err),
-		}
-		c.config.Metrics.countFailure(failure)
-		return c.dispatcher.Fail(now, id, failure)
-	}
-	if !response.Executed {
-		c.config.Metrics.countRefusal(response.Refusal)
-		if response.Refusal == leaf.RefusedInvalid {
-			running.detail = response.Detail
-		}
-		return c.dispatcher.Refuse(now, id, dispatch.Refusal{
-			Reason:     response.Refusal,
-			RetryAfter: response.RetryAfter,
-			BootID:     response.BootID,
-			Load:       response.Load,
-		})
-	}
-	if response.Failed {
-		running.failure = &response.Part
-		failure := dispatch.Failure{Sent: true, Aborted: started.aborted}
-		c.config.Metrics.countFailure(failure)
-		return c.dispatcher.Fail(now, id, failure)
-	}
-	if _, active := c.queries[started.send.Query]; active {
-		running.parts[id] = response.Part
-	}
-	return c.dispatcher.Reply(now, id, dispatch.Reply{
-		Shard:    response.Shard,
-		Snapshot: response.Snapshot,
-		BootID:   response.BootID,
-		Load:     response.Load,
-	})
-}
-
-// endOf says how an attempt ended, and why.
-func endOf[P any](response *Response[P], err error) (AttemptEnd, string) {
-	switch {
-	case err != nil && mayHaveBeenSent(err):
-		return EndLost, err.Error()
-	case err != nil:
-		return EndUnsent, err.Error()
-	case !response.Executed:
-		return EndRefused, string(response.Refusal)
-	case response.Failed:
-		return EndFailed, ""
-	default:
-		return EndAnswered, ""
-	}
-}
-
-// mayHaveBeenSent reports whether the leaf may have run the attempt. Only a
-// transport error that proves the opposite counts as not sent.
-func mayHaveBeenSent(err error) bool {
-	var transport *leaf.TransportError
-	if errors.As(err, &transport) {
-		return transport.Sent
-	}
-	return true
-}
-
-// lostOnTheWay reports whether the attempt was lost with another node.
-func lostOnTheWay(err error) bool {
-	var transport *leaf.TransportError
-	return errors.As(err, &transport) && transport.OnTheWay
-}
-
-// closedByLeaf reports whether the leaf's end of the connection was closed before a
-// byte of the answer.
-func closedByLeaf(err error) bool {
-	var transport *leaf.TransportError
-	return errors.As(err, &transport) && transport.Closed
-}
-
-func (c *Conn[Q, P]) noteDraining(address netip.AddrPort, response *Response[P]) {
-	if response == nil || c.config.OnDraining == nil {
-		return
-	}
-	if response.Refusal == leaf.RefusedDraining || response.Load.State == leaf.StateDraining {
-		c.config.OnDraining(address, response.BootID)
-	}
-}
--- /dev/null
+++ b/internal/scatter/ends.go
@@ -0,0 +1,102 @@
+package scatter
+
+import (
+	"errors"
+	"net/netip"
+	"time"
+
+	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/leaf"
+)
+
+// report passes the end of an attempt to the Dispatcher.
+func (c *Conn[Q, P]) report(now dispatch.Time, started *attempt, running *query[Q, P], response *Response[P], err error) []dispatch.Action {
+	_, active := c.queries[started.send.Query]
+	if active && c.config.Trace {
+		traceEnd(&running.trace[started.trace], now-running.begun, started.aborted, response, err)
+	}
+	id := started.send.Attempt
+	switch {
+	case err != nil:
+		failure := failureOf(err)
+		failure.Aborted = started.aborted
+		return c.fail(now, id, failure)
+	case !response.Executed:
+		return c.refuse(now, id, running, response)
+	case response.Failed:
+		running.failure = &response.Part
+		return c.fail(now, id, dispatch.Failure{Sent: true, Aborted: started.aborted})
+	}
+	if active {
+		running.parts[id] = response.Part
+	}
+	return c.dispatcher.Reply(now, id, dispatch.Reply{
+		Shard:    response.Shard,
+		Snapshot: response.Snapshot,
+		BootID:   response.BootID,
+		Load:     response.Load,
+	})
+}
+
+func (c *Conn[Q, P]) fail(now dispatch.Time, id dispatch.AttemptID, failure dispatch.Failure) []dispatch.Action {
+	c.config.Metrics.countFailure(failure)
+	return c.dispatcher.Fail(now, id, failure)
+}
+
+func (c *Conn[Q, P]) refuse(now dispatch.Time, id dispatch.AttemptID, running *query[Q, P], response *Response[P]) []dispatch.Action {
+	c.config.Metrics.countRefusal(response.Refusal)
+	if response.Refusal == leaf.RefusedInvalid {
+		running.detail = response.Detail
+	}
+	return c.dispatcher.Refuse(now, id, dispatch.Refusal{
+		Reason:     response.Refusal,
+		RetryAfter: response.RetryAfter,
+		BootID:     response.BootID,
+		Load:       response.Load,
+	})
+}
+
+// traceEnd completes the trace of an attempt that ended at a time since its query was
+// submitted.
+func traceEnd[P any](entry *AttemptTrace, at time.Duration, aborted bool, response *Response[P], err error) {
+	entry.End, entry.Detail = endOf(response, err)
+	entry.Took = at - entry.At
+	entry.Aborted = aborted
+	entry.Closed = err != nil && failureOf(err).Closed
+}
+
+// endOf says how an attempt ended, and why.
+func endOf[P any](response *Response[P], err error) (AttemptEnd, string) {
+	switch {
+	case err != nil && failureOf(err).Sent:
+		return EndLost, err.Error()
+	case err != nil:
+		return EndUnsent, err.Error()
+	case !response.Executed:
+		return EndRefused, string(response.Refusal)
+	case response.Failed:
+		return EndFailed, ""
+	default:
+		return EndAnswered, ""
+	}
+}
+
+// failureOf says what an error proves of an attempt. Only a transport error that proves
+// that no byte was sent counts as not sent: after any other one the leaf may have run it.
+func failureOf(err error) dispatch.Failure {
+	var transport *leaf.TransportError
+	if !errors.As(err, &transport) {
+		return dispatch.Failure{Sent: true}
+	}
+	return dispatch.Failure{Sent: transport.Sent, OnTheWay: transport.OnTheWay, Closed: transport.Closed}
+}
+
+// noteDraining reports a leaf whose answer says that it takes no new work.
+func (c *Conn[Q, P]) noteDraining(address netip.AddrPort, response *Response[P]) {
+	if response == nil || c.config.OnDraining == nil {
+		return
+	}
+	if response.Refusal == leaf.RefusedDraining || response.Load.State == leaf.StateDraining {
+		c.config.OnDraining(address, response.BootID)
+	}
+}
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -5,7 +5,9 @@
 // sends attempts, collects the tables of replies and hands the ones that count
 // to the caller. It repeats nothing on its own: a second attempt happens only
 // if the Dispatcher returns another Send. It owns the attempts in flight and the
-// timer of one service, and relies on internal/decide/dispatch for every decision.
+// timer of one service. It relies on internal/decide/dispatch for what is sent and when
+// a query ends, on internal/decide/presend for the last check before a send, and on
+// internal/decide/linger for when an attempt is cancelled that is not wanted any more.
 package scatter
 
 import (
@@ -78,9 +80,8 @@
 	Metrics       *Metrics
 	// Trace collects the attempts of each query for its Result.
 	Trace bool
-	// Linger is how long an attempt that is not wanted any more may go on, so
-	// that its connection can be used again, unless it is overdue. Zero cancels
-	// it at once.
+	// Linger is how long an attempt that is not wanted any more may go on; zero
+	// cancels it at once. The rule is package linger.
 	Linger time.Duration
 }
 
