--- a/cmd/micactl/rollouts.go
+++ b/cmd/micactl/rollouts.go
@@ -28,12 +28,12 @@
 	if err != nil {
 		return err
 	}
-	story := explain.Rollouts(lines, c.service, since)
-	if len(story.Steps) == 0 {
+	timeline := explain.Rollouts(lines, c.service, since)
+	if len(timeline.Steps) == 0 {
 		return fmt.Errorf("none of the %d lines tells of a roll-out", len(lines))
 	}
 	if session.Format == operator.FormatJSON {
-		return explain.WriteJSON(session.Output, story)
+		return explain.WriteJSON(session.Output, timeline)
 	}
-	return explain.WriteText(session.Output, story)
+	return explain.WriteText(session.Output, timeline)
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -133,9 +133,9 @@
 	known := newBeliefs()
 	begin := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	message := event.ZoneCordoned{}.Kind().Message
-	known.learn(&Line{Message: message, Time: begin, Zone: "north", Cordoned: true})
-	known.learn(&Line{Message: message, Time: begin.Add(time.Second), Zone: "south", Cordoned: true})
-	known.learn(&Line{Message: message, Time: begin.Add(2 * time.Second), Zone: "south"})
+	known.learn(&Line{Message: message, Time: begin, NodeFields: NodeFields{Zone: "north", Cordoned: true}})
+	known.learn(&Line{Message: message, Time: begin.Add(time.Second), NodeFields: NodeFields{Zone: "south", Cordoned: true}})
+	known.learn(&Line{Message: message, Time: begin.Add(2 * time.Second), NodeFields: NodeFields{Zone: "south"}})
 	told := known.at(&Line{Time: begin.Add(3 * time.Second)})
 	if want := []string{"zone north out of service for 3s"}; !reflect.DeepEqual(told, want) {
 		t.Errorf("%q, want %q", told, want)
@@ -164,8 +164,11 @@
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
 	request := lines[0]
-	want := Line{Time: request.Time, Message: "request", RequestID: "x", Route: "r", Version: 9, Fate: "merged", Reason: "deadline",
-		Answered: 1, Total: 2, Status: 200, TookMS: 10, Patience: 11, Retry: 12, From: "a", Executor: "b", Attempts: []event.Attempt{attempt}}
+	want := Line{
+		Time: request.Time, Message: "request", SharedFields: SharedFields{Version: 9, Reason: "deadline"},
+		RequestFields: RequestFields{RequestID: "x", Route: "r", Fate: "merged", Answered: 1, Total: 2, Status: 200,
+			TookMS: 10, PatienceMS: 11, RetryAfterMS: 12, From: "a", Executor: "b", Attempts: []event.Attempt{attempt}},
+	}
 	if !reflect.DeepEqual(request, want) {
 		t.Errorf("%+v, want %+v", request, want)
 	}
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -33,42 +33,44 @@
 // Rollouts returns the history of roll-outs since a time: orders, what was decided and
 // why, and how soon the nodes followed. With a service, only its own.
 func Rollouts(lines []Line, service string, since time.Time) Timeline {
-	sorted := slices.Clone(lines)
-	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	var steps []Step
-	told := make(map[string]bool)
+	ordered := make(map[string]bool) // texts: each node logs an order
 	followed := make(map[phaseKey]*followers)
-	for index := range sorted {
-		line := &sorted[index]
-		if line.Time.Before(since) || service != "" && line.Service != service && line.Message != (event.RolloutDecider{}).Kind().Message {
+	for _, line := range byTime(lines) {
+		if line.Time.Before(since) || !concerns(&line, service) {
 			continue
 		}
 		switch line.Message {
 		case event.RolloutOrdered{}.Kind().Message:
-			text := orderText(line)
-			if !told[text] {
-				told[text] = true
+			text := orderText(&line)
+			if !ordered[text] {
+				ordered[text] = true
 				steps = append(steps, Step{line.Time, line.Node, KindOrdered, text})
 			}
 		case event.RolloutDecided{}.Kind().Message:
-			steps = append(steps, Step{line.Time, line.Node, KindDecided, decidedText(line)})
+			steps = append(steps, Step{line.Time, line.Node, KindDecided, decidedText(&line)})
 		case event.RolloutDecider{}.Kind().Message:
 			if line.Former != "" {
-				steps = append(steps, Step{line.Time, line.Node, KindDecider, deciderText(line)})
+				steps = append(steps, Step{line.Time, line.Node, KindDecider, deciderText(&line)})
 			}
 		case event.RolloutChanged{}.Kind().Message:
-			follow(followed, line)
+			follow(followed, &line)
 		}
 	}
-	for key, nodes := range followed {
-		text := fmt.Sprintf("%s to %s: %d nodes go by %s, the last one (%s) after %v",
-			key.service, key.target, nodes.count, key.phase, nodes.lastNode, nodes.last.Sub(nodes.first).Round(time.Millisecond))
-		steps = append(steps, Step{nodes.last, nodes.lastNode, KindFollowed, text})
+	for phase, nodes := range followed {
+		steps = append(steps, Step{nodes.last, nodes.lastNode, KindFollowed, followedText(phase, nodes)})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Text, b.Text)) })
 	return Timeline{Steps: steps}
 }
 
+// concerns reports whether a line may be of a roll-out of a service; empty for any one.
+// The decider is that of all services.
+func concerns(line *Line, service string) bool {
+	return service == "" || line.Service == service || line.Message == (event.RolloutDecider{}).Kind().Message
+}
+
+// follow takes in that a node goes by a phase.
 func follow(followed map[phaseKey]*followers, line *Line) {
 	key := phaseKey{line.Service, line.Target, line.Phase, line.Order}
 	known, found := followed[key]
@@ -80,6 +82,11 @@
 	known.count++
 }
 
+func followedText(phase phaseKey, nodes *followers) string {
+	return fmt.Sprintf("%s to %s: %d nodes go by %s, the last one (%s) after %v",
+		phase.service, phase.target, nodes.count, phase.phase, nodes.lastNode, nodes.last.Sub(nodes.first).Round(time.Millisecond))
+}
+
 func orderText(line *Line) string {
 	if line.Withdrawn {
 		return fmt.Sprintf("%s: the order is withdrawn", line.Service)
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,49 +1,31 @@
 // Package losses is behind "micactl losses": it adds up, from the logs of nodes,
 // the requests without an answer and the shards that answers lack, by cause. It is
-// pure, and relies on internal/explain to read the lines.
+// pure, owns the causes (causes.go), and relies on internal/explain to read the lines.
 package losses
 
 import (
 	"cmp"
 	"maps"
+	"net/http"
 	"slices"
 	"time"
 
 	"github.com/micaplank/micaplank/internal/event"
 	"github.com/micaplank/micaplank/internal/explain"
+	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Cause is why something was lost.
-type Cause string
-
-// The causes. Those of shards that an answer lacks go by the last attempt at each
-// such shard.
+// The fates of requests as event.Request writes them.
 const (
-	CauseNoConfiguration Cause = "no configuration, or a route unknown while the store is away"
-	CauseOverload        Cause = "refused for load"
-	CauseQuarantined     Cause = "refused since leaves ended under it"
-	CauseRefused         Cause = "refused for another reason"
-	CauseExecutorLost    Cause = "lost with the node that ran it"
-	CauseLeafFailed      Cause = "the leaf's own failure"
-	CauseNotReached      Cause = "leaf not reached"
-	CauseLeafRefused     Cause = "leaf refused"
-	CauseAnswerLost      Cause = "answer of the leaf lost"
-	CauseSlowLeaf        Cause = "leaf known to be slow"
-	CauseNoBudget        Cause = "leaf silent, no budget for a second attempt"
-	CauseNoHedge         Cause = "leaf silent, no second attempt was sent"
-	CauseBothSilent      Cause = "two leaves silent"
-	CauseUnknown         Cause = "unknown"
+	fateAnswered = "answered" // by one leaf
+	fateMerged   = "merged"   // from parts
+	fateNoRoute  = "no_route"
+	fateNotRun   = "not_run"
 )
 
-const (
-	// slowLeaf is the slowness from which a leaf counts as slow.
-	slowLeaf = 2
-	// hedgePrice is the budget that a second attempt wants: one token, and one that
-	// is kept for repeats.
-	hedgePrice = 2
-	// worstRequests is how many requests are named.
-	worstRequests = 10
-)
+// worstRequests is how many requests are named. Not measured: chosen to keep the
+// report short.
+const worstRequests = 10
 
 // Part is what was lost in one group of requests. Lost is in whole requests: one
 // without an answer counts 1, one that lacks shards 1 less the square of the share
@@ -120,7 +102,7 @@
 // add adds one request.
 func (r *Report) add(one request, groups *groups) {
 	r.Requests++
-	if one.taken.Fate == "no_route" {
+	if one.taken.Fate == fateNoRoute {
 		r.NoRoute++
 		return
 	}
@@ -148,16 +130,16 @@
 func sharesOf(one request) map[Cause]float64 {
 	line := one.taken
 	switch {
-	case line.Fate == "answered" && line.Status < 500:
+	case line.Fate == fateAnswered && line.Status < http.StatusInternalServerError:
 		return nil
-	case line.Fate == "answered":
+	case line.Fate == fateAnswered:
 		return map[Cause]float64{CauseLeafFailed: 1}
-	case line.Fate == "merged" && line.Answered >= line.Total:
+	case line.Fate == fateMerged && line.Answered >= line.Total:
 		return nil
-	case line.Fate == "merged":
+	case line.Fate == fateMerged:
 		share := float64(line.Answered) / float64(max(line.Total, 1))
 		return divided(one.ran, 1-share*share)
-	case line.Fate == "not_run":
+	case line.Fate == fateNotRun:
 		return map[Cause]float64{refusal(line.Reason): 1}
 	case one.ran == nil && line.Executor != "":
 		return map[Cause]float64{CauseExecutorLost: 1}
@@ -166,19 +148,6 @@
 	}
 }
 
-func refusal(reason string) Cause {
-	switch reason {
-	case "no_snapshot":
-		return CauseNoConfiguration
-	case "overload":
-		return CauseOverload
-	case "quarantined", "trial":
-		return CauseQuarantined
-	default:
-		return CauseRefused
-	}
-}
-
 // divided divides a loss among the causes of the shards that brought no part.
 func divided(ran *explain.Line, lost float64) map[Cause]float64 {
 	if ran == nil {
@@ -191,7 +160,7 @@
 	counts := make(map[Cause]float64)
 	total := 0.0
 	for _, attempts := range shards {
-		if slices.ContainsFunc(attempts, func(one event.Attempt) bool { return one.End == "answered" }) {
+		if slices.ContainsFunc(attempts, func(one event.Attempt) bool { return one.End == string(scatter.EndAnswered) }) {
 			continue
 		}
 		counts[causeOf(attempts)]++
@@ -205,34 +174,3 @@
 	}
 	return counts
 }
-
-// causeOf returns why a shard brought no part.
-func causeOf(attempts []event.Attempt) Cause {
-	open := 0
-	for _, one := range attempts {
-		if one.End == "open" {
-			open++
-		}
-	}
-	last := attempts[len(attempts)-1]
-	switch {
-	case open > 1:
-		return CauseBothSilent
-	case open == 1 && last.Slowness >= slowLeaf:
-		return CauseSlowLeaf
-	case open == 1 && last.Budget < hedgePrice:
-		return CauseNoBudget
-	case open == 1:
-		return CauseNoHedge
-	case last.End == "unsent":
-		return CauseNotReached
-	case last.End == "refused":
-		return CauseLeafRefused
-	case last.End == "lost":
-		return CauseAnswerLost
-	case last.End == "failed":
-		return CauseLeafFailed
-	default:
-		return CauseUnknown
-	}
-}
