--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -127,10 +127,10 @@
 // not seen then.
 func (m *Monotonic) Failures() int64 { return m.failures.Load() }
 
-// Watch calls woke after each suspension, with its length, until ctx ends. It checks
+// Watch calls resumed after each suspension, with its length, until ctx ends. It checks
 // once in each interval of steady time: timers stand still with the machine, and go
 // off too late after it.
-func (m *Monotonic) Watch(ctx context.Context, interval time.Duration, woke func(length time.Duration)) {
+func (m *Monotonic) Watch(ctx context.Context, interval time.Duration, resumed func(length time.Duration)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	known := m.Suspended()
@@ -142,7 +142,7 @@
 		}
 		m.Now()
 		if now := m.Suspended(); now > known {
-			woke(now - known)
+			resumed(now - known)
 			known = now
 		}
 	}
--- /dev/null
+++ b/internal/rehearsal/cluster/calls.go
@@ -0,0 +1,76 @@
+package cluster
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/samber/oops"
+
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+)
+
+// connectionsPerProcess is how many idle connections are kept to one process.
+const connectionsPerProcess = 64
+
+func newClient() *http.Client {
+	return &http.Client{
+		Timeout:   time.Minute,
+		Transport: &http.Transport{MaxIdleConnsPerHost: connectionsPerProcess},
+	}
+}
+
+// Change sends one statement of an operator to a node.
+func (c *Cluster) Change(ctx context.Context, node *Node, statement string) (*api.StatementResponse, error) {
+	return c.Statement(ctx, node, api.StatementRequest{Statement: statement, Operator: "cluster"})
+}
+
+// Statement sends a request of an operator to a node.
+func (c *Cluster) Statement(ctx context.Context, node *Node, request api.StatementRequest) (*api.StatementResponse, error) {
+	response := new(api.StatementResponse)
+	err := c.post(ctx, node, api.StatementsPath, request, response)
+	return response, err
+}
+
+// Query sends one query of a caller to a node. A problem document comes back
+// as a *api.Problem.
+func (c *Cluster) Query(ctx context.Context, node *Node, service string, request api.QueryRequest) (*api.QueryResponse, error) {
+	response := new(api.QueryResponse)
+	path := strings.Replace(api.QueryPath, "{service}", service, 1)
+	err := c.post(ctx, node, path, request, response)
+	return response, err
+}
+
+func (c *Cluster) post(ctx context.Context, node *Node, path string, body, target any) error {
+	encoded, err := json.Marshal(body)
+	if err != nil {
+		return err
+	}
+	url := "http://" + node.HTTP.String() + path
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(encoded))
+	if err != nil {
+		return err
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := c.client.Do(request)
+	if err != nil {
+		return oops.With("step", "post", "peer", node.Name).Wrap(err)
+	}
+	defer response.Body.Close()
+	content, err := io.ReadAll(response.Body)
+	if err != nil {
+		return oops.With("step", "read response", "peer", node.Name).Wrap(err)
+	}
+	if response.StatusCode >= http.StatusBadRequest {
+		problem := new(api.Problem)
+		if err := json.Unmarshal(content, problem); err != nil {
+			return oops.With("step", "read problem", "peer", node.Name).Errorf("status %d: %s", response.StatusCode, content)
+		}
+		return problem
+	}
+	return json.Unmarshal(content, target)
+}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -38,8 +38,9 @@
 // entry is one announcement.
 type entry struct {
 	Member
-	// wentAt is when the announcement vanished; zero while it is there.
-	wentAt time.Duration
+	// removedAt is when the announcement vanished, on the node's clock; zero while it
+	// is there.
+	removedAt time.Duration
 	// order rises with each announcement.
 	order uint64
 }
@@ -47,13 +48,16 @@
 // Roster holds the announcements by key: each incarnation of a node has one of
 // its own. It is not safe for concurrent use.
 type Roster struct {
+	// memory is for how long an announcement counts after it vanished.
 	memory    time.Duration
 	announced map[string]entry
 	// assumed is the count that holds until the first announcements were known
 	// for as long as memory.
 	assumed int
-	since   time.Duration
-	orders  uint64
+	// since is when the first announcement came; below zero before.
+	since time.Duration
+	// orders counts the announcements.
+	orders uint64
 }
 
 // New returns a Roster that remembers an announcement for some time after it vanished, and
@@ -73,8 +77,8 @@
 
 // Remove takes in that an announcement is gone.
 func (r *Roster) Remove(now time.Duration, key string) {
-	if known, found := r.announced[key]; found && known.wentAt == 0 {
-		known.wentAt = max(now, 1)
+	if known, found := r.announced[key]; found && known.removedAt == 0 {
+		known.removedAt = max(now, 1)
 		r.announced[key] = known
 	}
 }
@@ -105,7 +109,7 @@
 func (r *Roster) Members(now time.Duration) []Member {
 	latest := make(map[string]entry, len(r.announced))
 	for key, known := range r.announced {
-		if known.wentAt > 0 && now-known.wentAt > r.memory {
+		if known.removedAt > 0 && now-known.removedAt > r.memory {
 			delete(r.announced, key)
 			continue
 		}
