--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,13 +1,12 @@
 // Package settings holds the settings of one node process, of either node
 // program: a TOML file, overridden by flags. It owns the names, forms, defaults
 // and ranges of all keys. Unknown keys, wrong types and values out of range are
-// errors that name the file, line and key, and what was expected there.
+// errors that name the file, line and key, and what was expected there. It relies on
+// internal/catalog for the form of names; what a setting does is in the package that
+// takes it.
 package settings
 
-import (
-	"net/netip"
-	"time"
-)
+import "net/netip"
 
 // Settings is everything that a node process is configured with at its start. The tags
 // "expect" say in words what a value must be, "comment" what it does.
@@ -135,37 +134,6 @@
 	Level  string `toml:"level" comment:"debug, info, warn or error." validate:"oneof=debug info warn error" expect:"\"debug\", \"info\", \"warn\" or \"error\""`
 }
 
-// Defaults returns the settings of a node on this machine, without a name and
-// zone: those have no default.
-func Defaults() Settings {
-	return Settings{
-		Region: "local",
-		Listen: Listen{
-			HTTP: netip.MustParseAddrPort("127.0.0.1:7201"),
-			Peer: netip.MustParseAddrPort("127.0.0.1:7301"),
-		},
-		Peers: Peers{Seeds: []netip.AddrPort{}},
-		Store: Store{
-			Endpoints: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7001")},
-			Timeout:   Duration(2 * time.Second), Rate: 50, Burst: 25,
-		},
-		Machines: Machines{
-			Address:  netip.MustParseAddrPort("127.0.0.1:7002"),
-			Interval: Duration(time.Second), Timeout: Duration(time.Second),
-		},
-		Leaf: Leaf{
-			ConnectionsPerLeaf: 2, LoadInterval: Duration(250 * time.Millisecond), DialTimeout: Duration(500 * time.Millisecond),
-		},
-		Limits:     Limits{BodyBytes: 1 << 20, Concurrency: 4096, DrainTimeout: Duration(30 * time.Second)},
-		Once:       Once{Window: Duration(5 * time.Minute), Skew: Duration(5 * time.Second), Capacity: 1 << 20},
-		Freshness:  Freshness{Window: Duration(5 * time.Second), ExchangeInterval: Duration(500 * time.Millisecond)},
-		Membership: defaultMembership(),
-		Process:    Process{Cores: 1, CoreShare: 1},
-		Forward:    defaultForward(),
-		Log:        Log{Format: "text", Level: "info"},
-	}
-}
-
 // AdvertisedAddress is the IP address at which other nodes reach this one.
 func (s Settings) AdvertisedAddress() netip.Addr {
 	if s.Advertise.IsValid() {
@@ -173,38 +141,3 @@
 	}
 	return s.Listen.Peer.Addr()
 }
-
-func defaultForward() Forward {
-	return Forward{
-		SettleShare:     0.9,
-		ClientAllowance: Duration(6 * time.Millisecond),
-		HedgeShare:      0.25,
-		HedgePercentile: 0.9,
-		Linger:          Duration(100 * time.Millisecond),
-		ExtraRatio:      0.2,
-		ExtraSlack:      56,
-		ExtraWindow:     Duration(10 * time.Second),
-		ColdOvershoot:   1,
-		QuarantineAfter: 3,
-		ExtraNodes:      12,
-		EqualNodes:      16,
-		WatchWait:       Duration(2800 * time.Millisecond),
-		WatchGather:     Duration(500 * time.Millisecond),
-		LeafDoubt:       Duration(2 * time.Second),
-		LeafSettling:    Duration(3 * time.Second),
-		DrainDelay:      Duration(3500 * time.Millisecond),
-		IdleTimeout:     Duration(time.Minute),
-	}
-}
-
-func defaultMembership() Membership {
-	return Membership{
-		ProbeInterval:          Duration(time.Second),
-		ProbeTimeout:           Duration(350 * time.Millisecond),
-		IndirectProbes:         3,
-		SuspicionMultiplier:    3,
-		SuspicionMaximumFactor: 3,
-		GossipInterval:         Duration(200 * time.Millisecond),
-		GossipFanout:           3,
-	}
-}
