--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -1,5 +1,6 @@
 // Package machines is a stand-in for the platform's machine list, for tests and
-// the demo. The list lags by a settable time.
+// the demo. The list lags by a settable time. It owns the list and its history, and
+// relies on internal/selfhosted/machines for the form of the list.
 package machines
 
 import (
