--- a/internal/leaf/call.go
+++ b/internal/leaf/call.go
@@ -18,7 +18,8 @@
 // buffers recycles the buffers that replies are read into.
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// largestRecycled is the largest buffer kept for the next reply, in bytes.
+// largestRecycled is the largest buffer kept for the next reply, in bytes. Not measured:
+// chosen so that one large reply does not stay in memory.
 const largestRecycled = 1 << 20
 
 // call sends one request and decodes the reply into out. It reports whether
--- a/internal/leaf/config.go
+++ b/internal/leaf/config.go
@@ -32,16 +32,28 @@
 
 // The defaults of Config.
 const (
+	// DefaultConnectionsPerLeaf is a number of connections. Not measured: chosen so that a
+	// leaf can be called while one connection is dialed again.
 	DefaultConnectionsPerLeaf = 2
-	DefaultConnectTimeout     = time.Second
-	DefaultConnectWait        = 50 * time.Millisecond
-	DefaultRedialMinimum      = 20 * time.Millisecond
-	DefaultRedialMaximum      = time.Second
-	DefaultReplyLimit         = 16 << 20
-	DefaultPingAfter          = 5 * time.Second
-	DefaultPingTimeout        = 2 * time.Second
+	// DefaultConnectTimeout bounds a dial. Not measured: chosen far above a round trip.
+	DefaultConnectTimeout = time.Second
+	// DefaultConnectWait bounds the wait of a call. Not measured: chosen so that a call
+	// goes to another leaf while there is time.
+	DefaultConnectWait = 50 * time.Millisecond
+	// DefaultRedialMinimum and DefaultRedialMaximum bound the pause between dials. Not
+	// measured: chosen so that a leaf that is back is called soon, and one that stays away
+	// costs one dial a second.
+	DefaultRedialMinimum = 20 * time.Millisecond
+	DefaultRedialMaximum = time.Second
+	// DefaultReplyLimit is in bytes. Not measured: chosen far above the replies of leaves.
+	DefaultReplyLimit = 16 << 20
+	// DefaultPingAfter and DefaultPingTimeout find a connection that is silent for good.
+	// Not measured: chosen because calls end by their deadlines before.
+	DefaultPingAfter   = 5 * time.Second
+	DefaultPingTimeout = 2 * time.Second
 )
 
+// withDefaults returns the Config with a value in each field.
 func (c Config) withDefaults() Config {
 	setDefault(&c.ConnectionsPerLeaf, DefaultConnectionsPerLeaf)
 	setDefault(&c.ConnectTimeout, DefaultConnectTimeout)
--- a/internal/leaf/protocol.go
+++ b/internal/leaf/protocol.go
@@ -78,7 +78,7 @@
 	Pace int `json:"pace,omitempty"`
 }
 
-// State is a leaf's own word on whether it takes work.
+// State is what a leaf reports of whether it takes work.
 type State string
 
 // The states of a leaf.
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,6 +1,7 @@
 // Package losses is behind "micactl losses": it adds up, from the logs of nodes,
 // the requests without an answer and the shards that answers lack, by cause. It is
-// pure, owns the causes (causes.go), and relies on internal/explain to read the lines.
+// pure, owns the causes (causes.go), and relies on internal/explain to read the
+// lines, and on scatter and dispatch for the names of ends and reasons.
 package losses
 
 import (
--- a/internal/rehearsal/history/work.go
+++ b/internal/rehearsal/history/work.go
@@ -8,11 +8,11 @@
 )
 
 // CheckLeaving checks that no attempt arrived at a leaf, not even one that it
-// refused, once the bound had passed after the word that it is leaving.
-func CheckLeaving(name string, attempts []leaf.Execution, told time.Time, bound time.Duration) []Violation {
+// refused, once the bound had passed after the notice that it is leaving.
+func CheckLeaving(name string, attempts []leaf.Execution, notice time.Time, bound time.Duration) []Violation {
 	var violations []Violation
 	for _, attempt := range attempts {
-		if late := time.UnixMicro(attempt.Arrived).Sub(told); late > bound {
+		if late := time.UnixMicro(attempt.Arrived).Sub(notice); late > bound {
 			violations = append(violations, Violation{
 				Promise: "leaving leaf", Subject: name,
 				Detail: fmt.Sprintf("attempt %s arrived %s after the word", attempt.AttemptID, late),
@@ -22,12 +22,12 @@
 	return violations
 }
 
-// LastArrival returns how long after the word the last attempt arrived; zero
+// LastArrival returns how long after the notice the last attempt arrived; zero
 // if none did.
-func LastArrival(attempts []leaf.Execution, told time.Time) time.Duration {
+func LastArrival(attempts []leaf.Execution, notice time.Time) time.Duration {
 	var last time.Duration
 	for _, attempt := range attempts {
-		last = max(last, time.UnixMicro(attempt.Arrived).Sub(told))
+		last = max(last, time.UnixMicro(attempt.Arrived).Sub(notice))
 	}
 	return last
 }
--- a/internal/rehearsal/leaf/config.go
+++ b/internal/rehearsal/leaf/config.go
@@ -1,7 +1,9 @@
 // Package leaf is a stand-in for a leaf server, for rehearsals and tests. It
 // serves the leaf protocol over HTTP/2 and HTTP/1.1 without TLS, runs
 // statements over generated data, and brings about the faults of real leaves:
-// slow and cold ones, full queues, draining, lying reports, lost replies.
+// slow and cold ones, full queues, draining, lying reports, lost replies. It owns its data,
+// slots and execution log, and relies on internal/leaf for the messages and on
+// internal/selfhosted/language and merge to run statements.
 package leaf
 
 import (
--- a/internal/rehearsal/store/config.go
+++ b/internal/rehearsal/store/config.go
@@ -1,7 +1,8 @@
 // Package store is a stand-in for the platform's configuration store, for
-// tests and the demo. It serves the same part of the etcd
-// v3 HTTP/JSON gateway that internal/selfhosted/store calls, keeps everything in memory,
-// and can be made to fail in the ways that the real one does.
+// tests and the demo. It serves the same part of the etcd v3 HTTP/JSON gateway that
+// internal/selfhosted/store calls, and can be made to fail in the ways that the real one
+// does. It owns its keys, leases and history, all in memory, and relies on
+// internal/selfhosted/store/wire for the messages.
 package store
 
 import (
--- a/internal/rows/codec.go
+++ b/internal/rows/codec.go
@@ -29,7 +29,8 @@
 	return fmt.Sprintf("rows: %s is no value; expected a number, a string or null", e.JSON)
 }
 
-// shownJSON is the longest piece of JSON that an error repeats, in bytes.
+// shownJSON is the longest piece of JSON that an error repeats, in bytes. Not measured:
+// chosen to keep a line of the log readable.
 const shownJSON = 40
 
 // MarshalJSON implements json.Marshaler. Texts must be valid UTF-8; other
--- a/internal/rows/decode.go
+++ b/internal/rows/decode.go
@@ -147,13 +147,15 @@
 	if s.takeWord("null") {
 		return nil
 	}
-	const likelyRows = 16
+	const likelyRows = 16 // that there is room for at first; not measured
 	read := make([]Row, 0, likelyRows)
 	s.list('[', ']', func() { read = append(read, s.row(width)) })
 	return read
 }
 
-// slabRows is the number of rows that a slab has room for.
+// slabRows is the number of rows whose values share one allocation. Not measured by itself;
+// a table of 20 rows of 4 values took 18.6 us and 12 allocations to read, where a call for
+// each value took 33.3 us and 120.
 const slabRows = 32
 
 func (s *tableScanner) row(width int) Row {
--- a/internal/rows/encode.go
+++ b/internal/rows/encode.go
@@ -1,6 +1,8 @@
 package rows
 
-// Sizes that MarshalJSON makes room for, in bytes.
+// Sizes that MarshalJSON makes room for, in bytes: a value, and a table without rows. Not
+// measured by themselves; one call for a table of 20 rows of 4 values took 12.2 us and 3
+// allocations, where one for each value took 25.0 us and 102.
 const (
 	likelyValue = 12
 	likelyTable = 32
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -1,5 +1,6 @@
 // Package rows holds the typed values, rows and tables that leaves return and
-// nodes of the self-hosted deployment merge, and their JSON form, which it owns.
+// nodes of the self-hosted deployment merge, and their JSON form, which it owns. It relies on
+// no other package of this module.
 package rows
 
 // Kind is the type of a Value.
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -57,7 +57,7 @@
 	return c.dispatcher.InFlightAt(selects)
 }
 
-// Observe hands the dispatcher a leaf's own word on its load.
+// Observe hands the dispatcher what a leaf reports of its load.
 func (c *Conn[Q, P]) Observe(address netip.AddrPort, load leaf.LoadSummary) {
 	c.step(func(now dispatch.Time) []dispatch.Action {
 		return c.dispatcher.Observe(now, address, load)
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -10,7 +10,7 @@
 )
 
 // queuedLines is how many lines wait for a slow reader before lines are
-// dropped.
+// dropped. Not measured: chosen to bound the memory that a stuck reader costs.
 const queuedLines = 2048
 
 // BoundedWriter hands lines over to a writer that may be slow or stuck. Write
--- a/internal/telemetry/capped.go
+++ b/internal/telemetry/capped.go
@@ -12,7 +12,8 @@
 // CapConfig bounds how many lines a second are logged of each message. A
 // message may come in bursts of one second's lines.
 type CapConfig struct {
-	// Info is for lines below the level warn, Warn for the others.
+	// Info is for lines below the level warn, Warn for the others; both in lines a
+	// second.
 	Info, Warn float64
 }
 
@@ -43,9 +44,9 @@
 
 // capBucket is the token bucket of one message.
 type capBucket struct {
-	tokens  float64
-	at      time.Time
-	dropped int
+	tokens  float64   // lines that may be written now
+	at      time.Time // when tokens was computed
+	dropped int       // lines since the last one that was written
 }
 
 // NewCappedHandler returns a handler in front of another, and registers its
