--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -1,12 +1,14 @@
 // Package admission decides whether a query is taken, from the wait that is
 // predicted for it, and when a refused caller may retry. It is pure.
 //
-// Rule: a query is taken if its predicted wait and service time fill at most a share of
-// its remaining time. The share depends on its urgency and on whether the service is
-// saturated.
+// Rule: a query without a wait is taken. Any other is taken if its predicted wait and
+// service time fill at most a share of its remaining time; the share depends on its
+// urgency and on whether the service is saturated.
 //
-// Inputs: see Prediction. Reason: a refusal at once costs the caller less than a deadline
-// that passes. The values and their measurement are with DefaultConfig.
+// Inputs: see Prediction; times are durations, shares lie between 0 and 1.
+//
+// Reason: a refusal at once costs the caller less than a deadline that passes. The values
+// and their measurement are with DefaultConfig.
 package admission
 
 import "time"
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -1,4 +1,4 @@
-// Package cordon decides which zones are out of service, by the word of the operators.
+// Package cordon decides which zones are out of service, by the operators' orders.
 //
 // The rule: the leaves of a cordoned zone get no new attempt of any kind, whenever they
 // were announced, and what is in flight there ends by itself. Once the zone is back in
@@ -10,10 +10,9 @@
 //
 // Reason: operators take a zone out of service before they work on its machines, and
 // what starts there meanwhile would be closed under its requests. A stale list only
-// adds zones: the cost of an error is a zone less for some seconds, where the opposite
-// error sends work to machines that are being stopped. Leaves that had no work are
-// taken for cold since what they announce of it comes later. Nothing is measured here:
-// the rule has no constant of its own.
+// adds zones: an error costs a zone for some seconds, where the opposite error sends work
+// to machines that are being stopped. Leaves that had no work count as cold at once,
+// since they announce it only later. Not measured: the rule has no constant of its own.
 package cordon
 
 import (
--- a/internal/decide/coverage/coverage.go
+++ b/internal/decide/coverage/coverage.go
@@ -1,12 +1,15 @@
-// Package coverage decides when a query with missing shards is settled. It is
+// Package coverage decides when a query is settled although shards are missing. It is
 // pure.
 //
-// Rule: a query with enough answered shards settles shortly before its deadline, or after
-// a share of the time until its objective; one that cannot reach enough is known as such.
+// Rule: a query with enough answered shards settles after a share of the time until its
+// objective, and shortly before its deadline at the latest. One that can no longer reach
+// enough shards is known as such, so that it can end at once.
 //
 // Inputs: numbers of shards, the least share of them from 0 to 1, times as durations since
-// one origin. Reason: an answer after its objective is worth little. The values and their
-// measurement are with DefaultConfig.
+// one origin.
+//
+// Reason: an answer after its objective is worth little, and one after its deadline
+// nothing. The values and their measurement are with DefaultConfig.
 package coverage
 
 import "time"
--- a/internal/decide/executors/executors.go
+++ b/internal/decide/executors/executors.go
@@ -4,9 +4,9 @@
 //
 // The rule: a few nodes, the executors, run the requests of many shards of all
 // others. They are the nodes with the most processor where sizes differ much, else
-// some of each zone of a fleet that is large enough; each says for itself whether
-// it has room, and a node hands a request to a near one that does and can keep the
-// request's Terms.
+// some of each zone of a fleet that is large enough. Each says for itself whether
+// it has room; a node hands a request to one of its own zone that has room and can keep
+// the request's Terms, or else to one of another zone.
 //
 // Inputs: the announced nodes with their zones and cores (seconds of processor time
 // a second), each executor's Status, round trip and latency, the attempts that a
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -1,10 +1,10 @@
-// Package limit adapts how many attempts one node keeps in flight on one leaf.
+// Package limit decides how many attempts one node keeps in flight on one leaf. It is
+// pure: time comes in as an argument.
 //
-// A leaf has few slots and is shared by several nodes that do not talk about
-// it. The limit grows by a fraction of one while attempts succeed without a
-// queue on the leaf, and shrinks by a factor when the leaf refuses work or
-// queues it, so that the nodes converge to shares of the slots and the waiting
-// happens in the nodes. The package is pure: time comes in as an argument.
+// Rule: the limit grows by a fraction of one while attempts succeed without a queue on the
+// leaf, and shrinks by a factor when the leaf refuses work or queues it. So the nodes,
+// which share the few slots of a leaf without talking about it, converge to shares of
+// them, and the waiting happens in the nodes.
 //
 // Inputs: slots of the leaf, own attempts in flight, the queue that the leaf reports (in
 // attempts), refusals for load, the time (for the pause between two reductions).
--- a/internal/decide/liveness/state.go
+++ b/internal/decide/liveness/state.go
@@ -1,9 +1,18 @@
-// Package liveness keeps what a node knows of whether another one answers its heartbeats.
+// Package liveness decides whether another node counts as alive, by its answers to
+// heartbeats. It is pure: time comes in as an argument.
 //
-// It owns the State of one other node, and the context that ends when that node is taken
-// to be lost. Who asks, how often and after which silence a node is lost is decided by its
-// users, relay and combine. It is pure: time comes in as an argument, a duration on the
-// node's clock.
+// Rule: a node counts as lost until it answers a heartbeat, and again once it was silent
+// for longer than a timeout, or its connection ended. Other messages show that it is not
+// silent, but do not bring a lost node back.
+//
+// Inputs: the time of each message (a duration on the node's clock), the round trip of
+// each heartbeat (a duration), and the timeout of the user (a duration).
+//
+// Reason: what was sent to a lost node has to end before the deadlines of its requests do;
+// the context of Alive ends with the loss.
+//
+// It owns the State of one other node. Interval and timeout of the heartbeats belong to
+// its users, executors and combine, as does the asking. It has no constant.
 package liveness
 
 import (
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -1,9 +1,18 @@
-// Package once decides whether a request that may run at most once may run
-// now. The owner of a request id, chosen by rendezvous hashing over the voter
-// slots, remembers the ids that it let through and what came of them. It has
-// no disk: an owner that is new, or new to the id, refuses every id that a
-// predecessor can have let through. The fence works on the time inside the id
-// (a ULID, minted by the caller).
+// Package once decides whether a request that may run at most once may run now. It is
+// pure: time comes in as readings.
+//
+// Rule: the owner of a request id, chosen by rendezvous hashing over the voter slots, lets
+// each id through once, and remembers it with its outcome. An owner that is new, or new to
+// the id, refuses every id that a predecessor may have let through: up to a fence, which
+// works on the time inside the id (a ULID, minted by the caller).
+//
+// Inputs: the id, readings of the monotonic and of the wall clock, the time since when
+// this node owns its slot, the names of the voters.
+//
+// Reason: no owner has a disk, so what a former one let through is lost with it; refusing
+// costs some seconds of new ids, running twice cannot be undone. Weighed in
+// docs/design/0005-at-most-once.md; its constants are bounds of the promise, with
+// DefaultConfig.
 //
 // The guarantee rests on these conditions, which the driver must keep:
 //   - A decision counts only if, at a moment after the reading handed to Begin
@@ -19,8 +28,7 @@
 //   - The wall clocks of two voters never differ by more than
 //     Config.ClockDifference, other than by a jump back after the start.
 //
-// The package is pure: time comes in as readings. A Ledger is not safe for
-// concurrent use.
+// A Ledger is not safe for concurrent use.
 package once
 
 import (
@@ -59,7 +67,9 @@
 	holds        bool
 }
 
-// DefaultConfig returns the values described in the design notes.
+// DefaultConfig returns the values of docs/design/0005-at-most-once.md. None is measured:
+// Freshness is the freshness window of the nodes, ClockDifference what the clocks of
+// voters must keep to; Freshness, Skew and ClockDifference add up to a fence of 11 s.
 func DefaultConfig() Config {
 	return Config{
 		Window:          5 * time.Minute,
--- a/internal/decide/removal/removal.go
+++ b/internal/decide/removal/removal.go
@@ -1,10 +1,9 @@
 // Package removal decides for how long a leaf is still used whose announcement has
 // vanished from the store.
 //
-// The rule: an announcement that vanishes while the store is in doubt, which is for
-// some seconds after an outage, counts for a short time more; if it is back by then,
-// nothing has happened. At any other time, and for a leaf that drains, its end counts
-// at once.
+// The rule: an announcement that vanishes during an outage of the store, or in the
+// seconds after it, counts for a short time more; if it is back by then, nothing has
+// happened. At any other time, and for a leaf that drains, the leaf is out of use at once.
 //
 // Inputs: the time (a duration on the node's clock), the end of the last outage as this
 // node saw it, whether the leaf drains, and two durations of the settings: Doubt and
--- a/internal/decide/replica/choose.go
+++ b/internal/decide/replica/choose.go
@@ -9,8 +9,9 @@
 // other nodes, slots, the limit of own attempts, slowness as a ratio to an ordinary leaf,
 // the share of lost attempts from 0 to 1.
 //
-// Reason: a query is as slow as its slowest shard, and a slow leaf has a short queue when
-// it gets little work; so the time to the answer counts, and not the number of attempts.
+// Reason: a query is as slow as its slowest shard, and a slow leaf that gets little work
+// has a short queue; so what counts is the time to the answer, not the number of attempts
+// in flight.
 //
 // Measured: 99th percentile of short queries over that of an oracle, simulated with one
 // leaf eight times slower, two services, 10 seeds: 0.76 and 0.78; counting attempts 2.08 to
--- a/internal/decide/requestclass/requestclass.go
+++ b/internal/decide/requestclass/requestclass.go
@@ -10,7 +10,7 @@
 //
 // Reason: routes of the same kind do work of the same kind, and a latency that is
 // learned from all of them is known sooner than one of each. Not measured: chosen
-// because the number of routes has no bound.
+// because a configuration may have any number of routes.
 package requestclass
 
 import (
--- a/internal/decide/snapshot/snapshot.go
+++ b/internal/decide/snapshot/snapshot.go
@@ -1,6 +1,14 @@
-// Package snapshot finds the snapshot that a query pins: which snapshots the
-// usable leaves hold, which leaves hold each shard of them, and which of them
-// is the best for the shards that a query needs. It is pure.
+// Package snapshot decides which version of the data a query is pinned to. It is pure.
+//
+// Rule: of the snapshots that usable leaves hold, the newest one that covers all shards
+// which the query needs; without one, the newest of those that cover the most.
+//
+// Inputs: the partitions (shards by epoch), what each usable leaf holds, the shards that
+// the query needs.
+//
+// Reason: an answer has to come from one snapshot, and a newer one is worth less to a
+// caller than a whole one. The rule has no constant. On the users' platform the snapshot
+// is a constant, and all leaves hold it.
 package snapshot
 
 import (
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -8,8 +8,9 @@
 // replicas of a shard with the connections that each takes from all nodes together.
 //
 // Reason: no node has to hand connections out; hashing spreads the nodes evenly over the
-// replicas, and moves few of them when a replica or a node comes or goes. Ranks in a sorted
-// list move many; connections that are open for a share of the time cost one each attempt
+// replicas, and moves few connections when a replica or a node comes or goes. Two other
+// ways cost more: ranks in a sorted list move many connections, and connections that are
+// kept only for a part of the time between requests are opened again for each attempt
 // (92,500 for 152,219 requests). It is pure, and relies on no other package.
 package subset
 
--- a/internal/decide/warmup/warmup.go
+++ b/internal/decide/warmup/warmup.go
@@ -11,9 +11,9 @@
 //
 // Reason: without it all nodes rush at a leaf that came back. Each node computes its
 // share from the announcements: to ask another one costs a round trip for each attempt,
-// and a few owners of a leaf would need a second way for requests. With a bound of 8
-// requests a second two days broke the bound 12 and 98 times before and never since; it
-// cost 0.006 and 0.007 of worth there (one run each).
+// and a few owners of a leaf would need a second way for requests. Where a cold leaf bears
+// 8 requests a second, two runs without shares broke that bound 12 and 98 times, and with
+// them never; the worth of these runs fell by 0.006 and 0.007 (one run each).
 //
 // It owns nothing. How a node spends its rate is in package dispatch.
 package warmup
