--- a/internal/decide/liveness/state.go
+++ b/internal/decide/liveness/state.go
@@ -12,7 +12,7 @@
 // the context of Alive ends with the loss.
 //
 // It owns the State of one other node. Interval and timeout of the heartbeats belong to
-// its users, executors and combine, as does the asking. It has no constant.
+// the rules that use it, with their reasons. It has no constant.
 package liveness
 
 import (
