--- a/internal/event/announced.go
+++ b/internal/event/announced.go
@@ -68,7 +68,7 @@
 
 // Kind implements Event.
 func (LeafRejected) Kind() Kind {
-	return Kind{"leaf rejected", slog.LevelError, "What was known of the leaf stays."}
+	return Kind{"leaf rejected", slog.LevelError, "An announcement that cannot be read takes the leaf out of use; one of a former start changes nothing."}
 }
 
 // NodeChanged reports that another node came or is gone.
--- a/internal/selfhosted/node/metrics_page_test.go
+++ b/internal/selfhosted/node/metrics_page_test.go
@@ -21,7 +21,7 @@
 
 <!-- Written by a test: change the text beside the metric and run "go test ./internal/selfhosted/node -update". -->
 
-A node serves these at ` + "`/metrics`" + ` in the Prometheus text format, besides those of the Go runtime and the process. Each name has its unit: seconds, bytes, or the things that are counted; ` + "`_total`" + ` marks counters. Those that say whether something is so are 1 or 0; a revision and a score are plain numbers. Which of them to watch, and what to do, is in [OPERATIONS.md](OPERATIONS.md).
+A node serves these at ` + "`/metrics`" + ` in the Prometheus text format, besides those of the Go runtime and the process. Each name has its unit: seconds, bytes, or the things that are counted; ` + "`_total`" + ` marks counters. Those that say whether something is so are 1 or 0; a revision and a score are plain numbers. Which of them to watch, and what to do, is in [OPERATIONS-SELFHOSTED.md](OPERATIONS-SELFHOSTED.md).
 
 `
 
