--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -50,7 +50,7 @@
 
 // servable reports whether enough shards have a leaf for the coverage that the query
 // needs. Otherwise its attempts would be work for nothing.
-func (d *Dispatcher) servable(q *query) bool {
+func (d *Dispatcher) coverageAttainable(q *query) bool {
 	if !d.config.RequireCoverage {
 		return true
 	}
@@ -68,10 +68,10 @@
 func (d *Dispatcher) admit(q *query) (time.Duration, bool) {
 	urgent := d.classes.mostUrgent(q.class)
 	if urgent {
-		d.load.urgent.add(d.now, shortMemory, q.class.base*float64(len(q.shards)))
+		d.load.urgentArrivals.add(d.now, shortTimeConstant, q.class.serviceTime*float64(len(q.shards)))
 	}
 	d.sampleSaturation()
-	if d.waiting.count == 0 {
+	if d.waiting.queued == 0 {
 		return 0, true
 	}
 	wait := time.Duration(0)
@@ -82,11 +82,11 @@
 	}
 	return wait, d.config.Admission.Admit(admission.Prediction{
 		Wait:      wait,
-		Service:   seconds(q.class.base),
+		Service:   seconds(q.class.serviceTime),
 		Remaining: q.Deadline - d.now,
 		Urgent:    urgent,
-		Saturated: d.load.saturation.full(),
-		Left:      d.load.leftByUrgent(d.now),
+		Saturated: d.load.saturation.saturated(),
+		Left:      d.load.shareLeftByUrgent(d.now),
 	})
 }
 
@@ -102,12 +102,12 @@
 		Urgent:    true,
 	})
 	if !admitted {
-		d.refuseForLoad(q, wait)
+		d.refuseOverload(q, wait)
 	}
 }
 
 // refuseForLoad ends a query that is not taken because of load.
-func (d *Dispatcher) refuseForLoad(q *query, wait time.Duration) {
+func (d *Dispatcher) refuseOverload(q *query, wait time.Duration) {
 	d.counters.Overloaded++
 	d.setPredictedWait(q, wait)
 	d.finish(q, OutcomeNotRun, ReasonOverload)
@@ -118,16 +118,16 @@
 // over the rate at which such work can be sent there. That is the recent rate,
 // or that of the slots that others and the classes before it leave free. Unless the service is saturated, the query waits until its promotion, and
 // then for the most urgent work only.
-func (d *Dispatcher) predictWait(g *group, q *query) time.Duration {
+func (d *Dispatcher) predictWait(g *replicaGroup, q *query) time.Duration {
 	d.scratch.loads = d.scratch.loads[:0]
 	for _, l := range g.leaves {
-		if l.takesWork() && !l.holdOff.active(d.now) {
-			d.scratch.loads = append(d.scratch.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.reports.longMean})
+		if l.acceptsWork() && !l.backoff.active(d.now) {
+			d.scratch.loads = append(d.scratch.loads, leafLoad{leaf: l, slowness: d.slowness(l), freeSlots: float64(l.slots) - l.loadReports.longMeanOthers})
 		}
 	}
 	longest, urgent := time.Duration(0), time.Duration(0)
 	for _, other := range d.classes.ranked {
-		longest = max(longest, d.predictClass(g, other))
+		longest = max(longest, d.predictClassWait(g, other))
 		if d.classes.mostUrgent(other) {
 			urgent = longest
 		}
@@ -135,7 +135,7 @@
 			break
 		}
 	}
-	if d.load.saturation.full() {
+	if d.load.saturation.saturated() {
 		return longest
 	}
 	return min(longest, urgent+q.promoteAt-d.now)
@@ -143,15 +143,15 @@
 
 // predictClass predicts the wait for the work of one class, and takes its
 // slots from the loads. The wait is at least that of the first that waits.
-func (d *Dispatcher) predictClass(g *group, class *classState) time.Duration {
+func (d *Dispatcher) predictClassWait(g *replicaGroup, class *classState) time.Duration {
 	work, sent, free := 0.0, 0.0, 0.0
 	for index := range d.scratch.loads {
 		load := &d.scratch.loads[index]
-		work += load.leaf.waiting.of(class).Seconds()
-		least := leastShare(d.classes.mostUrgent(class)) * float64(load.leaf.limiter.Current())
-		free += max(load.spare, least) / load.slowness
-		rate := load.leaf.sent.of(class).rate(d.now, longMemory)
-		load.spare -= rate * load.slowness
+		work += load.leaf.waitingWork.get(class).Seconds()
+		minimum := minimumShare(d.classes.mostUrgent(class)) * float64(load.leaf.limiter.Current())
+		free += max(load.freeSlots, minimum) / load.slowness
+		rate := load.leaf.sentWork.get(class).rate(d.now, longTimeConstant)
+		load.freeSlots -= rate * load.slowness
 		sent += rate
 	}
 	rate := max(sent, free)
@@ -163,9 +163,9 @@
 
 // leafLoad is a leaf of a group while a wait is predicted.
 type leafLoad struct {
-	leaf     *leafState
-	slowness float64
-	spare    float64 // slots that others and the classes before leave free
+	leaf      *leafState
+	slowness  float64
+	freeSlots float64 // slots that others and the classes before leave free
 }
 
 // The shares of the limit of a leaf that work of a class is assumed to get at least, so
@@ -173,15 +173,15 @@
 // chosen because the most urgent work has only itself to wait for, while other work may
 // starve.
 const (
-	leastUrgentShare = 0.25
-	leastOtherShare  = 0.005
+	minimumUrgentShare = 0.25
+	minimumOtherShare  = 0.005
 )
 
 // leastShare returns the share of the limit that work of a class is assumed to get at
 // least.
-func leastShare(urgent bool) float64 {
+func minimumShare(urgent bool) float64 {
 	if urgent {
-		return leastUrgentShare
+		return minimumUrgentShare
 	}
-	return leastOtherShare
+	return minimumOtherShare
 }
--- a/internal/decide/dispatch/allowance.go
+++ b/internal/decide/dispatch/allowance.go
@@ -16,14 +16,14 @@
 
 // Grant lets the allowance of a shard be spent until a time.
 func (d *Dispatcher) Grant(shard int, until Time) {
-	if allowance, found := d.allowances[shard]; found {
+	if allowance, ok := d.allowances[shard]; ok {
 		allowance.Grant(until)
 	}
 }
 
 // Burst lets the allowance of a shard be spent without keeping any back.
 func (d *Dispatcher) Burst(shard int) {
-	if allowance, found := d.allowances[shard]; found {
+	if allowance, ok := d.allowances[shard]; ok {
 		allowance.Burst()
 	}
 }
@@ -33,20 +33,20 @@
 
 // earn books a request that is sent to a shard.
 func (a allowances) earn(shard int, now Time) {
-	if allowance, found := a[shard]; found {
+	if allowance, ok := a[shard]; ok {
 		allowance.Earn(now)
 	}
 }
 
 // allow reports whether an attempt at a canary of the shard may be sent now.
-func (a allowances) allow(shard int, now Time) bool {
-	allowance, found := a[shard]
-	return found && allowance.Allows(now)
+func (a allowances) allows(shard int, now Time) bool {
+	allowance, ok := a[shard]
+	return ok && allowance.Allows(now)
 }
 
 // spend books an attempt at a canary of the shard.
 func (a allowances) spend(shard int) {
-	if allowance, found := a[shard]; found {
+	if allowance, ok := a[shard]; ok {
 		allowance.Spend()
 	}
 }
--- a/internal/decide/dispatch/attempt.go
+++ b/internal/decide/dispatch/attempt.go
@@ -5,28 +5,28 @@
 // attempt is one request to one leaf, from its Send until its end is
 // reported, also after its Abort.
 type attempt struct {
-	id       AttemptID
-	query    *query
-	leaf     *leafState
-	snapshot catalog.Snapshot
-	shard    int
-	position int32 // of the shard in the query
-	next     int32 // the next attempt of the same shard
-	running  int32 // place among the running attempts of the leaf
-	wanted   bool  // until its Abort
-	cause    Cause
-	sentAt   Time
+	id           AttemptID
+	query        *query
+	leaf         *leafState
+	snapshot     catalog.Snapshot
+	shard        int
+	position     int32 // of the shard in the query
+	next         int32 // the next attempt of the same shard
+	runningIndex int32 // place among the running attempts of the leaf
+	wanted       bool  // until its Abort
+	cause        Cause
+	sentAt       Time
 	// expected is the time in seconds that an ordinary leaf with the same
 	// queue needs.
-	expected float64
+	expectedTime float64
 }
 
 // none is the index of no attempt.
-const none int32 = -1
+const noAttempt int32 = -1
 
 // Attempt ids hold the slot in the table in the low bits and a serial number
 // in the high bits, so that no id is used twice.
-const slotBits = 24
+const attemptSlotBits = 24
 
 // attemptTable holds the attempts whose end was not reported yet. Pointers
 // into it are valid until the next add.
@@ -47,13 +47,13 @@
 	}
 	t.serial++
 	entry := &t.slots[slot]
-	entry.id = AttemptID(t.serial<<slotBits | uint64(slot))
+	entry.id = AttemptID(t.serial<<attemptSlotBits | uint64(slot))
 	return slot, entry
 }
 
 // find returns nil if the end of the attempt was reported already.
 func (t *attemptTable) find(id AttemptID) *attempt {
-	slot := uint64(id) & (1<<slotBits - 1)
+	slot := uint64(id) & (1<<attemptSlotBits - 1)
 	if slot >= uint64(len(t.slots)) || t.slots[slot].id != id {
 		return nil
 	}
@@ -61,7 +61,7 @@
 }
 
 func (t *attemptTable) remove(entry *attempt) {
-	slot := int32(uint64(entry.id) & (1<<slotBits - 1))
+	slot := int32(uint64(entry.id) & (1<<attemptSlotBits - 1))
 	*entry = attempt{}
 	t.free = append(t.free, slot)
 }
--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -10,11 +10,11 @@
 
 // TestLastAttemptIsWaitedFor runs a query whose bound on attempts is used up:
 // the attempts in flight must not be given up, since no other may follow.
-func TestLastAttemptIsWaitedFor(t *testing.T) {
+func TestQueryWaitsForLastAllowedAttempt(t *testing.T) {
 	r := newRig(t, 2, withoutProbes)
-	r.load(60)
-	r.shape = func(query *Query) { query.MaximumSends = 1 }
-	r.took[0], r.took[1] = 150*time.Millisecond, 150*time.Millisecond
+	r.submitEvery10ms(60)
+	r.modifyQuery = func(query *Query) { query.MaximumSends = 1 }
+	r.latency[0], r.latency[1] = 150*time.Millisecond, 150*time.Millisecond
 	id := r.submit(1)
 	r.run(160 * time.Millisecond)
 	if finish := r.finishes[id]; finish.Outcome != OutcomeAnswered {
@@ -24,9 +24,9 @@
 
 // TestBoundCountsOnlyWhatMayHaveRun refuses the first attempts: they do not
 // use up the bound.
-func TestBoundCountsOnlyWhatMayHaveRun(t *testing.T) {
+func TestMaximumAttemptsIgnoresUnexecutedAttempts(t *testing.T) {
 	r := newRig(t, 3, nil)
-	r.shape = func(query *Query) { query.MaximumSends = 1 }
+	r.modifyQuery = func(query *Query) { query.MaximumSends = 1 }
 	id := r.submit(1)
 	r.refuse(leaf.RefusedMoved)
 	r.refuse(leaf.RefusedMoved)
@@ -37,21 +37,21 @@
 }
 
 // TestListedShards asks for some shards of a partition, by their numbers.
-func TestListedShards(t *testing.T) {
+func TestQueryOfListedShards(t *testing.T) {
 	r := newRig(t, 3, nil)
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 4}}
 	for index := range r.topology.Leaves {
-		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: first, Shards: []int{index}}}
+		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: firstSnapshot, Shards: []int{index}}}
 	}
 	r.perform(r.d.SetTopology(r.now, r.topology))
-	r.shape = func(query *Query) { query.Shards, query.MinimumCoverage = []int{2, 0}, 0.5 }
+	r.modifyQuery = func(query *Query) { query.Shards, query.MinimumCoverage = []int{2, 0}, 0.5 }
 	id := r.submit(1)
 	r.run(20 * time.Millisecond)
 	finish := r.finishes[id]
 	if finish.Outcome != OutcomeAnswered || finish.Total != 2 || r.sent[1] != 0 {
 		t.Errorf("finished %+v, sent %v", finish, r.sent)
 	}
-	r.shape = func(query *Query) { query.Shards, query.MinimumCoverage = []int{2, 3}, 0.5 }
+	r.modifyQuery = func(query *Query) { query.Shards, query.MinimumCoverage = []int{2, 3}, 0.5 }
 	id = r.submit(1)
 	r.run(20 * time.Millisecond)
 	finish = r.finishes[id]
@@ -62,17 +62,17 @@
 
 // TestSettlesBeforeItsObjective answers with enough coverage shortly before
 // the objective, not at the deadline.
-func TestSettlesBeforeItsObjective(t *testing.T) {
+func TestQuerySettlesShortlyBeforeObjective(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) { withoutHedges(config); withoutProbes(config) })
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 2}}
 	for index := range r.topology.Leaves {
-		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: first, Shards: []int{index}}}
+		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: firstSnapshot, Shards: []int{index}}}
 	}
 	r.perform(r.d.SetTopology(r.now, r.topology))
-	r.shape = func(query *Query) {
+	r.modifyQuery = func(query *Query) {
 		query.Objective, query.MinimumCoverage = r.now+100*time.Millisecond, 0.5
 	}
-	r.took[1] = 150 * time.Millisecond
+	r.latency[1] = 150 * time.Millisecond
 	id := r.submit(1)
 	r.run(85 * time.Millisecond)
 	if finish, ended := r.finishes[id]; ended {
@@ -87,13 +87,13 @@
 // TestBudgetOfAShardIsItsOwn lets both leaves of one shard refuse all the
 // time: the repeats stay within the budget of that shard, and each query gets
 // its answer.
-func TestBudgetOfAShardIsItsOwn(t *testing.T) {
+func TestShardBudgetBoundsItsRetries(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) {
 		config.BudgetByShard, config.ChargeRefusals = true, true
 		config.Budget.Capacity, config.Budget.Initial, config.Budget.Debt, config.Budget.Reserve = 4, 4, 0, 1
 	})
 	const queries = 200
-	repeats := 0
+	attempts := 0
 	for range queries {
 		id := r.submit(1)
 		sent := r.sent[0] + r.sent[1]
@@ -103,19 +103,19 @@
 			}
 			r.run(20 * time.Millisecond)
 		}
-		repeats += r.sent[0] + r.sent[1] - sent
+		attempts += r.sent[0] + r.sent[1] - sent
 		if _, ended := r.finishes[id]; !ended {
 			t.Fatalf("query %d has no answer", id)
 		}
 	}
-	if allowed := 4 + extraShare*queries + 1; float64(repeats) > allowed {
-		t.Errorf("%d repeats, %.0f are allowed", repeats, allowed)
+	if allowed := 4 + extraShare*queries + 1; float64(attempts) > allowed {
+		t.Errorf("%d repeats, %.0f are allowed", attempts, allowed)
 	}
 }
 
 // TestQueryEndsOnceItsCoverageCannotBeReached gives up a query at once when a
 // shard that it needs has no leaf and no budget for another attempt.
-func TestQueryEndsOnceItsCoverageCannotBeReached(t *testing.T) {
+func TestQueryEndsWhenCoverageBecomesUnattainable(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) {
 		config.BudgetByShard, config.ChargeRefusals = true, true
 		config.EndWithoutBudget, config.RequireCoverage = true, true
--- a/internal/decide/dispatch/budget.go
+++ b/internal/decide/dispatch/budget.go
@@ -19,7 +19,7 @@
 type budgets struct {
 	config  hedge.BudgetConfig
 	byShard bool
-	common  hedge.Budget
+	shared  hedge.Budget
 	shards  map[int]*hedge.Budget
 	// bounds returns those of the budget of a shard; nil for those of the config.
 	bounds func(shard int) hedge.Bounds
@@ -29,24 +29,24 @@
 	return budgets{
 		config:  config,
 		byShard: byShard,
-		common:  hedge.NewBudget(config),
+		shared:  hedge.NewBudget(config),
 		shards:  make(map[int]*hedge.Budget),
 	}
 }
 
 // of returns the budget that pays for extra attempts of a shard, as of now.
-func (b *budgets) of(shard int, now Time) *hedge.Budget {
-	budget := &b.common
+func (b *budgets) get(shard int, now Time) *hedge.Budget {
+	budget := &b.shared
 	if b.byShard {
-		budget = b.ofShard(shard)
+		budget = b.getShard(shard)
 	}
 	budget.Pass(now)
 	return budget
 }
 
 // ofShard returns the budget of a shard, and makes it if it is not known yet.
-func (b *budgets) ofShard(shard int) *hedge.Budget {
-	if budget, known := b.shards[shard]; known {
+func (b *budgets) getShard(shard int) *hedge.Budget {
+	if budget, ok := b.shards[shard]; ok {
 		return budget
 	}
 	config := b.config
@@ -61,7 +61,7 @@
 // tokens returns the extra attempts that all budgets hold together.
 func (b *budgets) tokens() float64 {
 	if !b.byShard {
-		return b.common.Tokens()
+		return b.shared.Tokens()
 	}
 	sum := 0.0
 	for _, budget := range b.shards {
@@ -71,8 +71,8 @@
 }
 
 // budgetOf returns the budget that pays for extra attempts of a shard of the query.
-func (d *Dispatcher) budgetOf(q *query, position int32) *hedge.Budget {
-	return d.budgets.of(q.shardAt(int(position)), d.now)
+func (d *Dispatcher) budgetFor(q *query, position int32) *hedge.Budget {
+	return d.budgets.get(q.shardAt(int(position)), d.now)
 }
 
 // ResizeBudgets changes the bounds of the budget of each shard, if
--- a/internal/decide/dispatch/canary_test.go
+++ b/internal/decide/dispatch/canary_test.go
@@ -16,13 +16,13 @@
 }
 
 // allow gives the shard an allowance of half of its requests.
-func (r *rig) allow() {
+func (r *rig) grantAllowance() {
 	allowance := rollout.NewAllowance(rollout.Bounds{Ratio: 0.5 / 0.45}, 1, time.Hour, func() float64 { return 1 })
 	r.d.SetAllowance(0, allowance)
 	r.d.Grant(0, time.Hour)
 }
 
-func TestCanaryGetsOnlyItsAllowance(t *testing.T) {
+func TestCanaryAttemptsStayWithinAllowance(t *testing.T) {
 	r := newCanaryRig(t, nil)
 	for range 20 {
 		r.submit(1)
@@ -31,7 +31,7 @@
 	if r.sent[2] > 0 {
 		t.Fatalf("%d attempts without an allowance", r.sent[2])
 	}
-	r.allow()
+	r.grantAllowance()
 	for range 40 {
 		r.submit(1)
 		r.run(20 * time.Millisecond)
@@ -52,10 +52,10 @@
 
 // TestCanaryThatFailsCostsNoAnswer sends the second attempt to another leaf, and no
 // hedge or retry of others to the canary.
-func TestCanaryThatFailsCostsNoAnswer(t *testing.T) {
+func TestFailingCanaryCostsNoAnswer(t *testing.T) {
 	r := newCanaryRig(t, nil)
-	r.allow()
-	r.took[2] = time.Hour
+	r.grantAllowance()
+	r.latency[2] = time.Hour
 	answered := 0
 	for range 40 {
 		id := r.submit(1)
@@ -78,8 +78,8 @@
 
 // fail ends an attempt without an answer.
 func (r *rig) fail(send Send) {
-	for index, one := range r.open {
-		if one.Attempt == send.Attempt {
+	for index, open := range r.open {
+		if open.Attempt == send.Attempt {
 			r.open = append(r.open[:index:index], r.open[index+1:]...)
 			break
 		}
@@ -89,11 +89,11 @@
 
 // TestCanaryWaitsForItsBudget: without the means to send a request again, none goes
 // to the canary.
-func TestCanaryWaitsForItsBudget(t *testing.T) {
+func TestCanaryGetsNoAttemptWithoutRetryBudget(t *testing.T) {
 	r := newCanaryRig(t, func(config *Config) {
 		config.Budget.Initial, config.Budget.Capacity, config.Budget.Debt = 0, 0, 0
 	})
-	r.allow()
+	r.grantAllowance()
 	for range 20 {
 		r.submit(1)
 		r.run(20 * time.Millisecond)
@@ -103,9 +103,9 @@
 	}
 }
 
-func TestColdCanaryGetsNothing(t *testing.T) {
+func TestCanaryGetsNoAttemptBeforeWarmAt(t *testing.T) {
 	r := newCanaryRig(t, nil)
-	r.allow()
+	r.grantAllowance()
 	r.topology.Leaves[2].WarmAt = r.now + time.Second
 	r.perform(r.d.SetTopology(r.now, r.topology))
 	for range 10 {
@@ -126,7 +126,7 @@
 }
 
 // TestCanaryBecomesALeaf, and the others are retired: queries that wait go on.
-func TestCanaryBecomesALeaf(t *testing.T) {
+func TestPromotedCanaryServesQueries(t *testing.T) {
 	r := newCanaryRig(t, nil)
 	r.topology.Leaves[2].Canary = false
 	r.topology.Leaves[0].Usable, r.topology.Leaves[1].Usable = false, false
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -61,7 +61,7 @@
 		return CauseRestart
 	case shard.needsRetry, shard.chargeNext:
 		return CauseRetry
-	case shard.resend || shard.sends > 0:
+	case shard.resend || shard.attempts > 0:
 		return CauseResend
 	default:
 		return CauseNeeded
@@ -69,9 +69,9 @@
 }
 
 // count books the attempt with the budget and the counters.
-func (d *Dispatcher) count(q *query, position int32, why Cause) {
-	budget := d.budgetOf(q, position)
-	switch why {
+func (d *Dispatcher) chargeAttempt(q *query, position int32, cause Cause) {
+	budget := d.budgetFor(q, position)
+	switch cause {
 	case CauseNeeded:
 		d.counters.Needed++
 		d.allowances.earn(q.shardAt(int(position)), d.now)
--- a/internal/decide/dispatch/choose.go
+++ b/internal/decide/dispatch/choose.go
@@ -24,15 +24,15 @@
 import "github.com/micaplank/micaplank/internal/decide/replica"
 
 // group is the set of leaves that hold one shard at one snapshot.
-type group struct {
+type replicaGroup struct {
 	leaves []*leafState
 	// canaries hold it, too, and are used within an Allowance only: for first
 	// attempts, so that whatever they do costs no request its answer.
 	canaries []*leafState
 	// shard is its number.
-	shard   int
-	waiting groupQueue
-	skipped uint64 // the round of pump that passed it over
+	shard        int
+	waiting      groupQueue
+	skippedRound uint64 // the round of pump that passed it over
 }
 
 // choice is the outcome of looking for a leaf for a shard.
@@ -40,7 +40,7 @@
 
 const (
 	choiceNone choice = iota // no leaf holds the shard
-	choiceHeld               // all that hold it are held off, or full
+	choiceWait               // all that hold it are held off, or full
 	choiceSend               // take the leaf
 )
 
@@ -50,16 +50,16 @@
 	if shard.group == nil {
 		return nil, choiceNone
 	}
-	if l := d.canaryFor(q, shard); l != nil {
+	if l := d.chooseCanary(q, shard); l != nil {
 		return l, choiceSend
 	}
-	avoided := shard.tried
+	avoided := shard.triedReplicas
 	if !q.Class.Repeatable {
-		avoided |= shard.group.doubtful()
+		avoided |= shard.group.failedReplicas()
 	}
-	verdict := d.collect(shard, q.priority(d.now), avoided)
+	verdict := d.collectCandidates(shard, q.priority(d.now), avoided)
 	if verdict == choiceNone && avoided != 0 {
-		verdict = d.collect(shard, q.priority(d.now), 0)
+		verdict = d.collectCandidates(shard, q.priority(d.now), 0)
 	}
 	if verdict != choiceSend {
 		return nil, verdict
@@ -68,20 +68,20 @@
 	if waiting {
 		ahead = 0
 	}
-	work := replica.Work{Base: q.class.base, Mean: d.workOf(shard.group.leaves[0]), Ahead: ahead}
+	work := replica.Work{Base: q.class.serviceTime, Mean: d.meanWorkAt(shard.group.leaves[0]), Ahead: ahead}
 	index := d.chooser.Choose(d.scratch.candidates, work)
 	chosen := d.scratch.leaves[index]
 	if d.scratch.candidates[index].Full() {
-		return nil, choiceHeld
+		return nil, choiceWait
 	}
 	return chosen, choiceSend
 }
 
 // doubtful returns the replicas that have failed and not answered since.
-func (g *group) doubtful() uint32 {
+func (g *replicaGroup) failedReplicas() uint32 {
 	mask := uint32(0)
 	for index, l := range g.leaves {
-		if l.holdOff.failures > 0 {
+		if l.backoff.failures > 0 {
 			mask |= replicaBit(index)
 		}
 	}
@@ -90,32 +90,32 @@
 
 // collect fills the candidates for a shard, without the excluded replicas.
 // Those on standby are candidates only if no other replica is.
-func (d *Dispatcher) collect(shard *shardState, priority int, excluded uint32) choice {
+func (d *Dispatcher) collectCandidates(shard *shardState, priority int, excluded uint32) choice {
 	d.scratch.candidates = d.scratch.candidates[:0]
 	d.scratch.leaves = d.scratch.leaves[:0]
-	verdict := d.collectFrom(shard, priority, excluded, false)
+	verdict := d.appendCandidates(shard, priority, excluded, false)
 	if verdict == choiceSend {
 		return verdict
 	}
-	return max(verdict, d.collectFrom(shard, priority, excluded, true))
+	return max(verdict, d.appendCandidates(shard, priority, excluded, true))
 }
 
 // collectFrom adds the candidates that are on standby, or those that are not.
-func (d *Dispatcher) collectFrom(shard *shardState, priority int, excluded uint32, standby bool) choice {
+func (d *Dispatcher) appendCandidates(shard *shardState, priority int, excluded uint32, standby bool) choice {
 	verdict := choiceNone
 	for index, l := range shard.group.leaves {
-		if excluded&replicaBit(index) != 0 || !l.takesWork() || l.standby != standby {
+		if excluded&replicaBit(index) != 0 || !l.acceptsWork() || l.standby != standby {
 			continue
 		}
-		if l.warmup.closed(d.now) {
+		if l.warmup.blocked(d.now) {
 			continue
 		}
-		if l.holdOff.active(d.now) || !l.warmup.allows(d.now) {
-			verdict = max(verdict, choiceHeld)
+		if l.backoff.active(d.now) || !l.warmup.allows(d.now) {
+			verdict = max(verdict, choiceWait)
 			continue
 		}
 		verdict = choiceSend
-		d.scratch.candidates = append(d.scratch.candidates, d.candidate(l, priority))
+		d.scratch.candidates = append(d.scratch.candidates, d.describeCandidate(l, priority))
 		d.scratch.leaves = append(d.scratch.leaves, l)
 	}
 	return verdict
@@ -123,8 +123,8 @@
 
 // candidate describes the leaf for the choice of a replica for work of the
 // priority.
-func (d *Dispatcher) candidate(l *leafState, priority int) replica.Candidate {
-	others := l.reports.others(d.now)
+func (d *Dispatcher) describeCandidate(l *leafState, priority int) replica.Candidate {
+	others := l.loadReports.estimateOthers(d.now)
 	return replica.Candidate{
 		InFlight: len(l.running),
 		Others:   others,
@@ -132,18 +132,18 @@
 		Limit:    d.limitFor(l, priority, others),
 		Slowness: d.slowness(l),
 		Loss:     l.losses.Share(&d.config.Losses, d.now),
-		Near:     l.near,
+		Near:     l.sameZone,
 	}
 }
 
 // canaryFor returns the canary for the first attempt of a shard; nil if none is
 // due, or can take it. A repeatable request goes there only while the budget pays for
 // a retry: otherwise a bad version would cost callers answers.
-func (d *Dispatcher) canaryFor(q *query, shard *shardState) *leafState {
-	if len(d.allowances) == 0 || shard.sends > 0 || len(shard.group.canaries) == 0 {
+func (d *Dispatcher) chooseCanary(q *query, shard *shardState) *leafState {
+	if len(d.allowances) == 0 || shard.attempts > 0 || len(shard.group.canaries) == 0 {
 		return nil
 	}
-	if !d.allowances.allow(shard.group.shard, d.now) {
+	if !d.allowances.allows(shard.group.shard, d.now) {
 		return nil
 	}
 	if q.Class.Repeatable && !d.canRetryCanaries(shard.group) {
@@ -151,7 +151,7 @@
 	}
 	var chosen *leafState
 	for _, l := range shard.group.canaries {
-		if !l.takesWork() || l.holdOff.active(d.now) || l.full() || d.now < l.warmAt || !l.warmup.allows(d.now) {
+		if !l.acceptsWork() || l.backoff.active(d.now) || l.full() || d.now < l.warmAt || !l.warmup.allows(d.now) {
 			continue
 		}
 		if chosen == nil || len(l.running) < len(chosen.running) || len(l.running) == len(chosen.running) && l.probation.lastSent < chosen.probation.lastSent {
@@ -163,12 +163,12 @@
 
 // canRetryCanaries reports whether the budget pays for another attempt in place of
 // each that runs at the canaries of a group, and one more.
-func (d *Dispatcher) canRetryCanaries(g *group) bool {
+func (d *Dispatcher) canRetryCanaries(g *replicaGroup) bool {
 	running := 0
 	for _, l := range g.canaries {
 		running += len(l.running)
 	}
-	budget := d.budgets.of(g.shard, d.now)
+	budget := d.budgets.get(g.shard, d.now)
 	return budget.CanRetry() && budget.Tokens()+d.config.Budget.Debt >= float64(running+1)
 }
 
@@ -185,7 +185,7 @@
 func (s *shardState) markTried(l *leafState) {
 	for index, other := range s.group.leaves {
 		if other == l {
-			s.tried |= replicaBit(index)
+			s.triedReplicas |= replicaBit(index)
 		}
 	}
 }
--- a/internal/decide/dispatch/class.go
+++ b/internal/decide/dispatch/class.go
@@ -16,8 +16,8 @@
 	deadline time.Duration
 	// base is the time in seconds of one attempt on an ordinary leaf with a
 	// free slot.
-	base    float64
-	samples int
+	serviceTime float64
+	samples     int
 	// latency holds the latencies of single attempts.
 	latency hedge.Quantiles
 }
@@ -25,33 +25,33 @@
 // Neither number was compared with others: they are chosen so that the base follows some
 // fifty attempts, and one that met a pause of its leaf counts little.
 const (
-	baseWeight   = 0.02 // of one sample, once there are many
-	baseOutliers = 4    // samples count at most this many times the base
+	serviceTimeWeight  = 0.02 // of one sample, once there are many
+	maximumSampleRatio = 4    // samples count at most this many times the base
 )
 
 // classTable holds the classes by name, and in the order in which their work goes.
 type classTable struct {
-	initial time.Duration // latency assumed before the first reply
-	byName  map[string]*classState
-	ranked  []*classState
+	initialServiceTime time.Duration // latency assumed before the first reply
+	byName             map[string]*classState
+	ranked             []*classState
 }
 
 func newClassTable(initial time.Duration) classTable {
-	return classTable{initial: initial, byName: make(map[string]*classState)}
+	return classTable{initialServiceTime: initial, byName: make(map[string]*classState)}
 }
 
 // of returns the state of a class, by its name, with the priority and deadline that it
 // has now.
-func (t *classTable) of(defined catalog.Class) *classState {
-	class, known := t.byName[defined.Name]
-	if !known {
-		class = &classState{index: len(t.ranked), base: t.initial.Seconds()}
+func (t *classTable) get(defined catalog.Class) *classState {
+	class, ok := t.byName[defined.Name]
+	if !ok {
+		class = &classState{index: len(t.ranked), serviceTime: t.initialServiceTime.Seconds()}
 		t.byName[defined.Name] = class
 		t.ranked = append(t.ranked, class)
 	}
-	if !known || class.priority != defined.Priority || class.deadline != defined.Deadline {
+	if !ok || class.priority != defined.Priority || class.deadline != defined.Deadline {
 		class.priority, class.deadline = defined.Priority, defined.Deadline
-		slices.SortStableFunc(t.ranked, byUrgency)
+		slices.SortStableFunc(t.ranked, compareUrgency)
 	}
 	return class
 }
@@ -62,20 +62,20 @@
 }
 
 // byUrgency orders classes as their work goes: by priority, then by deadline.
-func byUrgency(a, b *classState) int {
+func compareUrgency(a, b *classState) int {
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.deadline, b.deadline))
 }
 
 // learn records the latency of an attempt that was expected to take stretch
 // times the base because of the queue of its leaf.
-func (c *classState) learn(latency time.Duration, stretch float64) {
+func (c *classState) recordLatency(latency time.Duration, stretch float64) {
 	c.latency.Add(latency)
 	c.samples++
 	sample := latency.Seconds() / stretch
 	if c.samples == 1 {
-		c.base = sample
+		c.serviceTime = sample
 		return
 	}
-	weight := max(baseWeight, 1/float64(c.samples))
-	c.base += weight * (min(sample, baseOutliers*c.base) - c.base)
+	weight := max(serviceTimeWeight, 1/float64(c.samples))
+	c.serviceTime += weight * (min(sample, maximumSampleRatio*c.serviceTime) - c.serviceTime)
 }
--- a/internal/decide/dispatch/config.go
+++ b/internal/decide/dispatch/config.go
@@ -28,7 +28,7 @@
 	// Promotion is the share of its time after which a query that still waits
 	// becomes as urgent as the most urgent, because it was promised to run.
 	// One means never.
-	Promotion float64
+	PromoteAfter float64
 	// Settle decides when partial coverage is given.
 	Settle coverage.Config
 	// Budget pays for hedges, probes and retries.
@@ -63,16 +63,16 @@
 	InitialLatency time.Duration
 	// Review is how often waiting attempts are looked at again without an
 	// event on their leaves.
-	Review time.Duration
+	RescanInterval time.Duration
 	// AbortAge is the age from which an attempt that is not wanted any more
 	// counts as overdue, over the time expected of an ordinary leaf with its
 	// queue.
 	AbortAge float64
 	// MaximumSends is how many attempts one shard of one query may cause.
-	MaximumSends int
+	MaximumAttempts int
 	// MaximumLost is how many attempts of one shard of one query may be lost
 	// after they were sent.
-	MaximumLost int
+	MaximumLostAttempts int
 }
 
 // HedgeConfig is the policy of hedges. The quantile after which a hedge is
@@ -80,23 +80,23 @@
 type HedgeConfig struct {
 	// Outstanding is the share of a query's shards that may be outstanding
 	// when hedges start; one may always be.
-	Outstanding float64
+	OutstandingShare float64
 	// Rescue is the share of a query's time after which all that is in flight
 	// may be hedged, on the same terms as retries: with half of the time gone,
 	// an answer is more likely lost than late.
-	Rescue float64
+	ChargeAsRetryAfter float64
 	// Queue is how many attempts may wait on a leaf that is to get a hedge, as
 	// far as is known.
 	Queue float64
 	// Samples is the number of latencies of the class that must be known.
-	Samples int
+	MinimumSamples int
 }
 
 // ProbationConfig is the policy towards stragglers.
 type ProbationConfig struct {
 	// Slowness is the ratio to the best replica above which a leaf is in
 	// probation: it gets probes.
-	Slowness float64
+	SlownessThreshold float64
 	// ProbeInterval is the time without an attempt after which a leaf in
 	// probation gets a probe.
 	ProbeInterval time.Duration
@@ -109,10 +109,10 @@
 	// Maximum bounds the pause, which doubles with each failure in a row.
 	Maximum time.Duration
 	// Shed is the pause after a refusal for load that names no time.
-	Shed time.Duration
+	ShedPause time.Duration
 	// SnapshotGone is how long a leaf counts as not holding a snapshot that it
 	// refused, since the topology may lag.
-	SnapshotGone time.Duration
+	MissingHoldingTTL time.Duration
 }
 
 // DefaultConfig returns the defaults, with the reason of each.
@@ -126,25 +126,25 @@
 		// Simulated at 150 % load: without a promotion, queries were refused at their
 		// deadlines in the services with two and three slots a leaf. Other shares were not
 		// compared.
-		Promotion: 0.3,
-		Settle:    coverage.DefaultConfig(),
-		Budget:    hedge.DefaultBudgetConfig(),
-		Hedge:     defaultHedgeConfig(),
-		Probation: defaultProbationConfig(),
-		Backoff:   defaultBackoffConfig(),
+		PromoteAfter: 0.3,
+		Settle:       coverage.DefaultConfig(),
+		Budget:       hedge.DefaultBudgetConfig(),
+		Hedge:        defaultHedgeConfig(),
+		Probation:    defaultProbationConfig(),
+		Backoff:      defaultBackoffConfig(),
 		// Not measured: chosen as the order of a short query on an idle leaf; the first
 		// reply replaces it.
 		InitialLatency: 20 * time.Millisecond,
 		// Not measured: chosen below the shortest service times, so that a slot that got
 		// free by time alone is not idle for long.
-		Review: 2 * time.Millisecond,
+		RescanInterval: 2 * time.Millisecond,
 		// Paired trials (five days, three seeds), worth: 0.7824 when no attempt counted as
 		// overdue, 0.7871 with 2, 0.7832 with 4.
 		AbortAge: 2,
 		// Not measured: chosen to bound refusals in a row, which cost nothing but time.
-		MaximumSends: 8,
+		MaximumAttempts: 8,
 		// Not measured: chosen to bound what one shard that keeps losing its attempts costs.
-		MaximumLost: 3,
+		MaximumLostAttempts: 3,
 	}
 }
 
@@ -152,22 +152,22 @@
 	return HedgeConfig{
 		// Trials on two large fleets, one seed, worth with 0.25 and with 0.5: 0.582 and 0.530,
 		// 0.464 and 0.437; with fewer probes 0.599 and 0.621, 0.514 and 0.503.
-		Outstanding: 0.25,
+		OutstandingShare: 0.25,
 		// Simulated, 60 % load, one leaf lost: 0.9948 and 0.9887 of the urgent queries whole
 		// without a rescue, 1.0000 with it. Other shares were not compared: with half of the
 		// time gone, an answer is more likely lost than late.
-		Rescue: 0.5,
+		ChargeAsRetryAfter: 0.5,
 		// Not measured by itself: chosen so that a hedge starts at once.
 		Queue: 0,
 		// Not measured: chosen so that a quantile of 0.95 rests on more than two samples.
-		Samples: 50,
+		MinimumSamples: 50,
 	}
 }
 
 func defaultProbationConfig() ProbationConfig {
 	return ProbationConfig{
 		// Not measured: chosen just above the noise of ScoreConfig.Noise.
-		Slowness: 1.5,
+		SlownessThreshold: 1.5,
 		// Simulated with one leaf slow for 15 s at 40 % load: 0.71 of its fair share over the
 		// run with probes, 0.58 without. Other intervals were compared for nodes that set
 		// their own.
@@ -183,8 +183,8 @@
 		// unused; it also bounds what a leaf may ask for.
 		Maximum: 2 * time.Second,
 		// Not measured: chosen as about one attempt, after which a slot may be free.
-		Shed: 5 * time.Millisecond,
+		ShedPause: 5 * time.Millisecond,
 		// Not measured: chosen above the time by which a topology lags behind a leaf.
-		SnapshotGone: time.Second,
+		MissingHoldingTTL: time.Second,
 	}
 }
--- a/internal/decide/dispatch/crash.go
+++ b/internal/decide/dispatch/crash.go
@@ -18,32 +18,32 @@
 // restartLag is the longest time from the restart of a leaf until the topology lists its
 // new boot ID: the pause of a watch while much changes is 0.5 s, and the entry and the
 // notification of it take less than that. Not measured: the sum of the two, rounded up.
-const restartLag = time.Second
+const restartListingDelay = time.Second
 
 // loseFormerAttempts counts the attempts at the former incarnations of the restarted
 // leaves as lost.
-func (d *Dispatcher) loseFormerAttempts() {
+func (d *Dispatcher) failOrphanedAttempts() {
 	restarted := d.fleet.restarted
 	d.fleet.restarted = d.fleet.restarted[:0]
 	for _, l := range restarted {
 		for _, slot := range slices.Clone(l.running) {
-			d.loseFormerAttempt(&d.attempts.slots[slot])
+			d.failOrphanedAttempt(&d.attempts.slots[slot])
 		}
 	}
 }
 
 // loseFormerAttempt counts one attempt as lost, if its query still waits for it.
-func (d *Dispatcher) loseFormerAttempt(entry *attempt) {
-	if !entry.wanted || d.now-entry.sentAt < restartLag {
+func (d *Dispatcher) failOrphanedAttempt(entry *attempt) {
+	if !entry.wanted || d.now-entry.sentAt < restartListingDelay {
 		return
 	}
 	lost := *entry
 	q := lost.query
-	d.abort(entry)
+	d.abortAttempt(entry)
 	q.executed = true
 	if q.shards[lost.position].status != shardAnswered {
-		d.attemptLost(&lost)
+		d.recordLoss(&lost)
 		d.placeDue(&lost)
 	}
-	d.review(q)
+	d.advance(q)
 }
--- a/internal/decide/dispatch/crash_test.go
+++ b/internal/decide/dispatch/crash_test.go
@@ -7,13 +7,13 @@
 
 // restarted sends a query to a leaf that crashes behind a network partition, and lists
 // all leaves as restarted after a time.
-func (r *rig) restarted(length time.Duration, once bool) QueryID {
-	r.shape = func(query *Query) {
+func (r *rig) crashAndRestart(length time.Duration, once bool) QueryID {
+	r.modifyQuery = func(query *Query) {
 		query.Deadline = r.now + time.Minute
 		query.Class.Repeatable = !once
 	}
 	id := r.submit(1)
-	r.mute = append(r.mute, r.open[0].Attempt)
+	r.unanswered = append(r.unanswered, r.open[0].Attempt)
 	r.run(length)
 	for index := range r.topology.Leaves {
 		r.topology.Leaves[index].BootID = "2"
@@ -24,9 +24,9 @@
 
 // TestAttemptAtAFormerStartIsLost with it: the query has its answer from the next
 // start, long before its time is over.
-func TestAttemptAtAFormerStartIsLost(t *testing.T) {
+func TestOrphanedAttemptIsRetried(t *testing.T) {
 	r := newRig(t, 2, withoutHedges)
-	id := r.restarted(restartLag, false)
+	id := r.crashAndRestart(restartListingDelay, false)
 	r.run(50 * time.Millisecond)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeAnswered {
 		t.Errorf("%+v, %v", finish, ended)
@@ -38,9 +38,9 @@
 
 // TestAttemptThatMayRunOnceAtAFormerStart is not sent again: its fate is unknown, and
 // its caller is told so at once.
-func TestAttemptThatMayRunOnceAtAFormerStart(t *testing.T) {
+func TestOrphanedNonRepeatableAttemptIsUnknown(t *testing.T) {
 	r := newRig(t, 2, withoutHedges)
-	id := r.restarted(restartLag, true)
+	id := r.crashAndRestart(restartListingDelay, true)
 	if finish, ended := r.finishes[id]; !ended || finish.Outcome != OutcomeUnknown {
 		t.Errorf("%+v, %v", finish, ended)
 	}
@@ -50,13 +50,13 @@
 }
 
 // TestYoungAttemptMayRunAtTheNextStart: the news of a start comes after it.
-func TestYoungAttemptMayRunAtTheNextStart(t *testing.T) {
+func TestYoungAttemptIsNotOrphaned(t *testing.T) {
 	r := newRig(t, 2, withoutHedges)
-	id := r.restarted(restartLag/2, false)
+	id := r.crashAndRestart(restartListingDelay/2, false)
 	if len(r.aborted) != 0 {
 		t.Errorf("%d attempts given up", len(r.aborted))
 	}
-	r.mute = nil
+	r.unanswered = nil
 	r.run(50 * time.Millisecond)
 	if _, ended := r.finishes[id]; !ended {
 		t.Error("no answer from the next start")
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -25,15 +25,15 @@
 	waiting  waitingShards
 
 	classes    classTable
-	means      means
+	means      runningMeans
 	load       loadEstimate
 	budgets    budgets
 	allowances allowances
 
-	counters Counters
-	actions  []Action // of the present call
-	spare    shardPool
-	scratch  scratch
+	counters  Counters
+	actions   []Action // of the present call
+	shardPool shardPool
+	scratch   scratch
 }
 
 // scratch is space that choose and predictWait use again.
@@ -53,7 +53,7 @@
 		fleet:   fleet{byAddress: make(map[netip.AddrPort]*leafState)},
 		queries: queryTable{byID: make(map[QueryID]*query)},
 		classes: newClassTable(config.InitialLatency),
-		means:   means{attemptWork: config.InitialLatency.Seconds()},
+		means:   runningMeans{attemptWork: config.InitialLatency.Seconds()},
 		budgets: newBudgets(config.Budget, config.BudgetByShard),
 	}
 }
@@ -68,22 +68,22 @@
 // is ignored.
 func (d *Dispatcher) Submit(now Time, request Query) []Action {
 	d.begin(now)
-	if _, known := d.queries.byID[request.ID]; known {
+	if _, ok := d.queries.byID[request.ID]; ok {
 		return nil
 	}
 	d.counters.Submitted++
 	q := &query{
 		Query: request,
-		class: d.classes.of(request.Class),
+		class: d.classes.get(request.Class),
 		schedule: schedule{
 			submitted: d.now,
 			settleAt:  d.config.Settle.SettleAt(d.now, request.Deadline, request.Objective),
-			promoteAt: d.now + time.Duration(d.config.Promotion*float64(request.Deadline-d.now)),
+			promoteAt: d.now + time.Duration(d.config.PromoteAfter*float64(request.Deadline-d.now)),
 		},
 		timer: timer{index: -1},
 	}
 	if d.mayHedge(q) {
-		q.hedging.rescueAt = d.now + time.Duration(d.config.Hedge.Rescue*float64(request.Deadline-d.now))
+		q.hedging.chargeAsRetryAt = d.now + time.Duration(d.config.Hedge.ChargeAsRetryAfter*float64(request.Deadline-d.now))
 	}
 	if reason := d.rejectReason(q); reason != ReasonNone {
 		d.reject(q, reason)
@@ -104,8 +104,8 @@
 // Cancel ends a query whose caller went away, and aborts its attempts.
 func (d *Dispatcher) Cancel(now Time, id QueryID) []Action {
 	d.begin(now)
-	if q, known := d.queries.byID[id]; known {
-		d.finish(q, q.failure(), ReasonCancelled)
+	if q, ok := d.queries.byID[id]; ok {
+		d.finish(q, q.failureOutcome(), ReasonCancelled)
 	}
 	return d.actions
 }
@@ -114,9 +114,9 @@
 // or mislead, except that a leaf which says it drains gets no more work.
 func (d *Dispatcher) Observe(now Time, address netip.AddrPort, load leaf.LoadSummary) []Action {
 	d.begin(now)
-	if l, known := d.fleet.byAddress[address]; known {
-		d.observe(l, l.boot(), load, len(l.running))
-		d.pump(l)
+	if l, ok := d.fleet.byAddress[address]; ok {
+		d.applyLoadReport(l, l.currentBoot(), load, len(l.running))
+		d.dispatchTo(l)
 	}
 	return d.actions
 }
@@ -124,18 +124,18 @@
 // Tick performs what is due; see NextTick.
 func (d *Dispatcher) Tick(now Time) []Action {
 	d.begin(now)
-	if d.fleet.goneUntil > 0 && d.now >= d.fleet.goneUntil {
-		d.rebuild()
+	if d.fleet.missingUntil > 0 && d.now >= d.fleet.missingUntil {
+		d.rebuildViews()
 	}
 	for len(d.timers) > 0 && d.timers[0].timer.at <= d.now {
 		q := d.timers[0]
 		if q.hedgeDue(d.now) {
-			d.hedge(q)
+			d.sendHedges(q)
 		}
-		d.review(q)
+		d.advance(q)
 	}
-	if d.waiting.any() && d.now >= d.waiting.reviewAt {
-		d.pumpAll()
+	if d.waiting.hasWaiting() && d.now >= d.waiting.rescanAt {
+		d.dispatchAllWaiting()
 	}
 	return d.actions
 }
@@ -143,22 +143,22 @@
 // NextTick returns when Tick has to be called next, and false if no time is
 // known. It changes with each call of the other methods.
 func (d *Dispatcher) NextTick() (Time, bool) {
-	next, known := Time(0), false
+	next, ok := Time(0), false
 	consider := func(at Time) {
-		if !known || at < next {
-			next, known = at, true
+		if !ok || at < next {
+			next, ok = at, true
 		}
 	}
 	if len(d.timers) > 0 {
 		consider(d.timers[0].timer.at)
 	}
-	if d.waiting.any() {
-		consider(d.waiting.reviewAt)
+	if d.waiting.hasWaiting() {
+		consider(d.waiting.rescanAt)
 	}
-	if d.fleet.goneUntil > 0 {
-		consider(d.fleet.goneUntil)
+	if d.fleet.missingUntil > 0 {
+		consider(d.fleet.missingUntil)
 	}
-	return next, known
+	return next, ok
 }
 
 // SetProbeInterval changes the time between two probes of a slow leaf by this node.
--- a/internal/decide/dispatch/down.go
+++ b/internal/decide/dispatch/down.go
@@ -23,41 +23,41 @@
 	}
 	l.down = down
 	if down {
-		d.fleet.down++
+		d.fleet.downCount++
 	} else {
-		d.fleet.down--
+		d.fleet.downCount--
 	}
 }
 
 // isDown reports whether all leaves of a group that may get work are down. One without
 // such leaves is not: they may be cold, or drain.
-func (d *Dispatcher) isDown(g *group) bool {
-	if d.fleet.down == 0 {
+func (d *Dispatcher) isDown(g *replicaGroup) bool {
+	if d.fleet.downCount == 0 {
 		return false
 	}
-	some := false
+	accepting := false
 	for _, l := range g.leaves {
-		if !l.takesWork() {
+		if !l.acceptsWork() {
 			continue
 		}
-		if !l.down || !l.holdOff.active(d.now) {
+		if !l.down || !l.backoff.active(d.now) {
 			return false
 		}
-		some = true
+		accepting = true
 	}
-	return some
+	return accepting
 }
 
 // outOfReach reports whether a query cannot reach its coverage while the leaves are down
 // that are. A shard with an attempt under way may be answered.
-func (d *Dispatcher) outOfReach(q *query) bool {
-	if d.fleet.down == 0 {
+func (d *Dispatcher) coverageBlockedByDownLeaves(q *query) bool {
+	if d.fleet.downCount == 0 {
 		return false
 	}
 	reachable := q.progress
 	for position := range q.shards {
 		shard := &q.shards[position]
-		if shard.status == shardWaiting && shard.first == none && shard.group != nil && d.isDown(shard.group) {
+		if shard.status == shardWaiting && shard.firstAttempt == noAttempt && shard.group != nil && d.isDown(shard.group) {
 			reachable.Unavailable++
 		}
 	}
@@ -66,13 +66,13 @@
 
 // endOutOfReach ends the queries that wait for a leaf which has turned down, and cannot
 // reach their coverage without it.
-func (d *Dispatcher) endOutOfReach(l *leafState) {
+func (d *Dispatcher) endQueriesBlockedBy(l *leafState) {
 	if !l.down || !slices.ContainsFunc(l.groups, d.isDown) {
 		return
 	}
 	for _, q := range slices.Clone(d.queries.running) {
 		if !q.finished {
-			d.review(q)
+			d.advance(q)
 		}
 	}
 }
--- a/internal/decide/dispatch/down_test.go
+++ b/internal/decide/dispatch/down_test.go
@@ -14,10 +14,10 @@
 	r := newRig(t, 4, func(c *Config) { c.RequireCoverage = true })
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 4}}
 	for index := range r.topology.Leaves {
-		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: first, Shards: []int{index}}}
+		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: firstSnapshot, Shards: []int{index}}}
 	}
 	r.perform(r.d.SetTopology(r.now, r.topology))
-	r.shape = func(q *Query) { q.Shards, q.MinimumCoverage = []int{0, 1, 2, 3}, minimum }
+	r.modifyQuery = func(q *Query) { q.Shards, q.MinimumCoverage = []int{0, 1, 2, 3}, minimum }
 	return r
 }
 
@@ -36,15 +36,15 @@
 
 // TestQueryEndsOnceItsShardsAreDown, and so do others that wait for them; the next ones
 // are refused until the pause is over, and served once a leaf is back.
-func TestQueryEndsOnceItsShardsAreDown(t *testing.T) {
+func TestQueriesEndWhenTooManyShardsAreDown(t *testing.T) {
 	r := newDownRig(t, 0.75)
-	asked, other := r.submit(1), r.submit(1)
+	first, other := r.submit(1), r.submit(1)
 	r.refuseConnections(0)
-	if _, ended := r.finishes[asked]; ended {
+	if _, ended := r.finishes[first]; ended {
 		t.Fatal("ended with three of four shards in reach")
 	}
 	r.refuseConnections(1)
-	for _, id := range []QueryID{asked, other} {
+	for _, id := range []QueryID{first, other} {
 		if finish, ended := r.finishes[id]; !ended || finish.Reason != ReasonNoLeaf {
 			t.Errorf("query %d: %+v, %v", id, finish, ended)
 		}
@@ -63,13 +63,13 @@
 	if finish := r.finishes[served]; finish.Outcome != OutcomeAnswered {
 		t.Errorf("after the pause: %+v", finish)
 	}
-	if r.d.fleet.down != 0 {
-		t.Errorf("%d leaves are down", r.d.fleet.down)
+	if r.d.fleet.downCount != 0 {
+		t.Errorf("%d leaves are down", r.d.fleet.downCount)
 	}
 }
 
 // TestCoverageThatNeedsNoDownShardIsServed.
-func TestCoverageThatNeedsNoDownShardIsServed(t *testing.T) {
+func TestQueryIsServedWithoutDownShards(t *testing.T) {
 	r := newDownRig(t, 0.5)
 	r.submit(1)
 	r.refuseConnections(0, 1)
@@ -82,7 +82,7 @@
 
 // TestLeafThatIsSilentIsNotDown: a connection that takes too long shows nothing of who
 // listens.
-func TestLeafThatIsSilentIsNotDown(t *testing.T) {
+func TestConnectTimeoutDoesNotMarkLeafDown(t *testing.T) {
 	r := newDownRig(t, 1)
 	id := r.submit(1)
 	for _, send := range r.open {
@@ -94,14 +94,14 @@
 }
 
 // TestLeafOfANewStartIsNotDown, and neither is one that left the topology.
-func TestLeafOfANewStartIsNotDown(t *testing.T) {
+func TestRestartedOrUnlistedLeafIsNotDown(t *testing.T) {
 	r := newDownRig(t, 1)
 	r.submit(1)
 	r.refuseConnections(0, 1)
 	r.topology.Leaves[0].BootID = "2"
 	r.topology.Leaves = r.topology.Leaves[:1]
 	r.perform(r.d.SetTopology(r.now, r.topology))
-	if r.d.fleet.down != 0 {
-		t.Errorf("%d leaves are down", r.d.fleet.down)
+	if r.d.fleet.downCount != 0 {
+		t.Errorf("%d leaves are down", r.d.fleet.downCount)
 	}
 }
--- a/internal/decide/dispatch/ends.go
+++ b/internal/decide/dispatch/ends.go
@@ -6,8 +6,8 @@
 // dropped the attempt, the answer counts for its shard.
 func (d *Dispatcher) Reply(now Time, id AttemptID, reply Reply) []Action {
 	d.begin(now)
-	ended, known := d.resolve(id)
-	if !known {
+	ended, ok := d.removeAttempt(id)
+	if !ok {
 		return d.actions
 	}
 	d.counters.Replies++
@@ -18,14 +18,14 @@
 		d.counters.LateReplies++
 	case reply.Shard != ended.shard || reply.Snapshot != ended.snapshot:
 		d.counters.CrossedReplies++
-		d.attemptLost(&ended)
+		d.recordLoss(&ended)
 	default:
-		d.answer(&ended)
+		d.recordAnswer(&ended)
 	}
 	d.learnFromReply(&ended, reply)
 	d.placeDue(&ended)
-	d.review(q)
-	d.pump(l)
+	d.advance(q)
+	d.dispatchTo(l)
 	return d.actions
 }
 
@@ -33,47 +33,47 @@
 func (d *Dispatcher) learnFromReply(ended *attempt, reply Reply) {
 	l, q := ended.leaf, ended.query
 	latency := d.now - ended.sentAt
-	ratio := latency.Seconds() / ended.expected
+	ratio := latency.Seconds() / ended.expectedTime
 	l.speed.Completed(d.now, ratio)
-	l.probation.recovering = ratio < d.config.Probation.Slowness
-	l.holdOff = holdOff{}
+	l.probation.recovering = ratio < d.config.Probation.SlownessThreshold
+	l.backoff = backoff{}
 	d.setDown(l, false)
-	l.learnLatency(latency)
+	l.recordLatency(latency)
 	l.losses.Ended(&d.config.Losses, d.now, false)
-	q.class.learn(latency, ended.expected/q.class.base)
+	q.class.recordLatency(latency, ended.expectedTime/q.class.serviceTime)
 	l.limiter.Succeeded(d.now, len(l.running)+1, reply.Load.Queue)
-	d.observe(l, reply.BootID, reply.Load, len(l.running))
+	d.applyLoadReport(l, reply.BootID, reply.Load, len(l.running))
 }
 
 // observe takes in what a leaf says of itself.
-func (d *Dispatcher) observe(l *leafState, boot string, load leaf.LoadSummary, own int) {
-	if l.noteBoot(boot) {
+func (d *Dispatcher) applyLoadReport(l *leafState, boot string, load leaf.LoadSummary, own int) {
+	if l.recordBoot(boot) {
 		d.resetLeaf(l, load.State == leaf.StateCold)
 	}
 	if load.Slots > 0 {
-		l.reports.add(d.now, load, own)
+		l.loadReports.record(d.now, load, own)
 	}
-	if load.State == leaf.StateDraining && l.noteDraining(boot) {
-		d.rebuild()
+	if load.State == leaf.StateDraining && l.recordDraining(boot) {
+		d.rebuildViews()
 	}
 }
 
 // answer merges the answer of a shard and aborts the attempts beside it. A
 // probe goes on until the query ends, to measure its leaf.
-func (d *Dispatcher) answer(ended *attempt) {
+func (d *Dispatcher) recordAnswer(ended *attempt) {
 	q := ended.query
 	shard := &q.shards[ended.position]
 	shard.status = shardAnswered
-	shard.answer = ended.id
+	shard.answeredBy = ended.id
 	q.progress.Answered++
 	if ended.cause == CauseHedge || ended.cause == CauseProbe {
 		d.counters.HedgesWon++
 	}
-	for slot := shard.first; slot != none; {
+	for slot := shard.firstAttempt; slot != noAttempt; {
 		entry := &d.attempts.slots[slot]
 		slot = entry.next
 		if entry.cause != CauseProbe {
-			d.abort(entry)
+			d.abortAttempt(entry)
 		}
 	}
 	if _, _, settled := d.settle(q); !settled && shard.group != nil {
@@ -84,29 +84,29 @@
 // Refuse takes in the proof that an attempt did not execute.
 func (d *Dispatcher) Refuse(now Time, id AttemptID, refusal Refusal) []Action {
 	d.begin(now)
-	ended, known := d.resolve(id)
-	if !known {
+	ended, ok := d.removeAttempt(id)
+	if !ok {
 		return d.actions
 	}
 	d.counters.Refusals++
 	l, q := ended.leaf, ended.query
 	awaited := ended.wanted && q.shards[ended.position].status != shardAnswered
 	if awaited {
-		d.attemptRefused(&ended, refusal)
+		d.recordRefusal(&ended, refusal)
 	}
-	d.observe(l, refusal.BootID, refusal.Load, len(l.running))
+	d.applyLoadReport(l, refusal.BootID, refusal.Load, len(l.running))
 	d.setDown(l, false)
 	d.learnFromRefusal(&ended, refusal)
 	if awaited {
 		d.placeDue(&ended)
 	}
-	d.review(q)
-	d.pump(l)
+	d.advance(q)
+	d.dispatchTo(l)
 	return d.actions
 }
 
 // attemptRefused books a refused attempt with its query.
-func (d *Dispatcher) attemptRefused(ended *attempt, refusal Refusal) {
+func (d *Dispatcher) recordRefusal(ended *attempt, refusal Refusal) {
 	q := ended.query
 	shard := &q.shards[ended.position]
 	q.findings.lastReason = ReasonRefused
@@ -118,7 +118,7 @@
 		d.addPause(q, refusal.RetryAfter)
 	}
 	shard.resend = true
-	shard.unexecuted++
+	shard.unexecutedAttempts++
 	shard.chargeNext = d.config.ChargeRefusals
 	shard.markDue()
 }
@@ -126,12 +126,12 @@
 // Fail takes in the end of an attempt without a reply or a refusal.
 func (d *Dispatcher) Fail(now Time, id AttemptID, failure Failure) []Action {
 	d.begin(now)
-	ended, known := d.resolve(id)
-	if !known {
+	ended, ok := d.removeAttempt(id)
+	if !ok {
 		return d.actions
 	}
 	l, q := ended.leaf, ended.query
-	ratio := (d.now - ended.sentAt).Seconds() / ended.expected
+	ratio := (d.now - ended.sentAt).Seconds() / ended.expectedTime
 	if failure.Closed {
 		q.crashes++
 	}
@@ -145,35 +145,35 @@
 		d.counters.FailedUnsent++
 	}
 	if ended.wanted && !failure.Aborted && !failure.OnTheWay {
-		l.holdOff.failed(d.now, d.config.Backoff)
+		l.backoff.recordFailure(d.now, d.config.Backoff)
 		l.losses.Ended(&d.config.Losses, d.now, true)
 		d.setDown(l, failure.Refused)
 	}
 	if ended.wanted && q.shards[ended.position].status != shardAnswered {
-		d.attemptFailed(&ended, failure)
+		d.recordFailure(&ended, failure)
 		d.placeDue(&ended)
 	}
-	d.review(q)
-	d.endOutOfReach(l)
-	d.pump(l)
+	d.advance(q)
+	d.endQueriesBlockedBy(l)
+	d.dispatchTo(l)
 	return d.actions
 }
 
-func (d *Dispatcher) attemptFailed(ended *attempt, failure Failure) {
+func (d *Dispatcher) recordFailure(ended *attempt, failure Failure) {
 	if failure.Sent {
-		d.attemptLost(ended)
+		d.recordLoss(ended)
 		return
 	}
 	q := ended.query
 	shard := &q.shards[ended.position]
 	q.findings.lastReason = ReasonLost
 	shard.resend = true
-	shard.unexecuted++
+	shard.unexecutedAttempts++
 	shard.markDue()
 }
 
 // attemptLost handles an attempt that may have executed and whose answer is lost.
-func (d *Dispatcher) attemptLost(ended *attempt) {
+func (d *Dispatcher) recordLoss(ended *attempt) {
 	q := ended.query
 	shard := &q.shards[ended.position]
 	q.findings.lastReason = ReasonLost
@@ -181,39 +181,39 @@
 		q.findings.unknown = true
 		return
 	}
-	shard.lost++
+	shard.lostAttempts++
 	shard.needsRetry = true
 	shard.markDue()
 }
 
 // resolve takes the attempt whose end is reported out of the tables.
-func (d *Dispatcher) resolve(id AttemptID) (attempt, bool) {
+func (d *Dispatcher) removeAttempt(id AttemptID) (attempt, bool) {
 	entry := d.attempts.find(id)
 	if entry == nil {
 		d.counters.UnknownAttempts++
 		return attempt{}, false
 	}
 	if entry.wanted {
-		d.unlink(entry)
+		d.unlinkAttempt(entry)
 	}
 	ended := *entry
 	ended.query.unresolved--
 	l := ended.leaf
 	last := len(l.running) - 1
 	moved := l.running[last]
-	l.running[ended.running] = moved
-	d.attempts.slots[moved].running = ended.running
+	l.running[ended.runningIndex] = moved
+	d.attempts.slots[moved].runningIndex = ended.runningIndex
 	l.running = l.running[:last]
-	l.overdue.at = unknown
+	l.overdue.at = noTime
 	d.attempts.remove(entry)
 	return ended, true
 }
 
 // unlink takes a wanted attempt out of the list of its shard.
-func (d *Dispatcher) unlink(entry *attempt) {
+func (d *Dispatcher) unlinkAttempt(entry *attempt) {
 	entry.query.inFlight--
 	shard := &entry.query.shards[entry.position]
-	link := &shard.first
+	link := &shard.firstAttempt
 	for d.attempts.slots[*link].id != entry.id {
 		link = &d.attempts.slots[*link].next
 	}
@@ -222,10 +222,10 @@
 
 // abort cancels a wanted attempt. It stays in the tables until its end is
 // reported.
-func (d *Dispatcher) abort(entry *attempt) {
-	d.unlink(entry)
+func (d *Dispatcher) abortAttempt(entry *attempt) {
+	d.unlinkAttempt(entry)
 	entry.wanted = false
 	d.counters.Aborts++
 	age := (d.now - entry.sentAt).Seconds()
-	d.actions = append(d.actions, Abort{Attempt: entry.id, Overdue: age >= d.config.AbortAge*entry.expected})
+	d.actions = append(d.actions, Abort{Attempt: entry.id, Overdue: age >= d.config.AbortAge*entry.expectedTime})
 }
--- a/internal/decide/dispatch/golden_attempts_test.go
+++ b/internal/decide/dispatch/golden_attempts_test.go
@@ -11,7 +11,7 @@
 
 // playedRequests are the kinds of requests that a player submits. Their
 // deadline, objective and hedge delay count from the submission.
-var playedRequests = []Query{
+var simulatedRequests = []Query{
 	{
 		Class:    catalog.Class{Name: "check", Priority: 1, Deadline: 60 * time.Millisecond, HedgePercentile: 0.9, ExtraLoad: 0.2, Repeatable: true},
 		Deadline: 60 * time.Millisecond, Objective: 40 * time.Millisecond, MinimumCoverage: 0.5,
@@ -38,128 +38,128 @@
 	},
 }
 
-func (p *player) submit() {
-	p.submitAt = p.after(p.mood.arrival)
-	if p.lastID > 0 && p.random.IntN(40) == 0 {
-		id := p.lastID - QueryID(p.random.IntN(min(int(p.lastID), 8)))
-		p.perform(fmt.Sprintf("cancel q%d", id), p.d.Cancel(p.now, id))
+func (s *simulator) submit() {
+	s.submitAt = s.after(s.scenario.arrival)
+	if s.lastID > 0 && s.random.IntN(40) == 0 {
+		id := s.lastID - QueryID(s.random.IntN(min(int(s.lastID), 8)))
+		s.perform(fmt.Sprintf("cancel q%d", id), s.d.Cancel(s.now, id))
 		return
 	}
-	p.lastID++
-	request := playedRequests[p.random.IntN(len(playedRequests))]
-	request.ID = p.lastID
-	request.KeyHash = p.random.Uint64N(12)
-	request.Deadline += p.now
+	s.lastID++
+	request := simulatedRequests[s.random.IntN(len(simulatedRequests))]
+	request.ID = s.lastID
+	request.KeyHash = s.random.Uint64N(12)
+	request.Deadline += s.now
 	if request.Objective > 0 {
-		request.Objective += p.now
+		request.Objective += s.now
 	}
-	switch p.random.IntN(60) {
+	switch s.random.IntN(60) {
 	case 0:
-		request.Deadline = p.now
+		request.Deadline = s.now
 	case 1:
-		request.Deadline = p.now + 4*time.Millisecond
+		request.Deadline = s.now + 4*time.Millisecond
 	case 2:
 		request.HasKey = false
 	}
-	p.perform(fmt.Sprintf("submit q%d %s", request.ID, request.Class.Name), p.d.Submit(p.now, request))
+	s.perform(fmt.Sprintf("submit q%d %s", request.ID, request.Class.Name), s.d.Submit(s.now, request))
 }
 
 // take gives an attempt to its leaf and draws how it will end.
-func (p *player) take(send Send) {
-	index := slices.IndexFunc(p.leaves, func(one *playedLeaf) bool { return one.listed.Address == send.Leaf })
-	one := p.leaves[index]
-	queue := 1 + float64(max(one.running-one.listed.Slots, 0))/float64(one.listed.Slots)
-	took := time.Duration((0.5 + p.random.ExpFloat64()/2) * one.slow * queue * float64(playedService))
-	entry := &playedAttempt{send: send, leaf: one, due: p.now + took + 1}
-	drawn := p.random.Float64()
+func (s *simulator) acceptSend(send Send) {
+	index := slices.IndexFunc(s.leaves, func(l *simulatedLeaf) bool { return l.listed.Address == send.Leaf })
+	l := s.leaves[index]
+	queue := 1 + float64(max(l.running-l.listed.Slots, 0))/float64(l.listed.Slots)
+	took := time.Duration((0.5 + s.random.ExpFloat64()/2) * l.slow * queue * float64(simulatedServiceTime))
+	entry := &simulatedAttempt{send: send, leaf: l, due: s.now + took + 1}
+	drawn := s.random.Float64()
 	switch {
-	case drawn < p.mood.refused:
-		entry.end, entry.due = endRefused, p.now+time.Millisecond
-	case drawn < p.mood.refused+p.mood.failed:
+	case drawn < s.scenario.refused:
+		entry.end, entry.due = endRefused, s.now+time.Millisecond
+	case drawn < s.scenario.refused+s.scenario.failed:
 		entry.end = endFailed
-	case drawn < p.mood.refused+p.mood.failed+p.mood.silent:
-		entry.end, entry.due = endSilent, p.now+playedSilence
+	case drawn < s.scenario.refused+s.scenario.failed+s.scenario.silent:
+		entry.end, entry.due = endSilent, s.now+simulatedSilence
 	case drawn > 0.998:
 		entry.end = endCrossed
 	}
-	one.running++
-	p.open = append(p.open, entry)
+	l.running++
+	s.open = append(s.open, entry)
 }
 
 // abort lets an attempt end soon; a few of them answer all the same.
-func (p *player) abort(abort Abort) {
-	index := slices.IndexFunc(p.open, func(one *playedAttempt) bool { return one.send.Attempt == abort.Attempt })
-	entry := p.open[index]
+func (s *simulator) abort(abort Abort) {
+	index := slices.IndexFunc(s.open, func(open *simulatedAttempt) bool { return open.send.Attempt == abort.Attempt })
+	entry := s.open[index]
 	entry.aborted = true
-	if p.random.IntN(5) > 0 {
+	if s.random.IntN(5) > 0 {
 		entry.end = endSilent
-		entry.due = min(entry.due, p.now+time.Millisecond)
+		entry.due = min(entry.due, s.now+time.Millisecond)
 	}
 }
 
 // end reports the end of an attempt, and now and then one that was reported.
-func (p *player) end(entry *playedAttempt) {
-	p.open = slices.DeleteFunc(p.open, func(one *playedAttempt) bool { return one == entry })
+func (s *simulator) end(entry *simulatedAttempt) {
+	s.open = slices.DeleteFunc(s.open, func(open *simulatedAttempt) bool { return open == entry })
 	entry.leaf.running--
 	id := entry.send.Attempt
 	switch entry.end {
 	case endReply, endCrossed:
-		p.reply(entry)
+		s.reply(entry)
 	case endRefused:
-		p.refuse(entry)
+		s.refuse(entry)
 	case endFailed:
-		p.fail(entry)
+		s.fail(entry)
 	default:
 		failure := Failure{Sent: true, Aborted: entry.aborted}
-		p.perform(fmt.Sprintf("fail %x silent", id), p.d.Fail(p.now, id, failure))
+		s.perform(fmt.Sprintf("fail %x silent", id), s.d.Fail(s.now, id, failure))
 	}
-	p.done = append(p.done, id)
-	if p.random.IntN(200) == 0 {
-		id := p.done[p.random.IntN(len(p.done))]
-		p.perform(fmt.Sprintf("fail %x again", id), p.d.Fail(p.now, id, Failure{Sent: true}))
+	s.done = append(s.done, id)
+	if s.random.IntN(200) == 0 {
+		id := s.done[s.random.IntN(len(s.done))]
+		s.perform(fmt.Sprintf("fail %x again", id), s.d.Fail(s.now, id, Failure{Sent: true}))
 	}
 }
 
-func (p *player) bootOf(entry *playedAttempt) string {
-	if p.random.IntN(300) == 0 {
+func (s *simulator) bootOf(entry *simulatedAttempt) string {
+	if s.random.IntN(300) == 0 {
 		entry.leaf.boot++
 		return fmt.Sprintf("%s-%d", entry.leaf.listed.Address.Addr(), entry.leaf.boot)
 	}
 	return entry.leaf.listed.BootID
 }
 
-func (p *player) reply(entry *playedAttempt) {
+func (s *simulator) reply(entry *simulatedAttempt) {
 	id := entry.send.Attempt
-	reply := Reply{Shard: entry.send.Shard, Snapshot: entry.send.Snapshot, BootID: p.bootOf(entry), Load: p.load(entry.leaf)}
+	reply := Reply{Shard: entry.send.Shard, Snapshot: entry.send.Snapshot, BootID: s.bootOf(entry), Load: s.load(entry.leaf)}
 	if entry.end == endCrossed {
 		reply.Snapshot.Version++
 	}
-	p.perform(fmt.Sprintf("reply %x", id), p.d.Reply(p.now, id, reply))
+	s.perform(fmt.Sprintf("reply %x", id), s.d.Reply(s.now, id, reply))
 }
 
-func (p *player) refuse(entry *playedAttempt) {
+func (s *simulator) refuse(entry *simulatedAttempt) {
 	id := entry.send.Attempt
 	reasons := []leaf.Refusal{leaf.RefusedShed, leaf.RefusedShed, leaf.RefusedShed, leaf.RefusedCold, leaf.RefusedSnapshot, leaf.RefusedMoved, leaf.RefusedLate, leaf.RefusedLate}
-	refusal := Refusal{Reason: reasons[p.random.IntN(len(reasons))], BootID: p.bootOf(entry), Load: p.load(entry.leaf)}
-	switch p.random.IntN(40) {
+	refusal := Refusal{Reason: reasons[s.random.IntN(len(reasons))], BootID: s.bootOf(entry), Load: s.load(entry.leaf)}
+	switch s.random.IntN(40) {
 	case 0:
 		refusal.Reason = leaf.RefusedInvalid
 	case 1:
 		refusal.Reason = leaf.RefusedDraining
 		entry.leaf.draining = true
 	}
-	if p.random.IntN(2) == 0 {
-		refusal.RetryAfter = time.Duration(p.random.IntN(80)) * time.Millisecond
+	if s.random.IntN(2) == 0 {
+		refusal.RetryAfter = time.Duration(s.random.IntN(80)) * time.Millisecond
 	}
-	p.perform(fmt.Sprintf("refuse %x %s", id, refusal.Reason), p.d.Refuse(p.now, id, refusal))
+	s.perform(fmt.Sprintf("refuse %x %s", id, refusal.Reason), s.d.Refuse(s.now, id, refusal))
 }
 
-func (p *player) fail(entry *playedAttempt) {
+func (s *simulator) fail(entry *simulatedAttempt) {
 	id := entry.send.Attempt
-	failure := Failure{Sent: p.random.IntN(3) > 0, Aborted: entry.aborted}
+	failure := Failure{Sent: s.random.IntN(3) > 0, Aborted: entry.aborted}
 	if failure.Sent {
-		failure.Closed = p.random.IntN(2) == 0
-		failure.OnTheWay = !failure.Closed && p.random.IntN(3) == 0
+		failure.Closed = s.random.IntN(2) == 0
+		failure.OnTheWay = !failure.Closed && s.random.IntN(3) == 0
 	}
-	p.perform(fmt.Sprintf("fail %x sent=%t closed=%t", id, failure.Sent, failure.Closed), p.d.Fail(p.now, id, failure))
+	s.perform(fmt.Sprintf("fail %x sent=%t closed=%t", id, failure.Sent, failure.Closed), s.d.Fail(s.now, id, failure))
 }
--- a/internal/decide/dispatch/golden_play_test.go
+++ b/internal/decide/dispatch/golden_play_test.go
@@ -16,15 +16,15 @@
 // player plays random events to a Dispatcher, in virtual time: requests of
 // several kinds, leaves that answer, refuse, fail, restart or fall silent, and
 // changes of the topology. It uses the exported methods only.
-type player struct {
+type simulator struct {
 	d        *Dispatcher
 	random   *rand.Rand
 	record   *recorder
-	mood     mood
+	scenario scenario
 	now      Time
 	topology Topology
-	leaves   []*playedLeaf
-	open     []*playedAttempt
+	leaves   []*simulatedLeaf
+	open     []*simulatedAttempt
 	done     []AttemptID // reported already
 	version  uint64
 	lastID   QueryID
@@ -34,7 +34,7 @@
 }
 
 // playedLeaf is one emulated leaf.
-type playedLeaf struct {
+type simulatedLeaf struct {
 	listed  Leaf
 	missing bool // not listed by the topology
 	boot    int
@@ -45,12 +45,12 @@
 }
 
 // playedAttempt is an attempt on its way, with the end that it will have.
-type playedAttempt struct {
+type simulatedAttempt struct {
 	send    Send
 	due     Time
 	end     int
 	aborted bool
-	leaf    *playedLeaf
+	leaf    *simulatedLeaf
 }
 
 // The ends of attempts.
@@ -63,7 +63,7 @@
 )
 
 // mood is how a stretch of events goes. The shares are of all attempts.
-type mood struct {
+type scenario struct {
 	name     string
 	arrival  time.Duration // mean time between two requests
 	change   time.Duration // mean time between two changes of the topology
@@ -73,7 +73,7 @@
 	slowness float64 // of a third of the leaves
 }
 
-var moods = []mood{
+var scenarios = []scenario{
 	{name: "calm", arrival: 3 * time.Millisecond, change: time.Second, refused: 0.01, failed: 0.01, slowness: 1},
 	{name: "slow", arrival: 2 * time.Millisecond, change: 500 * time.Millisecond, refused: 0.01, silent: 0.01, slowness: 12},
 	{name: "burst", arrival: 800 * time.Microsecond, change: 300 * time.Millisecond, refused: 0.02, failed: 0.01, slowness: 2},
@@ -84,35 +84,35 @@
 }
 
 const (
-	playedLeaves  = 8
-	playedService = 5 * time.Millisecond
-	playedSilence = 300 * time.Millisecond
+	simulatedLeafCount   = 8
+	simulatedServiceTime = 5 * time.Millisecond
+	simulatedSilence     = 300 * time.Millisecond
 )
 
-func newPlayer(config Config, seed uint64, record *recorder) *player {
-	p := &player{
+func newSimulator(config Config, seed uint64, record *recorder) *simulator {
+	s := &simulator{
 		d:       New(config, rand.New(rand.NewPCG(seed, 1))),
 		random:  rand.New(rand.NewPCG(seed, 2)),
 		record:  record,
 		version: 1,
 	}
-	for index := range playedLeaves {
-		made := &playedLeaf{slow: 1, listed: Leaf{
+	for index := range simulatedLeafCount {
+		l := &simulatedLeaf{slow: 1, listed: Leaf{
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index)}), 7000),
 			Zone:    string(rune('a' + index%3)),
 			Usable:  true,
 			Slots:   1 + index%4,
 		}}
-		p.leaves = append(p.leaves, made)
-		p.hold(index, 1)
+		s.leaves = append(s.leaves, l)
+		s.setHoldings(index, 1)
 	}
-	p.leaves[6].listed.Standby = true
-	p.leaves[7].listed.Canary = true
-	return p
+	s.leaves[6].listed.Standby = true
+	s.leaves[7].listed.Canary = true
+	return s
 }
 
 // hold lets the leaf hold the versions, for a partition of four and one of six.
-func (p *player) hold(index int, versions ...uint64) {
+func (s *simulator) setHoldings(index int, versions ...uint64) {
 	holdings := make([]leaf.Holding, 0, 2*len(versions))
 	for _, version := range versions {
 		epoch, shards := uint64(1), 4
@@ -123,97 +123,97 @@
 		slices.Sort(held)
 		holdings = append(holdings, leaf.Holding{Snapshot: catalog.Snapshot{Epoch: epoch, Version: version}, Shards: held})
 	}
-	p.leaves[index].listed.Holdings = holdings
+	s.leaves[index].listed.Holdings = holdings
 }
 
 // setMood starts a stretch of events.
-func (p *player) setMood(next int) {
-	p.mood = moods[next%len(moods)]
-	for index, one := range p.leaves {
-		one.slow = 1
+func (s *simulator) startScenario(next int) {
+	s.scenario = scenarios[next%len(scenarios)]
+	for index, l := range s.leaves {
+		l.slow = 1
 		if (index+next)%3 == 0 {
-			one.slow = p.mood.slowness
+			l.slow = s.scenario.slowness
 		}
-		one.missing = false
-		one.listed.Usable = true
-		one.listed.Standby = index == 6
-		one.listed.Canary = index == 7
-		if one.draining {
-			one.boot++
-			one.draining = false
+		l.missing = false
+		l.listed.Usable = true
+		l.listed.Standby = index == 6
+		l.listed.Canary = index == 7
+		if l.draining {
+			l.boot++
+			l.draining = false
 		}
-		p.hold(index, p.version)
+		s.setHoldings(index, s.version)
 	}
-	p.topology.Stopped = false
-	p.topology.Concurrency = 0
+	s.topology.Stopped = false
+	s.topology.Concurrency = 0
 	if next%4 == 3 {
-		p.topology.Concurrency = 4
+		s.topology.Concurrency = 4
 	}
-	p.d.SetProbeInterval(time.Duration(100+100*(next%3)) * time.Millisecond)
-	p.list()
+	s.d.SetProbeInterval(time.Duration(100+100*(next%3)) * time.Millisecond)
+	s.publishTopology()
 }
 
 // list hands the topology over.
-func (p *player) list() {
-	listed := p.topology
+func (s *simulator) publishTopology() {
+	listed := s.topology
 	listed.Revision++
-	p.topology.Revision++
+	s.topology.Revision++
 	listed.Partitions = []catalog.Partition{{Epoch: 1, Shards: 4}, {Epoch: 2, Shards: 6}}
-	for _, one := range p.leaves {
-		if !one.missing {
-			one.listed.BootID = fmt.Sprintf("%s-%d", one.listed.Address.Addr(), one.boot)
-			listed.Leaves = append(listed.Leaves, one.listed)
+	for _, l := range s.leaves {
+		if !l.missing {
+			l.listed.BootID = fmt.Sprintf("%s-%d", l.listed.Address.Addr(), l.boot)
+			listed.Leaves = append(listed.Leaves, l.listed)
 		}
 	}
-	p.perform(fmt.Sprintf("topology %d", listed.Revision), p.d.SetTopology(p.now, listed))
+	s.perform(fmt.Sprintf("topology %d", listed.Revision), s.d.SetTopology(s.now, listed))
 }
 
 // step plays the event that is due next.
-func (p *player) step() {
-	first := p.submitAt
-	event := p.submit
+func (s *simulator) step() {
+	first := s.submitAt
+	event := s.submit
 	consider := func(at Time, then func()) {
 		if at < first {
 			first, event = at, then
 		}
 	}
-	consider(p.changeAt, p.change)
-	consider(p.reportAt, p.observe)
-	if at, known := p.d.NextTick(); known {
-		consider(at, p.tick)
+	consider(s.changeAt, s.change)
+	consider(s.reportAt, s.observe)
+	if at, ok := s.d.NextTick(); ok {
+		consider(at, s.tick)
 	}
-	for _, one := range p.open {
-		consider(one.due, func() { p.end(one) })
+	for _, open := range s.open {
+		consider(open.due, func() { s.end(open) })
 	}
-	p.now = max(p.now, first)
+	s.now = max(s.now, first)
 	event()
 }
 
-func (p *player) tick() {
-	p.perform("tick", p.d.Tick(p.now))
+func (s *simulator) tick() {
+	s.perform("tick", s.d.Tick(s.now))
 }
 
 // after draws a time with the given mean.
-func (p *player) after(mean time.Duration) Time {
-	return p.now + time.Duration(p.random.ExpFloat64()*float64(mean)) + 1
+func (s *simulator) after(mean time.Duration) Time {
+	return s.now + time.Duration(s.random.ExpFloat64()*float64(mean)) + 1
 }
 
-func (p *player) observe() {
-	p.reportAt = p.after(20 * time.Millisecond)
-	one := p.leaves[p.random.IntN(len(p.leaves))]
-	p.perform(fmt.Sprintf("observe %s", one.listed.Address), p.d.Observe(p.now, one.listed.Address, p.load(one)))
+func (s *simulator) observe() {
+	s.reportAt = s.after(20 * time.Millisecond)
+	l := s.leaves[s.random.IntN(len(s.leaves))]
+	s.perform(fmt.Sprintf("observe %s", l.listed.Address), s.d.Observe(s.now, l.listed.Address, s.load(l)))
 }
 
-func (p *player) load(one *playedLeaf) leaf.LoadSummary {
-	busy := min(one.running+p.random.IntN(2), one.listed.Slots)
-	load := leaf.LoadSummary{State: leaf.StateServing, Slots: one.listed.Slots, SlotsBusy: busy, Queue: max(one.running-one.listed.Slots, 0)}
-	if p.random.IntN(3) == 0 {
-		load.Pace = 80 + p.random.IntN(300)
+func (s *simulator) load(l *simulatedLeaf) leaf.LoadSummary {
+	busy := min(l.running+s.random.IntN(2), l.listed.Slots)
+	load := leaf.LoadSummary{State: leaf.StateServing, Slots: l.listed.Slots, SlotsBusy: busy, Queue: max(l.running-l.listed.Slots, 0)}
+	if s.random.IntN(3) == 0 {
+		load.Pace = 80 + s.random.IntN(300)
 	}
-	switch p.random.IntN(800) {
+	switch s.random.IntN(800) {
 	case 0:
 		load.State = leaf.StateDraining
-		one.draining = true
+		l.draining = true
 	case 1:
 		load.State = leaf.StateCold
 	}
@@ -221,55 +221,55 @@
 }
 
 // change plays one change of the topology, or of what the node's rules allow.
-func (p *player) change() {
-	p.changeAt = p.after(p.mood.change)
-	index := p.random.IntN(len(p.leaves))
-	one := p.leaves[index]
-	switch p.random.IntN(14) {
+func (s *simulator) change() {
+	s.changeAt = s.after(s.scenario.change)
+	index := s.random.IntN(len(s.leaves))
+	l := s.leaves[index]
+	switch s.random.IntN(14) {
 	case 0, 1:
-		one.boot++
-		one.listed.Cold = p.random.IntN(2) == 0
+		l.boot++
+		l.listed.Cold = s.random.IntN(2) == 0
 	case 2, 3:
-		one.listed.Usable = !one.listed.Usable
+		l.listed.Usable = !l.listed.Usable
 	case 4:
-		one.missing = !one.missing
+		l.missing = !l.missing
 	case 5:
-		one.listed.Standby = !one.listed.Standby
+		l.listed.Standby = !l.listed.Standby
 	case 6:
-		one.listed.ColdUntil = p.now + 200*time.Millisecond
-		one.listed.ColdRate = float64(p.random.IntN(60))
+		l.listed.ColdUntil = s.now + 200*time.Millisecond
+		l.listed.ColdRate = float64(s.random.IntN(60))
 	case 7:
-		one.listed.Slots = 1 + p.random.IntN(4)
+		l.listed.Slots = 1 + s.random.IntN(4)
 	case 8, 9:
-		p.roll()
+		s.rollOut()
 	case 10:
-		p.topology.Stopped = !p.topology.Stopped
+		s.topology.Stopped = !s.topology.Stopped
 	case 11:
-		p.setBounds()
+		s.setBounds()
 	default:
-		p.allowCanary(one)
+		s.allowCanary(l)
 	}
-	p.list()
+	s.publishTopology()
 }
 
 // roll lets some leaves take a newer version, and some give up the former one.
-func (p *player) roll() {
-	p.version++
-	for index := range p.leaves {
-		switch p.random.IntN(3) {
+func (s *simulator) rollOut() {
+	s.version++
+	for index := range s.leaves {
+		switch s.random.IntN(3) {
 		case 0:
-			p.hold(index, p.version)
+			s.setHoldings(index, s.version)
 		case 1:
-			p.hold(index, p.version-1, p.version)
+			s.setHoldings(index, s.version-1, s.version)
 		}
 	}
 }
 
 // setBounds changes the bounds of the budgets by shard, from one part of a
 // token up to several.
-func (p *player) setBounds() {
-	scale := p.random.Float64()
-	p.d.ResizeBudgets(func(shard int) hedge.Bounds {
+func (s *simulator) setBounds() {
+	scale := s.random.Float64()
+	s.d.ResizeBudgets(func(shard int) hedge.Bounds {
 		if shard%2 == 0 {
 			return hedge.Bounds{Initial: 0.4, Capacity: 0.6 + scale, Reserve: 0.15, Refill: 3}
 		}
@@ -277,32 +277,32 @@
 	})
 }
 
-func (p *player) allowCanary(one *playedLeaf) {
-	shard := p.random.IntN(6)
-	switch p.random.IntN(5) {
+func (s *simulator) allowCanary(l *simulatedLeaf) {
+	shard := s.random.IntN(6)
+	switch s.random.IntN(5) {
 	case 0:
-		one.listed.Canary = !one.listed.Canary
-		one.listed.WarmAt = p.now + 20*time.Millisecond
+		l.listed.Canary = !l.listed.Canary
+		l.listed.WarmAt = s.now + 20*time.Millisecond
 	case 1:
-		p.d.SetAllowance(shard, nil)
+		s.d.SetAllowance(shard, nil)
 	case 2:
-		p.d.Burst(shard)
+		s.d.Burst(shard)
 	default:
 		bounds := rollout.Bounds{Ratio: 0.4, Slack: 20}
-		p.d.SetAllowance(shard, rollout.NewAllowance(bounds, 1, p.now+time.Second, p.random.Float64))
-		p.d.Grant(shard, p.now+500*time.Millisecond)
+		s.d.SetAllowance(shard, rollout.NewAllowance(bounds, 1, s.now+time.Second, s.random.Float64))
+		s.d.Grant(shard, s.now+500*time.Millisecond)
 	}
 }
 
 // perform records an event and takes its actions over.
-func (p *player) perform(event string, actions []Action) {
-	p.record.event(p.now, event, actions, p.d)
+func (s *simulator) perform(event string, actions []Action) {
+	s.record.event(s.now, event, actions, s.d)
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Send:
-			p.take(action)
+			s.acceptSend(action)
 		case Abort:
-			p.abort(action)
+			s.abort(action)
 		}
 	}
 }
--- a/internal/decide/dispatch/golden_test.go
+++ b/internal/decide/dispatch/golden_test.go
@@ -18,12 +18,12 @@
 // events in full, and a digest with counts for each block of them. They are not
 // recorded anew for a change that is to leave what it does as it is.
 const (
-	playedBlock  = 300 // events of a block
-	playedBlocks = 24  // of a seed
-	playedInFull = 250 // events of the first seed
+	eventsPerBlock = 300 // events of a block
+	blocksPerSeed  = 24  // of a seed
+	eventsInFull   = 250 // events of the first seed
 )
 
-var playedSeeds = []uint64{1, 2, 3, 4, 5}
+var simulatedSeeds = []uint64{1, 2, 3, 4, 5}
 
 // edgeConfig has the fields that the nodes of the platform set.
 func edgeConfig() Config {
@@ -59,10 +59,10 @@
 		t.Run(play.name, func(t *testing.T) {
 			play.config.Zone = "a"
 			record := newRecorder()
-			for _, seed := range playedSeeds {
-				record.play(play.config, seed)
+			for _, seed := range simulatedSeeds {
+				record.recordSeed(play.config, seed)
 			}
-			record.mustHave(t, play.reasons)
+			record.requireAll(t, play.reasons)
 			goldie.New(t).Assert(t, play.name, record.text())
 		})
 	}
@@ -85,19 +85,19 @@
 }
 
 // play records all blocks of a seed.
-func (r *recorder) play(config Config, seed uint64) {
-	p := newPlayer(config, seed, r)
-	for block := range playedBlocks {
+func (r *recorder) recordSeed(config Config, seed uint64) {
+	s := newSimulator(config, seed, r)
+	for block := range blocksPerSeed {
 		if block > 0 { // the first requests meet no topology
-			p.setMood(block - 1 + int(seed))
+			s.startScenario(block - 1 + int(seed))
 		} else {
-			p.mood = moods[0]
-			p.changeAt = 20 * time.Millisecond
+			s.scenario = scenarios[0]
+			s.changeAt = 20 * time.Millisecond
 		}
-		for range playedBlock {
-			p.step()
+		for range eventsPerBlock {
+			s.step()
 		}
-		r.closeBlock(fmt.Sprintf("seed %d block %d %s", seed, block, p.mood.name), p.d)
+		r.closeBlock(fmt.Sprintf("seed %d block %d %s", seed, block, s.scenario.name), s.d)
 	}
 }
 
@@ -106,7 +106,7 @@
 	fmt.Fprintf(r.block, "%+v waiting %d\n", d.Counters(), d.Load().Waiting)
 	for _, state := range d.LeafStates() {
 		fmt.Fprintf(r.block, "%s %s %s %t %t %d/%d others %.6g pace %d latency %s slowness %.6g %t %s\n", state.Address, state.Zone, state.BootID,
-			state.Usable, state.Draining, state.InFlight, state.Limit, state.Others, state.Pace, state.Latency, state.Slowness, state.Probation, state.HeldUntil)
+			state.Usable, state.Draining, state.InFlight, state.Limit, state.Others, state.Pace, state.Latency, state.Slowness, state.Probation, state.BackoffUntil)
 	}
 	fmt.Fprintf(&r.blocks, "%s: %d sends, %d aborts, %d finished, sha256 %x\n", name, r.sends, r.aborts, r.ends, r.block.Sum(nil)[:12])
 	r.block.Reset()
@@ -116,13 +116,13 @@
 // event records one event with its actions.
 func (r *recorder) event(now Time, event string, actions []Action, d *Dispatcher) {
 	var text strings.Builder
-	next, known := d.NextTick()
-	fmt.Fprintf(&text, "%s %s; next %s %t\n", now, event, next, known)
+	next, ok := d.NextTick()
+	fmt.Fprintf(&text, "%s %s; next %s %t\n", now, event, next, ok)
 	for _, action := range actions {
 		fmt.Fprintf(&text, "  %s\n", r.describe(action))
 	}
 	r.block.Write([]byte(text.String()))
-	if r.events++; r.events <= playedInFull {
+	if r.events++; r.events <= eventsInFull {
 		r.full.WriteString(text.String())
 	}
 }
@@ -158,7 +158,7 @@
 
 // mustHave fails if a cause, an outcome or one of the reasons did not occur: then
 // the events do not guard it.
-func (r *recorder) mustHave(t *testing.T, reasons []Reason) {
+func (r *recorder) requireAll(t *testing.T, reasons []Reason) {
 	wanted := []string{"abort overdue true", "abort overdue false"}
 	for _, cause := range []Cause{CauseNeeded, CauseResend, CauseRetry, CauseRestart, CauseHedge, CauseProbe} {
 		wanted = append(wanted, "cause "+string(cause))
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -33,11 +33,11 @@
 	if q.hedging.armed || !d.mayHedge(q) || q.inFlight == 0 || q.outstanding() == 0 {
 		return
 	}
-	allowed := max(1, int(d.config.Hedge.Outstanding*float64(q.progress.Total)))
+	allowed := max(1, int(d.config.Hedge.OutstandingShare*float64(q.progress.Total)))
 	if q.outstanding() > allowed {
 		return
 	}
-	d.hedge(q)
+	d.sendHedges(q)
 }
 
 // hedgeDue reports whether hedges are to be looked at.
@@ -45,46 +45,46 @@
 	if !q.started || now >= q.Deadline {
 		return false
 	}
-	return q.hedging.at > 0 && q.hedging.at <= now || q.hedging.rescuing(now) && !q.hedging.armed
+	return q.hedging.nextCheckAt > 0 && q.hedging.nextCheckAt <= now || q.hedging.chargedAsRetries(now) && !q.hedging.armed
 }
 
 // hedge sends second attempts for the shards that are late, and sets the time
 // of the next look.
-func (d *Dispatcher) hedge(q *query) {
-	q.hedging.at = 0
+func (d *Dispatcher) sendHedges(q *query) {
+	q.hedging.nextCheckAt = 0
 	q.hedging.armed = true
 	if d.now >= q.Deadline {
 		return
 	}
-	delay, known := d.hedgeDelay(q)
-	if !known {
+	delay, ok := d.hedgeDelay(q)
+	if !ok {
 		return
 	}
-	q.hedging.at = q.Deadline
+	q.hedging.nextCheckAt = q.Deadline
 	for position := range q.shards {
 		shard := &q.shards[position]
-		if shard.status != shardInFlight || d.attempts.slots[shard.first].next != none {
+		if shard.status != shardInFlight || d.attempts.slots[shard.firstAttempt].next != noAttempt {
 			continue
 		}
-		only := &d.attempts.slots[shard.first]
+		only := &d.attempts.slots[shard.firstAttempt]
 		due := only.sentAt + delay
 		if due <= d.now && !d.hedgeShard(q, int32(position), only) {
-			d.replace(q, int32(position))
-			due = d.now + delay/hedgeRetries + 1
+			d.replaceLateAttempt(q, int32(position))
+			due = d.now + delay/hedgeRetriesPerDelay + 1
 		}
 		if due > d.now {
-			q.hedging.at = min(q.hedging.at, due)
+			q.hedging.nextCheckAt = min(q.hedging.nextCheckAt, due)
 		}
 	}
 }
 
 // hedgeRetries is how many times within one hedge delay a hedge that could not be sent
 // is tried again. Not measured: chosen because leaves get free within a fraction of it.
-const hedgeRetries = 4
+const hedgeRetriesPerDelay = 4
 
 // hedgeDelay returns the age at which an attempt of the query counts as late.
 func (d *Dispatcher) hedgeDelay(q *query) (time.Duration, bool) {
-	if q.class.latency.Samples() < d.config.Hedge.Samples {
+	if q.class.latency.Samples() < d.config.Hedge.MinimumSamples {
 		return q.HedgeDelay, q.HedgeDelay > 0
 	}
 	delay := q.class.latency.Quantile(q.Class.HedgePercentile)
@@ -98,20 +98,20 @@
 // to answer before the first.
 func (d *Dispatcher) hedgeShard(q *query, position int32, first *attempt) bool {
 	shard := &q.shards[position]
-	if shard.group == nil || shard.group.waiting.live > 0 || !q.maySend(shard, &d.config) || q.suspected() {
+	if shard.group == nil || shard.group.waiting.live > 0 || !q.mayAttempt(shard, &d.config) || q.suspected() {
 		return false
 	}
-	if d.collect(shard, q.priority(d.now), shard.tried) != choiceSend {
+	if d.collectCandidates(shard, q.priority(d.now), shard.triedReplicas) != choiceSend {
 		return false
 	}
-	work := replica.Work{Base: q.class.base, Mean: d.workOf(shard.group.leaves[0])}
+	work := replica.Work{Base: q.class.serviceTime, Mean: d.meanWorkAt(shard.group.leaves[0])}
 	index := d.chooser.Choose(d.scratch.candidates, work)
 	chosen := &d.scratch.candidates[index]
 	queue := float64(chosen.InFlight) + chosen.Others + 1 - float64(chosen.Slots)
 	if chosen.Full() || queue > d.config.Hedge.Queue {
 		return false
 	}
-	if d.config.Score.Expected(chosen, work) > d.timeToAnswer(q, first)*hedgeTolerance || !d.payHedge(q, position) {
+	if d.config.Score.Expected(chosen, work) > d.expectedRemainingTime(q, first)*hedgeTolerance || !d.spendHedge(q, position) {
 		return false
 	}
 	d.send(q, position, d.scratch.leaves[index], CauseHedge)
@@ -121,15 +121,15 @@
 // timeToAnswer returns how long an attempt is expected to take yet, in seconds: as
 // long as one that starts now at its leaf, and at least as long as it took
 // already, since what makes attempts late (a pause, a queue, a slow leaf) lasts.
-func (d *Dispatcher) timeToAnswer(q *query, of *attempt) float64 {
-	fresh := d.config.Score.Significant(d.slowness(of.leaf)) * q.class.base
-	return max(fresh, (d.now - of.sentAt).Seconds())
+func (d *Dispatcher) expectedRemainingTime(q *query, target *attempt) float64 {
+	fresh := d.config.Score.Significant(d.slowness(target.leaf)) * q.class.serviceTime
+	return max(fresh, (d.now - target.sentAt).Seconds())
 }
 
 // payHedge takes what a hedge costs.
-func (d *Dispatcher) payHedge(q *query, position int32) bool {
-	budget := d.budgetOf(q, position)
-	if q.hedging.rescuing(d.now) {
+func (d *Dispatcher) spendHedge(q *query, position int32) bool {
+	budget := d.budgetFor(q, position)
+	if q.hedging.chargedAsRetries(d.now) {
 		return budget.SpendRetry(1)
 	}
 	return budget.SpendHedge()
@@ -143,18 +143,18 @@
 // replace aborts the only attempt of a shard and lets the shard wait for another leaf, if
 // the attempt is so late that its answer counts as lost, and half of the query's time is
 // gone.
-func (d *Dispatcher) replace(q *query, position int32) {
+func (d *Dispatcher) replaceLateAttempt(q *query, position int32) {
 	shard := &q.shards[position]
-	only := &d.attempts.slots[shard.first]
+	only := &d.attempts.slots[shard.firstAttempt]
 	age := (d.now - only.sentAt).Seconds()
-	if !q.hedging.rescuing(d.now) || !q.maySend(shard, &d.config) || age < lostAgeFactor*only.expected || !d.budgetOf(q, position).CanRetry() {
+	if !q.hedging.chargedAsRetries(d.now) || !q.mayAttempt(shard, &d.config) || age < lostAgeFactor*only.expectedTime || !d.budgetFor(q, position).CanRetry() {
 		return
 	}
-	if shard.group == nil || d.collect(shard, q.priority(d.now), 0) == choiceNone {
+	if shard.group == nil || d.collectCandidates(shard, q.priority(d.now), 0) == choiceNone {
 		return // no leaf takes work any more: this answer is all that may come
 	}
-	d.abort(only)
-	shard.lost++
+	d.abortAttempt(only)
+	shard.lostAttempts++
 	shard.needsRetry = true
 	shard.markDue()
 	d.place(q, position)
--- a/internal/decide/dispatch/hedge_test.go
+++ b/internal/decide/dispatch/hedge_test.go
@@ -7,10 +7,10 @@
 
 // TestLateAttemptIsWaitedForWhereNoLeafTakesAnother: the only leaf drains, or its
 // zone was taken out of service, while it answers.
-func TestLateAttemptIsWaitedForWhereNoLeafTakesAnother(t *testing.T) {
+func TestLateAttemptIsKeptWithoutAnotherLeaf(t *testing.T) {
 	r := newRig(t, 1, func(c *Config) { c.RequireCoverage, c.EndWithoutBudget = true, true })
-	r.took[0] = 900 * time.Millisecond
-	r.shape = func(q *Query) { q.Deadline, q.HedgeDelay = r.now+time.Second, 30*time.Millisecond }
+	r.latency[0] = 900 * time.Millisecond
+	r.modifyQuery = func(q *Query) { q.Deadline, q.HedgeDelay = r.now+time.Second, 30*time.Millisecond }
 	id := r.submit(1)
 	r.topology.Leaves[0].Usable = false
 	r.perform(r.d.SetTopology(r.now, r.topology))
--- a/internal/decide/dispatch/holdings.go
+++ b/internal/decide/dispatch/holdings.go
@@ -9,7 +9,7 @@
 
 // goneHolding overrides the topology until a time: the leaf said that it does
 // not hold the snapshot, or one shard of it.
-type goneHolding struct {
+type missingHolding struct {
 	snapshot catalog.Snapshot
 	shard    int // allShards if the whole snapshot is gone
 	until    Time
@@ -18,8 +18,8 @@
 const allShards = -1
 
 // offered returns the holdings without those that the leaf said to be gone.
-func (l *leafState) offered() []leaf.Holding {
-	if len(l.gone) == 0 {
+func (l *leafState) availableHoldings() []leaf.Holding {
+	if len(l.missing) == 0 {
 		return l.holdings
 	}
 	offered := make([]leaf.Holding, 0, len(l.holdings))
@@ -39,28 +39,28 @@
 
 // lacks reports whether the leaf said that the shard is gone.
 func (l *leafState) lacks(snapshot catalog.Snapshot, shard int) bool {
-	return slices.ContainsFunc(l.gone, func(gone goneHolding) bool {
+	return slices.ContainsFunc(l.missing, func(gone missingHolding) bool {
 		return gone.snapshot == snapshot && (gone.shard == allShards || gone.shard == shard)
 	})
 }
 
 // markGone overrides the topology: the leaf does not hold what it refused.
-func (d *Dispatcher) markGone(l *leafState, gone goneHolding) {
+func (d *Dispatcher) markMissing(l *leafState, gone missingHolding) {
 	if l.lacks(gone.snapshot, gone.shard) {
 		return
 	}
-	gone.until = d.now + d.config.Backoff.SnapshotGone
-	l.gone = append(l.gone, gone)
-	d.rebuild()
+	gone.until = d.now + d.config.Backoff.MissingHoldingTTL
+	l.missing = append(l.missing, gone)
+	d.rebuildViews()
 }
 
-func (d *Dispatcher) dropExpired() {
-	d.fleet.goneUntil = 0
+func (d *Dispatcher) expireMissingHoldings() {
+	d.fleet.missingUntil = 0
 	for _, l := range d.fleet.leaves {
-		l.gone = slices.DeleteFunc(l.gone, func(g goneHolding) bool { return g.until <= d.now })
-		for _, gone := range l.gone {
-			if d.fleet.goneUntil == 0 || gone.until < d.fleet.goneUntil {
-				d.fleet.goneUntil = gone.until
+		l.missing = slices.DeleteFunc(l.missing, func(g missingHolding) bool { return g.until <= d.now })
+		for _, gone := range l.missing {
+			if d.fleet.missingUntil == 0 || gone.until < d.fleet.missingUntil {
+				d.fleet.missingUntil = gone.until
 			}
 		}
 	}
--- a/internal/decide/dispatch/holdoff.go
+++ b/internal/decide/dispatch/holdoff.go
@@ -27,31 +27,31 @@
 	case leaf.RefusedShed:
 		l.losses.Ended(&d.config.Losses, d.now, true)
 		l.limiter.Refused(d.now)
-		l.holdOff.extend(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Shed))
+		l.backoff.extend(d.now + d.requestedPause(refusal.RetryAfter, d.config.Backoff.ShedPause))
 	case leaf.RefusedCold:
 		l.limiter.Restart(true)
-		l.holdOff.extend(d.now + d.pause(refusal.RetryAfter, d.config.Backoff.Initial))
+		l.backoff.extend(d.now + d.requestedPause(refusal.RetryAfter, d.config.Backoff.Initial))
 	case leaf.RefusedDraining:
-		if l.noteDraining(refusal.BootID) {
-			d.rebuild()
+		if l.recordDraining(refusal.BootID) {
+			d.rebuildViews()
 		}
 	case leaf.RefusedSnapshot:
-		d.markGone(l, goneHolding{snapshot: ended.snapshot, shard: allShards})
+		d.markMissing(l, missingHolding{snapshot: ended.snapshot, shard: allShards})
 	case leaf.RefusedMoved:
-		d.markGone(l, goneHolding{snapshot: ended.snapshot, shard: ended.shard})
+		d.markMissing(l, missingHolding{snapshot: ended.snapshot, shard: ended.shard})
 	}
 }
 
 // pause returns how long a leaf is held off that asked for a time, or for none.
-func (d *Dispatcher) pause(asked, otherwise time.Duration) time.Duration {
-	if asked <= 0 {
-		return otherwise
+func (d *Dispatcher) requestedPause(requested, fallback time.Duration) time.Duration {
+	if requested <= 0 {
+		return fallback
 	}
-	return min(asked, d.config.Backoff.Maximum)
+	return min(requested, d.config.Backoff.Maximum)
 }
 
 // holdOff is until when a leaf gets no work, and why.
-type holdOff struct {
+type backoff struct {
 	failures int // in a row
 	until    Time
 }
@@ -61,21 +61,21 @@
 
 // failed holds the leaf off, longer with each failure in a row. Failures of attempts
 // that were in flight together count once.
-func (h *holdOff) failed(now Time, config BackoffConfig) {
-	if h.failures > 0 && h.active(now) {
+func (b *backoff) recordFailure(now Time, config BackoffConfig) {
+	if b.failures > 0 && b.active(now) {
 		return
 	}
-	pause := min(config.Initial<<min(h.failures, maximumDoublings), config.Maximum)
-	h.failures++
-	h.extend(now + pause)
+	pause := min(config.Initial<<min(b.failures, maximumDoublings), config.Maximum)
+	b.failures++
+	b.extend(now + pause)
 }
 
 // extend holds the leaf off until a time at least.
-func (h *holdOff) extend(until Time) {
-	h.until = max(h.until, until)
+func (b *backoff) extend(until Time) {
+	b.until = max(b.until, until)
 }
 
 // active reports whether the leaf gets no work now.
-func (h *holdOff) active(now Time) bool {
-	return now < h.until
+func (b *backoff) active(now Time) bool {
+	return now < b.until
 }
--- a/internal/decide/dispatch/incarnation.go
+++ b/internal/decide/dispatch/incarnation.go
@@ -8,12 +8,12 @@
 
 // incarnations are the boot IDs of a leaf: one for each time that its process started.
 type incarnations struct {
-	boots   []string // those seen, the current one last
-	drained []string // those that said they drain
+	boots         []string // those seen, the current one last
+	drainingBoots []string // those that said they drain
 }
 
 // boot returns the current boot ID; empty if none was seen.
-func (i *incarnations) boot() string {
+func (i *incarnations) currentBoot() string {
 	if len(i.boots) == 0 {
 		return ""
 	}
@@ -22,7 +22,7 @@
 
 // noteBoot records the boot ID of a message and reports whether the leaf restarted. A
 // boot ID that was replaced before is stale.
-func (i *incarnations) noteBoot(boot string) bool {
+func (i *incarnations) recordBoot(boot string) bool {
 	if boot == "" || slices.Contains(i.boots, boot) {
 		return false
 	}
@@ -36,21 +36,21 @@
 
 // noteDraining records that the leaf said under the boot ID that it drains, and reports
 // whether that was news. It holds until the leaf has another boot ID.
-func (i *incarnations) noteDraining(boot string) bool {
+func (i *incarnations) recordDraining(boot string) bool {
 	if boot == "" {
-		boot = i.boot()
+		boot = i.currentBoot()
 	}
-	if slices.Contains(i.drained, boot) {
+	if slices.Contains(i.drainingBoots, boot) {
 		return false
 	}
-	if len(i.drained) == maximumBoots {
-		i.drained = slices.Delete(i.drained, 0, 1)
+	if len(i.drainingBoots) == maximumBoots {
+		i.drainingBoots = slices.Delete(i.drainingBoots, 0, 1)
 	}
-	i.drained = append(i.drained, boot)
-	return boot == i.boot()
+	i.drainingBoots = append(i.drainingBoots, boot)
+	return boot == i.currentBoot()
 }
 
 // draining reports whether the current incarnation drains.
 func (i *incarnations) draining() bool {
-	return slices.Contains(i.drained, i.boot())
+	return slices.Contains(i.drainingBoots, i.currentBoot())
 }
--- a/internal/decide/dispatch/leafstate.go
+++ b/internal/decide/dispatch/leafstate.go
@@ -13,42 +13,42 @@
 type leafState struct {
 	listing
 	incarnations
-	gone    []goneHolding
-	groups  []*group
+	missing []missingHolding
+	groups  []*replicaGroup
 	running []int32 // attempts whose end was not reported, by table slot
 
-	limiter   limit.Limiter
-	speed     replica.Speed
-	overdue   overdueSum
-	latency   float64 // mean of its replies, in seconds; zero without one
-	meanWork  float64 // mean base of its attempts, in seconds; zero without one
-	losses    replica.Losses
-	reports   reports
-	holdOff   holdOff
-	down      bool // its address refused the newest connection
-	warmup    warmup
-	probation probation
+	limiter     limit.Limiter
+	speed       replica.Speed
+	overdue     overdueSum
+	meanLatency float64 // mean of its replies, in seconds; zero without one
+	meanWork    float64 // mean base of its attempts, in seconds; zero without one
+	losses      replica.Losses
+	loadReports loadReports
+	backoff     backoff
+	down        bool // its address refused the newest connection
+	warmup      warmup
+	probation   probation
 	// waiting is the work that waits for the leaf, as the time that it takes
 	// in one slot of an ordinary leaf. It is whole, so that what is added and
 	// taken away leaves nothing behind.
-	waiting perClass[time.Duration]
-	sent    perClass[meter]
+	waitingWork perClass[time.Duration]
+	sentWork    perClass[meter]
 }
 
 // listing is what the topology says of a leaf.
 type listing struct {
-	address    netip.AddrPort
-	zone       string
-	near       bool // in the zone of the node
-	usable     bool
-	standby    bool
-	canary     bool
-	warmAt     Time
-	listedBoot string
-	slots      int
-	holdings   []leaf.Holding
-	listedIn   uint64 // number of the last topology that has it
-	unlistedAt Time
+	address          netip.AddrPort
+	zone             string
+	sameZone         bool // in the zone of the node
+	usable           bool
+	standby          bool
+	canary           bool
+	warmAt           Time
+	listedBoot       string
+	slots            int
+	holdings         []leaf.Holding
+	listedGeneration uint64 // number of the last topology that has it
+	unlistedAt       Time
 }
 
 // probation is what decides when a slow leaf gets a probe.
@@ -65,10 +65,10 @@
 }
 
 // unknown is no time.
-const unknown Time = -1
+const noTime Time = -1
 
 // takesWork reports whether the leaf may get new work at all.
-func (l *leafState) takesWork() bool {
+func (l *leafState) acceptsWork() bool {
 	return l.usable && !l.draining()
 }
 
@@ -77,11 +77,11 @@
 const latencyWeight = 0.1
 
 // learnLatency takes in the latency of a reply.
-func (l *leafState) learnLatency(latency time.Duration) {
-	if l.latency == 0 {
-		l.latency = latency.Seconds()
+func (l *leafState) recordLatency(latency time.Duration) {
+	if l.meanLatency == 0 {
+		l.meanLatency = latency.Seconds()
 	}
-	l.latency += latencyWeight * (latency.Seconds() - l.latency)
+	l.meanLatency += latencyWeight * (latency.Seconds() - l.meanLatency)
 }
 
 // slowness estimates how slow the leaf is, with the attempts that it still
@@ -91,7 +91,7 @@
 		l.overdue.sum = 0
 		for _, slot := range l.running {
 			entry := &d.attempts.slots[slot]
-			l.overdue.sum += replica.Overdue((d.now - entry.sentAt).Seconds() / entry.expected)
+			l.overdue.sum += replica.Overdue((d.now - entry.sentAt).Seconds() / entry.expectedTime)
 		}
 		l.overdue.at = d.now
 	}
--- a/internal/decide/dispatch/lifecycle.go
+++ b/internal/decide/dispatch/lifecycle.go
@@ -4,11 +4,11 @@
 
 // queryTable holds the unfinished queries.
 type queryTable struct {
-	byID       map[QueryID]*query
-	running    []*query // all, started or not
-	pending    []*query // those that wait for the concurrency limit, in order
-	started    int
-	startsHeld bool // startPending must not start any now
+	byID          map[QueryID]*query
+	running       []*query // all, started or not
+	pending       []*query // those that wait for the concurrency limit, in order
+	started       int
+	startsBlocked bool // startPending must not start any now
 }
 
 // remove takes a query out of those that run.
@@ -34,32 +34,32 @@
 	q.startedAt = d.now
 	d.queries.started++
 	if reason := d.pin(q); reason != ReasonNone {
-		d.finish(q, q.failure(), reason)
+		d.finish(q, q.failureOutcome(), reason)
 		return
 	}
 	if !q.Class.Repeatable && q.progress.Total != 1 {
 		d.finish(q, OutcomeNotRun, ReasonInvalid)
 		return
 	}
-	if !d.servable(q) {
+	if !d.coverageAttainable(q) {
 		d.finish(q, OutcomeNotRun, ReasonNoLeaf)
 		return
 	}
 	if wait, admitted := d.admit(q); !admitted {
-		d.refuseForLoad(q, wait)
+		d.refuseOverload(q, wait)
 		return
 	}
 	for position := range q.shards {
 		d.place(q, int32(position))
 	}
-	d.review(q)
+	d.advance(q)
 }
 
 // review ends the query if it is to end now, and otherwise sets its timer.
 // Every event of a query ends with it.
-func (d *Dispatcher) review(q *query) {
+func (d *Dispatcher) advance(q *query) {
 	if q.finished || !q.started {
-		d.reviewPending(q)
+		d.expirePending(q)
 		return
 	}
 	d.releaseWithheld(q)
@@ -78,7 +78,7 @@
 }
 
 // reviewPending ends a query that waits for the concurrency limit, at its deadline.
-func (d *Dispatcher) reviewPending(q *query) {
+func (d *Dispatcher) expirePending(q *query) {
 	if !q.finished && d.now >= q.Deadline {
 		d.finish(q, OutcomeNotRun, ReasonDeadline)
 	}
@@ -90,11 +90,11 @@
 	if q.settleAt > d.now {
 		next = min(next, q.settleAt)
 	}
-	if q.hedging.at > 0 {
-		next = min(next, max(q.hedging.at, d.now+1))
+	if q.hedging.nextCheckAt > 0 {
+		next = min(next, max(q.hedging.nextCheckAt, d.now+1))
 	}
-	if q.hedging.rescueAt > d.now {
-		next = min(next, q.hedging.rescueAt)
+	if q.hedging.chargeAsRetryAt > d.now {
+		next = min(next, q.hedging.chargeAsRetryAt)
 	}
 	if next != q.timer.at || q.timer.index < 0 {
 		d.timers.set(q, next)
@@ -103,18 +103,18 @@
 
 // abandon aborts and withdraws all that the query has under way, and returns
 // the number of its attempts that may have executed.
-func (d *Dispatcher) abandon(q *query) int {
+func (d *Dispatcher) abortAll(q *query) int {
 	executed := 0
 	for position := range q.shards {
 		shard := &q.shards[position]
-		if shard.status == shardWaiting && shard.waitFor != 0 {
+		if shard.status == shardWaiting && shard.waitTicket != 0 {
 			d.withdraw(q, shard)
 		}
-		if shard.status == shardAnswered || shard.needsRetry || shard.first != none {
+		if shard.status == shardAnswered || shard.needsRetry || shard.firstAttempt != noAttempt {
 			executed++
 		}
-		for shard.first != none {
-			d.abort(&d.attempts.slots[shard.first])
+		for shard.firstAttempt != noAttempt {
+			d.abortAttempt(&d.attempts.slots[shard.firstAttempt])
 		}
 	}
 	return executed
@@ -122,11 +122,11 @@
 
 // finish ends a query.
 func (d *Dispatcher) finish(q *query, outcome Outcome, reason Reason) {
-	d.abandon(q)
+	d.abortAll(q)
 	q.finished = true
 	d.timers.remove(q)
 	d.queries.remove(q)
-	d.counters.finished(outcome)
+	d.counters.countOutcome(outcome)
 	if q.started && q.progress.Answered > 0 {
 		d.means.queryTime += queryTimeWeight * ((d.now - q.startedAt).Seconds() - d.means.queryTime)
 	}
@@ -137,7 +137,7 @@
 		result.RetryAfter = d.retryAfter(q, reason)
 	}
 	d.actions = append(d.actions, result)
-	d.spare.give(q.shards)
+	d.shardPool.put(q.shards)
 	q.shards = nil
 	if q.started {
 		d.queries.started--
--- a/internal/decide/dispatch/limits.go
+++ b/internal/decide/dispatch/limits.go
@@ -24,13 +24,13 @@
 	if priority <= highestPriority || d.config.EqualSlots {
 		return limit
 	}
-	busy := others * fade(d.now-l.reports.at, busyMemory)
+	busy := others * decay(d.now-l.loadReports.at, busySlotsTimeConstant)
 	return min(limit, int(float64(l.slots)-busy+freeSlotTolerance))
 }
 
 // busyMemory is the time constant with which a report of busy slots stops withholding
 // work. Without it, work waited up to 3 s for leaves to which nobody sent anything.
-const busyMemory = 200 * time.Millisecond
+const busySlotsTimeConstant = 200 * time.Millisecond
 
 // freeSlotTolerance is how much of a slot others may be thought to use before
 // it does not count as free. Not measured: chosen to round the estimate.
--- a/internal/decide/dispatch/losses_test.go
+++ b/internal/decide/dispatch/losses_test.go
@@ -9,7 +9,7 @@
 
 // TestLeafThatRefusesAllIsLeftToFewAttempts: each refused one costs of the budget,
 // and a leaf that refuses is left alone for a few milliseconds only.
-func TestLeafThatRefusesAllIsLeftToFewAttempts(t *testing.T) {
+func TestRefusingLeafGetsFewAttempts(t *testing.T) {
 	r := newRig(t, 2, func(c *Config) {
 		c.ChargeRefusals, c.EndWithoutBudget = true, true
 		c.Score.LossPrice = 5
--- a/internal/decide/dispatch/machine_check_test.go
+++ b/internal/decide/dispatch/machine_check_test.go
@@ -17,7 +17,7 @@
 		case Send:
 			m.send(t, action)
 		case Abort:
-			entry := m.all[action.Attempt]
+			entry := m.attempts[action.Attempt]
 			if entry.aborted || !slices.Contains(m.open, entry) {
 				t.Fatalf("abort of an attempt that has ended or was aborted: %+v", entry.Send)
 			}
@@ -30,14 +30,14 @@
 
 func (m *machine) send(t *rapid.T, send Send) {
 	query := m.queries[send.Query]
-	entry := &sent{Send: send, query: query}
+	entry := &trackedAttempt{Send: send, query: query}
 	index := slices.IndexFunc(m.topology.Leaves, func(l Leaf) bool { return l.Address == send.Leaf })
 	if index < 0 || !m.topology.Leaves[index].Usable {
 		t.Fatalf("send to a leaf that is not usable: %+v", send)
 	}
 	listed := m.topology.Leaves[index]
-	entry.boot = cmp.Or(m.d.fleet.byAddress[send.Leaf].boot(), listed.BootID)
-	if m.drained[entry.boot] {
+	entry.boot = cmp.Or(m.d.fleet.byAddress[send.Leaf].currentBoot(), listed.BootID)
+	if m.drainingBoots[entry.boot] {
 		t.Fatalf("send to a leaf that drains: %+v", send)
 	}
 	holds := slices.ContainsFunc(listed.Holdings, func(h leaf.Holding) bool {
@@ -46,7 +46,7 @@
 	if !holds {
 		t.Fatalf("send to a leaf that does not hold the shard: %+v", send)
 	}
-	if query.finish != nil || send.Remaining <= 0 || m.all[send.Attempt] != nil {
+	if query.finish != nil || send.Remaining <= 0 || m.attempts[send.Attempt] != nil {
 		t.Fatalf("send for a finished query, past its deadline, or with a used id: %+v", send)
 	}
 	if !query.Class.Repeatable && mayHaveRun(query) {
@@ -54,10 +54,10 @@
 	}
 	query.inFlight++
 	m.open = append(m.open, entry)
-	m.all[send.Attempt] = entry
+	m.attempts[send.Attempt] = entry
 }
 
-func mayHaveRun(query *watched) bool {
+func mayHaveRun(query *trackedQuery) bool {
 	return query.executed || query.inFlight > 0
 }
 
@@ -91,7 +91,7 @@
 
 // checkShards checks that all counted replies are of the pinned snapshot and
 // that the total is the partition's of its epoch.
-func (m *machine) checkShards(t *rapid.T, finish Finish, query *watched) {
+func (m *machine) checkShards(t *rapid.T, finish Finish, query *trackedQuery) {
 	for _, partition := range m.topology.Partitions {
 		if finish.Total > 0 && !query.HasKey && partition.Epoch == finish.Snapshot.Epoch && finish.Total != partition.Shards {
 			t.Fatalf("the total is not the number of shards of the epoch: %+v", finish)
@@ -99,7 +99,7 @@
 	}
 	seen := make(map[int]bool)
 	for _, answer := range finish.Answered {
-		entry := m.all[answer.Attempt]
+		entry := m.attempts[answer.Attempt]
 		if !entry.answered || entry.query != query || entry.Shard != answer.Shard || entry.Snapshot != finish.Snapshot {
 			t.Fatalf("counted a reply that does not belong: %+v of %+v", answer, finish)
 		}
@@ -122,7 +122,7 @@
 		if query.finish == nil && m.d.queries.byID[id] == nil {
 			t.Fatalf("query %d is forgotten without a finish", id)
 		}
-		if at, known := m.d.NextTick(); query.finish == nil && (!known || at > query.Deadline) {
+		if at, ok := m.d.NextTick(); query.finish == nil && (!ok || at > query.Deadline) {
 			t.Fatalf("no tick is due by the deadline of query %d", id)
 		}
 		if query.finish != nil {
@@ -147,7 +147,7 @@
 }
 
 // settle lets all deadlines pass and all attempts end.
-func (m *machine) settle(t *rapid.T) {
+func (m *machine) endAll(t *rapid.T) {
 	m.now += time.Second
 	m.perform(t, m.d.Tick(m.now))
 	for len(m.open) > 0 {
@@ -162,13 +162,13 @@
 		}
 	}
 	for _, l := range m.d.fleet.leaves {
-		for _, work := range l.waiting.values {
+		for _, work := range l.waitingWork.values {
 			if work != 0 {
-				t.Fatalf("waiting work is left over at a leaf: %v", l.waiting.values)
+				t.Fatalf("waiting work is left over at a leaf: %v", l.waitingWork.values)
 			}
 		}
 	}
-	if m.d.waiting.count != 0 || m.d.queries.started != 0 || len(m.d.queries.running) != 0 || len(m.d.queries.pending) != 0 {
-		t.Fatalf("left over: %d waiters, %d started, %d running, %d pending", m.d.waiting.count, m.d.queries.started, len(m.d.queries.running), len(m.d.queries.pending))
+	if m.d.waiting.queued != 0 || m.d.queries.started != 0 || len(m.d.queries.running) != 0 || len(m.d.queries.pending) != 0 {
+		t.Fatalf("left over: %d waiters, %d started, %d running, %d pending", m.d.waiting.queued, m.d.queries.started, len(m.d.queries.running), len(m.d.queries.pending))
 	}
 }
--- a/internal/decide/dispatch/machine_test.go
+++ b/internal/decide/dispatch/machine_test.go
@@ -17,26 +17,26 @@
 // machine drives a Dispatcher with random events and checks after each event
 // that what it promises holds.
 type machine struct {
-	d        *Dispatcher
-	now      Time
-	topology Topology
-	queries  map[QueryID]*watched
-	open     []*sent // attempts whose end was not reported
-	all      map[AttemptID]*sent
-	drained  map[string]bool // boot ids that said they drain
-	nextID   QueryID
+	d             *Dispatcher
+	now           Time
+	topology      Topology
+	queries       map[QueryID]*trackedQuery
+	open          []*trackedAttempt // attempts whose end was not reported
+	attempts      map[AttemptID]*trackedAttempt
+	drainingBoots map[string]bool // boot ids that said they drain
+	nextID        QueryID
 }
 
-type watched struct {
+type trackedQuery struct {
 	Query
 	finish   *Finish
 	inFlight int  // sent, end not reported
 	executed bool // an attempt may have executed and has ended
 }
 
-type sent struct {
+type trackedAttempt struct {
 	Send
-	query    *watched
+	query    *trackedQuery
 	boot     string
 	aborted  bool
 	answered bool // a matching reply came while it was wanted
@@ -49,16 +49,16 @@
 func newMachine(t *rapid.T) *machine {
 	config := DefaultConfig()
 	config.Zone = "a"
-	config.Hedge.Samples = 1
-	config.Hedge.Outstanding = 1
+	config.Hedge.MinimumSamples = 1
+	config.Hedge.OutstandingShare = 1
 	config.Probation.ProbeInterval = time.Millisecond
 	config.Budget.Initial = 10
 	seed := rapid.Uint64().Draw(t, "seed")
 	return &machine{
-		d:       New(config, rand.New(rand.NewPCG(seed, 1))),
-		queries: make(map[QueryID]*watched),
-		all:     make(map[AttemptID]*sent),
-		drained: make(map[string]bool),
+		d:             New(config, rand.New(rand.NewPCG(seed, 1))),
+		queries:       make(map[QueryID]*trackedQuery),
+		attempts:      make(map[AttemptID]*trackedAttempt),
+		drainingBoots: make(map[string]bool),
 	}
 }
 
@@ -66,7 +66,7 @@
 	return map[string]func(*rapid.T){
 		"submit":   m.submit,
 		"reply":    m.reply,
-		"crossed":  m.crossed,
+		"crossed":  m.replyCrossed,
 		"refuse":   m.refuse,
 		"fail":     m.fail,
 		"cancel":   m.cancel,
@@ -97,7 +97,7 @@
 		Deadline:        m.now + time.Duration(rapid.IntRange(1, 150).Draw(t, "deadline"))*time.Millisecond,
 		MinimumCoverage: float64(rapid.IntRange(0, 4).Draw(t, "coverage")) / 4,
 	}
-	m.queries[query.ID] = &watched{Query: query}
+	m.queries[query.ID] = &trackedQuery{Query: query}
 	actions := m.d.Submit(m.now, query)
 	if m.topology.Stopped {
 		finish, ok := actions[0].(Finish)
@@ -109,7 +109,7 @@
 }
 
 // end draws an attempt that has not ended and takes it off the list.
-func (m *machine) end(t *rapid.T) *sent {
+func (m *machine) takeOpenAttempt(t *rapid.T) *trackedAttempt {
 	if len(m.open) == 0 {
 		t.Skip("nothing in flight")
 	}
@@ -125,21 +125,21 @@
 	load := leaf.LoadSummary{State: leaf.StateServing, Slots: 3, Queue: rapid.IntRange(0, 4).Draw(t, "queue")}
 	if rapid.IntRange(0, 19).Draw(t, "draining") == 0 {
 		load.State = leaf.StateDraining
-		m.drained[boot] = true
+		m.drainingBoots[boot] = true
 	}
 	return load
 }
 
 func (m *machine) reply(t *rapid.T) {
-	entry := m.end(t)
+	entry := m.takeOpenAttempt(t)
 	entry.query.executed = true
 	entry.answered = !entry.aborted && entry.query.finish == nil
 	reply := Reply{Shard: entry.Shard, Snapshot: entry.Snapshot, BootID: entry.boot, Load: m.load(t, entry.boot)}
 	m.perform(t, m.d.Reply(m.now, entry.Attempt, reply))
 }
 
-func (m *machine) crossed(t *rapid.T) {
-	entry := m.end(t)
+func (m *machine) replyCrossed(t *rapid.T) {
+	entry := m.takeOpenAttempt(t)
 	entry.query.executed = true
 	reply := Reply{Shard: entry.Shard, Snapshot: entry.Snapshot, BootID: entry.boot}
 	if rapid.Bool().Draw(t, "version") {
@@ -151,18 +151,18 @@
 }
 
 func (m *machine) refuse(t *rapid.T) {
-	entry := m.end(t)
+	entry := m.takeOpenAttempt(t)
 	reasons := []leaf.Refusal{leaf.RefusedShed, leaf.RefusedDraining, leaf.RefusedCold, leaf.RefusedSnapshot, leaf.RefusedMoved, leaf.RefusedLate, leaf.RefusedInvalid}
 	refusal := Refusal{Reason: rapid.SampledFrom(reasons).Draw(t, "reason"), BootID: entry.boot, Load: m.load(t, entry.boot)}
 	if refusal.Reason == leaf.RefusedDraining {
-		m.drained[entry.boot] = true
+		m.drainingBoots[entry.boot] = true
 	}
 	refusal.RetryAfter = time.Duration(rapid.IntRange(0, 5).Draw(t, "retry")) * time.Millisecond
 	m.perform(t, m.d.Refuse(m.now, entry.Attempt, refusal))
 }
 
 func (m *machine) fail(t *rapid.T) {
-	entry := m.end(t)
+	entry := m.takeOpenAttempt(t)
 	failure := Failure{Sent: rapid.Bool().Draw(t, "sent"), Aborted: entry.aborted}
 	failure.Closed = failure.Sent && rapid.Bool().Draw(t, "closed")
 	entry.query.executed = entry.query.executed || failure.Sent
@@ -222,15 +222,15 @@
 }
 
 func (m *machine) tick(t *rapid.T) {
-	if at, known := m.d.NextTick(); known && rapid.Bool().Draw(t, "due") {
+	if at, ok := m.d.NextTick(); ok && rapid.Bool().Draw(t, "due") {
 		m.now = max(m.now, at)
 	} else {
 		m.advance(t)
 	}
 	m.perform(t, m.d.Tick(m.now))
 	for range 100 {
-		at, known := m.d.NextTick()
-		if !known || at > m.now {
+		at, ok := m.d.NextTick()
+		if !ok || at > m.now {
 			return
 		}
 		m.perform(t, m.d.Tick(m.now))
@@ -238,11 +238,11 @@
 	t.Fatal("Tick does not get past the present")
 }
 
-func TestPromisesUnderRandomSchedules(t *testing.T) {
+func TestInvariantsUnderRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		m.setTopology(t)
 		t.Repeat(m.actions())
-		m.settle(t)
+		m.endAll(t)
 	})
 }
--- a/internal/decide/dispatch/mechanism_test.go
+++ b/internal/decide/dispatch/mechanism_test.go
@@ -14,30 +14,30 @@
 // extraShare is the extra load that the classes of these tests allow.
 const extraShare = 0.03
 
-var first = catalog.Snapshot{Epoch: 1, Version: 1}
+var firstSnapshot = catalog.Snapshot{Epoch: 1, Version: 1}
 
 // rig runs a Dispatcher on one shard with some replicas; the replies take the
 // time that the test sets for each leaf.
 type rig struct {
 	*testing.T
-	d        *Dispatcher
-	now      Time
-	topology Topology
-	took     []time.Duration // by leaf
-	open     []Send
-	sent     []int // by leaf
-	aborted  []AttemptID
-	overdue  []bool      // of the aborted
-	mute     []AttemptID // that are never answered
-	finishes map[QueryID]Finish
-	nextID   QueryID
-	hedge    float64      // percentile
-	shape    func(*Query) // changes each query; nil for nothing
+	d               *Dispatcher
+	now             Time
+	topology        Topology
+	latency         []time.Duration // by leaf
+	open            []Send
+	sent            []int // by leaf
+	aborted         []AttemptID
+	abortedOverdue  []bool      // of the aborted
+	unanswered      []AttemptID // that are never answered
+	finishes        map[QueryID]Finish
+	nextID          QueryID
+	hedgePercentile float64      // percentile
+	modifyQuery     func(*Query) // changes each query; nil for nothing
 }
 
 // withoutHedges lets no latency count as known, and withoutProbes no leaf get a probe
 // within the time of a test.
-func withoutHedges(config *Config) { config.Hedge.Samples = math.MaxInt }
+func withoutHedges(config *Config) { config.Hedge.MinimumSamples = math.MaxInt }
 func withoutProbes(config *Config) { config.Probation.ProbeInterval = time.Hour }
 
 func newRig(t *testing.T, replicas int, change func(*Config)) *rig {
@@ -45,13 +45,13 @@
 	if change != nil {
 		change(&config)
 	}
-	r := &rig{T: t, d: New(config, rand.New(rand.NewPCG(1, 2))), finishes: make(map[QueryID]Finish), sent: make([]int, replicas), hedge: 0.95}
+	r := &rig{T: t, d: New(config, rand.New(rand.NewPCG(1, 2))), finishes: make(map[QueryID]Finish), sent: make([]int, replicas), hedgePercentile: 0.95}
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 1}}
 	for index := range replicas {
-		r.took = append(r.took, 10*time.Millisecond)
+		r.latency = append(r.latency, 10*time.Millisecond)
 		r.topology.Leaves = append(r.topology.Leaves, Leaf{
 			Address: address(index), Usable: true, BootID: "1", Slots: 2,
-			Holdings: []leaf.Holding{{Snapshot: first, Shards: []int{0}}},
+			Holdings: []leaf.Holding{{Snapshot: firstSnapshot, Shards: []int{0}}},
 		})
 	}
 	r.perform(r.d.SetTopology(r.now, r.topology))
@@ -66,7 +66,7 @@
 			r.sent[r.leafOf(action)]++
 		case Abort:
 			r.aborted = append(r.aborted, action.Attempt)
-			r.overdue = append(r.overdue, action.Overdue)
+			r.abortedOverdue = append(r.abortedOverdue, action.Overdue)
 			index := slices.IndexFunc(r.open, func(s Send) bool { return s.Attempt == action.Attempt })
 			r.open = slices.Delete(r.open, index, index+1)
 			r.perform(r.d.Fail(r.now, action.Attempt, Failure{Sent: true, Aborted: true}))
@@ -83,10 +83,10 @@
 // submit sends a query with a deadline of 200 ms that may be hedged.
 func (r *rig) submit(priority int) QueryID {
 	r.nextID++
-	class := catalog.Class{Name: string(rune('0' + priority)), Priority: priority, HedgePercentile: r.hedge, ExtraLoad: extraShare, Repeatable: true}
+	class := catalog.Class{Name: string(rune('0' + priority)), Priority: priority, HedgePercentile: r.hedgePercentile, ExtraLoad: extraShare, Repeatable: true}
 	query := Query{ID: r.nextID, Class: class, Deadline: r.now + 200*time.Millisecond, MinimumCoverage: 1}
-	if r.shape != nil {
-		r.shape(&query)
+	if r.modifyQuery != nil {
+		r.modifyQuery(&query)
 	}
 	r.perform(r.d.Submit(r.now, query))
 	return r.nextID
@@ -98,12 +98,12 @@
 		r.now += time.Millisecond
 		for _, send := range slices.Clone(r.open) {
 			sentAt := r.d.attempts.find(send.Attempt)
-			due := sentAt != nil && r.now-sentAt.sentAt >= r.took[r.leafOf(send)]
-			if due && !slices.Contains(r.mute, send.Attempt) {
+			due := sentAt != nil && r.now-sentAt.sentAt >= r.latency[r.leafOf(send)]
+			if due && !slices.Contains(r.unanswered, send.Attempt) {
 				r.reply(send)
 			}
 		}
-		if at, known := r.d.NextTick(); known && at <= r.now {
+		if at, ok := r.d.NextTick(); ok && at <= r.now {
 			r.perform(r.d.Tick(r.now))
 		}
 	}
@@ -122,41 +122,41 @@
 }
 
 // load submits a query every 10 ms.
-func (r *rig) load(queries int) {
+func (r *rig) submitEvery10ms(queries int) {
 	for range queries {
 		r.submit(1)
 		r.run(10 * time.Millisecond)
 	}
 }
 
-func TestStragglerIsAvoidedAndComesBack(t *testing.T) {
+func TestStragglerIsAvoidedAndRecovers(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.load(50)
-	r.took[0] = 80 * time.Millisecond
-	r.load(50)
+	r.submitEvery10ms(50)
+	r.latency[0] = 80 * time.Millisecond
+	r.submitEvery10ms(50)
 	before := r.sent[0]
-	r.load(300)
+	r.submitEvery10ms(300)
 	if got := r.sent[0] - before; got > 15 {
 		t.Errorf("%d of 300 attempts to the straggler", got)
 	}
 	if probes := r.d.Counters().Probes; probes < 2 || !r.d.LeafStates()[0].Probation {
 		t.Errorf("%d probes; %+v", probes, r.d.LeafStates()[0])
 	}
-	r.took[0] = 8 * time.Millisecond
-	r.load(300)
+	r.latency[0] = 8 * time.Millisecond
+	r.submitEvery10ms(300)
 	before = r.sent[0]
-	r.load(100)
+	r.submitEvery10ms(100)
 	if got := r.sent[0] - before; got < 20 || r.d.LeafStates()[0].Probation {
 		t.Errorf("%d of 100 attempts to the leaf that recovered; %+v", got, r.d.LeafStates()[0])
 	}
 }
 
-func TestHedgeGoesToTheOtherReplicaAndTheLoserIsAborted(t *testing.T) {
+func TestHedgeUsesOtherReplicaAndAbortsLoser(t *testing.T) {
 	r := newRig(t, 2, withoutProbes)
-	r.load(100)
+	r.submitEvery10ms(100)
 	id := r.submit(1)
 	late := r.open[0]
-	r.took[r.leafOf(late)] = time.Hour
+	r.latency[r.leafOf(late)] = time.Hour
 	r.run(50 * time.Millisecond)
 	finish := r.finishes[id]
 	if finish.Outcome != OutcomeAnswered || finish.Answered[0].Attempt == late.Attempt || !slices.Contains(r.aborted, late.Attempt) {
@@ -169,7 +169,7 @@
 
 // TestOverdueLosersAreMarked tells an attempt that is stuck from one that only
 // came second.
-func TestOverdueLosersAreMarked(t *testing.T) {
+func TestAbortMarksOverdueAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		first, second time.Duration // that the attempts take
@@ -179,59 +179,59 @@
 		{"the first is stuck", time.Second, 15 * time.Millisecond, true},
 	} {
 		r := newRig(t, 2, nil)
-		r.load(200)
+		r.submitEvery10ms(200)
 		r.submit(1)
 		first := r.leafOf(r.open[0])
-		r.took[first], r.took[1-first] = test.first, test.second
-		r.overdue = nil
+		r.latency[first], r.latency[1-first] = test.first, test.second
+		r.abortedOverdue = nil
 		r.run(60 * time.Millisecond)
-		if len(r.overdue) != 1 || r.overdue[0] != test.overdue {
-			t.Errorf("%s: aborts, overdue or not: %v", test.name, r.overdue)
+		if len(r.abortedOverdue) != 1 || r.abortedOverdue[0] != test.overdue {
+			t.Errorf("%s: aborts, overdue or not: %v", test.name, r.abortedOverdue)
 		}
 	}
 }
 
 // TestOldAttemptIsExpectedToTakeLonger compares a fresh attempt with one that is
 // late: a hedge of the late one may wait for a slot itself.
-func TestOldAttemptIsExpectedToTakeLonger(t *testing.T) {
+func TestExpectedRemainingTimeGrowsWithAge(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.load(200)
+	r.submitEvery10ms(200)
 	id := r.submit(1)
 	late := r.d.attempts.find(r.open[0].Attempt)
-	fresh := r.d.timeToAnswer(r.d.queries.byID[id], late)
+	fresh := r.d.expectedRemainingTime(r.d.queries.byID[id], late)
 	if fresh < 0.009 || fresh > 0.012 {
 		t.Errorf("a fresh attempt of 10 ms is expected to take %.3f s", fresh)
 	}
 	r.d.now += 50 * time.Millisecond
-	if left := r.d.timeToAnswer(r.d.queries.byID[id], late); left < 0.05 {
+	if left := r.d.expectedRemainingTime(r.d.queries.byID[id], late); left < 0.05 {
 		t.Errorf("after 50 ms it is expected to take %.3f s more", left)
 	}
 }
 
-func TestExtraLoadStaysWithinTheBudget(t *testing.T) {
+func TestExtraLoadStaysWithinBudget(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.hedge = 0.5
-	r.load(100)
+	r.hedgePercentile = 0.5
+	r.submitEvery10ms(100)
 	for step := range 2000 {
 		r.submit(1)
 		if step%8 == 0 {
-			r.took[r.leafOf(r.open[len(r.open)-1])] = 60 * time.Millisecond
+			r.latency[r.leafOf(r.open[len(r.open)-1])] = 60 * time.Millisecond
 		}
 		r.run(10 * time.Millisecond)
 		if step%8 == 4 {
-			r.took[0], r.took[1] = 10*time.Millisecond, 10*time.Millisecond
+			r.latency[0], r.latency[1] = 10*time.Millisecond, 10*time.Millisecond
 		}
 	}
 	config := DefaultConfig().Budget
 	counters := r.d.Counters()
-	if most := config.Initial + extraShare*float64(counters.Needed); float64(counters.Extra()) > most || counters.Extra() < 20 {
-		t.Errorf("%d extra attempts, at most %.0f: %+v", counters.Extra(), most, counters)
+	if maximum := config.Initial + extraShare*float64(counters.Needed); float64(counters.Extra()) > maximum || counters.Extra() < 20 {
+		t.Errorf("%d extra attempts, at most %.0f: %+v", counters.Extra(), maximum, counters)
 	}
 }
 
-func TestUrgentWorkGoesFirst(t *testing.T) {
+func TestUrgentWorkIsSentFirst(t *testing.T) {
 	r := newRig(t, 1, func(config *Config) { config.Limit.Headroom = 0 })
-	r.load(20)
+	r.submitEvery10ms(20)
 	r.submit(2)
 	r.submit(2)
 	r.submit(2)
@@ -243,9 +243,9 @@
 	}
 }
 
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
+func TestOverloadIsRefusedImmediately(t *testing.T) {
 	r := newRig(t, 1, nil)
-	r.load(20)
+	r.submitEvery10ms(20)
 	refused := 0
 	for range 100 {
 		id := r.submit(1)
@@ -278,12 +278,12 @@
 	}
 }
 
-func TestSnapshotGone(t *testing.T) {
+func TestQueryRestartsWhenSnapshotIsGone(t *testing.T) {
 	r := newRig(t, 2, nil)
 	id := r.submit(1)
 	tried := r.open[0].Leaf
 	r.refuse(leaf.RefusedSnapshot)
-	if r.open[0].Leaf == tried || r.open[0].Snapshot != first || r.open[0].Extra {
+	if r.open[0].Leaf == tried || r.open[0].Snapshot != firstSnapshot || r.open[0].Extra {
 		t.Fatalf("%+v", r.open)
 	}
 	second := catalog.Snapshot{Epoch: 1, Version: 2}
@@ -301,7 +301,7 @@
 	}
 }
 
-func TestColdLeafWarmsUp(t *testing.T) {
+func TestColdLeafLimitGrowsWithReplies(t *testing.T) {
 	r := newRig(t, 1, nil)
 	r.topology.Leaves[0].BootID, r.topology.Leaves[0].Cold, r.topology.Leaves[0].Slots = "2", true, 4
 	r.perform(r.d.SetTopology(r.now, r.topology))
@@ -317,9 +317,9 @@
 	}
 }
 
-func TestLostLeafIsLeftAlone(t *testing.T) {
+func TestFailedLeafIsBackedOff(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.load(10)
+	r.submitEvery10ms(10)
 	id := r.submit(1)
 	send := r.open[0]
 	r.open = nil
@@ -331,7 +331,7 @@
 		r.submit(1)
 		r.run(10 * time.Millisecond)
 	}
-	if state := r.d.LeafStates()[r.leafOf(send)]; state.InFlight != 0 || state.HeldUntil < r.now {
+	if state := r.d.LeafStates()[r.leafOf(send)]; state.InFlight != 0 || state.BackoffUntil < r.now {
 		t.Errorf("%+v", state)
 	}
 	if r.finishes[id].Outcome != OutcomeAnswered {
@@ -341,9 +341,9 @@
 
 // TestLossOnTheWaySaysNothingOfTheLeaf repeats an attempt that was lost with
 // another node, and goes on with its leaf as before.
-func TestLossOnTheWaySaysNothingOfTheLeaf(t *testing.T) {
+func TestLossInTransitDoesNotBackOffLeaf(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.load(10)
+	r.submitEvery10ms(10)
 	id := r.submit(1)
 	send := r.open[0]
 	before := r.d.LeafStates()[r.leafOf(send)]
@@ -353,7 +353,7 @@
 	if len(r.open) != 1 || !r.open[0].Extra {
 		t.Fatalf("not repeated: %+v", r.open)
 	}
-	if state := r.d.LeafStates()[r.leafOf(send)]; state.HeldUntil > r.now || state.Slowness > before.Slowness {
+	if state := r.d.LeafStates()[r.leafOf(send)]; state.BackoffUntil > r.now || state.Slowness > before.Slowness {
 		t.Errorf("%+v, before %+v", state, before)
 	}
 	r.run(20 * time.Millisecond)
@@ -362,9 +362,9 @@
 	}
 }
 
-func TestRequestThatMayNotBeRepeatedAvoidsDoubtfulLeaves(t *testing.T) {
+func TestNonRepeatableRequestAvoidsFailedLeaves(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.load(10)
+	r.submitEvery10ms(10)
 	r.submit(1)
 	failed := r.open[0]
 	r.open = nil
--- a/internal/decide/dispatch/meter.go
+++ b/internal/decide/dispatch/meter.go
@@ -12,7 +12,7 @@
 }
 
 // of returns the value of a class.
-func (p *perClass[T]) of(class *classState) T {
+func (p *perClass[T]) get(class *classState) T {
 	if class.index < len(p.values) {
 		return p.values[class.index]
 	}
@@ -21,7 +21,7 @@
 }
 
 // at returns a pointer to the value of a class, valid until the next call.
-func (p *perClass[T]) at(class *classState) *T {
+func (p *perClass[T]) ensure(class *classState) *T {
 	for len(p.values) <= class.index {
 		var zero T
 		p.values = append(p.values, zero)
@@ -39,27 +39,27 @@
 // The memories of meters. A shorter one in place of longMemory refused sweeps while a zone
 // was lost, at 80 % use of a pair of leaves; shortMemory was not compared with others.
 const (
-	longMemory  = 2 * time.Second        // of the work sent to a leaf
-	shortMemory = 300 * time.Millisecond // of the work of the node
+	longTimeConstant  = 2 * time.Second        // of the work sent to a leaf
+	shortTimeConstant = 300 * time.Millisecond // of the work of the node
 )
 
 // add books work, in seconds, that was sent or arrived now.
-func (m *meter) add(now Time, memory time.Duration, work float64) {
-	m.sum = m.sum*fade(now-m.at, memory) + work
+func (m *meter) add(now Time, timeConstant time.Duration, work float64) {
+	m.sum = m.sum*decay(now-m.at, timeConstant) + work
 	m.at = now
 }
 
 // rate returns the recent work, in seconds of work a second.
-func (m meter) rate(now Time, memory time.Duration) float64 {
-	return m.sum * fade(now-m.at, memory) / memory.Seconds()
+func (m meter) rate(now Time, timeConstant time.Duration) float64 {
+	return m.sum * decay(now-m.at, timeConstant) / timeConstant.Seconds()
 }
 
 // fade returns the weight that is left after a time.
-func fade(age, memory time.Duration) float64 {
+func decay(age, timeConstant time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	return math.Exp(-float64(age) / float64(memory))
+	return math.Exp(-float64(age) / float64(timeConstant))
 }
 
 // seconds converts a number of seconds.
--- a/internal/decide/dispatch/pin.go
+++ b/internal/decide/dispatch/pin.go
@@ -14,8 +14,8 @@
 
 // pin fixes the snapshot of a query and the shards that it needs there.
 func (d *Dispatcher) pin(q *query) Reason {
-	index, found := snapshot.Pick(d.fleet.snapshots, q.need())
-	if !found {
+	index, ok := snapshot.Pick(d.fleet.snapshots, q.need())
+	if !ok {
 		if len(d.fleet.views) == 0 {
 			return ReasonNoSnapshot
 		}
@@ -36,10 +36,10 @@
 	if len(q.Shards) > 0 {
 		count = len(q.Shards)
 	}
-	q.shards = d.spare.take(count)
+	q.shards = d.shardPool.get(count)
 	for position := range q.shards {
 		q.shards[position].group = pinned.group(q.shardAt(position))
-		q.shards[position].first = none
+		q.shards[position].firstAttempt = noAttempt
 	}
 	d.actions = slices.Grow(d.actions, count)
 	q.progress = coverage.Progress{Total: count}
@@ -52,7 +52,7 @@
 const shardPoolLimit = 16
 
 // take returns count zero shards, if possible from a finished query.
-func (p *shardPool) take(count int) []shardState {
+func (p *shardPool) get(count int) []shardState {
 	lists := *p
 	last := len(lists) - 1
 	if last < 0 || cap(lists[last]) < count {
@@ -65,7 +65,7 @@
 }
 
 // give keeps the shards of a finished query. Nothing looks at them any more.
-func (p *shardPool) give(shards []shardState) {
+func (p *shardPool) put(shards []shardState) {
 	if len(*p) < shardPoolLimit && shards != nil {
 		*p = append(*p, shards)
 	}
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -24,16 +24,16 @@
 	if d.now >= q.Deadline {
 		return false
 	}
-	if d.barred(q, position, waiting) {
+	if d.blockAttempt(q, position, waiting) {
 		return true
 	}
 	shard := &q.shards[position]
 	chosen, verdict := d.choose(q, shard, waiting)
 	switch verdict {
 	case choiceNone:
-		d.noLeaf(q, position, waiting)
+		d.giveUpWithoutLeaf(q, position, waiting)
 		return true
-	case choiceHeld:
+	case choiceWait:
 		if !waiting {
 			d.enqueue(q, position)
 		}
@@ -51,12 +51,12 @@
 
 // barred parks, gives up or withholds a shard that may not get another attempt now, and
 // reports whether it did.
-func (d *Dispatcher) barred(q *query, position int32, waiting bool) bool {
+func (d *Dispatcher) blockAttempt(q *query, position int32, waiting bool) bool {
 	shard := &q.shards[position]
 	switch {
-	case (shard.needsRetry || shard.chargeNext) && !d.budgetOf(q, position).CanRetry():
-		d.lackBudget(q, position, waiting)
-	case q.usedUp(shard, &d.config):
+	case (shard.needsRetry || shard.chargeNext) && !d.budgetFor(q, position).CanRetry():
+		d.parkOrGiveUp(q, position, waiting)
+	case q.attemptsExhausted(shard, &d.config):
 		d.markUnavailable(q, position, waiting)
 	case shard.needsRetry && q.suspected():
 		d.withhold(q, position, waiting)
@@ -67,7 +67,7 @@
 }
 
 // lackBudget parks a shard that needs a retry without a budget for it, or gives it up.
-func (d *Dispatcher) lackBudget(q *query, position int32, waiting bool) {
+func (d *Dispatcher) parkOrGiveUp(q *query, position int32, waiting bool) {
 	if d.config.EndWithoutBudget {
 		q.findings.lastReason = ReasonBudget
 		d.markUnavailable(q, position, waiting)
@@ -77,7 +77,7 @@
 }
 
 // noLeaf gives up a shard that no leaf holds at the snapshot of the query.
-func (d *Dispatcher) noLeaf(q *query, position int32, waiting bool) {
+func (d *Dispatcher) giveUpWithoutLeaf(q *query, position int32, waiting bool) {
 	if q.findings.lastReason == ReasonNone {
 		q.findings.lastReason = ReasonNoLeaf
 	}
--- a/internal/decide/dispatch/probe.go
+++ b/internal/decide/dispatch/probe.go
@@ -22,17 +22,17 @@
 // the chosen leaf.
 func (d *Dispatcher) probe(q *query, position int32, chosen *leafState) {
 	shard := &q.shards[position]
-	if !q.Class.Repeatable || len(shard.group.leaves) < 2 || !q.maySend(shard, &d.config) {
+	if !q.Class.Repeatable || len(shard.group.leaves) < 2 || !q.mayAttempt(shard, &d.config) {
 		return
 	}
 	for _, l := range shard.group.leaves {
 		if l == chosen || len(l.running) > 0 || d.now-l.probation.lastSent < d.probeInterval(l) {
 			continue
 		}
-		if !l.takesWork() || l.standby || l.holdOff.active(d.now) || !l.warmup.allows(d.now) {
+		if !l.acceptsWork() || l.standby || l.backoff.active(d.now) || !l.warmup.allows(d.now) {
 			continue
 		}
-		if d.slowness(l) > d.config.Probation.Slowness*d.slowness(chosen) && d.budgetOf(q, position).SpendHedge() {
+		if d.slowness(l) > d.config.Probation.SlownessThreshold*d.slowness(chosen) && d.budgetFor(q, position).SpendHedge() {
 			d.send(q, position, l, CauseProbe)
 			return
 		}
@@ -43,7 +43,7 @@
 // leaf answered in time, so that it gets its share of the work again soon.
 func (d *Dispatcher) probeInterval(l *leafState) time.Duration {
 	if l.probation.recovering {
-		return d.config.Probation.ProbeInterval / recoveringProbes
+		return d.config.Probation.ProbeInterval / recoveringProbeFactor
 	}
 	return d.config.Probation.ProbeInterval
 }
@@ -51,4 +51,4 @@
 // recoveringProbes is how many probes a recovering leaf gets in place of one. With it,
 // and a faster forgetting of the past (package replica), a recovered leaf got 20 or more
 // of 100 attempts after three seconds, and 2 without; other numbers were not compared.
-const recoveringProbes = 8
+const recoveringProbeFactor = 8
--- a/internal/decide/dispatch/probe_test.go
+++ b/internal/decide/dispatch/probe_test.go
@@ -11,22 +11,22 @@
 // newProbing returns a rig of two shards, of which one has three leaves. One of
 // those, leaf 0, is known to be slow, and due for a probe; leaf 3, that of the other
 // shard, answers after 20 ms. A shard gets two attempts at most.
-func newProbing(t *testing.T) *rig {
+func newProbeRig(t *testing.T) *rig {
 	r := newRig(t, 4, func(config *Config) {
-		config.MaximumSends = 2
+		config.MaximumAttempts = 2
 		config.Budget.Refill = 1
 	})
-	r.hedge = 0
+	r.hedgePercentile = 0
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 2}}
 	for index := range r.topology.Leaves {
 		held := 0
 		if index == 3 {
 			held = 1
 		}
-		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: first, Shards: []int{held}}}
+		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: firstSnapshot, Shards: []int{held}}}
 	}
 	r.perform(r.d.SetTopology(r.now, r.topology))
-	r.took = []time.Duration{150 * time.Millisecond, 5 * time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond}
+	r.latency = []time.Duration{150 * time.Millisecond, 5 * time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond}
 	for range 60 {
 		r.submit(1)
 		r.run(200 * time.Millisecond)
@@ -41,8 +41,8 @@
 
 // TestProbeLeavesTheSecondAttemptToTheQuery: a shard that waits for its answer is
 // not probed, so that its second attempt is there when the first is lost.
-func TestProbeLeavesTheSecondAttemptToTheQuery(t *testing.T) {
-	r := newProbing(t)
+func TestUnansweredShardIsNotProbed(t *testing.T) {
+	r := newProbeRig(t)
 	r.submit(1)
 	if len(r.open) != 2 || r.sent[0] != 0 {
 		t.Fatalf("sent %v at first", r.sent)
@@ -59,8 +59,8 @@
 }
 
 // TestSlowLeafIsProbedOnceItsShardIsAnswered, while the query waits for others.
-func TestSlowLeafIsProbedOnceItsShardIsAnswered(t *testing.T) {
-	r := newProbing(t)
+func TestSlowLeafIsProbedAfterShardIsAnswered(t *testing.T) {
+	r := newProbeRig(t)
 	id := r.submit(1)
 	r.run(10 * time.Millisecond)
 	if r.sent[0] != 1 {
@@ -74,13 +74,13 @@
 
 // TestQueryThatEndsProbesNothing: neither one that has all it waits for, nor one
 // whose time is over.
-func TestQueryThatEndsProbesNothing(t *testing.T) {
+func TestEndedQuerySendsNoProbe(t *testing.T) {
 	for name, shape := range map[string]func(*Query){
 		"the answer is enough": func(q *Query) { q.MinimumCoverage, q.Objective = 0.5, q.Deadline-198*time.Millisecond },
 		"its time is over":     func(q *Query) { q.Deadline -= 196 * time.Millisecond },
 	} {
-		r := newProbing(t)
-		r.shape = shape
+		r := newProbeRig(t)
+		r.modifyQuery = shape
 		id := r.submit(1)
 		r.now += 5 * time.Millisecond
 		r.reply(r.open[0])
--- a/internal/decide/dispatch/query.go
+++ b/internal/decide/dispatch/query.go
@@ -20,42 +20,42 @@
 
 // shardState is one needed shard of a query.
 type shardState struct {
-	status     shardStatus
-	sends      uint8
-	lost       uint8
-	unexecuted uint8  // sends that provably did not execute
-	resend     bool   // the former attempt provably did not execute
-	needsRetry bool   // an attempt that may have executed ended without an answer
-	chargeNext bool   // the next attempt is extra load, though the former did not execute
-	tried      uint32 // replicas that got an attempt
-	withheld   bool   // see Dispatcher.withhold
-	group      *group
-	first      int32 // list of wanted attempts in flight
-	answer     AttemptID
-	waitFor    uint32 // ticket of the live entry in the queue of the group
+	status             shardStatus
+	attempts           uint8
+	lostAttempts       uint8
+	unexecutedAttempts uint8  // sends that provably did not execute
+	resend             bool   // the former attempt provably did not execute
+	needsRetry         bool   // an attempt that may have executed ended without an answer
+	chargeNext         bool   // the next attempt is extra load, though the former did not execute
+	triedReplicas      uint32 // replicas that got an attempt
+	withheld           bool   // see Dispatcher.withhold
+	group              *replicaGroup
+	firstAttempt       int32 // list of wanted attempts in flight
+	answeredBy         AttemptID
+	waitTicket         uint32 // ticket of the live entry in the queue of the group
 	// waitWork is the share of the waiting work for each leaf of the group.
 	waitWork time.Duration
 }
 
 // markDue makes the shard due if no attempt of it is left.
 func (s *shardState) markDue() {
-	if s.status == shardInFlight && s.first == none {
+	if s.status == shardInFlight && s.firstAttempt == noAttempt {
 		s.status = shardWaiting
-		s.waitFor = 0
+		s.waitTicket = 0
 	}
 }
 
 // due reports whether the shard is to be placed: it neither has an attempt
 // nor waits for a leaf.
 func (s *shardState) due() bool {
-	return s.status == shardWaiting && s.waitFor == 0
+	return s.status == shardWaiting && s.waitTicket == 0
 }
 
 // query is a submitted query until its Finish.
 type query struct {
 	Query
 	class *classState
-	pinned
+	pinnedSnapshot
 	attemptCounts
 	suspicion
 	schedule
@@ -69,7 +69,7 @@
 }
 
 // pinned is the snapshot that a query reads, and its shards there.
-type pinned struct {
+type pinnedSnapshot struct {
 	snapshot   catalog.Snapshot
 	firstShard int // the number of the shard at position 0
 	shards     []shardState
@@ -115,14 +115,14 @@
 
 // hedging is when hedges of a query are due.
 type hedging struct {
-	armed    bool
-	at       Time // of the next look; zero if no hedge is due
-	rescueAt Time // when hedges are paid for as retries; zero for never
+	armed           bool
+	nextCheckAt     Time // of the next look; zero if no hedge is due
+	chargeAsRetryAt Time // when hedges are paid for as retries; zero for never
 }
 
 // rescuing reports whether hedges are paid for as retries.
-func (h *hedging) rescuing(now Time) bool {
-	return h.rescueAt > 0 && now >= h.rescueAt
+func (h *hedging) chargedAsRetries(now Time) bool {
+	return h.chargeAsRetryAt > 0 && now >= h.chargeAsRetryAt
 }
 
 // timer is the place of a query in the timerHeap.
@@ -156,7 +156,7 @@
 	for position := range q.shards {
 		shard := q.shardAt(position)
 		if q.shards[position].status == shardAnswered {
-			answer := ShardAnswer{Shard: shard, Attempt: q.shards[position].answer}
+			answer := ShardAnswer{Shard: shard, Attempt: q.shards[position].answeredBy}
 			finish.Answered = append(finish.Answered, answer)
 		} else {
 			finish.Missing = append(finish.Missing, shard)
--- a/internal/decide/dispatch/queue.go
+++ b/internal/decide/dispatch/queue.go
@@ -34,16 +34,16 @@
 // waitingShards counts the shards that wait for a leaf, and holds those that wait for the
 // budget. The shards that wait for a leaf are in the queues of their groups.
 type waitingShards struct {
-	count    int
-	parked   []waiter
-	order    uint64 // of the last arrival
-	round    uint64 // of pump
-	reviewAt Time   // when all are looked at again
+	queued      int
+	parked      []waiter
+	lastArrival uint64 // of the last arrival
+	round       uint64 // of pump
+	rescanAt    Time   // when all are looked at again
 }
 
 // any reports whether shards wait in the node.
-func (w *waitingShards) any() bool {
-	return w.count > 0 || len(w.parked) > 0
+func (w *waitingShards) hasWaiting() bool {
+	return w.queued > 0 || len(w.parked) > 0
 }
 
 // waiter is a shard of a query that waits in the node for a leaf.
@@ -51,7 +51,7 @@
 	query    *query
 	position int32
 	ticket   uint32
-	order    uint64 // of arrival
+	arrival  uint64 // of arrival
 }
 
 // live reports whether the waiter was not withdrawn.
@@ -60,7 +60,7 @@
 		return false
 	}
 	shard := &w.query.shards[w.position]
-	return shard.status == shardWaiting && shard.waitFor == w.ticket
+	return shard.status == shardWaiting && shard.waitTicket == w.ticket
 }
 
 // parked reports whether the shard still waits for the budget.
@@ -70,7 +70,7 @@
 }
 
 // precedes orders as before does, but by the priorities of the moment.
-func (w *waiter) precedes(other *waiter, now Time) bool {
+func (w *waiter) precedesNow(other *waiter, now Time) bool {
 	a, b := w.query.priority(now), other.query.priority(now)
 	if a != b {
 		return a < b
@@ -78,11 +78,11 @@
 	if w.query.Deadline != other.query.Deadline {
 		return w.query.Deadline < other.query.Deadline
 	}
-	return w.order < other.order
+	return w.arrival < other.arrival
 }
 
 // before orders by priority, then by deadline, then by arrival.
-func (w *waiter) before(other *waiter) bool {
+func (w *waiter) precedesByClass(other *waiter) bool {
 	a, b := w.query, other.query
 	if a.Class.Priority != b.Class.Priority {
 		return a.Class.Priority < b.Class.Priority
@@ -90,37 +90,37 @@
 	if a.Deadline != b.Deadline {
 		return a.Deadline < b.Deadline
 	}
-	return w.order < other.order
+	return w.arrival < other.arrival
 }
 
 // enqueue lets the shard wait for the leaves of its group.
 func (d *Dispatcher) enqueue(q *query, position int32) {
 	shard := &q.shards[position]
-	d.waiting.order++
+	d.waiting.lastArrival++
 	shard.status = shardWaiting
-	shard.waitFor = uint32(d.waiting.order)
-	shard.waitWork = seconds(q.class.base) / time.Duration(len(shard.group.leaves))
-	shard.group.waiting.push(waiter{query: q, position: position, ticket: shard.waitFor, order: d.waiting.order})
-	d.addWaiting(q, shard, 1)
+	shard.waitTicket = uint32(d.waiting.lastArrival)
+	shard.waitWork = seconds(q.class.serviceTime) / time.Duration(len(shard.group.leaves))
+	shard.group.waiting.push(waiter{query: q, position: position, ticket: shard.waitTicket, arrival: d.waiting.lastArrival})
+	d.adjustWaitingWork(q, shard, 1)
 }
 
 // withdraw takes the shard out of the queue of its group.
 func (d *Dispatcher) withdraw(q *query, shard *shardState) {
-	shard.waitFor = 0
+	shard.waitTicket = 0
 	shard.group.waiting.live--
-	d.addWaiting(q, shard, -1)
+	d.adjustWaitingWork(q, shard, -1)
 }
 
-func (d *Dispatcher) addWaiting(q *query, shard *shardState, sign int) {
-	d.waiting.count += sign
+func (d *Dispatcher) adjustWaitingWork(q *query, shard *shardState, sign int) {
+	d.waiting.queued += sign
 	for _, l := range shard.group.leaves {
-		*l.waiting.at(q.class) += time.Duration(sign) * shard.waitWork
+		*l.waitingWork.ensure(q.class) += time.Duration(sign) * shard.waitWork
 	}
 }
 
 // pump gives free slots of the leaf to the shards that wait for it.
-func (d *Dispatcher) pump(l *leafState) {
-	if d.waiting.count == 0 || !l.takesWork() || l.holdOff.active(d.now) {
+func (d *Dispatcher) dispatchTo(l *leafState) {
+	if d.waiting.queued == 0 || !l.acceptsWork() || l.backoff.active(d.now) {
 		return
 	}
 	d.waiting.round++
@@ -131,27 +131,27 @@
 		}
 		waiting := *next.waiting.head(d.now)
 		if d.now >= waiting.query.Deadline {
-			d.review(waiting.query)
+			d.advance(waiting.query)
 			continue
 		}
 		if !d.placeWaiting(waiting.query, waiting.position) {
-			next.skipped = d.waiting.round
+			next.skippedRound = d.waiting.round
 		}
-		d.review(waiting.query)
+		d.advance(waiting.query)
 	}
 }
 
 // firstWaiting returns the group of the leaf whose first waiter goes before
 // those of the others, without the groups skipped in this round.
-func (d *Dispatcher) firstWaiting(l *leafState) *group {
-	var best *group
+func (d *Dispatcher) firstWaiting(l *leafState) *replicaGroup {
+	var best *replicaGroup
 	var bestHead *waiter
 	for _, candidate := range l.groups {
-		if candidate.waiting.live == 0 || candidate.skipped == d.waiting.round {
+		if candidate.waiting.live == 0 || candidate.skippedRound == d.waiting.round {
 			continue
 		}
 		head := candidate.waiting.head(d.now)
-		if head != nil && (best == nil || head.precedes(bestHead, d.now)) {
+		if head != nil && (best == nil || head.precedesNow(bestHead, d.now)) {
 			best, bestHead = candidate, head
 		}
 	}
@@ -159,18 +159,18 @@
 }
 
 // pumpAll looks at all waiting and parked shards again.
-func (d *Dispatcher) pumpAll() {
-	d.waiting.reviewAt = d.now + d.config.Review
+func (d *Dispatcher) dispatchAllWaiting() {
+	d.waiting.rescanAt = d.now + d.config.RescanInterval
 	parked := d.waiting.parked
 	d.waiting.parked = nil
 	for _, entry := range parked {
 		if entry.parked() {
 			d.place(entry.query, entry.position)
-			d.review(entry.query)
+			d.advance(entry.query)
 		}
 	}
 	for _, l := range d.fleet.leaves {
-		d.pump(l)
+		d.dispatchTo(l)
 	}
 }
 
@@ -189,11 +189,11 @@
 
 // startPending starts postponed queries as the concurrency limit allows.
 func (d *Dispatcher) startPending() {
-	if d.queries.startsHeld {
+	if d.queries.startsBlocked {
 		return
 	}
-	d.queries.startsHeld = true
-	defer func() { d.queries.startsHeld = false }()
+	d.queries.startsBlocked = true
+	defer func() { d.queries.startsBlocked = false }()
 	for len(d.queries.pending) > 0 && (d.fleet.topology.Concurrency == 0 || d.queries.started < d.fleet.topology.Concurrency) {
 		q := d.queries.pending[0]
 		d.queries.pending = slices.Delete(d.queries.pending, 0, 1)
--- a/internal/decide/dispatch/restart.go
+++ b/internal/decide/dispatch/restart.go
@@ -24,11 +24,11 @@
 	if q.restarted || !q.Class.Repeatable {
 		return
 	}
-	if d.now+time.Duration(q.class.base*float64(time.Second)) >= q.Deadline {
+	if d.now+time.Duration(q.class.serviceTime*float64(time.Second)) >= q.Deadline {
 		return
 	}
-	index, found := snapshot.Pick(d.fleet.snapshots, q.need())
-	if !found || !q.snapshot.Less(d.fleet.views[index].snapshot) {
+	index, ok := snapshot.Pick(d.fleet.snapshots, q.need())
+	if !ok || !q.snapshot.Less(d.fleet.views[index].snapshot) {
 		return
 	}
 	covered, needed := q.need().Covered(&d.fleet.snapshots[index])
@@ -36,9 +36,9 @@
 	if covered*q.progress.Total <= reachable*needed {
 		return
 	}
-	executed := d.abandon(q)
+	executed := d.abortAll(q)
 	q.restarted = true
-	q.hedging.armed, q.hedging.at = false, 0
+	q.hedging.armed, q.hedging.nextCheckAt = false, 0
 	d.counters.Restarts++
 	d.pinTo(q, &d.fleet.views[index])
 	for position := range q.shards {
--- a/internal/decide/dispatch/retryafter.go
+++ b/internal/decide/dispatch/retryafter.go
@@ -22,8 +22,8 @@
 }
 
 // addPause takes in the pause that a leaf asked for as it shed an attempt; zero for none.
-func (d *Dispatcher) addPause(q *query, asked time.Duration) {
-	q.findings.retryAfter = max(q.findings.retryAfter, d.config.Admission.RetryAfter(asked))
+func (d *Dispatcher) addPause(q *query, requested time.Duration) {
+	q.findings.retryAfter = max(q.findings.retryAfter, d.config.Admission.RetryAfter(requested))
 }
 
 // retryAfter returns the time after which a caller that got no answer may retry; zero if
--- a/internal/decide/dispatch/saturation.go
+++ b/internal/decide/dispatch/saturation.go
@@ -15,9 +15,9 @@
 
 // loadEstimate is how loaded the service is, by what the leaves report.
 type loadEstimate struct {
-	saturation saturation
-	urgent     meter // work that arrived with the highest priority
-	sent       meter // work that was sent
+	saturation     saturation
+	urgentArrivals meter // work that arrived with the highest priority
+	sent           meter // work that was sent
 }
 
 // saturation is the share of the slots of all leaves that are in use, as a
@@ -29,40 +29,40 @@
 
 // fullSaturation is the saturation from which the service counts as overloaded: all
 // slots in use.
-const fullSaturation = 1.0
+const saturatedShare = 1.0
 
 // saturationMemory is the time constant of the mean. Not measured against others: chosen
 // because it spans a few bursts, so that one burst does not make admission strict.
-const saturationMemory = 100 * time.Millisecond
+const saturationTimeConstant = 100 * time.Millisecond
 
 // full reports whether the service is overloaded.
-func (s *saturation) full() bool {
-	return s.mean >= fullSaturation
+func (s *saturation) saturated() bool {
+	return s.mean >= saturatedShare
 }
 
 // sample takes in how many of the slots are in use now.
 func (s *saturation) sample(now Time, busy float64, slots int) {
-	weight := 1 - fade(now-s.at, saturationMemory)
+	weight := 1 - decay(now-s.at, saturationTimeConstant)
 	s.mean += weight * (busy/float64(max(slots, 1)) - s.mean)
 	s.at = now
 }
 
 // leftByUrgent returns the share of the node's work, from 0 to 1, that the most urgent
 // work leaves to the rest, if the leaves are saturated.
-func (l *loadEstimate) leftByUrgent(now Time) float64 {
-	sent := l.sent.rate(now, shortMemory)
+func (l *loadEstimate) shareLeftByUrgent(now Time) float64 {
+	sent := l.sent.rate(now, shortTimeConstant)
 	if sent == 0 {
 		return 1
 	}
-	return max(1-l.urgent.rate(now, shortMemory)/sent, 0)
+	return max(1-l.urgentArrivals.rate(now, shortTimeConstant)/sent, 0)
 }
 
 // sampleSaturation takes in the present use of the slots.
 func (d *Dispatcher) sampleSaturation() {
 	busy, slots := 0.0, 0
 	for _, l := range d.fleet.leaves {
-		if l.takesWork() && !l.holdOff.active(d.now) {
-			busy += l.reports.mean + float64(len(l.running))
+		if l.acceptsWork() && !l.backoff.active(d.now) {
+			busy += l.loadReports.meanOthers + float64(len(l.running))
 			slots += l.slots
 		}
 	}
--- a/internal/decide/dispatch/servable_test.go
+++ b/internal/decide/dispatch/servable_test.go
@@ -10,7 +10,7 @@
 
 // TestQueryThatCannotReachItsCoverageSendsNothing: the leaves that there are would
 // work in vain.
-func TestQueryThatCannotReachItsCoverageSendsNothing(t *testing.T) {
+func TestQueryWithUnattainableCoverageSendsNothing(t *testing.T) {
 	const shards = 4
 	for _, test := range []struct {
 		minimum  float64
@@ -20,10 +20,10 @@
 		r := newRig(t, 2, func(c *Config) { c.RequireCoverage = test.required })
 		r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: shards}}
 		for index := range r.topology.Leaves { // two shards have none
-			r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: first, Shards: []int{index}}}
+			r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: firstSnapshot, Shards: []int{index}}}
 		}
 		r.perform(r.d.SetTopology(r.now, r.topology))
-		r.shape = func(q *Query) { q.Shards, q.MinimumCoverage = []int{0, 1, 2, 3}, test.minimum }
+		r.modifyQuery = func(q *Query) { q.Shards, q.MinimumCoverage = []int{0, 1, 2, 3}, test.minimum }
 		id := r.submit(1)
 		if sent := r.sent[0] + r.sent[1]; sent != test.sends {
 			t.Errorf("%+v: sent %d", test, sent)
--- a/internal/decide/dispatch/settle.go
+++ b/internal/decide/dispatch/settle.go
@@ -23,19 +23,19 @@
 	case q.findings.unknown:
 		return OutcomeUnknown, ReasonLost, true
 	case q.findings.invalid:
-		return q.failure(), ReasonInvalid, true
+		return q.failureOutcome(), ReasonInvalid, true
 	case progress.Hopeless():
-		return q.failure(), q.findings.lastReason, true
+		return q.failureOutcome(), q.findings.lastReason, true
 	case d.config.RequireCoverage && !progress.Attainable(q.MinimumCoverage):
-		return q.failure(), q.findings.lastReason, true
-	case d.config.RequireCoverage && d.outOfReach(q):
-		return q.failure(), ReasonNoLeaf, true
+		return q.failureOutcome(), q.findings.lastReason, true
+	case d.config.RequireCoverage && d.coverageBlockedByDownLeaves(q):
+		return q.failureOutcome(), ReasonNoLeaf, true
 	case d.now >= q.Deadline && d.config.RequireCoverage && !progress.Enough(q.MinimumCoverage):
-		return q.failure(), ReasonDeadline, true
+		return q.failureOutcome(), ReasonDeadline, true
 	case d.now >= q.Deadline && progress.Answered > 0:
 		return OutcomePartial, ReasonDeadline, true
 	case d.now >= q.Deadline:
-		return q.failure(), ReasonDeadline, true
+		return q.failureOutcome(), ReasonDeadline, true
 	case !progress.Enough(q.MinimumCoverage):
 		return "", ReasonNone, false
 	case progress.Exhausted():
@@ -48,7 +48,7 @@
 }
 
 // failure returns the outcome of a query that ends without any answer.
-func (q *query) failure() Outcome {
+func (q *query) failureOutcome() Outcome {
 	switch {
 	case !q.mayHaveRun():
 		return OutcomeNotRun
@@ -61,14 +61,14 @@
 
 // maySend reports whether the shard may cause another attempt. Attempts that
 // provably did not execute do not count against the query's own bound.
-func (q *query) maySend(shard *shardState, config *Config) bool {
-	if int(shard.sends) >= config.MaximumSends {
+func (q *query) mayAttempt(shard *shardState, config *Config) bool {
+	if int(shard.attempts) >= config.MaximumAttempts {
 		return false
 	}
-	return q.MaximumSends == 0 || int(shard.sends-shard.unexecuted) < q.MaximumSends
+	return q.MaximumSends == 0 || int(shard.attempts-shard.unexecutedAttempts) < q.MaximumSends
 }
 
 // usedUp reports whether the shard gets no first or next attempt any more.
-func (q *query) usedUp(shard *shardState, config *Config) bool {
-	return !q.maySend(shard, config) || int(shard.lost) >= config.MaximumLost
+func (q *query) attemptsExhausted(shard *shardState, config *Config) bool {
+	return !q.mayAttempt(shard, config) || int(shard.lostAttempts) >= config.MaximumLostAttempts
 }
--- a/internal/decide/dispatch/standby_test.go
+++ b/internal/decide/dispatch/standby_test.go
@@ -8,19 +8,19 @@
 )
 
 // TestStandbyGetsNoWorkWhileAnotherReplicaCan is not the fastest leaf's right.
-func TestStandbyGetsNoWorkWhileAnotherReplicaCan(t *testing.T) {
+func TestStandbyGetsNoWorkWhileAnotherReplicaAccepts(t *testing.T) {
 	r := newRig(t, 2, nil)
 	r.topology.Leaves[1].Standby = true
 	r.perform(r.d.SetTopology(r.now, r.topology))
-	r.took[0], r.took[1] = 20*time.Millisecond, time.Millisecond
-	r.load(60)
+	r.latency[0], r.latency[1] = 20*time.Millisecond, time.Millisecond
+	r.submitEvery10ms(60)
 	if r.sent[1] != 0 {
 		t.Errorf("sent %v", r.sent)
 	}
 }
 
 // TestStandbyTakesOver when the other replica refuses, or is gone.
-func TestStandbyTakesOver(t *testing.T) {
+func TestStandbyReplacesUnavailableReplica(t *testing.T) {
 	r := newRig(t, 2, nil)
 	r.topology.Leaves[1].Standby = true
 	r.perform(r.d.SetTopology(r.now, r.topology))
--- a/internal/decide/dispatch/status.go
+++ b/internal/decide/dispatch/status.go
@@ -28,7 +28,7 @@
 	// Probation is set while the leaf gets probes because it is slow.
 	Probation bool
 	// HeldUntil is when work is given again after failures or refusals.
-	HeldUntil Time
+	BackoffUntil Time
 }
 
 // LeafStates describes all leaves of the topology, in its order.
@@ -41,19 +41,19 @@
 	for _, l := range d.fleet.leaves {
 		slowness := d.slowness(l)
 		states = append(states, LeafState{
-			Address:   l.address,
-			Zone:      l.zone,
-			BootID:    l.boot(),
-			Usable:    l.takesWork(),
-			Draining:  l.draining(),
-			InFlight:  len(l.running),
-			Limit:     l.limiter.Current(),
-			Others:    l.reports.others(d.now),
-			Pace:      l.reports.pace,
-			Latency:   time.Duration(l.latency * float64(time.Second)),
-			Slowness:  slowness,
-			Probation: slowness > d.config.Probation.Slowness*best,
-			HeldUntil: l.holdOff.until,
+			Address:      l.address,
+			Zone:         l.zone,
+			BootID:       l.currentBoot(),
+			Usable:       l.acceptsWork(),
+			Draining:     l.draining(),
+			InFlight:     len(l.running),
+			Limit:        l.limiter.Current(),
+			Others:       l.loadReports.estimateOthers(d.now),
+			Pace:         l.loadReports.pace,
+			Latency:      time.Duration(l.meanLatency * float64(time.Second)),
+			Slowness:     slowness,
+			Probation:    slowness > d.config.Probation.SlownessThreshold*best,
+			BackoffUntil: l.backoff.until,
 		})
 	}
 	return states
@@ -89,7 +89,7 @@
 }
 
 // finished counts a query by its outcome.
-func (c *Counters) finished(outcome Outcome) {
+func (c *Counters) countOutcome(outcome Outcome) {
 	switch outcome {
 	case OutcomeAnswered:
 		c.Answered++
@@ -137,7 +137,7 @@
 
 // Load returns the present load.
 func (d *Dispatcher) Load() Load {
-	return Load{Waiting: d.waiting.count, Budget: d.budgets.tokens()}
+	return Load{Waiting: d.waiting.queued, Budget: d.budgets.tokens()}
 }
 
 // InFlightAt returns how many attempts run at the leaves that a function selects by
--- a/internal/decide/dispatch/timers.go
+++ b/internal/decide/dispatch/timers.go
@@ -10,7 +10,7 @@
 		q.timer.index = len(*h)
 		*h = append(*h, q)
 	}
-	h.down(h.up(q.timer.index))
+	h.siftDown(h.siftUp(q.timer.index))
 }
 
 func (h *timerHeap) remove(q *query) {
@@ -23,7 +23,7 @@
 	*h = (*h)[:last]
 	q.timer.index = -1
 	if index < last {
-		h.down(h.up(index))
+		h.siftDown(h.siftUp(index))
 	}
 }
 
@@ -32,7 +32,7 @@
 	h[i].timer.index, h[j].timer.index = i, j
 }
 
-func (h timerHeap) up(index int) int {
+func (h timerHeap) siftUp(index int) int {
 	for index > 0 {
 		parent := (index - 1) / 2
 		if h[parent].timer.at <= h[index].timer.at {
@@ -44,7 +44,7 @@
 	return index
 }
 
-func (h timerHeap) down(index int) {
+func (h timerHeap) siftDown(index int) {
 	for {
 		child := 2*index + 1
 		if child >= len(h) {
--- a/internal/decide/dispatch/topology.go
+++ b/internal/decide/dispatch/topology.go
@@ -13,15 +13,15 @@
 
 // fleet is the topology with what is computed from it and known of its leaves.
 type fleet struct {
-	topology   Topology
-	topologies uint64       // number of topologies so far
-	leaves     []*leafState // those of the topology, in its order
-	byAddress  map[netip.AddrPort]*leafState
-	restarted  []*leafState    // those that the topology being taken in lists with a new boot ID
-	views      []view          // newest first
-	snapshots  []snapshot.View // of the views
-	goneUntil  Time            // when the next override of a holding ends; zero if none
-	down       int             // leaves that are down, see setDown
+	topology     Topology
+	generation   uint64       // number of topologies so far
+	leaves       []*leafState // those of the topology, in its order
+	byAddress    map[netip.AddrPort]*leafState
+	restarted    []*leafState    // those that the topology being taken in lists with a new boot ID
+	views        []view          // newest first
+	snapshots    []snapshot.View // of the views
+	missingUntil Time            // when the next override of a holding ends; zero if none
+	downCount    int             // leaves that are down, see setDown
 }
 
 // SetTopology replaces the topology. A leaf that is not usable in it gets no
@@ -30,41 +30,41 @@
 	d.begin(now)
 	changed := !slices.Equal(d.fleet.topology.Partitions, topology.Partitions)
 	d.fleet.topology = topology
-	d.fleet.topologies++
-	former := d.fleet.leaves
+	d.fleet.generation++
+	previous := d.fleet.leaves
 	d.fleet.leaves = make([]*leafState, 0, len(topology.Leaves))
 	for index := range topology.Leaves {
 		listed := &topology.Leaves[index]
-		l, known := d.fleet.byAddress[listed.Address]
-		if !known {
+		l, ok := d.fleet.byAddress[listed.Address]
+		if !ok {
 			l = d.newLeaf(listed)
 			d.fleet.byAddress[listed.Address] = l
 		}
-		if l.listedIn == d.fleet.topologies {
+		if l.listedGeneration == d.fleet.generation {
 			continue // listed twice: the first entry counts
 		}
-		l.listedIn = d.fleet.topologies
-		changed = d.update(l, listed) || changed
+		l.listedGeneration = d.fleet.generation
+		changed = d.applyListing(l, listed) || changed
 		d.fleet.leaves = append(d.fleet.leaves, l)
 	}
-	changed = d.dropUnlisted(former) || changed
+	changed = d.retireUnlisted(previous) || changed
 	if changed {
-		d.rebuild()
+		d.rebuildViews()
 	}
-	d.loseFormerAttempts()
+	d.failOrphanedAttempts()
 	d.startPending()
-	d.pumpAll()
+	d.dispatchAllWaiting()
 	return d.actions
 }
 
 func (d *Dispatcher) newLeaf(listed *Leaf) *leafState {
-	slots := slotsOf(listed)
+	slots := listedSlots(listed)
 	return &leafState{
 		listing:   listing{address: listed.Address, slots: slots},
 		limiter:   limit.New(&d.config.Limit, slots, listed.Cold),
 		speed:     replica.NewSpeed(&d.config.Speed),
 		probation: probation{lastSent: d.now},
-		overdue:   overdueSum{at: unknown},
+		overdue:   overdueSum{at: noTime},
 	}
 }
 
@@ -72,7 +72,7 @@
 // with which a leaf can work on two attempts at once.
 const defaultSlots = 2
 
-func slotsOf(listed *Leaf) int {
+func listedSlots(listed *Leaf) int {
 	if listed.Slots > 0 {
 		return listed.Slots
 	}
@@ -81,28 +81,28 @@
 
 // update takes over what the topology says of a leaf and reports whether its
 // holdings changed.
-func (d *Dispatcher) update(l *leafState, listed *Leaf) bool {
-	took := l.takesWork()
+func (d *Dispatcher) applyListing(l *leafState, listed *Leaf) bool {
+	accepted := l.acceptsWork()
 	canary := l.canary
 	l.zone = listed.Zone
-	l.near = listed.Zone == d.config.Zone
+	l.sameZone = listed.Zone == d.config.Zone
 	l.usable = listed.Usable
 	l.standby = listed.Standby
 	l.canary = listed.Canary
 	l.warmAt = listed.WarmAt
 	l.warmup.set(d.now, listed.ColdUntil, listed.ColdRate)
 	l.listedBoot = listed.BootID
-	if slots := slotsOf(listed); slots != l.slots {
+	if slots := listedSlots(listed); slots != l.slots {
 		l.slots = slots
 		l.limiter.Resize(slots)
 	}
-	if l.noteBoot(listed.BootID) {
+	if l.recordBoot(listed.BootID) {
 		d.resetLeaf(l, listed.Cold)
 		d.fleet.restarted = append(d.fleet.restarted, l)
 	}
 	same := slices.EqualFunc(l.holdings, listed.Holdings, equalHoldings)
 	l.holdings = listed.Holdings
-	return took != l.takesWork() || canary != l.canary || !same
+	return accepted != l.acceptsWork() || canary != l.canary || !same
 }
 
 func equalHoldings(a, b leaf.Holding) bool {
@@ -114,22 +114,22 @@
 	l.limiter.Restart(cold)
 	l.speed = replica.NewSpeed(&d.config.Speed)
 	l.losses = replica.Losses{}
-	l.holdOff = holdOff{}
+	l.backoff = backoff{}
 	d.setDown(l, false)
-	l.gone = nil
+	l.missing = nil
 }
 
 // unlistedMemory is how long a leaf that left the topology is remembered, with what it
 // said of draining. Not measured: chosen longer than a leaf takes to stop.
-const unlistedMemory = 10 * time.Minute
+const unlistedRetention = 10 * time.Minute
 
 // dropUnlisted gives no more work to the leaves that left the topology, and
 // forgets them later. It reports whether one of them could get work before.
-func (d *Dispatcher) dropUnlisted(former []*leafState) bool {
+func (d *Dispatcher) retireUnlisted(previous []*leafState) bool {
 	dropped := false
-	for _, l := range former {
-		if l.listedIn != d.fleet.topologies {
-			dropped = dropped || l.takesWork()
+	for _, l := range previous {
+		if l.listedGeneration != d.fleet.generation {
+			dropped = dropped || l.acceptsWork()
 			l.usable = false
 			l.groups = nil
 			d.setDown(l, false)
@@ -137,7 +137,7 @@
 		}
 	}
 	for address, l := range d.fleet.byAddress {
-		if l.listedIn != d.fleet.topologies && d.now-l.unlistedAt > unlistedMemory {
+		if l.listedGeneration != d.fleet.generation && d.now-l.unlistedAt > unlistedRetention {
 			delete(d.fleet.byAddress, address)
 		}
 	}
--- a/internal/decide/dispatch/views.go
+++ b/internal/decide/dispatch/views.go
@@ -12,11 +12,11 @@
 // view is one snapshot with the leaves that hold its shards.
 type view struct {
 	snapshot catalog.Snapshot
-	groups   []group
+	groups   []replicaGroup
 }
 
 // group returns the group of a shard, or nil if no leaf holds it.
-func (v *view) group(shard int) *group {
+func (v *view) group(shard int) *replicaGroup {
 	if shard >= len(v.groups) || len(v.groups[shard].leaves) == 0 {
 		return nil
 	}
@@ -24,36 +24,36 @@
 }
 
 // rebuild computes the views from the topology and moves all queries over to them.
-func (d *Dispatcher) rebuild() {
-	d.dropExpired()
+func (d *Dispatcher) rebuildViews() {
+	d.expireMissingHoldings()
 	holdings := make([][]leaf.Holding, len(d.fleet.leaves))
 	for index, l := range d.fleet.leaves {
 		l.groups = nil
-		if l.takesWork() {
-			holdings[index] = l.offered()
+		if l.acceptsWork() {
+			holdings[index] = l.availableHoldings()
 		}
-		l.waiting = perClass[time.Duration]{}
+		l.waitingWork = perClass[time.Duration]{}
 	}
 	d.fleet.snapshots = snapshot.Build(d.fleet.topology.Partitions, holdings)
 	d.fleet.views = make([]view, len(d.fleet.snapshots))
 	for index := range d.fleet.views {
 		d.fillView(&d.fleet.views[index], &d.fleet.snapshots[index])
 	}
-	d.waiting.count = 0
-	starting := d.queries.startsHeld
-	d.queries.startsHeld = true // postponed queries wait until all others have moved
+	d.waiting.queued = 0
+	starting := d.queries.startsBlocked
+	d.queries.startsBlocked = true // postponed queries wait until all others have moved
 	for _, q := range slices.Clone(d.queries.running) {
 		if q.started && !q.finished {
-			d.regroup(q)
+			d.rebindQuery(q)
 		}
 	}
-	d.queries.startsHeld = starting
+	d.queries.startsBlocked = starting
 	d.startPending()
 }
 
 func (d *Dispatcher) fillView(v *view, built *snapshot.View) {
 	v.snapshot = built.Snapshot
-	v.groups = make([]group, len(built.Replicas))
+	v.groups = make([]replicaGroup, len(built.Replicas))
 	for shard, replicas := range built.Replicas {
 		target := &v.groups[shard]
 		target.shard = shard
@@ -72,7 +72,7 @@
 
 // regroup hands a running query over to the new views. Shards that wait, or that
 // no leaf could answer, are placed again.
-func (d *Dispatcher) regroup(q *query) {
+func (d *Dispatcher) rebindQuery(q *query) {
 	var pinned *view
 	for index := range d.fleet.views {
 		if d.fleet.views[index].snapshot == q.snapshot {
@@ -90,23 +90,23 @@
 			q.progress.Unavailable--
 			shard.status = shardWaiting
 		}
-		shard.waitFor = 0
+		shard.waitTicket = 0
 	}
 	for position := range q.shards {
 		if q.shards[position].due() {
 			d.place(q, int32(position))
 		}
 	}
-	d.review(q)
+	d.advance(q)
 }
 
 // refreshTried sets the mask of the replicas that run an attempt of the shard.
 func (d *Dispatcher) refreshTried(shard *shardState) {
-	shard.tried = 0
+	shard.triedReplicas = 0
 	if shard.group == nil {
 		return
 	}
-	for slot := shard.first; slot != none; slot = d.attempts.slots[slot].next {
+	for slot := shard.firstAttempt; slot != noAttempt; slot = d.attempts.slots[slot].next {
 		shard.markTried(d.attempts.slots[slot].leaf)
 	}
 }
--- a/internal/decide/dispatch/waitqueue.go
+++ b/internal/decide/dispatch/waitqueue.go
@@ -9,7 +9,7 @@
 }
 
 func (g *groupQueue) push(w waiter) {
-	g.byClass.at(w.query.class).push(w)
+	g.byClass.ensure(w.query.class).push(w)
 	g.live++
 }
 
@@ -18,7 +18,7 @@
 	var best *waiter
 	for index := range g.byClass.values {
 		head := g.byClass.values[index].head()
-		if head != nil && (best == nil || head.precedes(best, now)) {
+		if head != nil && (best == nil || head.precedesNow(best, now)) {
 			best = head
 		}
 	}
@@ -27,7 +27,7 @@
 
 // age returns for how long the first waiter of a class has been in the node.
 func (g *groupQueue) age(class *classState, now Time) time.Duration {
-	head := g.byClass.at(class).head()
+	head := g.byClass.ensure(class).head()
 	if head == nil {
 		return 0
 	}
@@ -45,7 +45,7 @@
 	child := len(q.heap) - 1
 	for child > 0 {
 		parent := (child - 1) / 2
-		if !q.heap[child].before(&q.heap[parent]) {
+		if !q.heap[child].precedesByClass(&q.heap[parent]) {
 			return
 		}
 		q.heap[child], q.heap[parent] = q.heap[parent], q.heap[child]
@@ -75,10 +75,10 @@
 		if child >= last {
 			return
 		}
-		if child+1 < last && q.heap[child+1].before(&q.heap[child]) {
+		if child+1 < last && q.heap[child+1].precedesByClass(&q.heap[child]) {
 			child++
 		}
-		if !q.heap[child].before(&q.heap[parent]) {
+		if !q.heap[child].precedesByClass(&q.heap[parent]) {
 			return
 		}
 		q.heap[child], q.heap[parent] = q.heap[parent], q.heap[child]
--- a/internal/decide/dispatch/warmup.go
+++ b/internal/decide/dispatch/warmup.go
@@ -19,42 +19,42 @@
 // It is a bucket of one token: in any second no more are taken than the rate,
 // which is why it fills with one a second less.
 type warmup struct {
-	until   Time
-	rate    float64 // most attempts in any second; below one for none
-	tokens  float64
-	takenAt Time // when tokens was computed
+	until      Time
+	rate       float64 // most attempts in any second; below one for none
+	tokens     float64
+	refilledAt Time // when tokens was computed
 }
 
 // set changes the bounds. A leaf that turns cold starts with a full bucket.
 func (w *warmup) set(now, until Time, rate float64) {
 	if now >= w.until {
-		w.tokens, w.takenAt = 1, now
+		w.tokens, w.refilledAt = 1, now
 	}
 	w.until, w.rate = until, rate
 }
 
 // closed reports whether this node sends nothing to the leaf until it is warm.
-func (w *warmup) closed(now Time) bool { return now < w.until && w.rate < 1 }
+func (w *warmup) blocked(now Time) bool { return now < w.until && w.rate < 1 }
 
 // allows reports whether an attempt may be sent now.
 func (w *warmup) allows(now Time) bool {
 	if now >= w.until {
 		return true
 	}
-	w.fill(now)
+	w.refill(now)
 	return w.rate >= 1 && w.tokens >= 1
 }
 
 // fill adds the tokens that have come with time.
-func (w *warmup) fill(now Time) {
-	w.tokens = min(w.tokens+max(w.rate-1, 0)*(now-w.takenAt).Seconds(), 1)
-	w.takenAt = now
+func (w *warmup) refill(now Time) {
+	w.tokens = min(w.tokens+max(w.rate-1, 0)*(now-w.refilledAt).Seconds(), 1)
+	w.refilledAt = now
 }
 
 // spend books an attempt.
 func (w *warmup) spend(now Time) {
 	if now < w.until {
-		w.fill(now)
+		w.refill(now)
 		w.tokens--
 	}
 }
--- a/internal/decide/dispatch/warmup_test.go
+++ b/internal/decide/dispatch/warmup_test.go
@@ -9,7 +9,7 @@
 
 // TestWarmupBoundsEverySecond sends whenever it is allowed, at random moments and
 // with bounds that change: no second has more attempts than the rate.
-func TestWarmupBoundsEverySecond(t *testing.T) {
+func TestWarmupBoundsAttemptsInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const until = time.Hour
 		rate := rapid.Float64Range(0, 40).Draw(t, "rate")
@@ -39,14 +39,14 @@
 	})
 }
 
-func TestWarmupEnds(t *testing.T) {
+func TestWarmupEndsWhenLeafIsWarm(t *testing.T) {
 	var bounds warmup
 	bounds.set(0, time.Second, 0)
-	if bounds.allows(time.Second-1) || !bounds.closed(time.Second-1) {
+	if bounds.allows(time.Second-1) || !bounds.blocked(time.Second-1) {
 		t.Error("a leaf of which this node has no share gets work while it is cold")
 	}
 	for range 100 {
-		if !bounds.allows(time.Second) || bounds.closed(time.Second) {
+		if !bounds.allows(time.Second) || bounds.blocked(time.Second) {
 			t.Fatal("a warm leaf is bounded")
 		}
 		bounds.spend(time.Second)
@@ -55,11 +55,11 @@
 
 // TestColdLeafIsLeftToOthers: where this node has no share of a cold leaf, a warm
 // one gets the work, and without one the query ends at once.
-func TestColdLeafIsLeftToOthers(t *testing.T) {
+func TestColdLeafWithoutShareGetsNoWork(t *testing.T) {
 	r := newRig(t, 2, nil)
 	r.topology.Leaves[0].ColdUntil = r.now + time.Minute
 	r.perform(r.d.SetTopology(r.now, r.topology))
-	r.load(20)
+	r.submitEvery10ms(20)
 	if r.sent[0] != 0 || r.sent[1] == 0 {
 		t.Errorf("sent %v", r.sent)
 	}
@@ -72,7 +72,7 @@
 }
 
 // TestColdLeafGetsItsShare and no more, where it is the only one.
-func TestColdLeafGetsItsShare(t *testing.T) {
+func TestColdLeafGetsAtMostItsRate(t *testing.T) {
 	r := newRig(t, 1, nil)
 	r.topology.Leaves[0].ColdUntil, r.topology.Leaves[0].ColdRate = r.now+time.Minute, 3
 	r.perform(r.d.SetTopology(r.now, r.topology))
--- a/internal/decide/dispatch/withhold.go
+++ b/internal/decide/dispatch/withhold.go
@@ -28,7 +28,7 @@
 // gives the shard up if no such answer can come any more.
 func (d *Dispatcher) withhold(q *query, position int32, waiting bool) {
 	shard := &q.shards[position]
-	if q.inFlight == 0 && !q.waitsForLeaf(shard) {
+	if q.inFlight == 0 && !q.hasQueuedShard(shard) {
 		d.markUnavailable(q, position, waiting)
 		return
 	}
@@ -42,9 +42,9 @@
 }
 
 // waitsForLeaf reports whether a shard other than the given one waits for a leaf.
-func (q *query) waitsForLeaf(except *shardState) bool {
+func (q *query) hasQueuedShard(except *shardState) bool {
 	for position := range q.shards {
-		if shard := &q.shards[position]; shard != except && shard.waitFor != 0 {
+		if shard := &q.shards[position]; shard != except && shard.waitTicket != 0 {
 			return true
 		}
 	}
@@ -54,7 +54,7 @@
 // releaseWithheld places the withheld shards once another shard was answered, or none
 // can be.
 func (d *Dispatcher) releaseWithheld(q *query) {
-	if q.withheld == 0 || q.suspected() && (q.inFlight > 0 || q.waitsForLeaf(nil)) {
+	if q.withheld == 0 || q.suspected() && (q.inFlight > 0 || q.hasQueuedShard(nil)) {
 		return
 	}
 	for position := range q.shards {
--- a/internal/decide/dispatch/work.go
+++ b/internal/decide/dispatch/work.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // means are running means over the attempts and queries of all classes, in seconds.
-type means struct {
+type runningMeans struct {
 	attemptWork float64 // base of the attempts
 	queryTime   float64 // time that queries run
 }
@@ -11,7 +11,7 @@
 const meanWorkWeight = 0.02
 
 // workOf returns the mean work of the attempts that a leaf gets.
-func (d *Dispatcher) workOf(l *leafState) float64 {
+func (d *Dispatcher) meanWorkAt(l *leafState) float64 {
 	if d.config.WorkByLeaf && l.meanWork > 0 {
 		return l.meanWork
 	}
@@ -19,7 +19,7 @@
 }
 
 // learnWork takes in the work of one attempt.
-func (d *Dispatcher) learnWork(l *leafState, work float64) {
+func (d *Dispatcher) recordWork(l *leafState, work float64) {
 	d.means.attemptWork += meanWorkWeight * (work - d.means.attemptWork)
 	if l.meanWork == 0 {
 		l.meanWork = work
