--- a/internal/decide/dispatch/backoff_test.go
+++ b/internal/decide/dispatch/backoff_test.go
@@ -7,8 +7,9 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// TestLeafThatRefusesAllIsLeftToFewAttempts: each refused one costs of the budget,
-// and a leaf that refuses is left alone for a few milliseconds only.
+// A leaf that refuses everything must get few attempts. Each refusal costs budget, and the pause
+// after a refusal is only a few milliseconds, so the share of lost attempts has to steer the choice
+// away from the leaf.
 func TestRefusingLeafGetsFewAttempts(t *testing.T) {
 	r := newRig(t, 2, func(c *Config) {
 		c.ChargeRefusals, c.EndWithoutBudget = true, true
@@ -28,6 +29,6 @@
 		}
 	}
 	if answered != queries || r.sent[0] > queries/4 {
-		t.Errorf("%d of %d answered, sent %v", answered, queries, r.sent)
+		t.Errorf("got %d answers with %v attempts by leaf, want %d answers with at most %d attempts at leaf 0", answered, r.sent, queries, queries/4)
 	}
 }
--- a/internal/decide/dispatch/benchmark_test.go
+++ b/internal/decide/dispatch/benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// wideTopology has 760 shards by 2 replicas on 152 leaves of 5 slots.
+// wideTopology has 760 shards with 2 replicas each on 152 leaves of 16 slots.
 func wideTopology() Topology {
 	const shards, leaves = 760, 152
 	snapshot := catalog.Snapshot{Epoch: 1, Version: 1}
@@ -42,7 +42,7 @@
 	return Query{ID: id, Class: class, Deadline: now + time.Second, MinimumCoverage: 1}
 }
 
-// BenchmarkSubmit760 chooses a leaf for each of 760 shards.
+// BenchmarkSubmit760 measures the choice of a leaf for each of 760 shards.
 func BenchmarkSubmit760(b *testing.B) {
 	d := wideDispatcher()
 	b.ReportAllocs()
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkQuery760 is a whole query: 760 choices, replies and the finish.
+// BenchmarkQuery760 measures a whole query: 760 choices, their replies and the Finish.
 func BenchmarkQuery760(b *testing.B) {
 	d := wideDispatcher()
 	b.ReportAllocs()
@@ -67,8 +67,7 @@
 	}
 }
 
-// finishAll replies to all sends, and to those that follow, one millisecond
-// after the other millisecond.
+// finishAll replies to all sends, including those that follow, 500 µs after now.
 func finishAll(b *testing.B, d *Dispatcher, now Time, actions []Action) {
 	load := leaf.LoadSummary{State: leaf.StateServing, Slots: 16, SlotsBusy: 4}
 	finished := false
@@ -84,6 +83,6 @@
 		}
 	}
 	if !finished {
-		b.Fatal("not answered")
+		b.Fatal("got a query without an answer, want OutcomeAnswered")
 	}
 }
--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -8,8 +8,8 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// TestLastAttemptIsWaitedFor runs a query whose bound on attempts is used up:
-// the attempts in flight must not be given up, since no other may follow.
+// A query whose bound on attempts is used up must wait for the attempts in flight, since no other
+// attempt may follow.
 func TestQueryWaitsForLastAllowedAttempt(t *testing.T) {
 	r := newRig(t, 2, withoutProbes)
 	r.submitEvery10ms(60)
@@ -18,12 +18,11 @@
 	id := r.submit(1)
 	r.run(160 * time.Millisecond)
 	if finish := r.finishes[id]; finish.Outcome != OutcomeAnswered {
-		t.Errorf("finished %+v", finish)
+		t.Errorf("got %+v, want outcome answered", finish)
 	}
 }
 
-// TestBoundCountsOnlyWhatMayHaveRun refuses the first attempts: they do not
-// use up the bound.
+// Refused attempts did not execute and must not count towards the query's bound on attempts.
 func TestMaximumAttemptsIgnoresUnexecutedAttempts(t *testing.T) {
 	r := newRig(t, 3, nil)
 	r.modifyQuery = func(query *Query) { query.MaximumSends = 1 }
@@ -32,11 +31,11 @@
 	r.refuse(leaf.RefusedMoved)
 	r.run(20 * time.Millisecond)
 	if finish := r.finishes[id]; finish.Outcome != OutcomeAnswered {
-		t.Errorf("finished %+v", finish)
+		t.Errorf("got %+v, want outcome answered", finish)
 	}
 }
 
-// TestListedShards asks for some shards of a partition, by their numbers.
+// A query may need only some shards of a partition, listed by their numbers.
 func TestQueryOfListedShards(t *testing.T) {
 	r := newRig(t, 3, nil)
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 4}}
@@ -49,19 +48,18 @@
 	r.run(20 * time.Millisecond)
 	finish := r.finishes[id]
 	if finish.Outcome != OutcomeAnswered || finish.Total != 2 || r.sent[1] != 0 {
-		t.Errorf("finished %+v, sent %v", finish, r.sent)
+		t.Errorf("got %+v with %v attempts by leaf, want outcome answered for 2 shards and no attempt at leaf 1", finish, r.sent)
 	}
 	r.modifyQuery = func(query *Query) { query.Shards, query.MinimumCoverage = []int{2, 3}, 0.5 }
 	id = r.submit(1)
 	r.run(20 * time.Millisecond)
 	finish = r.finishes[id]
 	if finish.Outcome != OutcomePartial || len(finish.Missing) != 1 || finish.Missing[0] != 3 {
-		t.Errorf("finished %+v", finish)
+		t.Errorf("got %+v, want outcome partial without shard 3", finish)
 	}
 }
 
-// TestSettlesBeforeItsObjective answers with enough coverage shortly before
-// the objective, not at the deadline.
+// A query with enough coverage must be answered shortly before its objective, not at its deadline.
 func TestQuerySettlesShortlyBeforeObjective(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) { withoutHedges(config); withoutProbes(config) })
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 2}}
@@ -76,24 +74,23 @@
 	id := r.submit(1)
 	r.run(85 * time.Millisecond)
 	if finish, ended := r.finishes[id]; ended {
-		t.Fatalf("ended early: %+v", finish)
+		t.Fatalf("got %+v before the settle time, want no finish", finish)
 	}
 	r.run(10 * time.Millisecond)
 	if finish := r.finishes[id]; finish.Outcome != OutcomePartial || len(finish.Answered) != 1 {
-		t.Errorf("finished %+v", finish)
+		t.Errorf("got %+v, want outcome partial with 1 answer", finish)
 	}
 }
 
-// TestBudgetOfAShardIsItsOwn lets both leaves of one shard refuse all the
-// time: the repeats stay within the budget of that shard, and each query gets
-// its answer.
+// If both leaves of a shard refuse all the time, the retries must stay within the budget of that
+// shard, and each query must end.
 func TestShardBudgetBoundsItsRetries(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) {
 		config.BudgetByShard, config.ChargeRefusals = true, true
 		config.Budget.Capacity, config.Budget.Initial, config.Budget.Debt, config.Budget.Reserve = 4, 4, 0, 1
 	})
 	const queries = 200
-	attempts := 0
+	retries := 0
 	for range queries {
 		id := r.submit(1)
 		sent := r.sent[0] + r.sent[1]
@@ -103,18 +100,18 @@
 			}
 			r.run(20 * time.Millisecond)
 		}
-		attempts += r.sent[0] + r.sent[1] - sent
+		retries += r.sent[0] + r.sent[1] - sent
 		if _, ended := r.finishes[id]; !ended {
-			t.Fatalf("query %d has no answer", id)
+			t.Fatalf("query %d has no finish, want one", id)
 		}
 	}
-	if allowed := 4 + extraShare*queries + 1; float64(attempts) > allowed {
-		t.Errorf("%d repeats, %.0f are allowed", attempts, allowed)
+	if allowed := 4 + extraShare*queries + 1; float64(retries) > allowed {
+		t.Errorf("got %d retries, want at most %.0f", retries, allowed)
 	}
 }
 
-// TestQueryEndsOnceItsCoverageCannotBeReached gives up a query at once when a
-// shard that it needs has no leaf and no budget for another attempt.
+// A query must end immediately when a shard that it needs has no leaf and no budget for another
+// attempt.
 func TestQueryEndsWhenCoverageBecomesUnattainable(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) {
 		config.BudgetByShard, config.ChargeRefusals = true, true
@@ -125,9 +122,9 @@
 	r.refuse(leaf.RefusedShed)
 	finish, ended := r.finishes[id]
 	if !ended || finish.Outcome != OutcomeNotRun || finish.Reason != ReasonBudget {
-		t.Errorf("ended %v: %+v", ended, finish)
+		t.Errorf("got %+v, ended %v, want outcome not_run with reason extra_load", finish, ended)
 	}
 	if finish.RetryAfter <= 0 {
-		t.Error("the client is not told when to come again")
+		t.Errorf("got RetryAfter %v, want more than 0", finish.RetryAfter)
 	}
 }
--- a/internal/decide/dispatch/canary_test.go
+++ b/internal/decide/dispatch/canary_test.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/decide/rollout"
 )
 
-// newCanaryRig has two leaves, and a third that is a canary.
+// newCanaryRig returns a rig with two ordinary leaves and a third leaf that is a canary.
 func newCanaryRig(t *testing.T, change func(*Config)) *rig {
 	r := newRig(t, 3, change)
 	r.topology.Leaves[2].Canary = true
@@ -15,13 +15,15 @@
 	return r
 }
 
-// allow gives the shard an allowance of half of its requests.
+// grantAllowance gives the shard an allowance of half of its requests.
 func (r *rig) grantAllowance() {
 	allowance := rollout.NewAllowance(rollout.Bounds{Ratio: 0.5 / 0.45}, 1, time.Hour, func() float64 { return 1 })
 	r.d.SetAllowance(0, allowance)
 	r.d.Grant(0, time.Hour)
 }
 
+// The canary must get no attempt without an allowance or after the end of the grant, and in between
+// its share of the attempts.
 func TestCanaryAttemptsStayWithinAllowance(t *testing.T) {
 	r := newCanaryRig(t, nil)
 	for range 20 {
@@ -29,7 +31,7 @@
 		r.run(20 * time.Millisecond)
 	}
 	if r.sent[2] > 0 {
-		t.Fatalf("%d attempts without an allowance", r.sent[2])
+		t.Fatalf("got %d attempts at the canary without an allowance, want 0", r.sent[2])
 	}
 	r.grantAllowance()
 	for range 40 {
@@ -37,7 +39,7 @@
 		r.run(20 * time.Millisecond)
 	}
 	if r.sent[2] < 15 || r.sent[2] > 20 {
-		t.Errorf("%d of 40 attempts at the canary, half are allowed", r.sent[2])
+		t.Errorf("got %d of 40 attempts at the canary, want 15 to 20", r.sent[2])
 	}
 	before := r.sent[2]
 	r.d.Grant(0, r.now)
@@ -46,12 +48,12 @@
 		r.run(20 * time.Millisecond)
 	}
 	if r.sent[2] > before {
-		t.Errorf("%d attempts after the grant", r.sent[2]-before)
+		t.Errorf("got %d attempts at the canary after the grant, want 0", r.sent[2]-before)
 	}
 }
 
-// TestCanaryThatFailsCostsNoAnswer sends the second attempt to another leaf, and no
-// hedge or retry of others to the canary.
+// When the canary fails, the second attempt must go to another leaf, and neither hedges nor retries
+// may go to the canary.
 func TestFailingCanaryCostsNoAnswer(t *testing.T) {
 	r := newCanaryRig(t, nil)
 	r.grantAllowance()
@@ -72,11 +74,11 @@
 		}
 	}
 	if r.sent[2] == 0 || answered < 40 {
-		t.Errorf("%d of 40 answered, %d attempts at the canary", answered, r.sent[2])
+		t.Errorf("got %d answers with %d attempts at the canary, want 40 with at least 1", answered, r.sent[2])
 	}
 }
 
-// fail ends an attempt without an answer.
+// fail ends an open attempt without an answer.
 func (r *rig) fail(send Send) {
 	for index, open := range r.open {
 		if open.Attempt == send.Attempt {
@@ -87,8 +89,7 @@
 	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true}))
 }
 
-// TestCanaryWaitsForItsBudget: without the means to send a request again, none goes
-// to the canary.
+// No request may go to the canary while the budget does not pay for a retry.
 func TestCanaryGetsNoAttemptWithoutRetryBudget(t *testing.T) {
 	r := newCanaryRig(t, func(config *Config) {
 		config.Budget.Initial, config.Budget.Capacity, config.Budget.Debt = 0, 0, 0
@@ -99,10 +100,11 @@
 		r.run(20 * time.Millisecond)
 	}
 	if r.sent[2] > 0 {
-		t.Errorf("%d attempts at the canary", r.sent[2])
+		t.Errorf("got %d attempts at the canary without a budget, want 0", r.sent[2])
 	}
 }
 
+// The canary must get attempts only from WarmAt on.
 func TestCanaryGetsNoAttemptBeforeWarmAt(t *testing.T) {
 	r := newCanaryRig(t, nil)
 	r.grantAllowance()
@@ -113,7 +115,7 @@
 		r.run(20 * time.Millisecond)
 	}
 	if r.sent[2] > 0 {
-		t.Errorf("%d attempts while it is cold", r.sent[2])
+		t.Errorf("got %d attempts at the cold canary, want 0", r.sent[2])
 	}
 	r.run(time.Second)
 	for range 10 {
@@ -121,11 +123,12 @@
 		r.run(20 * time.Millisecond)
 	}
 	if r.sent[2] == 0 {
-		t.Error("none once it is warm")
+		t.Error("got no attempt at the warm canary, want at least 1")
 	}
 }
 
-// TestCanaryBecomesALeaf, and the others are retired: queries that wait go on.
+// When the canary becomes an ordinary leaf and the others are retired, the attempts in flight at
+// these must continue and new queries must go to the former canary.
 func TestPromotedCanaryServesQueries(t *testing.T) {
 	r := newCanaryRig(t, nil)
 	r.topology.Leaves[2].Canary = false
@@ -133,12 +136,12 @@
 	id := r.submit(1)
 	r.perform(r.d.SetTopology(r.now, r.topology))
 	if got := r.d.InFlightAt(func(boot string) bool { return boot == "1" }); got != 1 {
-		t.Errorf("%d in flight at leaves that are retired", got)
+		t.Errorf("got %d attempts in flight at the retired leaves, want 1", got)
 	}
 	r.run(50 * time.Millisecond)
 	next := r.submit(1)
 	r.run(50 * time.Millisecond)
 	if r.finishes[id].Outcome != OutcomeAnswered || r.finishes[next].Outcome != OutcomeAnswered || r.sent[2] != 1 {
-		t.Errorf("%+v, %+v, %d at the new leaf", r.finishes[id], r.finishes[next], r.sent[2])
+		t.Errorf("got %+v and %+v with %d attempts at the promoted canary, want two answers with 1", r.finishes[id], r.finishes[next], r.sent[2])
 	}
 }
--- a/internal/decide/dispatch/down_test.go
+++ b/internal/decide/dispatch/down_test.go
@@ -8,7 +8,8 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// newDownRig has four shards of one leaf each, of which a query needs some share.
+// newDownRig returns a rig with four shards of one leaf each. A query needs the share minimum of
+// them.
 func newDownRig(t *testing.T, minimum float64) *rig {
 	t.Helper()
 	r := newRig(t, 4, func(c *Config) { c.RequireCoverage = true })
@@ -21,7 +22,8 @@
 	return r
 }
 
-// refuseConnections ends the open attempts at some leaves, since nobody listens there.
+// refuseConnections fails the open attempts at the given leaves as if nothing listened at their
+// addresses.
 func (r *rig) refuseConnections(leaves ...int) {
 	for _, index := range leaves {
 		for at := 0; at < len(r.open); at++ {
@@ -34,54 +36,54 @@
 	}
 }
 
-// TestQueryEndsOnceItsShardsAreDown, and so do others that wait for them; the next ones
-// are refused until the pause is over, and served once a leaf is back.
+// When too many shards are down, the running queries must end, and new queries must be refused
+// until the backoff ends and served once a leaf is back.
 func TestQueriesEndWhenTooManyShardsAreDown(t *testing.T) {
 	r := newDownRig(t, 0.75)
 	first, other := r.submit(1), r.submit(1)
 	r.refuseConnections(0)
 	if _, ended := r.finishes[first]; ended {
-		t.Fatal("ended with three of four shards in reach")
+		t.Fatal("got a finish with three of four shards available, want none")
 	}
 	r.refuseConnections(1)
 	for _, id := range []QueryID{first, other} {
 		if finish, ended := r.finishes[id]; !ended || finish.Reason != ReasonNoLeaf {
-			t.Errorf("query %d: %+v, %v", id, finish, ended)
+			t.Errorf("query %d: got %+v, ended %v, want reason no_leaf", id, finish, ended)
 		}
 	}
 	sent := r.sent[2] + r.sent[3]
 	refused := r.submit(1)
 	if finish := r.finishes[refused]; finish.Outcome != OutcomeNotRun || finish.Reason != ReasonNoLeaf {
-		t.Errorf("the next query: %+v", finish)
+		t.Errorf("next query: got %+v, want outcome not_run with reason no_leaf", finish)
 	}
 	if got := r.sent[2] + r.sent[3]; got != sent {
-		t.Errorf("%d attempts in vain", got-sent)
+		t.Errorf("got %d attempts of a refused query, want 0", got-sent)
 	}
 	r.run(r.d.config.Backoff.Maximum)
 	served := r.submit(1)
 	r.run(100 * time.Millisecond)
 	if finish := r.finishes[served]; finish.Outcome != OutcomeAnswered {
-		t.Errorf("after the pause: %+v", finish)
+		t.Errorf("after the backoff: got %+v, want outcome answered", finish)
 	}
 	if r.d.fleet.downCount != 0 {
-		t.Errorf("%d leaves are down", r.d.fleet.downCount)
+		t.Errorf("got %d leaves that are down, want 0", r.d.fleet.downCount)
 	}
 }
 
-// TestCoverageThatNeedsNoDownShardIsServed.
+// A query whose minimum coverage does not need the shards that are down must be served.
 func TestQueryIsServedWithoutDownShards(t *testing.T) {
 	r := newDownRig(t, 0.5)
 	r.submit(1)
 	r.refuseConnections(0, 1)
 	id := r.submit(1)
 	r.run(250 * time.Millisecond)
-	if finish := r.finishes[id]; len(finish.Answered) < 2 { // more if the pause ends in time
-		t.Errorf("%+v", finish)
+	if finish := r.finishes[id]; len(finish.Answered) < 2 { // more if the backoff ends in time
+		t.Errorf("got %+v, want at least 2 answers", finish)
 	}
 }
 
-// TestLeafThatIsSilentIsNotDown: a connection that takes too long shows nothing of who
-// listens.
+// A connection attempt that times out does not show whether a process listens, so it must not mark
+// the leaf as down.
 func TestConnectTimeoutDoesNotMarkLeafDown(t *testing.T) {
 	r := newDownRig(t, 1)
 	id := r.submit(1)
@@ -89,11 +91,11 @@
 		r.perform(r.d.Fail(r.now, send.Attempt, Failure{}))
 	}
 	if finish, ended := r.finishes[id]; ended {
-		t.Errorf("%+v", finish)
+		t.Errorf("got %+v, want no finish", finish)
 	}
 }
 
-// TestLeafOfANewStartIsNotDown, and neither is one that left the topology.
+// A leaf with a new incarnation must not count as down, nor a leaf that left the topology.
 func TestRestartedOrUnlistedLeafIsNotDown(t *testing.T) {
 	r := newDownRig(t, 1)
 	r.submit(1)
@@ -102,6 +104,6 @@
 	r.topology.Leaves = r.topology.Leaves[:1]
 	r.perform(r.d.SetTopology(r.now, r.topology))
 	if r.d.fleet.downCount != 0 {
-		t.Errorf("%d leaves are down", r.d.fleet.downCount)
+		t.Errorf("got %d leaves that are down, want 0", r.d.fleet.downCount)
 	}
 }
--- a/internal/decide/dispatch/golden_attempts_test.go
+++ b/internal/decide/dispatch/golden_attempts_test.go
@@ -9,8 +9,8 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// playedRequests are the kinds of requests that a player submits. Their
-// deadline, objective and hedge delay count from the submission.
+// simulatedRequests are the kinds of requests that a simulator submits. Their deadline, objective
+// and hedge delay are relative to the time of the submission.
 var simulatedRequests = []Query{
 	{
 		Class:    catalog.Class{Name: "check", Priority: 1, Deadline: 60 * time.Millisecond, HedgePercentile: 0.9, ExtraLoad: 0.2, Repeatable: true},
@@ -38,6 +38,7 @@
 	},
 }
 
+// submit submits a random request, or sometimes cancels a recent one.
 func (s *simulator) submit() {
 	s.submitAt = s.after(s.scenario.arrival)
 	if s.lastID > 0 && s.random.IntN(40) == 0 {
@@ -64,7 +65,7 @@
 	s.perform(fmt.Sprintf("submit q%d %s", request.ID, request.Class.Name), s.d.Submit(s.now, request))
 }
 
-// take gives an attempt to its leaf and draws how it will end.
+// acceptSend starts an attempt on its leaf and draws how it will end.
 func (s *simulator) acceptSend(send Send) {
 	index := slices.IndexFunc(s.leaves, func(l *simulatedLeaf) bool { return l.listed.Address == send.Leaf })
 	l := s.leaves[index]
@@ -86,7 +87,7 @@
 	s.open = append(s.open, entry)
 }
 
-// abort lets an attempt end soon; a few of them answer all the same.
+// abort makes an attempt end soon; a few attempts answer nevertheless.
 func (s *simulator) abort(abort Abort) {
 	index := slices.IndexFunc(s.open, func(open *simulatedAttempt) bool { return open.send.Attempt == abort.Attempt })
 	entry := s.open[index]
@@ -97,7 +98,7 @@
 	}
 }
 
-// end reports the end of an attempt, and now and then one that was reported.
+// end reports the end of an attempt, and sometimes again the end of one that was reported before.
 func (s *simulator) end(entry *simulatedAttempt) {
 	s.open = slices.DeleteFunc(s.open, func(open *simulatedAttempt) bool { return open == entry })
 	entry.leaf.running--
@@ -120,6 +121,7 @@
 	}
 }
 
+// bootOf returns the boot ID that the leaf reports, which is sometimes a new one.
 func (s *simulator) bootOf(entry *simulatedAttempt) string {
 	if s.random.IntN(300) == 0 {
 		entry.leaf.boot++
--- a/internal/decide/dispatch/golden_simulator_test.go
+++ b/internal/decide/dispatch/golden_simulator_test.go
@@ -13,9 +13,9 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// player plays random events to a Dispatcher, in virtual time: requests of
-// several kinds, leaves that answer, refuse, fail, restart or fall silent, and
-// changes of the topology. It uses the exported methods only.
+// simulator drives a Dispatcher with random events in virtual time: requests of several kinds,
+// leaves that answer, refuse, fail, restart or stop answering, and changes of the topology. It uses
+// only exported methods.
 type simulator struct {
 	d        *Dispatcher
 	random   *rand.Rand
@@ -25,7 +25,7 @@
 	topology Topology
 	leaves   []*simulatedLeaf
 	open     []*simulatedAttempt
-	done     []AttemptID // reported already
+	done     []AttemptID // reported before
 	version  uint64
 	lastID   QueryID
 	submitAt Time
@@ -33,18 +33,18 @@
 	reportAt Time
 }
 
-// playedLeaf is one emulated leaf.
+// simulatedLeaf is the state of an emulated leaf.
 type simulatedLeaf struct {
 	listed  Leaf
 	missing bool // not listed by the topology
 	boot    int
 	slow    float64
 	running int
-	// draining is set once the leaf said so, until the next stretch.
+	// draining is set once the leaf has reported it, until the next scenario.
 	draining bool
 }
 
-// playedAttempt is an attempt on its way, with the end that it will have.
+// simulatedAttempt is an attempt in flight with its predetermined end.
 type simulatedAttempt struct {
 	send    Send
 	due     Time
@@ -62,7 +62,7 @@
 	endSilent
 )
 
-// mood is how a stretch of events goes. The shares are of all attempts.
+// scenario sets the rates of a block of events. The shares refer to all attempts.
 type scenario struct {
 	name     string
 	arrival  time.Duration // mean time between two requests
@@ -111,7 +111,7 @@
 	return s
 }
 
-// hold lets the leaf hold the versions, for a partition of four and one of six.
+// setHoldings makes the leaf hold the versions, of a partition with four shards or one with six.
 func (s *simulator) setHoldings(index int, versions ...uint64) {
 	holdings := make([]leaf.Holding, 0, 2*len(versions))
 	for _, version := range versions {
@@ -126,7 +126,7 @@
 	s.leaves[index].listed.Holdings = holdings
 }
 
-// setMood starts a stretch of events.
+// startScenario resets the leaves and starts a block of events.
 func (s *simulator) startScenario(next int) {
 	s.scenario = scenarios[next%len(scenarios)]
 	for index, l := range s.leaves {
@@ -153,7 +153,7 @@
 	s.publishTopology()
 }
 
-// list hands the topology over.
+// publishTopology passes the current topology to the Dispatcher.
 func (s *simulator) publishTopology() {
 	listed := s.topology
 	listed.Revision++
@@ -168,7 +168,7 @@
 	s.perform(fmt.Sprintf("topology %d", listed.Revision), s.d.SetTopology(s.now, listed))
 }
 
-// step plays the event that is due next.
+// step performs the event that is due next.
 func (s *simulator) step() {
 	first := s.submitAt
 	event := s.submit
@@ -193,7 +193,7 @@
 	s.perform("tick", s.d.Tick(s.now))
 }
 
-// after draws a time with the given mean.
+// after draws a time with the given mean distance from now.
 func (s *simulator) after(mean time.Duration) Time {
 	return s.now + time.Duration(s.random.ExpFloat64()*float64(mean)) + 1
 }
@@ -220,7 +220,7 @@
 	return load
 }
 
-// change plays one change of the topology, or of what the node's rules allow.
+// change performs a change of the topology, or of the node's policies.
 func (s *simulator) change() {
 	s.changeAt = s.after(s.scenario.change)
 	index := s.random.IntN(len(s.leaves))
@@ -252,7 +252,7 @@
 	s.publishTopology()
 }
 
-// roll lets some leaves take a newer version, and some give up the former one.
+// rollOut makes some leaves load a newer version, of which some drop the previous one.
 func (s *simulator) rollOut() {
 	s.version++
 	for index := range s.leaves {
@@ -265,8 +265,8 @@
 	}
 }
 
-// setBounds changes the bounds of the budgets by shard, from one part of a
-// token up to several.
+// setBounds changes the bounds of the budgets by shard, from a fraction of a token up to several
+// tokens.
 func (s *simulator) setBounds() {
 	scale := s.random.Float64()
 	s.d.ResizeBudgets(func(shard int) hedge.Bounds {
@@ -294,7 +294,7 @@
 	}
 }
 
-// perform records an event and takes its actions over.
+// perform records an event and its actions, and executes the actions.
 func (s *simulator) perform(event string, actions []Action) {
 	s.record.event(s.now, event, actions, s.d)
 	for _, action := range actions {
--- a/internal/decide/dispatch/golden_test.go
+++ b/internal/decide/dispatch/golden_test.go
@@ -14,18 +14,18 @@
 	"github.com/micaplank/micaplank/internal/decide/hedge"
 )
 
-// The golden files hold what the Dispatcher did with random events: the first
-// events in full, and a digest with counts for each block of them. They are not
-// recorded anew for a change that is to leave what it does as it is.
+// The golden files contain the actions of the Dispatcher for random events: the first events in
+// full, and a digest with counts for each block of events. Changes that keep the behaviour must not
+// update them.
 const (
-	eventsPerBlock = 300 // events of a block
-	blocksPerSeed  = 24  // of a seed
-	eventsInFull   = 250 // events of the first seed
+	eventsPerBlock = 300
+	blocksPerSeed  = 24
+	eventsInFull   = 250 // events of the first seed that are written in full
 )
 
 var simulatedSeeds = []uint64{1, 2, 3, 4, 5}
 
-// edgeConfig has the fields that the nodes of the platform set.
+// edgeConfig returns the configuration with the fields that the nodes of the platform set.
 func edgeConfig() Config {
 	config := DefaultConfig()
 	config.BudgetByShard = true
@@ -46,6 +46,8 @@
 	return config
 }
 
+// The actions for random events must equal the recorded ones. This guards against changes of
+// behaviour that no other test covers.
 func TestActionsOfRandomEvents(t *testing.T) {
 	reasons := []Reason{ReasonNone, ReasonOverload, ReasonDeadline, ReasonStopped, ReasonNoLeaf, ReasonNoSnapshot, ReasonCancelled, ReasonLost, ReasonRefused, ReasonInvalid}
 	for _, play := range []struct {
@@ -84,11 +86,11 @@
 	return &recorder{block: sha256.New(), counts: make(map[string]int)}
 }
 
-// play records all blocks of a seed.
+// recordSeed records all blocks of a seed.
 func (r *recorder) recordSeed(config Config, seed uint64) {
 	s := newSimulator(config, seed, r)
 	for block := range blocksPerSeed {
-		if block > 0 { // the first requests meet no topology
+		if block > 0 { // the first block runs without a topology
 			s.startScenario(block - 1 + int(seed))
 		} else {
 			s.scenario = scenarios[0]
@@ -101,7 +103,7 @@
 	}
 }
 
-// closeBlock writes the digest of a block, with the state that shows outside.
+// closeBlock writes the digest of a block, including the exported state of the Dispatcher.
 func (r *recorder) closeBlock(name string, d *Dispatcher) {
 	fmt.Fprintf(r.block, "%+v waiting %d\n", d.Counters(), d.Load().Waiting)
 	for _, state := range d.LeafStates() {
@@ -113,7 +115,7 @@
 	r.sends, r.aborts, r.ends = 0, 0, 0
 }
 
-// event records one event with its actions.
+// event records an event with its actions.
 func (r *recorder) event(now Time, event string, actions []Action, d *Dispatcher) {
 	var text strings.Builder
 	next, ok := d.NextTick()
@@ -127,7 +129,7 @@
 	}
 }
 
-// describe writes an action, and counts it.
+// describe returns the text of an action and counts the action.
 func (r *recorder) describe(action Action) string {
 	switch action := action.(type) {
 	case Send:
@@ -156,8 +158,8 @@
 		basis.InFlight, basis.Limit, basis.Others, basis.Age, basis.Pace, basis.Slowness, basis.Budget)
 }
 
-// mustHave fails if a cause, an outcome or one of the reasons did not occur: then
-// the events do not guard it.
+// requireAll fails if a cause, an outcome or one of the reasons did not occur, because the golden
+// file then does not guard it.
 func (r *recorder) requireAll(t *testing.T, reasons []Reason) {
 	wanted := []string{"abort overdue true", "abort overdue false"}
 	for _, cause := range []Cause{CauseNeeded, CauseResend, CauseRetry, CauseRestart, CauseHedge, CauseProbe} {
@@ -171,12 +173,12 @@
 	}
 	for _, key := range wanted {
 		if r.counts[key] == 0 {
-			t.Errorf("no %q among the actions", key)
+			t.Errorf("got no action with %q, want at least 1", key)
 		}
 	}
 }
 
-// text is the content of the golden file.
+// text returns the content of the golden file.
 func (r *recorder) text() []byte {
 	keys := make([]string, 0, len(r.counts))
 	for key := range r.counts {
--- a/internal/decide/dispatch/hedge_test.go
+++ b/internal/decide/dispatch/hedge_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLateAttemptIsWaitedForWhereNoLeafTakesAnother: the only leaf drains, or its
-// zone was taken out of service, while it answers.
+// If the only leaf drains or its zone is cordoned while it answers, the late attempt must not be
+// replaced.
 func TestLateAttemptIsKeptWithoutAnotherLeaf(t *testing.T) {
 	r := newRig(t, 1, func(c *Config) { c.RequireCoverage, c.EndWithoutBudget = true, true })
 	r.latency[0] = 900 * time.Millisecond
@@ -16,6 +16,6 @@
 	r.perform(r.d.SetTopology(r.now, r.topology))
 	r.run(time.Second)
 	if finish := r.finishes[id]; finish.Outcome != OutcomeAnswered || len(r.aborted) != 0 {
-		t.Errorf("finished %+v, aborted %v", finish, r.aborted)
+		t.Errorf("got %+v with aborted attempts %v, want outcome answered without an abort", finish, r.aborted)
 	}
 }
--- a/internal/decide/dispatch/machine_check_test.go
+++ b/internal/decide/dispatch/machine_check_test.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// perform checks the actions as a driver would perform them.
+// perform checks the actions and applies them as a driver would.
 func (m *machine) perform(t *rapid.T, actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -38,7 +38,7 @@
 	listed := m.topology.Leaves[index]
 	entry.boot = cmp.Or(m.d.fleet.byAddress[send.Leaf].currentBoot(), listed.BootID)
 	if m.drainingBoots[entry.boot] {
-		t.Fatalf("send to a leaf that drains: %+v", send)
+		t.Fatalf("send to a draining leaf: %+v", send)
 	}
 	holds := slices.ContainsFunc(listed.Holdings, func(h leaf.Holding) bool {
 		return h.Snapshot == send.Snapshot && slices.Contains(h.Shards, send.Shard)
@@ -47,10 +47,10 @@
 		t.Fatalf("send to a leaf that does not hold the shard: %+v", send)
 	}
 	if query.finish != nil || send.Remaining <= 0 || m.attempts[send.Attempt] != nil {
-		t.Fatalf("send for a finished query, past its deadline, or with a used id: %+v", send)
+		t.Fatalf("send for a finished query, past its deadline, or with an ID that was used before: %+v", send)
 	}
 	if !query.Class.Repeatable && mayHaveRun(query) {
-		t.Fatalf("second attempt of a query that may not be repeated: %+v", send)
+		t.Fatalf("second attempt of a query that must not be repeated: %+v", send)
 	}
 	query.inFlight++
 	m.open = append(m.open, entry)
@@ -73,24 +73,24 @@
 	m.checkShards(t, finish, query)
 	switch {
 	case finish.Outcome == OutcomeNotRun && mayHaveRun(query):
-		t.Fatalf("not run, but an attempt may have executed: %+v", finish)
+		t.Fatalf("outcome not_run, but an attempt may have executed: %+v", finish)
 	case finish.Outcome == OutcomeAnswered && (len(finish.Missing) > 0 || finish.Total == 0):
-		t.Fatalf("answered with missing shards: %+v", finish)
+		t.Fatalf("outcome answered with missing shards: %+v", finish)
 	case finish.Outcome == OutcomePartial && (len(finish.Answered) == 0 || len(finish.Missing) == 0):
-		t.Fatalf("partial without answered or missing shards: %+v", finish)
+		t.Fatalf("outcome partial without answered or missing shards: %+v", finish)
 	case finish.Outcome == OutcomeUnknown && (query.Class.Repeatable || !mayHaveRun(query)):
-		t.Fatalf("unknown without need: %+v", finish)
+		t.Fatalf("outcome unknown of a query that is repeatable or cannot have run: %+v", finish)
 	case finish.Outcome == OutcomeFailed && !query.Class.Repeatable:
-		t.Fatalf("failed, but it may not be repeated: %+v", finish)
+		t.Fatalf("outcome failed of a query that must not be repeated: %+v", finish)
 	}
 	covered := float64(len(finish.Answered)) >= query.MinimumCoverage*float64(finish.Total)
 	if finish.Outcome == OutcomePartial && !covered && m.now < query.Deadline {
-		t.Fatalf("settled below the minimum before the deadline: %+v", finish)
+		t.Fatalf("settled below the minimum coverage before the deadline: %+v", finish)
 	}
 }
 
-// checkShards checks that all counted replies are of the pinned snapshot and
-// that the total is the partition's of its epoch.
+// checkShards checks that all counted replies belong to the pinned snapshot and that the total is
+// the number of shards of its epoch.
 func (m *machine) checkShards(t *rapid.T, finish Finish, query *trackedQuery) {
 	for _, partition := range m.topology.Partitions {
 		if finish.Total > 0 && !query.HasKey && partition.Epoch == finish.Snapshot.Epoch && finish.Total != partition.Shards {
@@ -101,7 +101,7 @@
 	for _, answer := range finish.Answered {
 		entry := m.attempts[answer.Attempt]
 		if !entry.answered || entry.query != query || entry.Shard != answer.Shard || entry.Snapshot != finish.Snapshot {
-			t.Fatalf("counted a reply that does not belong: %+v of %+v", answer, finish)
+			t.Fatalf("answer %+v is not a matching reply to an attempt of the query: %+v", answer, finish)
 		}
 		if seen[answer.Shard] {
 			t.Fatalf("shard counted twice: %+v", finish)
@@ -116,11 +116,11 @@
 	}
 }
 
-// check runs after each event.
+// check verifies the invariants after each event.
 func (m *machine) check(t *rapid.T) {
 	for id, query := range m.queries {
 		if query.finish == nil && m.d.queries.byID[id] == nil {
-			t.Fatalf("query %d is forgotten without a finish", id)
+			t.Fatalf("query %d was dropped without a finish", id)
 		}
 		if at, ok := m.d.NextTick(); query.finish == nil && (!ok || at > query.Deadline) {
 			t.Fatalf("no tick is due by the deadline of query %d", id)
@@ -137,7 +137,7 @@
 		}
 	}
 	if inFlight != len(m.open) {
-		t.Fatalf("%d attempts in the table, %d in flight", inFlight, len(m.open))
+		t.Fatalf("got %d attempts in the table, want %d that are in flight", inFlight, len(m.open))
 	}
 	for _, entry := range m.open {
 		if entry.query.finish != nil && !entry.aborted {
@@ -146,7 +146,7 @@
 	}
 }
 
-// settle lets all deadlines pass and all attempts end.
+// endAll lets all deadlines pass and all attempts end, and verifies that no state is left over.
 func (m *machine) endAll(t *rapid.T) {
 	m.now += time.Second
 	m.perform(t, m.d.Tick(m.now))
@@ -164,11 +164,11 @@
 	for _, l := range m.d.fleet.leaves {
 		for _, work := range l.waitingWork.values {
 			if work != 0 {
-				t.Fatalf("waiting work is left over at a leaf: %v", l.waitingWork.values)
+				t.Fatalf("got waiting work %v at a leaf after all queries, want none", l.waitingWork.values)
 			}
 		}
 	}
 	if m.d.waiting.queued != 0 || m.d.queries.started != 0 || len(m.d.queries.running) != 0 || len(m.d.queries.pending) != 0 {
-		t.Fatalf("left over: %d waiters, %d started, %d running, %d pending", m.d.waiting.queued, m.d.queries.started, len(m.d.queries.running), len(m.d.queries.pending))
+		t.Fatalf("got %d waiting shards and %d started, %d running, %d pending queries after all deadlines, want none", m.d.waiting.queued, m.d.queries.started, len(m.d.queries.running), len(m.d.queries.pending))
 	}
 }
--- a/internal/decide/dispatch/machine_test.go
+++ b/internal/decide/dispatch/machine_test.go
@@ -14,32 +14,33 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// machine drives a Dispatcher with random events and checks after each event
-// that what it promises holds.
+// machine drives a Dispatcher with random events and checks its invariants after each event.
 type machine struct {
 	d             *Dispatcher
 	now           Time
 	topology      Topology
 	queries       map[QueryID]*trackedQuery
-	open          []*trackedAttempt // attempts whose end was not reported
+	open          []*trackedAttempt // attempts whose end has not been reported
 	attempts      map[AttemptID]*trackedAttempt
-	drainingBoots map[string]bool // boot ids that said they drain
+	drainingBoots map[string]bool // boot IDs that reported that they drain
 	nextID        QueryID
 }
 
+// trackedQuery is a submitted query with the state that the checks need.
 type trackedQuery struct {
 	Query
 	finish   *Finish
-	inFlight int  // sent, end not reported
-	executed bool // an attempt may have executed and has ended
+	inFlight int  // attempts whose end has not been reported
+	executed bool // an attempt has ended that may have executed
 }
 
+// trackedAttempt is a sent attempt with the state that the checks need.
 type trackedAttempt struct {
 	Send
 	query    *trackedQuery
 	boot     string
 	aborted  bool
-	answered bool // a matching reply came while it was wanted
+	answered bool // a matching reply arrived while it was wanted
 }
 
 func address(index int) netip.AddrPort {
@@ -102,13 +103,13 @@
 	if m.topology.Stopped {
 		finish, ok := actions[0].(Finish)
 		if len(actions) != 1 || !ok || finish.Reason != ReasonStopped || finish.Outcome != OutcomeNotRun {
-			t.Fatalf("a stopped service took a query: %v", actions)
+			t.Fatalf("got actions %v of a stopped service, want a refusal", actions)
 		}
 	}
 	m.perform(t, actions)
 }
 
-// end draws an attempt that has not ended and takes it off the list.
+// takeOpenAttempt draws an open attempt and removes it from the list.
 func (m *machine) takeOpenAttempt(t *rapid.T) *trackedAttempt {
 	if len(m.open) == 0 {
 		t.Skip("nothing in flight")
@@ -177,7 +178,7 @@
 	id := QueryID(rapid.Uint64Range(1, uint64(m.nextID)).Draw(t, "query"))
 	m.perform(t, m.d.Cancel(m.now, id))
 	if m.queries[id].finish == nil {
-		t.Fatalf("query %d not finished after Cancel", id)
+		t.Fatalf("query %d has no finish after Cancel", id)
 	}
 }
 
@@ -235,9 +236,11 @@
 		}
 		m.perform(t, m.d.Tick(m.now))
 	}
-	t.Fatal("Tick does not get past the present")
+	t.Fatal("got a NextTick that is due after 100 calls of Tick, want a later one")
 }
 
+// The invariants of the Dispatcher must hold after each event of random schedules, and no query,
+// attempt or waiting work may be left over after the last event.
 func TestInvariantsUnderRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
--- a/internal/decide/dispatch/rig_test.go
+++ b/internal/decide/dispatch/rig_test.go
@@ -16,8 +16,8 @@
 
 var firstSnapshot = catalog.Snapshot{Epoch: 1, Version: 1}
 
-// rig runs a Dispatcher on one shard with some replicas; the replies take the
-// time that the test sets for each leaf.
+// rig drives a Dispatcher for a shard with some replicas. Replies take the latency that the test
+// sets for each leaf.
 type rig struct {
 	*testing.T
 	d               *Dispatcher
@@ -27,19 +27,22 @@
 	open            []Send
 	sent            []int // by leaf
 	aborted         []AttemptID
-	abortedOverdue  []bool      // of the aborted
-	unanswered      []AttemptID // that are never answered
+	abortedOverdue  []bool      // Abort.Overdue of the aborted attempts
+	unanswered      []AttemptID // attempts that get no reply
 	finishes        map[QueryID]Finish
 	nextID          QueryID
-	hedgePercentile float64      // percentile
-	modifyQuery     func(*Query) // changes each query; nil for nothing
+	hedgePercentile float64
+	modifyQuery     func(*Query) // applied to each query; nil for no change
 }
 
-// withoutHedges lets no latency count as known, and withoutProbes no leaf get a probe
-// within the time of a test.
+// withoutHedges requires more latency samples than any test produces.
 func withoutHedges(config *Config) { config.Hedge.MinimumSamples = math.MaxInt }
+
+// withoutProbes sets a probe interval longer than any test.
 func withoutProbes(config *Config) { config.Probation.ProbeInterval = time.Hour }
 
+// newRig returns a rig with the given number of replicas and the default configuration as modified
+// by change.
 func newRig(t *testing.T, replicas int, change func(*Config)) *rig {
 	config := DefaultConfig()
 	if change != nil {
@@ -76,6 +79,7 @@
 	}
 }
 
+// leafOf returns the index of the leaf of a send.
 func (r *rig) leafOf(send Send) int {
 	return slices.IndexFunc(r.topology.Leaves, func(l Leaf) bool { return l.Address == send.Leaf })
 }
@@ -92,7 +96,7 @@
 	return r.nextID
 }
 
-// run lets time pass in steps of a millisecond.
+// run advances the time in steps of a millisecond.
 func (r *rig) run(length time.Duration) {
 	for end := r.now + length; r.now < end; {
 		r.now += time.Millisecond
@@ -121,7 +125,7 @@
 	r.perform(r.d.Refuse(r.now, send.Attempt, Refusal{Reason: reason, BootID: "1"}))
 }
 
-// load submits a query every 10 ms.
+// submitEvery10ms submits queries 10 ms apart.
 func (r *rig) submitEvery10ms(queries int) {
 	for range queries {
 		r.submit(1)
--- a/internal/decide/dispatch/withhold_test.go
+++ b/internal/decide/dispatch/withhold_test.go
@@ -8,7 +8,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// shardsOf returns a rig with some shards of two leaves each.
+// newShardedRig returns a rig with the given number of shards and two leaves for each.
 func newShardedRig(t *testing.T, shards int) *rig {
 	r := newRig(t, 2*shards, func(config *Config) { config.Budget.Initial = 20 })
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: shards}}
@@ -19,16 +19,16 @@
 	return r
 }
 
-// close ends the first open attempt with its leaf.
+// closeConnection ends the first open attempt by a closed connection of its leaf.
 func (r *rig) closeConnection() {
 	send := r.open[0]
 	r.open = r.open[1:]
 	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true, Closed: true}))
 }
 
-// TestQueryUnderWhichLeavesEndGetsNoSecondOnes: one leaf of each shard, and one more for
-// the first that is lost, before two have been.
-func TestQueryUnderWhichLeavesEndGetsNoSecondOnes(t *testing.T) {
+// A query that crashes each leaf may crash at most one leaf of each shard, and one more by the
+// retry that is sent before the second crash. The query must then fail.
+func TestRetriesOfCrashingQueryAreWithheld(t *testing.T) {
 	r := newShardedRig(t, 4)
 	id := r.submit(1)
 	for len(r.open) > 0 {
@@ -41,26 +41,26 @@
 	}
 	finish, ended := r.finishes[id]
 	if !ended || finish.Outcome != OutcomeFailed || finish.Reason != ReasonLost {
-		t.Errorf("%+v, %v", finish, ended)
+		t.Errorf("got %+v, ended %v, want outcome failed with reason connection_lost", finish, ended)
 	}
 	if sent > 5 {
-		t.Errorf("sent to %d leaves", sent)
+		t.Errorf("got attempts at %d leaves, want at most 5", sent)
 	}
 }
 
-// TestAnswerLetsSecondAttemptsGo: leaves that end beside a query cost it none of its
-// shards.
-func TestAnswerLetsSecondAttemptsGo(t *testing.T) {
+// Crashes that the query does not cause must not cost it shards: the first answer must release its
+// withheld retries.
+func TestAnswerReleasesWithheldRetries(t *testing.T) {
 	r := newShardedRig(t, 4)
 	id := r.submit(1)
 	for range 3 {
 		r.closeConnection()
 	}
 	if r.d.queries.byID[id].withheld != 2 {
-		t.Fatalf("%d shards held back", r.d.queries.byID[id].withheld)
+		t.Fatalf("got %d withheld shards, want 2", r.d.queries.byID[id].withheld)
 	}
 	r.run(50 * time.Millisecond)
 	if finish := r.finishes[id]; finish.Outcome != OutcomeAnswered {
-		t.Errorf("%+v", finish)
+		t.Errorf("got %+v, want outcome answered", finish)
 	}
 }
