--- a/internal/decide/dispatch/canary_test.go
+++ b/internal/decide/dispatch/canary_test.go
@@ -80,8 +80,8 @@
 
 // fail ends an open attempt without an answer.
 func (r *rig) fail(send Send) {
-	for index, open := range r.open {
-		if open.Attempt == send.Attempt {
+	for index, candidate := range r.open {
+		if candidate.Attempt == send.Attempt {
 			r.open = append(r.open[:index:index], r.open[index+1:]...)
 			break
 		}
--- a/internal/decide/dispatch/golden_attempts_test.go
+++ b/internal/decide/dispatch/golden_attempts_test.go
@@ -89,7 +89,7 @@
 
 // abort makes an attempt end soon; a few attempts answer nevertheless.
 func (s *simulator) abort(abort Abort) {
-	index := slices.IndexFunc(s.open, func(open *simulatedAttempt) bool { return open.send.Attempt == abort.Attempt })
+	index := slices.IndexFunc(s.open, func(candidate *simulatedAttempt) bool { return candidate.send.Attempt == abort.Attempt })
 	entry := s.open[index]
 	entry.aborted = true
 	if s.random.IntN(5) > 0 {
@@ -100,7 +100,7 @@
 
 // end reports the end of an attempt, and sometimes again the end of one that was reported before.
 func (s *simulator) end(entry *simulatedAttempt) {
-	s.open = slices.DeleteFunc(s.open, func(open *simulatedAttempt) bool { return open == entry })
+	s.open = slices.DeleteFunc(s.open, func(candidate *simulatedAttempt) bool { return candidate == entry })
 	entry.leaf.running--
 	id := entry.send.Attempt
 	switch entry.end {
--- a/internal/decide/dispatch/golden_simulator_test.go
+++ b/internal/decide/dispatch/golden_simulator_test.go
@@ -182,8 +182,8 @@
 	if at, ok := s.d.NextTick(); ok {
 		consider(at, s.tick)
 	}
-	for _, open := range s.open {
-		consider(open.due, func() { s.end(open) })
+	for _, candidate := range s.open {
+		consider(candidate.due, func() { s.end(candidate) })
 	}
 	s.now = max(s.now, first)
 	event()
--- a/internal/decide/dispatch/holdings.go
+++ b/internal/decide/dispatch/holdings.go
@@ -40,18 +40,18 @@
 
 // lacks reports whether the leaf refused the shard because it does not hold it.
 func (l *leafState) lacks(snapshot catalog.Snapshot, shard int) bool {
-	return slices.ContainsFunc(l.missing, func(gone missingHolding) bool {
-		return gone.snapshot == snapshot && (gone.shard == allShards || gone.shard == shard)
+	return slices.ContainsFunc(l.missing, func(missing missingHolding) bool {
+		return missing.snapshot == snapshot && (missing.shard == allShards || missing.shard == shard)
 	})
 }
 
 // markMissing records that the leaf does not hold a snapshot or shard that the topology lists.
-func (d *Dispatcher) markMissing(l *leafState, gone missingHolding) {
-	if l.lacks(gone.snapshot, gone.shard) {
+func (d *Dispatcher) markMissing(l *leafState, missing missingHolding) {
+	if l.lacks(missing.snapshot, missing.shard) {
 		return
 	}
-	gone.until = d.now + d.config.Backoff.MissingHoldingTTL
-	l.missing = append(l.missing, gone)
+	missing.until = d.now + d.config.Backoff.MissingHoldingTTL
+	l.missing = append(l.missing, missing)
 	d.rebuildViews()
 }
 
@@ -60,9 +60,9 @@
 	d.fleet.missingUntil = 0
 	for _, l := range d.fleet.leaves {
 		l.missing = slices.DeleteFunc(l.missing, func(g missingHolding) bool { return g.until <= d.now })
-		for _, gone := range l.missing {
-			if d.fleet.missingUntil == 0 || gone.until < d.fleet.missingUntil {
-				d.fleet.missingUntil = gone.until
+		for _, missing := range l.missing {
+			if d.fleet.missingUntil == 0 || missing.until < d.fleet.missingUntil {
+				d.fleet.missingUntil = missing.until
 			}
 		}
 	}
--- a/internal/decide/dispatch/machine_test.go
+++ b/internal/decide/dispatch/machine_test.go
@@ -85,15 +85,15 @@
 func (m *machine) submit(t *rapid.T) {
 	m.advance(t)
 	m.nextID++
-	once := rapid.IntRange(0, 3).Draw(t, "once") == 0
+	nonRepeatable := rapid.IntRange(0, 3).Draw(t, "once") == 0
 	class := catalog.Class{Name: "sweep", Priority: rapid.IntRange(1, 3).Draw(t, "priority"), HedgePercentile: 0.5, ExtraLoad: 0.03, Repeatable: true}
-	if once {
+	if nonRepeatable {
 		class.Name, class.Repeatable = "file", false
 	}
 	query := Query{
 		ID:              m.nextID,
 		Class:           class,
-		HasKey:          once || rapid.Bool().Draw(t, "key"),
+		HasKey:          nonRepeatable || rapid.Bool().Draw(t, "key"),
 		KeyHash:         rapid.Uint64Range(0, 11).Draw(t, "hash"),
 		Deadline:        m.now + time.Duration(rapid.IntRange(1, 150).Draw(t, "deadline"))*time.Millisecond,
 		MinimumCoverage: float64(rapid.IntRange(0, 4).Draw(t, "coverage")) / 4,
--- a/internal/decide/dispatch/orphaned_test.go
+++ b/internal/decide/dispatch/orphaned_test.go
@@ -7,14 +7,14 @@
 
 // crashAndRestart sends a query to a leaf that crashes behind a network partition, and after the
 // given time lists all leaves as restarted.
-func (r *rig) crashAndRestart(length time.Duration, once bool) QueryID {
+func (r *rig) crashAndRestart(delay time.Duration, nonRepeatable bool) QueryID {
 	r.modifyQuery = func(query *Query) {
 		query.Deadline = r.now + time.Minute
-		query.Class.Repeatable = !once
+		query.Class.Repeatable = !nonRepeatable
 	}
 	id := r.submit(1)
 	r.unanswered = append(r.unanswered, r.open[0].Attempt)
-	r.run(length)
+	r.run(delay)
 	for index := range r.topology.Leaves {
 		r.topology.Leaves[index].BootID = "2"
 	}
