--- a/internal/decide/dispatch/holdings.go
+++ b/internal/decide/dispatch/holdings.go
@@ -7,19 +7,20 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// goneHolding overrides the topology until a time: the leaf said that it does
-// not hold the snapshot, or one shard of it.
-type goneHolding struct {
+// missingHolding overrides the topology until a time: the leaf refused the snapshot, or a shard of
+// it, because it does not hold it.
+type missingHolding struct {
 	snapshot catalog.Snapshot
-	shard    int // allShards if the whole snapshot is gone
+	shard    int // allShards if the whole snapshot is missing
 	until    Time
 }
 
+// allShards is the shard number that stands for all shards of a snapshot.
 const allShards = -1
 
-// offered returns the holdings without those that the leaf said to be gone.
-func (l *leafState) offered() []leaf.Holding {
-	if len(l.gone) == 0 {
+// availableHoldings returns the listed holdings without those that the leaf refused.
+func (l *leafState) availableHoldings() []leaf.Holding {
+	if len(l.missing) == 0 {
 		return l.holdings
 	}
 	offered := make([]leaf.Holding, 0, len(l.holdings))
@@ -37,30 +38,31 @@
 	return offered
 }
 
-// lacks reports whether the leaf said that the shard is gone.
+// lacks reports whether the leaf refused the shard because it does not hold it.
 func (l *leafState) lacks(snapshot catalog.Snapshot, shard int) bool {
-	return slices.ContainsFunc(l.gone, func(gone goneHolding) bool {
-		return gone.snapshot == snapshot && (gone.shard == allShards || gone.shard == shard)
+	return slices.ContainsFunc(l.missing, func(missing missingHolding) bool {
+		return missing.snapshot == snapshot && (missing.shard == allShards || missing.shard == shard)
 	})
 }
 
-// markGone overrides the topology: the leaf does not hold what it refused.
-func (d *Dispatcher) markGone(l *leafState, gone goneHolding) {
-	if l.lacks(gone.snapshot, gone.shard) {
+// markMissing records that the leaf does not hold a snapshot or shard that the topology lists.
+func (d *Dispatcher) markMissing(l *leafState, missing missingHolding) {
+	if l.lacks(missing.snapshot, missing.shard) {
 		return
 	}
-	gone.until = d.now + d.config.Backoff.SnapshotGone
-	l.gone = append(l.gone, gone)
-	d.rebuild()
+	missing.until = d.now + d.config.Backoff.MissingHoldingTTL
+	l.missing = append(l.missing, missing)
+	d.rebuildViews()
 }
 
-func (d *Dispatcher) dropExpired() {
-	d.fleet.goneUntil = 0
+// expireMissingHoldings drops the expired overrides and finds the time of the next expiry.
+func (d *Dispatcher) expireMissingHoldings() {
+	d.fleet.missingUntil = 0
 	for _, l := range d.fleet.leaves {
-		l.gone = slices.DeleteFunc(l.gone, func(g goneHolding) bool { return g.until <= d.now })
-		for _, gone := range l.gone {
-			if d.fleet.goneUntil == 0 || gone.until < d.fleet.goneUntil {
-				d.fleet.goneUntil = gone.until
+		l.missing = slices.DeleteFunc(l.missing, func(g missingHolding) bool { return g.until <= d.now })
+		for _, missing := range l.missing {
+			if d.fleet.missingUntil == 0 || missing.until < d.fleet.missingUntil {
+				d.fleet.missingUntil = missing.until
 			}
 		}
 	}
--- a/internal/decide/dispatch/waitqueue.go
+++ b/internal/decide/dispatch/waitqueue.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// groupQueue holds the waiters of a group, in a heap for each class.
+// groupQueue holds the waiters of a replica group in a heap for each class.
 type groupQueue struct {
 	byClass perClass[waitQueue]
-	live    int
+	live    int // waiters that are not withdrawn
 }
 
 func (g *groupQueue) push(w waiter) {
-	g.byClass.at(w.query.class).push(w)
+	g.byClass.ensure(w.query.class).push(w)
 	g.live++
 }
 
@@ -18,24 +18,23 @@
 	var best *waiter
 	for index := range g.byClass.values {
 		head := g.byClass.values[index].head()
-		if head != nil && (best == nil || head.precedes(best, now)) {
+		if head != nil && (best == nil || head.precedesNow(best, now)) {
 			best = head
 		}
 	}
 	return best
 }
 
-// age returns for how long the first waiter of a class has been in the node.
+// age returns the time since the submission of the first waiting query of a class.
 func (g *groupQueue) age(class *classState, now Time) time.Duration {
-	head := g.byClass.at(class).head()
+	head := g.byClass.ensure(class).head()
 	if head == nil {
 		return 0
 	}
 	return now - head.query.submitted
 }
 
-// waitQueue is a binary heap of waiters. Withdrawn ones are dropped when they
-// reach the top.
+// waitQueue is a binary heap of waiters. Withdrawn waiters are dropped when they reach the top.
 type waitQueue struct {
 	heap []waiter
 }
@@ -45,7 +44,7 @@
 	child := len(q.heap) - 1
 	for child > 0 {
 		parent := (child - 1) / 2
-		if !q.heap[child].before(&q.heap[parent]) {
+		if !q.heap[child].precedesByClass(&q.heap[parent]) {
 			return
 		}
 		q.heap[child], q.heap[parent] = q.heap[parent], q.heap[child]
@@ -75,10 +74,10 @@
 		if child >= last {
 			return
 		}
-		if child+1 < last && q.heap[child+1].before(&q.heap[child]) {
+		if child+1 < last && q.heap[child+1].precedesByClass(&q.heap[child]) {
 			child++
 		}
-		if !q.heap[child].before(&q.heap[parent]) {
+		if !q.heap[child].precedesByClass(&q.heap[parent]) {
 			return
 		}
 		q.heap[child], q.heap[parent] = q.heap[parent], q.heap[child]
