--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -10,47 +10,47 @@
 	// momentHalfLife the same of a run anywhere: what crashes leaves of many services
 	// crashes them at one moment. Without the moment, a request that ran beside one under
 	// which all leaves crashed was held: over the usual time 0.14 to 0.21 of the runs had.
-	usualHalfLife  = 30 * time.Second
-	momentHalfLife = time.Second
+	serviceHalfLife = 30 * time.Second
+	globalHalfLife  = time.Second
 	// weightStep is the least time after which weights are brought up to date, as a
 	// part of the time in which they halve. Not measured: chosen because it changes a
 	// weight by less than 4 %.
-	weightStep = 0.05
+	minDecayStep = 0.05
 	// priorCrashes and priorRuns are what is assumed without runs: one run in 20 crashes
 	// its leaf. The share never counts as less. Not measured: chosen because two trials
 	// then reach the odds of 100.
-	priorCrashes, priorRuns = 0.5, 10
+	priorCrashes, priorAttempts = 0.5, 10
 )
 
 // Background counts how often runs crash their leaf, whatever the request: at each
 // service, and anywhere in the last moment. It is not safe for concurrent use.
 type Background struct {
-	services []runs
-	moment   runs
+	services     []decayedCounts
+	globalChance decayedCounts
 	// suspects are the runs of the moment by request, of those that are suspected.
-	suspects map[Content]*runs
+	suspected map[Content]*decayedCounts
 }
 
 // runs are some runs, weighted by age.
-type runs struct {
+type decayedCounts struct {
 	crashed, answered float64
-	at                time.Duration
+	decayedAt         time.Duration
 }
 
 // age brings the weights up to date.
-func (r *runs) age(now, half time.Duration) {
-	age := (now - r.at).Seconds() / half.Seconds()
-	if age < weightStep {
+func (r *decayedCounts) decay(now, halfLife time.Duration) {
+	age := (now - r.decayedAt).Seconds() / halfLife.Seconds()
+	if age < minDecayStep {
 		return
 	}
-	left := math.Exp2(-age)
-	r.crashed *= left
-	r.answered *= left
-	r.at = now
+	factor := math.Exp2(-age)
+	r.crashed *= factor
+	r.answered *= factor
+	r.decayedAt = now
 }
 
-func (r *runs) add(now, half time.Duration, crashed bool) {
-	r.age(now, half)
+func (r *decayedCounts) add(now, halfLife time.Duration, crashed bool) {
+	r.decay(now, halfLife)
 	if crashed {
 		r.crashed++
 		return
@@ -59,40 +59,40 @@
 }
 
 // chance returns how likely a run crashes its leaf.
-func chance(crashed, answered float64) float64 {
-	return max((crashed+priorCrashes)/(crashed+answered+priorRuns), priorCrashes/priorRuns)
+func crashChance(crashed, answered float64) float64 {
+	return max((crashed+priorCrashes)/(crashed+answered+priorAttempts), priorCrashes/priorAttempts)
 }
 
 // Add takes in a run at a service that crashed its leaf, or was answered. One of a
 // suspected request says nothing of the service.
 func (b *Background) Add(now time.Duration, content Content, suspected bool, service int, crashed bool) {
-	b.moment.add(now, momentHalfLife, crashed)
+	b.globalChance.add(now, globalHalfLife, crashed)
 	if suspected {
-		b.suspectOf(now, content).add(now, momentHalfLife, crashed)
+		b.suspectedCounts(now, content).add(now, globalHalfLife, crashed)
 		return
 	}
-	b.of(now, service).add(now, usualHalfLife, crashed)
+	b.serviceCounts(now, service).add(now, serviceHalfLife, crashed)
 }
 
 // Chance returns how likely a run at a service crashes its leaf now, whatever the
 // request, from 0.05 to 1: by what is usual there, or by the moment, if that is more.
 // Runs of the request itself do not count.
 func (b *Background) Chance(now time.Duration, content Content, service int) float64 {
-	usual := b.of(now, service)
-	usual.age(now, usualHalfLife)
-	b.moment.age(now, momentHalfLife)
-	own := runs{}
-	if known, some := b.suspects[content]; some {
-		known.age(now, momentHalfLife)
-		own = *known
+	atService := b.serviceCounts(now, service)
+	atService.decay(now, serviceHalfLife)
+	b.globalChance.decay(now, globalHalfLife)
+	own := decayedCounts{}
+	if suspected, ok := b.suspected[content]; ok {
+		suspected.decay(now, globalHalfLife)
+		own = *suspected
 	}
-	moment := chance(max(b.moment.crashed-own.crashed, 0), max(b.moment.answered-own.answered, 0))
-	return max(chance(usual.crashed, usual.answered), moment)
+	globalChance := crashChance(max(b.globalChance.crashed-own.crashed, 0), max(b.globalChance.answered-own.answered, 0))
+	return max(crashChance(atService.crashed, atService.answered), globalChance)
 }
 
-func (b *Background) of(now time.Duration, service int) *runs {
+func (b *Background) serviceCounts(now time.Duration, service int) *decayedCounts {
 	for service >= len(b.services) {
-		b.services = append(b.services, runs{at: now})
+		b.services = append(b.services, decayedCounts{decayedAt: now})
 	}
 	return &b.services[service]
 }
@@ -100,19 +100,19 @@
 // suspectOf returns the runs of a request in the moment. Those of all are forgotten
 // where there are many: then they count as runs of others for a moment, which only has a
 // request tried once more.
-func (b *Background) suspectOf(now time.Duration, content Content) *runs {
-	known, some := b.suspects[content]
-	if some {
-		return known
+func (b *Background) suspectedCounts(now time.Duration, content Content) *decayedCounts {
+	counts, ok := b.suspected[content]
+	if ok {
+		return counts
 	}
-	if b.suspects == nil || len(b.suspects) >= maxSuspects {
-		b.suspects = make(map[Content]*runs)
+	if b.suspected == nil || len(b.suspected) >= maxSuspectedRequests {
+		b.suspected = make(map[Content]*decayedCounts)
 	}
-	known = &runs{at: now}
-	b.suspects[content] = known
-	return known
+	counts = &decayedCounts{decayedAt: now}
+	b.suspected[content] = counts
+	return counts
 }
 
 // maxSuspects bounds the suspected requests whose runs are told apart. Not measured:
 // chosen because a moment seldom has more, and so many take some KB.
-const maxSuspects = 256
+const maxSuspectedRequests = 256
--- a/internal/decide/quarantine/config.go
+++ b/internal/decide/quarantine/config.go
@@ -20,7 +20,7 @@
 	MinOdds float64
 	// TrialTime is how long a trial counts as running if no end of it is received: its
 	// node may be lost.
-	TrialTime time.Duration
+	TrialTimeout time.Duration
 	// TrialPause is the pause after MinTrials trials without an answer. It doubles with
 	// each further one, up to MaxTrialPause.
 	TrialPause, MaxTrialPause time.Duration
@@ -28,9 +28,9 @@
 	// Retry-After of its client if that did not end.
 	TrialRetryAfter time.Duration
 	// HoldTime is the least time for which a request is held.
-	HoldTime time.Duration
+	HoldDuration time.Duration
 	// Memory is how long a request that is not held any more is still tried first.
-	Memory time.Duration
+	Retention time.Duration
 	// Heartbeat is the time between two announcements of a leaf.
 	Heartbeat time.Duration
 	// MaxEntries bounds the requests that are known at a time.
@@ -38,8 +38,8 @@
 	// Burst is how many requests a node may report at once, FleetBurst how many all
 	// nodes together may, one for each node at least, and Refill how many all nodes
 	// together may in a second.
-	Burst, FleetBurst float64
-	Refill            float64
+	ReportBurst, FleetReportBurst float64
+	FleetReportRate               float64
 }
 
 // DefaultConfig returns the policy of a process.
@@ -58,9 +58,9 @@
 	return Config{
 		Self:       self,
 		MinCrashes: 3, MinTrials: 2, MinOdds: 100,
-		TrialTime: 5 * time.Second, TrialPause: time.Second, MaxTrialPause: 30 * time.Second,
+		TrialTimeout: 5 * time.Second, TrialPause: time.Second, MaxTrialPause: 30 * time.Second,
 		TrialRetryAfter: 250 * time.Millisecond,
-		HoldTime:        RecordTTL / 2, Memory: time.Hour, Heartbeat: 1200 * time.Millisecond,
-		MaxEntries: 1024, Burst: 4, FleetBurst: 400, Refill: 10,
+		HoldDuration:    RecordTTL / 2, Retention: time.Hour, Heartbeat: 1200 * time.Millisecond,
+		MaxEntries: 1024, ReportBurst: 4, FleetReportBurst: 400, FleetReportRate: 10,
 	}
 }
--- a/internal/decide/quarantine/starts.go
+++ b/internal/decide/quarantine/incarnations.go
@@ -31,142 +31,144 @@
 	// announceTime is how long a restart takes at most to be known to a node that is in
 	// touch with the store: two seconds until a leaf has written its entry again after an
 	// outage, and one until nodes have it.
-	announceTime = 3 * time.Second
+	maxAnnounceDelay = 3 * time.Second
 	// lapseHeartbeats is how many heartbeats of silence it takes until the announcement
 	// of a leaf that is gone goes.
-	lapseHeartbeats = 3
+	expiryHeartbeats = 3
 	// maxStarts bounds the starts that were lost: as many as the largest fleet that was
 	// planned for has leaves, of some 100 bytes each. Beyond it the oldest loss is
 	// forgotten.
-	maxStarts = 19_000
+	maxIncarnations = 19_000
 	// lifeMark stands between the name of a start and the number of a life that this
 	// node told apart under it.
-	lifeMark = "+"
+	ordinalSeparator = "+"
 )
 
 // Starts is what a node saw of the starts of leaves that were lost. Times are durations on
 // the node's clock. It is not safe for concurrent use.
-type Starts struct {
-	known map[string]*start
+type IncarnationTracker struct {
+	incarnations map[string]*incarnation
 	// touchSince is since when the store answers, unless away is set.
-	touchSince time.Duration
-	away       bool
+	storeAvailableSince time.Duration
+	storeUnavailable    bool
 }
 
 // start is one start of a leaf that was lost.
-type start struct {
+type incarnation struct {
 	// lost is when a connection to it was lost last, of those that count, or when a
 	// record was received that names it.
-	lost time.Duration
+	lostAt time.Duration
 	// answered is when the newest attempt was sent that it answered after that; zero
 	// without one.
-	answered time.Duration
+	answeredSentAt time.Duration
 	// life counts the crashes before under the same name.
-	life int
+	previousCrashes int
 }
 
 // NewStarts returns a Starts that knows of no loss.
-func NewStarts() *Starts { return &Starts{known: make(map[string]*start)} }
+func NewIncarnationTracker() *IncarnationTracker {
+	return &IncarnationTracker{incarnations: make(map[string]*incarnation)}
+}
 
 // SetStoreAway says whether the store does not answer.
-func (s *Starts) SetStoreAway(now time.Duration, away bool) {
-	if s.away && !away {
-		s.touchSince = now
+func (s *IncarnationTracker) SetStoreUnavailable(now time.Duration, unavailable bool) {
+	if s.storeUnavailable && !unavailable {
+		s.storeAvailableSince = now
 	}
-	s.away = away
+	s.storeUnavailable = unavailable
 }
 
 // Lost takes in an attempt at a start whose connection was lost before a byte of its
 // answer. It returns the name of the crash; false if it was none.
-func (s *Starts) Lost(leaf string, sent, lost time.Duration) (string, bool) {
-	known, found := s.known[leaf]
+func (s *IncarnationTracker) RecordLoss(leaf string, sent, lost time.Duration) (string, bool) {
+	inc, ok := s.incarnations[leaf]
 	switch {
-	case !found:
-		known = s.add(leaf, lost)
-	case sent <= known.lost:
-		known.lost = min(known.lost, lost)
-	case s.away || known.answered > known.lost:
-		*known = start{lost: lost, life: known.life + 1}
+	case !ok:
+		inc = s.add(leaf, lost)
+	case sent <= inc.lostAt:
+		inc.lostAt = min(inc.lostAt, lost)
+	case s.storeUnavailable || inc.answeredSentAt > inc.lostAt:
+		*inc = incarnation{lostAt: lost, previousCrashes: inc.previousCrashes + 1}
 	default:
 		return "", false
 	}
-	return nameOf(leaf, known.life), true
+	return formatCrashID(leaf, inc.previousCrashes), true
 }
 
 // add makes room for one more start.
-func (s *Starts) add(leaf string, lost time.Duration) *start {
-	if len(s.known) >= maxStarts {
+func (s *IncarnationTracker) add(leaf string, lost time.Duration) *incarnation {
+	if len(s.incarnations) >= maxIncarnations {
 		oldest := ""
-		for name, one := range s.known {
-			if oldest == "" || one.lost < s.known[oldest].lost {
+		for name, candidate := range s.incarnations {
+			if oldest == "" || candidate.lostAt < s.incarnations[oldest].lostAt {
 				oldest = name
 			}
 		}
-		delete(s.known, oldest)
+		delete(s.incarnations, oldest)
 	}
-	added := &start{lost: lost}
-	s.known[leaf] = added
-	return added
+	inc := &incarnation{lostAt: lost}
+	s.incarnations[leaf] = inc
+	return inc
 }
 
 // Answered takes in an attempt that a start answered.
-func (s *Starts) Answered(leaf string, sent time.Duration) {
-	if known, found := s.known[leaf]; found && sent > known.lost {
-		known.answered = max(known.answered, sent)
+func (s *IncarnationTracker) RecordAnswer(leaf string, sent time.Duration) {
+	if inc, ok := s.incarnations[leaf]; ok && sent > inc.lostAt {
+		inc.answeredSentAt = max(inc.answeredSentAt, sent)
 	}
 }
 
 // Named takes in that another node lost a start, by the name of the crash.
-func (s *Starts) Named(now time.Duration, crash string) {
-	leaf, life := leafOf(crash)
-	known, found := s.known[leaf]
-	if !found {
-		known = s.add(leaf, now)
+func (s *IncarnationTracker) RecordRemoteLoss(now time.Duration, crashID string) {
+	leaf, ordinal := parseCrashID(crashID)
+	inc, ok := s.incarnations[leaf]
+	if !ok {
+		inc = s.add(leaf, now)
 	}
-	known.lost = max(known.lost, now)
-	known.life = max(known.life, life)
+	inc.lostAt = max(inc.lostAt, now)
+	inc.previousCrashes = max(inc.previousCrashes, ordinal)
 }
 
 // Survived reports whether a start that is announced, and of whose crash this node knows
 // since some time, has not crashed. Heartbeat is the time between two announcements.
-func (s *Starts) Survived(now time.Duration, crash string, since, heartbeat time.Duration) bool {
-	if s.away {
+func (s *IncarnationTracker) HasSurvived(now time.Duration, crashID string, knownSince, heartbeat time.Duration) bool {
+	if s.storeUnavailable {
 		return false
 	}
-	leaf, _ := leafOf(crash)
-	known, found := s.known[leaf]
-	if found && known.answered > since && now-max(known.answered, s.touchSince) >= announceTime {
+	leaf, _ := parseCrashID(crashID)
+	inc, ok := s.incarnations[leaf]
+	if ok && inc.answeredSentAt > knownSince && now-max(inc.answeredSentAt, s.storeAvailableSince) >= maxAnnounceDelay {
 		return true
 	}
-	return now-max(since, s.touchSince) >= lapseHeartbeats*heartbeat+announceTime
+	return now-max(knownSince, s.storeAvailableSince) >= expiryHeartbeats*heartbeat+maxAnnounceDelay
 }
 
 // Expire forgets the starts that were lost long ago.
-func (s *Starts) Expire(now time.Duration) {
-	for leaf, known := range s.known {
-		if now-known.lost > RecordTTL {
-			delete(s.known, leaf)
+func (s *IncarnationTracker) Expire(now time.Duration) {
+	for leaf, inc := range s.incarnations {
+		if now-inc.lostAt > RecordTTL {
+			delete(s.incarnations, leaf)
 		}
 	}
 }
 
 // nameOf returns the name of a crash of a start.
-func nameOf(leaf string, life int) string {
-	if life == 0 {
+func formatCrashID(leaf string, ordinal int) string {
+	if ordinal == 0 {
 		return leaf
 	}
-	return leaf + lifeMark + strconv.Itoa(life)
+	return leaf + ordinalSeparator + strconv.Itoa(ordinal)
 }
 
 // leafOf returns the start that a crash is of, and the number of its life.
-func leafOf(crash string) (leaf string, life int) {
-	at := strings.LastIndex(crash, lifeMark)
-	if at < 0 {
-		return crash, 0
+func parseCrashID(crashID string) (leaf string, ordinal int) {
+	separator := strings.LastIndex(crashID, ordinalSeparator)
+	if separator < 0 {
+		return crashID, 0
 	}
-	life, err := strconv.Atoi(crash[at+len(lifeMark):])
+	ordinal, err := strconv.Atoi(crashID[separator+len(ordinalSeparator):])
 	if err != nil {
-		return crash, 0 // the mark is a part of the name
+		return crashID, 0 // the mark is a part of the name
 	}
-	return crash[:at], life
+	return crashID[:separator], ordinal
 }
--- a/internal/decide/quarantine/record.go
+++ b/internal/decide/quarantine/record.go
@@ -40,7 +40,7 @@
 }
 
 // same reports whether two nodes or two tries speak of one crash.
-func (c Crash) same(other Crash) bool { return c.Leaf == other.Leaf }
+func (c Crash) sameLeaf(other Crash) bool { return c.Leaf == other.Leaf }
 
 const (
 	// maxCrashes bounds the crashes that a record names. Not measured: chosen because they
@@ -48,12 +48,12 @@
 	maxCrashes = 8
 	// maxName bounds the names in them, in bytes, whatever callers and leaves send. Not
 	// measured: chosen because a record then takes 1.8 KB at most.
-	maxName = 64
+	maxNameBytes = 64
 )
 
 // NewCrash returns the crash of a leaf under a try. Longer names are cut to 64 bytes.
 func NewCrash(leaf, request string) Crash {
-	return Crash{Leaf: leaf[:min(len(leaf), maxName)], Request: request[:min(len(request), maxName)]}
+	return Crash{Leaf: leaf[:min(len(leaf), maxNameBytes)], Request: request[:min(len(request), maxNameBytes)]}
 }
 
 // Encode returns the value of the record in the store.
@@ -101,14 +101,14 @@
 // what else is known of it is added.
 func (r Record) withCrashes(crashes []Crash) Record {
 	r.Crashes = slices.Clone(r.Crashes)
-	for _, one := range crashes {
-		if at := slices.IndexFunc(r.Crashes, one.same); at >= 0 {
-			known := &r.Crashes[at]
-			known.Chance = max(known.Chance, one.Chance)
-			known.Survived = known.Survived || one.Survived
+	for _, crash := range crashes {
+		if index := slices.IndexFunc(r.Crashes, crash.sameLeaf); index >= 0 {
+			existing := &r.Crashes[index]
+			existing.Chance = max(existing.Chance, crash.Chance)
+			existing.Survived = existing.Survived || crash.Survived
 			continue
 		}
-		r.addCrash(one)
+		r.addCrash(crash)
 	}
 	return r
 }
@@ -123,21 +123,21 @@
 	if added.Chance == 0 {
 		return
 	}
-	at := slices.IndexFunc(r.Crashes, func(one Crash) bool { return one.Survived })
-	if at < 0 {
-		at = slices.IndexFunc(r.Crashes, func(one Crash) bool { return one.Chance == 0 })
+	index := slices.IndexFunc(r.Crashes, func(crash Crash) bool { return crash.Survived })
+	if index < 0 {
+		index = slices.IndexFunc(r.Crashes, func(crash Crash) bool { return crash.Chance == 0 })
 	}
-	if at >= 0 {
-		r.Crashes[at] = added
+	if index >= 0 {
+		r.Crashes[index] = added
 	}
 }
 
 // crashed returns how many leaves crashed.
-func (r Record) crashed() int {
+func (r Record) countCrashedLeaves() int {
 	leaves := make(map[string]bool, len(r.Crashes))
-	for _, one := range r.Crashes {
-		if !one.Survived {
-			leaves[one.Leaf] = true
+	for _, crash := range r.Crashes {
+		if !crash.Survived {
+			leaves[crash.Leaf] = true
 		}
 	}
 	return len(leaves)
@@ -145,16 +145,16 @@
 
 // trialled reports whether a trial saw one of the crashes, so that the odds follow from
 // these.
-func (r Record) trialled() bool {
-	return slices.ContainsFunc(r.Crashes, func(one Crash) bool { return one.Chance > 0 })
+func (r Record) hasTrialCrash() bool {
+	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Chance > 0 })
 }
 
 // oddsOfTrials returns the odds of the crashes that trials saw. Each leaf counts once.
-func (r Record) oddsOfTrials() float64 {
+func (r Record) computeTrialOdds() float64 {
 	chances := make(map[string]float64, len(r.Crashes))
-	for _, one := range r.Crashes {
-		if one.Chance > 0 && !one.Survived {
-			chances[one.Leaf] = max(chances[one.Leaf], one.Chance)
+	for _, crash := range r.Crashes {
+		if crash.Chance > 0 && !crash.Survived {
+			chances[crash.Leaf] = max(chances[crash.Leaf], crash.Chance)
 		}
 	}
 	odds := 1.0
@@ -165,10 +165,10 @@
 }
 
 // survivedTrials returns how many trials ended with a leaf that lived on.
-func (r Record) survivedTrials() int {
+func (r Record) countSurvivedTrials() int {
 	count := 0
-	for _, one := range r.Crashes {
-		if one.Chance > 0 && one.Survived {
+	for _, crash := range r.Crashes {
+		if crash.Chance > 0 && crash.Survived {
 			count++
 		}
 	}
@@ -177,20 +177,20 @@
 
 // mergeRecords returns what two nodes know together. Nothing that either learned is lost,
 // except the trial under way: the store has the last word on that.
-func mergeRecords(stored, own Record) Record {
-	both := stored.withCrashes(own.Crashes)
-	both.Trials = max(stored.Trials, own.Trials)
-	both.Odds = math.Max(stored.Odds, own.Odds)
-	both.Held = stored.Held || own.Held
-	if both.Route == "" {
-		both.Route = own.Route
+func mergeRecords(stored, local Record) Record {
+	merged := stored.withCrashes(local.Crashes)
+	merged.Trials = max(stored.Trials, local.Trials)
+	merged.Odds = math.Max(stored.Odds, local.Odds)
+	merged.Held = stored.Held || local.Held
+	if merged.Route == "" {
+		merged.Route = local.Route
 	}
-	return both
+	return merged
 }
 
 // equal reports whether two records say the same. Odds and Held do not count where they
 // follow from the crashes: each node has its own view of which leaves lived on.
 func (r Record) equal(other Record) bool {
-	same := r.Route == other.Route && slices.Equal(r.Crashes, other.Crashes) && r.Trials == other.Trials && r.Trial == other.Trial
-	return same && (r.trialled() || r.Odds == other.Odds && r.Held == other.Held)
+	equalFields := r.Route == other.Route && slices.Equal(r.Crashes, other.Crashes) && r.Trials == other.Trials && r.Trial == other.Trial
+	return equalFields && (r.hasTrialCrash() || r.Odds == other.Odds && r.Held == other.Held)
 }
--- a/internal/decide/quarantine/record_test.go
+++ b/internal/decide/quarantine/record_test.go
@@ -4,7 +4,7 @@
 
 // TestRecordKeepsItsForm in the store, whatever the fields are called here: nodes of
 // several versions read each other's records.
-func TestRecordKeepsItsForm(t *testing.T) {
+func TestRecordEncoding(t *testing.T) {
 	const stored = `{"route":"r","ended":[{"leaf":"a","request":"b"}],"trials":2,"trial":"t","odds":400,"held":true}`
 	record, err := DecodeRecord([]byte(stored))
 	if err != nil {
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -31,20 +31,20 @@
 type entry struct {
 	Known
 	// changed is when the record changed last, as this node saw it.
-	changed time.Duration
+	changedAt time.Duration
 	// unwritten is set while the record says more than the store has.
-	unwritten bool
+	pendingWrite bool
 	// cleared is set once a leaf has answered the request, until the store knows.
 	cleared bool
 	// seen says what this node knows of each crash beyond the record, by Crash.Leaf.
-	seen map[string]sight
+	observations map[string]observation
 }
 
 // sight is what this node knows of a crash beyond the record.
-type sight struct {
+type observation struct {
 	// since is when it heard of the crash, and own says that it saw the crash itself.
-	since time.Duration
-	own   bool
+	knownSince time.Duration
+	local      bool
 	// announced says that the leaf was announced when it was looked at last, and
 	// survived that it lived on by what this node saw.
 	announced, survived bool
@@ -53,27 +53,27 @@
 // Table holds the requests under which leaves crashed, as one node knows them. Times
 // are durations on the node's clock. It is not safe for concurrent use.
 type Table struct {
-	config  Config
-	entries map[Content]*entry
-	starts  *Starts
+	config       Config
+	entries      map[Content]*entry
+	incarnations *IncarnationTracker
 	// tokens are the new requests that this node may report, as of filled.
-	tokens float64
-	filled time.Duration
-	nodes  int
+	tokens          float64
+	tokensUpdatedAt time.Duration
+	nodes           int
 }
 
 // NewTable returns an empty Table.
 func NewTable(config Config) *Table {
-	return &Table{config: config, entries: make(map[Content]*entry), starts: NewStarts(), tokens: config.Burst, nodes: 1}
+	return &Table{config: config, entries: make(map[Content]*entry), incarnations: NewIncarnationTracker(), tokens: config.ReportBurst, nodes: 1}
 }
 
 // SetNodes says how many nodes share the reports.
 func (t *Table) SetNodes(nodes int) { t.nodes = max(nodes, 1) }
 
 // Len returns the number of requests that are known, and how many of them are held.
-func (t *Table) Len() (known, held int) {
-	for _, one := range t.entries {
-		if one.Held {
+func (t *Table) Len() (total, held int) {
+	for _, e := range t.entries {
+		if e.Held {
 			held++
 		}
 	}
@@ -82,42 +82,42 @@
 
 // Admit decides on a request. With Trial, the trial counts as started here.
 func (t *Table) Admit(now time.Duration, content Content) Decision {
-	known := t.entries[content]
+	e := t.entries[content]
 	switch {
-	case known == nil, known.cleared:
+	case e == nil, e.cleared:
 		return Decision{}
-	case known.Held:
-		return Decision{Verdict: Refuse, Held: true, RetryAfter: max(t.heldUntil(known)-now, t.config.TrialPause)}
-	case known.believed().crashed() < t.config.MinCrashes:
+	case e.Held:
+		return Decision{Verdict: Refuse, Held: true, RetryAfter: max(t.heldUntil(e)-now, t.config.TrialPause)}
+	case e.withLocalSurvivors().countCrashedLeaves() < t.config.MinCrashes:
 		return Decision{}
-	case known.Trial != "" && now < known.changed+t.config.TrialTime:
+	case e.Trial != "" && now < e.changedAt+t.config.TrialTimeout:
 		return Decision{Verdict: Refuse, TrialRunning: true, RetryAfter: t.config.TrialRetryAfter}
 	}
-	if next := known.changed + t.pause(known.Trials-known.believed().survivedTrials()); now < next {
+	if next := e.changedAt + t.trialPause(e.Trials-e.withLocalSurvivors().countSurvivedTrials()); now < next {
 		return Decision{Verdict: Refuse, RetryAfter: next - now}
 	}
-	known.Trials++
-	known.Trial = t.config.Self
-	known.changed, known.unwritten = now, true
-	return Decision{Verdict: Trial, Change: known.change(content)}
+	e.Trials++
+	e.Trial = t.config.Self
+	e.changedAt, e.pendingWrite = now, true
+	return Decision{Verdict: Trial, Change: e.change(content)}
 }
 
 // Withdraw takes back the trial that Admit started, since it was not written, or
 // reached no leaf: then it does not count, and the next may follow at once.
 func (t *Table) Withdraw(content Content) {
-	known := t.entries[content]
-	if known == nil || known.Trial != t.config.Self {
+	e := t.entries[content]
+	if e == nil || e.Trial != t.config.Self {
 		return
 	}
-	known.Trial = ""
-	known.Trials--
-	known.unwritten = true
+	e.Trial = ""
+	e.Trials--
+	e.pendingWrite = true
 }
 
 // pause returns the time from the end of a trial to the next. The second may follow
 // the first at once: a request that did nothing then gets its answer sooner, and
 // another is held sooner.
-func (t *Table) pause(trials int) time.Duration {
+func (t *Table) trialPause(trials int) time.Duration {
 	if trials < t.config.MinTrials {
 		return 0
 	}
@@ -127,33 +127,33 @@
 // Suspect takes in that leaves crashed under a request, and none answered it. It
 // reports whether that is to be written.
 func (t *Table) Suspect(now time.Duration, content Content, route string, crashes []Crash) bool {
-	known := t.entries[content]
-	if known == nil {
+	e := t.entries[content]
+	if e == nil {
 		if !t.takeToken(now) || !t.makeRoom(now) {
 			return false
 		}
-		known = newEntry(Known{Record: Record{Route: route, Odds: 1}}, 0)
-		t.entries[content] = known
+		e = newEntry(Known{Record: Record{Route: route, Odds: 1}}, 0)
+		t.entries[content] = e
 	}
-	if known.cleared {
+	if e.cleared {
 		return false
 	}
-	grown := known.withCrashes(crashes)
-	if grown.equal(known.Record) {
+	merged := e.withCrashes(crashes)
+	if merged.equal(e.Record) {
 		return false
 	}
-	known.Record = grown
-	t.see(now, known, true)
-	known.changed, known.unwritten = now, true
+	e.Record = merged
+	t.observeCrashes(now, e, true)
+	e.changedAt, e.pendingWrite = now, true
 	return true
 }
 
 // takeToken takes a token for the report of a new request, if there is one.
 func (t *Table) takeToken(now time.Duration) bool {
-	earned := (now - t.filled).Seconds() * t.config.Refill / float64(t.nodes)
-	burst := max(min(t.config.Burst, t.config.FleetBurst/float64(t.nodes)), 1)
+	earned := (now - t.tokensUpdatedAt).Seconds() * t.config.FleetReportRate / float64(t.nodes)
+	burst := max(min(t.config.ReportBurst, t.config.FleetReportBurst/float64(t.nodes)), 1)
 	t.tokens = min(t.tokens+earned, burst)
-	t.filled = now
+	t.tokensUpdatedAt = now
 	if t.tokens < 1 {
 		return false
 	}
@@ -169,13 +169,13 @@
 	}
 	t.Expire(now)
 	var oldest Content
-	var found *entry
-	for content, known := range t.entries {
-		if !known.Held && (found == nil || known.changed < found.changed) {
-			oldest, found = content, known
+	var oldestEntry *entry
+	for content, e := range t.entries {
+		if !e.Held && (oldestEntry == nil || e.changedAt < oldestEntry.changedAt) {
+			oldest, oldestEntry = content, e
 		}
 	}
-	if found == nil {
+	if oldestEntry == nil {
 		return false
 	}
 	delete(t.entries, oldest)
@@ -185,9 +185,9 @@
 // Expire drops what was remembered for long enough of requests that the store does
 // not list any more, and of leaves that were lost.
 func (t *Table) Expire(now time.Duration) {
-	t.starts.Expire(now)
-	for content, known := range t.entries {
-		if known.Revision == 0 && !known.unwritten && now >= known.changed+t.config.Memory {
+	t.incarnations.Expire(now)
+	for content, e := range t.entries {
+		if e.Revision == 0 && !e.pendingWrite && now >= e.changedAt+t.config.Retention {
 			delete(t.entries, content)
 		}
 	}
@@ -196,48 +196,48 @@
 // TrialCrashed takes in that the trial of this node crashed its leaf. ByChance is how
 // likely that was, above 0 to 1, if the request does nothing. It reports whether the
 // request became held by it.
-func (t *Table) TrialCrashed(now time.Duration, content Content, crashes []Crash, byChance float64) bool {
-	known := t.entries[content]
-	if known == nil || known.cleared {
+func (t *Table) TrialCrashed(now time.Duration, content Content, crashes []Crash, chance float64) bool {
+	e := t.entries[content]
+	if e == nil || e.cleared {
 		return false
 	}
 	for index := range crashes {
-		crashes[index].Chance = byChance
+		crashes[index].Chance = chance
 	}
-	known.Record = known.withCrashes(crashes)
-	t.see(now, known, true)
-	former := known.Held
-	t.settle(known)
-	t.endTrial(now, known)
-	return known.Held && !former
+	e.Record = e.withCrashes(crashes)
+	t.observeCrashes(now, e, true)
+	wasHeld := e.Held
+	t.updateHold(e)
+	t.endTrial(now, e)
+	return e.Held && !wasHeld
 }
 
 // TrialInconclusive takes in that the trial of this node reached a leaf, and ended with
 // neither a crash nor an answer.
 func (t *Table) TrialInconclusive(now time.Duration, content Content) {
-	if known := t.entries[content]; known != nil {
-		t.endTrial(now, known)
+	if e := t.entries[content]; e != nil {
+		t.endTrial(now, e)
 	}
 }
 
-func (t *Table) endTrial(now time.Duration, known *entry) {
-	if known.Trial == t.config.Self {
-		known.Trial = ""
+func (t *Table) endTrial(now time.Duration, e *entry) {
+	if e.Trial == t.config.Self {
+		e.Trial = ""
 	}
-	known.changed, known.unwritten = now, true
+	e.changedAt, e.pendingWrite = now, true
 }
 
 // Answered takes in that a leaf answered a request, which therefore crashes none. It
 // reports whether that is to be written.
 func (t *Table) Answered(content Content) bool {
-	known := t.entries[content]
-	if known == nil || known.cleared {
+	e := t.entries[content]
+	if e == nil || e.cleared {
 		return false
 	}
-	if known.Revision == 0 && !known.unwritten {
+	if e.Revision == 0 && !e.pendingWrite {
 		delete(t.entries, content)
 		return false
 	}
-	known.cleared, known.unwritten = true, true
+	e.cleared, e.pendingWrite = true, true
 	return true
 }
--- a/internal/decide/quarantine/table_survivors.go
+++ b/internal/decide/quarantine/table_survivors.go
@@ -3,16 +3,16 @@
 import "time"
 
 // newEntry returns what a node knows of a request at first.
-func newEntry(known Known, now time.Duration) *entry {
-	return &entry{Known: known, changed: now, seen: make(map[string]sight)}
+func newEntry(stored Known, now time.Duration) *entry {
+	return &entry{Known: stored, changedAt: now, observations: make(map[string]observation)}
 }
 
 // believed returns the record with what this node knows of leaves that lived on.
-func (e *entry) believed() Record {
+func (e *entry) withLocalSurvivors() Record {
 	record := e.Record
 	cloned := false
-	for index, one := range record.Crashes {
-		if one.Survived || !e.seen[one.Leaf].survived {
+	for index, crash := range record.Crashes {
+		if crash.Survived || !e.observations[crash.Leaf].survived {
 			continue
 		}
 		if !cloned {
@@ -25,59 +25,63 @@
 
 // see takes in the crashes of a record that this node did not know of. Own says that it
 // saw them itself.
-func (t *Table) see(now time.Duration, known *entry, own bool) {
-	for _, one := range known.Crashes {
-		if _, found := known.seen[one.Leaf]; found {
+func (t *Table) observeCrashes(now time.Duration, e *entry, local bool) {
+	for _, crash := range e.Crashes {
+		if _, ok := e.observations[crash.Leaf]; ok {
 			continue
 		}
-		known.seen[one.Leaf] = sight{since: now, own: own}
-		if !own {
-			t.starts.Named(now, one.Leaf)
+		e.observations[crash.Leaf] = observation{knownSince: now, local: local}
+		if !local {
+			t.incarnations.RecordRemoteLoss(now, crash.Leaf)
 		}
 	}
 }
 
 // settle concludes from the crashes whether the request is held. A record without the
 // crash of a trial says that by itself: it was written by a node that does not tell.
-func (t *Table) settle(known *entry) {
-	if !known.trialled() {
+func (t *Table) updateHold(e *entry) {
+	if !e.hasTrialCrash() {
 		return
 	}
-	known.Odds = known.believed().oddsOfTrials()
-	known.Held = known.Trials >= t.config.MinTrials && known.Odds >= t.config.MinOdds
+	e.Odds = e.withLocalSurvivors().computeTrialOdds()
+	e.Held = e.Trials >= t.config.MinTrials && e.Odds >= t.config.MinOdds
 }
 
 // heldUntil returns until when a request is held: for long if its trials crashed leaves
 // that are gone, and else until those have lapsed or are known to live on.
-func (t *Table) heldUntil(known *entry) time.Duration {
-	for _, one := range known.Crashes {
-		if seen := known.seen[one.Leaf]; one.Chance > 0 && seen.announced && !seen.survived {
-			return seen.since + lapseHeartbeats*t.config.Heartbeat + announceTime
+func (t *Table) heldUntil(e *entry) time.Duration {
+	for _, crash := range e.Crashes {
+		if observed := e.observations[crash.Leaf]; crash.Chance > 0 && observed.announced && !observed.survived {
+			return observed.knownSince + expiryHeartbeats*t.config.Heartbeat + maxAnnounceDelay
 		}
 	}
-	return known.changed + t.config.HoldTime
+	return e.changedAt + t.config.HoldDuration
 }
 
 // Lost takes in an attempt at a leaf whose connection was lost before a byte of its
 // answer; see Starts.Lost. It returns the name of the crash; false if it was none.
 func (t *Table) Lost(leaf string, sent, lost time.Duration) (string, bool) {
-	return t.starts.Lost(leaf, sent, lost)
+	return t.incarnations.RecordLoss(leaf, sent, lost)
 }
 
 // LeafAnswered takes in an attempt that a leaf answered, whatever the request.
-func (t *Table) LeafAnswered(leaf string, sent time.Duration) { t.starts.Answered(leaf, sent) }
+func (t *Table) LeafAnswered(leaf string, sent time.Duration) {
+	t.incarnations.RecordAnswer(leaf, sent)
+}
 
 // SetStoreAway says whether the store does not answer.
-func (t *Table) SetStoreAway(now time.Duration, away bool) { t.starts.SetStoreAway(now, away) }
+func (t *Table) SetStoreAway(now time.Duration, unavailable bool) {
+	t.incarnations.SetStoreUnavailable(now, unavailable)
+}
 
 // Suspects returns the leaves that may have crashed or lived on, by the name of their
 // start.
 func (t *Table) Suspects() []string {
 	var leaves []string
-	for _, known := range t.entries {
-		for _, one := range known.Crashes {
-			if !one.Survived && !known.seen[one.Leaf].survived {
-				leaf, _ := leafOf(one.Leaf)
+	for _, e := range t.entries {
+		for _, crash := range e.Crashes {
+			if !crash.Survived && !e.observations[crash.Leaf].survived {
+				leaf, _ := parseCrashID(crash.Leaf)
 				leaves = append(leaves, leaf)
 			}
 		}
@@ -98,26 +102,26 @@
 // What this node said itself is to be written; the others each look for themselves.
 func (t *Table) Review(now time.Duration, announced map[string]bool) []Survivor {
 	var survivors []Survivor
-	for content, known := range t.entries {
-		for index := range known.Crashes {
-			one := &known.Crashes[index]
-			seen := known.seen[one.Leaf]
-			if one.Survived || seen.survived {
+	for content, e := range t.entries {
+		for index := range e.Crashes {
+			crash := &e.Crashes[index]
+			observed := e.observations[crash.Leaf]
+			if crash.Survived || observed.survived {
 				continue
 			}
-			leaf, _ := leafOf(one.Leaf)
-			seen.announced = announced[leaf]
-			seen.survived = seen.announced && t.starts.Survived(now, one.Leaf, seen.since, t.config.Heartbeat)
-			known.seen[one.Leaf] = seen
-			if !seen.survived {
+			leaf, _ := parseCrashID(crash.Leaf)
+			observed.announced = announced[leaf]
+			observed.survived = observed.announced && t.incarnations.HasSurvived(now, crash.Leaf, observed.knownSince, t.config.Heartbeat)
+			e.observations[crash.Leaf] = observed
+			if !observed.survived {
 				continue
 			}
-			if seen.own {
-				one.Survived, known.unwritten = true, true
+			if observed.local {
+				crash.Survived, e.pendingWrite = true, true
 			}
-			held := known.Held
-			t.settle(known)
-			survivors = append(survivors, Survivor{Content: content, Route: known.Route, Leaf: leaf, Released: held && !known.Held})
+			wasHeld := e.Held
+			t.updateHold(e)
+			survivors = append(survivors, Survivor{Content: content, Route: e.Route, Leaf: leaf, Released: wasHeld && !e.Held})
 		}
 	}
 	return survivors
--- /dev/null
+++ b/internal/decide/quarantine/table_test.go
@@ -0,0 +1,232 @@
+package quarantine
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+var (
+	crashingContent = ContentOf("h", []byte("GET /bad HTTP/1.1"), nil)
+	harmlessContent = ContentOf("h", []byte("GET /good HTTP/1.1"), nil)
+)
+
+// play is one Table, with a time that the test moves.
+type scenario struct {
+	*testing.T
+	table   *Table
+	now     time.Duration
+	crashes int
+}
+
+func newScenario(t *testing.T) *scenario {
+	return &scenario{T: t, table: NewTable(DefaultConfig("self"))}
+}
+
+// leaves returns incarnations that were not named before.
+func (p *scenario) newCrashes(count int) []Crash {
+	var crashes []Crash
+	for range count {
+		p.crashes++
+		crashes = append(crashes, NewCrash(fmt.Sprint("leaf-", p.crashes), strings.Repeat("a long id", 100)))
+	}
+	return crashes
+}
+
+func (p *scenario) requireVerdict(content Content, want Verdict) Decision {
+	p.Helper()
+	got := p.table.Admit(p.now, content)
+	if got.Verdict != want {
+		p.Fatalf("at %v: verdict %d (%+v), want %d", p.now, got.Verdict, got, want)
+	}
+	return got
+}
+
+// fail plays a trial that ends with its leaf.
+func (p *scenario) crashTrial(content Content, chance float64) bool {
+	p.Helper()
+	p.requireVerdict(content, Trial)
+	return p.table.TrialCrashed(p.now, content, p.newCrashes(1), chance)
+}
+
+// TestRequestIsHeldAfterTwoTrials, and not before three leaves have ended.
+func TestRequestIsHeldAfterTwoTrials(t *testing.T) {
+	p := newScenario(t)
+	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(2))
+	p.requireVerdict(crashingContent, Run)
+	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(1))
+	if p.crashTrial(crashingContent, 0.05) {
+		t.Fatal("held after one trial")
+	}
+	if !p.crashTrial(crashingContent, 0.05) {
+		t.Fatal("not held after two trials")
+	}
+	if decision := p.requireVerdict(crashingContent, Refuse); !decision.Held || decision.RetryAfter != 5*time.Minute {
+		t.Errorf("held: %+v", decision)
+	}
+	p.requireVerdict(harmlessContent, Run)
+}
+
+// TestTrialsHavePauses from the second on, which grow: a request that is not answered
+// in time takes up one leaf at a time, and seldom.
+func TestPauseBetweenTrialsGrows(t *testing.T) {
+	p := newScenario(t)
+	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(3))
+	for _, want := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second} {
+		p.requireVerdict(crashingContent, Trial)
+		if decision := p.requireVerdict(crashingContent, Refuse); !decision.TrialRunning {
+			t.Errorf("beside a trial: %+v", decision)
+		}
+		p.table.TrialInconclusive(p.now, crashingContent)
+		if want == 0 {
+			continue
+		}
+		if decision := p.requireVerdict(crashingContent, Refuse); decision.Held || decision.TrialRunning || decision.RetryAfter != want {
+			t.Errorf("after a trial: %+v, want %v", decision, want)
+		}
+		p.now += want
+	}
+}
+
+// TestLeavesThatEndByThemselvesProveLittle: where one run in three ends with its leaf
+// whatever the request, two trials do not have it held; where all do, none does.
+func TestTrialsNeededByBackgroundChance(t *testing.T) {
+	for _, test := range []struct {
+		chance float64
+		trials int // until it is held; 0 for never
+	}{{0.05, 2}, {0.1, 2}, {0.14, 3}, {0.33, 5}, {1, 0}} {
+		p := newScenario(t)
+		p.table.Suspect(p.now, harmlessContent, "r", p.newCrashes(3))
+		held := 0
+		for trial := 1; trial <= 20 && held == 0; trial++ {
+			if p.crashTrial(harmlessContent, test.chance) {
+				held = trial
+			}
+			p.now += time.Minute
+		}
+		if held != test.trials {
+			t.Errorf("chance %v: held after %d trials, want %d", test.chance, held, test.trials)
+		}
+	}
+}
+
+// TestAnswerClears a request, also one that is held, and one that others reported.
+func TestAnswerClearsRequest(t *testing.T) {
+	p := newScenario(t)
+	p.table.Set(p.now, harmlessContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	p.requireVerdict(harmlessContent, Refuse)
+	if !p.table.Answered(harmlessContent) {
+		t.Fatal("the store is not told")
+	}
+	p.requireVerdict(harmlessContent, Run)
+	change, pending := p.table.Change(harmlessContent)
+	if !pending || !change.Remove || change.Former != 5 {
+		t.Fatalf("change %+v", change)
+	}
+	p.table.Set(p.now, harmlessContent, Known{Record: Record{Crashes: p.newCrashes(4), Odds: 1}, Revision: 6})
+	p.requireVerdict(harmlessContent, Run)
+	change, _ = p.table.Change(harmlessContent)
+	if change.Former != 6 || !change.Remove {
+		t.Fatalf("change %+v after it was overtaken", change)
+	}
+	p.table.Written(p.now, change, 7)
+	if total, _ := p.table.Len(); total != 0 {
+		t.Error("it is still known")
+	}
+}
+
+// TestHeldRequestIsTriedOnceItsTimeIsOver, or an operator took its key away.
+func TestRequestIsTriedAfterHoldEnds(t *testing.T) {
+	p := newScenario(t)
+	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	if !p.table.Remove(p.now, crashingContent, 9) {
+		t.Error("it was not held")
+	}
+	if decision := p.requireVerdict(crashingContent, Trial); decision.Change.Former != 0 || decision.Change.Record.Trials != 1 {
+		t.Errorf("trial %+v", decision)
+	}
+	p.table.TrialInconclusive(p.now, crashingContent)
+	p.table.Written(p.now, Change{Content: crashingContent, Record: p.table.entries[crashingContent].Record}, 9)
+	p.table.Remove(p.now, crashingContent, 9)
+	p.requireVerdict(crashingContent, Run)
+}
+
+// TestTrialOfALostNodeEnds for the others after a time.
+func TestTrialOfLostNodeTimesOut(t *testing.T) {
+	p := newScenario(t)
+	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
+	p.requireVerdict(crashingContent, Refuse)
+	p.now += 5 * time.Second
+	if decision := p.requireVerdict(crashingContent, Trial); decision.Change.Record.Trials != 2 || decision.Change.Record.Trial != "self" {
+		t.Errorf("%+v", decision)
+	}
+	p.table.Withdraw(crashingContent)
+	if change, _ := p.table.Change(crashingContent); change.Record.Trials != 1 {
+		t.Errorf("a trial that did not begin counts: %+v", change)
+	}
+}
+
+// TestStateIsBounded, whatever callers send: in requests, in the leaves that are
+// named, and in reports a second of all nodes together.
+func TestStateIsBounded(t *testing.T) {
+	p := newScenario(t)
+	p.table.SetNodes(8)
+	reported := 0
+	for number := range 100_000 {
+		content := ContentOf("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil)
+		if p.table.Suspect(p.now, content, "r", p.newCrashes(20)) {
+			reported++
+		}
+		p.now += 10 * time.Millisecond
+	}
+	if seconds := p.now.Seconds(); float64(reported) > 4+seconds*10/8 {
+		t.Errorf("%d reports in %v s by one of eight nodes", reported, seconds)
+	}
+	total, _ := p.table.Len()
+	if total > p.table.config.MaxEntries {
+		t.Errorf("%d requests are known", total)
+	}
+	for _, e := range p.table.entries {
+		if value, err := e.Encode(); err != nil || len(e.Crashes) > maxCrashes || len(value) > 1500 {
+			t.Fatalf("%d bytes, %v: %s", len(value), err, value)
+		}
+	}
+}
+
+// TestLargeFleetsReportNoMoreAtOnce than small ones do, but for one report of each node.
+func TestReportBurstIsDividedAmongNodes(t *testing.T) {
+	for _, test := range []struct{ nodes, want int }{{8, 4}, {100, 4}, {200, 2}, {3900, 1}} {
+		p := newScenario(t)
+		p.table.SetNodes(test.nodes)
+		reported := 0
+		for number := range 10 {
+			if p.table.Suspect(0, ContentOf("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil), "r", p.newCrashes(3)) {
+				reported++
+			}
+		}
+		if reported != test.want {
+			t.Errorf("%d reports at once by one of %d nodes", reported, test.nodes)
+		}
+	}
+}
+
+// TestRemovalThatIsOldNews leaves a record alone that was written since.
+func TestOutdatedRemovalIsIgnored(t *testing.T) {
+	p := newScenario(t)
+	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Held: true}, Revision: 12})
+	if p.table.Remove(p.now, crashingContent, 10) {
+		t.Error("removed by news of before")
+	}
+	p.requireVerdict(crashingContent, Refuse)
+}
+
+// TestRecordsOfOtherWriters are read, or rejected, and never end the process.
+func TestDecodeRecordRejectsInvalidValues(t *testing.T) {
+	for _, text := range []string{"", "{", "null", `{"ended":7,"odds":1}`, `{"ended":["a"],"odds":1}`, `{"trials":-1,"odds":1}`, `{"odds":0}`, `{"odds":1,"ended":[{},{},{},{},{},{},{},{},{}]}`, "\xff\x00"} {
+		record, err := DecodeRecord([]byte(text))
+		if err == nil {
+			t.Errorf("%q is read as %+v", text, record)
+		}
+	}
+}
--- a/internal/decide/quarantine/trial.go
+++ b/internal/decide/quarantine/trial.go
@@ -35,12 +35,12 @@
 )
 
 // WritesTrial reports whether a trial is to be written before it begins.
-func WritesTrial(storeAway bool) bool { return !storeAway }
+func WritesTrial(storeUnavailable bool) bool { return !storeUnavailable }
 
 // trialShare is the part of the timeout of a request of many shards that its trial may
 // take; the rest is for the request itself. Not measured: chosen because both need
 // about the time of one attempt.
-const trialShare = 0.5
+const trialTimeoutShare = 0.5
 
 // TrialPlan is what the trial of a request runs.
 type TrialPlan struct {
@@ -56,14 +56,14 @@
 
 // PlanTrial plans the trial of a request of some shards, one or more. Draw returns a
 // random number from 0 to below its argument; it is called only if there are several.
-func PlanTrial(shards []int, timeout time.Duration, draw func(int) int) TrialPlan {
+func PlanTrial(shards []int, timeout time.Duration, randomIndex func(int) int) TrialPlan {
 	if len(shards) <= 1 {
 		return TrialPlan{Shards: shards, Timeout: timeout, Attempts: 1, Whole: true}
 	}
-	chosen := draw(len(shards))
+	index := randomIndex(len(shards))
 	return TrialPlan{
-		Shards:   shards[chosen : chosen+1],
-		Timeout:  time.Duration(trialShare * float64(timeout)),
+		Shards:   shards[index : index+1],
+		Timeout:  time.Duration(trialTimeoutShare * float64(timeout)),
 		Attempts: 1,
 	}
 }
--- a/internal/decide/quarantine/trial_test.go
+++ b/internal/decide/quarantine/trial_test.go
@@ -8,7 +8,7 @@
 
 // TestTrialReachesOneLeafOfOneShard plans the trials of requests of one and of many
 // shards.
-func TestTrialReachesOneLeafOfOneShard(t *testing.T) {
+func TestPlanTrialUsesOneShardAndOneAttempt(t *testing.T) {
 	last := func(count int) int { return count - 1 }
 	for _, test := range []struct {
 		shards  []int
@@ -28,11 +28,11 @@
 
 // TestTrialIsWrittenUnlessTheStoreIsAway, and a hold lasts as long as its record does at
 // least.
-func TestTrialIsWrittenUnlessTheStoreIsAway(t *testing.T) {
+func TestTrialIsWrittenUnlessStoreIsUnavailable(t *testing.T) {
 	if !WritesTrial(false) || WritesTrial(true) {
 		t.Error("a trial is written to a store that is away, or not to one that answers")
 	}
-	if hold := DefaultConfig("self").HoldTime; hold != RecordTTL/2 {
+	if hold := DefaultConfig("self").HoldDuration; hold != RecordTTL/2 {
 		t.Errorf("held for %s, while records stay for %s", hold, RecordTTL)
 	}
 }
