--- a/internal/decide/rollout/allowance.go
+++ b/internal/decide/rollout/allowance.go
@@ -36,20 +36,20 @@
 	ratio  float64
 	credit float64
 	// reserve is kept for the burst.
-	reserve float64
-	burst   bool
-	granted time.Duration // the grant ends then, on the node's clock
-	closing time.Duration // nothing is earned or spent from then on
+	reserve      float64
+	burst        bool
+	grantedUntil time.Duration // the grant ends then, on the node's clock
+	deadline     time.Duration // nothing is earned or spent from then on
 }
 
 // NewAllowance returns the Allowance of one of some nodes that share the bounds, for an
 // order whose deadline is given, on the node's clock. Part is the node's part of the
 // slack, from 0 to 1: see PartOfSlack. Chance returns a number from 0 to 1.
-func NewAllowance(bounds Bounds, part float64, deadline time.Duration, chance func() float64) *Allowance {
-	made := &Allowance{ratio: bounds.Ratio, closing: deadline}
-	made.credit = round(trialSlack*bounds.Slack*part, chance)
-	made.reserve = round(burstSlack*bounds.Slack*part, chance)
-	return made
+func NewAllowance(bounds Bounds, part float64, deadline time.Duration, random func() float64) *Allowance {
+	allowance := &Allowance{ratio: bounds.Ratio, deadline: deadline}
+	allowance.credit = roundRandomly(trialSlack*bounds.Slack*part, random)
+	allowance.reserve = roundRandomly(burstSlack*bounds.Slack*part, random)
+	return allowance
 }
 
 // HasAllowance reports whether a node spends a part of the bounds. A node that knows of no
@@ -61,17 +61,17 @@
 // PartOfSlack returns the part of the slack that each of some participants, one or more,
 // may spend for one order. For an order that the node found when it started it is zero:
 // the process before it may have spent that part.
-func PartOfSlack(participants int, found bool) float64 {
-	if found {
+func PartOfSlack(participants int, foundAtStart bool) float64 {
+	if foundAtStart {
 		return 0
 	}
 	return 1 / float64(participants)
 }
 
 // round rounds a number up or down by chance, so that its mean stays.
-func round(number float64, chance func() float64) float64 {
+func roundRandomly(number float64, random func() float64) float64 {
 	whole := float64(int(number))
-	if chance() < number-whole {
+	if random() < number-whole {
 		whole++
 	}
 	return whole
@@ -79,7 +79,7 @@
 
 // Earn counts a request that was sent to the service.
 func (a *Allowance) Earn(now time.Duration) {
-	if now >= a.closing {
+	if now >= a.deadline {
 		return
 	}
 	a.credit += trialRatio * a.ratio
@@ -91,7 +91,7 @@
 }
 
 // Grant lets the allowance be spent until a time.
-func (a *Allowance) Grant(until time.Duration) { a.granted = until }
+func (a *Allowance) Grant(until time.Duration) { a.grantedUntil = until }
 
 // Burst lets what was kept back be spent, too.
 func (a *Allowance) Burst() {
@@ -102,7 +102,7 @@
 
 // Allows reports whether an attempt at the target may be sent now.
 func (a *Allowance) Allows(now time.Duration) bool {
-	return now < a.granted && now < a.closing && a.credit >= 1
+	return now < a.grantedUntil && now < a.deadline && a.credit >= 1
 }
 
 // Spend counts an attempt at the target.
--- a/internal/decide/rollout/allowance_test.go
+++ b/internal/decide/rollout/allowance_test.go
@@ -10,7 +10,7 @@
 
 // TestAllowanceKeepsItsBound spends whatever one node may, under any order of
 // requests, grants, bursts and restarts.
-func TestAllowanceKeepsItsBound(t *testing.T) {
+func TestAllowanceStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), Slack: rapid.Float64Range(0, 60).Draw(t, "slack")}
 		chance := func() float64 { return rapid.Float64Range(0, 0.99).Draw(t, "chance") }
@@ -50,10 +50,10 @@
 }
 
 // TestPartsOfTheSlackAddUp divides the slack among many nodes.
-func TestPartsOfTheSlackAddUp(t *testing.T) {
+func TestSlackSharesAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	bounds := Bounds{Slack: 50}
-	for _, nodes := range []int{1, 3, 66, mostNodes} {
+	for _, nodes := range []int{1, 3, 66, maxParticipants} {
 		sum, most := 0, 0
 		for range 200 {
 			spent := 0
--- a/internal/decide/rollout/benchmark_test.go
+++ b/internal/decide/rollout/benchmark_test.go
@@ -10,7 +10,7 @@
 
 // reported returns the report of a node on some orders: two routes each, and three
 // leaves of each version that have been tried.
-func reported(node string, orders int) Report {
+func newBenchmarkReport(node string, orders int) Report {
 	counter := NewCounter()
 	report := Report{Node: node}
 	for order := range orders {
@@ -38,7 +38,7 @@
 func BenchmarkReport(b *testing.B) {
 	for _, orders := range []int{1, 225} {
 		b.Run(fmt.Sprintf("orders=%d", orders), func(b *testing.B) {
-			report := reported("edge-01/01JE", orders)
+			report := newBenchmarkReport("edge-01/01JE", orders)
 			var stream bytes.Buffer
 			encoder := gob.NewEncoder(&stream)
 			if err := encoder.Encode(report); err != nil {
@@ -58,7 +58,7 @@
 
 // BenchmarkTick judges the reports of all nodes once.
 func BenchmarkTick(b *testing.B) {
-	for _, size := range []struct{ nodes, orders int }{{66, 1}, {mostNodes, 1}, {66, 225}} {
+	for _, size := range []struct{ nodes, orders int }{{66, 1}, {maxParticipants, 1}, {66, 225}} {
 		b.Run(fmt.Sprintf("nodes=%d/orders=%d", size.nodes, size.orders), func(b *testing.B) {
 			table := NewTable()
 			for order := range size.orders {
@@ -68,12 +68,12 @@
 			}
 			decider := NewDecider(table, "d")
 			for node := range size.nodes {
-				decider.Report(0, reported(fmt.Sprint(node), size.orders))
+				decider.Report(0, newBenchmarkReport(fmt.Sprint(node), size.orders))
 			}
 			supply := func(string) Supply { return Supply{Target: 6, Control: 6, Mixed: true} }
 			now := time.Duration(0)
 			for b.Loop() {
-				now = min(now+300*time.Millisecond, longGone/2) // later the nodes count as gone
+				now = min(now+300*time.Millisecond, reportRetention/2) // later the nodes count as gone
 				if steps := decider.Tick(now, time.Time{}, supply); len(steps) > 0 {
 					b.Fatalf("%+v", steps[0])
 				}
--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -10,19 +10,19 @@
 	// leastFailing and leastSlowing are how much higher the rates of a bad version are at
 	// least. Not measured: chosen because what is less is not worth taking a version back
 	// for.
-	leastFailing = 0.01
-	leastSlowing = 0.1
+	minFailureIncrease = 0.01
+	minSlowIncrease    = 0.1
 	// leastOvertaken is the same of first attempts that a later one overtook, which are
 	// answered all the same. With 0.1, a version 1.3 times slower was taken back in up to
 	// 12 of 100 plays, with 0.15 in 2; one that is four times slower for three in ten in
 	// 98 to 100, and with 0.25 in 67 to 69.
-	leastOvertaken = 0.15
+	minOvertakenIncrease = 0.15
 	// slowQuantile, slowFactor and slowFloor say what is slow: longer than the quantile of
 	// the control times the factor, and longer by the floor, which is the way to another
 	// zone and back. Not measured by themselves: see the plays of the package comment.
 	slowQuantile = 0.9
 	slowFactor   = 1.5
-	slowFloor    = 10 * time.Millisecond
+	slowMargin   = 10 * time.Millisecond
 	// priorBad and priorGood are the parameters of the Beta distribution of a rate before
 	// anything was counted: one in ten, with the weight of five attempts. Not measured:
 	// chosen because few attempts then outweigh it.
@@ -33,147 +33,147 @@
 // certainty is how strong the evidence must be that a target is bad, as a Bayes factor. A
 // version that is as good as the control reaches a factor at any time with a probability
 // below its inverse (the inequality of Ville).
-type certainty struct {
+type thresholds struct {
 	// all is of all attempts, and rest of those without the worst zone or leaf.
-	all, rest float64
+	all, withoutWorst float64
 }
 
 var (
 	// certain takes a version back at any time.
-	certain = certainty{all: 1000, rest: 20}
+	rollbackThresholds = thresholds{all: 1000, withoutWorst: 20}
 	// doubtful keeps a version from getting all traffic, and ends that. It is looked at
 	// a few times only; what is not seen then costs full exposure.
-	doubtful = certainty{all: 20, rest: 3}
+	shiftThresholds = thresholds{all: 20, withoutWorst: 3}
 )
 
 // rate is how many of some attempts were bad.
-type rate struct{ bad, asked float64 }
+type rate struct{ bad, attempts float64 }
 
-func (r rate) share() float64 { return r.bad / max(r.asked, 1) }
+func (r rate) share() float64 { return r.bad / max(r.attempts, 1) }
 
 // worse reports whether a rate is higher than another by at least some share, and
 // not by chance.
-func worse(target, control rate, least, factor float64) bool {
-	return target.share()-control.share() >= least && logFactor(target, control) >= math.Log(factor)
+func isWorse(target, control rate, minDifference, factor float64) bool {
+	return target.share()-control.share() >= minDifference && logBayesFactor(target, control) >= math.Log(factor)
 }
 
 // logFactor returns the logarithm of the Bayes factor of "each has a rate of its
 // own" against "both have the same".
-func logFactor(a, b rate) float64 {
-	both := rate{bad: a.bad + b.bad, asked: a.asked + b.asked}
-	return a.evidence() + b.evidence() - both.evidence()
+func logBayesFactor(a, b rate) float64 {
+	pooled := rate{bad: a.bad + b.bad, attempts: a.attempts + b.attempts}
+	return a.logMarginalLikelihood() + b.logMarginalLikelihood() - pooled.logMarginalLikelihood()
 }
 
 // evidence is the logarithm of the probability of the counts under the prior.
-func (r rate) evidence() float64 {
-	return logBeta(priorBad+r.bad, priorGood+r.asked-r.bad) - logBeta(priorBad, priorGood)
+func (r rate) logMarginalLikelihood() float64 {
+	return logBeta(priorBad+r.bad, priorGood+r.attempts-r.bad) - logBeta(priorBad, priorGood)
 }
 
 func logBeta(a, b float64) float64 {
-	first, _ := math.Lgamma(a)
-	second, _ := math.Lgamma(b)
-	both, _ := math.Lgamma(a + b)
-	return first + second - both
+	logGammaA, _ := math.Lgamma(a)
+	logGammaB, _ := math.Lgamma(b)
+	logGammaSum, _ := math.Lgamma(a + b)
+	return logGammaA + logGammaB - logGammaSum
 }
 
 // sample is what was counted on one route of a service.
 type sample struct {
 	control Counts
 	// controlAt holds the same by leaf.
-	controlAt map[place]*Counts
+	controlByLeaf map[leafKey]*Counts
 	// target holds the counts of the target by leaf.
-	target map[place]*Counts
+	targetByLeaf map[leafKey]*Counts
 	// stale holds what of target was counted before a leaf was last out of use: what was
 	// good of that says nothing for the version any more (see judgement.dropStale).
-	stale map[place]*Counts
+	staleByLeaf map[leafKey]*Counts
 }
 
 // place is a leaf, and where it is.
-type place struct{ zone, leaf string }
+type leafKey struct{ zone, leaf string }
 
 func newSample() *sample {
-	return &sample{controlAt: make(map[place]*Counts), target: make(map[place]*Counts), stale: make(map[place]*Counts)}
+	return &sample{controlByLeaf: make(map[leafKey]*Counts), targetByLeaf: make(map[leafKey]*Counts), staleByLeaf: make(map[leafKey]*Counts)}
 }
 
 // add takes in the counts of one node on one subject.
 func (s *sample) add(subject Subject, counts *Counts) {
-	leaves := s.target
+	byLeaf := s.targetByLeaf
 	if !subject.Target {
 		s.control.add(counts)
-		leaves = s.controlAt
+		byLeaf = s.controlByLeaf
 	}
-	at := place{zone: subject.Zone, leaf: subject.Leaf}
-	known, found := leaves[at]
-	if !found {
-		known = &Counts{}
-		leaves[at] = known
+	key := leafKey{zone: subject.Zone, leaf: subject.Leaf}
+	total, ok := byLeaf[key]
+	if !ok {
+		total = &Counts{}
+		byLeaf[key] = total
 	}
-	known.add(counts)
+	total.add(counts)
 }
 
 // since returns what was counted after an earlier state; all of it without one.
-func (s *sample) since(earlier *sample) *sample {
+func (s *sample) subtract(earlier *sample) *sample {
 	if earlier == nil {
 		earlier = newSample()
 	}
-	left := &sample{
-		control:   s.control,
-		controlAt: leftOf(s.controlAt, earlier.controlAt),
-		target:    leftOf(s.target, earlier.target),
-		stale:     leftOf(s.stale, earlier.target),
+	difference := &sample{
+		control:       s.control,
+		controlByLeaf: subtractByLeaf(s.controlByLeaf, earlier.controlByLeaf),
+		targetByLeaf:  subtractByLeaf(s.targetByLeaf, earlier.targetByLeaf),
+		staleByLeaf:   subtractByLeaf(s.staleByLeaf, earlier.targetByLeaf),
 	}
-	left.control.subtract(&earlier.control)
-	return left
+	difference.control.subtract(&earlier.control)
+	return difference
 }
 
 // leftOf returns counts by leaf without those of an earlier state.
-func leftOf(counted, earlier map[place]*Counts) map[place]*Counts {
-	left := make(map[place]*Counts, len(counted))
-	for at, counts := range counted {
+func subtractByLeaf(counted, earlier map[leafKey]*Counts) map[leafKey]*Counts {
+	difference := make(map[leafKey]*Counts, len(counted))
+	for key, counts := range counted {
 		copied := *counts
-		if former, found := earlier[at]; found {
-			copied.subtract(former)
+		if previous, ok := earlier[key]; ok {
+			copied.subtract(previous)
 		}
-		left[at] = &copied
+		difference[key] = &copied
 	}
-	return left
+	return difference
 }
 
 // bad says why the target is bad on the route; empty if nothing shows that.
-func (s *sample) bad(how certainty) string {
-	if target, control, found := s.failures().compare(leastFailing, how); found {
-		return fmt.Sprintf("failed %.0f of %.0f attempts, the other version %.0f of %.0f", target.bad, target.asked, control.bad, control.asked)
+func (s *sample) describeRegression(limits thresholds) string {
+	if target, control, regressed := s.failureRates().compare(minFailureIncrease, limits); regressed {
+		return fmt.Sprintf("failed %.0f of %.0f attempts, the other version %.0f of %.0f", target.bad, target.attempts, control.bad, control.attempts)
 	}
-	if target, control, found := s.overtaken().compare(leastOvertaken, how); found {
+	if target, control, regressed := s.overtakenRates().compare(minOvertakenIncrease, limits); regressed {
 		return fmt.Sprintf("was overtaken by a later attempt in %.0f of %.0f first ones, the other version in %.0f of %.0f",
-			target.bad, target.asked, control.bad, control.asked)
+			target.bad, target.attempts, control.bad, control.attempts)
 	}
-	limit, known := s.slowBucket()
-	if !known {
+	bucket, ok := s.slowThresholdBucket()
+	if !ok {
 		return ""
 	}
-	slows := s.slowRates(func(counts *Counts) rate {
-		return rate{bad: float64(counts.Took.above(limit)), asked: float64(counts.Took.total())}
+	slowness := s.slownessRates(func(counts *Counts) rate {
+		return rate{bad: float64(counts.Took.countAbove(bucket)), attempts: float64(counts.Took.total())}
 	})
-	if target, control, found := slows.compare(leastSlowing, how); found {
+	if target, control, regressed := slowness.compare(minSlowIncrease, limits); regressed {
 		return fmt.Sprintf("took over %s in %.0f of %.0f attempts, the other version in %.0f of %.0f",
-			bucketEnd(limit).Round(time.Millisecond), target.bad, target.asked, control.bad, control.asked)
+			bucketEnd(bucket).Round(time.Millisecond), target.bad, target.attempts, control.bad, control.attempts)
 	}
 	return ""
 }
 
 // failures are the rates of attempts that brought no answer.
-func (s *sample) failures() rates {
-	return s.rates(func(counts *Counts) rate {
-		return rate{bad: float64(counts.Failed), asked: float64(counts.asked())}
+func (s *sample) failureRates() rateComparison {
+	return s.measureRates(func(counts *Counts) rate {
+		return rate{bad: float64(counts.Failed), attempts: float64(counts.total())}
 	})
 }
 
 // overtaken are the rates of first attempts that a later one overtook. A slow version
 // shows there first: its times are those until the answer of the hedge.
-func (s *sample) overtaken() rates {
-	return s.slowRates(func(counts *Counts) rate {
-		return rate{bad: float64(counts.Overtaken), asked: float64(counts.First)}
+func (s *sample) overtakenRates() rateComparison {
+	return s.slownessRates(func(counts *Counts) rate {
+		return rate{bad: float64(counts.Overtaken), attempts: float64(counts.First)}
 	})
 }
 
@@ -181,52 +181,52 @@
 // deaf or slow for a time takes a share of the attempts that hides a slow version. With
 // three leaves of which one is deaf, a version four times slower was taken back in 49 to
 // 96 of 100 plays with that leaf counted.
-func (s *sample) slowRates(of func(*Counts) rate) rates {
-	made := s.rates(of)
-	leaves := make(map[string]rate, len(s.controlAt))
-	for at, counts := range s.controlAt {
-		leaves[at.leaf] = leaves[at.leaf].plus(of(counts))
+func (s *sample) slownessRates(measure func(*Counts) rate) rateComparison {
+	result := s.measureRates(measure)
+	byLeaf := make(map[string]rate, len(s.controlByLeaf))
+	for key, counts := range s.controlByLeaf {
+		byLeaf[key.leaf] = byLeaf[key.leaf].add(measure(counts))
 	}
-	if rest, some := withoutWorst(leaves, made.control); some {
-		made.control = rest
+	if rest, ok := excludeWorst(byLeaf, result.control); ok {
+		result.control = rest
 	}
-	return made
+	return result
 }
 
 // slowBucket returns the bucket above which an attempt is slow; false while too
 // little is known of the other version.
-func (s *sample) slowBucket() (int, bool) {
-	bucket, known := s.usualBucket()
-	if !known {
+func (s *sample) slowThresholdBucket() (int, bool) {
+	bucket, ok := s.controlQuantileBucket()
+	if !ok {
 		return 0, false
 	}
-	usual := bucketEnd(bucket)
-	return min(bucketOf(max(time.Duration(slowFactor*float64(usual)), usual+slowFloor)), buckets-2), true
+	usualTime := bucketEnd(bucket)
+	return min(bucketIndex(max(time.Duration(slowFactor*float64(usualTime)), usualTime+slowMargin)), bucketCount-2), true
 }
 
 // usualBucket returns the bucket of the quantile slowQuantile of the other version, without
 // the leaf that makes it longest: beside one that is deaf for a time, nothing would be
 // slow. It is false while too little is known.
-func (s *sample) usualBucket() (int, bool) {
-	usual, known := s.control.Took.quantile(slowQuantile)
-	for _, counts := range s.controlAt {
+func (s *sample) controlQuantileBucket() (int, bool) {
+	usual, ok := s.control.Took.quantile(slowQuantile)
+	for _, counts := range s.controlByLeaf {
 		rest := s.control
 		rest.subtract(counts)
 		if bucket, enough := rest.Took.quantile(slowQuantile); enough && bucket < usual {
 			usual = bucket
 		}
 	}
-	return usual, known
+	return usual, ok
 }
 
 // quantile returns the bucket of a quantile; false if it is one of too few.
-func (h *Histogram) quantile(share float64) (int, bool) {
+func (h *Histogram) quantile(quantile float64) (int, bool) {
 	total := h.total()
-	if total < leastForQuantile {
+	if total < minAttemptsForQuantile {
 		return 0, false
 	}
 	bucket := 0
-	for float64(total-h.above(bucket)) < share*float64(total) {
+	for float64(total-h.countAbove(bucket)) < quantile*float64(total) {
 		bucket++
 	}
 	return bucket, true
@@ -234,70 +234,70 @@
 
 // leastForQuantile is how many attempts a quantile is taken of at least. Not measured:
 // chosen because a 0.9 quantile of fewer is the slowest of them.
-const leastForQuantile = 10
+const minAttemptsForQuantile = 10
 
 // rates are the rates of one kind on a route.
-type rates struct {
-	control rate
-	target  map[place]rate
+type rateComparison struct {
+	control      rate
+	targetByLeaf map[leafKey]rate
 }
 
-func (s *sample) rates(of func(*Counts) rate) rates {
-	made := rates{control: of(&s.control), target: make(map[place]rate, len(s.target))}
-	for at, counts := range s.target {
-		counted := of(counts)
-		if stale, found := s.stale[at]; found {
-			former := of(stale)
-			counted.asked -= former.asked - former.bad
+func (s *sample) measureRates(measure func(*Counts) rate) rateComparison {
+	result := rateComparison{control: measure(&s.control), targetByLeaf: make(map[leafKey]rate, len(s.targetByLeaf))}
+	for key, counts := range s.targetByLeaf {
+		measured := measure(counts)
+		if stale, ok := s.staleByLeaf[key]; ok {
+			excluded := measure(stale)
+			measured.attempts -= excluded.attempts - excluded.bad
 		}
-		made.target[at] = counted
+		result.targetByLeaf[key] = measured
 	}
-	return made
+	return result
 }
 
 // compare reports whether the target is worse, also without the zone of its leaves
 // with most bad attempts, or without that leaf if all are in one zone: a leaf or a
 // zone that is in trouble is no fault of the version.
-func (r rates) compare(least float64, how certainty) (target, control rate, found bool) {
-	target, rest, some := r.ofTarget()
-	if !worse(target, r.control, least, how.all) {
+func (r rateComparison) compare(minDifference float64, limits thresholds) (target, control rate, regressed bool) {
+	target, rest, separable := r.sumTarget()
+	if !isWorse(target, r.control, minDifference, limits.all) {
 		return target, r.control, false
 	}
-	return target, r.control, !some || worse(rest, r.control, least, how.rest)
+	return target, r.control, !separable || isWorse(rest, r.control, minDifference, limits.withoutWorst)
 }
 
 // ofTarget returns the rate of the target, and that without its worst zone, or leaf;
 // some is false if all attempts are of one leaf.
-func (r rates) ofTarget() (whole, rest rate, some bool) {
+func (r rateComparison) sumTarget() (whole, rest rate, separable bool) {
 	byZone, byLeaf := make(map[string]rate), make(map[string]rate)
-	for at, one := range r.target {
-		whole = whole.plus(one)
-		byZone[at.zone] = byZone[at.zone].plus(one)
-		byLeaf[at.leaf] = byLeaf[at.leaf].plus(one)
+	for key, measured := range r.targetByLeaf {
+		whole = whole.add(measured)
+		byZone[key.zone] = byZone[key.zone].add(measured)
+		byLeaf[key.leaf] = byLeaf[key.leaf].add(measured)
 	}
-	if rest, some = withoutWorst(byZone, whole); !some {
-		rest, some = withoutWorst(byLeaf, whole)
+	if rest, separable = excludeWorst(byZone, whole); !separable {
+		rest, separable = excludeWorst(byLeaf, whole)
 	}
-	return whole, rest, some
+	return whole, rest, separable
 }
 
-func (r rate) plus(other rate) rate {
-	return rate{bad: r.bad + other.bad, asked: r.asked + other.asked}
+func (r rate) add(other rate) rate {
+	return rate{bad: r.bad + other.bad, attempts: r.attempts + other.attempts}
 }
 
 // withoutWorst takes the part with most bad attempts out of a whole; false if all
 // attempts are of one part.
-func withoutWorst(parts map[string]rate, whole rate) (rate, bool) {
+func excludeWorst(parts map[string]rate, whole rate) (rate, bool) {
 	worst := rate{bad: -1}
-	asked := 0
+	withAttempts := 0
 	for _, part := range parts {
-		if part.asked == 0 {
+		if part.attempts == 0 {
 			continue
 		}
-		asked++
-		if part.bad > worst.bad || part.bad == worst.bad && part.asked < worst.asked {
+		withAttempts++
+		if part.bad > worst.bad || part.bad == worst.bad && part.attempts < worst.attempts {
 			worst = part
 		}
 	}
-	return rate{bad: whole.bad - worst.bad, asked: whole.asked - worst.asked}, asked > 1
+	return rate{bad: whole.bad - worst.bad, attempts: whole.attempts - worst.attempts}, withAttempts > 1
 }
--- a/internal/decide/rollout/counts.go
+++ b/internal/decide/rollout/counts.go
@@ -11,26 +11,26 @@
 // bucketStep to the power of n; the last one has no end. Not measured: chosen because a
 // step is less than slowFactor, and the range, 1 ms to 6.3 s, holds the times of attempts.
 const (
-	buckets     = 28
-	firstBucket = time.Millisecond
-	bucketStep  = 1.4
+	bucketCount    = 28
+	firstBucketEnd = time.Millisecond
+	bucketGrowth   = 1.4
 )
 
 // Histogram counts attempts by the time that they took.
-type Histogram [buckets]uint32
+type Histogram [bucketCount]uint32
 
 // bucketOf returns the bucket of a time.
-func bucketOf(took time.Duration) int {
-	if took <= firstBucket {
+func bucketIndex(took time.Duration) int {
+	if took <= firstBucketEnd {
 		return 0
 	}
-	steps := math.Ceil(math.Log(float64(took)/float64(firstBucket)) / math.Log(bucketStep))
-	return min(int(steps), buckets-1)
+	steps := math.Ceil(math.Log(float64(took)/float64(firstBucketEnd)) / math.Log(bucketGrowth))
+	return min(int(steps), bucketCount-1)
 }
 
 // bucketEnd returns the longest time of a bucket.
 func bucketEnd(bucket int) time.Duration {
-	return time.Duration(float64(firstBucket) * math.Pow(bucketStep, float64(bucket)))
+	return time.Duration(float64(firstBucketEnd) * math.Pow(bucketGrowth, float64(bucket)))
 }
 
 // total returns how many attempts are counted.
@@ -43,7 +43,7 @@
 }
 
 // above returns how many took longer than the bucket.
-func (h *Histogram) above(bucket int) uint32 {
+func (h *Histogram) countAbove(bucket int) uint32 {
 	sum := uint32(0)
 	for _, count := range h[bucket+1:] {
 		sum += count
@@ -92,7 +92,7 @@
 }
 
 // asked returns how many attempts ended.
-func (c *Counts) asked() uint32 { return c.Failed + c.Took.total() }
+func (c *Counts) total() uint32 { return c.Failed + c.Took.total() }
 
 // Subject is what counts are of.
 type Subject struct {
@@ -119,30 +119,30 @@
 // NewCounter returns an empty Counter.
 func NewCounter() *Counter { return &Counter{rows: make(map[Subject]*Counts)} }
 
-func (c *Counter) counts(subject Subject) *Counts {
-	known, found := c.rows[subject]
-	if !found {
-		known = &Counts{}
-		c.rows[subject] = known
+func (c *Counter) countsOf(subject Subject) *Counts {
+	counts, ok := c.rows[subject]
+	if !ok {
+		counts = &Counts{}
+		c.rows[subject] = counts
 	}
-	return known
+	return counts
 }
 
 // Failed counts an attempt that brought no answer.
-func (c *Counter) Failed(subject Subject) { c.counts(subject).Failed++ }
+func (c *Counter) Failed(subject Subject) { c.countsOf(subject).Failed++ }
 
 // Took counts an attempt that was answered, or for which another one was, after a time.
 func (c *Counter) Took(subject Subject, took time.Duration) {
-	c.counts(subject).Took[bucketOf(took)]++
+	c.countsOf(subject).Took[bucketIndex(took)]++
 }
 
 // First counts that an attempt was the first of its shard, and after which time a later one
 // was answered before it; zero if none was. What was overtaken within slowFloor is not
 // slow: where leaves take less than a millisecond hedges overtake one that takes 10.
 func (c *Counter) First(subject Subject, overtaken time.Duration) {
-	counts := c.counts(subject)
+	counts := c.countsOf(subject)
 	counts.First++
-	if overtaken >= slowFloor {
+	if overtaken >= slowMargin {
 		counts.Overtaken++
 	}
 }
--- a/internal/decide/rollout/decider.go
+++ b/internal/decide/rollout/decider.go
@@ -9,16 +9,16 @@
 	// gathering is how long a decider receives reports before it moves traffic to a
 	// target: until then the counts of some nodes may be missing. Not measured: chosen
 	// because it is three intervals of reports, which are 0.3 s for up to 60 nodes.
-	gathering = time.Second
+	minGatheringTime = time.Second
 	// longGone is how long the counts of a node are kept that reports nothing any more.
 	// Not measured: chosen because it is longer than most orders last.
-	longGone = 10 * time.Minute
+	reportRetention = 10 * time.Minute
 	// writePause is the time between two tries of the same transition. Not measured:
 	// chosen because a store that is away need not be asked more often.
-	writePause = 500 * time.Millisecond
+	transitionRetryPause = 500 * time.Millisecond
 	// tickPause is how many times longer than a Tick the pause after it is at least: with
 	// 225 orders on a fifth of a core one takes 0.2 s, in which requests wait.
-	tickPause = 10
+	tickPauseFactor = 10
 )
 
 // Supply is what there is of a service's leaves.
@@ -35,28 +35,28 @@
 
 // nodeReport is what a node has reported: its newest counts, and how far it was last.
 type nodeReport struct {
-	rows   map[Subject]Counts
-	orders []Progress
-	at     time.Duration
+	rows       map[Subject]Counts
+	orders     []Progress
+	receivedAt time.Duration
 }
 
 // Decider judges versions and takes the steps of roll-outs. It is not safe for
 // concurrent use.
 type Decider struct {
-	table      *Table
-	reports    map[string]*nodeReport
-	judgements map[string]*judgement
+	table       *Table
+	reports     map[string]*nodeReport
+	evaluations map[string]*evaluation
 	// incarnation names the process that decides.
-	incarnation string
-	last        time.Duration // of the last report
+	incarnation  string
+	lastReportAt time.Duration // of the last report
 	// begun is since when reports come without a long pause.
-	begun time.Duration
+	reportingSince time.Duration
 }
 
 // NewDecider returns a Decider of the roll-outs in a table, with the name of its
 // process.
 func NewDecider(table *Table, incarnation string) *Decider {
-	return &Decider{table: table, incarnation: incarnation, reports: make(map[string]*nodeReport), judgements: make(map[string]*judgement)}
+	return &Decider{table: table, incarnation: incarnation, reports: make(map[string]*nodeReport), evaluations: make(map[string]*evaluation)}
 }
 
 // Report takes in the report of a node, and answers it.
@@ -66,21 +66,21 @@
 		return reply // it lacks what another decider has received
 	}
 	if !d.Active(now) {
-		d.begun = now
+		d.reportingSince = now
 	}
-	d.last = now
-	d.keep(now, report)
-	for _, one := range report.Orders {
-		d.table.Merge(now, one.Service, one.Order, one.Age, Record{}, one.Bad)
+	d.lastReportAt = now
+	d.recordReport(now, report)
+	for _, progress := range report.Orders {
+		d.table.Merge(now, progress.Service, progress.Order, progress.Age, Record{}, progress.Bad)
 	}
-	for _, one := range report.Orders {
-		known := d.table.Of(one.Service)
-		if known == nil || known.Order.Revision != one.Order {
+	for _, progress := range report.Orders {
+		rollout := d.table.Of(progress.Service)
+		if rollout == nil || rollout.Order.Revision != progress.Order {
 			continue
 		}
 		reply.Grants = append(reply.Grants, Grant{
-			Service: one.Service, Order: one.Order, Open: known.granted(now), Bad: known.Bad,
-			Age: known.Age(now), Record: known.Record,
+			Service: progress.Service, Order: progress.Order, Open: rollout.isGrantOpen(now), Bad: rollout.Bad,
+			Age: rollout.Age(now), Record: rollout.Record,
 		})
 	}
 	return reply
@@ -88,64 +88,64 @@
 
 // keep takes in a report. Counts only grow, so one that comes twice or late does no harm
 // that the next does not mend.
-func (d *Decider) keep(now time.Duration, report Report) {
-	known, found := d.reports[report.Node]
-	if !found {
-		known = &nodeReport{rows: make(map[Subject]Counts)}
-		d.reports[report.Node] = known
+func (d *Decider) recordReport(now time.Duration, report Report) {
+	stored, ok := d.reports[report.Node]
+	if !ok {
+		stored = &nodeReport{rows: make(map[Subject]Counts)}
+		d.reports[report.Node] = stored
 	}
 	for _, row := range report.Rows {
-		known.rows[row.Subject] = row.Counts
+		stored.rows[row.Subject] = row.Counts
 	}
-	known.orders, known.at = report.Orders, now
+	stored.orders, stored.receivedAt = report.Orders, now
 }
 
 // Nodes returns how many nodes' counts are known.
 func (d *Decider) Nodes() int { return len(d.reports) }
 
 // granted reports whether nodes may spend their allowances.
-func (r *Rollout) granted(now time.Duration) bool {
+func (r *Rollout) isGrantOpen(now time.Duration) bool {
 	phase := r.Phase()
 	return (phase == PhaseTrial || phase == PhaseBurst) && r.Bad == "" && r.Age(now) < r.Order.Duration
 }
 
 // Active reports whether a node has reported lately: this one decides.
 func (d *Decider) Active(now time.Duration) bool {
-	return len(d.reports) > 0 && now-d.last < reportMemory
+	return len(d.reports) > 0 && now-d.lastReportAt < reportTTL
 }
 
 // TickPause returns the least pause from the start of a Tick, which took some time, to the
 // next.
-func TickPause(took time.Duration) time.Duration { return tickPause * took }
+func TickPause(took time.Duration) time.Duration { return tickPauseFactor * took }
 
 // Tick judges the targets of all open roll-outs, and returns the steps to take. A
 // step that is not taken, or whose fate is not known, is returned again.
 func (d *Decider) Tick(now time.Duration, clock time.Time, supply func(service string) Supply) []Transition {
-	d.forget(now)
-	var steps []Transition
-	counted := d.collect()
+	d.expire(now)
+	var transitions []Transition
+	counts := d.aggregateCounts()
 	for _, service := range d.table.Open() {
-		known := d.table.Of(service)
-		judged := d.judgementOf(now, service, known)
-		routes, there := counted[service], supply(service)
-		judged.dropStale(routes, there.Usable)
-		if known.Bad == "" {
-			known.Bad = judged.judge(now, routes)
+		rollout := d.table.Of(service)
+		eval := d.evaluationFor(now, service, rollout)
+		routes, available := counts[service], supply(service)
+		eval.markStale(routes, available.Usable)
+		if rollout.Bad == "" {
+			rollout.Bad = eval.evaluate(now, routes)
 		}
-		phase, reason := d.next(now, known, judged, amountOf(routes), there)
+		phase, reason := d.nextPhase(now, rollout, eval, sumAttempts(routes), available)
 		if phase == PhaseShift {
-			phase, reason = judged.mayShift(known, routes, known.Age(now) >= known.Order.Duration)
+			phase, reason = eval.confirmShift(rollout, routes, rollout.Age(now) >= rollout.Order.Duration)
 		}
-		if phase != PhaseTrial && phase != PhaseRolledBack && now-d.begun < gathering {
+		if phase != PhaseTrial && phase != PhaseRolledBack && now-d.reportingSince < minGatheringTime {
 			continue
 		}
-		if phase == PhaseNone || judged.triedAt > 0 && now-judged.triedAt < writePause {
+		if phase == PhaseNone || eval.transitionReturnedAt > 0 && now-eval.transitionReturnedAt < transitionRetryPause {
 			continue
 		}
-		judged.triedAt = now
-		steps = append(steps, known.transition(phase, reason, clock.Add(-known.Age(now))))
+		eval.transitionReturnedAt = now
+		transitions = append(transitions, rollout.transition(phase, reason, clock.Add(-rollout.Age(now))))
 	}
-	return steps
+	return transitions
 }
 
 // transition makes the step to a phase.
@@ -163,59 +163,59 @@
 // forget drops what is known of orders that are closed or were replaced, and of nodes
 // that are long gone. Counts under an order that is not known here yet stay: they are
 // not reported again.
-func (d *Decider) forget(now time.Duration) {
+func (d *Decider) expire(now time.Duration) {
 	open := d.table.Open()
-	for service := range d.judgements {
+	for service := range d.evaluations {
 		if !slices.Contains(open, service) {
-			delete(d.judgements, service)
+			delete(d.evaluations, service)
 		}
 	}
 	for node, report := range d.reports {
-		if now-report.at > longGone {
+		if now-report.receivedAt > reportRetention {
 			delete(d.reports, node)
 			continue
 		}
 		for subject := range report.rows {
-			if known := d.table.Of(subject.Service); known != nil && subject.Order < known.Order.Revision {
+			if rollout := d.table.Of(subject.Service); rollout != nil && subject.Order < rollout.Order.Revision {
 				delete(report.rows, subject)
 			}
 		}
 	}
 }
 
-func (d *Decider) judgementOf(now time.Duration, service string, known *Rollout) *judgement {
-	judged, found := d.judgements[service]
-	if !found || judged.order != known.Order.Revision {
-		judged = &judgement{order: known.Order.Revision, since: now, stale: make(map[countedAt]Counts)}
-		d.judgements[service] = judged
+func (d *Decider) evaluationFor(now time.Duration, service string, rollout *Rollout) *evaluation {
+	eval, ok := d.evaluations[service]
+	if !ok || eval.order != rollout.Order.Revision {
+		eval = &evaluation{order: rollout.Order.Revision, phaseSince: now, stale: make(map[routeLeaf]Counts)}
+		d.evaluations[service] = eval
 	}
-	if phase := known.Phase(); judged.phase != phase {
-		judged.phase, judged.since, judged.triedAt = phase, now, 0
+	if phase := rollout.Phase(); eval.phase != phase {
+		eval.phase, eval.phaseSince, eval.transitionReturnedAt = phase, now, 0
 	}
-	return judged
+	return eval
 }
 
 // collect adds up the counts of all nodes under the orders in force, by service and
 // route.
-func (d *Decider) collect() map[string]map[string]*sample {
+func (d *Decider) aggregateCounts() map[string]map[string]*sample {
 	services := make(map[string]map[string]*sample)
 	for _, report := range d.reports {
 		for subject, counts := range report.rows {
-			known := d.table.Of(subject.Service)
-			if known == nil || known.Order.Revision != subject.Order {
+			rollout := d.table.Of(subject.Service)
+			if rollout == nil || rollout.Order.Revision != subject.Order {
 				continue
 			}
-			routes, found := services[subject.Service]
-			if !found {
+			routes, ok := services[subject.Service]
+			if !ok {
 				routes = make(map[string]*sample)
 				services[subject.Service] = routes
 			}
-			counted, found := routes[subject.Route]
-			if !found {
-				counted = newSample()
-				routes[subject.Route] = counted
+			current, ok := routes[subject.Route]
+			if !ok {
+				current = newSample()
+				routes[subject.Route] = current
 			}
-			counted.add(subject, &counts)
+			current.add(subject, &counts)
 		}
 	}
 	return services
--- a/internal/decide/rollout/decider_test.go
+++ b/internal/decide/rollout/decider_test.go
@@ -16,12 +16,12 @@
 	order    uint64
 }
 
-func (m *modelStore) advance(step Transition) bool {
-	if step.Order != m.order || step.Former != m.record.Revision {
+func (m *modelStore) advance(transition Transition) bool {
+	if transition.Order != m.order || transition.Former != m.record.Revision {
 		return false
 	}
 	m.revision++
-	m.record = step.Record
+	m.record = transition.Record
 	m.record.Revision = m.revision
 	return true
 }
@@ -30,7 +30,7 @@
 // either or none, with writes that are lost or not answered, and orders that come and
 // go: what the store holds only moves forward, and no order that was taken back is
 // completed.
-func TestTwoDecidersDoNoHarm(t *testing.T) {
+func TestConcurrentDecidersOnlyAdvancePhases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &modelStore{revision: 1}
 		tables := []*Table{NewTable(), NewTable()}
@@ -39,7 +39,7 @@
 		ended := make(map[uint64]Phase)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond
-			at := rapid.IntRange(0, 1).Draw(t, "decider")
+			index := rapid.IntRange(0, 1).Draw(t, "decider")
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
 				store.revision++
@@ -51,36 +51,36 @@
 				}
 			case 2, 3, 4: // a node hears of the store
 				if store.order == 0 {
-					tables[at].Withdraw(playService)
+					tables[index].Withdraw(testService)
 				} else {
-					tables[at].SetOrder(now, Order{Service: playService, Version: fmt.Sprint("v", version), Duration: 6 * time.Second, Revision: store.order})
+					tables[index].SetOrder(now, Order{Service: testService, Version: fmt.Sprint("v", version), Duration: 6 * time.Second, Revision: store.order})
 				}
 				if store.record.Phase != PhaseNone {
-					tables[at].SetRecord(store.record)
+					tables[index].SetRecord(store.record)
 				}
 			default:
-				report := Report{Node: "a", Orders: []Progress{{Service: playService, Order: store.order, Phase: store.record.Phase}}}
+				report := Report{Node: "a", Orders: []Progress{{Service: testService, Order: store.order, Phase: store.record.Phase}}}
 				if rapid.IntRange(0, 9).Draw(t, "bad") == 0 {
 					report.Orders[0].Bad = "told so"
 				}
-				deciders[at].Report(now, report)
+				deciders[index].Report(now, report)
 				supply := func(string) Supply { return Supply{Target: 2, Control: 2, Mixed: true} }
-				for _, step := range deciders[at].Tick(now, time.Time{}.Add(now), supply) {
-					former := store.record
-					if rapid.IntRange(0, 4).Draw(t, "lost") == 0 || !store.advance(step) {
+				for _, transition := range deciders[index].Tick(now, time.Time{}.Add(now), supply) {
+					previous := store.record
+					if rapid.IntRange(0, 4).Draw(t, "lost") == 0 || !store.advance(transition) {
 						continue
 					}
-					if !store.record.follows(former) {
-						t.Fatalf("from %+v to %+v", former, store.record)
+					if !store.record.follows(previous) {
+						t.Fatalf("from %+v to %+v", previous, store.record)
 					}
-					if known, over := ended[store.record.Order]; over {
-						t.Fatalf("order %d: %s, and then %s", store.record.Order, known, store.record.Phase)
+					if finalPhase, ok := ended[store.record.Order]; ok {
+						t.Fatalf("order %d: %s, and then %s", store.record.Order, finalPhase, store.record.Phase)
 					}
 					if store.record.Phase.Ended() {
 						ended[store.record.Order] = store.record.Phase
 					}
 					if rapid.IntRange(0, 4).Draw(t, "answered") > 0 {
-						tables[at].SetRecord(store.record)
+						tables[index].SetRecord(store.record)
 					}
 				}
 			}
@@ -88,30 +88,38 @@
 	})
 }
 
-func TestNextStep(t *testing.T) {
+func TestNextPhase(t *testing.T) {
 	const deadline = 10 * time.Second
-	ample := Supply{Target: 4, Control: 6, Mixed: true}
+	enoughSlots := Supply{Target: 4, Control: 6, Mixed: true}
 	for _, test := range []struct {
 		name  string
 		phase Phase
 
 		next func() (Phase, string)
 	}{
-		{"trial goes on", PhaseNone, func() (Phase, string) { return nextOfTrial(time.Second, deadline, 5*time.Second, ample) }},
-		{"all leaves have the version", PhaseCompleted, func() (Phase, string) { return nextOfTrial(0, deadline, 5*time.Second, Supply{Target: 4}) }},
-		{"the trial is over", PhaseBurst, func() (Phase, string) { return nextOfTrial(5*time.Second, deadline, 5*time.Second, ample) }},
+		{"trial goes on", PhaseNone, func() (Phase, string) { return nextAfterTrial(time.Second, deadline, 5*time.Second, enoughSlots) }},
+		{"all leaves have the version", PhaseCompleted, func() (Phase, string) { return nextAfterTrial(0, deadline, 5*time.Second, Supply{Target: 4}) }},
+		{"the trial is over", PhaseBurst, func() (Phase, string) { return nextAfterTrial(5*time.Second, deadline, 5*time.Second, enoughSlots) }},
 		{"too few slots yet", PhaseNone, func() (Phase, string) {
-			return nextOfTrial(6*time.Second, deadline, 5*time.Second, Supply{Target: 1, Control: 6, Mixed: true})
+			return nextAfterTrial(6*time.Second, deadline, 5*time.Second, Supply{Target: 1, Control: 6, Mixed: true})
 		}},
 		{"no leaf came", PhaseRolledBack, func() (Phase, string) {
-			return nextOfTrial(deadline, deadline, 5*time.Second, Supply{Control: 6, Mixed: true})
+			return nextAfterTrial(deadline, deadline, 5*time.Second, Supply{Control: 6, Mixed: true})
 		}},
-		{"burst goes on", PhaseNone, func() (Phase, string) { return nextOfBurst(time.Second, 6*time.Second, deadline, amount{50, 500}) }},
-		{"burst is over", PhaseShift, func() (Phase, string) { return nextOfBurst(burstTime, 6*time.Second, deadline, amount{50, 500}) }},
-		{"little traffic", PhaseShift, func() (Phase, string) { return nextOfBurst(burstTime, 6*time.Second, deadline, amount{0, 5}) }},
-		{"no evidence yet", PhaseNone, func() (Phase, string) { return nextOfBurst(burstTime, 6*time.Second, deadline, amount{3, 500}) }},
-		{"late, and the burst goes on", PhaseNone, func() (Phase, string) { return nextOfBurst(time.Second, deadline, deadline, amount{3, 500}) }},
-		{"no evidence", PhaseRolledBack, func() (Phase, string) { return nextOfBurst(burstTime, deadline, deadline, amount{3, 500}) }},
+		{"burst goes on", PhaseNone, func() (Phase, string) {
+			return nextAfterBurst(time.Second, 6*time.Second, deadline, attemptTotals{50, 500})
+		}},
+		{"burst is over", PhaseShift, func() (Phase, string) {
+			return nextAfterBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{50, 500})
+		}},
+		{"little traffic", PhaseShift, func() (Phase, string) {
+			return nextAfterBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{0, 5})
+		}},
+		{"no evidence yet", PhaseNone, func() (Phase, string) {
+			return nextAfterBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{3, 500})
+		}},
+		{"late, and the burst goes on", PhaseNone, func() (Phase, string) { return nextAfterBurst(time.Second, deadline, deadline, attemptTotals{3, 500}) }},
+		{"no evidence", PhaseRolledBack, func() (Phase, string) { return nextAfterBurst(minBurstTime, deadline, deadline, attemptTotals{3, 500}) }},
 	} {
 		if phase, _ := test.next(); phase != test.phase {
 			t.Errorf("%s: %q", test.name, phase)
@@ -121,12 +129,12 @@
 
 // TestDeciderHeedsNoReportThatLeavesOutWhatAnotherKnows, and moves no traffic before
 // it has heard the nodes for some time.
-func TestDeciderHeedsNoReportThatLeavesOutWhatAnotherKnows(t *testing.T) {
+func TestDeciderIgnoresReportBasedOnOtherDecider(t *testing.T) {
 	table := NewTable()
-	table.SetOrder(0, Order{Service: playService, Version: "v2", Duration: 10 * time.Second, Revision: 1})
-	table.SetRecord(record(1, PhaseBurst, 2))
+	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: 10 * time.Second, Revision: 1})
+	table.SetRecord(newTestRecord(1, PhaseBurst, 2))
 	decider := NewDecider(table, "new")
-	progress := []Progress{{Service: playService, Order: 1, Phase: PhaseBurst}}
+	progress := []Progress{{Service: testService, Order: 1, Phase: PhaseBurst}}
 	reply := decider.Report(time.Minute, Report{Node: "n", Decider: "old", Orders: progress})
 	if reply.Decider != "new" || len(reply.Grants) > 0 || decider.Active(time.Minute) {
 		t.Errorf("%+v, active %v", reply, decider.Active(time.Minute))
@@ -134,61 +142,61 @@
 	for now := time.Minute; now < time.Minute+3*time.Second; now += 300 * time.Millisecond {
 		decider.Report(now, Report{Node: "n", Orders: progress})
 		steps := decider.Tick(now, time.Time{}, func(string) Supply { return Supply{Target: 1, Control: 1, Mixed: true} })
-		if len(steps) > 0 && now < time.Minute+gathering {
+		if len(steps) > 0 && now < time.Minute+minGatheringTime {
 			t.Errorf("after %v: %+v", now-time.Minute, steps)
 		}
 	}
 }
 
 // TestShiftEndsOnceOtherLeavesAreIdle by the word of each node that reports.
-func TestShiftEndsOnceOtherLeavesAreIdle(t *testing.T) {
+func TestShiftCompletesOnceControlIsIdle(t *testing.T) {
 	table := NewTable()
-	table.SetOrder(0, Order{Service: playService, Version: "v2", Duration: 10 * time.Second, Revision: 1})
-	table.SetRecord(record(1, PhaseShift, 2))
+	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: 10 * time.Second, Revision: 1})
+	table.SetRecord(newTestRecord(1, PhaseShift, 2))
 	decider := NewDecider(table, "d")
-	tick := func(now time.Duration) Phase {
+	nextPhase := func(now time.Duration) Phase {
 		steps := decider.Tick(now, time.Time{}, func(string) Supply { return Supply{} })
 		if len(steps) == 0 {
 			return PhaseNone
 		}
 		return steps[0].Record.Phase
 	}
-	tell := func(now time.Duration, node string, phase Phase, busy int) {
-		decider.Report(now, Report{Node: node, Orders: []Progress{{Service: playService, Order: 1, Phase: phase, Busy: busy}}})
+	report := func(now time.Duration, node string, phase Phase, busy int) {
+		decider.Report(now, Report{Node: node, Orders: []Progress{{Service: testService, Order: 1, Phase: phase, Busy: busy}}})
 	}
 	// both reports each half of a second, up to a time; one of them may be silent.
-	both := func(from, to time.Duration, a, b Progress, silent bool) {
+	reportBoth := func(from, to time.Duration, a, b Progress, silent bool) {
 		for now := from; now <= to; now += 500 * time.Millisecond {
-			tell(now, "a", a.Phase, a.Busy)
+			report(now, "a", a.Phase, a.Busy)
 			if !silent {
-				tell(now, "b", b.Phase, b.Busy)
+				report(now, "b", b.Phase, b.Busy)
 			}
 		}
 	}
 	idle := Progress{Phase: PhaseShift}
 	busy := Progress{Phase: PhaseShift, Busy: 2}
-	both(0, 0, idle, idle, false)
-	if got := tick(0); got != PhaseNone {
+	reportBoth(0, 0, idle, idle, false)
+	if got := nextPhase(0); got != PhaseNone {
 		t.Errorf("at once: %s", got)
 	}
-	both(0, 2*time.Second, idle, busy, false)
-	if got := tick(2 * time.Second); got != PhaseNone {
+	reportBoth(0, 2*time.Second, idle, busy, false)
+	if got := nextPhase(2 * time.Second); got != PhaseNone {
 		t.Errorf("one is busy: %s", got)
 	}
-	both(2*time.Second, 3*time.Second, idle, Progress{Phase: PhaseBurst}, false)
-	if got := tick(3 * time.Second); got != PhaseNone {
+	reportBoth(2*time.Second, 3*time.Second, idle, Progress{Phase: PhaseBurst}, false)
+	if got := nextPhase(3 * time.Second); got != PhaseNone {
 		t.Errorf("one is behind: %s", got)
 	}
-	both(3500*time.Millisecond, 6*time.Second, idle, idle, true)
-	if got := tick(6 * time.Second); got != PhaseCompleted {
+	reportBoth(3500*time.Millisecond, 6*time.Second, idle, idle, true)
+	if got := nextPhase(6 * time.Second); got != PhaseCompleted {
 		t.Errorf("one is silent: %s", got)
 	}
-	both(12*time.Second, 14*time.Second, idle, busy, false)
-	if got := tick(14 * time.Second); got != PhaseNone {
+	reportBoth(12*time.Second, 14*time.Second, idle, busy, false)
+	if got := nextPhase(14 * time.Second); got != PhaseNone {
 		t.Errorf("just after the deadline: %s", got)
 	}
-	both(14*time.Second, 15*time.Second, idle, busy, false)
-	if got := tick(15 * time.Second); got != PhaseCompleted {
+	reportBoth(14*time.Second, 15*time.Second, idle, busy, false)
+	if got := nextPhase(15 * time.Second); got != PhaseCompleted {
 		t.Errorf("long after the deadline: %s", got)
 	}
 }
--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -11,39 +11,39 @@
 	// service are in trouble, nothing tells a bad version from a good one. Without it a
 	// bad version was completed beside a control that failed as often, and got 58 requests
 	// long after its 50th bad answer.
-	mostFailing   = 0.15
-	leastForShare = 5
+	maxFailureShare     = 0.15
+	minAttemptsForShare = 5
 	// window is the time for which a version that turned bad later is judged apart, and
 	// windowStep the time between two states that are kept for it. Not measured: chosen
 	// because counts from before it hide a change, and shorter ones hold too few attempts.
-	window     = 4 * time.Second
-	windowStep = time.Second
+	evaluationWindow = 4 * time.Second
+	snapshotInterval = time.Second
 )
 
 // state is a sample at some time.
-type state struct {
+type snapshot struct {
 	at     time.Duration
 	routes map[string]*sample
 }
 
 // judgement is what a Decider knows of one order.
-type judgement struct {
+type evaluation struct {
 	order uint64
 	// phase is the last one seen, since then.
-	phase Phase
-	since time.Duration
+	phase      Phase
+	phaseSince time.Duration
 	// states are the counts at some times of the last window, the oldest first.
-	states []state
+	snapshots []snapshot
 	// triedAt is when a transition was last returned.
-	triedAt time.Duration
+	transitionReturnedAt time.Duration
 	// stale is what was counted at leaves of the target when they were last out of use.
-	stale map[countedAt]Counts
+	stale map[routeLeaf]Counts
 }
 
 // countedAt is a leaf of the target on a route.
-type countedAt struct {
+type routeLeaf struct {
 	route string
-	place
+	leafKey
 }
 
 // dropStale marks in some counts what of them was counted at leaves of the target before
@@ -54,18 +54,18 @@
 // be sent to speaks for nothing: a version that turned bad when the zone of its good leaf
 // went out of service got all traffic, with 15 of its newest 24 attempts failed, all at
 // the leaf that was left. What was bad there still counts.
-func (t *judgement) dropStale(routes map[string]*sample, usable map[string]bool) {
+func (t *evaluation) markStale(routes map[string]*sample, usable map[string]bool) {
 	if usable == nil {
 		return
 	}
-	for route, counted := range routes {
-		for at, counts := range counted.target {
-			key := countedAt{route: route, place: at}
-			if !usable[at.leaf] {
+	for route, current := range routes {
+		for leaf, counts := range current.targetByLeaf {
+			key := routeLeaf{route: route, leafKey: leaf}
+			if !usable[leaf.leaf] {
 				t.stale[key] = *counts
 			}
-			if stale, found := t.stale[key]; found {
-				counted.stale[at] = &stale
+			if stale, ok := t.stale[key]; ok {
+				current.staleByLeaf[leaf] = &stale
 			}
 		}
 	}
@@ -73,19 +73,19 @@
 
 // judge looks for evidence that the target is bad, in all counts and in the newest.
 // It says what it found; nothing if there is none.
-func (t *judgement) judge(now time.Duration, routes map[string]*sample) string {
-	for len(t.states) > 1 && now-t.states[1].at >= window {
-		t.states = t.states[1:]
+func (t *evaluation) evaluate(now time.Duration, routes map[string]*sample) string {
+	for len(t.snapshots) > 1 && now-t.snapshots[1].at >= evaluationWindow {
+		t.snapshots = t.snapshots[1:]
 	}
-	how := certain
+	limits := rollbackThresholds
 	if t.phase == PhaseShift {
-		how = doubtful
+		limits = shiftThresholds
 	}
-	if why := t.evidence(routes, how); why != "" {
-		return why
+	if reason := t.findRegression(routes, limits); reason != "" {
+		return reason
 	}
-	if len(t.states) == 0 || now-t.states[len(t.states)-1].at >= windowStep {
-		t.states = append(t.states, state{at: now, routes: routes})
+	if len(t.snapshots) == 0 || now-t.snapshots[len(t.snapshots)-1].at >= snapshotInterval {
+		t.snapshots = append(t.snapshots, snapshot{at: now, routes: routes})
 	}
 	return ""
 }
@@ -93,35 +93,35 @@
 // mayShift returns the shift, unless the newest counts speak against it: the target is
 // likely to be worse, or fails often, whatever the others do. In the latter case there
 // is time until the deadline.
-func (t *judgement) mayShift(known *Rollout, routes map[string]*sample, late bool) (Phase, string) {
-	counted := amountOf(routes)
-	if known.Bad = t.evidence(routes, doubtful); known.Bad != "" {
-		return PhaseRolledBack, known.Bad
+func (t *evaluation) confirmShift(rollout *Rollout, routes map[string]*sample, late bool) (Phase, string) {
+	attempts := sumAttempts(routes)
+	if rollout.Bad = t.findRegression(routes, shiftThresholds); rollout.Bad != "" {
+		return PhaseRolledBack, rollout.Bad
 	}
-	failing := t.failing(routes)
+	failure := t.failure(routes)
 	switch {
-	case failing == "":
-		return PhaseShift, fmt.Sprintf("nothing speaks against the version in %d of %d attempts", counted.target, counted.all)
+	case failure == "":
+		return PhaseShift, fmt.Sprintf("nothing speaks against the version in %d of %d attempts", attempts.target, attempts.all)
 	case late:
-		return PhaseRolledBack, failing
+		return PhaseRolledBack, failure
 	default:
 		return PhaseNone, ""
 	}
 }
 
 // failing says on which route the target has failed often of late; empty if on none.
-func (t *judgement) failing(routes map[string]*sample) string {
-	for route, counted := range routes {
-		newest := counted
-		if len(t.states) > 0 {
-			newest = counted.since(t.states[0].routes[route])
+func (t *evaluation) failure(routes map[string]*sample) string {
+	for route, current := range routes {
+		newest := current
+		if len(t.snapshots) > 0 {
+			newest = current.subtract(t.snapshots[0].routes[route])
 		}
-		whole, all, some := newest.failures().ofTarget()
-		if !some {
-			all = whole
+		whole, rest, separable := newest.failureRates().sumTarget()
+		if !separable {
+			rest = whole
 		}
-		if all.asked >= leastForShare && all.share() > mostFailing {
-			return fmt.Sprintf("on route %s the target failed %.0f of %.0f attempts, and so may the other version", route, all.bad, all.asked)
+		if rest.attempts >= minAttemptsForShare && rest.share() > maxFailureShare {
+			return fmt.Sprintf("on route %s the target failed %.0f of %.0f attempts, and so may the other version", route, rest.bad, rest.attempts)
 		}
 	}
 	return ""
@@ -129,30 +129,30 @@
 
 // evidence says on which route the target is bad, by all counts or by the newest;
 // empty if on none.
-func (t *judgement) evidence(routes map[string]*sample, how certainty) string {
-	for route, counted := range routes {
-		why := counted.bad(how)
-		if why == "" && len(t.states) > 0 {
-			why = counted.since(t.states[0].routes[route]).bad(how)
+func (t *evaluation) findRegression(routes map[string]*sample, limits thresholds) string {
+	for route, current := range routes {
+		reason := current.describeRegression(limits)
+		if reason == "" && len(t.snapshots) > 0 {
+			reason = current.subtract(t.snapshots[0].routes[route]).describeRegression(limits)
 		}
-		if why != "" {
-			return fmt.Sprintf("on route %s the target %s", route, why)
+		if reason != "" {
+			return fmt.Sprintf("on route %s the target %s", route, reason)
 		}
 	}
 	return ""
 }
 
 // amount is how much is known of a service since an order.
-type amount struct{ target, all uint32 }
+type attemptTotals struct{ target, all uint32 }
 
-func amountOf(routes map[string]*sample) amount {
-	var known amount
-	for _, counted := range routes {
-		known.all += counted.control.asked()
-		for _, counts := range counted.target {
-			known.target += counts.asked()
-			known.all += counts.asked()
+func sumAttempts(routes map[string]*sample) attemptTotals {
+	var totals attemptTotals
+	for _, current := range routes {
+		totals.all += current.control.total()
+		for _, counts := range current.targetByLeaf {
+			totals.target += counts.total()
+			totals.all += counts.total()
 		}
 	}
-	return known
+	return totals
 }
--- a/internal/decide/rollout/out_of_use_test.go
+++ b/internal/decide/rollout/out_of_use_test.go
@@ -6,7 +6,7 @@
 )
 
 // stalePlay is a decider in front of a target with a leaf in each of two zones.
-type stalePlay struct {
+type outOfUseScenario struct {
 	*testing.T
 	decider *Decider
 	counter *Counter
@@ -15,15 +15,15 @@
 	record  Record
 }
 
-func newStalePlay(t *testing.T) *stalePlay {
+func newOutOfUseScenario(t *testing.T) *outOfUseScenario {
 	table := NewTable()
-	table.SetOrder(0, Order{Service: playService, Version: "v2", Duration: 8 * time.Second, Revision: 1})
-	return &stalePlay{T: t, decider: NewDecider(table, "d"), counter: NewCounter(), usable: map[string]bool{"a": true, "b": true}}
+	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: 8 * time.Second, Revision: 1})
+	return &outOfUseScenario{T: t, decider: NewDecider(table, "d"), counter: NewCounter(), usable: map[string]bool{"a": true, "b": true}}
 }
 
 // count counts attempts at a leaf of the target, or at the others if it names none.
-func (p *stalePlay) count(leaf string, good, failed int) {
-	subject := Subject{Service: playService, Order: 1, Route: playRoute}
+func (p *outOfUseScenario) count(leaf string, good, failed int) {
+	subject := Subject{Service: testService, Order: 1, Route: testRoute}
 	if leaf != "" {
 		subject.Target, subject.Leaf, subject.Zone = true, leaf, "zone-"+leaf
 	}
@@ -36,15 +36,15 @@
 }
 
 // tick reports all counts and takes the steps that are due.
-func (p *stalePlay) tick(now time.Duration) {
-	known := p.decider.table.Of(playService)
+func (p *outOfUseScenario) tick(now time.Duration) {
+	rollout := p.decider.table.Of(testService)
 	p.decider.Report(now, Report{Node: "n", Rows: p.counter.Changed(nil), Orders: []Progress{
-		{Service: playService, Order: 1, Phase: known.Phase(), Age: known.Age(now)},
+		{Service: testService, Order: 1, Phase: rollout.Phase(), Age: rollout.Age(now)},
 	}})
 	supply := func(string) Supply { return Supply{Target: 4, Control: 4, Mixed: true, Usable: p.usable} }
-	for _, step := range p.decider.Tick(now, time.Time{}, supply) {
-		step.Record.Revision = p.record.Revision + 1
-		p.record = step.Record
+	for _, transition := range p.decider.Tick(now, time.Time{}, supply) {
+		transition.Record.Revision = p.record.Revision + 1
+		p.record = transition.Record
 		p.phases = append(p.phases, p.record.Phase)
 		p.decider.table.SetRecord(p.record)
 	}
@@ -53,21 +53,21 @@
 // TestLeafThatIsOutOfUseSpeaksForNothing: one leaf of a version answers, the other fails
 // from a time on. While both are in use, the version is not bad; once the good one is out
 // of use, it is, also after that has come back and before it has answered again.
-func TestLeafThatIsOutOfUseSpeaksForNothing(t *testing.T) {
+func TestLeafOutOfUseDoesNotSupportTarget(t *testing.T) {
 	for name, test := range map[string]struct {
-		out, back time.Duration // of the good leaf; zero for never
-		want      Phase
+		outAt, backAt time.Duration // of the good leaf; zero for never
+		want          Phase
 	}{
 		"both in use":       {0, 0, PhaseCompleted},
 		"the good one gone": {3 * time.Second, 0, PhaseRolledBack},
 		"it comes back":     {3 * time.Second, 5 * time.Second, PhaseRolledBack},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newStalePlay(t)
+			p := newOutOfUseScenario(t)
 			for now := time.Duration(0); now < 12*time.Second; now += 250 * time.Millisecond {
-				p.usable["a"] = test.out == 0 || now < test.out || test.back > 0 && now >= test.back
+				p.usable["a"] = test.outAt == 0 || now < test.outAt || test.backAt > 0 && now >= test.backAt
 				p.count("", 10, 0)
-				if p.usable["a"] && (test.back == 0 || now < test.back) {
+				if p.usable["a"] && (test.backAt == 0 || now < test.backAt) {
 					p.count("a", 1, 0)
 				}
 				if now < 3*time.Second {
--- a/internal/decide/rollout/report.go
+++ b/internal/decide/rollout/report.go
@@ -70,44 +70,48 @@
 	GrantTTL = 2 * time.Second
 	// reportMemory is how long a report counts for what its node does now. Not measured:
 	// chosen because it is GrantTTL, after which the node may send nothing by it.
-	reportMemory = 2 * time.Second
+	reportTTL = 2 * time.Second
 	// leastInterval is the time between two reports of a node, and reportRate how many
 	// a second one decider receives at most: with 66 nodes one in 0.33 s, 120 KB a second
 	// (docs/design/0015-rollouts.md).
-	leastInterval = 300 * time.Millisecond
-	reportRate    = 200
+	minReportInterval = 300 * time.Millisecond
+	maxReportRate     = 200
 	// mostNodes bounds the nodes that take part: evidence needs no more, and the decider's
 	// link and processor bear no more (docs/CAPACITY.md).
-	mostNodes = 128
+	maxParticipants = 128
 	// candidates is how many nodes may decide. Where half of all are lost at once,
 	// and still count as announced, one of them is left but for once in 256.
-	candidates = 8
+	maxCandidates = 8
 )
 
 // Interval returns the time between two reports of each of some nodes.
 func Interval(nodes int) time.Duration {
-	return max(leastInterval, time.Duration(nodes)*time.Second/reportRate)
+	return max(minReportInterval, time.Duration(nodes)*time.Second/maxReportRate)
 }
 
 // Participants returns the nodes that take part: those with most cores first, and
 // otherwise by a hash of their names. Every node computes the same.
-func Participants(members []roster.Member) []roster.Member { return first(members, mostNodes) }
+func Participants(members []roster.Member) []roster.Member {
+	return selectMembers(members, maxParticipants)
+}
 
 // Candidates returns the nodes that may decide, the first one first: large ones, which
 // judge many roll-outs at once in less time.
-func Candidates(members []roster.Member) []roster.Member { return first(members, candidates) }
+func Candidates(members []roster.Member) []roster.Member {
+	return selectMembers(members, maxCandidates)
+}
 
-func first(members []roster.Member, count int) []roster.Member {
-	order := slices.Clone(members)
-	slices.SortFunc(order, func(a, b roster.Member) int {
-		return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(hashOf(a), hashOf(b)))
+func selectMembers(members []roster.Member, count int) []roster.Member {
+	sorted := slices.Clone(members)
+	slices.SortFunc(sorted, func(a, b roster.Member) int {
+		return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(hashName(a), hashName(b)))
 	})
-	return order[:min(len(order), count)]
+	return sorted[:min(len(sorted), count)]
 }
 
 // containsNode reports whether a node is among some.
 func containsNode(members []roster.Member, name string) bool {
-	return slices.ContainsFunc(members, func(one roster.Member) bool { return one.Name == name })
+	return slices.ContainsFunc(members, func(member roster.Member) bool { return member.Name == name })
 }
 
-func hashOf(member roster.Member) uint64 { return xxhash.Sum64String("rollout\x00" + member.Name) }
+func hashName(member roster.Member) uint64 { return xxhash.Sum64String("rollout\x00" + member.Name) }
--- a/internal/decide/rollout/report_test.go
+++ b/internal/decide/rollout/report_test.go
@@ -18,25 +18,25 @@
 		}
 		members = append(members, roster.Member{Name: fmt.Sprint("node-", index), Cores: cores})
 	}
-	taking := Participants(members)
+	participants := Participants(members)
 	large := 0
-	for _, one := range taking {
-		if one.Cores == 0.8 {
+	for _, member := range participants {
+		if member.Cores == 0.8 {
 			large++
 		}
 	}
-	if len(taking) != mostNodes || large != 10 {
-		t.Errorf("%d take part, %d large ones", len(taking), large)
+	if len(participants) != maxParticipants || large != 10 {
+		t.Errorf("%d take part, %d large ones", len(participants), large)
 	}
-	deciding := Candidates(members)
-	left := slices.DeleteFunc(slices.Clone(members), func(one roster.Member) bool { return one.Name == deciding[0].Name })
-	if next := Candidates(left); next[0] != deciding[1] || deciding[0].Cores != 0.8 {
-		t.Errorf("%v decides once %v is gone, want %v", next[0], deciding[0], deciding[1])
+	deciders := Candidates(members)
+	remaining := slices.DeleteFunc(slices.Clone(members), func(member roster.Member) bool { return member.Name == deciders[0].Name })
+	if next := Candidates(remaining); next[0] != deciders[1] || deciders[0].Cores != 0.8 {
+		t.Errorf("%v decides once %v is gone, want %v", next[0], deciders[0], deciders[1])
 	}
 	for _, test := range []struct {
 		nodes int
 		want  time.Duration
-	}{{1, leastInterval}, {66, 330 * time.Millisecond}, {mostNodes, 640 * time.Millisecond}} {
+	}{{1, minReportInterval}, {66, 330 * time.Millisecond}, {maxParticipants, 640 * time.Millisecond}} {
 		if got := Interval(test.nodes); got != test.want {
 			t.Errorf("%d nodes report each %s, want %s", test.nodes, got, test.want)
 		}
@@ -45,9 +45,9 @@
 
 // TestCountsAreToldOnce: what a decider has answered to is reported again only once it
 // has changed, and stays with a decider that does not know the order yet.
-func TestCountsAreToldOnce(t *testing.T) {
+func TestUnchangedCountsAreReportedOnce(t *testing.T) {
 	counter, reported := NewCounter(), make(map[Subject]Counts)
-	subject := Subject{Service: playService, Order: 1, Route: playRoute, Target: true, Leaf: "a", Zone: "z"}
+	subject := Subject{Service: testService, Order: 1, Route: testRoute, Target: true, Leaf: "a", Zone: "z"}
 	counter.Failed(subject)
 	rows := counter.Changed(reported)
 	if len(rows) != 1 {
@@ -61,11 +61,11 @@
 	decider := NewDecider(table, "d")
 	decider.Report(0, Report{Node: "n", Rows: rows})
 	decider.Tick(0, time.Time{}, nil)
-	table.SetOrder(0, Order{Service: playService, Version: "v2", Duration: time.Second, Revision: 1})
-	if counted := amountOf(decider.collect()[playService]); counted.target != 1 {
-		t.Errorf("%+v is known", counted)
+	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: time.Second, Revision: 1})
+	if totals := sumAttempts(decider.aggregateCounts()[testService]); totals.target != 1 {
+		t.Errorf("%+v is known", totals)
 	}
-	counter.Retain(map[string]uint64{playService: 2})
+	counter.Retain(map[string]uint64{testService: 2})
 	if left := counter.Changed(nil); len(left) != 0 {
 		t.Errorf("of a former order: %+v", left)
 	}
--- a/internal/decide/rollout/reporting.go
+++ b/internal/decide/rollout/reporting.go
@@ -43,9 +43,9 @@
 // Choose returns the first candidate that is not avoided, or the first of all if each
 // is. There must be one.
 func (r *Reporting) Choose(now time.Duration, candidates []roster.Member) roster.Member {
-	for _, one := range candidates {
-		if now >= r.avoided[one.Name] {
-			return one
+	for _, candidate := range candidates {
+		if now >= r.avoided[candidate.Name] {
+			return candidate
 		}
 	}
 	return candidates[0]
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -58,7 +58,7 @@
 )
 
 // ranks orders the phases: a roll-out goes only to a higher one.
-var ranks = map[Phase]int{PhaseTrial: 1, PhaseBurst: 2, PhaseShift: 3, PhaseCompleted: 4, PhaseRolledBack: 4}
+var phaseRanks = map[Phase]int{PhaseTrial: 1, PhaseBurst: 2, PhaseShift: 3, PhaseCompleted: 4, PhaseRolledBack: 4}
 
 // Ended reports whether no phase follows.
 func (p Phase) Ended() bool { return p == PhaseCompleted || p == PhaseRolledBack }
@@ -92,7 +92,7 @@
 	if err := json.Unmarshal(value, &record); err != nil {
 		return Record{}, fmt.Errorf("record of a roll-out: %w", err)
 	}
-	if ranks[record.Phase] == 0 {
+	if phaseRanks[record.Phase] == 0 {
 		return Record{}, fmt.Errorf("record of a roll-out: phase %q is unknown", record.Phase)
 	}
 	return record, nil
@@ -100,11 +100,11 @@
 
 // follows reports whether a record may take the place of another: it is of a
 // later order, or of a later phase of the same.
-func (r Record) follows(former Record) bool {
-	if r.Order != former.Order {
-		return r.Order > former.Order
+func (r Record) follows(previous Record) bool {
+	if r.Order != previous.Order {
+		return r.Order > previous.Order
 	}
-	return ranks[r.Phase] > ranks[former.Phase]
+	return phaseRanks[r.Phase] > phaseRanks[previous.Phase]
 }
 
 // Transition is a step of a roll-out that is to be written. It holds only if the
--- a/internal/decide/rollout/table.go
+++ b/internal/decide/rollout/table.go
@@ -52,19 +52,19 @@
 type Table struct {
 	entries map[string]*Rollout
 	// read is set once the store was read as a whole.
-	read bool
+	loaded bool
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table { return &Table{entries: make(map[string]*Rollout)} }
 
-func (t *Table) entry(service string) *Rollout {
-	known, found := t.entries[service]
-	if !found {
-		known = &Rollout{}
-		t.entries[service] = known
+func (t *Table) getOrCreate(service string) *Rollout {
+	rollout, ok := t.entries[service]
+	if !ok {
+		rollout = &Rollout{}
+		t.entries[service] = rollout
 	}
-	return known
+	return rollout
 }
 
 // Of returns the roll-out of a service; nil without one.
@@ -80,40 +80,40 @@
 
 // SetOrder takes in an order. It reports whether that is news.
 func (t *Table) SetOrder(now time.Duration, order Order) bool {
-	known := t.entry(order.Service)
-	if order.Revision <= known.Order.Revision {
+	rollout := t.getOrCreate(order.Service)
+	if order.Revision <= rollout.Order.Revision {
 		return false
 	}
-	known.Order, known.orderedAt, known.Found, known.Bad = order, now, !t.read, ""
+	rollout.Order, rollout.orderedAt, rollout.Found, rollout.Bad = order, now, !t.loaded, ""
 	return true
 }
 
 // Withdraw takes in that there is no order for a service any more.
 func (t *Table) Withdraw(service string) bool {
-	known, found := t.entries[service]
-	if !found || known.Order.Revision == 0 {
+	rollout, ok := t.entries[service]
+	if !ok || rollout.Order.Revision == 0 {
 		return false
 	}
-	known.Order = Order{Service: service}
+	rollout.Order = Order{Service: service}
 	return true
 }
 
 // SetRecord takes in a record, unless it is behind the one known. It reports
 // whether the phase is news.
 func (t *Table) SetRecord(record Record) bool {
-	known := t.entry(record.Service)
-	if record.Order == known.Record.Order && record.Phase == known.Record.Phase {
+	rollout := t.getOrCreate(record.Service)
+	if record.Order == rollout.Record.Order && record.Phase == rollout.Record.Phase {
 		if record.Revision != 0 { // a phase is written once
-			known.Record.Revision = record.Revision
+			rollout.Record.Revision = record.Revision
 		}
 		return false
 	}
-	if !record.follows(known.Record) {
+	if !record.follows(rollout.Record) {
 		return false
 	}
-	former := known.Record.Revision
-	known.Record = record
-	known.Record.Revision = max(former, record.Revision)
+	previousRevision := rollout.Record.Revision
+	rollout.Record = record
+	rollout.Record.Revision = max(previousRevision, record.Revision)
 	return true
 }
 
@@ -128,7 +128,7 @@
 	for _, order := range orders {
 		present[order.Service] = true
 		if t.SetOrder(now, order) {
-			t.backdate(now, clock, order)
+			t.restoreAge(now, clock, order)
 		}
 	}
 	if !stale {
@@ -138,29 +138,29 @@
 			}
 		}
 	}
-	t.read = true
+	t.loaded = true
 }
 
 // backdate gives an order that was found the age that its record says.
-func (t *Table) backdate(now time.Duration, clock time.Time, order Order) {
-	known := t.entries[order.Service]
-	if known.Record.Order != order.Revision {
+func (t *Table) restoreAge(now time.Duration, clock time.Time, order Order) {
+	rollout := t.entries[order.Service]
+	if rollout.Record.Order != order.Revision {
 		return
 	}
-	age := min(max(clock.Sub(known.Record.OrderedAt), 0), order.Duration)
-	known.orderedAt = now - age
+	age := min(max(clock.Sub(rollout.Record.OrderedAt), 0), order.Duration)
+	rollout.orderedAt = now - age
 }
 
 // Merge takes in what another node knows of the order in force: its age, its record,
 // and why the target is bad, if it is. It reports whether the phase is news.
 func (t *Table) Merge(now time.Duration, service string, order uint64, age time.Duration, record Record, bad string) bool {
-	known, found := t.entries[service]
-	if !found || known.Order.Revision != order {
+	rollout, ok := t.entries[service]
+	if !ok || rollout.Order.Revision != order {
 		return false
 	}
-	known.orderedAt = min(known.orderedAt, now-age)
-	if known.Bad == "" {
-		known.Bad = bad
+	rollout.orderedAt = min(rollout.orderedAt, now-age)
+	if rollout.Bad == "" {
+		rollout.Bad = bad
 	}
 	return record.Order == order && t.SetRecord(record)
 }
