--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -25,10 +25,10 @@
 // Background counts how often runs crash their leaf, whatever the request: at each
 // service, and anywhere in the last moment. It is not safe for concurrent use.
 type Background struct {
-	services     []decayedCounts
-	globalChance decayedCounts
+	services []decayedCounts
+	global   decayedCounts
 	// suspects are the runs of the moment by request, of those that are suspected.
-	suspected map[Content]*decayedCounts
+	counts map[Content]*decayedCounts
 }
 
 // runs are some runs, weighted by age.
@@ -66,7 +66,7 @@
 // Add takes in a run at a service that crashed its leaf, or was answered. One of a
 // suspected request says nothing of the service.
 func (b *Background) Add(now time.Duration, content Content, suspected bool, service int, crashed bool) {
-	b.globalChance.add(now, globalHalfLife, crashed)
+	b.global.add(now, globalHalfLife, crashed)
 	if suspected {
 		b.suspectedCounts(now, content).add(now, globalHalfLife, crashed)
 		return
@@ -80,13 +80,13 @@
 func (b *Background) Chance(now time.Duration, content Content, service int) float64 {
 	atService := b.serviceCounts(now, service)
 	atService.decay(now, serviceHalfLife)
-	b.globalChance.decay(now, globalHalfLife)
+	b.global.decay(now, globalHalfLife)
 	own := decayedCounts{}
-	if suspected, ok := b.suspected[content]; ok {
-		suspected.decay(now, globalHalfLife)
-		own = *suspected
+	if counts, ok := b.counts[content]; ok {
+		counts.decay(now, globalHalfLife)
+		own = *counts
 	}
-	globalChance := crashChance(max(b.globalChance.crashed-own.crashed, 0), max(b.globalChance.answered-own.answered, 0))
+	globalChance := crashChance(max(b.global.crashed-own.crashed, 0), max(b.global.answered-own.answered, 0))
 	return max(crashChance(atService.crashed, atService.answered), globalChance)
 }
 
@@ -101,15 +101,15 @@
 // where there are many: then they count as runs of others for a moment, which only has a
 // request tried once more.
 func (b *Background) suspectedCounts(now time.Duration, content Content) *decayedCounts {
-	counts, ok := b.suspected[content]
+	counts, ok := b.counts[content]
 	if ok {
 		return counts
 	}
-	if b.suspected == nil || len(b.suspected) >= maxSuspectedRequests {
-		b.suspected = make(map[Content]*decayedCounts)
+	if b.counts == nil || len(b.counts) >= maxSuspectedRequests {
+		b.counts = make(map[Content]*decayedCounts)
 	}
 	counts = &decayedCounts{decayedAt: now}
-	b.suspected[content] = counts
+	b.counts[content] = counts
 	return counts
 }
 
--- a/internal/decide/quarantine/incarnations.go
+++ b/internal/decide/quarantine/incarnations.go
@@ -71,23 +71,23 @@
 }
 
 // SetStoreAway says whether the store does not answer.
-func (s *IncarnationTracker) SetStoreUnavailable(now time.Duration, unavailable bool) {
-	if s.storeUnavailable && !unavailable {
-		s.storeAvailableSince = now
+func (t *IncarnationTracker) SetStoreUnavailable(now time.Duration, unavailable bool) {
+	if t.storeUnavailable && !unavailable {
+		t.storeAvailableSince = now
 	}
-	s.storeUnavailable = unavailable
+	t.storeUnavailable = unavailable
 }
 
 // Lost takes in an attempt at a start whose connection was lost before a byte of its
 // answer. It returns the name of the crash; false if it was none.
-func (s *IncarnationTracker) RecordLoss(leaf string, sent, lost time.Duration) (string, bool) {
-	inc, ok := s.incarnations[leaf]
+func (t *IncarnationTracker) RecordLoss(leaf string, sent, lost time.Duration) (string, bool) {
+	inc, ok := t.incarnations[leaf]
 	switch {
 	case !ok:
-		inc = s.add(leaf, lost)
+		inc = t.add(leaf, lost)
 	case sent <= inc.lostAt:
 		inc.lostAt = min(inc.lostAt, lost)
-	case s.storeUnavailable || inc.answeredSentAt > inc.lostAt:
+	case t.storeUnavailable || inc.answeredSentAt > inc.lostAt:
 		*inc = incarnation{lostAt: lost, previousCrashes: inc.previousCrashes + 1}
 	default:
 		return "", false
@@ -96,34 +96,34 @@
 }
 
 // add makes room for one more start.
-func (s *IncarnationTracker) add(leaf string, lost time.Duration) *incarnation {
-	if len(s.incarnations) >= maxIncarnations {
+func (t *IncarnationTracker) add(leaf string, lost time.Duration) *incarnation {
+	if len(t.incarnations) >= maxIncarnations {
 		oldest := ""
-		for name, candidate := range s.incarnations {
-			if oldest == "" || candidate.lostAt < s.incarnations[oldest].lostAt {
+		for name, candidate := range t.incarnations {
+			if oldest == "" || candidate.lostAt < t.incarnations[oldest].lostAt {
 				oldest = name
 			}
 		}
-		delete(s.incarnations, oldest)
+		delete(t.incarnations, oldest)
 	}
 	inc := &incarnation{lostAt: lost}
-	s.incarnations[leaf] = inc
+	t.incarnations[leaf] = inc
 	return inc
 }
 
 // Answered takes in an attempt that a start answered.
-func (s *IncarnationTracker) RecordAnswer(leaf string, sent time.Duration) {
-	if inc, ok := s.incarnations[leaf]; ok && sent > inc.lostAt {
+func (t *IncarnationTracker) RecordAnswer(leaf string, sent time.Duration) {
+	if inc, ok := t.incarnations[leaf]; ok && sent > inc.lostAt {
 		inc.answeredSentAt = max(inc.answeredSentAt, sent)
 	}
 }
 
 // Named takes in that another node lost a start, by the name of the crash.
-func (s *IncarnationTracker) RecordRemoteLoss(now time.Duration, crashID string) {
+func (t *IncarnationTracker) RecordRemoteLoss(now time.Duration, crashID string) {
 	leaf, ordinal := parseCrashID(crashID)
-	inc, ok := s.incarnations[leaf]
+	inc, ok := t.incarnations[leaf]
 	if !ok {
-		inc = s.add(leaf, now)
+		inc = t.add(leaf, now)
 	}
 	inc.lostAt = max(inc.lostAt, now)
 	inc.previousCrashes = max(inc.previousCrashes, ordinal)
@@ -131,23 +131,23 @@
 
 // Survived reports whether a start that is announced, and of whose crash this node knows
 // since some time, has not crashed. Heartbeat is the time between two announcements.
-func (s *IncarnationTracker) HasSurvived(now time.Duration, crashID string, knownSince, heartbeat time.Duration) bool {
-	if s.storeUnavailable {
+func (t *IncarnationTracker) HasSurvived(now time.Duration, crashID string, knownSince, heartbeat time.Duration) bool {
+	if t.storeUnavailable {
 		return false
 	}
 	leaf, _ := parseCrashID(crashID)
-	inc, ok := s.incarnations[leaf]
-	if ok && inc.answeredSentAt > knownSince && now-max(inc.answeredSentAt, s.storeAvailableSince) >= maxAnnounceDelay {
+	inc, ok := t.incarnations[leaf]
+	if ok && inc.answeredSentAt > knownSince && now-max(inc.answeredSentAt, t.storeAvailableSince) >= maxAnnounceDelay {
 		return true
 	}
-	return now-max(knownSince, s.storeAvailableSince) >= expiryHeartbeats*heartbeat+maxAnnounceDelay
+	return now-max(knownSince, t.storeAvailableSince) >= expiryHeartbeats*heartbeat+maxAnnounceDelay
 }
 
 // Expire forgets the starts that were lost long ago.
-func (s *IncarnationTracker) Expire(now time.Duration) {
-	for leaf, inc := range s.incarnations {
+func (t *IncarnationTracker) Expire(now time.Duration) {
+	for leaf, inc := range t.incarnations {
 		if now-inc.lostAt > RecordTTL {
-			delete(s.incarnations, leaf)
+			delete(t.incarnations, leaf)
 		}
 	}
 }
--- a/internal/decide/quarantine/recent.go
+++ b/internal/decide/quarantine/recent.go
@@ -35,9 +35,9 @@
 // Has reports whether a leaf answered a request lately.
 func (r *Recent) Has(now time.Duration, content Content) bool {
 	r.rotate(now)
-	_, inCurrent := r.current[content]
-	_, inPrevious := r.previous[content]
-	return inCurrent || inPrevious
+	_, current := r.current[content]
+	_, previous := r.previous[content]
+	return current || previous
 }
 
 // turn starts a new generation if the young one is old.
--- a/internal/decide/quarantine/survivors_test.go
+++ b/internal/decide/quarantine/survivors_test.go
@@ -21,25 +21,25 @@
 }
 
 // announced says that all leaves in question are announced, or that none is.
-func (p *scenario) announcements(announced bool) map[string]bool {
-	announcements := make(map[string]bool)
+func (p *scenario) announcedLeaves(all bool) map[string]bool {
+	announced := make(map[string]bool)
 	for _, leaf := range p.table.Suspects() {
-		announcements[leaf] = announced
+		announced[leaf] = all
 	}
-	return announcements
+	return announced
 }
 
 // TestSurvivorsReleaseARequest: leaves that are still announced when they would have
 // lapsed did not crash under it, and the store is told; those that are gone did.
 func TestSurvivorsReleaseHeldRequest(t *testing.T) {
 	p := newHeldScenario(t, harmlessContent)
-	p.table.Review(p.now, p.announcements(true))
+	p.table.Review(p.now, p.announcedLeaves(true))
 	if decision := p.requireVerdict(harmlessContent, Refuse); decision.RetryAfter != announcementExpiry {
 		t.Errorf("while nothing is known of its leaves: %+v", decision)
 	}
 	p.now += announcementExpiry
 	released := 0
-	for _, survivor := range p.table.Review(p.now, p.announcements(true)) {
+	for _, survivor := range p.table.Review(p.now, p.announcedLeaves(true)) {
 		if survivor.Released {
 			released++
 		}
@@ -54,7 +54,7 @@
 	}
 	goneLeaves := newHeldScenario(t, crashingContent)
 	goneLeaves.now += announcementExpiry
-	if survivors := goneLeaves.table.Review(goneLeaves.now, goneLeaves.announcements(false)); len(survivors) > 0 {
+	if survivors := goneLeaves.table.Review(goneLeaves.now, goneLeaves.announcedLeaves(false)); len(survivors) > 0 {
 		t.Errorf("%v lived on", survivors)
 	}
 	goneLeaves.requireVerdict(crashingContent, Refuse)
@@ -64,10 +64,10 @@
 // suspected still, and tried.
 func TestSingleSurvivorReleasesHeldRequest(t *testing.T) {
 	p := newHeldScenario(t, harmlessContent)
-	announced := p.announcements(false)
-	announced["leaf-5"] = true
+	announcedLeaves := p.announcedLeaves(false)
+	announcedLeaves["leaf-5"] = true
 	p.now += announcementExpiry
-	p.table.Review(p.now, announced)
+	p.table.Review(p.now, announcedLeaves)
 	p.requireVerdict(harmlessContent, Trial)
 }
 
@@ -80,7 +80,7 @@
 	otherNode.table.Set(otherNode.now, harmlessContent, Known{Record: change.Record, Revision: 7})
 	otherNode.requireVerdict(harmlessContent, Refuse)
 	otherNode.now += announcementExpiry
-	if survivors := otherNode.table.Review(otherNode.now, otherNode.announcements(true)); len(survivors) != 5 {
+	if survivors := otherNode.table.Review(otherNode.now, otherNode.announcedLeaves(true)); len(survivors) != 5 {
 		t.Errorf("%d survivors", len(survivors))
 	}
 	otherNode.requireVerdict(harmlessContent, Run)
@@ -90,7 +90,7 @@
 	otherNode.table.Set(otherNode.now, harmlessContent, Known{Record: change.Record, Revision: 8})
 	otherNode.requireVerdict(harmlessContent, Run)
 	p.now += announcementExpiry
-	p.table.Review(p.now, p.announcements(true))
+	p.table.Review(p.now, p.announcedLeaves(true))
 	update, _ := p.table.Change(harmlessContent)
 	lateNode := newScenario(t)
 	lateNode.table.Set(lateNode.now, harmlessContent, Known{Record: update.Record, Revision: 9})
@@ -102,7 +102,7 @@
 	p := newScenario(t)
 	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	p.now += announcementExpiry
-	p.table.Review(p.now, p.announcements(false))
+	p.table.Review(p.now, p.announcedLeaves(false))
 	p.requireVerdict(crashingContent, Refuse)
 }
 
@@ -119,8 +119,8 @@
 // resets is some nodes that lose connections to a few starts of leaves, which live on.
 type resetFleet struct {
 	*fleet
-	leaves   []string
-	requests int
+	leaves []string
+	sent   int
 }
 
 // ask sends a request to one node, whose attempt at a leaf is lost.
@@ -135,11 +135,11 @@
 		r.readStore(node)
 		return
 	}
-	r.requests++
+	r.sent++
 	sent := r.now
 	r.now += time.Millisecond
 	crash, crashed := table.Lost(leaf, sent, r.now)
-	crashes := []Crash{{Leaf: crash, Request: fmt.Sprint(r.requests)}}
+	crashes := []Crash{{Leaf: crash, Request: fmt.Sprint(r.sent)}}
 	switch {
 	case decision.Verdict == Trial && crashed:
 		table.Written(r.now, decision.Change, r.store.revision)
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -37,7 +37,7 @@
 	// cleared is set once a leaf has answered the request, until the store knows.
 	cleared bool
 	// seen says what this node knows of each crash beyond the record, by Crash.Leaf.
-	observations map[string]observation
+	observed map[string]observation
 }
 
 // sight is what this node knows of a crash beyond the record.
--- a/internal/decide/quarantine/table_store.go
+++ b/internal/decide/quarantine/table_store.go
@@ -104,7 +104,7 @@
 	for index := range reset.Crashes {
 		reset.Crashes[index].Chance = 0 // its trials are over
 	}
-	reset.observations = e.observations
+	reset.observed = e.observed
 	t.entries[content] = reset
 	return true
 }
--- a/internal/decide/quarantine/table_survivors.go
+++ b/internal/decide/quarantine/table_survivors.go
@@ -4,7 +4,7 @@
 
 // newEntry returns what a node knows of a request at first.
 func newEntry(stored Known, now time.Duration) *entry {
-	return &entry{Known: stored, changedAt: now, observations: make(map[string]observation)}
+	return &entry{Known: stored, changedAt: now, observed: make(map[string]observation)}
 }
 
 // believed returns the record with what this node knows of leaves that lived on.
@@ -12,7 +12,7 @@
 	record := e.Record
 	cloned := false
 	for index, crash := range record.Crashes {
-		if crash.Survived || !e.observations[crash.Leaf].survived {
+		if crash.Survived || !e.observed[crash.Leaf].survived {
 			continue
 		}
 		if !cloned {
@@ -27,10 +27,10 @@
 // saw them itself.
 func (t *Table) observeCrashes(now time.Duration, e *entry, local bool) {
 	for _, crash := range e.Crashes {
-		if _, ok := e.observations[crash.Leaf]; ok {
+		if _, ok := e.observed[crash.Leaf]; ok {
 			continue
 		}
-		e.observations[crash.Leaf] = observation{knownSince: now, local: local}
+		e.observed[crash.Leaf] = observation{knownSince: now, local: local}
 		if !local {
 			t.incarnations.RecordRemoteLoss(now, crash.Leaf)
 		}
@@ -51,7 +51,7 @@
 // that are gone, and else until those have lapsed or are known to live on.
 func (t *Table) heldUntil(e *entry) time.Duration {
 	for _, crash := range e.Crashes {
-		if observed := e.observations[crash.Leaf]; crash.Chance > 0 && observed.announced && !observed.survived {
+		if observed := e.observed[crash.Leaf]; crash.Chance > 0 && observed.announced && !observed.survived {
 			return observed.knownSince + expiryHeartbeats*t.config.Heartbeat + maxAnnounceDelay
 		}
 	}
@@ -80,7 +80,7 @@
 	var leaves []string
 	for _, e := range t.entries {
 		for _, crash := range e.Crashes {
-			if !crash.Survived && !e.observations[crash.Leaf].survived {
+			if !crash.Survived && !e.observed[crash.Leaf].survived {
 				leaf, _ := parseCrashID(crash.Leaf)
 				leaves = append(leaves, leaf)
 			}
@@ -105,14 +105,14 @@
 	for content, e := range t.entries {
 		for index := range e.Crashes {
 			crash := &e.Crashes[index]
-			observed := e.observations[crash.Leaf]
+			observed := e.observed[crash.Leaf]
 			if crash.Survived || observed.survived {
 				continue
 			}
 			leaf, _ := parseCrashID(crash.Leaf)
 			observed.announced = announced[leaf]
 			observed.survived = observed.announced && t.incarnations.HasSurvived(now, crash.Leaf, observed.knownSince, t.config.Heartbeat)
-			e.observations[crash.Leaf] = observed
+			e.observed[crash.Leaf] = observed
 			if !observed.survived {
 				continue
 			}
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -26,12 +26,12 @@
 
 // leaves returns incarnations that were not named before.
 func (p *scenario) newCrashes(count int) []Crash {
-	var crashes []Crash
+	var created []Crash
 	for range count {
 		p.crashes++
-		crashes = append(crashes, NewCrash(fmt.Sprint("leaf-", p.crashes), strings.Repeat("a long id", 100)))
+		created = append(created, NewCrash(fmt.Sprint("leaf-", p.crashes), strings.Repeat("a long id", 100)))
 	}
-	return crashes
+	return created
 }
 
 func (p *scenario) requireVerdict(content Content, want Verdict) Decision {
--- a/internal/decide/rollout/allowance.go
+++ b/internal/decide/rollout/allowance.go
@@ -39,14 +39,14 @@
 	reserve      float64
 	burst        bool
 	grantedUntil time.Duration // the grant ends then, on the node's clock
-	deadline     time.Duration // nothing is earned or spent from then on
+	closesAt     time.Duration // nothing is earned or spent from then on
 }
 
 // NewAllowance returns the Allowance of one of some nodes that share the bounds, for an
 // order whose deadline is given, on the node's clock. Part is the node's part of the
 // slack, from 0 to 1: see PartOfSlack. Chance returns a number from 0 to 1.
 func NewAllowance(bounds Bounds, part float64, deadline time.Duration, random func() float64) *Allowance {
-	allowance := &Allowance{ratio: bounds.Ratio, deadline: deadline}
+	allowance := &Allowance{ratio: bounds.Ratio, closesAt: deadline}
 	allowance.credit = roundRandomly(trialSlack*bounds.Slack*part, random)
 	allowance.reserve = roundRandomly(burstSlack*bounds.Slack*part, random)
 	return allowance
@@ -79,7 +79,7 @@
 
 // Earn counts a request that was sent to the service.
 func (a *Allowance) Earn(now time.Duration) {
-	if now >= a.deadline {
+	if now >= a.closesAt {
 		return
 	}
 	a.credit += trialRatio * a.ratio
@@ -102,7 +102,7 @@
 
 // Allows reports whether an attempt at the target may be sent now.
 func (a *Allowance) Allows(now time.Duration) bool {
-	return now < a.grantedUntil && now < a.deadline && a.credit >= 1
+	return now < a.grantedUntil && now < a.closesAt && a.credit >= 1
 }
 
 // Spend counts an attempt at the target.
--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -35,15 +35,15 @@
 // below its inverse (the inequality of Ville).
 type thresholds struct {
 	// all is of all attempts, and rest of those without the worst zone or leaf.
-	all, withoutWorst float64
+	all, rest float64
 }
 
 var (
 	// certain takes a version back at any time.
-	rollbackThresholds = thresholds{all: 1000, withoutWorst: 20}
+	rollbackThresholds = thresholds{all: 1000, rest: 20}
 	// doubtful keeps a version from getting all traffic, and ends that. It is looked at
 	// a few times only; what is not seen then costs full exposure.
-	shiftThresholds = thresholds{all: 20, withoutWorst: 3}
+	shiftThresholds = thresholds{all: 20, rest: 3}
 )
 
 // rate is how many of some attempts were bad.
@@ -85,14 +85,14 @@
 	targetByLeaf map[leafKey]*Counts
 	// stale holds what of target was counted before a leaf was last out of use: what was
 	// good of that says nothing for the version any more (see judgement.dropStale).
-	staleByLeaf map[leafKey]*Counts
+	stale map[leafKey]*Counts
 }
 
 // place is a leaf, and where it is.
 type leafKey struct{ zone, leaf string }
 
 func newSample() *sample {
-	return &sample{controlByLeaf: make(map[leafKey]*Counts), targetByLeaf: make(map[leafKey]*Counts), staleByLeaf: make(map[leafKey]*Counts)}
+	return &sample{controlByLeaf: make(map[leafKey]*Counts), targetByLeaf: make(map[leafKey]*Counts), stale: make(map[leafKey]*Counts)}
 }
 
 // add takes in the counts of one node on one subject.
@@ -112,7 +112,7 @@
 }
 
 // since returns what was counted after an earlier state; all of it without one.
-func (s *sample) subtract(earlier *sample) *sample {
+func (s *sample) diff(earlier *sample) *sample {
 	if earlier == nil {
 		earlier = newSample()
 	}
@@ -120,7 +120,7 @@
 		control:       s.control,
 		controlByLeaf: subtractByLeaf(s.controlByLeaf, earlier.controlByLeaf),
 		targetByLeaf:  subtractByLeaf(s.targetByLeaf, earlier.targetByLeaf),
-		staleByLeaf:   subtractByLeaf(s.staleByLeaf, earlier.targetByLeaf),
+		stale:         subtractByLeaf(s.stale, earlier.targetByLeaf),
 	}
 	difference.control.subtract(&earlier.control)
 	return difference
@@ -165,7 +165,7 @@
 // failures are the rates of attempts that brought no answer.
 func (s *sample) failureRates() rateComparison {
 	return s.measureRates(func(counts *Counts) rate {
-		return rate{bad: float64(counts.Failed), attempts: float64(counts.total())}
+		return rate{bad: float64(counts.Failed), attempts: float64(counts.attempts())}
 	})
 }
 
@@ -208,11 +208,11 @@
 // the leaf that makes it longest: beside one that is deaf for a time, nothing would be
 // slow. It is false while too little is known.
 func (s *sample) controlQuantileBucket() (int, bool) {
-	usual, ok := s.control.Took.quantile(slowQuantile)
+	usual, ok := s.control.Took.fraction(slowQuantile)
 	for _, counts := range s.controlByLeaf {
 		rest := s.control
 		rest.subtract(counts)
-		if bucket, enough := rest.Took.quantile(slowQuantile); enough && bucket < usual {
+		if bucket, enough := rest.Took.fraction(slowQuantile); enough && bucket < usual {
 			usual = bucket
 		}
 	}
@@ -220,13 +220,13 @@
 }
 
 // quantile returns the bucket of a quantile; false if it is one of too few.
-func (h *Histogram) quantile(quantile float64) (int, bool) {
+func (h *Histogram) fraction(fraction float64) (int, bool) {
 	total := h.total()
 	if total < minAttemptsForQuantile {
 		return 0, false
 	}
 	bucket := 0
-	for float64(total-h.countAbove(bucket)) < quantile*float64(total) {
+	for float64(total-h.countAbove(bucket)) < fraction*float64(total) {
 		bucket++
 	}
 	return bucket, true
@@ -246,7 +246,7 @@
 	result := rateComparison{control: measure(&s.control), targetByLeaf: make(map[leafKey]rate, len(s.targetByLeaf))}
 	for key, counts := range s.targetByLeaf {
 		measured := measure(counts)
-		if stale, ok := s.staleByLeaf[key]; ok {
+		if stale, ok := s.stale[key]; ok {
 			excluded := measure(stale)
 			measured.attempts -= excluded.attempts - excluded.bad
 		}
@@ -263,7 +263,7 @@
 	if !isWorse(target, r.control, minDifference, limits.all) {
 		return target, r.control, false
 	}
-	return target, r.control, !separable || isWorse(rest, r.control, minDifference, limits.withoutWorst)
+	return target, r.control, !separable || isWorse(rest, r.control, minDifference, limits.rest)
 }
 
 // ofTarget returns the rate of the target, and that without its worst zone, or leaf;
--- a/internal/decide/rollout/counts.go
+++ b/internal/decide/rollout/counts.go
@@ -92,7 +92,7 @@
 }
 
 // asked returns how many attempts ended.
-func (c *Counts) total() uint32 { return c.Failed + c.Took.total() }
+func (c *Counts) attempts() uint32 { return c.Failed + c.Took.total() }
 
 // Subject is what counts are of.
 type Subject struct {
@@ -119,28 +119,28 @@
 // NewCounter returns an empty Counter.
 func NewCounter() *Counter { return &Counter{rows: make(map[Subject]*Counts)} }
 
-func (c *Counter) countsOf(subject Subject) *Counts {
-	counts, ok := c.rows[subject]
+func (c *Counter) counts(subject Subject) *Counts {
+	row, ok := c.rows[subject]
 	if !ok {
-		counts = &Counts{}
-		c.rows[subject] = counts
+		row = &Counts{}
+		c.rows[subject] = row
 	}
-	return counts
+	return row
 }
 
 // Failed counts an attempt that brought no answer.
-func (c *Counter) Failed(subject Subject) { c.countsOf(subject).Failed++ }
+func (c *Counter) Failed(subject Subject) { c.counts(subject).Failed++ }
 
 // Took counts an attempt that was answered, or for which another one was, after a time.
 func (c *Counter) Took(subject Subject, took time.Duration) {
-	c.countsOf(subject).Took[bucketIndex(took)]++
+	c.counts(subject).Took[bucketIndex(took)]++
 }
 
 // First counts that an attempt was the first of its shard, and after which time a later one
 // was answered before it; zero if none was. What was overtaken within slowFloor is not
 // slow: where leaves take less than a millisecond hedges overtake one that takes 10.
 func (c *Counter) First(subject Subject, overtaken time.Duration) {
-	counts := c.countsOf(subject)
+	counts := c.counts(subject)
 	counts.First++
 	if overtaken >= slowMargin {
 		counts.Overtaken++
--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -59,13 +59,13 @@
 		return
 	}
 	for route, current := range routes {
-		for leaf, counts := range current.targetByLeaf {
-			key := routeLeaf{route: route, leafKey: leaf}
-			if !usable[leaf.leaf] {
+		for id, counts := range current.targetByLeaf {
+			key := routeLeaf{route: route, leafKey: id}
+			if !usable[id.leaf] {
 				t.stale[key] = *counts
 			}
 			if stale, ok := t.stale[key]; ok {
-				current.staleByLeaf[leaf] = &stale
+				current.stale[id] = &stale
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 	for route, current := range routes {
 		newest := current
 		if len(t.snapshots) > 0 {
-			newest = current.subtract(t.snapshots[0].routes[route])
+			newest = current.diff(t.snapshots[0].routes[route])
 		}
 		whole, rest, separable := newest.failureRates().sumTarget()
 		if !separable {
@@ -133,7 +133,7 @@
 	for route, current := range routes {
 		reason := current.describeRegression(limits)
 		if reason == "" && len(t.snapshots) > 0 {
-			reason = current.subtract(t.snapshots[0].routes[route]).describeRegression(limits)
+			reason = current.diff(t.snapshots[0].routes[route]).describeRegression(limits)
 		}
 		if reason != "" {
 			return fmt.Sprintf("on route %s the target %s", route, reason)
@@ -148,10 +148,10 @@
 func sumAttempts(routes map[string]*sample) attemptTotals {
 	var totals attemptTotals
 	for _, current := range routes {
-		totals.all += current.control.total()
+		totals.all += current.control.attempts()
 		for _, counts := range current.targetByLeaf {
-			totals.target += counts.total()
-			totals.all += counts.total()
+			totals.target += counts.attempts()
+			totals.all += counts.attempts()
 		}
 	}
 	return totals
