--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -28,7 +28,7 @@
 	services []decayedCounts
 	global   decayedCounts
 	// suspects are the runs of the moment by request, of those that are suspected.
-	counts map[Content]*decayedCounts
+	suspected map[Content]*decayedCounts
 }
 
 // runs are some runs, weighted by age.
@@ -82,7 +82,7 @@
 	atService.decay(now, serviceHalfLife)
 	b.global.decay(now, globalHalfLife)
 	own := decayedCounts{}
-	if counts, ok := b.counts[content]; ok {
+	if counts, ok := b.suspected[content]; ok {
 		counts.decay(now, globalHalfLife)
 		own = *counts
 	}
@@ -101,15 +101,15 @@
 // where there are many: then they count as runs of others for a moment, which only has a
 // request tried once more.
 func (b *Background) suspectedCounts(now time.Duration, content Content) *decayedCounts {
-	counts, ok := b.counts[content]
+	counts, ok := b.suspected[content]
 	if ok {
 		return counts
 	}
-	if b.counts == nil || len(b.counts) >= maxSuspectedRequests {
-		b.counts = make(map[Content]*decayedCounts)
+	if b.suspected == nil || len(b.suspected) >= maxSuspectedRequests {
+		b.suspected = make(map[Content]*decayedCounts)
 	}
 	counts = &decayedCounts{decayedAt: now}
-	b.counts[content] = counts
+	b.suspected[content] = counts
 	return counts
 }
 
--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -208,11 +208,11 @@
 // the leaf that makes it longest: beside one that is deaf for a time, nothing would be
 // slow. It is false while too little is known.
 func (s *sample) controlQuantileBucket() (int, bool) {
-	usual, ok := s.control.Took.fraction(slowQuantile)
+	usual, ok := s.control.Took.quantile(slowQuantile)
 	for _, counts := range s.controlByLeaf {
 		rest := s.control
 		rest.subtract(counts)
-		if bucket, enough := rest.Took.fraction(slowQuantile); enough && bucket < usual {
+		if bucket, enough := rest.Took.quantile(slowQuantile); enough && bucket < usual {
 			usual = bucket
 		}
 	}
@@ -220,7 +220,7 @@
 }
 
 // quantile returns the bucket of a quantile; false if it is one of too few.
-func (h *Histogram) fraction(fraction float64) (int, bool) {
+func (h *Histogram) quantile(fraction float64) (int, bool) {
 	total := h.total()
 	if total < minAttemptsForQuantile {
 		return 0, false
--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -98,7 +98,7 @@
 	if rollout.Bad = t.findRegression(routes, shiftThresholds); rollout.Bad != "" {
 		return PhaseRolledBack, rollout.Bad
 	}
-	failure := t.failure(routes)
+	failure := t.findFailingRoute(routes)
 	switch {
 	case failure == "":
 		return PhaseShift, fmt.Sprintf("nothing speaks against the version in %d of %d attempts", attempts.target, attempts.all)
@@ -110,7 +110,7 @@
 }
 
 // failing says on which route the target has failed often of late; empty if on none.
-func (t *evaluation) failure(routes map[string]*sample) string {
+func (t *evaluation) findFailingRoute(routes map[string]*sample) string {
 	for route, current := range routes {
 		newest := current
 		if len(t.snapshots) > 0 {
