--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// usualHalfLife is the time in which a run at a service loses half of its weight, and
-	// momentHalfLife the same of a run anywhere: what crashes leaves of many services
-	// crashes them at one moment. Without the moment, a request that ran beside one under
-	// which all leaves crashed was held: over the usual time 0.14 to 0.21 of the runs had.
+	// serviceHalfLife and globalHalfLife are the half-lives of the weight of an attempt in the
+	// counts of its service, and in those of all services. A fault that crashes leaves of many
+	// services crashes them within a short time. Without the global counts, a request that ran
+	// beside one that crashed all leaves was held: over serviceHalfLife only 0.14 to 0.21 of the
+	// attempts had crashed a leaf.
 	serviceHalfLife = 30 * time.Second
 	globalHalfLife  = time.Second
-	// weightStep is the least time after which weights are brought up to date, as a
-	// part of the time in which they halve. Not measured: chosen because it changes a
-	// weight by less than 4 %.
+	// minDecayStep is the minimum time between two updates of a weight, as a fraction of the
+	// half-life. A step of this size changes a weight by less than 4 %.
 	minDecayStep = 0.05
-	// priorCrashes and priorRuns are what is assumed without runs: one run in 20 crashes
-	// its leaf. The share never counts as less. Not measured: chosen because two trials
-	// then reach the odds of 100.
+	// priorCrashes and priorAttempts are the prior of the crash rate: one attempt in 20 crashes its
+	// leaf. The estimate never falls below the prior. Two trials at the prior rate reach odds of
+	// 400, above Config.MinOdds.
 	priorCrashes, priorAttempts = 0.5, 10
 )
 
-// Background counts how often runs crash their leaf, whatever the request: at each
-// service, and anywhere in the last moment. It is not safe for concurrent use.
+// Background tracks how often attempts crash their leaf regardless of the request: per service, and
+// over all services in the last few seconds. It is not safe for concurrent use.
 type Background struct {
 	services []decayedCounts
 	global   decayedCounts
-	// suspects are the runs of the moment by request, of those that are suspected.
+	// suspected holds the part of global that belongs to each suspected request.
 	suspected map[Content]*decayedCounts
 }
 
-// runs are some runs, weighted by age.
+// decayedCounts counts attempts with exponentially decaying weights.
 type decayedCounts struct {
 	crashed, answered float64
 	decayedAt         time.Duration
 }
 
-// age brings the weights up to date.
+// decay brings the weights up to date.
 func (r *decayedCounts) decay(now, halfLife time.Duration) {
 	age := (now - r.decayedAt).Seconds() / halfLife.Seconds()
 	if age < minDecayStep {
@@ -58,13 +58,14 @@
 	r.answered++
 }
 
-// chance returns how likely a run crashes its leaf.
+// crashChance returns the probability that an attempt crashes its leaf, estimated from the counts
+// and the prior.
 func crashChance(crashed, answered float64) float64 {
 	return max((crashed+priorCrashes)/(crashed+answered+priorAttempts), priorCrashes/priorAttempts)
 }
 
-// Add takes in a run at a service that crashed its leaf, or was answered. One of a
-// suspected request says nothing of the service.
+// Add records an attempt at a service that crashed its leaf or was answered. Attempts of suspected
+// requests do not count for the service.
 func (b *Background) Add(now time.Duration, content Content, suspected bool, service int, crashed bool) {
 	b.global.add(now, globalHalfLife, crashed)
 	if suspected {
@@ -74,9 +75,9 @@
 	b.serviceCounts(now, service).add(now, serviceHalfLife, crashed)
 }
 
-// Chance returns how likely a run at a service crashes its leaf now, whatever the
-// request, from 0.05 to 1: by what is usual there, or by the moment, if that is more.
-// Runs of the request itself do not count.
+// Chance returns the probability, from 0.05 to 1, that an attempt at a service crashes its leaf now
+// regardless of the request: the higher of the service's rate and the global rate. Attempts of the
+// request itself do not count for the global rate.
 func (b *Background) Chance(now time.Duration, content Content, service int) float64 {
 	atService := b.serviceCounts(now, service)
 	atService.decay(now, serviceHalfLife)
@@ -97,9 +98,9 @@
 	return &b.services[service]
 }
 
-// suspectOf returns the runs of a request in the moment. Those of all are forgotten
-// where there are many: then they count as runs of others for a moment, which only has a
-// request tried once more.
+// suspectedCounts returns the recent attempts of a suspected request. If too many requests are
+// tracked, it drops the counts of all of them. They then count as attempts of other requests for
+// about a second, which can only cause one more trial of a request.
 func (b *Background) suspectedCounts(now time.Duration, content Content) *decayedCounts {
 	counts, ok := b.suspected[content]
 	if ok {
@@ -113,6 +114,6 @@
 	return counts
 }
 
-// maxSuspects bounds the suspected requests whose runs are told apart. Not measured:
-// chosen because a moment seldom has more, and so many take some KB.
+// maxSuspectedRequests bounds the suspected requests that are counted separately. There are rarely
+// more within a second, and 256 of them take a few KB.
 const maxSuspectedRequests = 256
--- a/internal/decide/quarantine/background_test.go
+++ b/internal/decide/quarantine/background_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestBackgroundIsWhatOthersMeet, at the service over half a minute, and fades.
+// TestBackgroundChanceByService checks that the chance follows the crash rate of its service over
+// serviceHalfLife, leaves other services unaffected, and decays.
 func TestBackgroundChanceByService(t *testing.T) {
 	var background Background
 	for run := range 140 {
@@ -25,9 +26,9 @@
 	}
 }
 
-// TestRequestBesideAnotherThatEndsAllLeaves is not held for the ends of that moment,
-// though it is the only one besides, was answered by none before, and its trials end,
-// too. The other one is, by its trials of later.
+// TestRequestConcurrentWithCrashingRequest guards against holding a harmless request because
+// another request crashes all leaves at the same time. No leaf answered the harmless request
+// before, and its trials crash as well. The other request is held by its later trials.
 func TestRequestConcurrentWithCrashingRequest(t *testing.T) {
 	p := newScenario(t)
 	var background Background
--- a/internal/decide/quarantine/content.go
+++ b/internal/decide/quarantine/content.go
@@ -5,16 +5,16 @@
 	"encoding/hex"
 )
 
-// Content names what a request asks. It is the same for each try of a request, by
-// any client at any node. It is a cryptographic hash: no caller can make a request
-// that is taken for that of another.
+// Content identifies what a request asks. All attempts of a request have the same Content, from any
+// client and at any node. It is a cryptographic hash, so that a caller cannot construct a request
+// that is mistaken for another.
 type Content [16]byte
 
-// ContentOf returns the name of what a request asks.
+// ContentOf returns the Content of a request with the given host, request line and body.
 func ContentOf(host string, requestLine, body []byte) Content {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(host), requestLine} {
-		_, _ = hash.Write(part) // a hash takes all
+		_, _ = hash.Write(part) // Write of a hash.Hash never returns an error
 		_, _ = hash.Write([]byte{'\n'})
 	}
 	_, _ = hash.Write(body)
--- a/internal/decide/quarantine/doc.go
+++ b/internal/decide/quarantine/doc.go
@@ -1,31 +1,28 @@
-// Package quarantine decides which requests get no leaf any more, since leaves crash
-// under them.
+// Package quarantine decides which requests are withheld from leaves because leaves crash while
+// they execute them.
 //
-// The rule: a request under which three leaves crashed, and which none has answered, is
-// suspected: it runs on one leaf alone, one such trial at a time in the whole fleet. Once
-// two trials have crashed their leaf, and that is not what happens to any request there,
-// it is held: every node refuses it at once, for some minutes; any answer of any leaf
-// clears it.
+// The rule: a request under which three leaves crashed, and which no leaf has answered, is
+// suspected. A suspected request runs on a single leaf, and at most one such trial of it runs in
+// the whole fleet at a time. Once two trials have crashed their leaf, and the usual crash rate at
+// the service does not explain these crashes, the request is held: every node refuses it
+// immediately for 5 to 10 minutes. An answer from any leaf clears the request.
 //
-// Inputs: the content of a request (a hash of what it asks); the attempts that ended with
-// a connection which the leaf closed or reset before a byte of its answer (a crash), or
-// with an answer; the time (a duration on the node's clock); what the store says that the
-// other nodes know (a Record for each request); how many nodes there are.
+// Inputs: the content of a request (a hash of what it asks); the attempts that ended with an
+// answer, or with a connection that the leaf closed or reset before the first byte of its answer (a
+// crash); the time (a duration on the node's clock); the records of the other nodes in the store (a
+// Record for each request); the number of nodes.
 //
-// Reason: a request whose content meets a fault of the leaves' software crashes each leaf
-// that begins to run it, and returns with each retry, at any node. Without the rule 28 to
-// 31 and 111 to 121 leaves crashed in the two plays of
-// TestRequestUnderWhichLeavesEndIsKeptFromThem, with it 6 and 10 (five runs).
+// Reason: a request that triggers a fault in the leaf software crashes every leaf that starts to
+// execute it, and client retries bring it back to any node. In two simulated incidents 28 to 31 and
+// 111 to 121 leaves crashed without the rule, and 6 and 10 with it.
 //
-// Which losses are crashes, and which leaves survived theirs, decides Starts.
+// IncarnationTracker decides which losses of a connection are crashes, and which leaves survived
+// their loss.
 //
-// Measurements behind the constants: see DefaultConfig and the constants of Background,
-// Recent, Record, Starts and PlanTrial. docs/design/0016-quarantine.md has the argument and what
-// was weighed.
-//
-// The package owns what one node knows of suspected requests: Table (states and trials),
-// Starts (leaves that were lost),
-// Background (how often runs crash their leaf whatever the request), Recent (what was
-// answered lately). It has no clock and makes no calls: the driver writes each Change that
-// it returns to the store, and hands in what the store says.
+// The package holds the state of one node: Table (suspected requests and their trials),
+// IncarnationTracker (leaf incarnations whose connections were lost), Background (how often
+// attempts crash their leaf regardless of the request) and Recent (requests that were answered
+// recently). The package has no clock and makes no calls: the driver writes each returned Change to
+// the store, and passes in what the store holds. docs/design/0016-quarantine.md describes the
+// design and its alternatives.
 package quarantine
--- a/internal/decide/quarantine/fleet_test.go
+++ b/internal/decide/quarantine/fleet_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// shared is a store with one key, which some nodes write under its revision. The
-// revision never falls.
+// modelStore is a store with one key that several nodes write conditionally. Its revision only
+// grows.
 type modelStore struct {
 	present  bool
 	record   Record
@@ -23,7 +23,7 @@
 	return 0
 }
 
-// write does a change, unless another came before.
+// write applies a change unless another write came first.
 func (s *modelStore) write(change Change) bool {
 	if change.Former != s.currentRevision() {
 		return false
@@ -33,17 +33,17 @@
 	return true
 }
 
-// fleet is some nodes in front of one store.
+// fleet is a group of nodes that share one store.
 type fleet struct {
 	*rapid.T
 	store   modelStore
 	tables  []*Table
 	now     time.Duration
-	trials  int // that began
+	trials  int // started
 	crashes int
 }
 
-// flush writes what one node has to tell; the store may come before it.
+// flush writes the pending change of a node; if another write came first, the node reads the store.
 func (f *fleet) flush(node int) {
 	change, pending := f.tables[node].Change(crashingContent)
 	if !pending {
@@ -56,7 +56,7 @@
 	f.readStore(node)
 }
 
-// hear lets one node know what the store has.
+// readStore passes the state of the store to a node.
 func (f *fleet) readStore(node int) {
 	if f.store.present {
 		f.tables[node].Set(f.now, crashingContent, Known{Record: f.store.record, Revision: f.store.revision})
@@ -65,13 +65,14 @@
 	f.tables[node].Remove(f.now, crashingContent, f.store.revision)
 }
 
-// leaf returns the crash of a leaf, which starts again under its id each time.
+// newCrash returns a crash of a new incarnation of the leaf.
 func (f *fleet) newCrash() []Crash {
 	f.crashes++
 	return []Crash{{Leaf: fmt.Sprint("leaf@", f.crashes), Request: fmt.Sprint(f.crashes)}}
 }
 
-// send sends the request to one node: leaves end under it, unless it is refused.
+// sendRequest sends the request to a node. Unless the node refuses the request, a leaf crashes
+// under it.
 func (f *fleet) sendRequest(node int) {
 	table := f.tables[node]
 	switch decision := table.Admit(f.now, crashingContent); decision.Verdict {
@@ -89,10 +90,9 @@
 	}
 }
 
-// TestNodesHoldARequestTogether lets requests come at any node, in any order with
-// what nodes write and hear, with nodes that start anew: once all have heard what
-// three leaves told, the request costs two trials that end, and at most one more for
-// each that was lost with its node.
+// TestFleetHoldsCrashingRequest sends requests to arbitrary nodes, interleaved with writes, reads
+// and restarts of nodes. Once all nodes know of three crashes, the request may cost at most two
+// more trials, and every node must refuse it in the end.
 func TestFleetHoldsCrashingRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{T: t}
@@ -121,7 +121,7 @@
 				f.readStore(node)
 			}
 		}
-		for range 3 * nodes { // all is written and heard
+		for range 3 * nodes { // all nodes write and read everything
 			for node := range nodes {
 				f.flush(node)
 				f.readStore(node)
--- a/internal/decide/quarantine/incarnations.go
+++ b/internal/decide/quarantine/incarnations.go
@@ -6,71 +6,70 @@
 	"time"
 )
 
-// The rule of crashes: a start of a leaf crashes once. A connection that ends before a
-// byte of an answer is the end of its leaf only if the leaf was there when the attempt was
-// sent: one that was sent after this node or another had lost the same start, and before
-// it answered again, says nothing of its request. Where a start answers after it was lost,
-// the next loss is another crash. While the store is away a node does not hear of
-// restarts, so that each loss may be that of another start.
+// The rule of crashes: an incarnation of a leaf crashes once. A connection that ends before the
+// first byte of an answer counts as a crash only if the leaf was running when the attempt was sent.
+// An attempt that was sent after this node or another one lost the same incarnation, and before the
+// incarnation answered again, is no evidence about its request. If an incarnation answers after a
+// loss, its next loss is another crash. While the store is unavailable a node does not learn of
+// restarts, so that each loss may belong to a new incarnation and counts.
 //
-// The rule of survivors: a start that was lost, and is still announced, has not crashed
-// once it has answered an attempt that was sent later, or once its announcement has
-// outlasted the time in which that of a leaf which is gone lapses; both while the store
-// answers, and late enough for a restart to be known as one.
+// The rule of survivors: an incarnation that was lost and is still announced has survived once it
+// has answered an attempt that was sent after the loss, or once its announcement has outlasted the
+// time in which the announcement of a stopped leaf expires. Both need a store that is available,
+// and enough time for a restart to become known.
 //
-// Inputs: attempts that ended with an answer or with such a loss, when they were sent and
-// lost; the starts that records of other nodes name; which starts are announced; for how
-// long the store has answered.
+// Inputs: the attempts that ended with an answer or with such a loss, and when they were sent and
+// lost; the incarnations named in records of other nodes; which incarnations are announced; for how
+// long the store has been available.
 //
-// Reason: connections that are reset look as those of a leaf that crashes. Without the
-// rules the requests at the only usable leaf of a service were held after its connections
-// had been reset for 2.4 s: five losses of one start counted as five crashes, and 0.68 and
-// 0.73 of the requests were served in the end in two of three plays of a soak.
+// Reason: a connection reset looks the same as a crash of the leaf. Without these rules, connection
+// resets for 2.4 s at the only usable leaf of a service counted as five crashes of one incarnation,
+// and the service's requests were held.
 
 const (
-	// announceTime is how long a restart takes at most to be known to a node that is in
-	// touch with the store: two seconds until a leaf has written its entry again after an
-	// outage, and one until nodes have it.
+	// maxAnnounceDelay is the longest time until a node with access to the store learns of a
+	// restart: 2 s until a leaf has written its entry again after an outage, and 1 s until nodes
+	// receive the entry.
 	maxAnnounceDelay = 3 * time.Second
-	// lapseHeartbeats is how many heartbeats of silence it takes until the announcement
-	// of a leaf that is gone goes.
+	// expiryHeartbeats is the number of missed heartbeats after which the announcement of a stopped
+	// leaf expires.
 	expiryHeartbeats = 3
-	// maxStarts bounds the starts that were lost: as many as the largest fleet that was
-	// planned for has leaves, of some 100 bytes each. Beyond it the oldest loss is
-	// forgotten.
+	// maxIncarnations bounds the tracked incarnations, of about 100 bytes each. It is the number of
+	// leaves in the largest supported fleet. Beyond it the oldest loss is dropped.
 	maxIncarnations = 19_000
-	// lifeMark stands between the name of a start and the number of a life that this
-	// node told apart under it.
+	// ordinalSeparator separates the name of an incarnation from the ordinal of its crash as
+	// counted by this node.
 	ordinalSeparator = "+"
 )
 
-// Starts is what a node saw of the starts of leaves that were lost. Times are durations on
-// the node's clock. It is not safe for concurrent use.
+// IncarnationTracker holds what a node observed of leaf incarnations whose connections were lost.
+// Times are durations on the node's clock. It is not safe for concurrent use.
 type IncarnationTracker struct {
 	incarnations map[string]*incarnation
-	// touchSince is since when the store answers, unless away is set.
+	// storeAvailableSince is when the store last became available. It is valid unless
+	// storeUnavailable is set.
 	storeAvailableSince time.Duration
 	storeUnavailable    bool
 }
 
-// start is one start of a leaf that was lost.
+// incarnation is a leaf incarnation whose connection was lost.
 type incarnation struct {
-	// lost is when a connection to it was lost last, of those that count, or when a
-	// record was received that names it.
+	// lostAt is when a connection was last lost in a way that counts as a crash, or when a record
+	// that names the incarnation was received.
 	lostAt time.Duration
-	// answered is when the newest attempt was sent that it answered after that; zero
-	// without one.
+	// answeredSentAt is the latest send time of an attempt that the incarnation answered after the
+	// loss; zero without such an attempt.
 	answeredSentAt time.Duration
-	// life counts the crashes before under the same name.
+	// previousCrashes counts the earlier crashes under the same name.
 	previousCrashes int
 }
 
-// NewStarts returns a Starts that knows of no loss.
+// NewIncarnationTracker returns an empty IncarnationTracker.
 func NewIncarnationTracker() *IncarnationTracker {
 	return &IncarnationTracker{incarnations: make(map[string]*incarnation)}
 }
 
-// SetStoreAway says whether the store does not answer.
+// SetStoreUnavailable records whether the store is unavailable.
 func (t *IncarnationTracker) SetStoreUnavailable(now time.Duration, unavailable bool) {
 	if t.storeUnavailable && !unavailable {
 		t.storeAvailableSince = now
@@ -78,8 +77,8 @@
 	t.storeUnavailable = unavailable
 }
 
-// Lost takes in an attempt at a start whose connection was lost before a byte of its
-// answer. It returns the name of the crash; false if it was none.
+// RecordLoss records an attempt whose connection was lost before the first byte of an answer. It
+// returns the identifier of the crash, or false if the loss does not count as a crash.
 func (t *IncarnationTracker) RecordLoss(leaf string, sent, lost time.Duration) (string, bool) {
 	inc, ok := t.incarnations[leaf]
 	switch {
@@ -95,7 +94,7 @@
 	return formatCrashID(leaf, inc.previousCrashes), true
 }
 
-// add makes room for one more start.
+// add tracks one more incarnation. It drops the oldest loss if the tracker is full.
 func (t *IncarnationTracker) add(leaf string, lost time.Duration) *incarnation {
 	if len(t.incarnations) >= maxIncarnations {
 		oldest := ""
@@ -111,14 +110,14 @@
 	return inc
 }
 
-// Answered takes in an attempt that a start answered.
+// RecordAnswer records an attempt that an incarnation answered.
 func (t *IncarnationTracker) RecordAnswer(leaf string, sent time.Duration) {
 	if inc, ok := t.incarnations[leaf]; ok && sent > inc.lostAt {
 		inc.answeredSentAt = max(inc.answeredSentAt, sent)
 	}
 }
 
-// Named takes in that another node lost a start, by the name of the crash.
+// RecordRemoteLoss records a crash that another node reported.
 func (t *IncarnationTracker) RecordRemoteLoss(now time.Duration, crashID string) {
 	leaf, ordinal := parseCrashID(crashID)
 	inc, ok := t.incarnations[leaf]
@@ -129,8 +128,8 @@
 	inc.previousCrashes = max(inc.previousCrashes, ordinal)
 }
 
-// Survived reports whether a start that is announced, and of whose crash this node knows
-// since some time, has not crashed. Heartbeat is the time between two announcements.
+// HasSurvived reports whether an announced incarnation survived the loss that this node has known
+// of since knownSince. Heartbeat is the interval between two announcements.
 func (t *IncarnationTracker) HasSurvived(now time.Duration, crashID string, knownSince, heartbeat time.Duration) bool {
 	if t.storeUnavailable {
 		return false
@@ -143,7 +142,7 @@
 	return now-max(knownSince, t.storeAvailableSince) >= expiryHeartbeats*heartbeat+maxAnnounceDelay
 }
 
-// Expire forgets the starts that were lost long ago.
+// Expire drops incarnations whose last loss is older than RecordTTL.
 func (t *IncarnationTracker) Expire(now time.Duration) {
 	for leaf, inc := range t.incarnations {
 		if now-inc.lostAt > RecordTTL {
@@ -152,7 +151,7 @@
 	}
 }
 
-// nameOf returns the name of a crash of a start.
+// formatCrashID returns the identifier of a crash of an incarnation.
 func formatCrashID(leaf string, ordinal int) string {
 	if ordinal == 0 {
 		return leaf
@@ -160,7 +159,7 @@
 	return leaf + ordinalSeparator + strconv.Itoa(ordinal)
 }
 
-// leafOf returns the start that a crash is of, and the number of its life.
+// parseCrashID returns the incarnation and the ordinal of a crash.
 func parseCrashID(crashID string) (leaf string, ordinal int) {
 	separator := strings.LastIndex(crashID, ordinalSeparator)
 	if separator < 0 {
@@ -168,7 +167,7 @@
 	}
 	ordinal, err := strconv.Atoi(crashID[separator+len(ordinalSeparator):])
 	if err != nil {
-		return crashID, 0 // the mark is a part of the name
+		return crashID, 0 // the separator is part of the name
 	}
 	return crashID[:separator], ordinal
 }
--- a/internal/decide/quarantine/incarnations_test.go
+++ b/internal/decide/quarantine/incarnations_test.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// beat is the heartbeat of these tests.
+	// heartbeat is the interval between announcements in these tests.
 	heartbeat = 1200 * time.Millisecond
-	// lapse is after what time an announcement that is still there shows that its leaf
-	// lives.
+	// announcementExpiry is the time after a loss at which an announcement that still exists proves
+	// that its leaf survived.
 	announcementExpiry = expiryHeartbeats*heartbeat + maxAnnounceDelay
 )
 
-// TestStartCrashesOnce: what is sent to a start after it was lost, and before it answers
-// again, says nothing of its request, whoever lost it.
+// TestIncarnationCrashesOnce guards against counting one crash several times: attempts that are
+// sent after a loss, and before the incarnation answers again, do not count, whichever node
+// observed the loss.
 func TestIncarnationCrashesOnce(t *testing.T) {
 	tracker := NewIncarnationTracker()
 	for _, step := range []struct {
@@ -48,7 +49,8 @@
 	}
 }
 
-// TestEachLossCountsWithoutAStore, since no restart is heard of.
+// TestEachLossCountsWhileStoreIsUnavailable checks that each loss counts as a crash while the node
+// cannot learn of restarts.
 func TestEachLossCountsWhileStoreIsUnavailable(t *testing.T) {
 	tracker := NewIncarnationTracker()
 	tracker.SetStoreUnavailable(0, true)
@@ -60,8 +62,8 @@
 	}
 }
 
-// TestStartSurvives if it is still announced some time after it answered, or after its
-// announcement would have lapsed; an outage of the store shows neither.
+// TestIncarnationSurvives checks that an incarnation survives some time after it answered, or once
+// its announcement would have expired, and that neither can happen during an outage of the store.
 func TestIncarnationSurvives(t *testing.T) {
 	const second = time.Second
 	for name, test := range map[string]struct {
@@ -96,7 +98,7 @@
 	}
 }
 
-// TestStartsAreBounded, and forgotten.
+// TestIncarnationsAreBounded checks the bound on tracked incarnations, and their expiry.
 func TestIncarnationsAreBounded(t *testing.T) {
 	tracker := NewIncarnationTracker()
 	for number := range maxIncarnations + 10 {
--- a/internal/decide/quarantine/recent.go
+++ b/internal/decide/quarantine/recent.go
@@ -3,28 +3,27 @@
 import "time"
 
 const (
-	// recentTime is for how long a request counts as answered lately, at least; twice
-	// that at most. A request that comes more often cannot be suspected. Not measured:
-	// chosen because popular requests come more often than that.
+	// generationTime is the age at which a generation is replaced: a request counts as recently
+	// answered for 10 to 20 s. A request that is answered more often than that cannot become
+	// suspected, which covers popular requests.
 	generationTime = 10 * time.Second
-	// recentEntries bounds the requests of one generation: 4,096 of 16 bytes, in two
-	// generations, take 0.4 MB.
+	// maxGenerationEntries bounds the requests of one generation. Two generations of 4,096 hashes
+	// of 16 bytes take 0.4 MB.
 	maxGenerationEntries = 4096
 )
 
-// Recent remembers which requests leaves answered lately. It is not safe for
-// concurrent use.
+// Recent remembers which requests leaves answered recently. It is not safe for concurrent use.
 type Recent struct {
 	current, previous map[Content]struct{}
 	rotatedAt         time.Duration
 }
 
-// NewRecent returns a Recent that remembers nothing.
+// NewRecent returns an empty Recent.
 func NewRecent() *Recent {
 	return &Recent{current: make(map[Content]struct{}), previous: make(map[Content]struct{})}
 }
 
-// Add notes that a leaf answered a request.
+// Add records that a leaf answered a request.
 func (r *Recent) Add(now time.Duration, content Content) {
 	r.rotate(now)
 	if len(r.current) < maxGenerationEntries {
@@ -32,7 +31,7 @@
 	}
 }
 
-// Has reports whether a leaf answered a request lately.
+// Has reports whether a leaf answered a request recently.
 func (r *Recent) Has(now time.Duration, content Content) bool {
 	r.rotate(now)
 	_, current := r.current[content]
@@ -40,7 +39,7 @@
 	return current || previous
 }
 
-// turn starts a new generation if the young one is old.
+// rotate starts a new generation once the current one has reached generationTime.
 func (r *Recent) rotate(now time.Duration) {
 	age := now - r.rotatedAt
 	if age < generationTime {
--- a/internal/decide/quarantine/record.go
+++ b/internal/decide/quarantine/record.go
@@ -8,58 +8,61 @@
 	"slices"
 )
 
-// Record is what all nodes know together of a request under which leaves crashed.
+// Record is the shared state of a request under which leaves crashed.
 type Record struct {
-	// Route is the name of its route, for operators.
+	// Route is the name of the request's route, for operators.
 	Route string `json:"route"`
-	// Crashes lists leaves that crashed under it, maxCrashes at most.
+	// Crashes lists leaves that crashed under the request, at most maxCrashes.
 	Crashes []Crash `json:"ended"`
-	// Trials is how many times it was tried on one leaf alone, and Trial names the
-	// process that tries it now; empty if none does.
+	// Trials is the number of trials that were started. Trial names the process that is running a
+	// trial now; it is empty while no trial is running.
 	Trials int    `json:"trials"`
 	Trial  string `json:"trial,omitempty"`
-	// Odds is how many times likelier the crashes of its trials are if it crashes leaves
-	// than if these crashed by themselves; 1 without a trial.
+	// Odds is the likelihood ratio of the trials' crashes: how much likelier they are if the
+	// request crashes leaves than if the leaves crashed independently of it. It is 1 without a
+	// trial.
 	Odds float64 `json:"odds"`
-	// Held says that every node refuses it. Odds and Held follow from Crashes where one of
-	// these was seen by a trial; they are written for nodes that do not know Crash.Chance.
+	// Held reports whether every node refuses the request. Odds and Held follow from Crashes if a
+	// trial observed one of these; they are written for nodes that do not know Crash.Chance.
 	Held bool `json:"held"`
 }
 
-// Crash is the crash of a leaf under one try of a request.
+// Crash is the crash of a leaf during one attempt of a request.
 type Crash struct {
-	// Leaf names the start of the leaf that ended (see Starts). It can crash only once:
-	// two nodes that lost connections to it in one moment name the same crash.
+	// Leaf identifies the crash by the incarnation of the leaf (see IncarnationTracker). An
+	// incarnation crashes only once: two nodes that lose connections to it at the same time report
+	// the same crash.
 	Leaf    string `json:"leaf"`
 	Request string `json:"request"`
-	// Chance is how likely the crash was whatever the request, above 0 to 1, if a trial
-	// saw it; zero otherwise.
+	// Chance is the probability, above 0 and up to 1, that the leaf would have crashed under any
+	// request. It is set if a trial observed the crash, and zero otherwise.
 	Chance float64 `json:"chance,omitempty"`
-	// Survived says that the leaf was seen to live on, so that it did not crash.
+	// Survived reports whether the leaf was found to be still running, so that it did not crash.
 	Survived bool `json:"survived,omitempty"`
 }
 
-// same reports whether two nodes or two tries speak of one crash.
+// sameLeaf reports whether both values describe the same crash, as seen by two nodes or two
+// attempts.
 func (c Crash) sameLeaf(other Crash) bool { return c.Leaf == other.Leaf }
 
 const (
-	// maxCrashes bounds the crashes that a record names. Not measured: chosen because they
-	// only need to be enough for a trial, and forward.quarantine_after is 8 at most.
+	// maxCrashes bounds the crashes in a record. forward.quarantine_after, the number of crashes
+	// before the first trial, is at most 8.
 	maxCrashes = 8
-	// maxName bounds the names in them, in bytes, whatever callers and leaves send. Not
-	// measured: chosen because a record then takes 1.8 KB at most.
+	// maxNameBytes bounds each name in a crash, so that a record takes at most 1.8 KB whatever
+	// callers and leaves send.
 	maxNameBytes = 64
 )
 
-// NewCrash returns the crash of a leaf under a try. Longer names are cut to 64 bytes.
+// NewCrash returns the crash of a leaf during an attempt. It truncates names to 64 bytes.
 func NewCrash(leaf, request string) Crash {
 	return Crash{Leaf: leaf[:min(len(leaf), maxNameBytes)], Request: request[:min(len(request), maxNameBytes)]}
 }
 
-// Encode returns the value of the record in the store.
+// Encode returns the record as it is stored.
 func (r Record) Encode() ([]byte, error) { return json.Marshal(r) }
 
-// DecodeRecord reads the value of a record.
+// DecodeRecord decodes a stored record and checks its bounds.
 func DecodeRecord(value []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -72,24 +75,24 @@
 	return record, nil
 }
 
-// Known is a record as the store has it.
+// Known is a record together with its revision in the store.
 type Known struct {
 	Record
-	// Revision is that of the key in the store; zero if it is not there.
+	// Revision is the revision of the key; zero if the key does not exist.
 	Revision uint64
 }
 
-// Change is what is to be done to the record of a request, if its key is still at
-// the revision Former; zero if it shall not be there.
+// Change is a conditional write of a request's record. It applies only if the key is still at the
+// revision Former, or does not exist if Former is zero.
 type Change struct {
 	Content Content
 	Former  uint64
 	Record  Record
-	// Remove takes the key away in place of writing the record.
+	// Remove deletes the key instead of writing the record.
 	Remove bool
 }
 
-// Done reports whether the store has what the change was to bring about.
+// Done reports whether the store is already in the state that the change asks for.
 func (c Change) Done(current Known) bool {
 	if c.Remove || current.Revision == 0 {
 		return c.Remove && current.Revision == 0
@@ -97,8 +100,8 @@
 	return current.equal(c.Record)
 }
 
-// withCrashes returns the record with more leaves that crashed. Of a crash that is known,
-// what else is known of it is added.
+// withCrashes returns the record with the given crashes added. Crashes that the record already
+// lists gain the new information about them.
 func (r Record) withCrashes(crashes []Crash) Record {
 	r.Crashes = slices.Clone(r.Crashes)
 	for _, crash := range crashes {
@@ -113,8 +116,8 @@
 	return r
 }
 
-// addCrash adds a crash. If there is no room, it takes the place of one that proves less:
-// of a leaf that lived on, or one that no trial saw.
+// addCrash adds a crash. In a full record a crash that a trial observed replaces weaker evidence: a
+// leaf that survived, or a crash that no trial observed.
 func (r *Record) addCrash(added Crash) {
 	if len(r.Crashes) < maxCrashes {
 		r.Crashes = append(r.Crashes, added)
@@ -132,7 +135,7 @@
 	}
 }
 
-// crashed returns how many leaves crashed.
+// countCrashedLeaves returns the number of distinct leaves that crashed.
 func (r Record) countCrashedLeaves() int {
 	leaves := make(map[string]bool, len(r.Crashes))
 	for _, crash := range r.Crashes {
@@ -143,13 +146,14 @@
 	return len(leaves)
 }
 
-// trialled reports whether a trial saw one of the crashes, so that the odds follow from
-// these.
+// hasTrialCrash reports whether a trial observed one of the crashes, so that the odds follow from
+// Crashes.
 func (r Record) hasTrialCrash() bool {
 	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Chance > 0 })
 }
 
-// oddsOfTrials returns the odds of the crashes that trials saw. Each leaf counts once.
+// computeTrialOdds returns the likelihood ratio of the crashes that trials observed. Each leaf
+// counts once.
 func (r Record) computeTrialOdds() float64 {
 	chances := make(map[string]float64, len(r.Crashes))
 	for _, crash := range r.Crashes {
@@ -164,7 +168,7 @@
 	return odds
 }
 
-// survivedTrials returns how many trials ended with a leaf that lived on.
+// countSurvivedTrials returns the number of trials whose leaf survived.
 func (r Record) countSurvivedTrials() int {
 	count := 0
 	for _, crash := range r.Crashes {
@@ -175,8 +179,8 @@
 	return count
 }
 
-// mergeRecords returns what two nodes know together. Nothing that either learned is lost,
-// except the trial under way: the store has the last word on that.
+// mergeRecords combines the stored record with the record of this node. It keeps the information of
+// both, except for the running trial, for which the store is authoritative.
 func mergeRecords(stored, local Record) Record {
 	merged := stored.withCrashes(local.Crashes)
 	merged.Trials = max(stored.Trials, local.Trials)
@@ -188,8 +192,8 @@
 	return merged
 }
 
-// equal reports whether two records say the same. Odds and Held do not count where they
-// follow from the crashes: each node has its own view of which leaves lived on.
+// equal reports whether two records are equivalent. It ignores Odds and Held where they follow from
+// the crashes: nodes may differ in which leaves they believe to have survived.
 func (r Record) equal(other Record) bool {
 	equalFields := r.Route == other.Route && slices.Equal(r.Crashes, other.Crashes) && r.Trials == other.Trials && r.Trial == other.Trial
 	return equalFields && (r.hasTrialCrash() || r.Odds == other.Odds && r.Held == other.Held)
--- a/internal/decide/quarantine/record_test.go
+++ b/internal/decide/quarantine/record_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRecordKeepsItsForm in the store, whatever the fields are called here: nodes of
-// several versions read each other's records.
+// TestRecordEncoding guards against a change of the stored form of a record, which nodes of several
+// versions read and write.
 func TestRecordEncoding(t *testing.T) {
 	const stored = `{"route":"r","ended":[{"leaf":"a","request":"b"}],"trials":2,"trial":"t","odds":400,"held":true}`
 	record, err := DecodeRecord([]byte(stored))
--- a/internal/decide/quarantine/survivors_test.go
+++ b/internal/decide/quarantine/survivors_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// held returns a play in which this node held a request.
+// newHeldScenario returns a scenario in which this node holds a request.
 func newHeldScenario(t *testing.T, content Content) *scenario {
 	t.Helper()
 	p := newScenario(t)
@@ -20,7 +20,7 @@
 	return p
 }
 
-// announced says that all leaves in question are announced, or that none is.
+// announcedLeaves reports all unresolved leaves as announced, or none of them.
 func (p *scenario) announcedLeaves(all bool) map[string]bool {
 	announced := make(map[string]bool)
 	for _, leaf := range p.table.Suspects() {
@@ -29,8 +29,9 @@
 	return announced
 }
 
-// TestSurvivorsReleaseARequest: leaves that are still announced when they would have
-// lapsed did not crash under it, and the store is told; those that are gone did.
+// TestSurvivorsReleaseHeldRequest checks that leaves that are still announced after their
+// announcements would have expired release the request and clear the stored hold, while leaves that
+// are gone keep it held.
 func TestSurvivorsReleaseHeldRequest(t *testing.T) {
 	p := newHeldScenario(t, harmlessContent)
 	p.table.Review(p.now, p.announcedLeaves(true))
@@ -60,8 +61,8 @@
 	goneLeaves.requireVerdict(crashingContent, Refuse)
 }
 
-// TestOneSurvivorReleasesARequest where the trials prove too little without it: it is
-// suspected still, and tried.
+// TestSingleSurvivorReleasesHeldRequest checks that one survivor releases a request if the odds of
+// the remaining trials are too low. The request stays suspected, and is tried again.
 func TestSingleSurvivorReleasesHeldRequest(t *testing.T) {
 	p := newHeldScenario(t, harmlessContent)
 	announcedLeaves := p.announcedLeaves(false)
@@ -71,8 +72,8 @@
 	p.requireVerdict(harmlessContent, Trial)
 }
 
-// TestOtherNodesSeeSurvivorsThemselves, without a write of each: a node that starts and
-// finds a record refuses until its leaves would have lapsed.
+// TestEachNodeDetectsSurvivors checks that a node that reads a record refuses the request until the
+// leaves' announcements would have expired, then releases it without writing the record.
 func TestEachNodeDetectsSurvivors(t *testing.T) {
 	p := newHeldScenario(t, harmlessContent)
 	change, _ := p.table.Change(harmlessContent)
@@ -97,7 +98,8 @@
 	lateNode.requireVerdict(harmlessContent, Run)
 }
 
-// TestRecordOfAFormerVersionHolds: nodes that do not say which crashes trials saw.
+// TestRecordWithoutTrialCrashesStaysHeld checks that a record of a former version, without the
+// crashes that trials observed, keeps the request held.
 func TestRecordWithoutTrialCrashesStaysHeld(t *testing.T) {
 	p := newScenario(t)
 	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
@@ -106,7 +108,8 @@
 	p.requireVerdict(crashingContent, Refuse)
 }
 
-// TestRoomIsKeptForTrials: a record is full of leaves that no trial lost.
+// TestTrialCrashesReplaceOthersInFullRecord guards against a record that is full of crashes that no
+// trial observed, and therefore could not take those of trials.
 func TestTrialCrashesReplaceOthersInFullRecord(t *testing.T) {
 	p := newScenario(t)
 	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(maxCrashes+3))
@@ -116,14 +119,14 @@
 	}
 }
 
-// resets is some nodes that lose connections to a few starts of leaves, which live on.
+// resetFleet is a group of nodes that lose connections to a few incarnations, all of which survive.
 type resetFleet struct {
 	*fleet
 	leaves []string
 	sent   int
 }
 
-// ask sends a request to one node, whose attempt at a leaf is lost.
+// sendRequest sends a request to a node, whose attempt at a leaf loses its connection.
 func (r *resetFleet) sendRequest(node int, leaf string) {
 	table := r.tables[node]
 	decision := table.Admit(r.now, crashingContent)
@@ -152,10 +155,10 @@
 	}
 }
 
-// TestResetsHoldNothingForLong lets connections to leaves that live on be reset, for all
-// nodes, in any order with what these write and hear: two starts are never enough to have
-// a request held, and whatever is held because of more runs again once their announcements
-// have outlasted three heartbeats, at all nodes.
+// TestConnectionResetsReleaseRequest guards against lasting holds because of connection resets.
+// Nodes lose connections to leaves that survive, interleaved with writes and reads: two
+// incarnations must never be enough for a hold, and a request that is held because of more must run
+// again at all nodes once the announcements have outlasted three heartbeats.
 func TestConnectionResetsReleaseRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 4
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -5,58 +5,59 @@
 // Verdict is what may be done with a request.
 type Verdict int
 
-// The verdicts.
+// Verdicts on a request.
 const (
-	// Run means that nothing speaks against the request.
+	// Run allows the request.
 	Run Verdict = iota
-	// Trial means that it may run on one leaf alone, once the change is written.
+	// Trial allows the request on a single leaf, after the change has been written.
 	Trial
-	// Refuse means that it may not run now.
+	// Refuse means that the request must not run now.
 	Refuse
 )
 
-// Decision is a Verdict with what goes with it.
+// Decision is a Verdict with its details.
 type Decision struct {
 	Verdict Verdict
 	// RetryAfter is the time after which the client may retry, with Refuse.
 	RetryAfter time.Duration
-	// Held says that the request is held, with Refuse, and TrialRunning that a trial of
-	// it is running.
+	// Held reports, with Refuse, that the request is held, and TrialRunning that a trial of the
+	// request is running.
 	Held, TrialRunning bool
-	// Change is to be written before a Trial begins.
+	// Change must be written before a Trial begins.
 	Change Change
 }
 
-// entry is what a node knows of one request.
+// entry is the state of one request at this node.
 type entry struct {
 	Known
-	// changed is when the record changed last, as this node saw it.
+	// changedAt is when this node last saw the record change.
 	changedAt time.Duration
-	// unwritten is set while the record says more than the store has.
+	// pendingWrite is set while the record holds information that the store lacks.
 	pendingWrite bool
-	// cleared is set once a leaf has answered the request, until the store knows.
+	// cleared is set once a leaf has answered the request, until the store has been updated.
 	cleared bool
-	// seen says what this node knows of each crash beyond the record, by Crash.Leaf.
+	// observed holds what this node knows of each crash beyond the record, by Crash.Leaf.
 	observed map[string]observation
 }
 
-// sight is what this node knows of a crash beyond the record.
+// observation is what this node knows of a crash beyond the record.
 type observation struct {
-	// since is when it heard of the crash, and own says that it saw the crash itself.
+	// knownSince is when this node learned of the crash. Local reports whether this node observed
+	// the crash itself.
 	knownSince time.Duration
 	local      bool
-	// announced says that the leaf was announced when it was looked at last, and
-	// survived that it lived on by what this node saw.
+	// announced reports whether the leaf was announced at the last check. Survived reports whether
+	// this node found the leaf to be still running.
 	announced, survived bool
 }
 
-// Table holds the requests under which leaves crashed, as one node knows them. Times
-// are durations on the node's clock. It is not safe for concurrent use.
+// Table holds the requests under which leaves crashed, as known to one node. Times are durations on
+// the node's clock. It is not safe for concurrent use.
 type Table struct {
 	config       Config
 	entries      map[Content]*entry
 	incarnations *IncarnationTracker
-	// tokens are the new requests that this node may report, as of filled.
+	// tokens is the number of new requests that this node may report, as of tokensUpdatedAt.
 	tokens          float64
 	tokensUpdatedAt time.Duration
 	nodes           int
@@ -67,10 +68,10 @@
 	return &Table{config: config, entries: make(map[Content]*entry), incarnations: NewIncarnationTracker(), tokens: config.ReportBurst, nodes: 1}
 }
 
-// SetNodes says how many nodes share the reports.
+// SetNodes sets the number of nodes that share the report rate.
 func (t *Table) SetNodes(nodes int) { t.nodes = max(nodes, 1) }
 
-// Len returns the number of requests that are known, and how many of them are held.
+// Len returns the number of requests in the table, and how many of them are held.
 func (t *Table) Len() (total, held int) {
 	for _, e := range t.entries {
 		if e.Held {
@@ -80,7 +81,7 @@
 	return len(t.entries), held
 }
 
-// Admit decides on a request. With Trial, the trial counts as started here.
+// Admit decides on a request. If the verdict is Trial, the table counts the trial as started.
 func (t *Table) Admit(now time.Duration, content Content) Decision {
 	e := t.entries[content]
 	switch {
@@ -102,8 +103,8 @@
 	return Decision{Verdict: Trial, Change: e.change(content)}
 }
 
-// Withdraw takes back the trial that Admit started, since it was not written, or
-// reached no leaf: then it does not count, and the next may follow at once.
+// Withdraw cancels the trial that Admit started, because its write failed or it did not reach a
+// leaf. The trial does not count, and the next one may start immediately.
 func (t *Table) Withdraw(content Content) {
 	e := t.entries[content]
 	if e == nil || e.Trial != t.config.Self {
@@ -114,9 +115,8 @@
 	e.pendingWrite = true
 }
 
-// pause returns the time from the end of a trial to the next. The second may follow
-// the first at once: a request that did nothing then gets its answer sooner, and
-// another is held sooner.
+// trialPause returns the pause after the given number of trials. There is none before the second
+// trial: a harmless request is answered sooner, and a harmful one is held sooner.
 func (t *Table) trialPause(trials int) time.Duration {
 	if trials < t.config.MinTrials {
 		return 0
@@ -124,8 +124,8 @@
 	return min(t.config.TrialPause<<min(trials-t.config.MinTrials, 10), t.config.MaxTrialPause)
 }
 
-// Suspect takes in that leaves crashed under a request, and none answered it. It
-// reports whether that is to be written.
+// Suspect records leaves that crashed under a request that no leaf answered. It reports whether the
+// record must be written.
 func (t *Table) Suspect(now time.Duration, content Content, route string, crashes []Crash) bool {
 	e := t.entries[content]
 	if e == nil {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// takeToken takes a token for the report of a new request, if there is one.
+// takeToken takes a token for the report of a new request, if one is left.
 func (t *Table) takeToken(now time.Duration) bool {
 	earned := (now - t.tokensUpdatedAt).Seconds() * t.config.FleetReportRate / float64(t.nodes)
 	burst := max(min(t.config.ReportBurst, t.config.FleetReportBurst/float64(t.nodes)), 1)
@@ -161,8 +161,8 @@
 	return true
 }
 
-// makeRoom makes room for one more request, and reports whether there is any. The one
-// that changed longest ago is dropped, but none that is held.
+// makeRoom makes room for one more request, and reports whether there is any. It drops the entry
+// with the oldest change, except for held requests.
 func (t *Table) makeRoom(now time.Duration) bool {
 	if len(t.entries) < t.config.MaxEntries {
 		return true
@@ -182,8 +182,8 @@
 	return len(t.entries) < t.config.MaxEntries
 }
 
-// Expire drops what was remembered for long enough of requests that the store does
-// not list any more, and of leaves that were lost.
+// Expire drops leaf losses older than RecordTTL, and requests that the store no longer lists and
+// that have not changed for Config.Retention.
 func (t *Table) Expire(now time.Duration) {
 	t.incarnations.Expire(now)
 	for content, e := range t.entries {
@@ -193,9 +193,9 @@
 	}
 }
 
-// TrialCrashed takes in that the trial of this node crashed its leaf. ByChance is how
-// likely that was, above 0 to 1, if the request does nothing. It reports whether the
-// request became held by it.
+// TrialCrashed records that the trial of this node crashed its leaf. Chance is the probability,
+// above 0 and up to 1, that a harmless request would have met the same crash. It reports whether
+// the request became held.
 func (t *Table) TrialCrashed(now time.Duration, content Content, crashes []Crash, chance float64) bool {
 	e := t.entries[content]
 	if e == nil || e.cleared {
@@ -212,8 +212,8 @@
 	return e.Held && !wasHeld
 }
 
-// TrialInconclusive takes in that the trial of this node reached a leaf, and ended with
-// neither a crash nor an answer.
+// TrialInconclusive records that the trial of this node reached a leaf, and ended with neither a
+// crash nor an answer.
 func (t *Table) TrialInconclusive(now time.Duration, content Content) {
 	if e := t.entries[content]; e != nil {
 		t.endTrial(now, e)
@@ -227,8 +227,8 @@
 	e.changedAt, e.pendingWrite = now, true
 }
 
-// Answered takes in that a leaf answered a request, which therefore crashes none. It
-// reports whether that is to be written.
+// Answered records that a leaf answered a request, which clears it. It reports whether the store
+// must be updated.
 func (t *Table) Answered(content Content) bool {
 	e := t.entries[content]
 	if e == nil || e.cleared {
--- a/internal/decide/quarantine/table_store.go
+++ b/internal/decide/quarantine/table_store.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Of returns what is known of a request; false if nothing is.
+// Of returns the record of a request; false if the table has none.
 func (t *Table) Of(content Content) (Known, bool) {
 	if e := t.entries[content]; e != nil {
 		return e.Known, true
@@ -14,7 +14,7 @@
 	return Known{}, false
 }
 
-// Unwritten returns the requests whose records the store lacks.
+// Unwritten returns the requests whose records must be written to the store.
 func (t *Table) Unwritten() []Content {
 	var contents []Content
 	for content, e := range t.entries {
@@ -25,7 +25,7 @@
 	return contents
 }
 
-// Change returns what is to be written of a request; false if nothing is.
+// Change returns the pending write of a request; false if there is none.
 func (t *Table) Change(content Content) (Change, bool) {
 	e := t.entries[content]
 	if e == nil || !e.pendingWrite {
@@ -42,7 +42,7 @@
 	return Change{Content: content, Former: e.Revision, Record: e.Record, Remove: e.cleared}
 }
 
-// Written takes in that a change was written, at a revision of the store.
+// Written records that a change was written at a revision of the store.
 func (t *Table) Written(now time.Duration, change Change, revision uint64) {
 	e := t.entries[change.Content]
 	switch {
@@ -55,8 +55,8 @@
 	}
 }
 
-// Set takes in a record as the store has it. What this node knows beyond it stays,
-// and is to be written. It reports whether the request became held by it.
+// Set merges a record read from the store. Information of this node that the store lacks stays
+// pending for a write. It reports whether the request became held.
 func (t *Table) Set(now time.Duration, content Content, stored Known) bool {
 	e := t.entries[content]
 	if e == nil {
@@ -87,10 +87,9 @@
 	return e.Held && !wasHeld
 }
 
-// Remove takes in that the store has no record of a request any more. One that was
-// held is tried first from then on: leaves may have been mended, or not. It reports
-// whether the request was held. The revision is that at which the record was seen to be
-// gone: one that was written later stays.
+// Remove records that the store no longer has a record of a request, as of the given revision; a
+// record that was written later stays. A request that was held is tried before it runs again,
+// because the leaf software may still have the fault. Remove reports whether the request was held.
 func (t *Table) Remove(now time.Duration, content Content, revision uint64) bool {
 	e := t.entries[content]
 	if e == nil || e.Revision == 0 || e.Revision > revision {
@@ -109,7 +108,7 @@
 	return true
 }
 
-// Replace takes in all records that the store has.
+// Replace applies a complete listing of the records in the store.
 func (t *Table) Replace(now time.Duration, stored map[Content]Known) {
 	for content := range t.entries {
 		if _, ok := stored[content]; !ok {
@@ -119,7 +118,7 @@
 	t.Merge(now, stored)
 }
 
-// Merge takes in records that the store had at some time, and maybe not all of them.
+// Merge applies records that the store held at some time, possibly not all of them.
 func (t *Table) Merge(now time.Duration, records map[Content]Known) {
 	for content, stored := range records {
 		t.Set(now, content, stored)
--- a/internal/decide/quarantine/table_survivors.go
+++ b/internal/decide/quarantine/table_survivors.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// newEntry returns what a node knows of a request at first.
+// newEntry returns the initial state of a request.
 func newEntry(stored Known, now time.Duration) *entry {
 	return &entry{Known: stored, changedAt: now, observed: make(map[string]observation)}
 }
 
-// believed returns the record with what this node knows of leaves that lived on.
+// withLocalSurvivors returns the record with the leaves marked that this node found to have
+// survived.
 func (e *entry) withLocalSurvivors() Record {
 	record := e.Record
 	cloned := false
@@ -23,8 +24,8 @@
 	return record
 }
 
-// see takes in the crashes of a record that this node did not know of. Own says that it
-// saw them itself.
+// observeCrashes adds an observation of each new crash of a record. Local reports whether this node
+// observed the crashes itself.
 func (t *Table) observeCrashes(now time.Duration, e *entry, local bool) {
 	for _, crash := range e.Crashes {
 		if _, ok := e.observed[crash.Leaf]; ok {
@@ -37,8 +38,8 @@
 	}
 }
 
-// settle concludes from the crashes whether the request is held. A record without the
-// crash of a trial says that by itself: it was written by a node that does not tell.
+// updateHold derives from the crashes whether the request is held. A record without a crash that a
+// trial observed keeps its own value of Held: a node that does not know Crash.Chance wrote it.
 func (t *Table) updateHold(e *entry) {
 	if !e.hasTrialCrash() {
 		return
@@ -47,8 +48,9 @@
 	e.Held = e.Trials >= t.config.MinTrials && e.Odds >= t.config.MinOdds
 }
 
-// heldUntil returns until when a request is held: for long if its trials crashed leaves
-// that are gone, and else until those have lapsed or are known to live on.
+// heldUntil returns the end of the hold. If the trials crashed leaves that are gone, the hold lasts
+// for Config.HoldDuration; otherwise until the announcements of these leaves have expired or the
+// leaves are known to have survived.
 func (t *Table) heldUntil(e *entry) time.Duration {
 	for _, crash := range e.Crashes {
 		if observed := e.observed[crash.Leaf]; crash.Chance > 0 && observed.announced && !observed.survived {
@@ -58,24 +60,24 @@
 	return e.changedAt + t.config.HoldDuration
 }
 
-// Lost takes in an attempt at a leaf whose connection was lost before a byte of its
-// answer; see Starts.Lost. It returns the name of the crash; false if it was none.
+// Lost records an attempt whose connection was lost before the first byte of an answer; see
+// IncarnationTracker.RecordLoss. It returns the identifier of the crash, or false if the loss does
+// not count as a crash.
 func (t *Table) Lost(leaf string, sent, lost time.Duration) (string, bool) {
 	return t.incarnations.RecordLoss(leaf, sent, lost)
 }
 
-// LeafAnswered takes in an attempt that a leaf answered, whatever the request.
+// LeafAnswered records an attempt that a leaf answered, for any request.
 func (t *Table) LeafAnswered(leaf string, sent time.Duration) {
 	t.incarnations.RecordAnswer(leaf, sent)
 }
 
-// SetStoreAway says whether the store does not answer.
+// SetStoreAway records whether the store is unavailable.
 func (t *Table) SetStoreAway(now time.Duration, unavailable bool) {
 	t.incarnations.SetStoreUnavailable(now, unavailable)
 }
 
-// Suspects returns the leaves that may have crashed or lived on, by the name of their
-// start.
+// Suspects returns the incarnations of leaves that are not known to have survived.
 func (t *Table) Suspects() []string {
 	var leaves []string
 	for _, e := range t.entries {
@@ -89,17 +91,18 @@
 	return leaves
 }
 
-// Survivor is a leaf that lived on, of which it was said that it crashed under a request.
+// Survivor is a leaf that was reported to have crashed under a request, and survived.
 type Survivor struct {
 	Content Content
 	Route   string
 	Leaf    string
-	// Released says that the request was held, and is not any more.
+	// Released reports whether the request was held until now.
 	Released bool
 }
 
-// Review looks which leaves of Suspects have lived on, given which of them are announced.
-// What this node said itself is to be written; the others each look for themselves.
+// Review determines which leaves of Suspects have survived, given which of them are announced.
+// Survivors of crashes that this node observed are written to the store; other nodes determine the
+// rest on their own.
 func (t *Table) Review(now time.Duration, announced map[string]bool) []Survivor {
 	var survivors []Survivor
 	for content, e := range t.entries {
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -12,7 +12,7 @@
 	harmlessContent = ContentOf("h", []byte("GET /good HTTP/1.1"), nil)
 )
 
-// play is one Table, with a time that the test moves.
+// scenario is a Table with a clock that the test advances.
 type scenario struct {
 	*testing.T
 	table   *Table
@@ -24,7 +24,7 @@
 	return &scenario{T: t, table: NewTable(DefaultConfig("self"))}
 }
 
-// leaves returns incarnations that were not named before.
+// newCrashes returns crashes of new incarnations.
 func (p *scenario) newCrashes(count int) []Crash {
 	var created []Crash
 	for range count {
@@ -43,14 +43,15 @@
 	return got
 }
 
-// fail plays a trial that ends with its leaf.
+// crashTrial runs a trial that crashes its leaf.
 func (p *scenario) crashTrial(content Content, chance float64) bool {
 	p.Helper()
 	p.requireVerdict(content, Trial)
 	return p.table.TrialCrashed(p.now, content, p.newCrashes(1), chance)
 }
 
-// TestRequestIsHeldAfterTwoTrials, and not before three leaves have ended.
+// TestRequestIsHeldAfterTwoTrials checks that a request runs until three leaves have crashed, and
+// is held once two trials have crashed their leaves.
 func TestRequestIsHeldAfterTwoTrials(t *testing.T) {
 	p := newScenario(t)
 	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(2))
@@ -68,8 +69,8 @@
 	p.requireVerdict(harmlessContent, Run)
 }
 
-// TestTrialsHavePauses from the second on, which grow: a request that is not answered
-// in time takes up one leaf at a time, and seldom.
+// TestPauseBetweenTrialsGrows checks that a request that no leaf answers in time occupies one leaf
+// at a time, with growing pauses from the second trial on.
 func TestPauseBetweenTrialsGrows(t *testing.T) {
 	p := newScenario(t)
 	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(3))
@@ -89,12 +90,13 @@
 	}
 }
 
-// TestLeavesThatEndByThemselvesProveLittle: where one run in three ends with its leaf
-// whatever the request, two trials do not have it held; where all do, none does.
+// TestTrialsNeededByBackgroundChance guards against holding a request because of crashes that
+// happen regardless of it: the higher the chance of such a crash, the more trials are needed, and
+// with chance 1 the request is never held.
 func TestTrialsNeededByBackgroundChance(t *testing.T) {
 	for _, test := range []struct {
 		chance float64
-		trials int // until it is held; 0 for never
+		trials int // number of trials until the request is held; 0 if it is never held
 	}{{0.05, 2}, {0.1, 2}, {0.14, 3}, {0.33, 5}, {1, 0}} {
 		p := newScenario(t)
 		p.table.Suspect(p.now, harmlessContent, "r", p.newCrashes(3))
@@ -111,7 +113,8 @@
 	}
 }
 
-// TestAnswerClears a request, also one that is held, and one that others reported.
+// TestAnswerClearsRequest checks that an answer clears a request that other nodes reported and
+// hold, also if another node writes its record again in the meantime.
 func TestAnswerClearsRequest(t *testing.T) {
 	p := newScenario(t)
 	p.table.Set(p.now, harmlessContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
@@ -136,7 +139,8 @@
 	}
 }
 
-// TestHeldRequestIsTriedOnceItsTimeIsOver, or an operator took its key away.
+// TestRequestIsTriedAfterHoldEnds checks that a held request is tried on one leaf, rather than run
+// freely, once its record has expired or an operator has deleted it.
 func TestRequestIsTriedAfterHoldEnds(t *testing.T) {
 	p := newScenario(t)
 	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
@@ -152,7 +156,8 @@
 	p.requireVerdict(crashingContent, Run)
 }
 
-// TestTrialOfALostNodeEnds for the others after a time.
+// TestTrialOfLostNodeTimesOut checks that other nodes may start a trial once the trial of a node
+// that was lost has timed out.
 func TestTrialOfLostNodeTimesOut(t *testing.T) {
 	p := newScenario(t)
 	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
@@ -167,8 +172,8 @@
 	}
 }
 
-// TestStateIsBounded, whatever callers send: in requests, in the leaves that are
-// named, and in reports a second of all nodes together.
+// TestStateIsBounded checks the bounds on the number of requests, the size of a record and the rate
+// of reports, whatever callers and leaves send.
 func TestStateIsBounded(t *testing.T) {
 	p := newScenario(t)
 	p.table.SetNodes(8)
@@ -194,7 +199,8 @@
 	}
 }
 
-// TestLargeFleetsReportNoMoreAtOnce than small ones do, but for one report of each node.
+// TestReportBurstIsDividedAmongNodes checks that the burst of reports of all nodes is bounded,
+// except that each node may send one report.
 func TestReportBurstIsDividedAmongNodes(t *testing.T) {
 	for _, test := range []struct{ nodes, want int }{{8, 4}, {100, 4}, {200, 2}, {3900, 1}} {
 		p := newScenario(t)
@@ -211,7 +217,8 @@
 	}
 }
 
-// TestRemovalThatIsOldNews leaves a record alone that was written since.
+// TestOutdatedRemovalIsIgnored guards against a removal that deletes a record written at a later
+// revision.
 func TestOutdatedRemovalIsIgnored(t *testing.T) {
 	p := newScenario(t)
 	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Held: true}, Revision: 12})
@@ -221,7 +228,7 @@
 	p.requireVerdict(crashingContent, Refuse)
 }
 
-// TestRecordsOfOtherWriters are read, or rejected, and never end the process.
+// TestDecodeRecordRejectsInvalidValues checks that invalid records are rejected without a panic.
 func TestDecodeRecordRejectsInvalidValues(t *testing.T) {
 	for _, text := range []string{"", "{", "null", `{"ended":7,"odds":1}`, `{"ended":["a"],"odds":1}`, `{"trials":-1,"odds":1}`, `{"odds":0}`, `{"odds":1,"ended":[{},{},{},{},{},{},{},{},{}]}`, "\xff\x00"} {
 		record, err := DecodeRecord([]byte(text))
--- a/internal/decide/quarantine/trial_test.go
+++ b/internal/decide/quarantine/trial_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestTrialReachesOneLeafOfOneShard plans the trials of requests of one and of many
+// TestPlanTrialUsesOneShardAndOneAttempt plans trials of requests of one shard and of several
 // shards.
 func TestPlanTrialUsesOneShardAndOneAttempt(t *testing.T) {
 	last := func(count int) int { return count - 1 }
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestTrialIsWrittenUnlessTheStoreIsAway, and a hold lasts as long as its record does at
-// least.
+// TestTrialIsWrittenUnlessStoreIsUnavailable also checks that a hold lasts for the minimum lifetime
+// of its record.
 func TestTrialIsWrittenUnlessStoreIsUnavailable(t *testing.T) {
 	if !WritesTrial(false) || WritesTrial(true) {
 		t.Error("a trial is written to a store that is away, or not to one that answers")
