--- a/internal/decide/rollout/allowance_test.go
+++ b/internal/decide/rollout/allowance_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestAllowanceKeepsItsBound spends whatever one node may, under any order of
+// TestAllowanceStaysWithinBounds spends as much as one node may, under random sequences of
 // requests, grants, bursts and restarts.
 func TestAllowanceStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -26,7 +26,7 @@
 				allowance.Grant(granted)
 			case 1:
 				allowance.Burst()
-			case 2: // the process starts again
+			case 2: // the process restarts
 				allowance = NewAllowance(bounds, 0, deadline, chance)
 				granted = 0
 			case 3, 4, 5:
@@ -49,7 +49,7 @@
 	})
 }
 
-// TestPartsOfTheSlackAddUp divides the slack among many nodes.
+// TestSlackSharesAddUp checks the total that many nodes spend of the slack they share.
 func TestSlackSharesAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	bounds := Bounds{Slack: 50}
--- a/internal/decide/rollout/benchmark_test.go
+++ b/internal/decide/rollout/benchmark_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// reported returns the report of a node on some orders: two routes each, and three
-// leaves of each version that have been tried.
+// newBenchmarkReport returns the report of a node on some orders: two routes for each order, and
+// three leaves of each version with attempts.
 func newBenchmarkReport(node string, orders int) Report {
 	counter := NewCounter()
 	report := Report{Node: node}
@@ -33,8 +33,8 @@
 	return report
 }
 
-// BenchmarkReport tells the bytes of a report on a connection that has carried one,
-// and of its answer.
+// BenchmarkReport measures the encoding of a report, and its size on a connection that has already
+// carried one.
 func BenchmarkReport(b *testing.B) {
 	for _, orders := range []int{1, 225} {
 		b.Run(fmt.Sprintf("orders=%d", orders), func(b *testing.B) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkTick judges the reports of all nodes once.
+// BenchmarkTick measures one evaluation of the reports of all nodes.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []struct{ nodes, orders int }{{66, 1}, {maxParticipants, 1}, {66, 225}} {
 		b.Run(fmt.Sprintf("nodes=%d/orders=%d", size.nodes, size.orders), func(b *testing.B) {
@@ -73,7 +73,7 @@
 			supply := func(string) Supply { return Supply{Target: 6, Control: 6, Mixed: true} }
 			now := time.Duration(0)
 			for b.Loop() {
-				now = min(now+300*time.Millisecond, reportRetention/2) // later the nodes count as gone
+				now = min(now+300*time.Millisecond, reportRetention/2) // nodes expire after reportRetention
 				if steps := decider.Tick(now, time.Time{}, supply); len(steps) > 0 {
 					b.Fatalf("%+v", steps[0])
 				}
--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -7,64 +7,65 @@
 )
 
 const (
-	// leastFailing and leastSlowing are how much higher the rates of a bad version are at
-	// least. Not measured: chosen because what is less is not worth taking a version back
-	// for.
+	// minFailureIncrease and minSlowIncrease are the minimum increases of the failure rate and of
+	// the rate of slow attempts that count as a regression. A smaller increase does not justify a
+	// rollback.
 	minFailureIncrease = 0.01
 	minSlowIncrease    = 0.1
-	// leastOvertaken is the same of first attempts that a later one overtook, which are
-	// answered all the same. With 0.1, a version 1.3 times slower was taken back in up to
-	// 12 of 100 plays, with 0.15 in 2; one that is four times slower for three in ten in
-	// 98 to 100, and with 0.25 in 67 to 69.
+	// minOvertakenIncrease is the same for first attempts that a later attempt overtook, which are
+	// answered nevertheless. In simulations of 100 roll-outs a limit of 0.15 rolled back 2 versions
+	// that take 1.3 times as long, and 98 to 100 that take four times as long for three in ten
+	// attempts; a limit of 0.1 rolled back up to 12 of the former, and a limit of 0.25 only 67 to
+	// 69 of the latter.
 	minOvertakenIncrease = 0.15
-	// slowQuantile, slowFactor and slowFloor say what is slow: longer than the quantile of
-	// the control times the factor, and longer by the floor, which is the way to another
-	// zone and back. Not measured by themselves: see the plays of the package comment.
+	// slowQuantile, slowFactor and slowMargin define a slow attempt: it takes longer than this
+	// quantile of the control multiplied by the factor, and exceeds the quantile by the margin,
+	// which is the round trip to another zone.
 	slowQuantile = 0.9
 	slowFactor   = 1.5
 	slowMargin   = 10 * time.Millisecond
-	// priorBad and priorGood are the parameters of the Beta distribution of a rate before
-	// anything was counted: one in ten, with the weight of five attempts. Not measured:
-	// chosen because few attempts then outweigh it.
+	// priorBad and priorGood are the parameters of the Beta prior of a rate: one bad attempt in
+	// ten, with the weight of five attempts, which a few observed attempts outweigh.
 	priorBad  = 0.5
 	priorGood = 4.5
 )
 
-// certainty is how strong the evidence must be that a target is bad, as a Bayes factor. A
-// version that is as good as the control reaches a factor at any time with a probability
-// below its inverse (the inequality of Ville).
+// thresholds is the evidence that is required against a target, as a Bayes factor. For a version
+// that is as good as the control, the probability of ever reaching a factor is below the inverse of
+// that factor (Ville's inequality).
 type thresholds struct {
-	// all is of all attempts, and rest of those without the worst zone or leaf.
+	// all applies to all attempts, and rest to the attempts without the worst zone or leaf.
 	all, rest float64
 }
 
 var (
-	// certain takes a version back at any time.
+	// rollbackThresholds rolls a version back at any time.
 	rollbackThresholds = thresholds{all: 1000, rest: 20}
-	// doubtful keeps a version from getting all traffic, and ends that. It is looked at
-	// a few times only; what is not seen then costs full exposure.
+	// shiftThresholds prevents a version from getting all traffic, and ends a shift. It is lower
+	// because it is evaluated only a few times, and because a regression that stays undetected then
+	// reaches all requests.
 	shiftThresholds = thresholds{all: 20, rest: 3}
 )
 
-// rate is how many of some attempts were bad.
+// rate counts the bad ones among some attempts.
 type rate struct{ bad, attempts float64 }
 
 func (r rate) share() float64 { return r.bad / max(r.attempts, 1) }
 
-// worse reports whether a rate is higher than another by at least some share, and
-// not by chance.
+// isWorse reports whether the target's share of bad attempts exceeds the control's by at least
+// minDifference, with a Bayes factor of at least the given factor.
 func isWorse(target, control rate, minDifference, factor float64) bool {
 	return target.share()-control.share() >= minDifference && logBayesFactor(target, control) >= math.Log(factor)
 }
 
-// logFactor returns the logarithm of the Bayes factor of "each has a rate of its
-// own" against "both have the same".
+// logBayesFactor returns the logarithm of the Bayes factor of the hypothesis that the rates differ
+// against the hypothesis that they are equal.
 func logBayesFactor(a, b rate) float64 {
 	pooled := rate{bad: a.bad + b.bad, attempts: a.attempts + b.attempts}
 	return a.logMarginalLikelihood() + b.logMarginalLikelihood() - pooled.logMarginalLikelihood()
 }
 
-// evidence is the logarithm of the probability of the counts under the prior.
+// logMarginalLikelihood returns the logarithm of the probability of the counts under the prior.
 func (r rate) logMarginalLikelihood() float64 {
 	return logBeta(priorBad+r.bad, priorGood+r.attempts-r.bad) - logBeta(priorBad, priorGood)
 }
@@ -76,26 +77,26 @@
 	return logGammaA + logGammaB - logGammaSum
 }
 
-// sample is what was counted on one route of a service.
+// sample holds the counts of one route of a service.
 type sample struct {
 	control Counts
-	// controlAt holds the same by leaf.
+	// controlByLeaf holds the counts of the control by leaf.
 	controlByLeaf map[leafKey]*Counts
-	// target holds the counts of the target by leaf.
+	// targetByLeaf holds the counts of the target by leaf.
 	targetByLeaf map[leafKey]*Counts
-	// stale holds what of target was counted before a leaf was last out of use: what was
-	// good of that says nothing for the version any more (see judgement.dropStale).
+	// stale holds the part of targetByLeaf that was counted before a leaf was last out of use. Its
+	// good attempts are no longer evidence for the version (see evaluation.markStale).
 	stale map[leafKey]*Counts
 }
 
-// place is a leaf, and where it is.
+// leafKey identifies a leaf and its zone.
 type leafKey struct{ zone, leaf string }
 
 func newSample() *sample {
 	return &sample{controlByLeaf: make(map[leafKey]*Counts), targetByLeaf: make(map[leafKey]*Counts), stale: make(map[leafKey]*Counts)}
 }
 
-// add takes in the counts of one node on one subject.
+// add adds the counts of one node for a subject.
 func (s *sample) add(subject Subject, counts *Counts) {
 	byLeaf := s.targetByLeaf
 	if !subject.Target {
@@ -111,7 +112,7 @@
 	total.add(counts)
 }
 
-// since returns what was counted after an earlier state; all of it without one.
+// diff returns the counts since an earlier sample; all counts if earlier is nil.
 func (s *sample) diff(earlier *sample) *sample {
 	if earlier == nil {
 		earlier = newSample()
@@ -126,7 +127,7 @@
 	return difference
 }
 
-// leftOf returns counts by leaf without those of an earlier state.
+// subtractByLeaf returns the counts by leaf since an earlier state.
 func subtractByLeaf(counted, earlier map[leafKey]*Counts) map[leafKey]*Counts {
 	difference := make(map[leafKey]*Counts, len(counted))
 	for key, counts := range counted {
@@ -139,7 +140,7 @@
 	return difference
 }
 
-// bad says why the target is bad on the route; empty if nothing shows that.
+// describeRegression describes why the target is worse on the route; empty if there is no evidence.
 func (s *sample) describeRegression(limits thresholds) string {
 	if target, control, regressed := s.failureRates().compare(minFailureIncrease, limits); regressed {
 		return fmt.Sprintf("failed %.0f of %.0f attempts, the other version %.0f of %.0f", target.bad, target.attempts, control.bad, control.attempts)
@@ -162,25 +163,26 @@
 	return ""
 }
 
-// failures are the rates of attempts that brought no answer.
+// failureRates returns the rates of attempts without an answer.
 func (s *sample) failureRates() rateComparison {
 	return s.measureRates(func(counts *Counts) rate {
 		return rate{bad: float64(counts.Failed), attempts: float64(counts.attempts())}
 	})
 }
 
-// overtaken are the rates of first attempts that a later one overtook. A slow version
-// shows there first: its times are those until the answer of the hedge.
+// overtakenRates returns the rates of first attempts that a later attempt overtook. A slow version
+// shows there first, because an overtaken attempt is recorded with the time until the answer of the
+// hedge.
 func (s *sample) overtakenRates() rateComparison {
 	return s.slownessRates(func(counts *Counts) rate {
 		return rate{bad: float64(counts.Overtaken), attempts: float64(counts.First)}
 	})
 }
 
-// slowRates returns rates of slowness, of the control without its worst leaf: one that is
-// deaf or slow for a time takes a share of the attempts that hides a slow version. With
-// three leaves of which one is deaf, a version four times slower was taken back in 49 to
-// 96 of 100 plays with that leaf counted.
+// slownessRates returns rates of slow attempts, with the control reduced by its worst leaf. A leaf
+// of the control that is unresponsive or slow for a time would otherwise raise the control's rate
+// and hide a slow version. With one of three leaves unresponsive, a version four times slower was
+// rolled back in only 49 to 96 of 100 simulations without this reduction.
 func (s *sample) slownessRates(measure func(*Counts) rate) rateComparison {
 	result := s.measureRates(measure)
 	byLeaf := make(map[string]rate, len(s.controlByLeaf))
@@ -193,8 +195,8 @@
 	return result
 }
 
-// slowBucket returns the bucket above which an attempt is slow; false while too
-// little is known of the other version.
+// slowThresholdBucket returns the bucket above which an attempt is slow; false while the control
+// has too few attempts.
 func (s *sample) slowThresholdBucket() (int, bool) {
 	bucket, ok := s.controlQuantileBucket()
 	if !ok {
@@ -204,9 +206,9 @@
 	return min(bucketIndex(max(time.Duration(slowFactor*float64(usualTime)), usualTime+slowMargin)), bucketCount-2), true
 }
 
-// usualBucket returns the bucket of the quantile slowQuantile of the other version, without
-// the leaf that makes it longest: beside one that is deaf for a time, nothing would be
-// slow. It is false while too little is known.
+// controlQuantileBucket returns the bucket of slowQuantile of the control's durations, without the
+// leaf that raises it the most: an unresponsive leaf would otherwise raise the limit so far that no
+// attempt is slow. It returns false while the control has too few attempts.
 func (s *sample) controlQuantileBucket() (int, bool) {
 	usual, ok := s.control.Took.quantile(slowQuantile)
 	for _, counts := range s.controlByLeaf {
@@ -219,7 +221,7 @@
 	return usual, ok
 }
 
-// quantile returns the bucket of a quantile; false if it is one of too few.
+// quantile returns the bucket of a quantile; false if the histogram has too few attempts.
 func (h *Histogram) quantile(fraction float64) (int, bool) {
 	total := h.total()
 	if total < minAttemptsForQuantile {
@@ -232,11 +234,11 @@
 	return bucket, true
 }
 
-// leastForQuantile is how many attempts a quantile is taken of at least. Not measured:
-// chosen because a 0.9 quantile of fewer is the slowest of them.
+// minAttemptsForQuantile is the minimum number of attempts for a quantile. Of fewer attempts, the
+// 0.9 quantile is the slowest one.
 const minAttemptsForQuantile = 10
 
-// rates are the rates of one kind on a route.
+// rateComparison holds the rates of one kind of bad attempt on a route.
 type rateComparison struct {
 	control      rate
 	targetByLeaf map[leafKey]rate
@@ -255,9 +257,9 @@
 	return result
 }
 
-// compare reports whether the target is worse, also without the zone of its leaves
-// with most bad attempts, or without that leaf if all are in one zone: a leaf or a
-// zone that is in trouble is no fault of the version.
+// compare reports whether the target is worse. The target must also be worse without the zone of
+// its leaves that has the most bad attempts, or without the worst leaf if all leaves are in one
+// zone, because trouble of a single zone or leaf is not caused by the version.
 func (r rateComparison) compare(minDifference float64, limits thresholds) (target, control rate, regressed bool) {
 	target, rest, separable := r.sumTarget()
 	if !isWorse(target, r.control, minDifference, limits.all) {
@@ -266,8 +268,8 @@
 	return target, r.control, !separable || isWorse(rest, r.control, minDifference, limits.rest)
 }
 
-// ofTarget returns the rate of the target, and that without its worst zone, or leaf;
-// some is false if all attempts are of one leaf.
+// sumTarget returns the rate of the target, and its rate without the worst zone or leaf. The result
+// separable is false if all attempts are of one leaf.
 func (r rateComparison) sumTarget() (whole, rest rate, separable bool) {
 	byZone, byLeaf := make(map[string]rate), make(map[string]rate)
 	for key, measured := range r.targetByLeaf {
@@ -285,8 +287,8 @@
 	return rate{bad: r.bad + other.bad, attempts: r.attempts + other.attempts}
 }
 
-// withoutWorst takes the part with most bad attempts out of a whole; false if all
-// attempts are of one part.
+// excludeWorst subtracts the part with the most bad attempts from a whole; false if all attempts
+// are of one part.
 func excludeWorst(parts map[string]rate, whole rate) (rate, bool) {
 	worst := rate{bad: -1}
 	withAttempts := 0
--- a/internal/decide/rollout/counts.go
+++ b/internal/decide/rollout/counts.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Buckets of the time that attempts take: bucket n ends at firstBucket times
-// bucketStep to the power of n; the last one has no end. Not measured: chosen because a
-// step is less than slowFactor, and the range, 1 ms to 6.3 s, holds the times of attempts.
+// Buckets of attempt durations: bucket n ends at firstBucketEnd multiplied by bucketGrowth to the
+// power of n; the last bucket is unbounded. The growth is below slowFactor, so that a slow attempt
+// is in a higher bucket, and the range of 1 ms to 6.3 s covers the durations of attempts.
 const (
 	bucketCount    = 28
 	firstBucketEnd = time.Millisecond
 	bucketGrowth   = 1.4
 )
 
-// Histogram counts attempts by the time that they took.
+// Histogram counts attempts by duration.
 type Histogram [bucketCount]uint32
 
-// bucketOf returns the bucket of a time.
+// bucketIndex returns the bucket of a duration.
 func bucketIndex(took time.Duration) int {
 	if took <= firstBucketEnd {
 		return 0
@@ -28,12 +28,12 @@
 	return min(int(steps), bucketCount-1)
 }
 
-// bucketEnd returns the longest time of a bucket.
+// bucketEnd returns the longest duration of a bucket.
 func bucketEnd(bucket int) time.Duration {
 	return time.Duration(float64(firstBucketEnd) * math.Pow(bucketGrowth, float64(bucket)))
 }
 
-// total returns how many attempts are counted.
+// total returns the number of attempts.
 func (h *Histogram) total() uint32 {
 	sum := uint32(0)
 	for _, count := range h {
@@ -42,7 +42,7 @@
 	return sum
 }
 
-// above returns how many took longer than the bucket.
+// countAbove returns the number of attempts in higher buckets.
 func (h *Histogram) countAbove(bucket int) uint32 {
 	sum := uint32(0)
 	for _, count := range h[bucket+1:] {
@@ -51,29 +51,29 @@
 	return sum
 }
 
-// add adds the counts of another.
+// add adds the counts of another histogram.
 func (h *Histogram) add(other *Histogram) {
 	for bucket, count := range other {
 		h[bucket] += count
 	}
 }
 
-// subtract takes away the counts of an earlier state.
+// subtract subtracts the counts of an earlier state.
 func (h *Histogram) subtract(earlier *Histogram) {
 	for bucket, count := range earlier {
 		h[bucket] -= min(count, h[bucket])
 	}
 }
 
-// Counts are the ends of some attempts.
+// Counts holds the results of attempts.
 type Counts struct {
-	// Failed counts those that brought no answer.
+	// Failed counts the attempts without an answer.
 	Failed uint32
-	// Took counts the others by the time that they took, or had taken when another
-	// attempt was answered first.
+	// Took counts the other attempts by duration: until their answer, or until another attempt was
+	// answered first.
 	Took Histogram
-	// First counts those that were the first of their shard, and Overtaken the ones among
-	// them of which a later attempt was answered first.
+	// First counts the attempts that were the first of their shard, and Overtaken the ones among
+	// them that a later attempt overtook by an earlier answer.
 	First, Overtaken uint32
 }
 
@@ -91,23 +91,23 @@
 	c.Overtaken -= min(earlier.Overtaken, c.Overtaken)
 }
 
-// asked returns how many attempts ended.
+// attempts returns the number of attempts that ended.
 func (c *Counts) attempts() uint32 { return c.Failed + c.Took.total() }
 
-// Subject is what counts are of.
+// Subject identifies what counts refer to.
 type Subject struct {
 	Service string
-	// Order is the revision of the order under which they were made.
+	// Order is the revision of the order in force during the attempts.
 	Order uint64
 	Route string
-	// Target says that the leaf has the version of the order.
+	// Target reports whether the leaf runs the version of the order.
 	Target bool
-	// Zone and Leaf are those of the leaf. Nodes of a former version leave them empty for
-	// leaves that are none of the target's.
+	// Zone and Leaf identify the leaf. Nodes of a former version leave them empty for leaves of the
+	// control.
 	Zone, Leaf string
 }
 
-// Row is the counts of one subject, since the start of the node that reports them.
+// Row holds the counts of one subject since the start of the reporting node.
 type Row struct {
 	Subject Subject
 	Counts  Counts
@@ -128,17 +128,18 @@
 	return row
 }
 
-// Failed counts an attempt that brought no answer.
+// Failed counts an attempt without an answer.
 func (c *Counter) Failed(subject Subject) { c.counts(subject).Failed++ }
 
-// Took counts an attempt that was answered, or for which another one was, after a time.
+// Took counts an attempt that was answered, or that ended because another attempt was answered, by
+// its duration.
 func (c *Counter) Took(subject Subject, took time.Duration) {
 	c.counts(subject).Took[bucketIndex(took)]++
 }
 
-// First counts that an attempt was the first of its shard, and after which time a later one
-// was answered before it; zero if none was. What was overtaken within slowFloor is not
-// slow: where leaves take less than a millisecond hedges overtake one that takes 10.
+// First counts a first attempt of a shard. Overtaken is the time after which a later attempt was
+// answered first; zero if there was none. An attempt that was overtaken within slowMargin does not
+// count as slow: where leaves take less than 1 ms, hedges overtake an attempt that takes 10 ms.
 func (c *Counter) First(subject Subject, overtaken time.Duration) {
 	counts := c.counts(subject)
 	counts.First++
@@ -147,7 +148,7 @@
 	}
 }
 
-// Retain forgets what was counted under other orders than those given, by service.
+// Retain drops the counts of all orders except the given ones, by service.
 func (c *Counter) Retain(orders map[string]uint64) {
 	for subject := range c.rows {
 		if orders[subject.Service] != subject.Order {
@@ -156,8 +157,7 @@
 	}
 }
 
-// Changed returns the counts that differ from those that were reported last, in a fixed
-// order; all, if none were.
+// Changed returns the counts that differ from the last reported ones, sorted by subject.
 func (c *Counter) Changed(reported map[Subject]Counts) []Row {
 	rows := make([]Row, 0, len(c.rows))
 	for subject, counts := range c.rows {
--- a/internal/decide/rollout/decider.go
+++ b/internal/decide/rollout/decider.go
@@ -6,64 +6,63 @@
 )
 
 const (
-	// gathering is how long a decider receives reports before it moves traffic to a
-	// target: until then the counts of some nodes may be missing. Not measured: chosen
-	// because it is three intervals of reports, which are 0.3 s for up to 60 nodes.
+	// minGatheringTime is the time for which a decider receives reports before it moves traffic to
+	// a target, three report intervals for up to 60 nodes. Before that the counts of some nodes may
+	// be missing.
 	minGatheringTime = time.Second
-	// longGone is how long the counts of a node are kept that reports nothing any more.
-	// Not measured: chosen because it is longer than most orders last.
+	// reportRetention is the time for which the counts of a node are kept after its last report.
+	// Most orders end within it.
 	reportRetention = 10 * time.Minute
-	// writePause is the time between two tries of the same transition. Not measured:
-	// chosen because a store that is away need not be asked more often.
+	// transitionRetryPause is the time between two attempts at the same transition. It limits the
+	// load of retries while the store is unavailable.
 	transitionRetryPause = 500 * time.Millisecond
-	// tickPause is how many times longer than a Tick the pause after it is at least: with
-	// 225 orders on a fifth of a core one takes 0.2 s, in which requests wait.
+	// tickPauseFactor is the minimum ratio of the pause after a Tick to its duration: with 225
+	// orders on a fifth of a core a Tick takes 0.2 s, during which requests wait.
 	tickPauseFactor = 10
 )
 
-// Supply is what there is of a service's leaves.
+// Supply describes the leaves of a service.
 type Supply struct {
-	// Target and Control are the slots of leaves that may get work, of the target
-	// and of the others.
+	// Target and Control are the slots of the leaves that may get work, of the target and of the
+	// control.
 	Target, Control int
-	// Mixed says that leaves of another version were known since the order.
+	// Mixed reports whether leaves of another version have been known since the order.
 	Mixed bool
-	// Usable holds the leaves of the target that may get work, by Subject.Leaf; nil if
-	// all may.
+	// Usable holds the leaves of the target that may get work, by Subject.Leaf; nil if all may.
 	Usable map[string]bool
 }
 
-// nodeReport is what a node has reported: its newest counts, and how far it was last.
+// nodeReport is the state that a node has reported: its latest counts, and its progress with each
+// order.
 type nodeReport struct {
 	rows       map[Subject]Counts
 	orders     []Progress
 	receivedAt time.Duration
 }
 
-// Decider judges versions and takes the steps of roll-outs. It is not safe for
+// Decider evaluates versions and decides on the transitions of roll-outs. It is not safe for
 // concurrent use.
 type Decider struct {
 	table       *Table
 	reports     map[string]*nodeReport
 	evaluations map[string]*evaluation
-	// incarnation names the process that decides.
+	// incarnation names the deciding process.
 	incarnation  string
 	lastReportAt time.Duration // of the last report
-	// begun is since when reports come without a long pause.
+	// reportingSince is when the current series of reports, without a pause of reportTTL, began.
 	reportingSince time.Duration
 }
 
-// NewDecider returns a Decider of the roll-outs in a table, with the name of its
-// process.
+// NewDecider returns a Decider for the roll-outs in a table. Incarnation names its process.
 func NewDecider(table *Table, incarnation string) *Decider {
 	return &Decider{table: table, incarnation: incarnation, reports: make(map[string]*nodeReport), evaluations: make(map[string]*evaluation)}
 }
 
-// Report takes in the report of a node, and answers it.
+// Report processes the report of a node, and returns the reply.
 func (d *Decider) Report(now time.Duration, report Report) Reply {
 	reply := Reply{Decider: d.incarnation}
 	if report.Decider != "" && report.Decider != d.incarnation {
-		return reply // it lacks what another decider has received
+		return reply // the report leaves out counts that only another decider has received
 	}
 	if !d.Active(now) {
 		d.reportingSince = now
@@ -86,8 +85,8 @@
 	return reply
 }
 
-// keep takes in a report. Counts only grow, so one that comes twice or late does no harm
-// that the next does not mend.
+// recordReport stores a report. Counts only grow, so that the next report corrects the effect of a
+// duplicate or delayed one.
 func (d *Decider) recordReport(now time.Duration, report Report) {
 	stored, ok := d.reports[report.Node]
 	if !ok {
@@ -100,26 +99,26 @@
 	stored.orders, stored.receivedAt = report.Orders, now
 }
 
-// Nodes returns how many nodes' counts are known.
+// Nodes returns the number of nodes whose counts are known.
 func (d *Decider) Nodes() int { return len(d.reports) }
 
-// granted reports whether nodes may spend their allowances.
+// isGrantOpen reports whether nodes may spend their allowances.
 func (r *Rollout) isGrantOpen(now time.Duration) bool {
 	phase := r.Phase()
 	return (phase == PhaseTrial || phase == PhaseBurst) && r.Bad == "" && r.Age(now) < r.Order.Duration
 }
 
-// Active reports whether a node has reported lately: this one decides.
+// Active reports whether a node has reported within reportTTL, so that this node is the decider.
 func (d *Decider) Active(now time.Duration) bool {
 	return len(d.reports) > 0 && now-d.lastReportAt < reportTTL
 }
 
-// TickPause returns the least pause from the start of a Tick, which took some time, to the
-// next.
+// TickPause returns the minimum pause between the start of a Tick of the given duration and the
+// next Tick.
 func TickPause(took time.Duration) time.Duration { return tickPauseFactor * took }
 
-// Tick judges the targets of all open roll-outs, and returns the steps to take. A
-// step that is not taken, or whose fate is not known, is returned again.
+// Tick evaluates the targets of all open roll-outs, and returns the transitions to write. A
+// transition that was not applied, or whose result is unknown, is returned again.
 func (d *Decider) Tick(now time.Duration, clock time.Time, supply func(service string) Supply) []Transition {
 	d.expire(now)
 	var transitions []Transition
@@ -148,7 +147,7 @@
 	return transitions
 }
 
-// transition makes the step to a phase.
+// transition returns the transition to a phase.
 func (r *Rollout) transition(phase Phase, reason string, orderedAt time.Time) Transition {
 	record := Record{
 		Service: r.Order.Service, Order: r.Order.Revision, Version: r.Version(),
@@ -160,9 +159,9 @@
 	return Transition{Record: record, Former: r.Record.Revision, Order: r.Order.Revision}
 }
 
-// forget drops what is known of orders that are closed or were replaced, and of nodes
-// that are long gone. Counts under an order that is not known here yet stay: they are
-// not reported again.
+// expire drops the state of orders that ended or were replaced, and of nodes that have not reported
+// for reportRetention. Counts under an order that is not known yet stay, because nodes do not
+// report them again.
 func (d *Decider) expire(now time.Duration) {
 	open := d.table.Open()
 	for service := range d.evaluations {
@@ -195,8 +194,7 @@
 	return eval
 }
 
-// collect adds up the counts of all nodes under the orders in force, by service and
-// route.
+// aggregateCounts adds up the counts of all nodes under the orders in force, by service and route.
 func (d *Decider) aggregateCounts() map[string]map[string]*sample {
 	services := make(map[string]map[string]*sample)
 	for _, report := range d.reports {
--- a/internal/decide/rollout/decider_test.go
+++ b/internal/decide/rollout/decider_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelStore is a store that takes a step only under the revisions that it names,
-// and loses some answers.
+// modelStore applies a transition only at the revisions that the transition names.
 type modelStore struct {
 	revision uint64
 	record   Record
@@ -26,10 +25,10 @@
 	return true
 }
 
-// TestTwoDecidersDoNoHarm lets two nodes decide at once, on reports that reach
-// either or none, with writes that are lost or not answered, and orders that come and
-// go: what the store holds only moves forward, and no order that was taken back is
-// completed.
+// TestConcurrentDecidersOnlyAdvancePhases guards against conflicting decisions when two nodes
+// decide at once: reports reach either decider or none, writes and their answers are lost, and
+// orders are replaced and withdrawn. The stored record must only advance, and an order that has
+// ended must stay ended.
 func TestConcurrentDecidersOnlyAdvancePhases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &modelStore{revision: 1}
@@ -49,7 +48,7 @@
 				if rapid.IntRange(0, 4).Draw(t, "withdrawn") == 0 {
 					store.order = 0
 				}
-			case 2, 3, 4: // a node hears of the store
+			case 2, 3, 4: // a node reads the store
 				if store.order == 0 {
 					tables[index].Withdraw(testService)
 				} else {
@@ -127,8 +126,8 @@
 	}
 }
 
-// TestDeciderHeedsNoReportThatLeavesOutWhatAnotherKnows, and moves no traffic before
-// it has heard the nodes for some time.
+// TestDeciderIgnoresReportBasedOnOtherDecider checks that a decider ignores a report that omits
+// counts received by another decider, and that it moves no traffic before minGatheringTime.
 func TestDeciderIgnoresReportBasedOnOtherDecider(t *testing.T) {
 	table := NewTable()
 	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: 10 * time.Second, Revision: 1})
@@ -148,7 +147,8 @@
 	}
 }
 
-// TestShiftEndsOnceOtherLeavesAreIdle by the word of each node that reports.
+// TestShiftCompletesOnceControlIsIdle checks that a shift completes only once every node that
+// reports is idle at the control, or completionGrace has passed after the deadline.
 func TestShiftCompletesOnceControlIsIdle(t *testing.T) {
 	table := NewTable()
 	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: 10 * time.Second, Revision: 1})
@@ -164,7 +164,7 @@
 	report := func(now time.Duration, node string, phase Phase, busy int) {
 		decider.Report(now, Report{Node: node, Orders: []Progress{{Service: testService, Order: 1, Phase: phase, Busy: busy}}})
 	}
-	// both reports each half of a second, up to a time; one of them may be silent.
+	// reportBoth sends reports of both nodes every 500 ms; node b may be silent.
 	reportBoth := func(from, to time.Duration, a, b Progress, silent bool) {
 		for now := from; now <= to; now += 500 * time.Millisecond {
 			report(now, "a", a.Phase, a.Busy)
--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -6,54 +6,54 @@
 )
 
 const (
-	// mostFailing is the share of failures, of leastForShare attempts or more, above which
-	// a target gets no traffic though the control may fail as often: where all leaves of a
-	// service are in trouble, nothing tells a bad version from a good one. Without it a
-	// bad version was completed beside a control that failed as often, and got 58 requests
-	// long after its 50th bad answer.
+	// maxFailureShare is the share of failures, among minAttemptsForShare attempts or more, above
+	// which a target does not get all traffic even if the control fails as often. If all leaves of
+	// a service are in trouble, the comparison cannot tell a bad version from a good one; without
+	// this limit a bad version was completed beside a control that failed as often.
 	maxFailureShare     = 0.15
 	minAttemptsForShare = 5
-	// window is the time for which a version that turned bad later is judged apart, and
-	// windowStep the time between two states that are kept for it. Not measured: chosen
-	// because counts from before it hide a change, and shorter ones hold too few attempts.
+	// evaluationWindow is the period that is evaluated separately to detect a version that turned
+	// bad later, and snapshotInterval the time between the snapshots that are kept for it. Counts
+	// from before the window would hide the change, and a shorter window would hold too few
+	// attempts.
 	evaluationWindow = 4 * time.Second
 	snapshotInterval = time.Second
 )
 
-// state is a sample at some time.
+// snapshot holds the counts by route at some time.
 type snapshot struct {
 	at     time.Duration
 	routes map[string]*sample
 }
 
-// judgement is what a Decider knows of one order.
+// evaluation is the state of a Decider for one order.
 type evaluation struct {
 	order uint64
-	// phase is the last one seen, since then.
+	// phase is the current phase, which the roll-out entered at phaseSince.
 	phase      Phase
 	phaseSince time.Duration
-	// states are the counts at some times of the last window, the oldest first.
+	// snapshots holds the counts during the last evaluationWindow, the oldest first.
 	snapshots []snapshot
-	// triedAt is when a transition was last returned.
+	// transitionReturnedAt is when a transition was last returned.
 	transitionReturnedAt time.Duration
-	// stale is what was counted at leaves of the target when they were last out of use.
+	// stale holds the counts of the target's leaves as of when they were last out of use.
 	stale map[routeLeaf]Counts
 }
 
-// countedAt is a leaf of the target on a route.
+// routeLeaf identifies a leaf of the target on a route.
 type routeLeaf struct {
 	route string
 	leafKey
 }
 
-// dropStale marks in some counts what of them was counted at leaves of the target before
-// these were last out of use: gone, draining, or in a zone out of service. Usable holds
-// those that may get work; nil for all.
+// markStale marks the counts of the target's leaves from before these leaves were last out of use:
+// gone, draining, or in a zone out of service. Usable holds the leaves that may get work; nil if
+// all may.
 //
-// A leaf in trouble is no fault of the version while others speak for it. One that cannot
-// be sent to speaks for nothing: a version that turned bad when the zone of its good leaf
-// went out of service got all traffic, with 15 of its newest 24 attempts failed, all at
-// the leaf that was left. What was bad there still counts.
+// Without a mark, the former good attempts of a leaf that gets no more attempts would outweigh the
+// current failures of the others: when the zone of the good leaf of a version went out of service,
+// the version got all traffic although 15 of its latest 24 attempts had failed, all at the
+// remaining leaf. Bad attempts from before the mark still count.
 func (t *evaluation) markStale(routes map[string]*sample, usable map[string]bool) {
 	if usable == nil {
 		return
@@ -71,8 +71,8 @@
 	}
 }
 
-// judge looks for evidence that the target is bad, in all counts and in the newest.
-// It says what it found; nothing if there is none.
+// evaluate looks for evidence against the target in all counts and in the latest ones. It describes
+// the evidence; empty if there is none.
 func (t *evaluation) evaluate(now time.Duration, routes map[string]*sample) string {
 	for len(t.snapshots) > 1 && now-t.snapshots[1].at >= evaluationWindow {
 		t.snapshots = t.snapshots[1:]
@@ -90,9 +90,9 @@
 	return ""
 }
 
-// mayShift returns the shift, unless the newest counts speak against it: the target is
-// likely to be worse, or fails often, whatever the others do. In the latter case there
-// is time until the deadline.
+// confirmShift returns PhaseShift unless the latest counts are evidence against the target: it is
+// probably worse than the control, or it fails often regardless of the control. In the latter case
+// the shift is retried until the deadline.
 func (t *evaluation) confirmShift(rollout *Rollout, routes map[string]*sample, late bool) (Phase, string) {
 	attempts := sumAttempts(routes)
 	if rollout.Bad = t.findRegression(routes, shiftThresholds); rollout.Bad != "" {
@@ -109,7 +109,8 @@
 	}
 }
 
-// failing says on which route the target has failed often of late; empty if on none.
+// findFailingRoute describes a route on which the target failed often within the evaluationWindow;
+// empty if there is none.
 func (t *evaluation) findFailingRoute(routes map[string]*sample) string {
 	for route, current := range routes {
 		newest := current
@@ -127,8 +128,8 @@
 	return ""
 }
 
-// evidence says on which route the target is bad, by all counts or by the newest;
-// empty if on none.
+// findRegression describes a route on which the target is worse, by all counts or by the latest
+// ones; empty if there is none.
 func (t *evaluation) findRegression(routes map[string]*sample, limits thresholds) string {
 	for route, current := range routes {
 		reason := current.describeRegression(limits)
@@ -142,7 +143,7 @@
 	return ""
 }
 
-// amount is how much is known of a service since an order.
+// attemptTotals counts the attempts at a service since an order.
 type attemptTotals struct{ target, all uint32 }
 
 func sumAttempts(routes map[string]*sample) attemptTotals {
--- a/internal/decide/rollout/out_of_use_test.go
+++ b/internal/decide/rollout/out_of_use_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stalePlay is a decider in front of a target with a leaf in each of two zones.
+// outOfUseScenario is a decider for a target with a leaf in each of two zones.
 type outOfUseScenario struct {
 	*testing.T
 	decider *Decider
@@ -21,7 +21,7 @@
 	return &outOfUseScenario{T: t, decider: NewDecider(table, "d"), counter: NewCounter(), usable: map[string]bool{"a": true, "b": true}}
 }
 
-// count counts attempts at a leaf of the target, or at the others if it names none.
+// count counts attempts at a leaf of the target, or at the control if leaf is empty.
 func (p *outOfUseScenario) count(leaf string, good, failed int) {
 	subject := Subject{Service: testService, Order: 1, Route: testRoute}
 	if leaf != "" {
@@ -35,7 +35,7 @@
 	}
 }
 
-// tick reports all counts and takes the steps that are due.
+// tick reports all counts and applies the transitions.
 func (p *outOfUseScenario) tick(now time.Duration) {
 	rollout := p.decider.table.Of(testService)
 	p.decider.Report(now, Report{Node: "n", Rows: p.counter.Changed(nil), Orders: []Progress{
@@ -50,12 +50,13 @@
 	}
 }
 
-// TestLeafThatIsOutOfUseSpeaksForNothing: one leaf of a version answers, the other fails
-// from a time on. While both are in use, the version is not bad; once the good one is out
-// of use, it is, also after that has come back and before it has answered again.
+// TestLeafOutOfUseDoesNotSupportTarget guards against former answers of an unusable leaf that
+// outweigh the failures of the remaining one: one leaf of a version answers, the other fails from a
+// time on. While both leaves are in use, the version completes. Once the good leaf is out of use
+// the version is rolled back, also after that leaf has come back without answering again.
 func TestLeafOutOfUseDoesNotSupportTarget(t *testing.T) {
 	for name, test := range map[string]struct {
-		outAt, backAt time.Duration // of the good leaf; zero for never
+		outAt, backAt time.Duration // time at which the good leaf goes out of use and comes back; zero for never
 		want          Phase
 	}{
 		"both in use":       {0, 0, PhaseCompleted},
--- a/internal/decide/rollout/report.go
+++ b/internal/decide/rollout/report.go
@@ -10,52 +10,50 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// Report is what a node reports to the decider.
+// Report is the report of a node to the decider.
 type Report struct {
 	// Node is the incarnation of the node.
 	Node string
-	// Decider is the incarnation of the decider that has received what Rows leave out;
-	// empty if they leave out nothing.
+	// Decider is the incarnation of the decider that has already received the counts that Rows
+	// omits; empty if Rows is complete.
 	Decider string
-	// Rows are its counts since its start.
+	// Rows holds the counts since the start of the node.
 	Rows []Row
-	// Orders are those that it knows to be open.
+	// Orders holds the progress of the open orders that the node knows.
 	Orders []Progress
 }
 
-// Progress is how far a node is with one order.
+// Progress is the progress of a node with one order.
 type Progress struct {
 	Service string
 	Order   uint64
 	Phase   Phase
 	// Age is the time since the order.
 	Age time.Duration
-	// Bad says why the target is bad; empty while nothing shows that. A verdict
-	// outlasts the decider that found it.
+	// Bad describes why the target is bad; empty while there is no evidence. Nodes repeat it, so
+	// that a verdict survives the loss of the decider.
 	Bad string
-	// Busy is how many attempts of the node are in flight at leaves of other
-	// versions.
+	// Busy is the number of the node's attempts in flight at leaves of other versions.
 	Busy int
 }
 
-// Reply answers a Report.
+// Reply is the answer to a Report.
 type Reply struct {
-	// Decider is the incarnation of the node that decides. Another one than before
-	// has received nothing yet.
+	// Decider is the incarnation of the deciding node. A different incarnation than before has
+	// received no reports yet.
 	Decider string
-	// Deciding is false if the node cannot write to the store now: another one may
-	// be able to.
+	// Deciding is false if the node cannot write to the store now; another node may be able to.
 	Deciding bool
 	Grants   []Grant
 }
 
-// Grant is what the decider grants for one order.
+// Grant is the decider's permission and state for one order.
 type Grant struct {
 	Service string
 	Order   uint64
-	// Open lets the node spend its allowance.
+	// Open allows the node to spend its allowance.
 	Open bool
-	// Bad says why the target is bad; empty while nothing shows that.
+	// Bad describes why the target is bad; empty while there is no evidence.
 	Bad string
 	// Age is the time since the order.
 	Age    time.Duration
@@ -63,40 +61,40 @@
 }
 
 const (
-	// GrantTTL is how long a grant holds, from the moment at which the report was
-	// sent that it answers. It outlasts the loss of a decider, which takes a node
-	// 0.6 s to see, and is well below the time in which a bad version must get
-	// nothing more (5 s for each deployment so far).
+	// GrantTTL is the lifetime of a grant, from the moment at which the node sent the report that
+	// the grant answers. It is longer than the failover to another decider, for which a node needs
+	// 0.6 s, and well below the time in which a bad version must stop getting requests (5 s).
 	GrantTTL = 2 * time.Second
-	// reportMemory is how long a report counts for what its node does now. Not measured:
-	// chosen because it is GrantTTL, after which the node may send nothing by it.
+	// reportTTL is the time for which a report counts as the current state of its node. It equals
+	// GrantTTL, after which the node may not send attempts under the grant that answered the
+	// report.
 	reportTTL = 2 * time.Second
-	// leastInterval is the time between two reports of a node, and reportRate how many
-	// a second one decider receives at most: with 66 nodes one in 0.33 s, 120 KB a second
-	// (docs/design/0015-rollouts.md).
+	// minReportInterval is the minimum time between two reports of a node, and maxReportRate the
+	// maximum number of reports that one decider receives in a second. 66 nodes report every 0.33
+	// s, at 120 KB/s in total (docs/design/0015-rollouts.md).
 	minReportInterval = 300 * time.Millisecond
 	maxReportRate     = 200
-	// mostNodes bounds the nodes that take part: evidence needs no more, and the decider's
-	// link and processor bear no more (docs/CAPACITY.md).
+	// maxParticipants bounds the nodes that take part. Evidence needs no more nodes, and the
+	// decider's network link and processor cannot handle more (docs/CAPACITY.md).
 	maxParticipants = 128
-	// candidates is how many nodes may decide. Where half of all are lost at once,
-	// and still count as announced, one of them is left but for once in 256.
+	// maxCandidates is the number of nodes that may decide. If half of all nodes are lost at once
+	// while they are still announced, at least one candidate is left in 255 of 256 cases.
 	maxCandidates = 8
 )
 
-// Interval returns the time between two reports of each of some nodes.
+// Interval returns the time between two reports of each node.
 func Interval(nodes int) time.Duration {
 	return max(minReportInterval, time.Duration(nodes)*time.Second/maxReportRate)
 }
 
-// Participants returns the nodes that take part: those with most cores first, and
-// otherwise by a hash of their names. Every node computes the same.
+// Participants returns the nodes that take part: those with the most cores first, and nodes of the
+// same size ordered by a hash of their names. Every node computes the same result.
 func Participants(members []roster.Member) []roster.Member {
 	return selectMembers(members, maxParticipants)
 }
 
-// Candidates returns the nodes that may decide, the first one first: large ones, which
-// judge many roll-outs at once in less time.
+// Candidates returns the nodes that may decide, in order of preference. Large nodes come first,
+// because they need less time to evaluate many roll-outs.
 func Candidates(members []roster.Member) []roster.Member {
 	return selectMembers(members, maxCandidates)
 }
@@ -109,7 +107,7 @@
 	return sorted[:min(len(sorted), count)]
 }
 
-// containsNode reports whether a node is among some.
+// containsNode reports whether members contains a node with the given name.
 func containsNode(members []roster.Member, name string) bool {
 	return slices.ContainsFunc(members, func(member roster.Member) bool { return member.Name == name })
 }
--- a/internal/decide/rollout/report_test.go
+++ b/internal/decide/rollout/report_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// TestCountsAreToldOnce: what a decider has answered to is reported again only once it
-// has changed, and stays with a decider that does not know the order yet.
+// TestUnchangedCountsAreReportedOnce checks that counts that a decider has acknowledged are
+// reported again only after they changed, and that a decider keeps counts of an order that it does
+// not know yet.
 func TestUnchangedCountsAreReportedOnce(t *testing.T) {
 	counter, reported := NewCounter(), make(map[Subject]Counts)
 	subject := Subject{Service: testService, Order: 1, Route: testRoute, Target: true, Leaf: "a", Zone: "z"}
--- a/internal/decide/rollout/reporting.go
+++ b/internal/decide/rollout/reporting.go
@@ -6,42 +6,41 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// The rule of reports: a node that takes part reports to the first candidate that
-// answers and can write to the store. One that did not, or cannot, is avoided for
-// AvoidTime; if all are avoided, the first one gets the report.
+// The rule of reports: a participant reports to the first candidate that answers and can write to
+// the store. It avoids a candidate that did not answer or cannot write for AvoidTime; if it avoids
+// all candidates, the first one gets the report.
 //
-// Inputs: the candidates in their order, the time on the node's clock, and how the last
-// reports ended.
+// Inputs: the candidates in their order, the time on the node's clock, and the results of the last
+// reports.
 //
-// Reason: nodes that see the same candidates report to the same one, so that it judges by
-// the counts of all. A node whose decider is lost finds the next one before its grants end.
+// Reason: nodes that see the same candidates report to the same one, so that it evaluates the
+// counts of all nodes. A node whose decider is lost finds the next one before its grants expire.
 
-// AvoidTime is how long a node is avoided as decider that did not answer, or that cannot
-// write to the store; the latter says so itself for as long. Not measured: chosen as
-// GrantTTL, the time for which a grant holds.
+// AvoidTime is the time for which a node avoids a candidate that did not answer or cannot write to
+// the store; a candidate that cannot write says so itself for as long. It equals GrantTTL.
 const AvoidTime = 2 * time.Second
 
-// Reporting chooses the node to report to, and knows what that one has received. It is
-// not safe for concurrent use.
+// Reporting selects the candidate to report to, and tracks which counts the decider has received.
+// It is not safe for concurrent use.
 type Reporting struct {
-	avoided map[string]time.Duration // by name: until when
-	// received is what an incarnation of a decider has answered to.
+	avoided map[string]time.Duration // end of avoidance, by node name
+	// decider is the incarnation that acknowledged the counts in received.
 	decider  string
 	received map[Subject]Counts
 }
 
-// NewReporting returns a Reporting that avoids no node.
+// NewReporting returns a Reporting that avoids no candidate.
 func NewReporting() *Reporting {
 	return &Reporting{avoided: make(map[string]time.Duration), received: make(map[Subject]Counts)}
 }
 
-// Reports reports whether a node reports its counts. Alone, it does: it reports to itself.
+// Reports reports whether a node reports its counts. A node without participants reports to itself.
 func Reports(self string, participants []roster.Member) bool {
 	return len(participants) == 0 || containsNode(participants, self)
 }
 
-// Choose returns the first candidate that is not avoided, or the first of all if each
-// is. There must be one.
+// Choose returns the first candidate that is not avoided, or the first of all if each is avoided.
+// Candidates must not be empty.
 func (r *Reporting) Choose(now time.Duration, candidates []roster.Member) roster.Member {
 	for _, candidate := range candidates {
 		if now >= r.avoided[candidate.Name] {
@@ -51,24 +50,24 @@
 	return candidates[0]
 }
 
-// Avoid avoids a node for AvoidTime.
+// Avoid avoids a candidate for AvoidTime.
 func (r *Reporting) Avoid(now time.Duration, name string) { r.avoided[name] = now + AvoidTime }
 
-// Decider returns the incarnation of the decider that has what Received returns; empty if
-// none has anything.
+// Decider returns the incarnation of the decider that has received the counts in Received; empty if
+// there is none.
 func (r *Reporting) Decider() string { return r.decider }
 
-// Received returns what the decider has answered to. The next report leaves it out.
+// Received returns the counts that the decider has acknowledged. The next report omits them.
 func (r *Reporting) Received() map[Subject]Counts { return r.received }
 
-// Forget has the next report leave out nothing.
+// Forget makes the next report complete.
 func (r *Reporting) Forget() {
 	r.decider = ""
 	clear(r.received)
 }
 
-// Answered records what an incarnation of a decider has received. One that has restarted
-// ignores a report that leaves out something, and receives everything next time.
+// Answered records the counts that a decider has received. A restarted decider ignores an
+// incremental report, and receives all counts with the next one.
 func (r *Reporting) Answered(decider string, report Report) {
 	if report.Decider != "" && decider != report.Decider {
 		r.Forget()
--- a/internal/decide/rollout/reporting_test.go
+++ b/internal/decide/rollout/reporting_test.go
@@ -7,7 +7,8 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// TestReportsGoToTheFirstThatAnswers, and to the first of all where none does.
+// TestChooseSkipsAvoidedCandidates checks that a report goes to the first candidate that is not
+// avoided, and to the first of all if each is avoided.
 func TestChooseSkipsAvoidedCandidates(t *testing.T) {
 	candidates := []roster.Member{{Name: "a"}, {Name: "b"}}
 	reporting := NewReporting()
@@ -19,7 +20,7 @@
 		{0, "a", "b"},
 		{time.Second, "b", "a"}, // both are avoided
 		{AvoidTime, "", "a"},
-		{AvoidTime, "a", "a"}, // b is avoided for a second yet
+		{AvoidTime, "a", "a"}, // b is avoided for another second
 		{AvoidTime + time.Second, "", "b"},
 	} {
 		if test.avoid != "" {
@@ -31,7 +32,8 @@
 	}
 }
 
-// TestRestartedDeciderReceivesEverything, since it answers under another incarnation.
+// TestRestartedDeciderReceivesEverything checks that the next report is complete after a decider
+// has answered under another incarnation.
 func TestRestartedDeciderReceivesEverything(t *testing.T) {
 	subject := Subject{Service: "s", Order: 1}
 	reporting := NewReporting()
@@ -45,8 +47,9 @@
 	}
 }
 
-// TestWhoSpendsTheSlack: a participant, unless it found the order when it started, and no
-// node that knows of no other.
+// TestParticipationInSlackAndReports checks that a participant spends a part of the slack unless it
+// found the order at its start, and that a node without known participants reports but spends
+// nothing.
 func TestParticipationInSlackAndReports(t *testing.T) {
 	members := []roster.Member{{Name: "a"}, {Name: "b"}}
 	if !HasAllowance("a", members) || HasAllowance("c", members) || HasAllowance("a", nil) {
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -1,30 +1,29 @@
-// Package rollout decides how the traffic of a service moves to leaves of a new version,
-// and when it comes back.
+// Package rollout decides how the traffic of a service moves to leaves of a new version, and when
+// it moves back.
 //
-// The rule: until the time of an order is almost over, the new version (the target) gets
-// only a small part of the requests, within bounds that all nodes divide; then all nodes
-// move to it, if it has leaves enough and nothing shows that it is worse than the other
-// version (the control). As soon as the counts of all nodes show that it is worse, it gets
-// nothing more.
+// The rule: until shortly before the deadline of an order, the new version (the target) gets only a
+// small part of the requests, within bounds that all nodes share. Then all nodes move to the
+// target, if it has enough leaves and no evidence shows that it is worse than the other version
+// (the control). As soon as the counts of all nodes show that it is worse, it gets no more
+// requests.
 //
-// Inputs: the operators' orders and the records of the phases, as the store has them; the
-// counts of all nodes' attempts at both versions by route and leaf, in buckets of time;
-// the slots of the leaves of both; the bounds of the settings (a ratio and a number of
-// requests); the time, a duration on the node's clock, and the time of day for records.
+// Inputs: the operators' orders and the records of the phases from the store; the counts of all
+// nodes' attempts at both versions by route and leaf, in buckets of duration; the slots of the
+// leaves of both versions; the bounds from the settings (a ratio and a number of requests); the
+// time, a duration on the node's clock, and the time of day for records.
 //
-// Reason: a bad version must reach few requests, whichever node is lost, restarted or cut
-// off meanwhile. So each node spends a part of its own by itself (Allowance), under a
-// grant that ends by itself; one node judges (Decider); and a phase only moves forward, by
-// a conditional write of its Record. docs/design/0015-rollouts.md has the argument and
-// what was weighed.
+// Reason: a bad version must reach few requests, whichever node is lost, restarted or disconnected
+// in the meantime. Therefore each node spends its own part of the bounds independently (Allowance),
+// under a grant that expires; one node evaluates the versions (Decider); and a phase only advances,
+// by a conditional write of its Record. docs/design/0015-rollouts.md describes the design and its
+// alternatives.
 //
-// Measurements behind the constants: see allowance.go, steps.go, verdict.go, judgement.go,
-// report.go, reporting.go and decider.go. Together, in virtual time, 100 plays each
-// (play_test.go): 0 to 1 good versions taken back, 0 to 7 beside a bad leaf, 99 to 100 of
-// those that fail three in ten or are four times slower.
+// Error rates in 100 simulated roll-outs of each case (see TestVerdictErrorRates): 0 to 1 good
+// versions are rolled back, and 0 to 7 of those that have or meet a bad leaf; 99 to 100 of the
+// versions that fail three in ten attempts or take four times as long are rolled back.
 //
-// The package owns what one node knows of roll-outs: Table, Counter, Reporting,
-// Allowance, Decider. It is pure: what has to be written or sent is returned to the driver.
+// The package holds the state of one node: Table, Counter, Reporting, Allowance and Decider. It
+// makes no calls: it returns what must be written or sent to the driver.
 package rollout
 
 import (
@@ -36,57 +35,56 @@
 // Order is an operator's request to move a service to a version.
 type Order struct {
 	Service string
-	// Version is the one that the traffic shall move to: the target.
+	// Version is the version that the traffic moves to: the target.
 	Version string
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// Revision is that of the store at which the order was written.
+	// Revision is the revision of the store at which the order was written.
 	Revision uint64
 }
 
-// Phase is how far a roll-out has come.
+// Phase is the progress of a roll-out.
 type Phase string
 
-// The phases, in their order. RolledBack may follow each but Completed.
+// Phases in their order. PhaseRolledBack may follow every phase except PhaseCompleted.
 const (
 	PhaseNone       Phase = ""            // no record yet
 	PhaseTrial      Phase = "trial"       // few attempts go to the target
 	PhaseBurst      Phase = "burst"       // the rest of the allowance is spent at once
-	PhaseShift      Phase = "shift"       // the other leaves get no new attempts
-	PhaseCompleted  Phase = "completed"   // the other leaves may be stopped
-	PhaseRolledBack Phase = "rolled_back" // the target gets nothing
+	PhaseShift      Phase = "shift"       // the control gets no new attempts
+	PhaseCompleted  Phase = "completed"   // the leaves of the control may be stopped
+	PhaseRolledBack Phase = "rolled_back" // the target gets no attempts
 )
 
-// ranks orders the phases: a roll-out goes only to a higher one.
+// phaseRanks orders the phases: a roll-out only moves to a phase of higher rank.
 var phaseRanks = map[Phase]int{PhaseTrial: 1, PhaseBurst: 2, PhaseShift: 3, PhaseCompleted: 4, PhaseRolledBack: 4}
 
-// Ended reports whether no phase follows.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == PhaseCompleted || p == PhaseRolledBack }
 
-// Shifted reports whether the traffic belongs to the target.
+// Shifted reports whether all new attempts go to the target.
 func (p Phase) Shifted() bool { return p == PhaseShift || p == PhaseCompleted }
 
-// Record is the lasting state of a roll-out. It lies in the store.
+// Record is the persistent state of a roll-out in the store.
 type Record struct {
 	Service string `json:"service"`
-	// Order is the revision of the order that it answers.
+	// Order is the revision of the order that the record belongs to.
 	Order   uint64 `json:"order"`
 	Version string `json:"version"`
 	Phase   Phase  `json:"phase"`
-	// Reason says what decided the phase.
+	// Reason describes why the roll-out entered the phase.
 	Reason string `json:"reason"`
-	// OrderedAt is about when the order was given, by the time of day, for nodes that
-	// start later.
+	// OrderedAt is the approximate time of day of the order, for nodes that start later.
 	OrderedAt time.Time `json:"ordered_at"`
-	// Revision is that at which the record was written; zero if it came from another
-	// node.
+	// Revision is the revision at which the record was written; zero if another node sent the
+	// record.
 	Revision uint64 `json:"-"`
 }
 
-// Encode returns the value of the record in the store.
+// Encode returns the record as it is stored.
 func (r Record) Encode() ([]byte, error) { return json.Marshal(r) }
 
-// DecodeRecord reads the value of a record.
+// DecodeRecord decodes a stored record.
 func DecodeRecord(value []byte, revision uint64) (Record, error) {
 	record := Record{Revision: revision}
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -98,8 +96,8 @@
 	return record, nil
 }
 
-// follows reports whether a record may take the place of another: it is of a
-// later order, or of a later phase of the same.
+// follows reports whether the record may replace a previous one: it belongs to a later order, or to
+// a later phase of the same order.
 func (r Record) follows(previous Record) bool {
 	if r.Order != previous.Order {
 		return r.Order > previous.Order
@@ -107,13 +105,13 @@
 	return phaseRanks[r.Phase] > phaseRanks[previous.Phase]
 }
 
-// Transition is a step of a roll-out that is to be written. It holds only if the
-// order and the former record are still as the decider knew them.
+// Transition is a step of a roll-out that must be written. The write applies only if the order and
+// the former record are unchanged in the store.
 type Transition struct {
-	// Record is the new one.
+	// Record is the record to write.
 	Record Record
-	// Former is the revision of the record that it replaces; zero without one.
+	// Former is the revision of the record that it replaces; zero if there is none.
 	Former uint64
-	// Order is the revision of the order; zero if it was withdrawn.
+	// Order is the revision of the order; zero if the order was withdrawn.
 	Order uint64
 }
--- a/internal/decide/rollout/simulation_test.go
+++ b/internal/decide/rollout/simulation_test.go
@@ -12,19 +12,18 @@
 	testService    = "desk"
 	testRoute      = "lookup"
 	simulationStep = 50 * time.Millisecond
-	// loadMemory is the time over which the load of the target is taken.
+	// loadTimeConstant is the averaging time of the target's share of requests.
 	loadTimeConstant = 250 * time.Millisecond
 )
 
 var testBounds = Bounds{Ratio: 0.1, Slack: 50}
 
-// behaviour is what an attempt at a leaf comes to: how long it takes, and whether
-// it fails. Load is the share of the
-// newest requests that went to the target.
+// leafModel returns how long an attempt at a leaf takes, and whether it fails. Load is the target's
+// share of the most recent requests.
 type leafModel func(random *rand.Rand, now time.Duration, leaf int, load float64) (took time.Duration, failed bool)
 
-// usual takes 120 ms as a rule, with a spread of half of that, a pause now and then,
-// and fails one in 200.
+// normalLeaf takes a log-normal time with a median of 120 ms, has a pause in 4 % of the attempts,
+// and fails one attempt in 200.
 func normalLeaf(random *rand.Rand, _ time.Duration, _ int, _ float64) (time.Duration, bool) {
 	took := 120 * math.Exp(0.45*random.NormFloat64())
 	if random.Float64() < 0.04 {
@@ -33,7 +32,7 @@
 	return time.Duration(took * float64(time.Millisecond)), random.Float64() < 0.005
 }
 
-// failing adds failures to the usual.
+// failingLeaf fails an additional share of the attempts.
 func failingLeaf(share float64) leafModel {
 	return func(random *rand.Rand, now time.Duration, leaf int, load float64) (time.Duration, bool) {
 		took, failed := normalLeaf(random, now, leaf, load)
@@ -41,7 +40,7 @@
 	}
 }
 
-// slower takes some times as long as usual for a share of the attempts.
+// slowLeaf multiplies the duration of a share of the attempts.
 func slowLeaf(times, share float64) leafModel {
 	return func(random *rand.Rand, now time.Duration, leaf int, load float64) (time.Duration, bool) {
 		took, failed := normalLeaf(random, now, leaf, load)
@@ -52,7 +51,7 @@
 	}
 }
 
-// when switches a behaviour on where a condition holds.
+// conditionalLeaf applies a model where a condition holds, and normalLeaf otherwise.
 func conditionalLeaf(condition func(now time.Duration, leaf int, load float64) bool, model leafModel) leafModel {
 	return func(random *rand.Rand, now time.Duration, leaf int, load float64) (time.Duration, bool) {
 		if condition(now, leaf, load) {
@@ -62,31 +61,31 @@
 	}
 }
 
-// play is one roll-out over some nodes, in virtual time.
+// simulation is one roll-out over several nodes, in virtual time.
 type simulation struct {
 	nodes    int
 	leaves   int
-	rate     float64 // requests a second of all nodes
+	rate     float64 // requests per second of all nodes
 	duration time.Duration
 	target   leafModel
 	control  leafModel
-	// hedged lets a second attempt go to another leaf of the control after hedgeAfter.
+	// hedged sends a second attempt to a random leaf of the control after hedgeAfter.
 	hedged bool
 }
 
-// hedgeAfter is about the 0.9 quantile of what is usual.
+// hedgeAfter is about the 0.9 quantile of normalLeaf.
 const hedgeAfter = 200 * time.Millisecond
 
-// result is how a play ended.
+// simulationResult is the outcome of a simulation.
 type simulationResult struct {
 	phase Phase
-	// exposed is what the target got up to the deadline, of all requests.
+	// exposed is the number of requests that went to the target before the deadline, of all.
 	exposed, all int
-	// allowed is what it may get of those.
+	// allowed is the number of requests that may go to the target.
 	allowed int
 }
 
-// virtualNode is one node of a play.
+// simulatedNode is one node of a simulation.
 type simulatedNode struct {
 	name      string
 	table     *Table
@@ -186,7 +185,7 @@
 	return toTarget
 }
 
-// subjectOf is what counts of a leaf of the target, or of the control, are of.
+// newSubject returns the subject of a leaf of the target or the control.
 func newSubject(target bool, leaf int) Subject {
 	name := fmt.Sprint(leaf)
 	if !target {
@@ -195,7 +194,7 @@
 	return Subject{Service: testService, Order: 1, Route: testRoute, Target: target, Zone: fmt.Sprint("zone-", leaf%3), Leaf: name}
 }
 
-// report reports to the decider and takes its word.
+// report reports to the decider and applies the reply.
 func (n *simulatedNode) report(now time.Duration, decider *Decider) {
 	rollout := n.table.Of(testService)
 	reply := decider.Report(now, Report{Node: n.name, Rows: n.counter.Changed(nil), Orders: []Progress{
@@ -225,20 +224,20 @@
 	return count
 }
 
-// trouble is a version, beside another one, and how often it may be taken back.
+// verdictTest is a target beside a control, and how often the target may be rolled back.
 type verdictTest struct {
 	name            string
 	target, control leafModel
-	// least and most bound the share of plays in which it is taken back.
+	// minRolledBack and maxRolledBack bound the share of simulations with a rollback.
 	minRolledBack, maxRolledBack float64
 }
 
-// playRates are requests a second at the service: a shard of a small site, and
-// three nodes of a test.
+// simulatedRates are requests per second at the service: at a shard of a small deployment, and in a
+// test with three nodes.
 var simulatedRates = []float64{48, 75}
 
-// TestErrorsOfVerdicts plays versions and counts how often they are taken back, and
-// how often a bad one got more than is allowed. The seeds are fixed.
+// TestVerdictErrorRates simulates roll-outs with fixed seeds. It checks how often versions are
+// rolled back, and how often a bad version exceeded its allowance.
 func TestVerdictErrorRates(t *testing.T) {
 	afterStart := func(now time.Duration, _ int, _ float64) bool { return now > 5*time.Second }
 	underLoad := func(_ time.Duration, _ int, load float64) bool { return load > 0.4 }
@@ -269,8 +268,8 @@
 	}
 }
 
-// TestErrorsOfVerdictsBesideHedges plays versions of which a hedge answers what takes long,
-// so that a slow one shows by what overtakes it. The seeds are fixed.
+// TestVerdictErrorRatesWithHedging simulates roll-outs with fixed seeds in which hedges answer slow
+// attempts, so that a slow version shows only in its overtaken attempts.
 func TestVerdictErrorRatesWithHedging(t *testing.T) {
 	underLoad := func(_ time.Duration, _ int, load float64) bool { return load > 0.4 }
 	lastLeaf := func(_ time.Duration, leaf int, _ float64) bool { return leaf == 2 }
--- a/internal/decide/rollout/steps.go
+++ b/internal/decide/rollout/steps.go
@@ -6,33 +6,31 @@
 )
 
 const (
-	// longestTail is the part of an order's time, before its deadline, in which the
-	// traffic shifts; a short order has half of its time for that. It holds the burst
-	// (1.5 s), the news of the shift to all nodes (0.3 to 1 s), requests in flight (most
-	// end within 1 s) and two calls to the store.
+	// maxShiftTime is the time before an order's deadline at which the burst and the shift start; a
+	// short order uses half of its time. It covers the burst (1.5 s), the propagation of the shift
+	// to all nodes (0.3 to 1 s), requests in flight (most end within 1 s) and two calls to the
+	// store.
 	maxShiftTime = 5 * time.Second
-	// burstTime is how long the burst lasts until its verdict: nodes learn of it within
-	// 0.3 to 1 s, and report again.
+	// minBurstTime is the duration of the burst before the decision about the shift: nodes learn of
+	// the burst within 0.3 to 1 s, and must report again afterwards.
 	minBurstTime = 1500 * time.Millisecond
-	// shiftTime is the least time of the shift: a report that control is idle may be older
-	// than the first request after it. Not measured: chosen because it is two intervals of
-	// reports.
+	// minShiftTime is the minimum duration of the shift, two report intervals: a report that the
+	// control is idle may be older than the first request after the report.
 	minShiftTime = 700 * time.Millisecond
-	// overtime is how long after the deadline requests at the other version may keep a
-	// roll-out from completing. Not measured: chosen because a node that hangs must not
-	// hold it up for good.
+	// completionGrace is the time after the deadline for which requests at the control may delay
+	// the completion of a roll-out. It keeps a hanging node from delaying the completion forever.
 	completionGrace = 5 * time.Second
-	// leastSlots is the part of the control's slots that the target needs for a shift. Not
-	// measured: chosen because the rest of its leaves may still be starting.
+	// minSlotRatio is the ratio of the target's slots to the control's slots that a shift needs.
+	// The remaining leaves of the target may still be starting.
 	minSlotRatio = 0.5
-	// leastEvidence is how many attempts at the target a shift needs, at a service with
-	// busyTraffic requests or more. Not measured: chosen because with fewer requests the
-	// allowance may not come to so many attempts.
+	// minTargetAttempts is the number of attempts at the target that a shift needs, at a service
+	// with significantTraffic requests or more. With fewer requests the allowance may not be
+	// sufficient for that many attempts.
 	minTargetAttempts  = 10
 	significantTraffic = 100
 )
 
-// next returns the phase to go to, and why; PhaseNone to stay.
+// nextPhase returns the phase to move to, and the reason; PhaseNone to stay in the current phase.
 func (d *Decider) nextPhase(now time.Duration, rollout *Rollout, eval *evaluation, attempts attemptTotals, supply Supply) (Phase, string) {
 	age, deadline := rollout.Age(now), rollout.Order.Duration
 	tail := min(maxShiftTime, deadline/2)
@@ -93,8 +91,8 @@
 	return PhaseNone, ""
 }
 
-// busy returns how many nodes still have attempts at other leaves, or may send some,
-// and how many have reported lately.
+// countBusyNodes returns the number of nodes that still have attempts in flight at the control, or
+// may still send some, and the number of nodes that reported within reportTTL.
 func (d *Decider) countBusyNodes(now time.Duration, rollout *Rollout) (busy, nodes int) {
 	for _, report := range d.reports {
 		if now-report.receivedAt >= reportTTL {
--- a/internal/decide/rollout/table.go
+++ b/internal/decide/rollout/table.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Rollout is one roll-out as a node knows it.
+// Rollout is the state of one roll-out as known to a node.
 type Rollout struct {
-	// Order is the one in force; its Revision is zero if it was withdrawn.
+	// Order is the order in force; its Revision is zero if it was withdrawn.
 	Order Order
-	// Record is the last one for any order of the service.
+	// Record is the latest record for any order of the service.
 	Record Record
-	// orderedAt is when the order was given, on the node's clock: when this node saw it,
-	// or earlier, if its record or another node says so.
+	// orderedAt is the time of the order on the node's clock: the time at which this node read the
+	// order, or an earlier time that the record or another node reports.
 	orderedAt time.Duration
-	// Found says that the order was there when this node first read the store: the
-	// node may be the successor of one that has spent its part of the slack.
+	// Found reports whether the order existed when this node first read the store. The process that
+	// ran before on this node may then have spent its part of the slack already.
 	Found bool
-	// Bad says why the target is bad, as far as this node knows; empty while nothing
-	// shows that. It holds for the order in force.
+	// Bad describes why the target is bad, as far as this node knows; empty while there is no
+	// evidence. It belongs to the order in force.
 	Bad string
 }
 
-// Phase returns that of the order in force.
+// Phase returns the phase of the order in force.
 func (r *Rollout) Phase() Phase {
 	if r.Order.Revision != 0 && r.Record.Order != r.Order.Revision {
 		return PhaseNone
@@ -31,7 +31,8 @@
 	return r.Record.Phase
 }
 
-// Version returns the one that is being rolled out, or was last.
+// Version returns the version of the order in force, or of the last record if the order was
+// withdrawn.
 func (r *Rollout) Version() string {
 	if r.Order.Revision != 0 {
 		return r.Order.Version
@@ -39,7 +40,7 @@
 	return r.Record.Version
 }
 
-// Open reports whether the roll-out has steps left to take.
+// Open reports whether the roll-out has not ended.
 func (r *Rollout) Open() bool {
 	phase := r.Phase()
 	return !phase.Ended() && (phase != PhaseNone || r.Order.Revision != 0)
@@ -51,7 +52,7 @@
 // Table holds the roll-outs by service. It is not safe for concurrent use.
 type Table struct {
 	entries map[string]*Rollout
-	// read is set once the store was read as a whole.
+	// loaded is set after the first complete reading of the store.
 	loaded bool
 }
 
@@ -67,18 +68,18 @@
 	return rollout
 }
 
-// Of returns the roll-out of a service; nil without one.
+// Of returns the roll-out of a service; nil if there is none.
 func (t *Table) Of(service string) *Rollout { return t.entries[service] }
 
-// Services returns the services that have a roll-out, by name.
+// Services returns the sorted names of the services that have a roll-out.
 func (t *Table) Services() []string { return slices.Sorted(maps.Keys(t.entries)) }
 
-// Open returns the services whose roll-outs have steps left to take, by name.
+// Open returns the sorted names of the services whose roll-outs have not ended.
 func (t *Table) Open() []string {
 	return slices.DeleteFunc(t.Services(), func(service string) bool { return !t.entries[service].Open() })
 }
 
-// SetOrder takes in an order. It reports whether that is news.
+// SetOrder stores an order. It reports whether the order is newer than the known one.
 func (t *Table) SetOrder(now time.Duration, order Order) bool {
 	rollout := t.getOrCreate(order.Service)
 	if order.Revision <= rollout.Order.Revision {
@@ -88,7 +89,7 @@
 	return true
 }
 
-// Withdraw takes in that there is no order for a service any more.
+// Withdraw records that a service has no order any more. It reports whether there was one.
 func (t *Table) Withdraw(service string) bool {
 	rollout, ok := t.entries[service]
 	if !ok || rollout.Order.Revision == 0 {
@@ -98,12 +99,12 @@
 	return true
 }
 
-// SetRecord takes in a record, unless it is behind the one known. It reports
-// whether the phase is news.
+// SetRecord stores a record unless the known one is further ahead. It reports whether the phase
+// changed.
 func (t *Table) SetRecord(record Record) bool {
 	rollout := t.getOrCreate(record.Service)
 	if record.Order == rollout.Record.Order && record.Phase == rollout.Record.Phase {
-		if record.Revision != 0 { // a phase is written once
+		if record.Revision != 0 { // each phase is written once
 			rollout.Record.Revision = record.Revision
 		}
 		return false
@@ -117,9 +118,9 @@
 	return true
 }
 
-// Replace takes in all orders and records there are. A stale reading may lack the
-// newest orders: it withdraws none. OrderedAt of a record makes the age of an order
-// that was found, by a clock whose time is given too.
+// Replace applies a complete listing of orders and records. A stale listing may lack the newest
+// orders, so that it withdraws none. Replace sets the age of an order from OrderedAt of its record,
+// given the current time of day.
 func (t *Table) Replace(now time.Duration, clock time.Time, orders []Order, records []Record, stale bool) {
 	for _, record := range records {
 		t.SetRecord(record)
@@ -141,7 +142,7 @@
 	t.loaded = true
 }
 
-// backdate gives an order that was found the age that its record says.
+// restoreAge sets the age of an order from its record.
 func (t *Table) restoreAge(now time.Duration, clock time.Time, order Order) {
 	rollout := t.entries[order.Service]
 	if rollout.Record.Order != order.Revision {
@@ -151,8 +152,8 @@
 	rollout.orderedAt = now - age
 }
 
-// Merge takes in what another node knows of the order in force: its age, its record,
-// and why the target is bad, if it is. It reports whether the phase is news.
+// Merge applies another node's state of the order in force: its age, its record, and the evidence
+// against the target, if there is some. It reports whether the phase changed.
 func (t *Table) Merge(now time.Duration, service string, order uint64, age time.Duration, record Record, bad string) bool {
 	rollout, ok := t.entries[service]
 	if !ok || rollout.Order.Revision != order {
--- a/internal/decide/rollout/table_test.go
+++ b/internal/decide/rollout/table_test.go
@@ -11,7 +11,8 @@
 	return Record{Service: testService, Order: order, Version: "v2", Phase: phase, Revision: revision}
 }
 
-// TestPhasesMoveForward also from old copies, and across restarts of an order.
+// TestPhasesOnlyAdvance checks that neither old copies of a record nor a repeated order moves a
+// roll-out back to an earlier phase.
 func TestPhasesOnlyAdvance(t *testing.T) {
 	phases := []Phase{PhaseTrial, PhaseBurst, PhaseShift, PhaseCompleted, PhaseRolledBack}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/decide/rollout/wire_test.go
+++ b/internal/decide/rollout/wire_test.go
@@ -6,5 +6,6 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestRecordReadsAsRecorded: the store keeps records that other versions wrote.
+// TestRecordReadsAsRecorded guards against a change of the stored form of Record, which nodes of
+// other versions read.
 func TestRecordReadsAsRecorded(t *testing.T) { wiretest.JSON[Record](t, "record") }
