--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -38,24 +38,24 @@
 }
 
 // decay brings the weights up to date.
-func (r *decayedCounts) decay(now, halfLife time.Duration) {
-	age := (now - r.decayedAt).Seconds() / halfLife.Seconds()
+func (c *decayedCounts) decay(now, halfLife time.Duration) {
+	age := (now - c.decayedAt).Seconds() / halfLife.Seconds()
 	if age < minDecayStep {
 		return
 	}
 	factor := math.Exp2(-age)
-	r.crashed *= factor
-	r.answered *= factor
-	r.decayedAt = now
+	c.crashed *= factor
+	c.answered *= factor
+	c.decayedAt = now
 }
 
-func (r *decayedCounts) add(now, halfLife time.Duration, crashed bool) {
-	r.decay(now, halfLife)
+func (c *decayedCounts) add(now, halfLife time.Duration, crashed bool) {
+	c.decay(now, halfLife)
 	if crashed {
-		r.crashed++
+		c.crashed++
 		return
 	}
-	r.answered++
+	c.answered++
 }
 
 // crashChance returns the probability that an attempt crashes its leaf, estimated from the counts
--- a/internal/decide/quarantine/background_test.go
+++ b/internal/decide/quarantine/background_test.go
@@ -26,33 +26,33 @@
 	}
 }
 
-// TestRequestConcurrentWithCrashingRequest guards against holding a harmless request because
+// TestRequestBesideCrashingRequestIsNotHeld guards against holding a harmless request because
 // another request crashes all leaves at the same time. No leaf answered the harmless request
 // before, and its trials crash as well. The other request is held by its later trials.
-func TestRequestConcurrentWithCrashingRequest(t *testing.T) {
-	p := newScenario(t)
+func TestRequestBesideCrashingRequestIsNotHeld(t *testing.T) {
+	s := newScenario(t)
 	var background Background
-	p.table.Suspect(p.now, harmlessContent, "r", p.newCrashes(8))
-	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(8))
+	s.table.Suspect(s.now, harmlessContent, "r", s.newCrashes(8))
+	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(8))
 	for service := range 12 {
-		background.Add(p.now, harmlessContent, true, service, true)
-		background.Add(p.now, crashingContent, true, service, true)
+		background.Add(s.now, harmlessContent, true, service, true)
+		background.Add(s.now, crashingContent, true, service, true)
 	}
 	for trial := range 2 {
-		p.now += 100 * time.Millisecond
+		s.now += 100 * time.Millisecond
 		for _, content := range []Content{harmlessContent, crashingContent} {
-			if p.crashTrial(content, background.Chance(p.now, content, 0)) {
+			if s.crashTrial(content, background.Chance(s.now, content, 0)) {
 				t.Errorf("held by trial %d of the moment", trial+1)
 			}
-			background.Add(p.now, content, true, 0, true)
+			background.Add(s.now, content, true, 0, true)
 		}
 	}
 	for range 3 {
-		p.now += 5 * time.Second
+		s.now += 5 * time.Second
 		for service := range 60 {
-			background.Add(p.now, harmlessContent, true, service%12, false)
+			background.Add(s.now, harmlessContent, true, service%12, false)
 		}
-		if p.crashTrial(crashingContent, background.Chance(p.now, crashingContent, 0)) {
+		if s.crashTrial(crashingContent, background.Chance(s.now, crashingContent, 0)) {
 			return
 		}
 	}
--- a/internal/decide/quarantine/survivors_test.go
+++ b/internal/decide/quarantine/survivors_test.go
@@ -11,19 +11,19 @@
 // newHeldScenario returns a scenario in which this node holds a request.
 func newHeldScenario(t *testing.T, content Content) *scenario {
 	t.Helper()
-	p := newScenario(t)
-	p.table.Suspect(p.now, content, "r", p.newCrashes(3))
-	p.crashTrial(content, 0.05)
-	if !p.crashTrial(content, 0.05) {
+	s := newScenario(t)
+	s.table.Suspect(s.now, content, "r", s.newCrashes(3))
+	s.crashTrial(content, 0.05)
+	if !s.crashTrial(content, 0.05) {
 		t.Fatal("not held")
 	}
-	return p
+	return s
 }
 
 // announcedLeaves reports all unresolved leaves as announced, or none of them.
-func (p *scenario) announcedLeaves(all bool) map[string]bool {
+func (s *scenario) announcedLeaves(all bool) map[string]bool {
 	announced := make(map[string]bool)
-	for _, leaf := range p.table.Suspects() {
+	for _, leaf := range s.table.Suspects() {
 		announced[leaf] = all
 	}
 	return announced
@@ -33,14 +33,14 @@
 // announcements would have expired release the request and clear the stored hold, while leaves that
 // are gone keep it held.
 func TestSurvivorsReleaseHeldRequest(t *testing.T) {
-	p := newHeldScenario(t, harmlessContent)
-	p.table.Review(p.now, p.announcedLeaves(true))
-	if decision := p.requireVerdict(harmlessContent, Refuse); decision.RetryAfter != announcementExpiry {
+	s := newHeldScenario(t, harmlessContent)
+	s.table.Review(s.now, s.announcedLeaves(true))
+	if decision := s.requireVerdict(harmlessContent, Refuse); decision.RetryAfter != announcementExpiry {
 		t.Errorf("while nothing is known of its leaves: %+v", decision)
 	}
-	p.now += announcementExpiry
+	s.now += announcementExpiry
 	released := 0
-	for _, survivor := range p.table.Review(p.now, p.announcedLeaves(true)) {
+	for _, survivor := range s.table.Review(s.now, s.announcedLeaves(true)) {
 		if survivor.Released {
 			released++
 		}
@@ -48,8 +48,8 @@
 	if released != 1 {
 		t.Errorf("released %d times", released)
 	}
-	p.requireVerdict(harmlessContent, Run)
-	change, pending := p.table.Change(harmlessContent)
+	s.requireVerdict(harmlessContent, Run)
+	change, pending := s.table.Change(harmlessContent)
 	if !pending || change.Record.Held || change.Record.countCrashedLeaves() != 0 {
 		t.Errorf("change %+v, %v", change, pending)
 	}
@@ -64,19 +64,19 @@
 // TestSingleSurvivorReleasesHeldRequest checks that one survivor releases a request if the odds of
 // the remaining trials are too low. The request stays suspected, and is tried again.
 func TestSingleSurvivorReleasesHeldRequest(t *testing.T) {
-	p := newHeldScenario(t, harmlessContent)
-	announcedLeaves := p.announcedLeaves(false)
+	s := newHeldScenario(t, harmlessContent)
+	announcedLeaves := s.announcedLeaves(false)
 	announcedLeaves["leaf-5"] = true
-	p.now += announcementExpiry
-	p.table.Review(p.now, announcedLeaves)
-	p.requireVerdict(harmlessContent, Trial)
+	s.now += announcementExpiry
+	s.table.Review(s.now, announcedLeaves)
+	s.requireVerdict(harmlessContent, Trial)
 }
 
 // TestEachNodeDetectsSurvivors checks that a node that reads a record refuses the request until the
 // leaves' announcements would have expired, then releases it without writing the record.
 func TestEachNodeDetectsSurvivors(t *testing.T) {
-	p := newHeldScenario(t, harmlessContent)
-	change, _ := p.table.Change(harmlessContent)
+	s := newHeldScenario(t, harmlessContent)
+	change, _ := s.table.Change(harmlessContent)
 	otherNode := newScenario(t)
 	otherNode.table.Set(otherNode.now, harmlessContent, Known{Record: change.Record, Revision: 7})
 	otherNode.requireVerdict(harmlessContent, Refuse)
@@ -90,9 +90,9 @@
 	}
 	otherNode.table.Set(otherNode.now, harmlessContent, Known{Record: change.Record, Revision: 8})
 	otherNode.requireVerdict(harmlessContent, Run)
-	p.now += announcementExpiry
-	p.table.Review(p.now, p.announcedLeaves(true))
-	update, _ := p.table.Change(harmlessContent)
+	s.now += announcementExpiry
+	s.table.Review(s.now, s.announcedLeaves(true))
+	update, _ := s.table.Change(harmlessContent)
 	lateNode := newScenario(t)
 	lateNode.table.Set(lateNode.now, harmlessContent, Known{Record: update.Record, Revision: 9})
 	lateNode.requireVerdict(harmlessContent, Run)
@@ -101,20 +101,20 @@
 // TestRecordWithoutTrialCrashesStaysHeld checks that a record of a former version, without the
 // crashes that trials observed, keeps the request held.
 func TestRecordWithoutTrialCrashesStaysHeld(t *testing.T) {
-	p := newScenario(t)
-	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
-	p.now += announcementExpiry
-	p.table.Review(p.now, p.announcedLeaves(false))
-	p.requireVerdict(crashingContent, Refuse)
+	s := newScenario(t)
+	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	s.now += announcementExpiry
+	s.table.Review(s.now, s.announcedLeaves(false))
+	s.requireVerdict(crashingContent, Refuse)
 }
 
 // TestTrialCrashesReplaceOthersInFullRecord guards against a record that is full of crashes that no
 // trial observed, and therefore could not take those of trials.
 func TestTrialCrashesReplaceOthersInFullRecord(t *testing.T) {
-	p := newScenario(t)
-	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(maxCrashes+3))
-	p.crashTrial(crashingContent, 0.05)
-	if !p.crashTrial(crashingContent, 0.05) {
+	s := newScenario(t)
+	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(maxCrashes+3))
+	s.crashTrial(crashingContent, 0.05)
+	if !s.crashTrial(crashingContent, 0.05) {
 		t.Error("not held")
 	}
 }
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -25,68 +25,68 @@
 }
 
 // newCrashes returns crashes of new incarnations.
-func (p *scenario) newCrashes(count int) []Crash {
+func (s *scenario) newCrashes(count int) []Crash {
 	var created []Crash
 	for range count {
-		p.crashes++
-		created = append(created, NewCrash(fmt.Sprint("leaf-", p.crashes), strings.Repeat("a long id", 100)))
+		s.crashes++
+		created = append(created, NewCrash(fmt.Sprint("leaf-", s.crashes), strings.Repeat("a long id", 100)))
 	}
 	return created
 }
 
-func (p *scenario) requireVerdict(content Content, want Verdict) Decision {
-	p.Helper()
-	got := p.table.Admit(p.now, content)
+func (s *scenario) requireVerdict(content Content, want Verdict) Decision {
+	s.Helper()
+	got := s.table.Admit(s.now, content)
 	if got.Verdict != want {
-		p.Fatalf("at %v: verdict %d (%+v), want %d", p.now, got.Verdict, got, want)
+		s.Fatalf("at %v: verdict %d (%+v), want %d", s.now, got.Verdict, got, want)
 	}
 	return got
 }
 
 // crashTrial runs a trial that crashes its leaf.
-func (p *scenario) crashTrial(content Content, chance float64) bool {
-	p.Helper()
-	p.requireVerdict(content, Trial)
-	return p.table.TrialCrashed(p.now, content, p.newCrashes(1), chance)
+func (s *scenario) crashTrial(content Content, chance float64) bool {
+	s.Helper()
+	s.requireVerdict(content, Trial)
+	return s.table.TrialCrashed(s.now, content, s.newCrashes(1), chance)
 }
 
 // TestRequestIsHeldAfterTwoTrials checks that a request runs until three leaves have crashed, and
 // is held once two trials have crashed their leaves.
 func TestRequestIsHeldAfterTwoTrials(t *testing.T) {
-	p := newScenario(t)
-	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(2))
-	p.requireVerdict(crashingContent, Run)
-	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(1))
-	if p.crashTrial(crashingContent, 0.05) {
+	s := newScenario(t)
+	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(2))
+	s.requireVerdict(crashingContent, Run)
+	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(1))
+	if s.crashTrial(crashingContent, 0.05) {
 		t.Fatal("held after one trial")
 	}
-	if !p.crashTrial(crashingContent, 0.05) {
+	if !s.crashTrial(crashingContent, 0.05) {
 		t.Fatal("not held after two trials")
 	}
-	if decision := p.requireVerdict(crashingContent, Refuse); !decision.Held || decision.RetryAfter != 5*time.Minute {
+	if decision := s.requireVerdict(crashingContent, Refuse); !decision.Held || decision.RetryAfter != 5*time.Minute {
 		t.Errorf("held: %+v", decision)
 	}
-	p.requireVerdict(harmlessContent, Run)
+	s.requireVerdict(harmlessContent, Run)
 }
 
 // TestPauseBetweenTrialsGrows checks that a request that no leaf answers in time occupies one leaf
 // at a time, with growing pauses from the second trial on.
 func TestPauseBetweenTrialsGrows(t *testing.T) {
-	p := newScenario(t)
-	p.table.Suspect(p.now, crashingContent, "r", p.newCrashes(3))
+	s := newScenario(t)
+	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(3))
 	for _, want := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second} {
-		p.requireVerdict(crashingContent, Trial)
-		if decision := p.requireVerdict(crashingContent, Refuse); !decision.TrialRunning {
+		s.requireVerdict(crashingContent, Trial)
+		if decision := s.requireVerdict(crashingContent, Refuse); !decision.TrialRunning {
 			t.Errorf("beside a trial: %+v", decision)
 		}
-		p.table.TrialInconclusive(p.now, crashingContent)
+		s.table.TrialInconclusive(s.now, crashingContent)
 		if want == 0 {
 			continue
 		}
-		if decision := p.requireVerdict(crashingContent, Refuse); decision.Held || decision.TrialRunning || decision.RetryAfter != want {
+		if decision := s.requireVerdict(crashingContent, Refuse); decision.Held || decision.TrialRunning || decision.RetryAfter != want {
 			t.Errorf("after a trial: %+v, want %v", decision, want)
 		}
-		p.now += want
+		s.now += want
 	}
 }
 
@@ -98,14 +98,14 @@
 		chance float64
 		trials int // number of trials until the request is held; 0 if it is never held
 	}{{0.05, 2}, {0.1, 2}, {0.14, 3}, {0.33, 5}, {1, 0}} {
-		p := newScenario(t)
-		p.table.Suspect(p.now, harmlessContent, "r", p.newCrashes(3))
+		s := newScenario(t)
+		s.table.Suspect(s.now, harmlessContent, "r", s.newCrashes(3))
 		held := 0
 		for trial := 1; trial <= 20 && held == 0; trial++ {
-			if p.crashTrial(harmlessContent, test.chance) {
+			if s.crashTrial(harmlessContent, test.chance) {
 				held = trial
 			}
-			p.now += time.Minute
+			s.now += time.Minute
 		}
 		if held != test.trials {
 			t.Errorf("chance %v: held after %d trials, want %d", test.chance, held, test.trials)
@@ -116,25 +116,25 @@
 // TestAnswerClearsRequest checks that an answer clears a request that other nodes reported and
 // hold, also if another node writes its record again in the meantime.
 func TestAnswerClearsRequest(t *testing.T) {
-	p := newScenario(t)
-	p.table.Set(p.now, harmlessContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
-	p.requireVerdict(harmlessContent, Refuse)
-	if !p.table.Answered(harmlessContent) {
+	s := newScenario(t)
+	s.table.Set(s.now, harmlessContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	s.requireVerdict(harmlessContent, Refuse)
+	if !s.table.Answered(harmlessContent) {
 		t.Fatal("the store is not told")
 	}
-	p.requireVerdict(harmlessContent, Run)
-	change, pending := p.table.Change(harmlessContent)
+	s.requireVerdict(harmlessContent, Run)
+	change, pending := s.table.Change(harmlessContent)
 	if !pending || !change.Remove || change.Former != 5 {
 		t.Fatalf("change %+v", change)
 	}
-	p.table.Set(p.now, harmlessContent, Known{Record: Record{Crashes: p.newCrashes(4), Odds: 1}, Revision: 6})
-	p.requireVerdict(harmlessContent, Run)
-	change, _ = p.table.Change(harmlessContent)
+	s.table.Set(s.now, harmlessContent, Known{Record: Record{Crashes: s.newCrashes(4), Odds: 1}, Revision: 6})
+	s.requireVerdict(harmlessContent, Run)
+	change, _ = s.table.Change(harmlessContent)
 	if change.Former != 6 || !change.Remove {
 		t.Fatalf("change %+v after it was overtaken", change)
 	}
-	p.table.Written(p.now, change, 7)
-	if total, _ := p.table.Len(); total != 0 {
+	s.table.Written(s.now, change, 7)
+	if total, _ := s.table.Len(); total != 0 {
 		t.Error("it is still known")
 	}
 }
@@ -142,32 +142,32 @@
 // TestRequestIsTriedAfterHoldEnds checks that a held request is tried on one leaf, rather than run
 // freely, once its record has expired or an operator has deleted it.
 func TestRequestIsTriedAfterHoldEnds(t *testing.T) {
-	p := newScenario(t)
-	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
-	if !p.table.Remove(p.now, crashingContent, 9) {
+	s := newScenario(t)
+	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	if !s.table.Remove(s.now, crashingContent, 9) {
 		t.Error("it was not held")
 	}
-	if decision := p.requireVerdict(crashingContent, Trial); decision.Change.Former != 0 || decision.Change.Record.Trials != 1 {
+	if decision := s.requireVerdict(crashingContent, Trial); decision.Change.Former != 0 || decision.Change.Record.Trials != 1 {
 		t.Errorf("trial %+v", decision)
 	}
-	p.table.TrialInconclusive(p.now, crashingContent)
-	p.table.Written(p.now, Change{Content: crashingContent, Record: p.table.entries[crashingContent].Record}, 9)
-	p.table.Remove(p.now, crashingContent, 9)
-	p.requireVerdict(crashingContent, Run)
+	s.table.TrialInconclusive(s.now, crashingContent)
+	s.table.Written(s.now, Change{Content: crashingContent, Record: s.table.entries[crashingContent].Record}, 9)
+	s.table.Remove(s.now, crashingContent, 9)
+	s.requireVerdict(crashingContent, Run)
 }
 
 // TestTrialOfLostNodeTimesOut checks that other nodes may start a trial once the trial of a node
 // that was lost has timed out.
 func TestTrialOfLostNodeTimesOut(t *testing.T) {
-	p := newScenario(t)
-	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
-	p.requireVerdict(crashingContent, Refuse)
-	p.now += 5 * time.Second
-	if decision := p.requireVerdict(crashingContent, Trial); decision.Change.Record.Trials != 2 || decision.Change.Record.Trial != "self" {
+	s := newScenario(t)
+	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
+	s.requireVerdict(crashingContent, Refuse)
+	s.now += 5 * time.Second
+	if decision := s.requireVerdict(crashingContent, Trial); decision.Change.Record.Trials != 2 || decision.Change.Record.Trial != "self" {
 		t.Errorf("%+v", decision)
 	}
-	p.table.Withdraw(crashingContent)
-	if change, _ := p.table.Change(crashingContent); change.Record.Trials != 1 {
+	s.table.Withdraw(crashingContent)
+	if change, _ := s.table.Change(crashingContent); change.Record.Trials != 1 {
 		t.Errorf("a trial that did not begin counts: %+v", change)
 	}
 }
@@ -175,24 +175,24 @@
 // TestStateIsBounded checks the bounds on the number of requests, the size of a record and the rate
 // of reports, whatever callers and leaves send.
 func TestStateIsBounded(t *testing.T) {
-	p := newScenario(t)
-	p.table.SetNodes(8)
+	s := newScenario(t)
+	s.table.SetNodes(8)
 	reported := 0
 	for number := range 100_000 {
 		content := ContentOf("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil)
-		if p.table.Suspect(p.now, content, "r", p.newCrashes(20)) {
+		if s.table.Suspect(s.now, content, "r", s.newCrashes(20)) {
 			reported++
 		}
-		p.now += 10 * time.Millisecond
+		s.now += 10 * time.Millisecond
 	}
-	if seconds := p.now.Seconds(); float64(reported) > 4+seconds*10/8 {
+	if seconds := s.now.Seconds(); float64(reported) > 4+seconds*10/8 {
 		t.Errorf("%d reports in %v s by one of eight nodes", reported, seconds)
 	}
-	total, _ := p.table.Len()
-	if total > p.table.config.MaxEntries {
+	total, _ := s.table.Len()
+	if total > s.table.config.MaxEntries {
 		t.Errorf("%d requests are known", total)
 	}
-	for _, e := range p.table.entries {
+	for _, e := range s.table.entries {
 		if value, err := e.Encode(); err != nil || len(e.Crashes) > maxCrashes || len(value) > 1500 {
 			t.Fatalf("%d bytes, %v: %s", len(value), err, value)
 		}
@@ -203,11 +203,11 @@
 // except that each node may send one report.
 func TestReportBurstIsDividedAmongNodes(t *testing.T) {
 	for _, test := range []struct{ nodes, want int }{{8, 4}, {100, 4}, {200, 2}, {3900, 1}} {
-		p := newScenario(t)
-		p.table.SetNodes(test.nodes)
+		s := newScenario(t)
+		s.table.SetNodes(test.nodes)
 		reported := 0
 		for number := range 10 {
-			if p.table.Suspect(0, ContentOf("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil), "r", p.newCrashes(3)) {
+			if s.table.Suspect(0, ContentOf("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil), "r", s.newCrashes(3)) {
 				reported++
 			}
 		}
@@ -220,12 +220,12 @@
 // TestOutdatedRemovalIsIgnored guards against a removal that deletes a record written at a later
 // revision.
 func TestOutdatedRemovalIsIgnored(t *testing.T) {
-	p := newScenario(t)
-	p.table.Set(p.now, crashingContent, Known{Record: Record{Crashes: p.newCrashes(3), Odds: 400, Held: true}, Revision: 12})
-	if p.table.Remove(p.now, crashingContent, 10) {
+	s := newScenario(t)
+	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Held: true}, Revision: 12})
+	if s.table.Remove(s.now, crashingContent, 10) {
 		t.Error("removed by news of before")
 	}
-	p.requireVerdict(crashingContent, Refuse)
+	s.requireVerdict(crashingContent, Refuse)
 }
 
 // TestDecodeRecordRejectsInvalidValues checks that invalid records are rejected without a panic.
--- a/internal/decide/rollout/benchmark_test.go
+++ b/internal/decide/rollout/benchmark_test.go
@@ -74,8 +74,8 @@
 			now := time.Duration(0)
 			for b.Loop() {
 				now = min(now+300*time.Millisecond, reportRetention/2) // nodes expire after reportRetention
-				if steps := decider.Tick(now, time.Time{}, supply); len(steps) > 0 {
-					b.Fatalf("%+v", steps[0])
+				if transitions := decider.Tick(now, time.Time{}, supply); len(transitions) > 0 {
+					b.Fatalf("%+v", transitions[0])
 				}
 			}
 		})
--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -202,23 +202,23 @@
 	if !ok {
 		return 0, false
 	}
-	usualTime := bucketEnd(bucket)
-	return min(bucketIndex(max(time.Duration(slowFactor*float64(usualTime)), usualTime+slowMargin)), bucketCount-2), true
+	quantileTime := bucketEnd(bucket)
+	return min(bucketIndex(max(time.Duration(slowFactor*float64(quantileTime)), quantileTime+slowMargin)), bucketCount-2), true
 }
 
 // controlQuantileBucket returns the bucket of slowQuantile of the control's durations, without the
 // leaf that raises it the most: an unresponsive leaf would otherwise raise the limit so far that no
 // attempt is slow. It returns false while the control has too few attempts.
 func (s *sample) controlQuantileBucket() (int, bool) {
-	usual, ok := s.control.Took.quantile(slowQuantile)
+	lowest, ok := s.control.Took.quantile(slowQuantile)
 	for _, counts := range s.controlByLeaf {
 		rest := s.control
 		rest.subtract(counts)
-		if bucket, enough := rest.Took.quantile(slowQuantile); enough && bucket < usual {
-			usual = bucket
+		if bucket, enough := rest.Took.quantile(slowQuantile); enough && bucket < lowest {
+			lowest = bucket
 		}
 	}
-	return usual, ok
+	return lowest, ok
 }
 
 // quantile returns the bucket of a quantile; false if the histogram has too few attempts.
--- a/internal/decide/rollout/decider.go
+++ b/internal/decide/rollout/decider.go
@@ -48,7 +48,7 @@
 	evaluations map[string]*evaluation
 	// incarnation names the deciding process.
 	incarnation  string
-	lastReportAt time.Duration // of the last report
+	lastReportAt time.Duration
 	// reportingSince is when the current series of reports, without a pause of reportTTL, began.
 	reportingSince time.Duration
 }
@@ -208,12 +208,12 @@
 				routes = make(map[string]*sample)
 				services[subject.Service] = routes
 			}
-			current, ok := routes[subject.Route]
+			routeSample, ok := routes[subject.Route]
 			if !ok {
-				current = newSample()
-				routes[subject.Route] = current
+				routeSample = newSample()
+				routes[subject.Route] = routeSample
 			}
-			current.add(subject, &counts)
+			routeSample.add(subject, &counts)
 		}
 	}
 	return services
--- a/internal/decide/rollout/decider_test.go
+++ b/internal/decide/rollout/decider_test.go
@@ -96,29 +96,29 @@
 
 		next func() (Phase, string)
 	}{
-		{"trial goes on", PhaseNone, func() (Phase, string) { return nextAfterTrial(time.Second, deadline, 5*time.Second, enoughSlots) }},
-		{"all leaves have the version", PhaseCompleted, func() (Phase, string) { return nextAfterTrial(0, deadline, 5*time.Second, Supply{Target: 4}) }},
-		{"the trial is over", PhaseBurst, func() (Phase, string) { return nextAfterTrial(5*time.Second, deadline, 5*time.Second, enoughSlots) }},
+		{"trial goes on", PhaseNone, func() (Phase, string) { return nextFromTrial(time.Second, deadline, 5*time.Second, enoughSlots) }},
+		{"all leaves have the version", PhaseCompleted, func() (Phase, string) { return nextFromTrial(0, deadline, 5*time.Second, Supply{Target: 4}) }},
+		{"the trial is over", PhaseBurst, func() (Phase, string) { return nextFromTrial(5*time.Second, deadline, 5*time.Second, enoughSlots) }},
 		{"too few slots yet", PhaseNone, func() (Phase, string) {
-			return nextAfterTrial(6*time.Second, deadline, 5*time.Second, Supply{Target: 1, Control: 6, Mixed: true})
+			return nextFromTrial(6*time.Second, deadline, 5*time.Second, Supply{Target: 1, Control: 6, Mixed: true})
 		}},
 		{"no leaf came", PhaseRolledBack, func() (Phase, string) {
-			return nextAfterTrial(deadline, deadline, 5*time.Second, Supply{Control: 6, Mixed: true})
+			return nextFromTrial(deadline, deadline, 5*time.Second, Supply{Control: 6, Mixed: true})
 		}},
 		{"burst goes on", PhaseNone, func() (Phase, string) {
-			return nextAfterBurst(time.Second, 6*time.Second, deadline, attemptTotals{50, 500})
+			return nextFromBurst(time.Second, 6*time.Second, deadline, attemptTotals{50, 500})
 		}},
 		{"burst is over", PhaseShift, func() (Phase, string) {
-			return nextAfterBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{50, 500})
+			return nextFromBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{50, 500})
 		}},
 		{"little traffic", PhaseShift, func() (Phase, string) {
-			return nextAfterBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{0, 5})
+			return nextFromBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{0, 5})
 		}},
 		{"no evidence yet", PhaseNone, func() (Phase, string) {
-			return nextAfterBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{3, 500})
+			return nextFromBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{3, 500})
 		}},
-		{"late, and the burst goes on", PhaseNone, func() (Phase, string) { return nextAfterBurst(time.Second, deadline, deadline, attemptTotals{3, 500}) }},
-		{"no evidence", PhaseRolledBack, func() (Phase, string) { return nextAfterBurst(minBurstTime, deadline, deadline, attemptTotals{3, 500}) }},
+		{"late, and the burst goes on", PhaseNone, func() (Phase, string) { return nextFromBurst(time.Second, deadline, deadline, attemptTotals{3, 500}) }},
+		{"no evidence", PhaseRolledBack, func() (Phase, string) { return nextFromBurst(minBurstTime, deadline, deadline, attemptTotals{3, 500}) }},
 	} {
 		if phase, _ := test.next(); phase != test.phase {
 			t.Errorf("%s: %q", test.name, phase)
@@ -140,9 +140,9 @@
 	}
 	for now := time.Minute; now < time.Minute+3*time.Second; now += 300 * time.Millisecond {
 		decider.Report(now, Report{Node: "n", Orders: progress})
-		steps := decider.Tick(now, time.Time{}, func(string) Supply { return Supply{Target: 1, Control: 1, Mixed: true} })
-		if len(steps) > 0 && now < time.Minute+minGatheringTime {
-			t.Errorf("after %v: %+v", now-time.Minute, steps)
+		transitions := decider.Tick(now, time.Time{}, func(string) Supply { return Supply{Target: 1, Control: 1, Mixed: true} })
+		if len(transitions) > 0 && now < time.Minute+minGatheringTime {
+			t.Errorf("after %v: %+v", now-time.Minute, transitions)
 		}
 	}
 }
@@ -155,11 +155,11 @@
 	table.SetRecord(newTestRecord(1, PhaseShift, 2))
 	decider := NewDecider(table, "d")
 	nextPhase := func(now time.Duration) Phase {
-		steps := decider.Tick(now, time.Time{}, func(string) Supply { return Supply{} })
-		if len(steps) == 0 {
+		transitions := decider.Tick(now, time.Time{}, func(string) Supply { return Supply{} })
+		if len(transitions) == 0 {
 			return PhaseNone
 		}
-		return steps[0].Record.Phase
+		return transitions[0].Record.Phase
 	}
 	report := func(now time.Duration, node string, phase Phase, busy int) {
 		decider.Report(now, Report{Node: node, Orders: []Progress{{Service: testService, Order: 1, Phase: phase, Busy: busy}}})
--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -54,18 +54,18 @@
 // current failures of the others: when the zone of the good leaf of a version went out of service,
 // the version got all traffic although 15 of its latest 24 attempts had failed, all at the
 // remaining leaf. Bad attempts from before the mark still count.
-func (t *evaluation) markStale(routes map[string]*sample, usable map[string]bool) {
+func (e *evaluation) markStale(routes map[string]*sample, usable map[string]bool) {
 	if usable == nil {
 		return
 	}
-	for route, current := range routes {
-		for id, counts := range current.targetByLeaf {
+	for route, routeSample := range routes {
+		for id, counts := range routeSample.targetByLeaf {
 			key := routeLeaf{route: route, leafKey: id}
 			if !usable[id.leaf] {
-				t.stale[key] = *counts
+				e.stale[key] = *counts
 			}
-			if stale, ok := t.stale[key]; ok {
-				current.stale[id] = &stale
+			if stale, ok := e.stale[key]; ok {
+				routeSample.stale[id] = &stale
 			}
 		}
 	}
@@ -73,19 +73,19 @@
 
 // evaluate looks for evidence against the target in all counts and in the latest ones. It describes
 // the evidence; empty if there is none.
-func (t *evaluation) evaluate(now time.Duration, routes map[string]*sample) string {
-	for len(t.snapshots) > 1 && now-t.snapshots[1].at >= evaluationWindow {
-		t.snapshots = t.snapshots[1:]
+func (e *evaluation) evaluate(now time.Duration, routes map[string]*sample) string {
+	for len(e.snapshots) > 1 && now-e.snapshots[1].at >= evaluationWindow {
+		e.snapshots = e.snapshots[1:]
 	}
 	limits := rollbackThresholds
-	if t.phase == PhaseShift {
+	if e.phase == PhaseShift {
 		limits = shiftThresholds
 	}
-	if reason := t.findRegression(routes, limits); reason != "" {
+	if reason := e.findRegression(routes, limits); reason != "" {
 		return reason
 	}
-	if len(t.snapshots) == 0 || now-t.snapshots[len(t.snapshots)-1].at >= snapshotInterval {
-		t.snapshots = append(t.snapshots, snapshot{at: now, routes: routes})
+	if len(e.snapshots) == 0 || now-e.snapshots[len(e.snapshots)-1].at >= snapshotInterval {
+		e.snapshots = append(e.snapshots, snapshot{at: now, routes: routes})
 	}
 	return ""
 }
@@ -93,12 +93,12 @@
 // confirmShift returns PhaseShift unless the latest counts are evidence against the target: it is
 // probably worse than the control, or it fails often regardless of the control. In the latter case
 // the shift is retried until the deadline.
-func (t *evaluation) confirmShift(rollout *Rollout, routes map[string]*sample, late bool) (Phase, string) {
+func (e *evaluation) confirmShift(rollout *Rollout, routes map[string]*sample, late bool) (Phase, string) {
 	attempts := sumAttempts(routes)
-	if rollout.Bad = t.findRegression(routes, shiftThresholds); rollout.Bad != "" {
+	if rollout.Bad = e.findRegression(routes, shiftThresholds); rollout.Bad != "" {
 		return PhaseRolledBack, rollout.Bad
 	}
-	failure := t.findFailingRoute(routes)
+	failure := e.findFailingRoute(routes)
 	switch {
 	case failure == "":
 		return PhaseShift, fmt.Sprintf("nothing speaks against the version in %d of %d attempts", attempts.target, attempts.all)
@@ -111,11 +111,11 @@
 
 // findFailingRoute describes a route on which the target failed often within the evaluationWindow;
 // empty if there is none.
-func (t *evaluation) findFailingRoute(routes map[string]*sample) string {
-	for route, current := range routes {
-		newest := current
-		if len(t.snapshots) > 0 {
-			newest = current.diff(t.snapshots[0].routes[route])
+func (e *evaluation) findFailingRoute(routes map[string]*sample) string {
+	for route, routeSample := range routes {
+		newest := routeSample
+		if len(e.snapshots) > 0 {
+			newest = routeSample.diff(e.snapshots[0].routes[route])
 		}
 		whole, rest, separable := newest.failureRates().sumTarget()
 		if !separable {
@@ -130,11 +130,11 @@
 
 // findRegression describes a route on which the target is worse, by all counts or by the latest
 // ones; empty if there is none.
-func (t *evaluation) findRegression(routes map[string]*sample, limits thresholds) string {
-	for route, current := range routes {
-		reason := current.describeRegression(limits)
-		if reason == "" && len(t.snapshots) > 0 {
-			reason = current.diff(t.snapshots[0].routes[route]).describeRegression(limits)
+func (e *evaluation) findRegression(routes map[string]*sample, limits thresholds) string {
+	for route, routeSample := range routes {
+		reason := routeSample.describeRegression(limits)
+		if reason == "" && len(e.snapshots) > 0 {
+			reason = routeSample.diff(e.snapshots[0].routes[route]).describeRegression(limits)
 		}
 		if reason != "" {
 			return fmt.Sprintf("on route %s the target %s", route, reason)
@@ -148,9 +148,9 @@
 
 func sumAttempts(routes map[string]*sample) attemptTotals {
 	var totals attemptTotals
-	for _, current := range routes {
-		totals.all += current.control.attempts()
-		for _, counts := range current.targetByLeaf {
+	for _, routeSample := range routes {
+		totals.all += routeSample.control.attempts()
+		for _, counts := range routeSample.targetByLeaf {
 			totals.target += counts.attempts()
 			totals.all += counts.attempts()
 		}
--- a/internal/decide/rollout/out_of_use_test.go
+++ b/internal/decide/rollout/out_of_use_test.go
@@ -22,31 +22,31 @@
 }
 
 // count counts attempts at a leaf of the target, or at the control if leaf is empty.
-func (p *outOfUseScenario) count(leaf string, good, failed int) {
+func (s *outOfUseScenario) count(leaf string, good, failed int) {
 	subject := Subject{Service: testService, Order: 1, Route: testRoute}
 	if leaf != "" {
 		subject.Target, subject.Leaf, subject.Zone = true, leaf, "zone-"+leaf
 	}
 	for range good {
-		p.counter.Took(subject, 10*time.Millisecond)
+		s.counter.Took(subject, 10*time.Millisecond)
 	}
 	for range failed {
-		p.counter.Failed(subject)
+		s.counter.Failed(subject)
 	}
 }
 
 // tick reports all counts and applies the transitions.
-func (p *outOfUseScenario) tick(now time.Duration) {
-	rollout := p.decider.table.Of(testService)
-	p.decider.Report(now, Report{Node: "n", Rows: p.counter.Changed(nil), Orders: []Progress{
+func (s *outOfUseScenario) tick(now time.Duration) {
+	rollout := s.decider.table.Of(testService)
+	s.decider.Report(now, Report{Node: "n", Rows: s.counter.Changed(nil), Orders: []Progress{
 		{Service: testService, Order: 1, Phase: rollout.Phase(), Age: rollout.Age(now)},
 	}})
-	supply := func(string) Supply { return Supply{Target: 4, Control: 4, Mixed: true, Usable: p.usable} }
-	for _, transition := range p.decider.Tick(now, time.Time{}, supply) {
-		transition.Record.Revision = p.record.Revision + 1
-		p.record = transition.Record
-		p.phases = append(p.phases, p.record.Phase)
-		p.decider.table.SetRecord(p.record)
+	supply := func(string) Supply { return Supply{Target: 4, Control: 4, Mixed: true, Usable: s.usable} }
+	for _, transition := range s.decider.Tick(now, time.Time{}, supply) {
+		transition.Record.Revision = s.record.Revision + 1
+		s.record = transition.Record
+		s.phases = append(s.phases, s.record.Phase)
+		s.decider.table.SetRecord(s.record)
 	}
 }
 
@@ -64,28 +64,28 @@
 		"it comes back":     {3 * time.Second, 5 * time.Second, PhaseRolledBack},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newOutOfUseScenario(t)
+			s := newOutOfUseScenario(t)
 			for now := time.Duration(0); now < 12*time.Second; now += 250 * time.Millisecond {
-				p.usable["a"] = test.outAt == 0 || now < test.outAt || test.backAt > 0 && now >= test.backAt
-				p.count("", 10, 0)
-				if p.usable["a"] && (test.backAt == 0 || now < test.backAt) {
-					p.count("a", 1, 0)
+				s.usable["a"] = test.outAt == 0 || now < test.outAt || test.backAt > 0 && now >= test.backAt
+				s.count("", 10, 0)
+				if s.usable["a"] && (test.backAt == 0 || now < test.backAt) {
+					s.count("a", 1, 0)
 				}
 				if now < 3*time.Second {
-					p.count("b", 1, 0)
+					s.count("b", 1, 0)
 				} else {
-					p.count("b", 0, 1)
+					s.count("b", 0, 1)
 				}
-				p.tick(now)
-				if p.record.Phase.Ended() {
+				s.tick(now)
+				if s.record.Phase.Ended() {
 					break
 				}
 			}
-			if p.record.Phase != test.want {
-				t.Errorf("%v, %s", p.phases, p.record.Reason)
+			if s.record.Phase != test.want {
+				t.Errorf("%v, %s", s.phases, s.record.Reason)
 			}
-			if test.want == PhaseRolledBack && len(p.phases) > 2 {
-				t.Errorf("taken back late: %v", p.phases)
+			if test.want == PhaseRolledBack && len(s.phases) > 2 {
+				t.Errorf("taken back late: %v", s.phases)
 			}
 		})
 	}
--- a/internal/decide/rollout/simulation_test.go
+++ b/internal/decide/rollout/simulation_test.go
@@ -41,11 +41,11 @@
 }
 
 // slowLeaf multiplies the duration of a share of the attempts.
-func slowLeaf(times, share float64) leafModel {
+func slowLeaf(factor, share float64) leafModel {
 	return func(random *rand.Rand, now time.Duration, leaf int, load float64) (time.Duration, bool) {
 		took, failed := normalLeaf(random, now, leaf, load)
 		if random.Float64() < share {
-			took = time.Duration(times * float64(took))
+			took = time.Duration(factor * float64(took))
 		}
 		return took, failed
 	}
@@ -94,15 +94,15 @@
 	burst     bool
 }
 
-func (p simulation) run(seed uint64) simulationResult {
+func (s simulation) run(seed uint64) simulationResult {
 	random := rand.New(rand.NewPCG(seed, 1))
-	order := Order{Service: testService, Version: "v2", Duration: p.duration, Revision: 1}
-	nodes := make([]*simulatedNode, p.nodes)
+	order := Order{Service: testService, Version: "v2", Duration: s.duration, Revision: 1}
+	nodes := make([]*simulatedNode, s.nodes)
 	for index := range nodes {
 		node := &simulatedNode{name: fmt.Sprint(index), table: NewTable(), counter: NewCounter()}
 		node.table.Replace(0, time.Time{}, nil, nil, false)
 		node.table.SetOrder(0, order)
-		node.allowance = NewAllowance(testBounds, 1/float64(p.nodes), p.duration, random.Float64)
+		node.allowance = NewAllowance(testBounds, 1/float64(s.nodes), s.duration, random.Float64)
 		nodes[index] = node
 	}
 	decider := NewDecider(nodes[0].table, "d")
@@ -110,19 +110,19 @@
 	recent, recentTarget := 0.0, 0.0
 	nextReport := time.Duration(0)
 	revision := uint64(1)
-	for now := time.Duration(0); now < p.duration+10*time.Second; now += simulationStep {
+	for now := time.Duration(0); now < s.duration+10*time.Second; now += simulationStep {
 		recent *= 1 - simulationStep.Seconds()/loadTimeConstant.Seconds()
 		recentTarget *= 1 - simulationStep.Seconds()/loadTimeConstant.Seconds()
-		for range poisson(random, p.rate*simulationStep.Seconds()) {
+		for range poisson(random, s.rate*simulationStep.Seconds()) {
 			node := nodes[random.IntN(len(nodes))]
-			toTarget := node.send(random, now, p, recentTarget/max(recent, 1))
+			toTarget := node.send(random, now, s, recentTarget/max(recent, 1))
 			recent++
-			if now < p.duration {
+			if now < s.duration {
 				result.all++
 			}
 			if toTarget {
 				recentTarget++
-				if now < p.duration {
+				if now < s.duration {
 					result.exposed++
 				}
 			}
@@ -130,7 +130,7 @@
 		if now < nextReport {
 			continue
 		}
-		nextReport = now + Interval(p.nodes)
+		nextReport = now + Interval(s.nodes)
 		for _, node := range nodes {
 			node.report(now, decider)
 		}
@@ -150,7 +150,7 @@
 }
 
 // send sends one request, and reports whether it went to the target.
-func (n *simulatedNode) send(random *rand.Rand, now time.Duration, p simulation, load float64) bool {
+func (n *simulatedNode) send(random *rand.Rand, now time.Duration, s simulation, load float64) bool {
 	rollout := n.table.Of(testService)
 	n.allowance.Earn(now)
 	toTarget := rollout.Phase().Shifted()
@@ -158,17 +158,17 @@
 		n.allowance.Spend()
 		toTarget = true
 	}
-	leaf := random.IntN(p.leaves)
+	leaf := random.IntN(s.leaves)
 	subject := newSubject(toTarget, leaf)
-	model := p.control
+	model := s.control
 	if toTarget {
-		model = p.target
+		model = s.target
 	}
 	took, failed := model(random, now, leaf, load)
 	overtaken := time.Duration(0)
-	if p.hedged && took > hedgeAfter {
-		other := random.IntN(p.leaves)
-		if second, lost := p.control(random, now, other, load); !lost {
+	if s.hedged && took > hedgeAfter {
+		other := random.IntN(s.leaves)
+		if second, lost := s.control(random, now, other, load); !lost {
 			n.counter.Took(newSubject(false, other), min(second, took-hedgeAfter))
 			if hedgeAfter+second < took {
 				overtaken, failed = hedgeAfter+second, false
@@ -242,7 +242,7 @@
 	afterStart := func(now time.Duration, _ int, _ float64) bool { return now > 5*time.Second }
 	underLoad := func(_ time.Duration, _ int, load float64) bool { return load > 0.4 }
 	lastLeaf := func(_ time.Duration, leaf int, _ float64) bool { return leaf == 2 }
-	deafControl := conditionalLeaf(lastLeaf, slowLeaf(20, 1))
+	unresponsiveControl := conditionalLeaf(lastLeaf, slowLeaf(20, 1))
 	for _, test := range []verdictTest{
 		{"good", normalLeaf, normalLeaf, 0, 0.02},
 		{"good, among failing ones", failingLeaf(0.1), failingLeaf(0.1), 0, 0.02},
@@ -259,8 +259,8 @@
 		{"fails three in ten later", conditionalLeaf(afterStart, failingLeaf(0.3)), normalLeaf, 0.98, 1},
 		{"fails three in ten under load", conditionalLeaf(underLoad, failingLeaf(0.3)), normalLeaf, 0.98, 1},
 		{"four times slower under load", conditionalLeaf(underLoad, slowLeaf(4, 1)), normalLeaf, 0.98, 1},
-		{"good, beside a deaf leaf of the others", normalLeaf, deafControl, 0, 0.02},
-		{"four times slower, beside a deaf leaf of the others", slowLeaf(4, 1), deafControl, 0.98, 1},
+		{"good, beside a deaf leaf of the others", normalLeaf, unresponsiveControl, 0, 0.02},
+		{"four times slower, beside a deaf leaf of the others", slowLeaf(4, 1), unresponsiveControl, 0.98, 1},
 	} {
 		for _, rate := range simulatedRates {
 			test.check(t, rate, false)
@@ -273,16 +273,16 @@
 func TestVerdictErrorRatesWithHedging(t *testing.T) {
 	underLoad := func(_ time.Duration, _ int, load float64) bool { return load > 0.4 }
 	lastLeaf := func(_ time.Duration, leaf int, _ float64) bool { return leaf == 2 }
-	deafControl := conditionalLeaf(lastLeaf, slowLeaf(20, 1))
+	unresponsiveControl := conditionalLeaf(lastLeaf, slowLeaf(20, 1))
 	for _, test := range []verdictTest{
 		{"good", normalLeaf, normalLeaf, 0, 0.02},
 		{"good, with a slow leaf", conditionalLeaf(lastLeaf, slowLeaf(7, 1)), normalLeaf, 0, 0.1},
 		{"good, and 1.3 times slower", slowLeaf(1.3, 1), normalLeaf, 0, 0.1},
-		{"good, beside a deaf leaf of the others", normalLeaf, deafControl, 0, 0.02},
+		{"good, beside a deaf leaf of the others", normalLeaf, unresponsiveControl, 0, 0.02},
 		{"four times slower", slowLeaf(4, 1), normalLeaf, 1, 1},
 		{"four times slower for three in ten", slowLeaf(4, 0.3), normalLeaf, 0.8, 1},
 		{"four times slower under load", conditionalLeaf(underLoad, slowLeaf(4, 1)), normalLeaf, 0.98, 1},
-		{"four times slower, beside a deaf leaf of the others", slowLeaf(4, 1), deafControl, 0.98, 1},
+		{"four times slower, beside a deaf leaf of the others", slowLeaf(4, 1), unresponsiveControl, 0.98, 1},
 	} {
 		for _, rate := range simulatedRates {
 			test.check(t, rate, true)
--- a/internal/decide/rollout/steps.go
+++ b/internal/decide/rollout/steps.go
@@ -44,16 +44,16 @@
 	case PhaseNone:
 		return PhaseTrial, "the order was heard"
 	case PhaseTrial:
-		return nextAfterTrial(age, deadline, deadline-tail, supply)
+		return nextFromTrial(age, deadline, deadline-tail, supply)
 	case PhaseBurst:
-		return nextAfterBurst(now-eval.phaseSince, age, deadline, attempts)
+		return nextFromBurst(now-eval.phaseSince, age, deadline, attempts)
 	case PhaseShift:
-		return d.nextAfterShift(now, rollout, eval, age-deadline)
+		return d.nextFromShift(now, rollout, eval, age-deadline)
 	}
 	return PhaseNone, ""
 }
 
-func nextAfterTrial(age, deadline, burstAt time.Duration, supply Supply) (Phase, string) {
+func nextFromTrial(age, deadline, burstAt time.Duration, supply Supply) (Phase, string) {
 	enoughSlots := supply.Target > 0 && float64(supply.Target) >= minSlotRatio*float64(supply.Control)
 	switch {
 	case !supply.Mixed && supply.Target > 0:
@@ -66,7 +66,7 @@
 	return PhaseNone, ""
 }
 
-func nextAfterBurst(inPhase, age, deadline time.Duration, attempts attemptTotals) (Phase, string) {
+func nextFromBurst(inPhase, age, deadline time.Duration, attempts attemptTotals) (Phase, string) {
 	enoughEvidence := attempts.target >= minTargetAttempts || attempts.all < significantTraffic
 	switch {
 	case inPhase >= minBurstTime && enoughEvidence:
@@ -77,7 +77,7 @@
 	return PhaseNone, ""
 }
 
-func (d *Decider) nextAfterShift(now time.Duration, rollout *Rollout, eval *evaluation, late time.Duration) (Phase, string) {
+func (d *Decider) nextFromShift(now time.Duration, rollout *Rollout, eval *evaluation, late time.Duration) (Phase, string) {
 	if now-eval.phaseSince < minShiftTime {
 		return PhaseNone, ""
 	}
