--- a/internal/decide/quarantine/background_test.go
+++ b/internal/decide/quarantine/background_test.go
@@ -14,14 +14,14 @@
 	}
 	const later = 30 * globalHalfLife
 	if chance := background.Chance(later, crashingContent, 1); chance < 0.25 || chance > 0.4 {
-		t.Errorf("chance %v with 50 of 140 runs ended", chance)
+		t.Errorf("chance %v after 50 crashes in 140 attempts, want 0.25 to 0.4", chance)
 	}
 	for _, test := range []struct {
 		at      time.Duration
 		service int
 	}{{later, 0}, {later, 7}, {time.Hour, 1}} {
 		if chance := background.Chance(test.at, crashingContent, test.service); chance > 1.01*priorCrashes/priorAttempts {
-			t.Errorf("chance %v at %v of service %d", chance, test.at, test.service)
+			t.Errorf("chance %v at %v of service %d, want the prior %v", chance, test.at, test.service, priorCrashes/priorAttempts)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 		s.now += 100 * time.Millisecond
 		for _, content := range []Content{harmlessContent, crashingContent} {
 			if s.crashTrial(content, background.Chance(s.now, content, 0)) {
-				t.Errorf("held by trial %d of the moment", trial+1)
+				t.Errorf("held after trial %d, while leaves crash under another request", trial+1)
 			}
 			background.Add(s.now, content, true, 0, true)
 		}
@@ -56,5 +56,5 @@
 			return
 		}
 	}
-	t.Error("a request that ends leaves is not held")
+	t.Error("request that crashes leaves not held after three more trials")
 }
--- a/internal/decide/quarantine/fleet_test.go
+++ b/internal/decide/quarantine/fleet_test.go
@@ -97,10 +97,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{T: t}
 		const nodes = 4
-		starts := 0
+		processes := 0
 		newTable := func() *Table {
-			starts++
-			return NewTable(DefaultConfig(fmt.Sprint("node-", starts)))
+			processes++
+			return NewTable(DefaultConfig(fmt.Sprint("node-", processes)))
 		}
 		for range nodes {
 			f.tables = append(f.tables, newTable())
@@ -139,14 +139,14 @@
 			}
 		}
 		if f.store.record.Trials == 0 || !f.store.record.Held {
-			t.Fatalf("not held in the end: %+v", f.store.record)
+			t.Fatalf("record %+v, want it held after a trial", f.store.record)
 		}
 		if additional := f.trials - before; additional > 2 {
-			t.Fatalf("%d trials after all was known", additional)
+			t.Fatalf("%d trials after all nodes had read the store, want at most 2", additional)
 		}
 		for node := range nodes {
 			if got := f.tables[node].Admit(f.now, crashingContent); got.Verdict != Refuse || !got.Held {
-				t.Fatalf("node %d: %+v", node, got)
+				t.Fatalf("node %d: decision %+v, want a held request refused", node, got)
 			}
 		}
 	})
--- a/internal/decide/quarantine/incarnations_test.go
+++ b/internal/decide/quarantine/incarnations_test.go
@@ -24,28 +24,28 @@
 		sent, lost time.Duration
 		want       string
 	}{
-		{"the first loss", 10, 20, "a"},
-		{"in flight beside it", 15, 21, "a"},
-		{"sent later", 25, 30, ""},
-		{"and again", 1000, 1010, ""},
+		{"first loss", 10, 20, "a"},
+		{"in flight during the first loss", 15, 21, "a"},
+		{"sent after the loss", 25, 30, ""},
+		{"sent long after the loss", 1000, 1010, ""},
 	} {
 		got, crashed := tracker.RecordLoss("a", step.sent, step.lost)
 		if got != step.want || crashed != (step.want != "") {
-			t.Errorf("%s: %q, %v", step.name, got, crashed)
+			t.Errorf("%s: crash %q, %v, want %q", step.name, got, crashed, step.want)
 		}
 	}
 	tracker.RecordAnswer("a", 1005)
 	if got, _ := tracker.RecordLoss("a", 1100, 1110); got != "a+1" {
-		t.Errorf("lost after an answer: %q", got)
+		t.Errorf("loss after an answer: crash %q, want %q", got, "a+1")
 	}
 	tracker.RecordRemoteLoss(2000, "b")
 	if got, crashed := tracker.RecordLoss("b", 2100, 2110); crashed {
-		t.Errorf("lost after another node named it: %q", got)
+		t.Errorf("loss after another node reported it: crash %q, want none", got)
 	}
 	tracker.RecordRemoteLoss(3000, "c+4")
 	tracker.RecordAnswer("c", 3100)
 	if got, _ := tracker.RecordLoss("c", 3200, 3210); got != "c+5" {
-		t.Errorf("lost once more, after another node's count: %q", got)
+		t.Errorf("loss after an answer and four crashes reported by another node: crash %q, want %q", got, "c+5")
 	}
 }
 
@@ -57,7 +57,7 @@
 	for index, want := range []string{"a", "a+1", "a+2"} {
 		at := time.Duration(index+1) * time.Second
 		if got, _ := tracker.RecordLoss("a", at, at+1); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("loss at %v: crash %q, want %q", at, got, want)
 		}
 	}
 }
@@ -70,11 +70,11 @@
 		answered, away, back time.Duration
 		survivedAt           time.Duration
 	}{
-		"answers":                        {answered: 12 * second, survivedAt: 15 * second},
-		"answered what was sent before":  {answered: 9 * second, survivedAt: 10*second + announcementExpiry},
-		"does not answer":                {survivedAt: 10*second + announcementExpiry},
-		"answers in an outage":           {answered: 12 * second, away: 11 * second, back: 20 * second, survivedAt: 23 * second},
-		"does not answer, and an outage": {away: 11 * second, back: 20 * second, survivedAt: 20*second + announcementExpiry},
+		"answers": {answered: 12 * second, survivedAt: 15 * second},
+		"answers an attempt sent before the loss": {answered: 9 * second, survivedAt: 10*second + announcementExpiry},
+		"does not answer":                         {survivedAt: 10*second + announcementExpiry},
+		"answers during an outage":                {answered: 12 * second, away: 11 * second, back: 20 * second, survivedAt: 23 * second},
+		"does not answer during an outage":        {away: 11 * second, back: 20 * second, survivedAt: 20*second + announcementExpiry},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := NewIncarnationTracker()
@@ -105,10 +105,10 @@
 		tracker.RecordLoss(fmt.Sprint("leaf-", number), 0, time.Duration(number))
 	}
 	if len(tracker.incarnations) != maxIncarnations || tracker.incarnations["leaf-0"] != nil {
-		t.Errorf("%d starts are known", len(tracker.incarnations))
+		t.Errorf("%d incarnations, want %d without the oldest", len(tracker.incarnations), maxIncarnations)
 	}
 	tracker.Expire(2 * RecordTTL)
 	if len(tracker.incarnations) > 0 {
-		t.Errorf("%d starts are known long after", len(tracker.incarnations))
+		t.Errorf("%d incarnations after their expiry, want 0", len(tracker.incarnations))
 	}
 }
--- a/internal/decide/quarantine/record.go
+++ b/internal/decide/quarantine/record.go
@@ -66,11 +66,11 @@
 func DecodeRecord(value []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
-		return Record{}, fmt.Errorf("record of a request: %w", err)
+		return Record{}, fmt.Errorf("decode quarantine record: %w", err)
 	}
 	valid := record.Trials >= 0 && record.Odds >= 1 && len(record.Crashes) <= maxCrashes
 	if !valid {
-		return Record{}, fmt.Errorf("record of a request: a field is out of its bounds")
+		return Record{}, fmt.Errorf("decode quarantine record: %d trials, odds %v or %d crashes out of bounds", record.Trials, record.Odds, len(record.Crashes))
 	}
 	return record, nil
 }
--- a/internal/decide/quarantine/record_test.go
+++ b/internal/decide/quarantine/record_test.go
@@ -12,9 +12,9 @@
 	}
 	want := Record{Route: "r", Crashes: []Crash{NewCrash("a", "b")}, Trials: 2, Trial: "t", Odds: 400, Held: true}
 	if !record.equal(want) {
-		t.Errorf("read %+v", record)
+		t.Errorf("decoded %+v, want %+v", record, want)
 	}
 	if value, err := want.Encode(); err != nil || string(value) != stored {
-		t.Errorf("written %s, %v", value, err)
+		t.Errorf("encoded %s, error %v, want %s", value, err, stored)
 	}
 }
--- a/internal/decide/quarantine/survivors_test.go
+++ b/internal/decide/quarantine/survivors_test.go
@@ -15,7 +15,7 @@
 	s.table.Suspect(s.now, content, "r", s.newCrashes(3))
 	s.crashTrial(content, 0.05)
 	if !s.crashTrial(content, 0.05) {
-		t.Fatal("not held")
+		t.Fatal("request not held after two trials")
 	}
 	return s
 }
@@ -36,7 +36,7 @@
 	s := newHeldScenario(t, harmlessContent)
 	s.table.Review(s.now, s.announcedLeaves(true))
 	if decision := s.requireVerdict(harmlessContent, Refuse); decision.RetryAfter != announcementExpiry {
-		t.Errorf("while nothing is known of its leaves: %+v", decision)
+		t.Errorf("decision %+v before survivors are known, want RetryAfter %v", decision, announcementExpiry)
 	}
 	s.now += announcementExpiry
 	released := 0
@@ -46,17 +46,17 @@
 		}
 	}
 	if released != 1 {
-		t.Errorf("released %d times", released)
+		t.Errorf("released %d times, want once", released)
 	}
 	s.requireVerdict(harmlessContent, Run)
 	change, pending := s.table.Change(harmlessContent)
 	if !pending || change.Record.Held || change.Record.countCrashedLeaves() != 0 {
-		t.Errorf("change %+v, %v", change, pending)
+		t.Errorf("change %+v, pending %v, want one without a hold and without crashed leaves", change, pending)
 	}
 	goneLeaves := newHeldScenario(t, crashingContent)
 	goneLeaves.now += announcementExpiry
 	if survivors := goneLeaves.table.Review(goneLeaves.now, goneLeaves.announcedLeaves(false)); len(survivors) > 0 {
-		t.Errorf("%v lived on", survivors)
+		t.Errorf("survivors %v, want none of the leaves that are gone", survivors)
 	}
 	goneLeaves.requireVerdict(crashingContent, Refuse)
 }
@@ -82,11 +82,11 @@
 	otherNode.requireVerdict(harmlessContent, Refuse)
 	otherNode.now += announcementExpiry
 	if survivors := otherNode.table.Review(otherNode.now, otherNode.announcedLeaves(true)); len(survivors) != 5 {
-		t.Errorf("%d survivors", len(survivors))
+		t.Errorf("%d survivors, want 5", len(survivors))
 	}
 	otherNode.requireVerdict(harmlessContent, Run)
 	if len(otherNode.table.Unwritten()) > 0 {
-		t.Error("it writes what the others see, too")
+		t.Error("node writes survivors that it did not lose itself")
 	}
 	otherNode.table.Set(otherNode.now, harmlessContent, Known{Record: change.Record, Revision: 8})
 	otherNode.requireVerdict(harmlessContent, Run)
@@ -115,7 +115,7 @@
 	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(maxCrashes+3))
 	s.crashTrial(crashingContent, 0.05)
 	if !s.crashTrial(crashingContent, 0.05) {
-		t.Error("not held")
+		t.Error("request not held after two trials")
 	}
 }
 
@@ -182,7 +182,7 @@
 				r.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			}
 			if _, held := r.tables[node].Len(); held > 0 && len(r.leaves) < 3 {
-				t.Fatalf("held for %d starts", len(r.leaves))
+				t.Fatalf("request held after losses of %d incarnations, want at least 3", len(r.leaves))
 			}
 		}
 		announced := make(map[string]bool)
@@ -199,7 +199,7 @@
 		}
 		for node := range nodes {
 			if got := r.tables[node].Admit(r.now, crashingContent); got.Verdict != Run {
-				t.Fatalf("node %d: %+v", node, got)
+				t.Fatalf("node %d: decision %+v, want the request to run", node, got)
 			}
 		}
 	})
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -64,7 +64,7 @@
 		t.Fatal("not held after two trials")
 	}
 	if decision := s.requireVerdict(crashingContent, Refuse); !decision.Held || decision.RetryAfter != 5*time.Minute {
-		t.Errorf("held: %+v", decision)
+		t.Errorf("decision %+v, want a held request with RetryAfter 5m", decision)
 	}
 	s.requireVerdict(harmlessContent, Run)
 }
@@ -77,14 +77,14 @@
 	for _, want := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second} {
 		s.requireVerdict(crashingContent, Trial)
 		if decision := s.requireVerdict(crashingContent, Refuse); !decision.TrialRunning {
-			t.Errorf("beside a trial: %+v", decision)
+			t.Errorf("decision %+v during a trial, want TrialRunning", decision)
 		}
 		s.table.TrialInconclusive(s.now, crashingContent)
 		if want == 0 {
 			continue
 		}
 		if decision := s.requireVerdict(crashingContent, Refuse); decision.Held || decision.TrialRunning || decision.RetryAfter != want {
-			t.Errorf("after a trial: %+v, want %v", decision, want)
+			t.Errorf("decision %+v after a trial, want only RetryAfter %v", decision, want)
 		}
 		s.now += want
 	}
@@ -120,22 +120,22 @@
 	s.table.Set(s.now, harmlessContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	s.requireVerdict(harmlessContent, Refuse)
 	if !s.table.Answered(harmlessContent) {
-		t.Fatal("the store is not told")
+		t.Fatal("answer needs no write, want the record removed")
 	}
 	s.requireVerdict(harmlessContent, Run)
 	change, pending := s.table.Change(harmlessContent)
 	if !pending || !change.Remove || change.Former != 5 {
-		t.Fatalf("change %+v", change)
+		t.Fatalf("change %+v, want a removal at revision 5", change)
 	}
 	s.table.Set(s.now, harmlessContent, Known{Record: Record{Crashes: s.newCrashes(4), Odds: 1}, Revision: 6})
 	s.requireVerdict(harmlessContent, Run)
 	change, _ = s.table.Change(harmlessContent)
 	if change.Former != 6 || !change.Remove {
-		t.Fatalf("change %+v after it was overtaken", change)
+		t.Fatalf("change %+v after another write, want a removal at revision 6", change)
 	}
 	s.table.Written(s.now, change, 7)
 	if total, _ := s.table.Len(); total != 0 {
-		t.Error("it is still known")
+		t.Errorf("%d requests after the removal was written, want 0", total)
 	}
 }
 
@@ -145,10 +145,10 @@
 	s := newScenario(t)
 	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	if !s.table.Remove(s.now, crashingContent, 9) {
-		t.Error("it was not held")
+		t.Error("removed request was not held")
 	}
 	if decision := s.requireVerdict(crashingContent, Trial); decision.Change.Former != 0 || decision.Change.Record.Trials != 1 {
-		t.Errorf("trial %+v", decision)
+		t.Errorf("trial %+v, want the first one, at no revision", decision)
 	}
 	s.table.TrialInconclusive(s.now, crashingContent)
 	s.table.Written(s.now, Change{Content: crashingContent, Record: s.table.entries[crashingContent].Record}, 9)
@@ -164,11 +164,11 @@
 	s.requireVerdict(crashingContent, Refuse)
 	s.now += 5 * time.Second
 	if decision := s.requireVerdict(crashingContent, Trial); decision.Change.Record.Trials != 2 || decision.Change.Record.Trial != "self" {
-		t.Errorf("%+v", decision)
+		t.Errorf("decision %+v, want trial 2 by self", decision)
 	}
 	s.table.Withdraw(crashingContent)
 	if change, _ := s.table.Change(crashingContent); change.Record.Trials != 1 {
-		t.Errorf("a trial that did not begin counts: %+v", change)
+		t.Errorf("change %+v after a canceled trial, want 1 trial", change)
 	}
 }
 
@@ -186,15 +186,15 @@
 		s.now += 10 * time.Millisecond
 	}
 	if seconds := s.now.Seconds(); float64(reported) > 4+seconds*10/8 {
-		t.Errorf("%d reports in %v s by one of eight nodes", reported, seconds)
+		t.Errorf("%d reports in %v s by one of eight nodes, want at most %v", reported, seconds, 4+seconds*10/8)
 	}
 	total, _ := s.table.Len()
 	if total > s.table.config.MaxEntries {
-		t.Errorf("%d requests are known", total)
+		t.Errorf("%d requests, want at most %d", total, s.table.config.MaxEntries)
 	}
 	for _, e := range s.table.entries {
 		if value, err := e.Encode(); err != nil || len(e.Crashes) > maxCrashes || len(value) > 1500 {
-			t.Fatalf("%d bytes, %v: %s", len(value), err, value)
+			t.Fatalf("record of %d bytes, error %v, want at most 1500 bytes and %d crashes: %s", len(value), err, maxCrashes, value)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 			}
 		}
 		if reported != test.want {
-			t.Errorf("%d reports at once by one of %d nodes", reported, test.nodes)
+			t.Errorf("%d reports at once by one of %d nodes, want %d", reported, test.nodes, test.want)
 		}
 	}
 }
@@ -223,7 +223,7 @@
 	s := newScenario(t)
 	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Held: true}, Revision: 12})
 	if s.table.Remove(s.now, crashingContent, 10) {
-		t.Error("removed by news of before")
+		t.Error("record of revision 12 removed as of revision 10")
 	}
 	s.requireVerdict(crashingContent, Refuse)
 }
@@ -233,7 +233,7 @@
 	for _, text := range []string{"", "{", "null", `{"ended":7,"odds":1}`, `{"ended":["a"],"odds":1}`, `{"trials":-1,"odds":1}`, `{"odds":0}`, `{"odds":1,"ended":[{},{},{},{},{},{},{},{},{}]}`, "\xff\x00"} {
 		record, err := DecodeRecord([]byte(text))
 		if err == nil {
-			t.Errorf("%q is read as %+v", text, record)
+			t.Errorf("%q decoded as %+v, want an error", text, record)
 		}
 	}
 }
--- a/internal/decide/quarantine/trial_test.go
+++ b/internal/decide/quarantine/trial_test.go
@@ -21,7 +21,7 @@
 	} {
 		plan := PlanTrial(test.shards, time.Second, last)
 		if !slices.Equal(plan.Shards, test.want) || plan.Timeout != test.timeout || plan.Whole != test.whole || plan.Attempts != 1 {
-			t.Errorf("shards %v: %+v", test.shards, plan)
+			t.Errorf("shards %v: plan %+v, want shards %v, timeout %v, whole %v and 1 attempt", test.shards, plan, test.want, test.timeout, test.whole)
 		}
 	}
 }
@@ -30,9 +30,9 @@
 // of its record.
 func TestTrialIsWrittenUnlessStoreIsUnavailable(t *testing.T) {
 	if !WritesTrial(false) || WritesTrial(true) {
-		t.Error("a trial is written to a store that is away, or not to one that answers")
+		t.Error("trial written to an unavailable store, or not written to an available one")
 	}
 	if hold := DefaultConfig("self").HoldDuration; hold != RecordTTL/2 {
-		t.Errorf("held for %s, while records stay for %s", hold, RecordTTL)
+		t.Errorf("HoldDuration %s, want half of RecordTTL %s", hold, RecordTTL)
 	}
 }
