--- a/internal/decide/rollout/allowance_test.go
+++ b/internal/decide/rollout/allowance_test.go
@@ -37,14 +37,14 @@
 					continue
 				}
 				if now >= granted || now >= deadline {
-					t.Fatalf("spent at %s, the grant ended at %s", now, granted)
+					t.Fatalf("spent at %s, want no spending after the grant ended at %s or the deadline at %s", now, granted, deadline)
 				}
 				allowance.Spend()
 				spent++
 			}
 		}
 		if allowed := bounds.Ratio*float64(earned) + bounds.Slack; float64(spent) > allowed+2 {
-			t.Fatalf("%d spent, %.1f allowed", spent, allowed)
+			t.Fatalf("%d attempts spent, want at most %.1f + 2", spent, allowed)
 		}
 	})
 }
@@ -70,7 +70,7 @@
 			most = max(most, spent)
 		}
 		if mean := float64(sum) / 200; mean < 26 || mean > 29 || most > 50 {
-			t.Errorf("%d nodes: %.1f spent on average, %d at most, of 50", nodes, mean, most)
+			t.Errorf("%d nodes: %.1f attempts spent on average and %d at most, want 26 to 29 and at most 50", nodes, mean, most)
 		}
 	}
 }
--- a/internal/decide/rollout/benchmark_test.go
+++ b/internal/decide/rollout/benchmark_test.go
@@ -75,7 +75,7 @@
 			for b.Loop() {
 				now = min(now+300*time.Millisecond, reportRetention/2) // nodes expire after reportRetention
 				if transitions := decider.Tick(now, time.Time{}, supply); len(transitions) > 0 {
-					b.Fatalf("%+v", transitions[0])
+					b.Fatalf("transition %+v, want none", transitions[0])
 				}
 			}
 		})
--- a/internal/decide/rollout/decider_test.go
+++ b/internal/decide/rollout/decider_test.go
@@ -60,7 +60,7 @@
 			default:
 				report := Report{Node: "a", Orders: []Progress{{Service: testService, Order: store.order, Phase: store.record.Phase}}}
 				if rapid.IntRange(0, 9).Draw(t, "bad") == 0 {
-					report.Orders[0].Bad = "told so"
+					report.Orders[0].Bad = "reported as bad"
 				}
 				deciders[index].Report(now, report)
 				supply := func(string) Supply { return Supply{Target: 2, Control: 2, Mixed: true} }
@@ -70,10 +70,10 @@
 						continue
 					}
 					if !store.record.follows(previous) {
-						t.Fatalf("from %+v to %+v", previous, store.record)
+						t.Fatalf("record moved from %+v to %+v, want a later phase or order", previous, store.record)
 					}
 					if finalPhase, ok := ended[store.record.Order]; ok {
-						t.Fatalf("order %d: %s, and then %s", store.record.Order, finalPhase, store.record.Phase)
+						t.Fatalf("order %d: phase %s after it ended in %s", store.record.Order, store.record.Phase, finalPhase)
 					}
 					if store.record.Phase.Ended() {
 						ended[store.record.Order] = store.record.Phase
@@ -96,16 +96,16 @@
 
 		next func() (Phase, string)
 	}{
-		{"trial goes on", PhaseNone, func() (Phase, string) { return nextFromTrial(time.Second, deadline, 5*time.Second, enoughSlots) }},
+		{"trial continues", PhaseNone, func() (Phase, string) { return nextFromTrial(time.Second, deadline, 5*time.Second, enoughSlots) }},
 		{"all leaves have the version", PhaseCompleted, func() (Phase, string) { return nextFromTrial(0, deadline, 5*time.Second, Supply{Target: 4}) }},
-		{"the trial is over", PhaseBurst, func() (Phase, string) { return nextFromTrial(5*time.Second, deadline, 5*time.Second, enoughSlots) }},
+		{"trial is over", PhaseBurst, func() (Phase, string) { return nextFromTrial(5*time.Second, deadline, 5*time.Second, enoughSlots) }},
 		{"too few slots yet", PhaseNone, func() (Phase, string) {
 			return nextFromTrial(6*time.Second, deadline, 5*time.Second, Supply{Target: 1, Control: 6, Mixed: true})
 		}},
-		{"no leaf came", PhaseRolledBack, func() (Phase, string) {
+		{"no leaf of the target at the deadline", PhaseRolledBack, func() (Phase, string) {
 			return nextFromTrial(deadline, deadline, 5*time.Second, Supply{Control: 6, Mixed: true})
 		}},
-		{"burst goes on", PhaseNone, func() (Phase, string) {
+		{"burst continues", PhaseNone, func() (Phase, string) {
 			return nextFromBurst(time.Second, 6*time.Second, deadline, attemptTotals{50, 500})
 		}},
 		{"burst is over", PhaseShift, func() (Phase, string) {
@@ -117,11 +117,11 @@
 		{"no evidence yet", PhaseNone, func() (Phase, string) {
 			return nextFromBurst(minBurstTime, 6*time.Second, deadline, attemptTotals{3, 500})
 		}},
-		{"late, and the burst goes on", PhaseNone, func() (Phase, string) { return nextFromBurst(time.Second, deadline, deadline, attemptTotals{3, 500}) }},
-		{"no evidence", PhaseRolledBack, func() (Phase, string) { return nextFromBurst(minBurstTime, deadline, deadline, attemptTotals{3, 500}) }},
+		{"burst continues after the deadline", PhaseNone, func() (Phase, string) { return nextFromBurst(time.Second, deadline, deadline, attemptTotals{3, 500}) }},
+		{"no evidence at the deadline", PhaseRolledBack, func() (Phase, string) { return nextFromBurst(minBurstTime, deadline, deadline, attemptTotals{3, 500}) }},
 	} {
 		if phase, _ := test.next(); phase != test.phase {
-			t.Errorf("%s: %q", test.name, phase)
+			t.Errorf("%s: next phase %q, want %q", test.name, phase, test.phase)
 		}
 	}
 }
@@ -136,13 +136,13 @@
 	progress := []Progress{{Service: testService, Order: 1, Phase: PhaseBurst}}
 	reply := decider.Report(time.Minute, Report{Node: "n", Decider: "old", Orders: progress})
 	if reply.Decider != "new" || len(reply.Grants) > 0 || decider.Active(time.Minute) {
-		t.Errorf("%+v, active %v", reply, decider.Active(time.Minute))
+		t.Errorf("reply %+v, active %v, want no grants from the inactive decider \"new\"", reply, decider.Active(time.Minute))
 	}
 	for now := time.Minute; now < time.Minute+3*time.Second; now += 300 * time.Millisecond {
 		decider.Report(now, Report{Node: "n", Orders: progress})
 		transitions := decider.Tick(now, time.Time{}, func(string) Supply { return Supply{Target: 1, Control: 1, Mixed: true} })
 		if len(transitions) > 0 && now < time.Minute+minGatheringTime {
-			t.Errorf("after %v: %+v", now-time.Minute, transitions)
+			t.Errorf("transitions %+v after %v, want none before %v", transitions, now-time.Minute, minGatheringTime)
 		}
 	}
 }
@@ -177,26 +177,26 @@
 	busy := Progress{Phase: PhaseShift, Busy: 2}
 	reportBoth(0, 0, idle, idle, false)
 	if got := nextPhase(0); got != PhaseNone {
-		t.Errorf("at once: %s", got)
+		t.Errorf("next phase %q at the start of the shift, want none", got)
 	}
 	reportBoth(0, 2*time.Second, idle, busy, false)
 	if got := nextPhase(2 * time.Second); got != PhaseNone {
-		t.Errorf("one is busy: %s", got)
+		t.Errorf("next phase %q while a node is busy, want none", got)
 	}
 	reportBoth(2*time.Second, 3*time.Second, idle, Progress{Phase: PhaseBurst}, false)
 	if got := nextPhase(3 * time.Second); got != PhaseNone {
-		t.Errorf("one is behind: %s", got)
+		t.Errorf("next phase %q while a node is in the burst, want none", got)
 	}
 	reportBoth(3500*time.Millisecond, 6*time.Second, idle, idle, true)
 	if got := nextPhase(6 * time.Second); got != PhaseCompleted {
-		t.Errorf("one is silent: %s", got)
+		t.Errorf("next phase %q while a node is silent, want %q", got, PhaseCompleted)
 	}
 	reportBoth(12*time.Second, 14*time.Second, idle, busy, false)
 	if got := nextPhase(14 * time.Second); got != PhaseNone {
-		t.Errorf("just after the deadline: %s", got)
+		t.Errorf("next phase %q just after the deadline, want none", got)
 	}
 	reportBoth(14*time.Second, 15*time.Second, idle, busy, false)
 	if got := nextPhase(15 * time.Second); got != PhaseCompleted {
-		t.Errorf("long after the deadline: %s", got)
+		t.Errorf("next phase %q after completionGrace, want %q", got, PhaseCompleted)
 	}
 }
--- a/internal/decide/rollout/out_of_use_test.go
+++ b/internal/decide/rollout/out_of_use_test.go
@@ -56,12 +56,13 @@
 // the version is rolled back, also after that leaf has come back without answering again.
 func TestLeafOutOfUseDoesNotSupportTarget(t *testing.T) {
 	for name, test := range map[string]struct {
-		outAt, backAt time.Duration // time at which the good leaf goes out of use and comes back; zero for never
+		// outAt and backAt are when the good leaf goes out of use and comes back; zero for never.
+		outAt, backAt time.Duration
 		want          Phase
 	}{
-		"both in use":       {0, 0, PhaseCompleted},
-		"the good one gone": {3 * time.Second, 0, PhaseRolledBack},
-		"it comes back":     {3 * time.Second, 5 * time.Second, PhaseRolledBack},
+		"both leaves in use":        {0, 0, PhaseCompleted},
+		"good leaf goes out of use": {3 * time.Second, 0, PhaseRolledBack},
+		"good leaf comes back":      {3 * time.Second, 5 * time.Second, PhaseRolledBack},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newOutOfUseScenario(t)
@@ -82,10 +83,10 @@
 				}
 			}
 			if s.record.Phase != test.want {
-				t.Errorf("%v, %s", s.phases, s.record.Reason)
+				t.Errorf("phases %v, reason %q, want %s", s.phases, s.record.Reason, test.want)
 			}
 			if test.want == PhaseRolledBack && len(s.phases) > 2 {
-				t.Errorf("taken back late: %v", s.phases)
+				t.Errorf("phases %v, want a rollback within 2 phases", s.phases)
 			}
 		})
 	}
--- a/internal/decide/rollout/report_test.go
+++ b/internal/decide/rollout/report_test.go
@@ -26,19 +26,19 @@
 		}
 	}
 	if len(participants) != maxParticipants || large != 10 {
-		t.Errorf("%d take part, %d large ones", len(participants), large)
+		t.Errorf("%d participants, %d of them large, want %d and 10", len(participants), large, maxParticipants)
 	}
 	deciders := Candidates(members)
 	remaining := slices.DeleteFunc(slices.Clone(members), func(member roster.Member) bool { return member.Name == deciders[0].Name })
 	if next := Candidates(remaining); next[0] != deciders[1] || deciders[0].Cores != 0.8 {
-		t.Errorf("%v decides once %v is gone, want %v", next[0], deciders[0], deciders[1])
+		t.Errorf("%v decides without %v, want %v after a node of 0.8 cores", next[0], deciders[0], deciders[1])
 	}
 	for _, test := range []struct {
 		nodes int
 		want  time.Duration
 	}{{1, minReportInterval}, {66, 330 * time.Millisecond}, {maxParticipants, 640 * time.Millisecond}} {
 		if got := Interval(test.nodes); got != test.want {
-			t.Errorf("%d nodes report each %s, want %s", test.nodes, got, test.want)
+			t.Errorf("%d nodes: report interval %s, want %s", test.nodes, got, test.want)
 		}
 	}
 }
@@ -52,11 +52,11 @@
 	counter.Failed(subject)
 	rows := counter.Changed(reported)
 	if len(rows) != 1 {
-		t.Fatalf("%d rows", len(rows))
+		t.Fatalf("%d changed rows, want 1", len(rows))
 	}
 	reported[subject] = rows[0].Counts
 	if again := counter.Changed(reported); len(again) != 0 {
-		t.Errorf("reported again: %+v", again)
+		t.Errorf("unchanged rows %+v reported again, want none", again)
 	}
 	table := NewTable()
 	decider := NewDecider(table, "d")
@@ -64,10 +64,10 @@
 	decider.Tick(0, time.Time{}, nil)
 	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: time.Second, Revision: 1})
 	if totals := sumAttempts(decider.aggregateCounts()[testService]); totals.target != 1 {
-		t.Errorf("%+v is known", totals)
+		t.Errorf("attempts %+v, want 1 at the target", totals)
 	}
 	counter.Retain(map[string]uint64{testService: 2})
 	if left := counter.Changed(nil); len(left) != 0 {
-		t.Errorf("of a former order: %+v", left)
+		t.Errorf("rows %+v of a former order, want none", left)
 	}
 }
--- a/internal/decide/rollout/reporting_test.go
+++ b/internal/decide/rollout/reporting_test.go
@@ -27,7 +27,7 @@
 			reporting.Avoid(test.at, test.avoid)
 		}
 		if got := reporting.Choose(test.at, candidates).Name; got != test.want {
-			t.Errorf("at %s, %q just avoided: report to %s, want %s", test.at, test.avoid, got, test.want)
+			t.Errorf("at %s after avoiding %q: report to %s, want %s", test.at, test.avoid, got, test.want)
 		}
 	}
 }
@@ -39,11 +39,11 @@
 	reporting := NewReporting()
 	reporting.Answered("first", Report{Rows: []Row{{Subject: subject}}})
 	if len(reporting.Received()) != 1 || reporting.Decider() != "first" {
-		t.Fatalf("%q has received %v", reporting.Decider(), reporting.Received())
+		t.Fatalf("decider %q received %v, want 1 row at %q", reporting.Decider(), reporting.Received(), "first")
 	}
 	reporting.Answered("second", Report{Decider: "first"})
 	if len(reporting.Received()) != 0 || reporting.Decider() != "" {
-		t.Errorf("%q has received %v", reporting.Decider(), reporting.Received())
+		t.Errorf("decider %q received %v, want nothing after a restart", reporting.Decider(), reporting.Received())
 	}
 }
 
@@ -53,15 +53,15 @@
 func TestParticipationInSlackAndReports(t *testing.T) {
 	members := []roster.Member{{Name: "a"}, {Name: "b"}}
 	if !HasAllowance("a", members) || HasAllowance("c", members) || HasAllowance("a", nil) {
-		t.Error("an allowance for the wrong nodes")
+		t.Error("HasAllowance: want true for a participant only")
 	}
 	if !Reports("a", members) || Reports("c", members) || !Reports("a", nil) {
-		t.Error("reports of the wrong nodes")
+		t.Error("Reports: want true for a participant and for a node without participants only")
 	}
 	if share := PartOfSlack(4, false); share != 0.25 {
-		t.Errorf("one of 4 has %v of the slack", share)
+		t.Errorf("slack share %v for one of 4 participants, want 0.25", share)
 	}
 	if share := PartOfSlack(4, true); share != 0 {
-		t.Errorf("one that found the order has %v of the slack", share)
+		t.Errorf("slack share %v for a node that found the order at its start, want 0", share)
 	}
 }
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -88,10 +88,10 @@
 func DecodeRecord(value []byte, revision uint64) (Record, error) {
 	record := Record{Revision: revision}
 	if err := json.Unmarshal(value, &record); err != nil {
-		return Record{}, fmt.Errorf("record of a roll-out: %w", err)
+		return Record{}, fmt.Errorf("decode roll-out record: %w", err)
 	}
 	if phaseRanks[record.Phase] == 0 {
-		return Record{}, fmt.Errorf("record of a roll-out: phase %q is unknown", record.Phase)
+		return Record{}, fmt.Errorf("decode roll-out record of service %q: unknown phase %q", record.Service, record.Phase)
 	}
 	return record, nil
 }
--- a/internal/decide/rollout/simulation_test.go
+++ b/internal/decide/rollout/simulation_test.go
@@ -245,12 +245,12 @@
 	unresponsiveControl := conditionalLeaf(lastLeaf, slowLeaf(20, 1))
 	for _, test := range []verdictTest{
 		{"good", normalLeaf, normalLeaf, 0, 0.02},
-		{"good, among failing ones", failingLeaf(0.1), failingLeaf(0.1), 0, 0.02},
+		{"good, control fails as often", failingLeaf(0.1), failingLeaf(0.1), 0, 0.02},
 		{"good, with a leaf that fails four in ten", conditionalLeaf(lastLeaf, failingLeaf(0.4)), normalLeaf, 0, 0.1},
-		{"good, with a dark leaf", conditionalLeaf(lastLeaf, failingLeaf(1)), normalLeaf, 0, 0.1},
+		{"good, with a leaf that fails all", conditionalLeaf(lastLeaf, failingLeaf(1)), normalLeaf, 0, 0.1},
 		{"good, with a slow leaf", conditionalLeaf(lastLeaf, slowLeaf(7, 1)), normalLeaf, 0, 0.1},
 		{"good, and 1.3 times slower", slowLeaf(1.3, 1), normalLeaf, 0, 0.1},
-		{"fails three in ten, as the others do", failingLeaf(0.3), failingLeaf(0.3), 0.8, 1},
+		{"fails three in ten, as the control does", failingLeaf(0.3), failingLeaf(0.3), 0.8, 1},
 		{"fails one in ten", failingLeaf(0.1), normalLeaf, 0.8, 1},
 		{"fails three in ten", failingLeaf(0.3), normalLeaf, 1, 1},
 		{"fails all", failingLeaf(1), normalLeaf, 1, 1},
@@ -259,8 +259,8 @@
 		{"fails three in ten later", conditionalLeaf(afterStart, failingLeaf(0.3)), normalLeaf, 0.98, 1},
 		{"fails three in ten under load", conditionalLeaf(underLoad, failingLeaf(0.3)), normalLeaf, 0.98, 1},
 		{"four times slower under load", conditionalLeaf(underLoad, slowLeaf(4, 1)), normalLeaf, 0.98, 1},
-		{"good, beside a deaf leaf of the others", normalLeaf, unresponsiveControl, 0, 0.02},
-		{"four times slower, beside a deaf leaf of the others", slowLeaf(4, 1), unresponsiveControl, 0.98, 1},
+		{"good, unresponsive leaf in the control", normalLeaf, unresponsiveControl, 0, 0.02},
+		{"four times slower, unresponsive leaf in the control", slowLeaf(4, 1), unresponsiveControl, 0.98, 1},
 	} {
 		for _, rate := range simulatedRates {
 			test.check(t, rate, false)
@@ -278,11 +278,11 @@
 		{"good", normalLeaf, normalLeaf, 0, 0.02},
 		{"good, with a slow leaf", conditionalLeaf(lastLeaf, slowLeaf(7, 1)), normalLeaf, 0, 0.1},
 		{"good, and 1.3 times slower", slowLeaf(1.3, 1), normalLeaf, 0, 0.1},
-		{"good, beside a deaf leaf of the others", normalLeaf, unresponsiveControl, 0, 0.02},
+		{"good, unresponsive leaf in the control", normalLeaf, unresponsiveControl, 0, 0.02},
 		{"four times slower", slowLeaf(4, 1), normalLeaf, 1, 1},
 		{"four times slower for three in ten", slowLeaf(4, 0.3), normalLeaf, 0.8, 1},
 		{"four times slower under load", conditionalLeaf(underLoad, slowLeaf(4, 1)), normalLeaf, 0.98, 1},
-		{"four times slower, beside a deaf leaf of the others", slowLeaf(4, 1), unresponsiveControl, 0.98, 1},
+		{"four times slower, unresponsive leaf in the control", slowLeaf(4, 1), unresponsiveControl, 0.98, 1},
 	} {
 		for _, rate := range simulatedRates {
 			test.check(t, rate, true)
@@ -306,11 +306,11 @@
 			overAllowance++
 		}
 	}
-	t.Logf("%s, %.0f requests a second, hedged %v: taken back in %d of %d plays, over in %d, %d requests exposed", test.name, rate, hedged, rolledBack, simulationRuns, overAllowance, exposed/simulationRuns)
+	t.Logf("%s, %.0f requests a second, hedged %v: rolled back in %d of %d simulations, over the allowance in %d, %d requests exposed", test.name, rate, hedged, rolledBack, simulationRuns, overAllowance, exposed/simulationRuns)
 	if share := float64(rolledBack) / simulationRuns; share < test.minRolledBack || share > test.maxRolledBack {
-		t.Errorf("%s, %.0f requests a second, hedged %v: taken back in %d of %d plays", test.name, rate, hedged, rolledBack, simulationRuns)
+		t.Errorf("%s, %.0f requests a second, hedged %v: rolled back in %d of %d simulations, want a share of %v to %v", test.name, rate, hedged, rolledBack, simulationRuns, test.minRolledBack, test.maxRolledBack)
 	}
 	if overAllowance > simulationRuns/25 {
-		t.Errorf("%s, %.0f requests a second, hedged %v: over the allowance in %d of %d plays", test.name, rate, hedged, overAllowance, simulationRuns)
+		t.Errorf("%s, %.0f requests a second, hedged %v: over the allowance in %d of %d simulations, want at most %d", test.name, rate, hedged, overAllowance, simulationRuns, simulationRuns/25)
 	}
 }
--- a/internal/decide/rollout/table_test.go
+++ b/internal/decide/rollout/table_test.go
@@ -31,10 +31,10 @@
 			}
 			rollout := table.Of(testService)
 			if rollout.Record.Order < last.Order || rollout.Record.Order == last.Order && phaseRanks[rollout.Record.Phase] < phaseRanks[last.Phase] {
-				t.Fatalf("from %v of order %d to %v of %d", last.Phase, last.Order, rollout.Record.Phase, rollout.Record.Order)
+				t.Fatalf("moved from phase %v of order %d to phase %v of order %d", last.Phase, last.Order, rollout.Record.Phase, rollout.Record.Order)
 			}
 			if order > 0 && rollout.Record.Order != order && rollout.Phase() != PhaseNone {
-				t.Fatalf("phase %v of order %d counts for order %d", rollout.Record.Phase, rollout.Record.Order, order)
+				t.Fatalf("phase %v of order %d applies to order %d", rollout.Record.Phase, rollout.Record.Order, order)
 			}
 			last = rollout.Record
 		}
@@ -50,18 +50,18 @@
 	table.Replace(time.Minute, clock, []Order{order}, []Record{stored}, false)
 	rollout := table.Of(testService)
 	if !rollout.Found || rollout.Age(time.Minute) != 4*time.Second || rollout.Phase() != PhaseTrial {
-		t.Errorf("%+v, age %s", rollout, rollout.Age(time.Minute))
+		t.Errorf("roll-out %+v, age %s, want a trial found at the start, of age 4s", rollout, rollout.Age(time.Minute))
 	}
 	table.SetOrder(time.Minute, Order{Service: "other", Version: "v2", Duration: time.Second, Revision: 9})
 	if other := table.Of("other"); other.Found || other.Age(time.Minute) != 0 {
-		t.Errorf("%+v", other)
+		t.Errorf("roll-out %+v, want a new one of age 0", other)
 	}
 	table.Replace(time.Minute, clock, nil, nil, true)
 	if rollout.Order.Revision == 0 {
-		t.Error("a stale reading withdraws an order")
+		t.Error("stale listing withdrew an order")
 	}
 	table.Replace(time.Minute, clock, nil, nil, false)
 	if rollout.Order.Revision != 0 || rollout.Version() != "v2" || !rollout.Open() {
-		t.Errorf("withdrawn: %+v", rollout)
+		t.Errorf("withdrawn roll-out %+v, want it open with version v2", rollout)
 	}
 }
