--- a/internal/decide/quarantine/config.go
+++ b/internal/decide/quarantine/config.go
@@ -3,7 +3,7 @@
 import "time"
 
 // RecordTTL is the longest time that a record stays in the store; the shortest time is half of it
-// (see lease.Shared). A request is held for that time: some minutes.
+// (see lease.Shared). A request is held while its record exists: 5 to 10 minutes.
 const RecordTTL = 10 * time.Minute
 
 // Config is the policy of a Table. All fields must be set.
--- a/internal/decide/quarantine/table_survivors.go
+++ b/internal/decide/quarantine/table_survivors.go
@@ -96,7 +96,7 @@
 	Content Content
 	Route   string
 	Leaf    string
-	// Released reports whether the request was held until now.
+	// Released reports whether the survival ended the hold of the request.
 	Released bool
 }
 
--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -47,7 +47,7 @@
 	shiftThresholds = thresholds{all: 20, rest: 3}
 )
 
-// rate counts the bad ones among some attempts.
+// rate counts attempts, and the bad ones among them.
 type rate struct{ bad, attempts float64 }
 
 func (r rate) share() float64 { return r.bad / max(r.attempts, 1) }
@@ -70,6 +70,7 @@
 	return logBeta(priorBad+r.bad, priorGood+r.attempts-r.bad) - logBeta(priorBad, priorGood)
 }
 
+// logBeta returns the logarithm of the Beta function.
 func logBeta(a, b float64) float64 {
 	logGammaA, _ := math.Lgamma(a)
 	logGammaB, _ := math.Lgamma(b)
@@ -244,6 +245,8 @@
 	targetByLeaf map[leafKey]rate
 }
 
+// measureRates applies measure to the counts of the control and of each leaf of the target. It
+// excludes the good attempts that are stale.
 func (s *sample) measureRates(measure func(*Counts) rate) rateComparison {
 	result := rateComparison{control: measure(&s.control), targetByLeaf: make(map[leafKey]rate, len(s.targetByLeaf))}
 	for key, counts := range s.targetByLeaf {
--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -20,7 +20,7 @@
 	snapshotInterval = time.Second
 )
 
-// snapshot holds the counts by route at some time.
+// snapshot holds the counts by route as of a point in time.
 type snapshot struct {
 	at     time.Duration
 	routes map[string]*sample
--- a/internal/decide/rollout/report.go
+++ b/internal/decide/rollout/report.go
@@ -99,6 +99,7 @@
 	return selectMembers(members, maxCandidates)
 }
 
+// selectMembers returns the first members by cores and hash, at most count.
 func selectMembers(members []roster.Member, count int) []roster.Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b roster.Member) int {
--- a/internal/decide/rollout/steps.go
+++ b/internal/decide/rollout/steps.go
@@ -33,7 +33,7 @@
 // nextPhase returns the phase to move to, and the reason; PhaseNone to stay in the current phase.
 func (d *Decider) nextPhase(now time.Duration, rollout *Rollout, eval *evaluation, attempts attemptTotals, supply Supply) (Phase, string) {
 	age, deadline := rollout.Age(now), rollout.Order.Duration
-	tail := min(maxShiftTime, deadline/2)
+	shiftTime := min(maxShiftTime, deadline/2)
 	switch {
 	case rollout.Order.Revision == 0:
 		return PhaseRolledBack, "the order was withdrawn"
@@ -44,7 +44,7 @@
 	case PhaseNone:
 		return PhaseTrial, "the order was heard"
 	case PhaseTrial:
-		return nextFromTrial(age, deadline, deadline-tail, supply)
+		return nextFromTrial(age, deadline, deadline-shiftTime, supply)
 	case PhaseBurst:
 		return nextFromBurst(now-eval.phaseSince, age, deadline, attempts)
 	case PhaseShift:
@@ -53,6 +53,8 @@
 	return PhaseNone, ""
 }
 
+// nextFromTrial returns the next phase of a roll-out in its trial. The burst may start at the age
+// burstAt.
 func nextFromTrial(age, deadline, burstAt time.Duration, supply Supply) (Phase, string) {
 	enoughSlots := supply.Target > 0 && float64(supply.Target) >= minSlotRatio*float64(supply.Control)
 	switch {
@@ -66,6 +68,7 @@
 	return PhaseNone, ""
 }
 
+// nextFromBurst returns the next phase of a roll-out that has been in its burst for inPhase.
 func nextFromBurst(inPhase, age, deadline time.Duration, attempts attemptTotals) (Phase, string) {
 	enoughEvidence := attempts.target >= minTargetAttempts || attempts.all < significantTraffic
 	switch {
@@ -77,7 +80,9 @@
 	return PhaseNone, ""
 }
 
-func (d *Decider) nextFromShift(now time.Duration, rollout *Rollout, eval *evaluation, late time.Duration) (Phase, string) {
+// nextFromShift returns the next phase of a roll-out in its shift. PastDeadline is negative before
+// the deadline.
+func (d *Decider) nextFromShift(now time.Duration, rollout *Rollout, eval *evaluation, pastDeadline time.Duration) (Phase, string) {
 	if now-eval.phaseSince < minShiftTime {
 		return PhaseNone, ""
 	}
@@ -85,7 +90,7 @@
 	switch {
 	case busy == 0 && nodes > 0:
 		return PhaseCompleted, fmt.Sprintf("the other leaves are idle, by the word of %d nodes", nodes)
-	case late >= completionGrace:
+	case pastDeadline >= completionGrace:
 		return PhaseCompleted, fmt.Sprintf("%d of %d nodes still use other leaves, or are behind", busy, nodes)
 	}
 	return PhaseNone, ""
