--- a/internal/decide/quarantine/background_test.go
+++ b/internal/decide/quarantine/background_test.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// TestBackgroundIsWhatOthersMeet, at the service over half a minute, and fades.
-func TestBackgroundIsWhatOthersMeet(t *testing.T) {
+// TestBackgroundChanceByService checks that the chance follows the crash rate of its service over
+// serviceHalfLife, leaves other services unaffected, and decays.
+func TestBackgroundChanceByService(t *testing.T) {
 	var background Background
 	for run := range 140 {
-		background.Add(0, good, false, 1, run < 50)
+		background.Add(0, harmlessContent, false, 1, run < 50)
 	}
-	const later = 30 * momentHalfLife
-	if chance := background.Chance(later, bad, 1); chance < 0.25 || chance > 0.4 {
-		t.Errorf("chance %v with 50 of 140 runs ended", chance)
+	const later = 30 * globalHalfLife
+	if chance := background.Chance(later, crashingContent, 1); chance < 0.25 || chance > 0.4 {
+		t.Errorf("chance %v after 50 crashes in 140 attempts, want 0.25 to 0.4", chance)
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		at      time.Duration
 		service int
 	}{{later, 0}, {later, 7}, {time.Hour, 1}} {
-		if chance := background.Chance(one.at, bad, one.service); chance > 1.01*priorCrashes/priorRuns {
-			t.Errorf("chance %v at %v of service %d", chance, one.at, one.service)
+		if chance := background.Chance(test.at, crashingContent, test.service); chance > 1.01*priorCrashes/priorAttempts {
+			t.Errorf("chance %v at %v of service %d, want the prior %v", chance, test.at, test.service, priorCrashes/priorAttempts)
 		}
 	}
 }
 
-// TestRequestBesideAnotherThatEndsAllLeaves is not held for the ends of that moment,
-// though it is the only one besides, was answered by none before, and its trials end,
-// too. The other one is, by its trials of later.
-func TestRequestBesideAnotherThatEndsAllLeaves(t *testing.T) {
-	p := newPlay(t)
+// TestRequestBesideCrashingRequestIsNotHeld guards against holding a harmless request because
+// another request crashes all leaves at the same time. No leaf answered the harmless request
+// before, and its trials crash as well. The other request is held by its later trials.
+func TestRequestBesideCrashingRequestIsNotHeld(t *testing.T) {
+	s := newScenario(t)
 	var background Background
-	p.table.Suspect(p.now, good, "r", p.leaves(8))
-	p.table.Suspect(p.now, bad, "r", p.leaves(8))
+	s.table.Suspect(s.now, harmlessContent, "r", s.newCrashes(8))
+	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(8))
 	for service := range 12 {
-		background.Add(p.now, good, true, service, true)
-		background.Add(p.now, bad, true, service, true)
+		background.Add(s.now, harmlessContent, true, service, true)
+		background.Add(s.now, crashingContent, true, service, true)
 	}
 	for trial := range 2 {
-		p.now += 100 * time.Millisecond
-		for _, content := range []Content{good, bad} {
-			if p.fail(content, background.Chance(p.now, content, 0)) {
-				t.Errorf("held by trial %d of the moment", trial+1)
+		s.now += 100 * time.Millisecond
+		for _, content := range []Content{harmlessContent, crashingContent} {
+			if s.crashTrial(content, background.Chance(s.now, content, 0)) {
+				t.Errorf("held after trial %d, while leaves crash under another request", trial+1)
 			}
-			background.Add(p.now, content, true, 0, true)
+			background.Add(s.now, content, true, 0, true)
 		}
 	}
 	for range 3 {
-		p.now += 5 * time.Second
+		s.now += 5 * time.Second
 		for service := range 60 {
-			background.Add(p.now, good, true, service%12, false)
+			background.Add(s.now, harmlessContent, true, service%12, false)
 		}
-		if p.fail(bad, background.Chance(p.now, bad, 0)) {
+		if s.crashTrial(crashingContent, background.Chance(s.now, crashingContent, 0)) {
 			return
 		}
 	}
-	t.Error("a request that ends leaves is not held")
+	t.Error("request that crashes leaves not held after three more trials")
 }
--- a/internal/decide/quarantine/record_test.go
+++ b/internal/decide/quarantine/record_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRecordKeepsItsForm in the store, whatever the fields are called here: nodes of
-// several versions read each other's records.
-func TestRecordKeepsItsForm(t *testing.T) {
+// TestRecordEncoding guards against a change of the stored form of a record, which nodes of several
+// versions read and write.
+func TestRecordEncoding(t *testing.T) {
 	const stored = `{"route":"r","ended":[{"leaf":"a","request":"b"}],"trials":2,"trial":"t","odds":400,"held":true}`
 	record, err := DecodeRecord([]byte(stored))
 	if err != nil {
@@ -12,9 +12,9 @@
 	}
 	want := Record{Route: "r", Crashes: []Crash{NewCrash("a", "b")}, Trials: 2, Trial: "t", Odds: 400, Held: true}
 	if !record.equal(want) {
-		t.Errorf("read %+v", record)
+		t.Errorf("decoded %+v, want %+v", record, want)
 	}
 	if value, err := want.Encode(); err != nil || string(value) != stored {
-		t.Errorf("written %s, %v", value, err)
+		t.Errorf("encoded %s, error %v, want %s", value, err, stored)
 	}
 }
--- a/internal/decide/rollout/reporting_test.go
+++ b/internal/decide/rollout/reporting_test.go
@@ -7,10 +7,11 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// TestReportsGoToTheFirstThatAnswers, and to the first of all where none does.
-func TestReportsGoToTheFirstThatAnswers(t *testing.T) {
+// TestChooseSkipsAvoidedCandidates checks that a report goes to the first candidate that is not
+// avoided, and to the first of all if each is avoided.
+func TestChooseSkipsAvoidedCandidates(t *testing.T) {
 	candidates := []roster.Member{{Name: "a"}, {Name: "b"}}
-	reports := NewReporting()
+	reporting := NewReporting()
 	for _, test := range []struct {
 		at    time.Duration
 		avoid string
@@ -19,46 +20,48 @@
 		{0, "a", "b"},
 		{time.Second, "b", "a"}, // both are avoided
 		{AvoidTime, "", "a"},
-		{AvoidTime, "a", "a"}, // b is avoided for a second yet
+		{AvoidTime, "a", "a"}, // b is avoided for another second
 		{AvoidTime + time.Second, "", "b"},
 	} {
 		if test.avoid != "" {
-			reports.Avoid(test.at, test.avoid)
+			reporting.Avoid(test.at, test.avoid)
 		}
-		if got := reports.Choose(test.at, candidates).Name; got != test.want {
-			t.Errorf("at %s, %q just avoided: report to %s, want %s", test.at, test.avoid, got, test.want)
+		if got := reporting.Choose(test.at, candidates).Name; got != test.want {
+			t.Errorf("at %s after avoiding %q: report to %s, want %s", test.at, test.avoid, got, test.want)
 		}
 	}
 }
 
-// TestRestartedDeciderReceivesEverything, since it answers under another incarnation.
+// TestRestartedDeciderReceivesEverything checks that the next report is complete after a decider
+// has answered under another incarnation.
 func TestRestartedDeciderReceivesEverything(t *testing.T) {
 	subject := Subject{Service: "s", Order: 1}
-	reports := NewReporting()
-	reports.Answered("first", Report{Rows: []Row{{Subject: subject}}})
-	if len(reports.Received()) != 1 || reports.Decider() != "first" {
-		t.Fatalf("%q has received %v", reports.Decider(), reports.Received())
+	reporting := NewReporting()
+	reporting.Answered("first", Report{Rows: []Row{{Subject: subject}}})
+	if len(reporting.Received()) != 1 || reporting.Decider() != "first" {
+		t.Fatalf("decider %q received %v, want 1 row at %q", reporting.Decider(), reporting.Received(), "first")
 	}
-	reports.Answered("second", Report{Decider: "first"})
-	if len(reports.Received()) != 0 || reports.Decider() != "" {
-		t.Errorf("%q has received %v", reports.Decider(), reports.Received())
+	reporting.Answered("second", Report{Decider: "first"})
+	if len(reporting.Received()) != 0 || reporting.Decider() != "" {
+		t.Errorf("decider %q received %v, want nothing after a restart", reporting.Decider(), reporting.Received())
 	}
 }
 
-// TestWhoSpendsTheSlack: a participant, unless it found the order when it started, and no
-// node that knows of no other.
-func TestWhoSpendsTheSlack(t *testing.T) {
+// TestParticipationInSlackAndReports checks that a participant spends a part of the slack unless it
+// found the order at its start, and that a node without known participants reports but spends
+// nothing.
+func TestParticipationInSlackAndReports(t *testing.T) {
 	members := []roster.Member{{Name: "a"}, {Name: "b"}}
 	if !HasAllowance("a", members) || HasAllowance("c", members) || HasAllowance("a", nil) {
-		t.Error("an allowance for the wrong nodes")
+		t.Error("HasAllowance: want true for a participant only")
 	}
 	if !Reports("a", members) || Reports("c", members) || !Reports("a", nil) {
-		t.Error("reports of the wrong nodes")
+		t.Error("Reports: want true for a participant and for a node without participants only")
 	}
-	if part := PartOfSlack(4, false); part != 0.25 {
-		t.Errorf("one of 4 has %v of the slack", part)
+	if share := PartOfSlack(4, false); share != 0.25 {
+		t.Errorf("slack share %v for one of 4 participants, want 0.25", share)
 	}
-	if part := PartOfSlack(4, true); part != 0 {
-		t.Errorf("one that found the order has %v of the slack", part)
+	if share := PartOfSlack(4, true); share != 0 {
+		t.Errorf("slack share %v for a node that found the order at its start, want 0", share)
 	}
 }
