--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -17,20 +17,20 @@
 type Config struct {
 	// Safety is the share of the remaining time that the predicted time of the
 	// most urgent work may fill.
-	Safety float64
+	UrgentShare float64
 	// Lenient takes the place of Safety for other work while the service is
 	// not saturated: what waits too long is served as the most urgent then.
-	Lenient float64
+	NormalShare float64
 	// Strict takes the place of Safety for all but the most urgent work while
 	// the service is saturated: such work may starve, and predictions from
 	// its past are too good. Relief times the share of the work that the most
 	// urgent work leaves is added to it.
-	Strict float64
+	SaturatedShare float64
 	// Relief is the factor of that share.
-	Relief float64
+	NonUrgentFactor float64
 	// Spread is the factor on the expected time of one attempt that covers
 	// the slowest of many.
-	Spread float64
+	SlowestFactor float64
 	// RetryMinimum and RetryMaximum bound the time after which a refused
 	// caller may retry.
 	RetryMinimum, RetryMaximum time.Duration
@@ -40,19 +40,19 @@
 func DefaultConfig() Config {
 	return Config{
 		// Not measured against others: chosen because predictions are wrong by some.
-		Safety: 0.8,
+		UrgentShare: 0.8,
 		// Not measured by itself: chosen close to 1 because work that waits too long is
 		// promoted.
-		Lenient: 0.95,
+		NormalShare: 0.95,
 		// Simulated at 150 % load: without strictness 0.9973 and 0.9825 of the urgent queries
 		// whole in place of 1.0000; with Strict alone, without Relief, useful work of 0.85
 		// of all slots in place of 0.97 or more.
-		Strict: 0.04,
+		SaturatedShare: 0.04,
 		// As Strict. Other values were not compared.
-		Relief: 0.8,
+		NonUrgentFactor: 0.8,
 		// Not measured: chosen because the slowest of many attempts takes about twice the
 		// mean.
-		Spread: 2,
+		SlowestFactor: 2,
 		// Not measured: chosen so that a caller does not retry within one queue.
 		RetryMinimum: 50 * time.Millisecond,
 		// Not measured: chosen so that callers return soon after an overload.
@@ -82,7 +82,7 @@
 	if p.Wait <= 0 {
 		return p.Remaining > 0
 	}
-	predicted := float64(p.Wait) + c.Spread*float64(p.Service)
+	predicted := float64(p.Wait) + c.SlowestFactor*float64(p.Service)
 	return predicted <= c.share(p)*float64(p.Remaining)
 }
 
@@ -90,11 +90,11 @@
 func (c Config) share(p Prediction) float64 {
 	switch {
 	case p.Urgent:
-		return c.Safety
+		return c.UrgentShare
 	case p.Saturated:
-		return min(c.Strict+c.Relief*p.Left, c.Safety)
+		return min(c.SaturatedShare+c.NonUrgentFactor*p.Left, c.UrgentShare)
 	default:
-		return c.Lenient
+		return c.NormalShare
 	}
 }
 
--- a/internal/decide/combiners/combiners.go
+++ b/internal/decide/combiners/combiners.go
@@ -67,11 +67,11 @@
 	// InFlight is how many attempts of this node it has in hand.
 	InFlight int
 	// asked is set while a heartbeat to it is open.
-	asked bool
+	heartbeatPending bool
 }
 
 func newCombiner(member roster.Member) *Combiner {
-	return &Combiner{Member: member, State: liveness.State{Weight: roundTripWeight}}
+	return &Combiner{Member: member, State: liveness.State{RoundTripWeight: roundTripWeight}}
 }
 
 // Answered takes in the answer to a heartbeat, and reports whether it brings a lost
@@ -84,10 +84,10 @@
 }
 
 // EndHeartbeat ends the heartbeat that Due began, answered or not.
-func (c *Combiner) EndHeartbeat() { c.asked = false }
+func (c *Combiner) EndHeartbeat() { c.heartbeatPending = false }
 
 // usable reports whether attempts may be handed to it.
-func (c *Combiner) usable(maxRoundTrip time.Duration) bool {
+func (c *Combiner) isUsable(maxRoundTrip time.Duration) bool {
 	return c.Alive() != nil && c.RoundTrip <= maxRoundTrip
 }
 
@@ -104,24 +104,24 @@
 // known of those that stay is retained, and what the others have in flight is left to
 // finish.
 func (t *Table) Replace(self roster.Member, members []roster.Member) {
-	former := make(map[string]*Combiner)
-	for _, one := range t.all() {
-		former[one.Name] = one
+	previous := make(map[string]*Combiner)
+	for _, combiner := range t.all() {
+		previous[combiner.Name] = combiner
 	}
 	t.zones = make(map[string][]*Combiner)
 	for _, member := range roster.Preferred(self, members) {
 		if member.Zone == self.Zone || member.Name == self.Name || !member.Peer.IsValid() || len(t.zones[member.Zone]) >= t.config.CombinersPerZone {
 			continue
 		}
-		one := former[member.Name]
-		if one == nil || one.Member != member {
-			one = newCombiner(member)
+		combiner := previous[member.Name]
+		if combiner == nil || combiner.Member != member {
+			combiner = newCombiner(member)
 		}
-		delete(former, member.Name)
-		t.zones[member.Zone] = append(t.zones[member.Zone], one)
+		delete(previous, member.Name)
+		t.zones[member.Zone] = append(t.zones[member.Zone], combiner)
 	}
-	for _, gone := range former {
-		gone.Avoid()
+	for _, dropped := range previous {
+		dropped.Avoid()
 	}
 }
 
@@ -137,9 +137,9 @@
 // flight; nil if none is usable.
 func (t *Table) Choose(zone string) *Combiner {
 	var best *Combiner
-	for _, one := range t.zones[zone] {
-		if one.usable(t.config.MaxRoundTrip) && (best == nil || one.InFlight < best.InFlight) {
-			best = one
+	for _, candidate := range t.zones[zone] {
+		if candidate.isUsable(t.config.MaxRoundTrip) && (best == nil || candidate.InFlight < best.InFlight) {
+			best = candidate
 		}
 	}
 	return best
@@ -147,15 +147,15 @@
 
 // Due returns the combiners that are to be sent a heartbeat, which EndHeartbeat ends, and
 // those that are lost now.
-func (t *Table) Due(now time.Duration) (asked, lost []*Combiner) {
-	for _, one := range t.all() {
-		if one.Silent(now, t.config.HeartbeatTimeout) && one.Lose() {
-			lost = append(lost, one)
+func (t *Table) Due(now time.Duration) (due, lost []*Combiner) {
+	for _, combiner := range t.all() {
+		if combiner.IsSilent(now, t.config.HeartbeatTimeout) && combiner.Lose() {
+			lost = append(lost, combiner)
 		}
-		if !one.asked && (now-one.HeardAt >= t.config.HeartbeatInterval || one.Alive() == nil) {
-			one.asked = true
-			asked = append(asked, one)
+		if !combiner.heartbeatPending && (now-combiner.LastHeard >= t.config.HeartbeatInterval || combiner.Alive() == nil) {
+			combiner.heartbeatPending = true
+			due = append(due, combiner)
 		}
 	}
-	return asked, lost
+	return due, lost
 }
--- a/internal/decide/combiners/combiners_test.go
+++ b/internal/decide/combiners/combiners_test.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-func members(zones ...string) []roster.Member {
+func newMembers(zones ...string) []roster.Member {
 	var all []roster.Member
 	for number, zone := range zones {
 		all = append(all, roster.Member{
@@ -21,82 +21,82 @@
 
 // newTable returns the table of node-0 of zone a.
 func newTable(zones ...string) *Table {
-	all := members(zones...)
-	b := NewTable(DefaultConfig())
-	b.Replace(all[0], all)
-	return b
+	all := newMembers(zones...)
+	table := NewTable(DefaultConfig())
+	table.Replace(all[0], all)
+	return table
 }
 
-func TestTableKeepsAFewOfEachOtherZone(t *testing.T) {
-	b := newTable("a", "a", "b", "b", "b", "c")
-	if len(b.zones["a"]) != 0 || len(b.zones["b"]) != b.config.CombinersPerZone || len(b.zones["c"]) != 1 {
-		t.Errorf("combiners %v", b.zones)
+func TestReplaceKeepsAtMostCombinersPerZone(t *testing.T) {
+	table := newTable("a", "a", "b", "b", "b", "c")
+	if len(table.zones["a"]) != 0 || len(table.zones["b"]) != table.config.CombinersPerZone || len(table.zones["c"]) != 1 {
+		t.Errorf("combiners %v", table.zones)
 	}
 }
 
 // TestSilentCombinerIsLost asks it once it is silent, and gives up its attempts
 // when no answer comes.
 func TestSilentCombinerIsLost(t *testing.T) {
-	b := newTable("a", "b")
-	one := b.zones["b"][0]
-	if b.Choose("b") != nil {
+	table := newTable("a", "b")
+	combiner := table.zones["b"][0]
+	if table.Choose("b") != nil {
 		t.Fatal("a combiner is used that was never heard")
 	}
 	now := time.Second
-	one.Answered(now, time.Millisecond)
-	alive := one.Alive()
-	if asked, _ := b.Due(now + b.config.HeartbeatInterval/2); len(asked) != 0 || b.Choose("b") != one {
-		t.Fatalf("asked %v right after it was heard", asked)
+	combiner.Answered(now, time.Millisecond)
+	alive := combiner.Alive()
+	if due, _ := table.Due(now + table.config.HeartbeatInterval/2); len(due) != 0 || table.Choose("b") != combiner {
+		t.Fatalf("asked %v right after it was heard", due)
 	}
-	if asked, lost := b.Due(now + b.config.HeartbeatInterval); len(asked) != 1 || len(lost) != 0 {
-		t.Fatalf("asked %v, lost %v when it was silent", asked, lost)
+	if due, lost := table.Due(now + table.config.HeartbeatInterval); len(due) != 1 || len(lost) != 0 {
+		t.Fatalf("asked %v, lost %v when it was silent", due, lost)
 	}
-	if asked, lost := b.Due(now + b.config.HeartbeatTimeout + 1); len(asked) != 0 || len(lost) != 1 || alive.Err() == nil {
-		t.Fatalf("asked %v, lost %v after its time", asked, lost)
+	if due, lost := table.Due(now + table.config.HeartbeatTimeout + 1); len(due) != 0 || len(lost) != 1 || alive.Err() == nil {
+		t.Fatalf("asked %v, lost %v after its time", due, lost)
 	}
-	if b.Choose("b") != nil {
+	if table.Choose("b") != nil {
 		t.Error("a lost combiner is used")
 	}
-	one.Heard(2 * time.Second)
-	if b.Choose("b") != nil {
+	combiner.Heard(2 * time.Second)
+	if table.Choose("b") != nil {
 		t.Error("a late answer brought it back")
 	}
-	one.Answered(2*time.Second, time.Millisecond)
-	if b.Choose("b") != one {
+	combiner.Answered(2*time.Second, time.Millisecond)
+	if table.Choose("b") != combiner {
 		t.Error("it is not used again")
 	}
 }
 
 func TestSlowCombinerIsNotUsed(t *testing.T) {
-	b := newTable("a", "b")
-	one := b.zones["b"][0]
-	one.Answered(1, time.Millisecond)
+	table := newTable("a", "b")
+	combiner := table.zones["b"][0]
+	combiner.Answered(1, time.Millisecond)
 	for range 20 {
-		one.Answered(1, 4*b.config.MaxRoundTrip)
+		combiner.Answered(1, 4*table.config.MaxRoundTrip)
 	}
-	if b.Choose("b") != nil {
+	if table.Choose("b") != nil {
 		t.Error("a slow combiner is used")
 	}
 	for range 20 {
-		one.Answered(1, time.Millisecond)
+		combiner.Answered(1, time.Millisecond)
 	}
-	if b.Choose("b") != one {
+	if table.Choose("b") != combiner {
 		t.Error("it is not used again")
 	}
 }
 
 // TestCombinerThatIsNotPreferredAnyMore gets no attempts, and ends those that it
 // has in hand.
-func TestCombinerThatIsNotPreferredAnyMore(t *testing.T) {
-	b := newTable("a", "b")
-	one := b.zones["b"][0]
-	one.Answered(1, time.Millisecond)
-	alive := one.Alive()
-	b.Replace(members("a")[0], members("a"))
+func TestReplacedCombinerFinishesItsAttempts(t *testing.T) {
+	table := newTable("a", "b")
+	combiner := table.zones["b"][0]
+	combiner.Answered(1, time.Millisecond)
+	alive := combiner.Alive()
+	table.Replace(newMembers("a")[0], newMembers("a"))
 	if alive.Err() != nil {
 		t.Error("its attempts were cut off")
 	}
-	if b.Choose("b") != nil || one.usable(time.Hour) {
+	if table.Choose("b") != nil || combiner.isUsable(time.Hour) {
 		t.Error("it gets more attempts")
 	}
 }
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -78,6 +78,6 @@
 
 // ColdUntil returns until when a leaf is taken for cold whose zone comes back into
 // service now. Known is until when it was taken for cold before.
-func ColdUntil(known, now, coldTime time.Duration) time.Duration {
-	return max(known, now+coldTime)
+func ColdUntil(previous, now, coldTime time.Duration) time.Duration {
+	return max(previous, now+coldTime)
 }
--- a/internal/decide/cordon/cordon_test.go
+++ b/internal/decide/cordon/cordon_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestStaleListPutsNoZoneBack, and each zone of a list changes once.
-func TestStaleListPutsNoZoneBack(t *testing.T) {
+func TestStaleListReturnsNoZoneToService(t *testing.T) {
 	zones := NewZones()
 	zones.Set(Change{Zone: "north", Cordoned: true})
 	listed := []string{"south", "south", "east"}
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestLeafOfAZoneThatIsBackIsCold(t *testing.T) {
+func TestLeavesOfReturnedZoneAreCold(t *testing.T) {
 	for _, test := range []struct{ known, now, cold, want time.Duration }{
 		{0, 10, 3, 13}, {20, 10, 3, 20}, {5, 10, 0, 10},
 	} {
--- a/internal/decide/coverage/coverage.go
+++ b/internal/decide/coverage/coverage.go
@@ -26,10 +26,10 @@
 type Config struct {
 	// Margin is how long before its deadline a query with enough coverage is
 	// settled.
-	Margin time.Duration
+	DeadlineMargin time.Duration
 	// MarginShare bounds Margin by a share of the time that the query was
 	// given.
-	MarginShare float64
+	MaxMarginShare float64
 	// ObjectiveShare is the share of the time until a query's objective after
 	// which it settles, if its coverage is enough.
 	ObjectiveShare float64
@@ -39,9 +39,9 @@
 func DefaultConfig() Config {
 	return Config{
 		// Not measured: chosen as the time in which an answer reaches its caller.
-		Margin: 5 * time.Millisecond,
+		DeadlineMargin: 5 * time.Millisecond,
 		// Not measured: chosen so that short queries keep most of their time.
-		MarginShare: 0.05,
+		MaxMarginShare: 0.05,
 		// Paired trials, worth: 0.7566 with 0.95 in place of 0.7585; 0.93 within 0.01 or
 		// worse (six days a site).
 		ObjectiveShare: 0.9,
@@ -51,7 +51,7 @@
 // SettleAt returns the time from which a query that was submitted at start
 // settles if its coverage is enough. An objective of zero is none.
 func (c Config) SettleAt(start, deadline, objective time.Duration) time.Duration {
-	margin := min(c.Margin, time.Duration(c.MarginShare*float64(deadline-start)))
+	margin := min(c.DeadlineMargin, time.Duration(c.MaxMarginShare*float64(deadline-start)))
 	latest := deadline - max(margin, 0)
 	if objective <= start {
 		return latest
--- a/internal/decide/coverage/coverage_test.go
+++ b/internal/decide/coverage/coverage_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestProgress(t *testing.T) {
+func TestProgressInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 30).Draw(t, "total")
 		answered := rapid.IntRange(0, total).Draw(t, "answered")
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestSettleAt(t *testing.T) {
+func TestSettleAtLeavesMargin(t *testing.T) {
 	config := DefaultConfig()
 	for _, test := range []struct{ given, margin time.Duration }{
 		{time.Second, 5 * time.Millisecond},
--- a/internal/decide/executors/equals.go
+++ b/internal/decide/executors/assigner.go
@@ -51,20 +51,20 @@
 	if a.assigned {
 		least *= retainShare
 	}
-	a.assigned = float64(len(members)) >= least && smallest(members) >= minCores
+	a.assigned = float64(len(members)) >= least && minNodeCores(members) >= minCores
 	if !a.assigned {
 		return roles
 	}
 	roles.Executors = roster.FirstOfZones(members, executorsPerZone)
 	roles.Self = RoleDelegator
-	if slices.ContainsFunc(roles.Executors, func(one roster.Member) bool { return one.Name == self.Name }) {
+	if slices.ContainsFunc(roles.Executors, func(executor roster.Member) bool { return executor.Name == self.Name }) {
 		roles.Self = RoleExecutor
 	}
 	return roles
 }
 
 // smallest returns the cores of the smallest node.
-func smallest(members []roster.Member) float64 {
+func minNodeCores(members []roster.Member) float64 {
 	least := math.Inf(1)
 	for _, member := range members {
 		least = min(least, member.Cores)
--- a/internal/decide/executors/equals_test.go
+++ b/internal/decide/executors/assigner_test.go
@@ -11,21 +11,21 @@
 )
 
 // equals returns nodes of one size in some zones.
-func equals(count, zones int) []roster.Member {
+func newEqualNodes(count, zones int) []roster.Member {
 	members := make([]roster.Member, count)
 	for index := range members {
-		members[index] = node(fmt.Sprintf("node-%d", index), fmt.Sprintf("zone-%d", index%zones), 0.8)
+		members[index] = newMember(fmt.Sprintf("node-%d", index), fmt.Sprintf("zone-%d", index%zones), 0.8)
 	}
 	return members
 }
 
-func TestEqualsChooseSomeOfEachZone(t *testing.T) {
-	members := equals(76, 4)
+func TestEqualNodesAssignExecutorsInEachZone(t *testing.T) {
+	members := newEqualNodes(76, 4)
 	byRole := make(map[Role]int)
 	zones := make(map[string]int)
 	for _, self := range members {
-		fleet := Assigner{EqualNodes: 24}
-		roles := fleet.Assign(self, members)
+		assigner := Assigner{EqualNodes: 24}
+		roles := assigner.Assign(self, members)
 		byRole[roles.Self]++
 		if roles.Self == RoleExecutor {
 			zones[self.Zone]++
@@ -34,35 +34,35 @@
 	if byRole[RoleExecutor] != 8 || byRole[RoleDelegator] != 68 || len(zones) != 4 {
 		t.Errorf("roles %v, executors by zone %v", byRole, zones)
 	}
-	for _, fleet := range []Assigner{{}, {EqualNodes: 77}} {
-		if roles := fleet.Assign(members[0], members); roles.Self != RoleAlone || len(roles.Executors) > 0 {
-			t.Errorf("%+v: %+v", fleet, roles)
+	for _, assigner := range []Assigner{{}, {EqualNodes: 77}} {
+		if roles := assigner.Assign(members[0], members); roles.Self != RoleStandalone || len(roles.Executors) > 0 {
+			t.Errorf("%+v: %+v", assigner, roles)
 		}
 	}
-	small := equals(76, 4)
+	small := newEqualNodes(76, 4)
 	for index := range small {
 		small[index].Cores = 0.192
 	}
-	slow := Assigner{EqualNodes: 24}
-	if roles := slow.Assign(small[0], small); roles.Self != RoleAlone {
+	assigner := Assigner{EqualNodes: 24}
+	if roles := assigner.Assign(small[0], small); roles.Self != RoleStandalone {
 		t.Errorf("small nodes: %+v", roles)
 	}
-	sizes := append(equals(76, 4), node("large", "zone-0", 1.6))
-	fleet := Assigner{EqualNodes: 24}
-	if roles := fleet.Assign(sizes[0], sizes); len(roles.Executors) != 1 || roles.Executors[0].Name != "large" {
+	withLarge := append(newEqualNodes(76, 4), newMember("large", "zone-0", 1.6))
+	mixed := Assigner{EqualNodes: 24}
+	if roles := mixed.Assign(withLarge[0], withLarge); len(roles.Executors) != 1 || roles.Executors[0].Name != "large" {
 		t.Errorf("beside a large node: %+v", roles)
 	}
 }
 
 // TestFleetKeepsItsExecutors while a few nodes come and go.
-func TestFleetKeepsItsExecutors(t *testing.T) {
-	members := equals(30, 3)
-	fleet := Assigner{EqualNodes: 24}
+func TestExecutorAssignmentHasHysteresis(t *testing.T) {
+	members := newEqualNodes(30, 3)
+	assigner := Assigner{EqualNodes: 24}
 	for _, test := range []struct {
 		nodes  int
 		chosen bool
 	}{{23, false}, {24, true}, {20, true}, {18, true}, {17, false}, {20, false}, {24, true}} {
-		roles := fleet.Assign(members[0], members[:test.nodes])
+		roles := assigner.Assign(members[0], members[:test.nodes])
 		if chosen := len(roles.Executors) > 0; chosen != test.chosen {
 			t.Errorf("%d nodes: executors %v", test.nodes, roles.Executors)
 		}
@@ -71,21 +71,21 @@
 
 // TestLossOfAnEqualChangesOnlyItsPlace: the next of its zone follows it, and all
 // others keep their roles.
-func TestLossOfAnEqualChangesOnlyItsPlace(t *testing.T) {
+func TestLossOfEqualNodeReplacesOnlyThatExecutor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := equals(rapid.IntRange(24, 300).Draw(t, "nodes"), rapid.IntRange(1, 13).Draw(t, "zones"))
+		members := newEqualNodes(rapid.IntRange(24, 300).Draw(t, "nodes"), rapid.IntRange(1, 13).Draw(t, "zones"))
 		lost := rapid.IntRange(0, len(members)-1).Draw(t, "lost")
-		left := slices.Delete(slices.Clone(members), lost, lost+1)
-		before, after := roster.FirstOfZones(members, executorsPerZone), roster.FirstOfZones(left, executorsPerZone)
+		remaining := slices.Delete(slices.Clone(members), lost, lost+1)
+		before, after := roster.FirstOfZones(members, executorsPerZone), roster.FirstOfZones(remaining, executorsPerZone)
 		if !slices.Contains(before, members[lost]) {
 			if !slices.Equal(before, after) {
 				t.Fatalf("from %v to %v", before, after)
 			}
 			return
 		}
-		for _, one := range before {
-			if one != members[lost] && !slices.Contains(after, one) {
-				t.Fatalf("%s is lost, and %s runs no requests of others any more", members[lost].Name, one.Name)
+		for _, executor := range before {
+			if executor != members[lost] && !slices.Contains(after, executor) {
+				t.Fatalf("%s is lost, and %s runs no requests of others any more", members[lost].Name, executor.Name)
 			}
 		}
 	})
--- a/internal/decide/executors/load.go
+++ b/internal/decide/executors/load.go
@@ -13,11 +13,11 @@
 	// fullUtilization is the part of its cores from which an executor leaves
 	// requests to the nodes that received them: above it, they wait for the
 	// processor. Not measured: chosen well below the whole.
-	fullUtilization = 0.6
+	maxUtilization = 0.6
 	// loadMemory is the time constant of the load. Not measured: chosen as some
 	// heartbeats, so that the executors that a node can choose from are known to be
 	// full before they are.
-	loadMemory = time.Second
+	loadDecayTime = time.Second
 	// queriesPerCore bounds the queries that run on a node for it to take more of
 	// other nodes: they take memory while they wait for leaves. Not measured.
 	queriesPerCore = 50
@@ -32,22 +32,22 @@
 
 // Add counts attempts.
 func (l *Load) Add(now time.Duration, attempts int) {
-	l.rate = l.rateAt(now) + float64(attempts)/loadMemory.Seconds()
+	l.rate = l.rateAt(now) + float64(attempts)/loadDecayTime.Seconds()
 	l.at = now
 }
 
 // rateAt returns the rate as of now.
 func (l *Load) rateAt(now time.Duration) float64 {
-	return l.rate * math.Exp(-(now-l.at).Seconds()/loadMemory.Seconds())
+	return l.rate * math.Exp(-(now-l.at).Seconds()/loadDecayTime.Seconds())
 }
 
 // Room reports whether the processor of a node with some cores can take more.
-func (l *Load) Room(now time.Duration, cores float64) bool {
-	return l.rateAt(now)*attemptCost.Seconds() < fullUtilization*cores
+func (l *Load) HasCapacity(now time.Duration, cores float64) bool {
+	return l.rateAt(now)*attemptCost.Seconds() < maxUtilization*cores
 }
 
 // Accepts reports whether a node with some cores, on which some queries run, takes
 // requests of other nodes.
 func (l *Load) Accepts(now time.Duration, cores float64, queries int) bool {
-	return float64(queries) < queriesPerCore*cores && l.Room(now, cores)
+	return float64(queries) < queriesPerCore*cores && l.HasCapacity(now, cores)
 }
--- a/internal/decide/executors/roles.go
+++ b/internal/decide/executors/roles.go
@@ -10,11 +10,11 @@
 	// largeShare is the part of the largest node's cores from which a node is
 	// an executor. Not measured: chosen below one so that nodes of almost the largest
 	// size count, too.
-	largeShare = 0.8
+	executorCoreShare = 0.8
 	// smallShare is the part of them up to which a node delegates requests. Not
 	// measured: chosen because a query takes an executor half of the processor time
 	// then, which pays for the way to it.
-	smallShare = 0.5
+	delegatorCoreShare = 0.5
 )
 
 // Role is what a node does with requests of many shards.
@@ -22,9 +22,9 @@
 
 // The roles of a node.
 const (
-	RoleAlone     Role = iota // runs its own
-	RoleExecutor              // runs its own and those of others
-	RoleDelegator             // hands them to executors
+	RoleStandalone Role = iota // runs its own
+	RoleExecutor               // runs its own and those of others
+	RoleDelegator              // hands them to executors
 )
 
 // Roles says who runs the requests of whom.
@@ -52,19 +52,19 @@
 	var executors []roster.Member
 	delegators := false
 	for _, member := range members {
-		if member.Cores >= largeShare*largest && member.Cores > 0 {
+		if member.Cores >= executorCoreShare*largest && member.Cores > 0 {
 			executors = append(executors, member)
 		}
-		delegators = delegators || member.Cores <= smallShare*largest
+		delegators = delegators || member.Cores <= delegatorCoreShare*largest
 	}
 	if len(executors) == 0 || !delegators {
 		return Roles{}
 	}
 	roles := Roles{Executors: executors}
 	switch {
-	case self.Cores >= largeShare*largest:
+	case self.Cores >= executorCoreShare*largest:
 		roles.Self = RoleExecutor
-	case self.Cores <= smallShare*largest:
+	case self.Cores <= delegatorCoreShare*largest:
 		roles.Self = RoleDelegator
 	}
 	return roles
@@ -85,7 +85,7 @@
 }
 
 // Others returns the members that are no executors.
-func (r Roles) Others(members []roster.Member) []roster.Member {
+func (r Roles) NonExecutors(members []roster.Member) []roster.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member roster.Member) bool {
 		return slices.Contains(r.Executors, member)
 	})
--- a/internal/decide/executors/roles_test.go
+++ b/internal/decide/executors/roles_test.go
@@ -8,24 +8,24 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-func node(name, zone string, cores float64) roster.Member {
+func newMember(name, zone string, cores float64) roster.Member {
 	return roster.Member{Name: name, Zone: zone, Cores: cores, Peer: netip.MustParseAddrPort("127.0.0.1:" + fmt.Sprint(1000+len(name)+int(name[len(name)-1])))}
 }
 
 // fleet returns large and small nodes, spread over zones.
-func fleet(large, small int) []roster.Member {
+func newLargeAndSmallNodes(large, small int) []roster.Member {
 	zones := []string{"a", "b", "c", "d"}
 	var members []roster.Member
 	for number := range large {
-		members = append(members, node(fmt.Sprintf("large-%d", number), zones[number%4], 0.8))
+		members = append(members, newMember(fmt.Sprintf("large-%d", number), zones[number%4], 0.8))
 	}
 	for number := range small {
-		members = append(members, node(fmt.Sprintf("small-%d", number), zones[number%4], 0.2))
+		members = append(members, newMember(fmt.Sprintf("small-%d", number), zones[number%4], 0.2))
 	}
 	return members
 }
 
-func TestAssign(t *testing.T) {
+func TestAssignRoles(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		members   []roster.Member
@@ -33,15 +33,15 @@
 		role      Role
 		executors int
 	}{
-		{"small among large", fleet(8, 56), node("small-1", "a", 0.2), RoleDelegator, 8},
-		{"large", fleet(8, 56), node("large-1", "a", 0.8), RoleExecutor, 8},
-		{"between", append(fleet(8, 56), node("middle-1", "a", 0.5)), node("middle-1", "a", 0.5), RoleAlone, 8},
-		{"all alike", fleet(0, 56), node("small-1", "a", 0.2), RoleAlone, 0},
-		{"only one large", fleet(1, 4), node("small-1", "a", 0.2), RoleDelegator, 1},
-		{"few for many", fleet(2, 100), node("small-1", "a", 0.2), RoleDelegator, 2},
-		{"none small enough", []roster.Member{node("x-1", "a", 0.8), node("x-2", "a", 0.5)}, node("x-2", "a", 0.5), RoleAlone, 0},
-		{"nobody known", nil, node("small-1", "a", 0.2), RoleAlone, 0},
-		{"cores not told", []roster.Member{{Name: "x"}, {Name: "y"}}, node("small-1", "a", 0.2), RoleAlone, 0},
+		{"small among large", newLargeAndSmallNodes(8, 56), newMember("small-1", "a", 0.2), RoleDelegator, 8},
+		{"large", newLargeAndSmallNodes(8, 56), newMember("large-1", "a", 0.8), RoleExecutor, 8},
+		{"between", append(newLargeAndSmallNodes(8, 56), newMember("middle-1", "a", 0.5)), newMember("middle-1", "a", 0.5), RoleStandalone, 8},
+		{"all alike", newLargeAndSmallNodes(0, 56), newMember("small-1", "a", 0.2), RoleStandalone, 0},
+		{"only one large", newLargeAndSmallNodes(1, 4), newMember("small-1", "a", 0.2), RoleDelegator, 1},
+		{"few for many", newLargeAndSmallNodes(2, 100), newMember("small-1", "a", 0.2), RoleDelegator, 2},
+		{"none small enough", []roster.Member{newMember("x-1", "a", 0.8), newMember("x-2", "a", 0.5)}, newMember("x-2", "a", 0.5), RoleStandalone, 0},
+		{"nobody known", nil, newMember("small-1", "a", 0.2), RoleStandalone, 0},
+		{"cores not told", []roster.Member{{Name: "x"}, {Name: "y"}}, newMember("small-1", "a", 0.2), RoleStandalone, 0},
 	} {
 		roles := Assign(test.self, test.members)
 		if roles.Self != test.role || len(roles.Executors) != test.executors {
--- a/internal/decide/executors/table.go
+++ b/internal/decide/executors/table.go
@@ -29,7 +29,7 @@
 const (
 	// watchedExecutors is how many executors a node keeps in touch with, beside those
 	// that are lost. Not measured: chosen as those of its zone and one of another.
-	watchedExecutors = 3
+	monitoredExecutors = 3
 	// MaxOffers is how many executors a request is offered to before the node runs
 	// it itself. Not measured: chosen because each refusal costs a round trip.
 	MaxOffers = 2
@@ -59,9 +59,9 @@
 	// Status is its last one.
 	Status Status
 	// knownAt is since when it is asked.
-	knownAt time.Duration
+	addedAt time.Duration
 	// latency is the mean of its requests, in seconds; zero without one.
-	latency float64
+	meanLatency float64
 }
 
 // Table holds the executors of a node, and chooses among them. It is not safe for
@@ -72,7 +72,7 @@
 	// preferred holds all executors, those first that this node prefers.
 	preferred []roster.Member
 	// watched are the first of them, so many that watchedExecutors are not lost.
-	watched []*Executor
+	monitored []*Executor
 }
 
 // NewTable returns a Table of a node that knows no executor yet.
@@ -90,47 +90,47 @@
 // Watch chooses the executors to keep in touch with: the preferred ones, and a
 // further one for each that is lost.
 func (t *Table) Watch(now time.Duration) {
-	known := make(map[string]*Executor, len(t.watched))
-	for _, one := range t.watched {
-		known[one.Name] = one
+	previous := make(map[string]*Executor, len(t.monitored))
+	for _, executor := range t.monitored {
+		previous[executor.Name] = executor
 	}
-	t.watched = t.watched[:0:0]
-	inTouch := 0
+	t.monitored = t.monitored[:0:0]
+	answering := 0
 	for _, member := range t.preferred {
-		if inTouch == watchedExecutors {
+		if answering == monitoredExecutors {
 			return
 		}
-		kept := known[member.Name]
-		if kept == nil || kept.Member != member {
-			kept = &Executor{Member: member, State: liveness.State{Weight: latencyWeight}, knownAt: now, Near: member.Zone == t.self.Zone}
+		executor := previous[member.Name]
+		if executor == nil || executor.Member != member {
+			executor = &Executor{Member: member, State: liveness.State{RoundTripWeight: latencyWeight}, addedAt: now, Near: member.Zone == t.self.Zone}
 		}
-		if !t.lost(now, kept) {
-			inTouch++
+		if !t.isLost(now, executor) {
+			answering++
 		}
-		t.watched = append(t.watched, kept)
+		t.monitored = append(t.monitored, executor)
 	}
 }
 
 // Watched returns the executors to keep in touch with.
-func (t *Table) Watched() []*Executor { return slices.Clone(t.watched) }
+func (t *Table) Watched() []*Executor { return slices.Clone(t.monitored) }
 
 // Len counts the executors to keep in touch with.
-func (t *Table) Len() int { return len(t.watched) }
+func (t *Table) Len() int { return len(t.monitored) }
 
 // Alive counts those of them that answer.
 func (t *Table) Alive() int {
-	return t.count(func(one *Executor) bool { return one.Alive() != nil })
+	return t.countMatching(func(executor *Executor) bool { return executor.Alive() != nil })
 }
 
 // Usable counts those of them that would take a request under the terms.
 func (t *Table) Usable(terms Terms) int {
-	return t.count(func(one *Executor) bool { return one.usable(terms) })
+	return t.countMatching(func(executor *Executor) bool { return executor.isUsable(terms) })
 }
 
-func (t *Table) count(counts func(*Executor) bool) int {
+func (t *Table) countMatching(matches func(*Executor) bool) int {
 	count := 0
-	for _, one := range t.watched {
-		if counts(one) {
+	for _, executor := range t.monitored {
+		if matches(executor) {
 			count++
 		}
 	}
@@ -139,8 +139,8 @@
 
 // lost reports whether an executor does not answer. One that was not asked for
 // long enough yet may be well.
-func (t *Table) lost(now time.Duration, one *Executor) bool {
-	return one.Alive() == nil && now-max(one.HeardAt, one.knownAt) > t.config.HeartbeatTimeout
+func (t *Table) isLost(now time.Duration, executor *Executor) bool {
+	return executor.Alive() == nil && now-max(executor.LastHeard, executor.addedAt) > t.config.HeartbeatTimeout
 }
 
 // Heard records the answer of an executor to a heartbeat, and reports whether it was
@@ -152,9 +152,9 @@
 
 // Expire counts those executors as lost that were not heard for the timeout.
 func (t *Table) Expire(now time.Duration) {
-	for _, one := range t.watched {
-		if one.Silent(now, t.config.HeartbeatTimeout) {
-			one.Lose()
+	for _, executor := range t.monitored {
+		if executor.IsSilent(now, t.config.HeartbeatTimeout) {
+			executor.Lose()
 		}
 	}
 }
@@ -164,12 +164,12 @@
 // flight, unless it is slow.
 func (t *Table) Choose(terms Terms, tried []*Executor) *Executor {
 	var best *Executor
-	for _, one := range t.watched {
-		if !one.usable(terms) || slices.Contains(tried, one) {
+	for _, candidate := range t.monitored {
+		if !candidate.isUsable(terms) || slices.Contains(tried, candidate) {
 			continue
 		}
-		if best == nil || one.before(best) {
-			best = one
+		if best == nil || candidate.preferredOver(best) {
+			best = candidate
 		}
 	}
 	return best
@@ -177,18 +177,18 @@
 
 // usable reports whether the executor is alive, and takes requests under the
 // terms.
-func (e *Executor) usable(terms Terms) bool {
+func (e *Executor) isUsable(terms Terms) bool {
 	return e.Alive() != nil && e.Status.Takes(terms)
 }
 
 // before reports whether a request should go to e rather than to other.
-func (e *Executor) before(other *Executor) bool {
+func (e *Executor) preferredOver(other *Executor) bool {
 	switch {
 	case e.Near != other.Near:
 		return e.Near
-	case e.latency > 0 && other.latency > 0 && e.latency > slowFactor*other.latency:
+	case e.meanLatency > 0 && other.meanLatency > 0 && e.meanLatency > slowFactor*other.meanLatency:
 		return false
-	case e.latency > 0 && other.latency > 0 && other.latency > slowFactor*e.latency:
+	case e.meanLatency > 0 && other.meanLatency > 0 && other.meanLatency > slowFactor*e.meanLatency:
 		return true
 	default:
 		return e.InFlight < other.InFlight
@@ -201,8 +201,8 @@
 
 // Completed records the time that a request took.
 func (e *Executor) Completed(took time.Duration) {
-	if e.latency == 0 {
-		e.latency = took.Seconds()
+	if e.meanLatency == 0 {
+		e.meanLatency = took.Seconds()
 	}
-	e.latency += latencyWeight * (took.Seconds() - e.latency)
+	e.meanLatency += latencyWeight * (took.Seconds() - e.meanLatency)
 }
--- a/internal/decide/executors/table_test.go
+++ b/internal/decide/executors/table_test.go
@@ -8,15 +8,15 @@
 
 // TestWatchedSpreadOverExecutors keeps in touch with those of the zone, and with
 // others, not all nodes with the same.
-func TestWatchedSpreadOverExecutors(t *testing.T) {
-	members := fleet(8, 56)
+func TestMonitoredExecutorsSpreadOverFleet(t *testing.T) {
+	members := newLargeAndSmallNodes(8, 56)
 	executors := Assign(members[10], members).Executors
 	asked := make(map[string]int)
 	for _, self := range members[8:] {
 		table := NewTable(DefaultConfig(), self)
 		table.Replace(0, executors)
-		chosen := table.watched
-		if len(chosen) != watchedExecutors || chosen[0].Zone != self.Zone || chosen[1].Zone != self.Zone {
+		chosen := table.monitored
+		if len(chosen) != monitoredExecutors || chosen[0].Zone != self.Zone || chosen[1].Zone != self.Zone {
 			t.Fatalf("%s watches %+v", self.Name, chosen)
 		}
 		asked[chosen[2].Name]++
@@ -28,38 +28,38 @@
 
 // TestFurtherExecutorsTakeThePlaceOfLostOnes, so that a small node runs queries of
 // many shards only when all executors are away, and they go back when it is over.
-func TestFurtherExecutorsTakeThePlaceOfLostOnes(t *testing.T) {
-	members := fleet(8, 8)
+func TestLostExecutorsAreReplacedInMonitoredSet(t *testing.T) {
+	members := newLargeAndSmallNodes(8, 8)
 	self := members[10]
 	executors := Assign(self, members).Executors
 	table := NewTable(DefaultConfig(), self)
 	table.Replace(0, executors)
 	now := time.Duration(0)
 	names := func() (names []string) {
-		for _, one := range table.watched {
-			names = append(names, one.Name)
+		for _, executor := range table.monitored {
+			names = append(names, executor.Name)
 		}
 		return names
 	}
-	beat := func(answers func(name string) bool) {
+	heartbeat := func(answers func(name string) bool) {
 		now += table.config.HeartbeatInterval
 		table.Expire(now)
 		table.Watch(now)
-		for _, one := range table.watched {
-			if answers(one.Name) {
-				table.Heard(now, 0, one, Status{Accepting: true})
+		for _, executor := range table.monitored {
+			if answers(executor.Name) {
+				table.Heard(now, 0, executor, Status{Accepting: true})
 			}
 		}
 	}
 	first := names()
 	for range 20 {
-		beat(func(name string) bool { return name != first[0] && name != first[1] && name != first[2] })
+		heartbeat(func(name string) bool { return name != first[0] && name != first[1] && name != first[2] })
 	}
-	if chosen := table.Choose(Terms{}, nil); len(table.watched) != 2*watchedExecutors || chosen == nil {
+	if chosen := table.Choose(Terms{}, nil); len(table.monitored) != 2*monitoredExecutors || chosen == nil {
 		t.Fatalf("watches %v", names())
 	}
 	for range 20 {
-		beat(func(string) bool { return true })
+		heartbeat(func(string) bool { return true })
 	}
 	if got := names(); fmt.Sprint(got) != fmt.Sprint(first) {
 		t.Errorf("watches %v, at first %v", got, first)
--- a/internal/decide/executors/terms.go
+++ b/internal/decide/executors/terms.go
@@ -35,10 +35,10 @@
 
 // Takes reports whether an executor of a status takes requests under the terms.
 func (s Status) Takes(terms Terms) bool {
-	return s.Accepting && s.Version == terms.Version && (s.Fresh || !terms.Fresh) && s.knows(terms.Cordoned)
+	return s.Accepting && s.Version == terms.Version && (s.Fresh || !terms.Fresh) && s.knowsCordoned(terms.Cordoned)
 }
 
 // knows reports whether the executor knows that zones are out of service.
-func (s Status) knows(cordoned []string) bool {
+func (s Status) knowsCordoned(cordoned []string) bool {
 	return !slices.ContainsFunc(cordoned, func(zone string) bool { return !slices.Contains(s.Cordoned, zone) })
 }
--- a/internal/decide/hedge/budget.go
+++ b/internal/decide/hedge/budget.go
@@ -61,18 +61,18 @@
 // Budget is a token bucket filled by needed attempts, and by time, and emptied by
 // extra ones: hedges, probes and retries alike.
 type Budget struct {
-	config BudgetConfig
-	tokens float64
-	at     time.Duration // of the last Pass
+	config     BudgetConfig
+	tokens     float64
+	refilledAt time.Duration // of the last Pass
 }
 
 // NewBudget returns a Budget with its initial tokens.
 func NewBudget(config BudgetConfig) Budget {
-	return Budget{config: config, tokens: min(config.Initial, config.Capacity), at: never}
+	return Budget{config: config, tokens: min(config.Initial, config.Capacity), refilledAt: neverRefilled}
 }
 
 // never is the time of the last Pass before the first.
-const never time.Duration = -1
+const neverRefilled time.Duration = -1
 
 // Bounds are the parts of a BudgetConfig that change while a Budget is in use.
 type Bounds struct{ Initial, Capacity, Reserve, Refill float64 }
@@ -97,20 +97,20 @@
 
 // Pass adds the tokens that come with time, up to now, since it was called last.
 func (b *Budget) Pass(now time.Duration) {
-	if b.at == never {
-		b.at = now
+	if b.refilledAt == neverRefilled {
+		b.refilledAt = now
 	}
-	if now <= b.at {
+	if now <= b.refilledAt {
 		return
 	}
-	b.tokens = min(b.tokens+b.config.Refill*(now-b.at).Seconds(), max(b.config.Capacity, b.tokens))
-	b.at = now
+	b.tokens = min(b.tokens+b.config.Refill*(now-b.refilledAt).Seconds(), max(b.config.Capacity, b.tokens))
+	b.refilledAt = now
 }
 
 // SpendHedge takes one token for a hedge or a probe, if more than the reserve
 // is left.
 func (b *Budget) SpendHedge() bool {
-	b.draw()
+	b.settleFraction()
 	if b.config.Capacity < 1 {
 		return b.SpendRetry(1)
 	}
@@ -123,7 +123,7 @@
 
 // draw turns a part of a token into a whole one or nothing, by chance, if the
 // budget cannot hold a whole one.
-func (b *Budget) draw() {
+func (b *Budget) settleFraction() {
 	if b.config.Capacity >= 1 || b.config.Chance == nil || b.tokens <= 0 || b.tokens >= 1 {
 		return
 	}
@@ -137,7 +137,7 @@
 // CanRetry reports whether SpendRetry would succeed. If the budget holds less
 // than a token, it may lose it by that; see BudgetConfig.Chance.
 func (b *Budget) CanRetry() bool {
-	b.draw()
+	b.settleFraction()
 	return b.tokens-1 >= -b.config.Debt
 }
 
--- a/internal/decide/hedge/chance_test.go
+++ b/internal/decide/hedge/fractional_test.go
@@ -10,7 +10,7 @@
 // TestManySmallBudgetsSpendTheirSum gives many nodes less than a token each,
 // and lets all of them want several attempts at once: together they spend
 // about the sum, and never much more.
-func TestManySmallBudgetsSpendTheirSum(t *testing.T) {
+func TestFractionalBudgetsSpendTheirSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		nodes := rapid.IntRange(60, 1000).Draw(t, "nodes")
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestWholeBudgetsAreNotLeftToChance(t *testing.T) {
+func TestBudgetOfOneTokenOrMoreIsNotRandomised(t *testing.T) {
 	config := DefaultBudgetConfig()
 	config.Initial, config.Debt = 0.9, 0
 	config.Chance = func() float64 { return 0 }
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestHedgesNeverExceedWhatWasEarned(t *testing.T) {
+func TestHedgesStayWithinEarnedTokens(t *testing.T) {
 	const share = 0.03
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultBudgetConfig()
@@ -64,18 +64,18 @@
 	}
 }
 
-func TestQuantilesAreCloseFromAbove(t *testing.T) {
+func TestQuantileBoundsExactValueFromAbove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		micros := rapid.SliceOfN(rapid.IntRange(0, 100_000_000), 1, 300).Draw(t, "latencies")
+		latencies := rapid.SliceOfN(rapid.IntRange(0, 100_000_000), 1, 300).Draw(t, "latencies")
 		quantile := rapid.Float64Range(0.01, 0.99).Draw(t, "quantile")
 		var quantiles Quantiles
-		for _, value := range micros {
+		for _, value := range latencies {
 			quantiles.Add(time.Duration(value) * time.Microsecond)
 		}
-		slices.Sort(micros)
+		slices.Sort(latencies)
 		exact := 0
-		for rank, value := range micros {
-			if float64(rank+1) >= quantile*float64(len(micros)) {
+		for rank, value := range latencies {
+			if float64(rank+1) >= quantile*float64(len(latencies)) {
 				exact = value
 				break
 			}
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestQuantilesForget(t *testing.T) {
+func TestOldLatenciesDecay(t *testing.T) {
 	var quantiles Quantiles
 	for range 1000 {
 		quantiles.Add(time.Second)
@@ -102,7 +102,7 @@
 
 // TestTokensComeWithTime, up to the capacity: in any window, no more is spent than
 // the capacity and what came in the window.
-func TestTokensComeWithTime(t *testing.T) {
+func TestTokensRefillOverTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		config := BudgetConfig{Capacity: 5, Initial: 5, Refill: 0.4}
--- a/internal/decide/hedge/quantiles.go
+++ b/internal/decide/hedge/quantiles.go
@@ -62,15 +62,15 @@
 }
 
 func (q *Quantiles) compute(quantile float64) time.Duration {
-	wanted := quantile * q.total
+	targetCount := quantile * q.total
 	sum := 0.0
 	for bucket, count := range q.counts {
 		sum += count
-		if sum >= wanted && count > 0 {
-			return upperBound(bucket)
+		if sum >= targetCount && count > 0 {
+			return bucketUpperBound(bucket)
 		}
 	}
-	return upperBound(bucketCount - 1)
+	return bucketUpperBound(bucketCount - 1)
 }
 
 func (q *Quantiles) halve() {
@@ -84,19 +84,19 @@
 // bucketOf returns the bucket of a latency: the first bucketsPerOctave are one
 // microsecond wide, and the width doubles with each octave after them.
 func bucketOf(latency time.Duration) int {
-	micros := uint64(max(latency, 0) / time.Microsecond)
-	if micros < bucketsPerOctave {
-		return int(micros)
+	microseconds := uint64(max(latency, 0) / time.Microsecond)
+	if microseconds < bucketsPerOctave {
+		return int(microseconds)
 	}
-	octave := bits.Len64(micros) - octaveBits // from 1
-	within := int(micros>>(octave-1)) - bucketsPerOctave
-	return min(octave*bucketsPerOctave+within, bucketCount-1)
+	octave := bits.Len64(microseconds) - octaveBits // from 1
+	offset := int(microseconds>>(octave-1)) - bucketsPerOctave
+	return min(octave*bucketsPerOctave+offset, bucketCount-1)
 }
 
-func upperBound(bucket int) time.Duration {
-	octave, within := bucket/bucketsPerOctave, bucket%bucketsPerOctave
+func bucketUpperBound(bucket int) time.Duration {
+	octave, offset := bucket/bucketsPerOctave, bucket%bucketsPerOctave
 	if octave == 0 {
-		return time.Duration(within+1) * time.Microsecond
+		return time.Duration(offset+1) * time.Microsecond
 	}
-	return time.Duration(bucketsPerOctave+within+1) << (octave - 1) * time.Microsecond
+	return time.Duration(bucketsPerOctave+offset+1) << (octave - 1) * time.Microsecond
 }
--- a/internal/decide/leafanswer/leafanswer_test.go
+++ b/internal/decide/leafanswer/leafanswer_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestUsable(t *testing.T) {
+func TestAnswerUsable(t *testing.T) {
 	for _, test := range []struct {
 		answer Answer
 		want   bool
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -57,11 +57,11 @@
 
 // Limiter is the limit of one leaf. The zero value is not usable; see New.
 type Limiter struct {
-	config      *Config
-	slots       int
-	limit       float64
-	starting    bool
-	nextReduced time.Duration
+	config        *Config
+	slots         int
+	limit         float64
+	slowStart     bool
+	nextReduction time.Duration
 }
 
 // New returns a Limiter for a leaf with the given slots. It keeps config.
@@ -76,13 +76,13 @@
 // Resize sets the number of slots; fewer than one counts as one.
 func (l *Limiter) Resize(slots int) {
 	l.slots = max(slots, 1)
-	l.limit = min(l.limit, l.ceiling())
+	l.limit = min(l.limit, l.maxLimit())
 }
 
 // Restart forgets what was learned, after the leaf restarted.
 func (l *Limiter) Restart(cold bool) {
 	l.limit = float64(l.slots)
-	l.starting = cold
+	l.slowStart = cold
 	if cold {
 		l.limit = 1
 	}
@@ -100,13 +100,13 @@
 		l.reduce(now, l.config.QueueBackoff)
 		return
 	}
-	if l.starting {
-		l.limit = min(l.limit+1, l.ceiling())
-		l.starting = l.limit < float64(l.slots)
+	if l.slowStart {
+		l.limit = min(l.limit+1, l.maxLimit())
+		l.slowStart = l.limit < float64(l.slots)
 		return
 	}
 	if inFlight >= l.Current() {
-		l.limit = min(l.limit+l.config.Growth/l.limit, l.ceiling())
+		l.limit = min(l.limit+l.config.Growth/l.limit, l.maxLimit())
 	}
 }
 
@@ -116,14 +116,14 @@
 }
 
 func (l *Limiter) reduce(now time.Duration, factor float64) {
-	if now < l.nextReduced {
+	if now < l.nextReduction {
 		return
 	}
-	l.nextReduced = now + l.config.Pause
+	l.nextReduction = now + l.config.Pause
 	l.limit = max(l.limit*factor, 1)
-	l.starting = false
+	l.slowStart = false
 }
 
-func (l *Limiter) ceiling() float64 {
+func (l *Limiter) maxLimit() float64 {
 	return float64(l.slots + l.config.Headroom)
 }
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -35,7 +35,7 @@
 }
 
 // Four nodes that always want more than their limit share a leaf.
-func TestNodesConvergeToShares(t *testing.T) {
+func TestLimitsConvergeToSharesOfSlots(t *testing.T) {
 	const nodes, slots = 4, 5
 	config := DefaultConfig()
 	limiters := make([]Limiter, nodes)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestColdLeafStartsWithOne(t *testing.T) {
+func TestColdLeafLimitStartsAtOne(t *testing.T) {
 	config := DefaultConfig()
 	limiter := New(&config, 4, true)
 	for want := 1; want <= 4; want++ {
--- a/internal/decide/linger/linger.go
+++ b/internal/decide/linger/linger.go
@@ -20,9 +20,9 @@
 
 // Time returns for how long an attempt that is not wanted any more goes on; zero if it is
 // cancelled at once.
-func Time(allowed time.Duration, overdue bool) time.Duration {
+func Time(configured time.Duration, overdue bool) time.Duration {
 	if overdue {
 		return 0
 	}
-	return allowed
+	return configured
 }
--- a/internal/decide/linger/linger_test.go
+++ b/internal/decide/linger/linger_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTime(t *testing.T) {
+func TestLingerTime(t *testing.T) {
 	for _, test := range []struct {
 		allowed time.Duration
 		overdue bool
--- a/internal/decide/liveness/state.go
+++ b/internal/decide/liveness/state.go
@@ -24,14 +24,14 @@
 // until it answers one. A State is not safe for concurrent use.
 type State struct {
 	// Weight is that of one answer in RoundTrip, from 0 to 1.
-	Weight float64
+	RoundTripWeight float64
 	// HeardAt is when it last answered; zero if it never did.
-	HeardAt time.Duration
+	LastHeard time.Duration
 	// RoundTrip is the mean time of a heartbeat and its answer.
 	RoundTrip time.Duration
 
-	alive context.Context
-	end   context.CancelFunc
+	alive  context.Context
+	cancel context.CancelFunc
 }
 
 // Alive returns a context that ends when the node is taken to be lost; nil while
@@ -40,7 +40,7 @@
 
 // Heard takes in any message of the node. It does not bring a lost node back.
 func (s *State) Heard(now time.Duration) {
-	s.HeardAt = max(s.HeardAt, now, 1)
+	s.LastHeard = max(s.LastHeard, now, 1)
 }
 
 // Answered takes in the answer to a heartbeat, which brings a lost node back. It reports
@@ -50,17 +50,17 @@
 	if s.RoundTrip == 0 {
 		s.RoundTrip = roundTrip
 	}
-	s.RoundTrip += time.Duration(s.Weight * float64(roundTrip-s.RoundTrip))
+	s.RoundTrip += time.Duration(s.RoundTripWeight * float64(roundTrip-s.RoundTrip))
 	if s.alive != nil {
 		return false
 	}
-	s.alive, s.end = context.WithCancel(context.Background())
+	s.alive, s.cancel = context.WithCancel(context.Background())
 	return true
 }
 
 // Silent reports whether nothing was received for longer than a time.
-func (s *State) Silent(now, timeout time.Duration) bool {
-	return now-s.HeardAt > timeout
+func (s *State) IsSilent(now, timeout time.Duration) bool {
+	return now-s.LastHeard > timeout
 }
 
 // Lose takes the node to be lost, with the calls that it has in flight: it ends the
@@ -69,14 +69,14 @@
 	if s.alive == nil {
 		return false
 	}
-	s.end()
+	s.cancel()
 	s.alive = nil
 	return true
 }
 
 // Avoid is like Lose, but the calls that the node has in flight go on.
 func (s *State) Avoid() bool {
-	known := s.alive != nil
+	wasAlive := s.alive != nil
 	s.alive = nil
-	return known
+	return wasAlive
 }
--- a/internal/decide/liveness/state_test.go
+++ b/internal/decide/liveness/state_test.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-func TestPeerIsLostAndComesBack(t *testing.T) {
-	p := State{Weight: 0.5}
-	if p.Alive() != nil || p.Lose() || p.Avoid() {
+func TestPeerLossAndRecovery(t *testing.T) {
+	state := State{RoundTripWeight: 0.5}
+	if state.Alive() != nil || state.Lose() || state.Avoid() {
 		t.Fatal("a peer is alive that never answered")
 	}
-	if p.Heard(time.Second); p.Alive() != nil {
+	if state.Heard(time.Second); state.Alive() != nil {
 		t.Error("a sign of life brought it back")
 	}
-	if !p.Answered(time.Second, time.Millisecond) || p.Answered(2*time.Second, 3*time.Millisecond) {
+	if !state.Answered(time.Second, time.Millisecond) || state.Answered(2*time.Second, 3*time.Millisecond) {
 		t.Error("it came back not once")
 	}
-	if p.RoundTrip != 2*time.Millisecond || p.HeardAt != 2*time.Second {
-		t.Errorf("%+v", p)
+	if state.RoundTrip != 2*time.Millisecond || state.LastHeard != 2*time.Second {
+		t.Errorf("%+v", state)
 	}
-	if p.Silent(3*time.Second, time.Second) || !p.Silent(3*time.Second+1, time.Second) {
+	if state.IsSilent(3*time.Second, time.Second) || !state.IsSilent(3*time.Second+1, time.Second) {
 		t.Error("silent at the wrong time")
 	}
-	alive := p.Alive()
-	if !p.Lose() || alive.Err() == nil || p.Alive() != nil {
+	alive := state.Alive()
+	if !state.Lose() || alive.Err() == nil || state.Alive() != nil {
 		t.Error("it is not lost")
 	}
 }
 
-func TestAvoidedPeerFinishes(t *testing.T) {
-	p := State{Weight: 0.5}
-	p.Answered(1, 1)
-	alive := p.Alive()
-	if !p.Avoid() || p.Alive() != nil || alive.Err() != nil {
+func TestAvoidKeepsCallsInFlight(t *testing.T) {
+	state := State{RoundTripWeight: 0.5}
+	state.Answered(1, 1)
+	alive := state.Alive()
+	if !state.Avoid() || state.Alive() != nil || alive.Err() != nil {
 		t.Error("what it has in hand was ended")
 	}
-	if !p.Answered(2, 1) || p.Alive() == nil {
+	if !state.Answered(2, 1) || state.Alive() == nil {
 		t.Error("it did not come back")
 	}
 }
--- a/internal/decide/once/clock.go
+++ b/internal/decide/once/clock.go
@@ -17,12 +17,12 @@
 	last Reading
 	// latest is the latest time of day that the machine can believe in: the
 	// highest seen, moved on by the monotonic time since.
-	latest time.Time
+	latestWall time.Time
 }
 
 func newClock(now Reading) clock {
 	wall := withoutMonotonic(now.Wall)
-	return clock{last: Reading{Wall: wall, Monotonic: now.Monotonic}, latest: wall}
+	return clock{last: Reading{Wall: wall, Monotonic: now.Monotonic}, latestWall: wall}
 }
 
 // observe takes a reading. It reports whether the time of day ran ahead of the
@@ -31,9 +31,9 @@
 	wall = withoutMonotonic(now.Wall)
 	elapsed := max(now.Monotonic-c.last.Monotonic, 0)
 	jumpedAhead = wall.Sub(c.last.Wall)-elapsed > tolerance
-	c.latest = c.latest.Add(elapsed)
-	if wall.After(c.latest) {
-		c.latest = wall
+	c.latestWall = c.latestWall.Add(elapsed)
+	if wall.After(c.latestWall) {
+		c.latestWall = wall
 	}
 	c.last = Reading{Wall: wall, Monotonic: max(now.Monotonic, c.last.Monotonic)}
 	return wall, jumpedAhead
--- a/internal/decide/once/decision.go
+++ b/internal/decide/once/decision.go
@@ -65,10 +65,10 @@
 
 func timeOf(id ulid.ULID) milliseconds { return milliseconds(id.Time()) }
 
-func floor(wall time.Time) milliseconds { return milliseconds(wall.UnixMilli()) }
+func floorMilliseconds(wall time.Time) milliseconds { return milliseconds(wall.UnixMilli()) }
 
 // ceiling rounds up, so that a bound on ids is never too low.
-func ceiling(wall time.Time) milliseconds {
+func ceilMilliseconds(wall time.Time) milliseconds {
 	return milliseconds(wall.Add(time.Millisecond - 1).UnixMilli())
 }
 
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -51,20 +51,20 @@
 	// Capacity is the number of ids that are remembered at most.
 	Capacity int
 
-	disabled mechanisms
+	disabled disabledMechanisms
 }
 
 // mechanisms names parts of the ledger that tests switch off, to see the proof
 // of each fail.
-type mechanisms struct {
-	fence        bool
-	dropBound    bool
-	latestClock  bool
-	jumpFence    bool
-	suspension   bool
-	futureBound  bool
-	honestRefuse bool
-	holds        bool
+type disabledMechanisms struct {
+	fence          bool
+	droppedBound   bool
+	latestClock    bool
+	jumpFence      bool
+	suspension     bool
+	futureBound    bool
+	mayHaveRun     bool
+	ownershipCheck bool
 }
 
 // DefaultConfig returns the values of docs/design/0005-at-most-once.md. None is measured:
@@ -89,8 +89,8 @@
 	fence milliseconds
 	// dropped is the highest time of an id that was let through here and is
 	// not remembered any more.
-	dropped   milliseconds
-	suspended bool
+	maxDropped milliseconds
+	suspended  bool
 	// ownership counts the calls of Suspend and Reset.
 	ownership uint64
 }
@@ -107,13 +107,13 @@
 // has checked that this node is the owner of the id.
 func (l *Ledger[Outcome]) Begin(now Reading, id ulid.ULID) Decision[Outcome] {
 	wall := l.observe(now)
-	if record, found := l.records.find(id); found {
+	if record, exists := l.records.find(id); exists {
 		if record.finished {
 			return Decision[Outcome]{Kind: Replay, Ownership: l.ownership, Outcome: record.outcome}
 		}
 		return Decision[Outcome]{Kind: InProgress, Ownership: l.ownership}
 	}
-	if refusal, refused := l.refuse(wall, timeOf(id)); refused {
+	if refusal, refused := l.checkRefusal(wall, timeOf(id)); refused {
 		return refusal
 	}
 	l.records.add(id)
@@ -124,7 +124,7 @@
 // lasts. A node that slept through a change of the voter set and is fresh
 // again may not act on what it decided before.
 func (l *Ledger[Outcome]) Holds(decision Decision[Outcome]) bool {
-	return decision.Ownership == l.ownership || l.config.disabled.holds
+	return decision.Ownership == l.ownership || l.config.disabled.ownershipCheck
 }
 
 // Finish records what came of a submission that was let through, also if that
@@ -156,7 +156,7 @@
 // every second or so.
 func (l *Ledger[Outcome]) Expire(now Reading) {
 	wall := l.observe(now)
-	l.drop(wall)
+	l.dropExpired(wall)
 }
 
 // Length returns the number of ids that are remembered.
@@ -170,7 +170,7 @@
 func (l *Ledger[Outcome]) observe(now Reading) (wall time.Time) {
 	wall, jumpedAhead := l.clock.observe(now, l.config.ClockDifference)
 	if l.config.disabled.latestClock {
-		l.clock.latest = wall
+		l.clock.latestWall = wall
 	}
 	if jumpedAhead && !l.config.disabled.jumpFence {
 		l.raiseFence()
@@ -186,12 +186,12 @@
 		return
 	}
 	margin := l.config.Freshness + l.config.Skew + l.config.ClockDifference
-	l.fence = max(l.fence, ceiling(l.clock.latest.Add(margin)))
+	l.fence = max(l.fence, ceilMilliseconds(l.clock.latestWall.Add(margin)))
 }
 
-func (l *Ledger[Outcome]) drop(wall time.Time) {
-	highest, some := l.records.dropThrough(floor(wall.Add(-l.config.Window)))
-	if some && !l.config.disabled.dropBound {
-		l.dropped = max(l.dropped, highest)
+func (l *Ledger[Outcome]) dropExpired(wall time.Time) {
+	highest, droppedAny := l.records.dropBuckets(floorMilliseconds(wall.Add(-l.config.Window)))
+	if droppedAny && !l.config.disabled.droppedBound {
+		l.maxDropped = max(l.maxDropped, highest)
 	}
 }
--- a/internal/decide/once/owner.go
+++ b/internal/decide/once/owner.go
@@ -12,7 +12,7 @@
 func Owner(voters []string, id ulid.ULID) string {
 	owner, highest := "", uint64(0)
 	for _, voter := range voters {
-		weight := weightOf(voter, id)
+		weight := hashWeight(voter, id)
 		if owner == "" || weight > highest || (weight == highest && voter < owner) {
 			owner, highest = voter, weight
 		}
@@ -20,7 +20,7 @@
 	return owner
 }
 
-func weightOf(voter string, id ulid.ULID) uint64 {
+func hashWeight(voter string, id ulid.ULID) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.Write(id[:])
--- a/internal/decide/once/records.go
+++ b/internal/decide/once/records.go
@@ -29,8 +29,8 @@
 func (r *records[Outcome]) length() int { return len(r.byID) }
 
 func (r *records[Outcome]) find(id ulid.ULID) (*record[Outcome], bool) {
-	found, known := r.byID[id]
-	return found, known
+	record, exists := r.byID[id]
+	return record, exists
 }
 
 func (r *records[Outcome]) add(id ulid.ULID) {
@@ -40,16 +40,16 @@
 }
 
 func (r *records[Outcome]) finish(id ulid.ULID, outcome Outcome) {
-	if found, known := r.byID[id]; known && !found.finished {
-		found.finished = true
-		found.outcome = outcome
+	if record, exists := r.byID[id]; exists && !record.finished {
+		record.finished = true
+		record.outcome = outcome
 	}
 }
 
 // release forgets an id that is not finished.
 func (r *records[Outcome]) release(id ulid.ULID) {
-	found, known := r.byID[id]
-	if !known || found.finished {
+	record, exists := r.byID[id]
+	if !exists || record.finished {
 		return
 	}
 	delete(r.byID, id)
@@ -63,20 +63,20 @@
 
 // dropThrough forgets the finished ids of the buckets that end at or before
 // the given time, and returns the highest time of those forgotten.
-func (r *records[Outcome]) dropThrough(end milliseconds) (highest milliseconds, some bool) {
+func (r *records[Outcome]) dropBuckets(end milliseconds) (highest milliseconds, droppedAny bool) {
 	for bucket, ids := range r.buckets {
 		if (bucket+1)*bucketWidth > end {
 			continue
 		}
 		var kept []ulid.ULID
 		for _, id := range ids {
-			found, known := r.byID[id]
+			record, exists := r.byID[id]
 			switch {
-			case known && !found.finished:
+			case exists && !record.finished:
 				kept = append(kept, id)
-			case known:
+			case exists:
 				delete(r.byID, id)
-				highest, some = max(highest, timeOf(id)), true
+				highest, droppedAny = max(highest, timeOf(id)), true
 			}
 		}
 		if len(kept) > 0 {
@@ -85,15 +85,15 @@
 			delete(r.buckets, bucket)
 		}
 	}
-	return highest, some
+	return highest, droppedAny
 }
 
 // oldest returns the start of the oldest bucket; 0 if there is none.
-func (r *records[Outcome]) oldest() milliseconds {
-	oldest, some := milliseconds(0), false
+func (r *records[Outcome]) oldestBucketStart() milliseconds {
+	oldest, exists := milliseconds(0), false
 	for bucket := range r.buckets {
-		if start := bucket * bucketWidth; !some || start < oldest {
-			oldest, some = start, true
+		if start := bucket * bucketWidth; !exists || start < oldest {
+			oldest, exists = start, true
 		}
 	}
 	return oldest
--- /dev/null
+++ b/internal/decide/once/refusal.go
@@ -0,0 +1,50 @@
+package once
+
+import "time"
+
+// refuse decides about an id that is not known here.
+func (l *Ledger[Outcome]) checkRefusal(wall time.Time, minted milliseconds) (Decision[Outcome], bool) {
+	switch {
+	case l.suspended:
+		return l.newRefusal(ReasonSuspended, true, 0), true
+	case minted <= l.fence:
+		return l.newRefusal(ReasonFenced, true, (l.fence - floorMilliseconds(wall) + 1).duration()), true
+	case minted <= l.maxDropped:
+		return l.newRefusal(ReasonTooOld, true, 0), true
+	}
+	// No owner has let the id through: from here on it ran nowhere.
+	latest := floorMilliseconds(wall.Add(l.config.Skew))
+	switch {
+	case minted <= floorMilliseconds(wall.Add(-l.config.Window)):
+		return l.newRefusal(ReasonTooOld, false, 0), true
+	case minted > latest && !l.config.disabled.futureBound:
+		return l.newRefusal(ReasonFuture, false, (minted - latest).duration()), true
+	case l.isFull(wall):
+		return l.newRefusal(ReasonFull, false, l.untilExpiry(wall)), true
+	}
+	return Decision[Outcome]{}, false
+}
+
+func (l *Ledger[Outcome]) newRefusal(reason Reason, mayHaveRun bool, retryAfter time.Duration) Decision[Outcome] {
+	if l.config.disabled.mayHaveRun {
+		mayHaveRun = false
+	}
+	return Decision[Outcome]{
+		Kind: Refuse, Reason: reason, Ownership: l.ownership,
+		MayHaveRun: mayHaveRun, RetryAfter: max(retryAfter, 0),
+	}
+}
+
+func (l *Ledger[Outcome]) isFull(wall time.Time) bool {
+	if l.records.length() < l.config.Capacity {
+		return false
+	}
+	l.dropExpired(wall)
+	return l.records.length() >= l.config.Capacity
+}
+
+// untilExpiry is when the oldest id is forgotten, at least one second.
+func (l *Ledger[Outcome]) untilExpiry(wall time.Time) time.Duration {
+	oldest := l.records.oldestBucketStart()
+	return max((oldest - floorMilliseconds(wall.Add(-l.config.Window))).duration(), time.Second)
+}
--- a/internal/decide/presend/presend_test.go
+++ b/internal/decide/presend/presend_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestDecide(t *testing.T) {
+func TestPresendVerdicts(t *testing.T) {
 	notFresh := errors.New("not fresh")
 	for _, test := range []struct {
 		state State
--- a/internal/decide/recordfloor/recordfloor.go
+++ b/internal/decide/recordfloor/recordfloor.go
@@ -24,25 +24,25 @@
 	// factor and margin say how many records are expected not to be below a floor:
 	// factor times those of an answer, and the margin. Not measured by themselves, as
 	// Samples.
-	factor = 1.5
-	margin = 5
+	rankFactor = 1.5
+	rankMargin = 5
 )
 
 // Rank returns which of the greatest records of some whole parts, counted from 1, makes
 // the sample of an answer of k records from all parts.
-func Rank(k, whole, all int) int {
-	expected := (factor*float64(k) + margin) * float64(whole) / float64(all)
+func Rank(k, complete, total int) int {
+	expected := (rankFactor*float64(k) + rankMargin) * float64(complete) / float64(total)
 	return int(expected) + 1
 }
 
 // Estimator holds the samples of each kind of request. It is not safe for concurrent
 // use.
 type Estimator struct {
-	kinds map[string]*ring
+	kinds map[string]*sampleRing
 }
 
 // ring holds the last samples of a kind.
-type ring struct {
+type sampleRing struct {
 	samples [Samples][]byte
 	next    int
 	count   int
@@ -50,36 +50,36 @@
 
 // NewEstimator returns an Estimator without samples.
 func NewEstimator() *Estimator {
-	return &Estimator{kinds: make(map[string]*ring)}
+	return &Estimator{kinds: make(map[string]*sampleRing)}
 }
 
 // Floor returns the floor of a kind; nil if too little is known.
 func (e *Estimator) Floor(kind string) []byte {
-	known := e.kinds[kind]
-	if known == nil || known.count < Samples {
+	ring := e.kinds[kind]
+	if ring == nil || ring.count < Samples {
 		return nil
 	}
-	least := known.samples[0]
-	for _, sample := range known.samples[1:] {
-		if bytes.Compare(sample, least) < 0 {
-			least = sample
+	lowest := ring.samples[0]
+	for _, sample := range ring.samples[1:] {
+		if bytes.Compare(sample, lowest) < 0 {
+			lowest = sample
 		}
 	}
-	return least
+	return lowest
 }
 
 // Learn takes in the sample of an answer; nil if it has none. Missed says that records
 // were left out that counted: the samples before it are dropped.
 func (e *Estimator) Learn(kind string, sample []byte, missed bool) {
-	known := e.kinds[kind]
-	if known == nil || missed {
-		known = &ring{}
-		e.kinds[kind] = known
+	ring := e.kinds[kind]
+	if ring == nil || missed {
+		ring = &sampleRing{}
+		e.kinds[kind] = ring
 	}
 	if sample == nil {
 		return
 	}
-	known.samples[known.next] = sample
-	known.next = (known.next + 1) % Samples
-	known.count = min(known.count+1, Samples)
+	ring.samples[ring.next] = sample
+	ring.next = (ring.next + 1) % Samples
+	ring.count = min(ring.count+1, Samples)
 }
--- a/internal/decide/recordfloor/recordfloor_test.go
+++ b/internal/decide/recordfloor/recordfloor_test.go
@@ -4,7 +4,7 @@
 
 // TestFloorIsTheLeastOfTheLastSamples, and there is none before there are enough, or
 // after records were missed.
-func TestFloorIsTheLeastOfTheLastSamples(t *testing.T) {
+func TestFloorIsLowestOfRecentSamples(t *testing.T) {
 	estimator := NewEstimator()
 	for sample := range byte(Samples) {
 		if got := estimator.Floor("kind"); got != nil {
@@ -28,7 +28,7 @@
 
 // TestRankIsThePartOfTheWholeParts: 1.5 times the records of an answer, and 5 more, are
 // expected in all parts.
-func TestRankIsThePartOfTheWholeParts(t *testing.T) {
+func TestRankScalesWithCompleteParts(t *testing.T) {
 	for _, test := range []struct{ k, whole, all, want int }{
 		{50, 30, 30, 81}, {50, 10, 30, 27}, {1, 1, 1, 7},
 	} {
--- a/internal/decide/removal/removal_test.go
+++ b/internal/decide/removal/removal_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestRemovalsAreDoubtedWhileTheStoreSettles, but for a leaf that drains.
-func TestRemovalsAreDoubtedWhileTheStoreSettles(t *testing.T) {
+func TestGracePeriodAppliesAfterStoreOutage(t *testing.T) {
 	rule := NewRule(Config{Doubt: 2 * time.Second, Settling: 3 * time.Second})
 	if _, doubted := rule.UsedUntil(time.Second, false); doubted {
 		t.Error("doubted without an outage")
--- a/internal/decide/replica/choose.go
+++ b/internal/decide/replica/chooser.go
@@ -73,9 +73,9 @@
 	if len(candidates) == 1 {
 		return 0
 	}
-	best, bestScore, ties := 0, h.score.completion(&candidates[0], work), 1
+	best, bestScore, ties := 0, h.score.score(&candidates[0], work), 1
 	for index := 1; index < len(candidates); index++ {
-		current := h.score.completion(&candidates[index], work)
+		current := h.score.score(&candidates[index], work)
 		margin := h.score.Tie * bestScore
 		switch {
 		case current < bestScore-margin:
--- a/internal/decide/replica/losses.go
+++ b/internal/decide/replica/losses.go
@@ -8,9 +8,9 @@
 // LossConfig holds the policy of Losses.
 type LossConfig struct {
 	// Forget is the time constant with which attempts lose weight.
-	Forget time.Duration
+	DecayTime time.Duration
 	// Prior is the number of answered attempts assumed before the first one.
-	Prior float64
+	PriorAttempts float64
 }
 
 // DefaultLossConfig returns the defaults.
@@ -18,9 +18,9 @@
 	return LossConfig{
 		// Not measured: chosen because a node sends a few attempts a second to a leaf, and a
 		// leaf that recovered should not be avoided for much longer than that.
-		Forget: 3 * time.Second,
+		DecayTime: 3 * time.Second,
 		// Not measured: chosen so that one lost attempt does not count as a lossy leaf.
-		Prior: 3,
+		PriorAttempts: 3,
 	}
 }
 
@@ -28,15 +28,15 @@
 // fails, or whose answers do not come whole. The zero value has seen none.
 type Losses struct {
 	lost, ended float64
-	at          time.Duration
+	updatedAt   time.Duration
 }
 
 // Ended takes in the end of an attempt.
 func (l *Losses) Ended(config *LossConfig, now time.Duration, lost bool) {
-	kept := l.kept(config, now)
-	l.lost *= kept
-	l.ended = l.ended*kept + 1
-	l.at = now
+	decay := l.decay(config, now)
+	l.lost *= decay
+	l.ended = l.ended*decay + 1
+	l.updatedAt = now
 	if lost {
 		l.lost++
 	}
@@ -47,11 +47,11 @@
 	if l.lost == 0 {
 		return 0
 	}
-	kept := l.kept(config, now)
-	return l.lost * kept / (l.ended*kept + config.Prior)
+	decay := l.decay(config, now)
+	return l.lost * decay / (l.ended*decay + config.PriorAttempts)
 }
 
 // kept is the weight that is left of what was seen.
-func (l *Losses) kept(config *LossConfig, now time.Duration) float64 {
-	return math.Exp(-float64(now-l.at) / float64(config.Forget))
+func (l *Losses) decay(config *LossConfig, now time.Duration) float64 {
+	return math.Exp(-float64(now-l.updatedAt) / float64(config.DecayTime))
 }
--- a/internal/decide/replica/losses_test.go
+++ b/internal/decide/replica/losses_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLosses(t *testing.T) {
+func TestLossRateEstimate(t *testing.T) {
 	config := DefaultLossConfig()
 	var losses Losses
 	if got := losses.Share(&config, time.Hour); got != 0 {
@@ -32,7 +32,7 @@
 }
 
 // TestLeafThatLosesAnswersIsAvoided, as far as that is worth its price.
-func TestLeafThatLosesAnswersIsAvoided(t *testing.T) {
+func TestLossyLeafIsAvoided(t *testing.T) {
 	score := DefaultScoreConfig()
 	score.LossPrice = 5
 	ordinary := Candidate{Slots: 2, Limit: 3, Slowness: 1}
@@ -47,8 +47,8 @@
 		{"a lossy one before one that is much slower", lossy, slow, true},
 		{"one loss of a thousand is no matter", seldom, ordinary, false},
 	} {
-		margin := score.Tie * score.completion(&test.b, Work{Base: 1, Mean: 1})
-		if got := score.completion(&test.a, Work{Base: 1, Mean: 1}) < score.completion(&test.b, Work{Base: 1, Mean: 1})-margin; got != test.less {
+		margin := score.Tie * score.score(&test.b, Work{Base: 1, Mean: 1})
+		if got := score.score(&test.a, Work{Base: 1, Mean: 1}) < score.score(&test.b, Work{Base: 1, Mean: 1})-margin; got != test.less {
 			t.Errorf("%s: %v", test.name, got)
 		}
 	}
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -12,7 +12,7 @@
 	return NewChooser(DefaultScoreConfig(), rand.New(rand.NewPCG(1, 2)))
 }
 
-func TestChosenReplicaExists(t *testing.T) {
+func TestChooseReturnsValidIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidate := rapid.Custom(func(t *rapid.T) Candidate {
 			return Candidate{
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestExpectedCompletion(t *testing.T) {
+func TestChooseByExpectedCompletion(t *testing.T) {
 	ordinary := Candidate{Slots: 2, Limit: 3, Slowness: 1}
 	slow, near, busy, full := ordinary, ordinary, ordinary, ordinary
 	slow.Slowness = 8
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestSpeed(t *testing.T) {
+func TestSlownessEstimate(t *testing.T) {
 	config := DefaultSpeedConfig()
 	speed := NewSpeed(&config)
 	if got := speed.Slowness(0); got != 1 {
--- a/internal/decide/replica/score.go
+++ b/internal/decide/replica/score.go
@@ -41,7 +41,7 @@
 }
 
 // completion is Expected with the prices of crowding and of losses.
-func (s *ScoreConfig) completion(c *Candidate, work Work) float64 {
+func (s *ScoreConfig) score(c *Candidate, work Work) float64 {
 	attempts := float64(c.InFlight) + s.OthersWeight*c.Others
 	crowding := s.Crowding * attempts / float64(max(c.Slots, 1))
 	expected := s.Expected(c, work) + s.Significant(c.Slowness)*work.Mean*crowding
@@ -53,7 +53,7 @@
 	weighted := *c
 	weighted.Others *= s.OthersWeight
 	weighted.Slowness = s.Significant(c.Slowness)
-	return Completion(&weighted, work)
+	return ExpectedCompletion(&weighted, work)
 }
 
 // Significant returns the part of a slowness that is not noise, at least 1.
@@ -63,14 +63,14 @@
 
 // Completion returns the expected time until the leaf has done the incoming
 // work, in seconds: the wait for a slot, and the work at the leaf's speed.
-func Completion(c *Candidate, work Work) float64 {
-	return c.Slowness * (work.Base + work.Mean*Wait(c, work.Ahead))
+func ExpectedCompletion(c *Candidate, work Work) float64 {
+	return c.Slowness * (work.Base + work.Mean*ExpectedWait(c, work.Ahead))
 }
 
 // Wait returns the expected wait for a slot of the leaf, in mean attempts at
 // the leaf's speed. A leaf whose limit is reached is waited for in the node,
 // behind the attempts ahead.
-func Wait(c *Candidate, ahead int) float64 {
+func ExpectedWait(c *Candidate, ahead int) float64 {
 	if c.Full() {
 		return float64(ahead+1) / float64(max(c.Limit, 1))
 	}
--- a/internal/decide/replica/speed.go
+++ b/internal/decide/replica/speed.go
@@ -9,26 +9,26 @@
 type SpeedConfig struct {
 	// Memory is the weight kept by the past with each completed attempt, from
 	// 0 to 1.
-	Memory float64
+	Retention float64
 	// Forget is the time constant with which the past loses weight, beside
 	// Memory, when an attempt is completed: a leaf that is seldom tried is
 	// judged by the last tries.
-	Forget time.Duration
+	DecayTime time.Duration
 	// Prior is the number of ordinary attempts assumed before the first one.
-	Prior float64
+	PriorAttempts float64
 }
 
 // DefaultSpeedConfig returns the defaults.
 func DefaultSpeedConfig() SpeedConfig {
 	return SpeedConfig{
 		// Not measured against others: chosen as a window of about 14 attempts.
-		Memory: 0.93,
+		Retention: 0.93,
 		// Without it, and without probes that follow each other faster, a leaf that
 		// recovered got 2 of 100 attempts after three seconds, 20 or more with both. Other
 		// times were not compared.
-		Forget: time.Second,
+		DecayTime: time.Second,
 		// Not measured: chosen so that one slow attempt does not make a straggler.
-		Prior: 2,
+		PriorAttempts: 2,
 	}
 }
 
@@ -41,10 +41,10 @@
 // were given up, show a straggler before its first reply. Samples lose
 // weight with each newer one. All times are ratios to the expected time.
 type Speed struct {
-	config   *SpeedConfig
-	exposure float64
-	count    float64
-	last     time.Duration // when an attempt was completed
+	config        *SpeedConfig
+	exposure      float64
+	count         float64
+	lastCompleted time.Duration // when an attempt was completed
 }
 
 // NewSpeed returns a Speed without samples. It keeps config.
@@ -55,22 +55,22 @@
 // Completed records an attempt that was answered now, after ratio times the
 // expected time.
 func (s *Speed) Completed(now time.Duration, ratio float64) {
-	aged := math.Exp(-float64(now-s.last) / float64(s.config.Forget))
-	kept := min(s.config.Memory, aged)
-	if ratio*surprise < s.Slowness(0) {
-		kept = min(kept, keptAfterSurprise)
+	decay := math.Exp(-float64(now-s.lastCompleted) / float64(s.config.DecayTime))
+	retained := min(s.config.Retention, decay)
+	if ratio*recoveryRatio < s.Slowness(0) {
+		retained = min(retained, recoveryRetention)
 	}
-	s.exposure = s.exposure*kept + ratio
-	s.count = s.count*kept + 1
-	s.last = now
+	s.exposure = s.exposure*retained + ratio
+	s.count = s.count*retained + 1
+	s.lastCompleted = now
 }
 
 // A reply that is faster than the estimate by the factor surprise is seldom
 // chance: the leaf has recovered. Then the past loses half of its weight. Neither
 // number was compared with others.
 const (
-	surprise          = 2
-	keptAfterSurprise = 0.5
+	recoveryRatio     = 2
+	recoveryRetention = 0.5
 )
 
 // GaveUp records an attempt that had no answer after ratio times the expected
@@ -82,7 +82,7 @@
 // Slowness returns the estimate. overdue is the sum of Overdue over the
 // attempts that are still running.
 func (s *Speed) Slowness(overdue float64) float64 {
-	return (s.exposure + overdue + s.config.Prior) / (s.count + s.config.Prior)
+	return (s.exposure + overdue + s.config.PriorAttempts) / (s.count + s.config.PriorAttempts)
 }
 
 // Overdue returns by how much an attempt without an answer exceeds the
--- a/internal/decide/requestclass/requestclass.go
+++ b/internal/decide/requestclass/requestclass.go
@@ -43,13 +43,13 @@
 
 // firstPriority is the most urgent priority of a class (catalog.Class counts from 1),
 // where routes count from 0.
-const firstPriority = 1
+const topClassPriority = 1
 
 // Of returns the class of a route's requests.
 func Of(route Route, extra Extra) catalog.Class {
 	return catalog.Class{
 		Name:            fmt.Sprintf("%d/%s/%s/%d", route.Priority, route.Objective, route.Timeout, route.TopK),
-		Priority:        firstPriority + route.Priority,
+		Priority:        topClassPriority + route.Priority,
 		Deadline:        route.Timeout,
 		HedgePercentile: extra.HedgePercentile,
 		ExtraLoad:       extra.Load,
--- a/internal/decide/requestclass/requestclass_test.go
+++ b/internal/decide/requestclass/requestclass_test.go
@@ -7,7 +7,7 @@
 
 // TestClassIsThatOfTheKind: what is not declared by the kind of a route makes no class
 // of its own, and the most urgent route has the most urgent class.
-func TestClassIsThatOfTheKind(t *testing.T) {
+func TestClassDependsOnRouteAttributes(t *testing.T) {
 	declared := Route{Objective: 100 * time.Millisecond, Timeout: time.Second, TopK: 5, Repeatable: true}
 	extra := Extra{HedgePercentile: 0.9, Load: 0.2}
 	got := Of(declared, extra)
--- a/internal/decide/retryafter/retryafter.go
+++ b/internal/decide/retryafter/retryafter.go
@@ -52,7 +52,7 @@
 	Outage = 2 * time.Second
 	// Least is the shortest time that is sent. Not measured: chosen because zero has
 	// callers retry within the same moment.
-	Least = 10 * time.Millisecond
+	MinDelay = 10 * time.Millisecond
 )
 
 // Uninformed returns the time for a request that needs what only the store tells this
@@ -75,4 +75,4 @@
 }
 
 // OnWire returns the time that is sent for an advised one, which may be zero.
-func OnWire(advised time.Duration) time.Duration { return max(advised, Least) }
+func OnWire(advised time.Duration) time.Duration { return max(advised, MinDelay) }
--- a/internal/decide/retryafter/retryafter_test.go
+++ b/internal/decide/retryafter/retryafter_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestWithoutLeafKeepsWhatIsAdvised, and falls back on what the store would tell.
-func TestWithoutLeafKeepsWhatIsAdvised(t *testing.T) {
+func TestWithoutLeafPrefersAdvisedTime(t *testing.T) {
 	for _, test := range []struct {
 		advised   time.Duration
 		storeAway bool
@@ -21,9 +21,9 @@
 	}
 }
 
-func TestNoTimeOnTheWireIsZero(t *testing.T) {
+func TestOnWireIsNeverZero(t *testing.T) {
 	for _, test := range []struct{ advised, want time.Duration }{
-		{0, Least}, {Least - 1, Least}, {Least + 1, Least + 1}, {time.Hour, time.Hour},
+		{0, MinDelay}, {MinDelay - 1, MinDelay}, {MinDelay + 1, MinDelay + 1}, {time.Hour, time.Hour},
 	} {
 		if got := OnWire(test.advised); got != test.want {
 			t.Errorf("%v: %v on the wire, want %v", test.advised, got, test.want)
--- a/internal/decide/share/budget_test.go
+++ b/internal/decide/share/budget_test.go
@@ -11,15 +11,15 @@
 )
 
 // extraOf returns the extra load that some settings allow.
-func extraOf(from settings.Settings) Extra {
+func extraLoad(from settings.Settings) Extra {
 	return Extra{Attempts: from.Forward.ExtraSlack, Window: from.Forward.ExtraWindow.Duration()}
 }
 
 // TestBudgetSharesStayWithinTheSlack adds up what all nodes may save.
-func TestBudgetSharesStayWithinTheSlack(t *testing.T) {
-	allowed := extraOf(settings.Defaults())
+func TestNodeBudgetsStayWithinExtraLoad(t *testing.T) {
+	allowed := extraLoad(settings.Defaults())
 	for _, nodes := range []int{1, 2, 8, 12, 60, 300, 3900} {
-		bounds := Share{census: subset.Census{All: nodes}, part: 1, alone: true}.Budget(allowed)
+		bounds := Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}.Budget(allowed)
 		spent := bounds.Capacity + bounds.Refill*allowed.Window.Seconds()
 		if all := spent * float64(nodes); all > allowed.Attempts || all < allowed.Attempts/2 {
 			t.Errorf("%d nodes save up to %.1f of %.0f", nodes, all, allowed.Attempts)
@@ -28,15 +28,15 @@
 			t.Errorf("%d nodes: %+v", nodes, bounds)
 		}
 	}
-	if bounds := (Share{part: 1}).Budget(allowed); bounds.Capacity > allowed.Attempts {
+	if bounds := (Share{fraction: 1}).Budget(allowed); bounds.Capacity > allowed.Attempts {
 		t.Errorf("no node is known: %+v", bounds)
 	}
 }
 
 // TestExecutorsAndOthersShareTheSlack adds up what all nodes save, and have when
 // all start at once.
-func TestExecutorsAndOthersShareTheSlack(t *testing.T) {
-	allowed := extraOf(settings.Defaults())
+func TestExecutorsAndOthersShareExtraLoad(t *testing.T) {
+	allowed := extraLoad(settings.Defaults())
 	allowed.Attempts = 168
 	var members []roster.Member
 	for index := range 64 {
@@ -60,8 +60,8 @@
 	if executor.Initial < 1+executor.Reserve {
 		t.Errorf("an executor that starts has nothing for a hedge: %+v", executor)
 	}
-	if part := 8 * executor.Capacity; part < 0.8*slackUsed*savedPart*allowed.Attempts {
-		t.Errorf("executors save up to %.1f of %.0f at a shard", part, allowed.Attempts)
+	if total := 8 * executor.Capacity; total < 0.8*steadyShare*burstShare*allowed.Attempts {
+		t.Errorf("executors save up to %.1f of %.0f at a shard", total, allowed.Attempts)
 	}
 	other := OfSlack(executors.Assign(members[63], members), members, len(members), false).Budget(allowed)
 	if alone := OfSlack(executors.Assign(members[0], members), members, len(members), false).Budget(allowed); alone != other {
--- a/internal/decide/share/connections.go
+++ b/internal/decide/share/connections.go
@@ -16,7 +16,7 @@
 }
 
 // Kept says what a node keeps to one leaf.
-type Kept struct {
+type LeafAllocation struct {
 	// Connections is how many it may keep.
 	Connections int
 	// Standby says that it keeps none while other leaves of the service have some: the
@@ -38,30 +38,30 @@
 // Where a leaf takes fewer connections than there are nodes, each attempt would open
 // one: 92,500 for 152,219 requests on a calm day of 64 nodes, which fell to 13,058
 // with subsets of the leaves.
-func (s Share) Connections(self subset.Node, service string, leaves []Leaf, bounds Bounds) []Kept {
-	kept := make([]Kept, len(leaves))
+func (s Share) Connections(self subset.Node, service string, leaves []Leaf, bounds Bounds) []LeafAllocation {
+	allocations := make([]LeafAllocation, len(leaves))
 	var positions []int
 	var replicas []subset.Replica
-	for position, one := range leaves {
-		if !one.Usable {
+	for position, leaf := range leaves {
+		if !leaf.Usable {
 			continue
 		}
 		positions = append(positions, position)
-		replicas = append(replicas, subset.Replica{ID: one.ID, Zone: one.Zone, Connections: int(s.part * float64(bounds.Taken))})
+		replicas = append(replicas, subset.Replica{ID: leaf.ID, Zone: leaf.Zone, MaxConnections: int(s.fraction * float64(bounds.Taken))})
 	}
-	for index, connections := range s.chosen(self, service, replicas, bounds) {
-		kept[positions[index]].Connections = connections
+	for index, connections := range s.allocate(self, service, replicas, bounds) {
+		allocations[positions[index]].Connections = connections
 	}
-	markStandby(kept)
-	return kept
+	markStandby(allocations)
+	return allocations
 }
 
 // chosen returns how many connections the node keeps to each replica.
-func (s Share) chosen(self subset.Node, service string, replicas []subset.Replica, bounds Bounds) []int {
+func (s Share) allocate(self subset.Node, service string, replicas []subset.Replica, bounds Bounds) []int {
 	if bounds.Taken == 0 {
 		return slices.Repeat([]int{bounds.PerNode}, len(replicas))
 	}
-	connections := subset.Choose(self, s.census, service, replicas)
+	connections := subset.Choose(self, s.nodeCounts, service, replicas)
 	for index := range connections {
 		connections[index] = min(connections[index], bounds.PerNode)
 	}
@@ -69,12 +69,12 @@
 }
 
 // markStandby marks the leaves without a connection if others have some.
-func markStandby(kept []Kept) {
-	some := false
-	for _, one := range kept {
-		some = some || one.Connections > 0
+func markStandby(allocations []LeafAllocation) {
+	anyConnected := false
+	for _, allocation := range allocations {
+		anyConnected = anyConnected || allocation.Connections > 0
 	}
-	for position := range kept {
-		kept[position].Standby = some && kept[position].Connections == 0
+	for position := range allocations {
+		allocations[position].Standby = anyConnected && allocations[position].Connections == 0
 	}
 }
--- a/internal/decide/share/probe_test.go
+++ b/internal/decide/share/probe_test.go
@@ -9,12 +9,12 @@
 
 // TestProbesOfAllNodesTogetherAreBounded: what many nodes spend on probes of one
 // slow leaf would else eat the budget of its shard.
-func TestProbesOfAllNodesTogetherAreBounded(t *testing.T) {
+func TestProbeIntervalBoundsFleetProbeRate(t *testing.T) {
 	for _, test := range []struct {
 		nodes int
 		want  time.Duration
-	}{{1, MinProbeInterval}, {6, MinProbeInterval}, {18, 18 * probeSpacing}, {300, maxProbeInterval}} {
-		if got := (Share{census: subset.Census{All: test.nodes}}).ProbeInterval(); got != test.want {
+	}{{1, MinProbeInterval}, {6, MinProbeInterval}, {18, 18 * fleetProbeInterval}, {300, maxNodeProbeInterval}} {
+		if got := (Share{nodeCounts: subset.NodeCounts{Total: test.nodes}}).ProbeInterval(); got != test.want {
 			t.Errorf("%d nodes probe each %v, want %v", test.nodes, got, test.want)
 		}
 	}
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -30,38 +30,38 @@
 	// load where executors and others are not told apart by service, that executors
 	// divide. With 0.8 two large deployments earned 0.634 and 0.573 in place of 0.630
 	// and 0.578, which is within the spread.
-	executorConnections = 0.5
+	executorConnectionShare = 0.5
 	// executorSlack is the part of the extra load beyond the ratio that executors
 	// divide at services that are shards of a route, whose requests they run as a
 	// rule. Where a third of the attempts hang, one of eight executors answers 0.74 of
 	// its queries in time with it, and 0.70 with half
 	// (TestSlackOfExecutorsReachesCallers).
-	executorSlack = 0.85
+	executorSlackShare = 0.85
 )
 
 // Share is the part of something that a node and others like it divide.
 type Share struct {
-	census subset.Census
+	nodeCounts subset.NodeCounts
 	// part is the part that they divide, from 0 to 1.
-	part float64
+	fraction float64
 	// alone says that no node runs requests for others.
-	alone bool
+	standalone bool
 }
 
 // Alone returns the share of a node among some, each of which runs its own requests.
 func Alone(nodes int) Share {
-	return Share{census: subset.Census{All: nodes}, part: 1, alone: true}
+	return Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}
 }
 
 // Of returns the share of connections of a node with a role.
 func Of(roles executors.Roles, members []roster.Member, nodes int) Share {
 	if len(roles.Executors) == 0 {
-		return Share{census: censusOf(members, nodes), part: 1, alone: true}
+		return Share{nodeCounts: countNodes(members, nodes), fraction: 1, standalone: true}
 	}
 	if roles.Self == executors.RoleExecutor {
-		return Share{census: censusOf(roles.Executors, len(roles.Executors)), part: executorConnections}
+		return Share{nodeCounts: countNodes(roles.Executors, len(roles.Executors)), fraction: executorConnectionShare}
 	}
-	return Share{census: censusOf(roles.Others(members), nodes-len(roles.Executors)), part: 1 - executorConnections}
+	return Share{nodeCounts: countNodes(roles.NonExecutors(members), nodes-len(roles.Executors)), fraction: 1 - executorConnectionShare}
 }
 
 // OfSlack returns the share of the extra load beyond the ratio of a node with a role:
@@ -70,20 +70,20 @@
 func OfSlack(roles executors.Roles, members []roster.Member, nodes int, shard bool) Share {
 	divided := Of(roles, members, nodes)
 	switch {
-	case divided.alone:
+	case divided.standalone:
 		return divided
 	case !shard:
-		return Share{census: censusOf(members, nodes), part: 1}
+		return Share{nodeCounts: countNodes(members, nodes), fraction: 1}
 	case roles.Self == executors.RoleExecutor:
-		divided.part = executorSlack
+		divided.fraction = executorSlackShare
 	default:
-		divided.part = 1 - executorSlack
+		divided.fraction = 1 - executorSlackShare
 	}
 	return divided
 }
 
-func censusOf(members []roster.Member, nodes int) subset.Census {
-	census := subset.Census{All: nodes, ByZone: make(map[string]int)}
+func countNodes(members []roster.Member, nodes int) subset.NodeCounts {
+	census := subset.NodeCounts{Total: nodes, ByZone: make(map[string]int)}
 	for _, member := range members {
 		census.ByZone[member.Zone]++
 	}
--- a/internal/decide/snapshot/snapshot.go
+++ b/internal/decide/snapshot/snapshot.go
@@ -33,25 +33,25 @@
 // leaf and whose epoch has a partition, newest first. holdings lists what
 // each leaf holds; a leaf that gets no work must have none.
 func Build(partitions []catalog.Partition, holdings [][]leaf.Holding) []View {
-	shards := make(map[uint64]int, len(partitions))
+	shardCounts := make(map[uint64]int, len(partitions))
 	for _, partition := range partitions {
-		shards[partition.Epoch] = partition.Shards
+		shardCounts[partition.Epoch] = partition.Shards
 	}
 	var views []View
-	position := make(map[catalog.Snapshot]int)
+	viewIndexes := make(map[catalog.Snapshot]int)
 	for index, held := range holdings {
 		for _, holding := range held {
-			count, known := shards[holding.Snapshot.Epoch]
-			if !known {
+			shardCount, exists := shardCounts[holding.Snapshot.Epoch]
+			if !exists {
 				continue
 			}
-			at, seen := position[holding.Snapshot]
-			if !seen {
-				at = len(views)
-				position[holding.Snapshot] = at
-				views = append(views, View{Snapshot: holding.Snapshot, Replicas: make([][]int32, count)})
+			viewIndex, exists := viewIndexes[holding.Snapshot]
+			if !exists {
+				viewIndex = len(views)
+				viewIndexes[holding.Snapshot] = viewIndex
+				views = append(views, View{Snapshot: holding.Snapshot, Replicas: make([][]int32, shardCount)})
 			}
-			views[at].add(int32(index), holding.Shards)
+			views[viewIndex].addReplica(int32(index), holding.Shards)
 		}
 	}
 	slices.SortFunc(views, newestFirst)
@@ -69,7 +69,7 @@
 	}
 }
 
-func (v *View) add(index int32, shards []int) {
+func (v *View) addReplica(index int32, shards []int) {
 	for _, shard := range shards {
 		if shard < 0 || shard >= len(v.Replicas) || slices.Contains(v.Replicas[shard], index) {
 			continue
@@ -102,7 +102,7 @@
 // how many are needed.
 func (n Need) Covered(view *View) (covered, needed int) {
 	if len(n.Shards) > 0 {
-		return n.coveredOfListed(view), len(n.Shards)
+		return n.countCoveredListed(view), len(n.Shards)
 	}
 	shard, single := n.Shard(len(view.Replicas))
 	if !single {
@@ -114,7 +114,7 @@
 	return 0, 1
 }
 
-func (n Need) coveredOfListed(view *View) int {
+func (n Need) countCoveredListed(view *View) int {
 	covered := 0
 	for _, shard := range n.Shards {
 		if shard >= 0 && shard < len(view.Replicas) && len(view.Replicas[shard]) > 0 {
--- a/internal/decide/snapshot/snapshot_test.go
+++ b/internal/decide/snapshot/snapshot_test.go
@@ -20,60 +20,60 @@
 }
 
 // covered counts, from the definition, the needed shards that some leaf holds.
-func covered(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shards int, need Need) (count, needed int) {
+func countCovered(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shards int, need Need) (count, needed int) {
 	for shard := range shards {
 		if only, single := need.Shard(shards); single && only != shard {
 			continue
 		}
 		needed++
-		if holders(holdings, snapshot, shard) > 0 {
+		if countHolders(holdings, snapshot, shard) > 0 {
 			count++
 		}
 	}
 	return count, needed
 }
 
-func holders(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shard int) int {
+func countHolders(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shard int) int {
 	count := 0
 	for _, held := range holdings {
-		found := false
+		holds := false
 		for _, holding := range held {
-			for _, one := range holding.Shards {
-				found = found || holding.Snapshot == snapshot && one == shard
+			for _, held := range holding.Shards {
+				holds = holds || holding.Snapshot == snapshot && held == shard
 			}
 		}
-		if found {
+		if holds {
 			count++
 		}
 	}
 	return count
 }
 
-func TestPickFollowsTheDefinition(t *testing.T) {
+func TestPickMatchesDefinition(t *testing.T) {
 	partitions := []catalog.Partition{{Epoch: 1, Shards: 2}, {Epoch: 2, Shards: 3}} // epoch 3 is unknown
 	rapid.Check(t, func(t *rapid.T) {
 		holdings := drawHoldings(t)
 		need := Need{HasKey: rapid.Bool().Draw(t, "key"), KeyHash: rapid.Uint64Range(0, 9).Draw(t, "hash")}
 		views := Build(partitions, holdings)
 		var best catalog.Snapshot
-		bestShare, found := 0.0, false
+		bestShare, exists := 0.0, false
 		for _, partition := range partitions {
 			for version := uint64(1); version <= 3; version++ {
 				snapshot := catalog.Snapshot{Epoch: partition.Epoch, Version: version}
-				count, needed := covered(holdings, snapshot, partition.Shards, need)
+				count, needed := countCovered(holdings, snapshot, partition.Shards, need)
 				share := float64(count) / float64(needed)
 				if count > 0 && share >= bestShare {
-					best, bestShare, found = snapshot, share, true
+					best, bestShare, exists = snapshot, share, true
 				}
 			}
 		}
 		index, ok := Pick(views, need)
-		if ok != found || ok && views[index].Snapshot != best {
+		if ok != exists || ok && views[index].Snapshot != best {
 			t.Fatalf("picked %v, wanted %v of %v", index, best, views)
 		}
 		for _, view := range views {
 			for shard, replicas := range view.Replicas {
-				if len(replicas) != holders(holdings, view.Snapshot, shard) {
+				if len(replicas) != countHolders(holdings, view.Snapshot, shard) {
 					t.Fatalf("%v of shard %d of %v", replicas, shard, view.Snapshot)
 				}
 			}
--- a/internal/decide/startup/startup.go
+++ b/internal/decide/startup/startup.go
@@ -44,14 +44,14 @@
 	// the store itself, or the sources would wait for each other.
 	Source bool
 	// Direct is set if each node reads the store itself, since there are few.
-	Direct bool
+	ReadsDirectly bool
 	// Others are the nodes that are asked for their copy, in the order in which they
 	// are asked. A node that reads the store asks them only if the store does not answer.
 	Others []netip.AddrPort
 }
 
 // ReadsStore reports whether the node reads the store itself. Else it copies one of Others.
-func (p Plan) ReadsStore() bool { return p.Source || p.Direct || len(p.Others) == 0 }
+func (p Plan) ReadsStore() bool { return p.Source || p.ReadsDirectly || len(p.Others) == 0 }
 
 // Shuffle orders count elements by chance, as rand.Shuffle does.
 type Shuffle func(count int, swap func(i, j int))
@@ -61,20 +61,20 @@
 func NewPlan(self netip.AddrPort, announced []roster.Member, seeds []netip.AddrPort, shuffle Shuffle) Plan {
 	switch {
 	case len(announced) == 0:
-		return planOf(self, seeds, shuffle)
+		return planFromSources(self, seeds, shuffle)
 	case len(announced) < minNodesForSources:
-		return Plan{Direct: true, Others: planOf(self, seeds, shuffle).Others}
+		return Plan{ReadsDirectly: true, Others: planFromSources(self, seeds, shuffle).Others}
 	}
 	var sources []netip.AddrPort
 	for _, member := range roster.Spread(announced, len(announced)/nodesPerSource, seeds...) {
 		sources = append(sources, member.Peer)
 	}
-	return planOf(self, sources, shuffle)
+	return planFromSources(self, sources, shuffle)
 }
 
 // planOf plans a start with the nodes at some addresses as sources.
-func planOf(self netip.AddrPort, sources []netip.AddrPort, shuffle Shuffle) Plan {
-	others := slices.DeleteFunc(slices.Clone(sources), func(one netip.AddrPort) bool { return one == self })
+func planFromSources(self netip.AddrPort, sources []netip.AddrPort, shuffle Shuffle) Plan {
+	others := slices.DeleteFunc(slices.Clone(sources), func(address netip.AddrPort) bool { return address == self })
 	shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	return Plan{Source: len(others) < len(sources), Others: others}
 }
--- a/internal/decide/startup/startup_test.go
+++ b/internal/decide/startup/startup_test.go
@@ -30,7 +30,7 @@
 }
 
 // TestSourcesOfAStart by the number of announced nodes.
-func TestSourcesOfAStart(t *testing.T) {
+func TestPlanByFleetSize(t *testing.T) {
 	seeds := []netip.AddrPort{address(0), address(1), address(2)}
 	for _, test := range []struct {
 		name           string
@@ -44,7 +44,7 @@
 		{"more", 12 * nodesPerSource, false, false, 12},
 	} {
 		plan := NewPlan(address(9999), announced(test.nodes), seeds, reversed)
-		if plan.Source != test.source || plan.Direct != test.direct || len(plan.Others) < test.others {
+		if plan.Source != test.source || plan.ReadsDirectly != test.direct || len(plan.Others) < test.others {
 			t.Errorf("%s: %+v", test.name, plan)
 		}
 		seed := NewPlan(seeds[1], announced(test.nodes), seeds, reversed)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestReady(t *testing.T) {
+func TestStateReady(t *testing.T) {
 	for _, test := range []struct {
 		state State
 		want  bool
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -26,14 +26,14 @@
 	// plannedShare is the part of a replica's connections that nodes plan to keep. Not
 	// measured: chosen because connections that are being closed, and those of nodes that
 	// start, need some.
-	plannedShare = 0.96
+	usableShare = 0.96
 	// deviations is how many standard deviations of the hashing are left free as well:
 	// about one replica in a hundred gets more connections than it takes, by the normal
 	// distribution.
-	deviations = 2.2
+	spareDeviations = 2.2
 	// nearShare is the part of its connections up to which nodes may prefer a replica of
 	// their own zone. Not measured: chosen because the others need some.
-	nearShare = 0.9
+	localShare = 0.9
 )
 
 // Replica is one leaf of a shard.
@@ -41,7 +41,7 @@
 	ID   string
 	Zone string
 	// Connections is how many it takes from all nodes together.
-	Connections int
+	MaxConnections int
 }
 
 // Node is the node whose subset is computed.
@@ -51,30 +51,30 @@
 }
 
 // Census counts the nodes that share the replicas.
-type Census struct {
-	All    int
+type NodeCounts struct {
+	Total  int
 	ByZone map[string]int
 }
 
 // Choose returns, for each replica of a shard, how many connections the node
 // may keep. Zero means that the replica isn't in its subset.
-func Choose(self Node, census Census, shard string, replicas []Replica) []int {
+func Choose(self Node, census NodeCounts, shard string, replicas []Replica) []int {
 	connections := make([]int, len(replicas))
-	nodes := float64(max(census.All, 1))
+	nodes := float64(max(census.Total, 1))
 	total := 0.0
-	plenty := true
-	for index, one := range replicas {
-		share := planned(one.Connections, nodes) / nodes
+	enoughForEach := true
+	for index, replica := range replicas {
+		share := plannedConnections(replica.MaxConnections, nodes) / nodes
 		connections[index] = int(share)
-		plenty = plenty && share >= 1
+		enoughForEach = enoughForEach && share >= 1
 		total += share
 	}
-	if plenty {
+	if enoughForEach {
 		return connections
 	}
-	members := memberCount(self, shard, total, len(replicas))
+	size := subsetSize(self, shard, total, len(replicas))
 	clear(connections)
-	for _, index := range ranked(self, census, shard, replicas, members)[:members] {
+	for _, index := range rankReplicas(self, census, shard, replicas, size)[:size] {
 		connections[index] = 1
 	}
 	return connections
@@ -86,12 +86,12 @@
 // and the number m that is planned solves
 //
 //	m + deviations * sqrt(m * (1 - m/nodes)) = capacity.
-func planned(connections int, nodes float64) float64 {
-	capacity := plannedShare * float64(connections)
+func plannedConnections(connections int, nodes float64) float64 {
+	capacity := usableShare * float64(connections)
 	if capacity >= nodes {
 		return capacity
 	}
-	square := deviations * deviations
+	square := spareDeviations * spareDeviations
 	a := 1 + square/nodes
 	b := 2*capacity + square
 	return (b - math.Sqrt(b*b-4*a*capacity*capacity)) / (2 * a)
@@ -99,9 +99,9 @@
 
 // memberCount rounds the number of connections that the node may keep to a
 // shard, up or down by chance so that all nodes together use what there is.
-func memberCount(self Node, shard string, total float64, replicas int) int {
+func subsetSize(self Node, shard string, total float64, replicas int) int {
 	count := int(total)
-	if chance(self.Name, shard) < total-float64(count) {
+	if hashFraction(self.Name, shard) < total-float64(count) {
 		count++
 	}
 	return min(count, replicas)
@@ -109,13 +109,13 @@
 
 // ranked returns the indexes of the replicas, those first that the node should
 // connect to.
-func ranked(self Node, census Census, shard string, replicas []Replica, members int) []int {
+func rankReplicas(self Node, census NodeCounts, shard string, replicas []Replica, size int) []int {
 	order := make([]int, len(replicas))
 	weights := make([]float64, len(replicas))
-	for index, one := range replicas {
+	for index, replica := range replicas {
 		order[index] = index
-		weights[index] = chance(self.Name, shard, one.ID)
-		if one.Zone == self.Zone && nearFits(census, one, len(replicas), members) {
+		weights[index] = hashFraction(self.Name, shard, replica.ID)
+		if replica.Zone == self.Zone && fitsLocalNodes(census, replica, len(replicas), size) {
 			weights[index]++
 		}
 	}
@@ -125,15 +125,15 @@
 
 // nearFits reports whether a replica can take all nodes of its zone, beside its
 // part of the others.
-func nearFits(census Census, near Replica, replicas, members int) bool {
+func fitsLocalNodes(census NodeCounts, near Replica, replicas, members int) bool {
 	local := float64(census.ByZone[near.Zone])
-	others := float64(census.All) - local
+	others := float64(census.Total) - local
 	spread := float64(members) / float64(replicas)
-	return local+others*spread <= nearShare*float64(near.Connections)
+	return local+others*spread <= localShare*float64(near.MaxConnections)
 }
 
 // chance maps words to a number from 0 up to 1, the same on every node.
-func chance(words ...string) float64 {
+func hashFraction(words ...string) float64 {
 	digest := xxhash.New()
 	for _, word := range words {
 		_, _ = digest.WriteString(word) // a digest takes any bytes
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -8,8 +8,8 @@
 )
 
 // fleet returns nodes spread over zones, and their census.
-func fleet(count int, zones []string) ([]Node, Census) {
-	census := Census{All: count, ByZone: make(map[string]int)}
+func newNodes(count int, zones []string) ([]Node, NodeCounts) {
+	census := NodeCounts{Total: count, ByZone: make(map[string]int)}
 	nodes := make([]Node, count)
 	for index := range nodes {
 		nodes[index] = Node{Name: fmt.Sprintf("node-%d", index), Zone: zones[index%len(zones)]}
@@ -18,20 +18,20 @@
 	return nodes, census
 }
 
-func replicas(count, connections int, zones []string) []Replica {
-	made := make([]Replica, count)
-	for index := range made {
-		made[index] = Replica{ID: fmt.Sprintf("leaf-%d", index), Zone: zones[index%len(zones)], Connections: connections}
+func newReplicas(count, connections int, zones []string) []Replica {
+	replicas := make([]Replica, count)
+	for index := range replicas {
+		replicas[index] = Replica{ID: fmt.Sprintf("leaf-%d", index), Zone: zones[index%len(zones)], MaxConnections: connections}
 	}
-	return made
+	return replicas
 }
 
 // arrivals counts the connections that all nodes keep to each replica.
-func arrivals(nodes []Node, census Census, shard string, replicas []Replica) []int {
+func connectionsPerReplica(nodes []Node, census NodeCounts, shard string, replicas []Replica) []int {
 	sums := make([]int, len(replicas))
 	for _, node := range nodes {
-		for index, kept := range Choose(node, census, shard, replicas) {
-			sums[index] += kept
+		for index, connections := range Choose(node, census, shard, replicas) {
+			sums[index] += connections
 		}
 	}
 	return sums
@@ -41,13 +41,13 @@
 
 // TestConnectionsFitAndAreUsed is the size of the grown deployment: three
 // replicas of 54 connections, and more nodes than that.
-func TestConnectionsFitAndAreUsed(t *testing.T) {
+func TestConnectionsFitCapacityAndAreUsed(t *testing.T) {
 	for _, count := range []int{1, 8, 40, 64, 75, 100, 300} {
-		nodes, census := fleet(count, zones)
+		nodes, census := newNodes(count, zones)
 		full, used := 0, 0
 		const shards = 100
 		for shard := range shards {
-			for _, sum := range arrivals(nodes, census, fmt.Sprintf("shard-%d", shard), replicas(3, 54, zones)) {
+			for _, sum := range connectionsPerReplica(nodes, census, fmt.Sprintf("shard-%d", shard), newReplicas(3, 54, zones)) {
 				used += sum
 				if sum > 54 {
 					full++
@@ -63,26 +63,26 @@
 	}
 }
 
-func TestEveryNodeKeepsTwoReplicasWhereThatFits(t *testing.T) {
-	nodes, census := fleet(64, zones)
+func TestEveryNodeConnectsToTwoReplicas(t *testing.T) {
+	nodes, census := newNodes(64, zones)
 	for _, node := range nodes {
-		kept := 0
-		for _, connections := range Choose(node, census, "shard", replicas(3, 54, zones)) {
-			kept += connections
+		total := 0
+		for _, connections := range Choose(node, census, "shard", newReplicas(3, 54, zones)) {
+			total += connections
 		}
-		if kept < 2 {
-			t.Errorf("%s keeps %d connections", node.Name, kept)
+		if total < 2 {
+			t.Errorf("%s keeps %d connections", node.Name, total)
 		}
 	}
 }
 
 // TestNearReplicaIsInTheSubset holds where the zones are about equal.
-func TestNearReplicaIsInTheSubset(t *testing.T) {
-	nodes, census := fleet(64, zones)
-	from := replicas(3, 54, zones)
+func TestLocalReplicaIsInSubset(t *testing.T) {
+	nodes, census := newNodes(64, zones)
+	candidates := newReplicas(3, 54, zones)
 	for _, node := range nodes {
-		for index, kept := range Choose(node, census, "shard", from) {
-			if from[index].Zone == node.Zone && kept == 0 {
+		for index, connections := range Choose(node, census, "shard", candidates) {
+			if candidates[index].Zone == node.Zone && connections == 0 {
 				t.Errorf("%s has no connection to the replica of its zone", node.Name)
 			}
 		}
@@ -90,10 +90,10 @@
 }
 
 // TestCrowdedZoneDoesNotFloodItsReplica: most nodes are in one zone.
-func TestCrowdedZoneDoesNotFloodItsReplica(t *testing.T) {
-	nodes, census := fleet(64, []string{"a", "a", "a", "b"})
+func TestUnevenZonesDoNotOverloadLocalReplica(t *testing.T) {
+	nodes, census := newNodes(64, []string{"a", "a", "a", "b"})
 	for shard := range 50 {
-		for index, sum := range arrivals(nodes, census, fmt.Sprint(shard), replicas(3, 54, []string{"a", "b", "c"})) {
+		for index, sum := range connectionsPerReplica(nodes, census, fmt.Sprint(shard), newReplicas(3, 54, []string{"a", "b", "c"})) {
 			if sum > 58 {
 				t.Errorf("shard %d: replica %d gets %d connections", shard, index, sum)
 			}
@@ -103,14 +103,14 @@
 
 // TestOneReplicaLessMovesFewConnections compares subsets before and after a
 // replica has gone.
-func TestOneReplicaLessMovesFewConnections(t *testing.T) {
-	nodes, census := fleet(100, zones)
-	before := replicas(10, 30, zones)
+func TestReplicaRemovalMovesFewConnections(t *testing.T) {
+	nodes, census := newNodes(100, zones)
+	before := newReplicas(10, 30, zones)
 	lost := 0
 	for _, node := range nodes {
 		former := Choose(node, census, "shard", before)
-		for index, kept := range Choose(node, census, "shard", before[:9]) {
-			if former[index] > kept {
+		for index, connections := range Choose(node, census, "shard", before[:9]) {
+			if former[index] > connections {
 				lost++
 			}
 		}
@@ -120,23 +120,23 @@
 	}
 }
 
-func TestChooseKeepsItsBounds(t *testing.T) {
+func TestChooseIsBoundedAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 6).Draw(t, "replicas")
-		from := replicas(count, rapid.IntRange(0, 200).Draw(t, "connections"), zones)
-		census := Census{All: rapid.IntRange(0, 5000).Draw(t, "nodes"), ByZone: map[string]int{"a": rapid.IntRange(0, 5000).Draw(t, "near")}}
+		candidates := newReplicas(count, rapid.IntRange(0, 200).Draw(t, "connections"), zones)
+		census := NodeCounts{Total: rapid.IntRange(0, 5000).Draw(t, "nodes"), ByZone: map[string]int{"a": rapid.IntRange(0, 5000).Draw(t, "near")}}
 		self := Node{Name: rapid.String().Draw(t, "name"), Zone: "a"}
 		shard := rapid.String().Draw(t, "shard")
-		chosen := Choose(self, census, shard, from)
+		chosen := Choose(self, census, shard, candidates)
 		if len(chosen) != count {
 			t.Fatalf("%d answers for %d replicas", len(chosen), count)
 		}
-		for index, kept := range chosen {
-			if kept < 0 || kept > from[index].Connections {
-				t.Fatalf("%d connections of %d", kept, from[index].Connections)
+		for index, connections := range chosen {
+			if connections < 0 || connections > candidates[index].MaxConnections {
+				t.Fatalf("%d connections of %d", connections, candidates[index].MaxConnections)
 			}
 		}
-		if again := Choose(self, census, shard, from); fmt.Sprint(again) != fmt.Sprint(chosen) {
+		if again := Choose(self, census, shard, candidates); fmt.Sprint(again) != fmt.Sprint(chosen) {
 			t.Fatalf("%v, and then %v", chosen, again)
 		}
 	})
--- a/internal/decide/timeleft/timeleft.go
+++ b/internal/decide/timeleft/timeleft.go
@@ -30,11 +30,11 @@
 
 // leastRemaining is what is left of a time that is used up: the request ends at once,
 // as one that had too little time. Zero would mean that the client did not say.
-const leastRemaining = time.Millisecond
+const minRemaining = time.Millisecond
 
 // Remaining returns how long the client waits from now on; 1 ms at least.
 func Remaining(clientTimeout, sinceArrival time.Duration) time.Duration {
-	return max(clientTimeout-sinceArrival, leastRemaining)
+	return max(clientTimeout-sinceArrival, minRemaining)
 }
 
 // Timeout returns the time after which a request ends: the route's, or what remains
@@ -49,12 +49,12 @@
 // bodyTimeout bounds the time that a body may take whose client does not say how long it
 // waits. Not measured: chosen because it only has to free the connection of a client that
 // hangs.
-const bodyTimeout = time.Minute
+const defaultBodyTimeout = time.Minute
 
 // Body returns how long the body of a request may take to arrive.
 func Body(clientTimeout time.Duration) time.Duration {
 	if clientTimeout == 0 {
-		return bodyTimeout
+		return defaultBodyTimeout
 	}
 	return clientTimeout
 }
--- a/internal/decide/timeleft/timeleft_test.go
+++ b/internal/decide/timeleft/timeleft_test.go
@@ -6,15 +6,15 @@
 )
 
 // TestTimeoutIsTheShorter covers which of the two ends a request.
-func TestTimeoutIsTheShorter(t *testing.T) {
+func TestTimeoutIsShorterOfRouteAndClient(t *testing.T) {
 	const route = 500 * time.Millisecond
 	for _, test := range []struct{ client, sinceArrival, want time.Duration }{
 		{0, time.Minute, route},
 		{time.Second, 0, route},
 		{400 * time.Millisecond, 0, 400 * time.Millisecond},
 		{time.Second, 800 * time.Millisecond, 200 * time.Millisecond},
-		{time.Second, time.Second, leastRemaining},
-		{time.Second, time.Minute, leastRemaining},
+		{time.Second, time.Second, minRemaining},
+		{time.Second, time.Minute, minRemaining},
 	} {
 		if got := Timeout(route, test.client, test.sinceArrival); got != test.want {
 			t.Errorf("client %v, since arrival %v: %v, want %v", test.client, test.sinceArrival, got, test.want)
@@ -24,7 +24,7 @@
 
 // TestAllThatIsSpentCountsAgainstTheObjective, each quantity by itself and all
 // together.
-func TestAllThatIsSpentCountsAgainstTheObjective(t *testing.T) {
+func TestSpentTimeReducesObjective(t *testing.T) {
 	const route = 100 * time.Millisecond
 	for _, test := range []struct {
 		spent Spent
--- a/internal/decide/timeleft/waits.go
+++ b/internal/decide/timeleft/waits.go
@@ -14,24 +14,24 @@
 // waitsMemory is after how many requests of a kind the longest timeout is looked for
 // again, so that a change of the clients is followed within twice as many. Not
 // measured: chosen because it holds many first tries beside some retries.
-const waitsMemory = 256
+const windowSize = 256
 
 // Waits estimates for how long clients have waited before their requests arrived. It
 // is not safe for concurrent use.
 type Waits struct {
-	kinds map[string]*longest
+	kinds map[string]*maxTimeouts
 }
 
 // longest is the longest timeout of a kind: of the present span of requests, and of the
 // one before it.
-type longest struct {
-	present, former time.Duration
-	seen            int
+type maxTimeouts struct {
+	current, previous time.Duration
+	count             int
 }
 
 // NewWaits returns Waits that have seen no request.
 func NewWaits() *Waits {
-	return &Waits{kinds: make(map[string]*longest)}
+	return &Waits{kinds: make(map[string]*maxTimeouts)}
 }
 
 // BeforeArrival takes in the timeout of a client and returns for how long the client
@@ -40,15 +40,15 @@
 	if clientTimeout <= 0 {
 		return 0
 	}
-	known, found := w.kinds[kind]
-	if !found {
-		known = &longest{}
-		w.kinds[kind] = known
+	maxima, exists := w.kinds[kind]
+	if !exists {
+		maxima = &maxTimeouts{}
+		w.kinds[kind] = maxima
 	}
-	known.seen++
-	if known.seen > waitsMemory {
-		known.former, known.present, known.seen = known.present, 0, 0
+	maxima.count++
+	if maxima.count > windowSize {
+		maxima.previous, maxima.current, maxima.count = maxima.current, 0, 0
 	}
-	known.present = max(known.present, clientTimeout)
-	return max(known.present, known.former) - clientTimeout
+	maxima.current = max(maxima.current, clientTimeout)
+	return max(maxima.current, maxima.previous) - clientTimeout
 }
--- a/internal/decide/warmup/warmup.go
+++ b/internal/decide/warmup/warmup.go
@@ -29,10 +29,10 @@
 	// plannedPart is the part of what a cold leaf bears that all nodes plan to send.
 	// Not measured: chosen because attempts sent over more than a second may arrive
 	// within one, and nodes that restart have their first token again.
-	plannedPart = 0.8
+	plannedShare = 0.8
 	// executorPart is the part of that which executors divide at services that are
 	// shards, whose requests they run as a rule. Not measured.
-	executorPart = 0.75
+	executorShare = 0.75
 	// minRate is the least rate, in attempts a second, of a node that sends to a cold
 	// leaf at all. Where there are more nodes than shares of it, only some send. Not
 	// measured: chosen so that a share is more than an attempt a second.
@@ -56,41 +56,41 @@
 
 // RateOf returns how many attempts a second a node may send to a cold leaf; zero if it
 // gets no share. The leaf is named by its incarnation.
-func (b Bound) RateOf(self roster.Member, leaf string, roles executors.Roles, members []roster.Member, tolerated Tolerance) float64 {
-	borne := b.Rate*tolerated.Overshoot + tolerated.Slack
-	sharers, part := sharersOf(roles, members, b.Shard)
-	return rateOf(self.Name, leaf, sharers, plannedPart*part*borne)
+func (b Bound) RateOf(self roster.Member, leaf string, roles executors.Roles, members []roster.Member, tolerance Tolerance) float64 {
+	rateLimit := b.Rate*tolerance.Overshoot + tolerance.Slack
+	sharers, fraction := findSharers(roles, members, b.Shard)
+	return computeRate(self.Name, leaf, sharers, plannedShare*fraction*rateLimit)
 }
 
 // sharersOf returns the nodes with which this one divides a part of what a cold leaf
 // of a service bears.
-func sharersOf(roles executors.Roles, members []roster.Member, shard bool) (sharers []roster.Member, part float64) {
+func findSharers(roles executors.Roles, members []roster.Member, shard bool) (sharers []roster.Member, fraction float64) {
 	if !shard || len(roles.Executors) == 0 {
 		return members, 1
 	}
 	if roles.Self == executors.RoleExecutor {
-		return roles.Executors, executorPart
+		return roles.Executors, executorShare
 	}
-	return roles.Others(members), 1 - executorPart
+	return roles.NonExecutors(members), 1 - executorShare
 }
 
 // rateOf returns the share of one node in a rate that some nodes divide at a leaf;
 // zero if it gets none. Where they are too many, those first by a hash of both names
 // get some, so that the nodes spread over the leaves.
-func rateOf(self, leaf string, sharers []roster.Member, rate float64) float64 {
-	wanted := max(min(len(sharers), int(rate/minRate)), 1)
-	own := xxhash.Sum64String(leaf + "/" + self)
-	before, among := 0, false
+func computeRate(self, leaf string, sharers []roster.Member, rate float64) float64 {
+	senders := max(min(len(sharers), int(rate/minRate)), 1)
+	selfHash := xxhash.Sum64String(leaf + "/" + self)
+	rank, announced := 0, false
 	for _, member := range sharers {
 		switch hash := xxhash.Sum64String(leaf + "/" + member.Name); {
 		case member.Name == self:
-			among = true
-		case hash < own:
-			before++
+			announced = true
+		case hash < selfHash:
+			rank++
 		}
 	}
-	if !among || before >= wanted {
+	if !announced || rank >= senders {
 		return 0
 	}
-	return rate / float64(wanted)
+	return rate / float64(senders)
 }
--- a/internal/decide/warmup/warmup_test.go
+++ b/internal/decide/warmup/warmup_test.go
@@ -24,26 +24,26 @@
 
 // TestSharesOfAColdLeafStayWithinWhatItBears, whatever the size of the fleet, and
 // most of it is shared out.
-func TestSharesOfAColdLeafStayWithinWhatItBears(t *testing.T) {
+func TestNodeRatesSumToAtMostColdLeafRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := fleet(rapid.IntRange(1, 400).Draw(t, "nodes"), rapid.IntRange(0, 20).Draw(t, "large"))
 		shard := rapid.Bool().Draw(t, "shard")
-		borne := rapid.Float64Range(10, 200).Draw(t, "borne")
+		rateLimit := rapid.Float64Range(10, 200).Draw(t, "borne")
 		all := 0.0
 		for _, member := range members {
-			sharers, part := sharersOf(executors.Assign(member, members), members, shard)
-			all += rateOf(member.Name, "leaf-7", sharers, plannedPart*part*borne)
+			sharers, part := findSharers(executors.Assign(member, members), members, shard)
+			all += computeRate(member.Name, "leaf-7", sharers, plannedShare*part*rateLimit)
 		}
-		if all > plannedPart*borne+1e-6 || all < plannedPart*(1-executorPart)*borne-1e-6 {
-			t.Fatalf("%d nodes send %.1f a second to a leaf that bears %.1f", len(members), all, borne)
+		if all > plannedShare*rateLimit+1e-6 || all < plannedShare*(1-executorShare)*rateLimit-1e-6 {
+			t.Fatalf("%d nodes send %.1f a second to a leaf that bears %.1f", len(members), all, rateLimit)
 		}
 	})
 }
 
 // TestNodeThatIsNotAnnouncedSendsNothingToAColdLeaf: the others do not reckon with
 // it.
-func TestNodeThatIsNotAnnouncedSendsNothingToAColdLeaf(t *testing.T) {
-	if got := rateOf("new", "leaf-7", fleet(8, 0), 30); got != 0 {
+func TestUnannouncedNodeGetsNoColdLeafRate(t *testing.T) {
+	if got := computeRate("new", "leaf-7", fleet(8, 0), 30); got != 0 {
 		t.Errorf("%.1f a second", got)
 	}
 }
