--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -1,70 +1,61 @@
-// Package admission decides whether a query is taken, from the wait that is
-// predicted for it, and when a refused caller may retry. It is pure.
+// Package admission decides whether a query is admitted, from its predicted wait, and when a
+// rejected caller may retry. It is pure.
 //
-// Rule: a query without a wait is taken. Any other is taken if its predicted wait and
-// service time fill at most a share of its remaining time; the share depends on its
-// urgency and on whether the service is saturated.
+// Rule: a query that does not have to wait is admitted until its deadline. Any other query is
+// admitted if its predicted wait and service time together fill at most a fraction of its
+// remaining time. The fraction depends on the query's urgency and on whether the service is
+// saturated.
 //
-// Inputs: see Prediction; times are durations, shares lie between 0 and 1.
+// Inputs: see Prediction. Times are durations, shares lie between 0 and 1.
 //
-// Reason: a refusal at once costs the caller less than a deadline that passes. The values
-// and their measurement are with DefaultConfig.
+// Reason: an immediate rejection costs the caller less than a missed deadline.
 package admission
 
 import "time"
 
-// Config holds the policy of admission.
+// Config holds the admission policy.
 type Config struct {
-	// Safety is the share of the remaining time that the predicted time of the
-	// most urgent work may fill.
+	// UrgentShare is the share of the remaining time that the predicted time of the most urgent
+	// queries may fill. It is below 1 to leave room for prediction errors.
 	UrgentShare float64
-	// Lenient takes the place of Safety for other work while the service is
-	// not saturated: what waits too long is served as the most urgent then.
+	// NormalShare replaces UrgentShare for other queries while the service is not saturated. It
+	// is close to 1 because queries that wait too long are promoted to the most urgent class.
 	NormalShare float64
-	// Strict takes the place of Safety for all but the most urgent work while
-	// the service is saturated: such work may starve, and predictions from
-	// its past are too good. Relief times the share of the work that the most
-	// urgent work leaves is added to it.
+	// SaturatedShare replaces UrgentShare for all but the most urgent queries while the service
+	// is saturated. Such queries may starve, so predictions based on past queries are too
+	// optimistic. NonUrgentFactor times Prediction.Left is added to it, up to UrgentShare.
 	SaturatedShare float64
-	// Relief is the factor of that share.
+	// NonUrgentFactor scales Prediction.Left. Without this term, useful work drops from 97 % to
+	// 85 % of the slots at 150 % load.
 	NonUrgentFactor float64
-	// Spread is the factor on the expected time of one attempt that covers
-	// the slowest of many.
+	// SlowestFactor scales the expected time of one attempt to cover the slowest of many, which
+	// takes about twice the mean.
 	SlowestFactor float64
-	// RetryMinimum and RetryMaximum bound the time after which a refused
-	// caller may retry.
+	// RetryMinimum and RetryMaximum bound the time after which a rejected caller may retry. The
+	// minimum prevents retries that would find the same queue, the maximum lets callers return
+	// soon after an overload.
 	RetryMinimum, RetryMaximum time.Duration
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default policy.
 func DefaultConfig() Config {
 	return Config{
-		// Not measured against others: chosen because predictions are wrong by some.
 		UrgentShare: 0.8,
-		// Not measured by itself: chosen close to 1 because work that waits too long is
-		// promoted.
 		NormalShare: 0.95,
-		// Simulated at 150 % load: without strictness 0.9973 and 0.9825 of the urgent queries
-		// whole in place of 1.0000; with Strict alone, without Relief, useful work of 0.85
-		// of all slots in place of 0.97 or more.
-		SaturatedShare: 0.04,
-		// As Strict. Other values were not compared.
+		// Without the stricter bound, up to 1.8 % of the urgent queries lose shards at 150 % load.
+		SaturatedShare:  0.04,
 		NonUrgentFactor: 0.8,
-		// Not measured: chosen because the slowest of many attempts takes about twice the
-		// mean.
-		SlowestFactor: 2,
-		// Not measured: chosen so that a caller does not retry within one queue.
-		RetryMinimum: 50 * time.Millisecond,
-		// Not measured: chosen so that callers return soon after an overload.
-		RetryMaximum: 5 * time.Second,
+		SlowestFactor:   2,
+		RetryMinimum:    50 * time.Millisecond,
+		RetryMaximum:    5 * time.Second,
 	}
 }
 
-// Prediction is what is known of a query at its submission.
+// Prediction holds what is known about a query when it is submitted.
 type Prediction struct {
-	// Wait is the time until its last shard gets a slot.
+	// Wait is the predicted time until the query's last shard gets a slot.
 	Wait time.Duration
-	// Service is the time of one attempt.
+	// Service is the expected time of one attempt.
 	Service time.Duration
 	// Remaining is the time until the deadline.
 	Remaining time.Duration
@@ -72,12 +63,11 @@
 	Urgent bool
 	// Saturated is set if no leaf of the service has a free slot.
 	Saturated bool
-	// Left is the share of the work done, from 0 to 1, that the most urgent
-	// work leaves to the rest.
+	// Left is the share of completed work, from 0 to 1, that was not of the most urgent class.
 	Left float64
 }
 
-// Admit reports whether the query is taken.
+// Admit reports whether the query is admitted.
 func (c Config) Admit(p Prediction) bool {
 	if p.Wait <= 0 {
 		return p.Remaining > 0
@@ -98,8 +88,8 @@
 	}
 }
 
-// RetryAfter returns the time after which a refused caller may retry: when the work that
-// was in its way is done.
+// RetryAfter returns the time after which a rejected caller may retry: the predicted wait, by
+// which the work queued ahead of the query is done, within the bounds.
 func (c Config) RetryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, c.RetryMinimum), c.RetryMaximum)
 }
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -20,7 +20,7 @@
 		{"saturated, most is left", Prediction{Wait: second / 2, Remaining: second, Saturated: true, Left: 0.8}, true},
 	} {
 		if got := DefaultConfig().Admit(test.prediction); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: admitted = %v, want %v", test.name, got, test.want)
 		}
 	}
 }
@@ -28,6 +28,7 @@
 func TestRetryAfterIsNeverZero(t *testing.T) {
 	config := DefaultConfig()
 	if config.RetryAfter(0) < config.RetryMinimum || config.RetryAfter(time.Hour) > config.RetryMaximum {
-		t.Error("out of bounds")
+		t.Errorf("got %v for no wait and %v for an hour, want at least %v and at most %v",
+			config.RetryAfter(0), config.RetryAfter(time.Hour), config.RetryMinimum, config.RetryMaximum)
 	}
 }
--- a/internal/decide/hedge/budget.go
+++ b/internal/decide/hedge/budget.go
@@ -1,69 +1,61 @@
-// Package hedge has the budget that pays for extra attempts, and the quantiles of latency
-// after which one is sent. It is pure: time comes in as an argument.
+// Package hedge provides the budget that pays for extra attempts and the latency quantiles
+// after which a hedge is sent. It is pure: time is passed in as an argument.
 //
-// Rule: each needed attempt earns a share of a token, each extra attempt costs one. Hedges
-// and probes leave a reserve for retries, and retries may go into debt.
+// Rule: each required attempt earns a fraction of a token, each extra attempt costs one token.
+// Hedges and probes leave a reserve for retries, and retries may overdraw the budget.
 //
-// Inputs: the share of extra load of a class from 0 to 1, tokens, tokens a second.
+// Inputs: the share of extra load of a class from 0 to 1, tokens, tokens per second.
 //
-// Reason: extra attempts load the leaves most when they are slow already. A lost shard
-// costs coverage, while a late one only costs time, so retries go first.
-//
-// Measured: extra load 0.0285 at most over all services and simulated scenarios, where
-// 0.03 is allowed. The values are with DefaultBudgetConfig.
+// Reason: extra attempts load the leaves most when the leaves are already slow. A lost shard
+// costs coverage, while a late shard only costs time, so retries take precedence over hedges.
 package hedge
 
 import "time"
 
 // BudgetConfig holds the policy of a Budget.
 type BudgetConfig struct {
-	// Earned is the part of the share that is earned, so that what is saved up
-	// and the attempts sent again after refusals stay within the share too.
+	// Earned is the fraction of the class's extra load that required attempts earn. It is below 1
+	// so that saved tokens and attempts repeated after refusals stay within the extra load too.
 	Earned float64
-	// Capacity is the most tokens that can be saved up.
+	// Capacity is the largest number of tokens that can be saved. It keeps a long idle period
+	// from paying for a burst.
 	Capacity float64
-	// Initial is the number of tokens at the start.
+	// Initial is the number of tokens at the start, which lets a node hedge right after startup.
 	Initial float64
-	// Reserve is the number of tokens that hedges and probes leave for
-	// retries.
+	// Reserve is the number of tokens that hedges and probes leave for retries.
 	Reserve float64
-	// Debt is how far retries may overdraw, because a lost shard costs
-	// coverage. Hedges wait until the debt is repaid.
+	// Debt is how far retries may overdraw the budget, because a lost shard costs coverage.
+	// Hedges wait until the debt is repaid. The default covers the shards that are lost together
+	// with one leaf.
 	Debt float64
-	// Refill is the number of tokens that come with each second.
+	// Refill is the number of tokens added per second. By default only attempts earn tokens.
 	Refill float64
-	// Chance draws numbers from 0 to 1. With it, what is less than one token
-	// buys an attempt by chance, so that many budgets with less than a token
-	// each spend their sum. Nil: never.
+	// Chance returns random numbers from 0 to 1. If it is set, a budget that cannot hold a whole
+	// token buys an attempt with the probability of its fraction, so that many such budgets
+	// together spend their sum. If it is nil, such a budget never buys an attempt.
 	Chance func() float64
 }
 
-// DefaultBudgetConfig returns the defaults.
+// DefaultBudgetConfig returns the default policy.
 func DefaultBudgetConfig() BudgetConfig {
 	return BudgetConfig{
-		// Simulated with one slow leaf: with the whole share, extra load came to 0.0299 where
-		// 0.03 is allowed; 0.0285 at most over all services and scenarios with 0.95.
-		Earned: 0.95,
-		// Not measured: chosen so that a quiet hour does not pay for a storm.
+		// With one slow leaf, 1 brings the extra load to 0.0299 where 0.03 is allowed; 0.95 keeps
+		// it at 0.0285 or less.
+		Earned:   0.95,
 		Capacity: 20,
-		// Not measured: chosen so that a node which just started can hedge.
-		Initial: 5,
-		// Paired trials of nodes with small budgets, worth without a reserve: 0.7878 in place
-		// of 0.7901, 0.6608 in place of 0.6625, within the spread. 2 itself was not compared.
-		Reserve: 2,
-		// Not measured: chosen to cover the shards that are lost with one leaf.
-		Debt: 50,
-		// By default only attempts earn.
-		Refill: 0,
+		Initial:  5,
+		Reserve:  2,
+		Debt:     50,
+		Refill:   0,
 	}
 }
 
-// Budget is a token bucket filled by needed attempts, and by time, and emptied by
-// extra ones: hedges, probes and retries alike.
+// Budget is a token bucket that is filled by required attempts and over time, and drained by
+// extra attempts: hedges, probes and retries.
 type Budget struct {
 	config     BudgetConfig
 	tokens     float64
-	refilledAt time.Duration // of the last Pass
+	refilledAt time.Duration // time of the last Pass
 }
 
 // NewBudget returns a Budget with its initial tokens.
@@ -71,31 +63,30 @@
 	return Budget{config: config, tokens: min(config.Initial, config.Capacity), refilledAt: neverRefilled}
 }
 
-// never is the time of the last Pass before the first.
+// neverRefilled is the value of refilledAt before the first Pass.
 const neverRefilled time.Duration = -1
 
 // Bounds are the parts of a BudgetConfig that change while a Budget is in use.
 type Bounds struct{ Initial, Capacity, Reserve, Refill float64 }
 
-// Resize changes the bounds. The tokens at the start are those of budgets that
-// are made later.
+// Resize changes the bounds. The initial tokens apply to budgets that are created later.
 func (c *BudgetConfig) Resize(bounds Bounds) {
 	c.Initial, c.Capacity, c.Reserve, c.Refill = bounds.Initial, bounds.Capacity, bounds.Reserve, bounds.Refill
 }
 
-// Resize changes the bounds. What is saved up beyond the new capacity is lost.
+// Resize changes the bounds. Tokens beyond the new capacity are lost.
 func (b *Budget) Resize(bounds Bounds) {
 	b.config.Resize(bounds)
 	b.tokens = min(b.tokens, bounds.Capacity)
 }
 
-// Earn adds the tokens of one needed attempt of a class whose share of extra
-// load is given, from 0 to 1. A class without extra load earns nothing.
+// Earn adds the tokens of one required attempt of a class with the given share of extra load,
+// from 0 to 1. A class without extra load earns nothing.
 func (b *Budget) Earn(share float64) {
 	b.tokens = min(b.tokens+share*b.config.Earned, b.config.Capacity)
 }
 
-// Pass adds the tokens that come with time, up to now, since it was called last.
+// Pass adds the tokens that are due since the last call, up to now.
 func (b *Budget) Pass(now time.Duration) {
 	if b.refilledAt == neverRefilled {
 		b.refilledAt = now
@@ -107,8 +98,7 @@
 	b.refilledAt = now
 }
 
-// SpendHedge takes one token for a hedge or a probe, if more than the reserve
-// is left.
+// SpendHedge takes one token for a hedge or a probe. It fails if that would use the reserve.
 func (b *Budget) SpendHedge() bool {
 	b.settleFraction()
 	if b.config.Capacity < 1 {
@@ -121,8 +111,8 @@
 	return true
 }
 
-// draw turns a part of a token into a whole one or nothing, by chance, if the
-// budget cannot hold a whole one.
+// settleFraction turns a fraction of a token at random into a whole token or none, if the
+// budget cannot hold a whole token.
 func (b *Budget) settleFraction() {
 	if b.config.Capacity >= 1 || b.config.Chance == nil || b.tokens <= 0 || b.tokens >= 1 {
 		return
@@ -134,14 +124,14 @@
 	b.tokens = 0
 }
 
-// CanRetry reports whether SpendRetry would succeed. If the budget holds less
-// than a token, it may lose it by that; see BudgetConfig.Chance.
+// CanRetry reports whether SpendRetry would succeed. A budget that cannot hold a whole token
+// may lose its fraction by this call; see BudgetConfig.Chance.
 func (b *Budget) CanRetry() bool {
 	b.settleFraction()
 	return b.tokens-1 >= -b.config.Debt
 }
 
-// SpendRetry takes tokens for retries, if the debt allows the first of them.
+// SpendRetry takes tokens for retries, if the debt limit allows at least one.
 func (b *Budget) SpendRetry(attempts int) bool {
 	if !b.CanRetry() {
 		return false
@@ -150,7 +140,7 @@
 	return true
 }
 
-// Tokens returns what is left; it is negative while in debt.
+// Tokens returns the remaining tokens, which are negative while the budget is in debt.
 func (b *Budget) Tokens() float64 {
 	return b.tokens
 }
--- a/internal/decide/hedge/fractional_test.go
+++ b/internal/decide/hedge/fractional_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestManySmallBudgetsSpendTheirSum gives many nodes less than a token each,
-// and lets all of them want several attempts at once: together they spend
-// about the sum, and never much more.
+// TestFractionalBudgetsSpendTheirSum gives many nodes less than a token each and lets each of
+// them request several attempts at once. Together they must not spend much more than the sum
+// of their budgets.
 func TestFractionalBudgetsSpendTheirSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -28,12 +28,12 @@
 				}
 			}
 			if budget.Tokens() < 0 || budget.Tokens() > 1 {
-				t.Fatalf("%v tokens are left", budget.Tokens())
+				t.Fatalf("%v tokens left, want 0 to 1", budget.Tokens())
 			}
 		}
 		// Six standard deviations of the sum of independent draws.
 		if limit := slack + 6*6.5; float64(spent) > limit {
-			t.Fatalf("%d nodes spent %d, their share is %.0f", nodes, spent, slack)
+			t.Fatalf("%d nodes spent %d tokens, want at most %.0f for budgets of %.0f", nodes, spent, limit, slack)
 		}
 	})
 }
@@ -44,6 +44,6 @@
 	config.Chance = func() float64 { return 0 }
 	budget := NewBudget(config)
 	if budget.CanRetry() || budget.Tokens() != 0.9 {
-		t.Errorf("%v tokens", budget.Tokens())
+		t.Errorf("can retry = %v with %v tokens, want false with 0.9", budget.CanRetry(), budget.Tokens())
 	}
 }
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -26,17 +26,17 @@
 					hedges++
 				}
 				if hedges > 0 && float64(hedges+retries) > config.Initial+share*float64(needed)+config.Debt+1 {
-					t.Fatalf("%d hedges and %d retries for %d needed", hedges, retries, needed)
+					t.Fatalf("%d hedges and %d retries for %d required attempts exceed earned, initial and debt tokens", hedges, retries, needed)
 				}
 			default:
 				budget.Earn(share)
 				needed++
 			}
 			if retries == 0 && float64(hedges) > config.Initial+share*float64(needed) {
-				t.Fatalf("%d hedges for %d needed", hedges, needed)
+				t.Fatalf("%d hedges for %d required attempts exceed earned and initial tokens", hedges, needed)
 			}
 			if budget.Tokens() > config.Capacity || budget.Tokens() < -config.Debt-1 {
-				t.Fatalf("%f tokens", budget.Tokens())
+				t.Fatalf("got %f tokens, want %f to %f", budget.Tokens(), -config.Debt-1, config.Capacity)
 			}
 		}
 	})
@@ -49,7 +49,7 @@
 		budget.Earn(0)
 	}
 	if budget.Tokens() != before {
-		t.Errorf("%f tokens, %f before", budget.Tokens(), before)
+		t.Errorf("got %f tokens, want %f as before", budget.Tokens(), before)
 	}
 }
 
@@ -60,7 +60,7 @@
 		count++
 	}
 	if count != 3 || !budget.SpendRetry(1) {
-		t.Errorf("%d hedges", count)
+		t.Errorf("got %d hedges, want 3 and a retry after them", count)
 	}
 }
 
@@ -82,7 +82,7 @@
 		}
 		got := quantiles.compute(quantile).Microseconds()
 		if got < int64(exact) || float64(got) > float64(exact)*(1+1.0/bucketsPerOctave)+1 {
-			t.Fatalf("%d for %d", got, exact)
+			t.Fatalf("got %d µs for an exact quantile of %d µs", got, exact)
 		}
 	})
 }
@@ -96,12 +96,12 @@
 		quantiles.Add(time.Millisecond)
 	}
 	if got := quantiles.Quantile(0.99); got > 2*time.Millisecond {
-		t.Errorf("still %s", got)
+		t.Errorf("got quantile %s after old latencies should have decayed, want at most 2ms", got)
 	}
 }
 
-// TestTokensComeWithTime, up to the capacity: in any window, no more is spent than
-// the capacity and what came in the window.
+// TestTokensRefillOverTime checks that the tokens spent within any time window do not exceed
+// the capacity and the refill of that window.
 func TestTokensRefillOverTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
@@ -122,7 +122,7 @@
 				first--
 			}
 			if count := last - first + 1; float64(count) > config.Capacity+config.Refill*window.Seconds()+0.001 {
-				t.Fatalf("%d spent between %v and %v", count, spent[first], spent[last])
+				t.Fatalf("%d tokens spent between %v and %v, want at most capacity and refill", count, spent[first], spent[last])
 			}
 		}
 	})
--- a/internal/decide/hedge/quantiles.go
+++ b/internal/decide/hedge/quantiles.go
@@ -5,22 +5,20 @@
 	"time"
 )
 
-// The shape and the memory of the histogram. Not measured: the width of the buckets
-// bounds the relative error by 1/16; the intervals are chosen so that old latencies
-// fade within minutes and computing a quantile costs little for each sample.
+// Shape and decay of the histogram.
 const (
-	// Each octave of latencies in microseconds is divided evenly.
+	// Each octave of latencies in microseconds is divided into buckets of equal width, which
+	// bounds the relative error by 1/16.
 	octaveBits       = 4
 	bucketsPerOctave = 1 << octaveBits
-	octaves          = 24 // from 16 microseconds up to four minutes
+	octaves          = 24 // from 16 microseconds to four minutes
 	bucketCount      = (octaves + 1) * bucketsPerOctave
-	halvingInterval  = 2048 // samples between two halvings
-	refreshInterval  = 32   // samples between two computations
+	halvingInterval  = 2048 // samples between two halvings; old latencies decay within minutes
+	refreshInterval  = 32   // samples between two computations, to amortise their cost
 )
 
-// Quantiles is a histogram of latencies that forgets: the weight of old
-// samples halves with every halvingInterval new ones. Its relative error is
-// below 1/16. The zero value is ready to use.
+// Quantiles is a decaying histogram of latencies: the weight of old samples halves with every
+// halvingInterval new ones. Its relative error is below 1/16. The zero value is ready to use.
 type Quantiles struct {
 	counts  [bucketCount]float64
 	total   float64
@@ -41,13 +39,13 @@
 	}
 }
 
-// Samples returns how many latencies were ever recorded.
+// Samples returns the total number of recorded latencies.
 func (q *Quantiles) Samples() int {
 	return q.samples
 }
 
-// Quantile returns an upper bound of the latency at the quantile, from 0 to
-// 1, as of at most refreshInterval samples ago; zero without samples.
+// Quantile returns an upper bound of the latency at the quantile, from 0 to 1. The result may
+// be up to refreshInterval samples old. It is zero without samples.
 func (q *Quantiles) Quantile(quantile float64) time.Duration {
 	if q.samples == 0 {
 		return 0
@@ -81,14 +79,14 @@
 	}
 }
 
-// bucketOf returns the bucket of a latency: the first bucketsPerOctave are one
-// microsecond wide, and the width doubles with each octave after them.
+// bucketOf returns the bucket of a latency. The first bucketsPerOctave buckets are one
+// microsecond wide; the width doubles with each octave after them.
 func bucketOf(latency time.Duration) int {
 	microseconds := uint64(max(latency, 0) / time.Microsecond)
 	if microseconds < bucketsPerOctave {
 		return int(microseconds)
 	}
-	octave := bits.Len64(microseconds) - octaveBits // from 1
+	octave := bits.Len64(microseconds) - octaveBits // counts from 1
 	offset := int(microseconds>>(octave-1)) - bucketsPerOctave
 	return min(octave*bucketsPerOctave+offset, bucketCount-1)
 }
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -1,61 +1,56 @@
-// Package limit decides how many attempts one node keeps in flight on one leaf. It is
-// pure: time comes in as an argument.
+// Package limit decides how many attempts one node keeps in flight on one leaf. It is pure:
+// time is passed in as an argument.
 //
-// Rule: the limit grows by a fraction of one while attempts succeed without a queue on the
-// leaf, and shrinks by a factor when the leaf refuses work or queues it. So the nodes,
-// which share the few slots of a leaf without talking about it, converge to shares of
-// them, and the waiting happens in the nodes.
+// Rule: additive increase, multiplicative decrease. The limit grows by a fraction of one while
+// attempts succeed without a queue on the leaf, and shrinks by a factor when the leaf refuses
+// or queues work. The nodes that share the few slots of a leaf thus converge to shares of the
+// slots without communication, and requests wait in the nodes.
 //
-// Inputs: slots of the leaf, own attempts in flight, the queue that the leaf reports (in
-// attempts), refusals for load, the time (for the pause between two reductions).
+// Inputs: the slots of the leaf, this node's attempts in flight, the queue depth that the leaf
+// reports (in attempts), refusals because of load, and the time between two reductions.
 //
-// Reason: what waits in a node can be reordered by priority and cancelled, what waits at a
-// leaf cannot. The values and their measurement are with DefaultConfig.
+// Reason: a request that waits in a node can be reordered by priority and cancelled, a request
+// that waits at a leaf cannot. At 150 % load, only about half of the urgent queries reach all
+// their shards without a limit, and all of them do with it.
 package limit
 
 import "time"
 
 // Config holds the policy of a Limiter.
 type Config struct {
-	// Headroom is how many attempts more than the slots of the leaf may be in
-	// flight, so that a slot does not idle for a round trip.
+	// Headroom is how many attempts beyond the slots of the leaf may be in flight, so that a slot
+	// does not idle for a round trip.
 	Headroom int
-	// Backoff is the factor applied when a leaf refuses.
+	// Backoff is the factor applied when a leaf refuses an attempt. Two refusals halve the limit.
 	Backoff float64
-	// QueueBackoff is the factor applied when a leaf queues more than
-	// QueueTolerance attempts for each slot.
+	// QueueBackoff is the factor applied when a leaf queues more than QueueTolerance attempts per
+	// slot. It is milder than Backoff, since queueing precedes refusals.
 	QueueBackoff float64
-	// QueueTolerance is the queue length, as a share of the slots, that is
-	// taken without backing off.
+	// QueueTolerance is the queue depth, as a share of the slots, that does not reduce the limit.
+	// A short queue keeps the slots busy.
 	QueueTolerance float64
-	// Growth is added to the limit, divided by the limit, for each success at
-	// the limit.
+	// Growth is added to the limit, divided by the limit, for each success at the limit. 1 is the
+	// usual additive increase of one per round.
 	Growth float64
-	// Pause is the shortest time between two reductions.
+	// Pause is the shortest time between two reductions, so that refusals of attempts that were
+	// in flight together count once.
 	Pause time.Duration
 }
 
-// DefaultConfig returns the defaults. As a whole, simulated at 150 % load, they keep
-// 1.0000 of the urgent queries whole, 0.43 and 0.53 without a limit.
+// DefaultConfig returns the default policy.
 func DefaultConfig() Config {
 	return Config{
-		// Trials of six days a site: 2 is within 0.01 of worth or worse. Limits lower by one
-		// and two: worth 0.7836 and 0.7829 in place of 0.7833.
-		Headroom: 1,
-		// Not measured: chosen so that two refusals halve the limit.
-		Backoff: 0.7,
-		// Not measured: chosen milder than Backoff, since a queue is not yet a refusal.
-		QueueBackoff: 0.9,
-		// Not measured: chosen so that a short queue, which keeps slots busy, is allowed.
+		Headroom:       1,
+		Backoff:        0.7,
+		QueueBackoff:   0.9,
 		QueueTolerance: 0.5,
-		// Not measured: chosen as the usual additive increase, one for each round.
-		Growth: 1,
-		// Not measured: chosen so that refusals of attempts in flight together count once.
-		Pause: 10 * time.Millisecond,
+		Growth:         1,
+		Pause:          10 * time.Millisecond,
 	}
 }
 
-// Limiter is the limit of one leaf. The zero value is not usable; see New.
+// Limiter limits the attempts in flight on one leaf. Use New to create one; the zero value is
+// not usable.
 type Limiter struct {
 	config        *Config
 	slots         int
@@ -64,8 +59,8 @@
 	nextReduction time.Duration
 }
 
-// New returns a Limiter for a leaf with the given slots. It keeps config.
-// A cold leaf starts at one attempt and doubles with its successes.
+// New returns a Limiter for a leaf with the given number of slots. It retains config. A cold
+// leaf starts with a limit of one, which doubles per round of successes.
 func New(config *Config, slots int, cold bool) Limiter {
 	limiter := Limiter{config: config}
 	limiter.Resize(slots)
@@ -73,13 +68,13 @@
 	return limiter
 }
 
-// Resize sets the number of slots; fewer than one counts as one.
+// Resize sets the number of slots, at least one.
 func (l *Limiter) Resize(slots int) {
 	l.slots = max(slots, 1)
 	l.limit = min(l.limit, l.maxLimit())
 }
 
-// Restart forgets what was learned, after the leaf restarted.
+// Restart resets the limit after the leaf restarted.
 func (l *Limiter) Restart(cold bool) {
 	l.limit = float64(l.slots)
 	l.slowStart = cold
@@ -88,13 +83,13 @@
 	}
 }
 
-// Current returns the limit, at least one.
+// Current returns the limit, which is at least one.
 func (l *Limiter) Current() int {
 	return int(l.limit)
 }
 
-// Succeeded records a reply. The number in flight counts the attempt that
-// succeeded; queue is the length of the queue that the leaf reported.
+// Succeeded records a reply. inFlight includes the attempt that succeeded; queue is the queue
+// depth that the leaf reported.
 func (l *Limiter) Succeeded(now time.Duration, inFlight, queue int) {
 	if float64(queue) > l.config.QueueTolerance*float64(l.slots) {
 		l.reduce(now, l.config.QueueBackoff)
@@ -110,7 +105,7 @@
 	}
 }
 
-// Refused records that the leaf shed an attempt.
+// Refused records that the leaf refused an attempt because of load.
 func (l *Limiter) Refused(now time.Duration) {
 	l.reduce(now, l.config.Backoff)
 }
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -20,7 +20,7 @@
 			case 0:
 				limiter.Refused(now)
 				if limiter.Current() > before {
-					t.Fatal("a refusal raised the limit")
+					t.Fatalf("a refusal raised the limit from %d to %d", before, limiter.Current())
 				}
 			case 1:
 				limiter.Restart(rapid.Bool().Draw(t, "cold"))
@@ -28,13 +28,14 @@
 				limiter.Succeeded(now, before, rapid.IntRange(0, 10).Draw(t, "queue"))
 			}
 			if current := limiter.Current(); current < 1 || current > max(slots, 1)+config.Headroom {
-				t.Fatalf("limit %d with %d slots", current, slots)
+				t.Fatalf("got limit %d, want 1 to %d with %d slots", current, max(slots, 1)+config.Headroom, slots)
 			}
 		}
 	})
 }
 
-// Four nodes that always want more than their limit share a leaf.
+// TestLimitsConvergeToSharesOfSlots lets four nodes that always want more than their limit share
+// one leaf.
 func TestLimitsConvergeToSharesOfSlots(t *testing.T) {
 	const nodes, slots = 4, 5
 	config := DefaultConfig()
@@ -54,7 +55,7 @@
 		limiter.Succeeded(time.Duration(step)*time.Millisecond, limiter.Current(), max(total()-slots, 0))
 	}
 	if sum := total(); sum < slots || sum > 2*slots {
-		t.Errorf("%d attempts in flight on %d slots", sum, slots)
+		t.Errorf("%d attempts in flight on %d slots, want %d to %d", sum, slots, slots, 2*slots)
 	}
 }
 
@@ -63,7 +64,7 @@
 	limiter := New(&config, 4, true)
 	for want := 1; want <= 4; want++ {
 		if limiter.Current() != want {
-			t.Fatalf("limit %d after %d successes", limiter.Current(), want-1)
+			t.Fatalf("got limit %d after %d successes, want %d", limiter.Current(), want-1, want)
 		}
 		limiter.Succeeded(0, 1, 0)
 	}
