--- a/internal/decide/coverage/coverage.go
+++ b/internal/decide/coverage/coverage.go
@@ -1,55 +1,49 @@
-// Package coverage decides when a query is settled although shards are missing. It is
-// pure.
+// Package coverage decides when a query is settled although shards are missing. It is pure.
 //
-// Rule: a query with enough answered shards settles after a share of the time until its
-// objective, and shortly before its deadline at the latest. One that can no longer reach
-// enough shards is known as such, so that it can end at once.
+// Rule: a query with enough answered shards settles after a share of the time until its latency
+// objective, at the latest shortly before its deadline. A query that can no longer reach enough
+// shards is detected, so that it can end at once.
 //
-// Inputs: numbers of shards, the least share of them from 0 to 1, times as durations since
-// one origin.
+// Inputs: numbers of shards, the minimum share of answered shards from 0 to 1, times as durations
+// since a common origin.
 //
-// Reason: an answer after its objective is worth little, and one after its deadline
-// nothing. The values and their measurement are with DefaultConfig.
+// Reason: an answer after its objective has little value, an answer after its deadline has none.
 package coverage
 
 import "time"
 
-// Progress is the state of a query's shards. Shards that are neither answered
-// nor unavailable are still awaited.
+// Progress is the state of a query's shards. Shards that are neither answered nor unavailable are
+// still awaited.
 type Progress struct {
 	Total       int
 	Answered    int
 	Unavailable int // no leaf is left that could answer
 }
 
-// Config holds the policy of settling.
+// Config holds the settling policy.
 type Config struct {
-	// Margin is how long before its deadline a query with enough coverage is
-	// settled.
+	// DeadlineMargin is how long before its deadline a query with enough coverage is settled: the
+	// time in which an answer reaches its caller.
 	DeadlineMargin time.Duration
-	// MarginShare bounds Margin by a share of the time that the query was
-	// given.
+	// MaxMarginShare bounds DeadlineMargin by a share of the query's time, so that short queries
+	// keep most of their time.
 	MaxMarginShare float64
-	// ObjectiveShare is the share of the time until a query's objective after
-	// which it settles, if its coverage is enough.
+	// ObjectiveShare is the share of the time until a query's objective after which the query
+	// settles if it has enough coverage.
 	ObjectiveShare float64
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default policy.
 func DefaultConfig() Config {
 	return Config{
-		// Not measured: chosen as the time in which an answer reaches its caller.
 		DeadlineMargin: 5 * time.Millisecond,
-		// Not measured: chosen so that short queries keep most of their time.
 		MaxMarginShare: 0.05,
-		// Paired trials, worth: 0.7566 with 0.95 in place of 0.7585; 0.93 within 0.01 or
-		// worse (six days a site).
 		ObjectiveShare: 0.9,
 	}
 }
 
-// SettleAt returns the time from which a query that was submitted at start
-// settles if its coverage is enough. An objective of zero is none.
+// SettleAt returns the time from which a query submitted at start settles if it has enough
+// coverage. An objective of zero means that there is none.
 func (c Config) SettleAt(start, deadline, objective time.Duration) time.Duration {
 	margin := min(c.DeadlineMargin, time.Duration(c.MaxMarginShare*float64(deadline-start)))
 	latest := deadline - max(margin, 0)
@@ -64,23 +58,22 @@
 	return p.Answered == p.Total
 }
 
-// Hopeless reports whether no shard is answered and none can be.
+// Hopeless reports whether all shards are unavailable, so that no answer is possible.
 func (p Progress) Hopeless() bool {
 	return p.Unavailable == p.Total
 }
 
-// Enough reports whether the share of answered shards reaches the minimum.
-// No answer at all is never enough.
+// Enough reports whether the share of answered shards reaches the minimum. Zero answered shards
+// are never enough.
 func (p Progress) Enough(minimum float64) bool {
 	return p.Answered > 0 && float64(p.Answered) >= minimum*float64(p.Total)-roundingError
 }
 
-// roundingError, in shards, is what the product of a share and a number of shards may
-// lie above the whole number that is meant.
+// roundingError, in shards, bounds how far the product of a share and a number of shards may
+// exceed the intended whole number.
 const roundingError = 1e-9
 
-// Attainable reports whether the share of answered shards can still reach the
-// minimum.
+// Attainable reports whether the share of answered shards can still reach the minimum.
 func (p Progress) Attainable(minimum float64) bool {
 	reachable := Progress{Total: p.Total, Answered: p.Total - p.Unavailable}
 	return reachable.Enough(minimum)
--- a/internal/decide/coverage/coverage_test.go
+++ b/internal/decide/coverage/coverage_test.go
@@ -13,16 +13,16 @@
 		answered := rapid.IntRange(0, total).Draw(t, "answered")
 		p := Progress{Total: total, Answered: answered, Unavailable: rapid.IntRange(0, total-answered).Draw(t, "unavailable")}
 		if p.Whole() && (!p.Enough(1) || p.Hopeless()) {
-			t.Fatal("whole, but not enough")
+			t.Fatalf("%+v is whole, but not enough or hopeless", p)
 		}
 		if p.Enough(1) && !p.Whole() || answered > 0 && !p.Enough(float64(answered)/float64(total)) {
-			t.Fatal("rounding changes what is enough")
+			t.Fatalf("rounding changes whether %+v is enough", p)
 		}
 		if answered == 0 && p.Enough(0) {
-			t.Fatal("no answer is enough")
+			t.Fatalf("%+v has no answer, but is enough", p)
 		}
 		if p.Hopeless() && !p.Exhausted() {
-			t.Fatal("hopeless, but a shard is awaited")
+			t.Fatalf("%+v is hopeless, but a shard is awaited", p)
 		}
 	})
 }
@@ -34,7 +34,7 @@
 		{40 * time.Millisecond, 2 * time.Millisecond},
 	} {
 		if got := config.SettleAt(time.Hour, time.Hour+test.given, 0); got != time.Hour+test.given-test.margin {
-			t.Errorf("%s: settles at %s", test.given, got)
+			t.Errorf("query with %s: got settle time %s, want %s", test.given, got, time.Hour+test.given-test.margin)
 		}
 	}
 }
--- a/internal/decide/leafanswer/leafanswer_test.go
+++ b/internal/decide/leafanswer/leafanswer_test.go
@@ -16,7 +16,7 @@
 		{Answer{Status: 504, Signed: true}, false},
 	} {
 		if got := test.answer.Usable(); got != test.want {
-			t.Errorf("%+v: %v", test.answer, got)
+			t.Errorf("%+v: usable = %v, want %v", test.answer, got, test.want)
 		}
 	}
 }
--- a/internal/decide/linger/linger_test.go
+++ b/internal/decide/linger/linger_test.go
@@ -17,7 +17,7 @@
 		{0, true, 0},
 	} {
 		if got := Time(test.allowed, test.overdue); got != test.want {
-			t.Errorf("%v, overdue %v: %v, want %v", test.allowed, test.overdue, got, test.want)
+			t.Errorf("configured %v, overdue %v: got %v, want %v", test.allowed, test.overdue, got, test.want)
 		}
 	}
 }
--- a/internal/decide/presend/presend.go
+++ b/internal/decide/presend/presend.go
@@ -1,42 +1,40 @@
-// Package presend decides, directly before an attempt is sent to a leaf, whether it may
-// still be sent.
+// Package presend decides, directly before an attempt is sent to a leaf, whether it may still
+// be sent.
 //
-// The rule: an attempt is sent only if the node may act, its leaf takes new work, and
-// its query has time left. Otherwise no byte leaves, and the Dispatcher is told that the
-// attempt was not sent.
+// Rule: an attempt is sent only if the node may act, its leaf accepts new work, and its query
+// has time left. Otherwise no byte is sent, and the Dispatcher is told that the attempt was not
+// sent.
 //
-// Inputs: why the node may not act, if it may not; whether the leaf is usable in the
-// newest topology; the time left until the deadline of the query (a duration on the
-// node's clock). They are taken in this order, since the question whether the node may
-// act can bring in a newer topology, and takes time.
+// Inputs: the reason why the node may not act, if any; whether the leaf is usable in the newest
+// topology; the time until the deadline of the query (a duration on the node's clock). They are
+// read in this order, because checking whether the node may act takes time and can install a
+// newer topology.
 //
-// Reason: the process may have been frozen since the Dispatcher decided. What it then
-// sends could reach a leaf that was retired, or come after the deadline, when "not run"
-// was answered and must stay true.
-//
-// Constants: none.
+// Reason: the process may have been suspended since the Dispatcher decided. An attempt sent then
+// could reach a retired leaf, or be sent after the deadline, when the query was already reported
+// as "not run", which must stay true.
 package presend
 
 import "time"
 
-// State is what is known directly before a send.
+// State holds what is known directly before a send.
 type State struct {
-	// Guard is why the node may not act; nil if it may.
+	// Guard is the reason why the node may not act, or nil.
 	Guard error
-	// Usable says that the leaf takes new work.
+	// Usable is set if the leaf accepts new work.
 	Usable bool
-	// Remaining is the time left until the deadline of the query.
+	// Remaining is the time until the deadline of the query.
 	Remaining time.Duration
 }
 
-// Verdict says whether an attempt may be sent, and if not, why.
+// Verdict tells whether an attempt may be sent, and if not, why.
 type Verdict int
 
-// The verdicts, in the order in which they are given.
+// The verdicts. The checks behind the last three are made in this order.
 const (
-	Send      Verdict = iota // it may be sent
+	Send      Verdict = iota // the attempt may be sent
 	NotFresh                 // the node may not act
-	NotUsable                // the leaf takes no new work
+	NotUsable                // the leaf accepts no new work
 	Expired                  // no time is left
 )
 
--- a/internal/decide/presend/presend_test.go
+++ b/internal/decide/presend/presend_test.go
@@ -21,7 +21,7 @@
 		{State{}, NotUsable},
 	} {
 		if got := Decide(test.state); got != test.want {
-			t.Errorf("%+v: %d, want %d", test.state, got, test.want)
+			t.Errorf("%+v: got verdict %d, want %d", test.state, got, test.want)
 		}
 	}
 }
--- a/internal/decide/snapshot/snapshot.go
+++ b/internal/decide/snapshot/snapshot.go
@@ -1,14 +1,14 @@
 // Package snapshot decides which version of the data a query is pinned to. It is pure.
 //
-// Rule: of the snapshots that usable leaves hold, the newest one that covers all shards
-// which the query needs; without one, the newest of those that cover the most.
+// Rule: the query is pinned to the newest snapshot held by usable leaves that covers all shards
+// it needs. If there is none, it is pinned to the newest of those that cover the most.
 //
-// Inputs: the partitions (shards by epoch), what each usable leaf holds, the shards that
-// the query needs.
+// Inputs: the partitions (shards by epoch), the holdings of each usable leaf, the shards that the
+// query needs.
 //
-// Reason: an answer has to come from one snapshot, and a newer one is worth less to a
-// caller than a whole one. The rule has no constant. On the users' platform the snapshot
-// is a constant, and all leaves hold it.
+// Reason: an answer must come from a single snapshot, and completeness matters more to a caller
+// than recency. On a platform without versioned data, the snapshot is constant and held by all
+// leaves.
 package snapshot
 
 import (
@@ -18,20 +18,19 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// View is one snapshot as the usable leaves hold it.
+// View is one snapshot as held by the usable leaves.
 type View struct {
 	Snapshot catalog.Snapshot
-	// Replicas lists, for each shard of the partition of the snapshot's
-	// epoch, the indexes of the leaves that hold it. Its length is the number
-	// of shards, also of those that no leaf holds.
+	// Replicas lists, for each shard of the partition of the snapshot's epoch, the indexes of the
+	// leaves that hold it. Its length is the number of shards, including those that no leaf holds.
 	Replicas [][]int32
-	// Covered is the number of shards with at least one leaf.
+	// Covered is the number of shards that at least one leaf holds.
 	Covered int
 }
 
-// Build returns the views of all snapshots that are held by at least one
-// leaf and whose epoch has a partition, newest first. holdings lists what
-// each leaf holds; a leaf that gets no work must have none.
+// Build returns the views of all snapshots that at least one leaf holds and whose epoch has a
+// partition, newest first. holdings lists what each leaf holds; it must be empty for a leaf that
+// gets no work.
 func Build(partitions []catalog.Partition, holdings [][]leaf.Holding) []View {
 	shardCounts := make(map[uint64]int, len(partitions))
 	for _, partition := range partitions {
@@ -81,16 +80,14 @@
 	}
 }
 
-// Need says which shards a query needs: all, the one that a key names, or
-// those listed.
+// Need describes the shards that a query needs: all shards, the shard of a key, or those listed.
 type Need struct {
 	KeyHash uint64
 	HasKey  bool
 	Shards  []int
 }
 
-// Shard returns the only shard needed out of a number of shards, if a key
-// names it.
+// Shard returns the only needed shard out of a number of shards, if the query has a key.
 func (n Need) Shard(shards int) (int, bool) {
 	if !n.HasKey || shards == 0 {
 		return 0, false
@@ -98,8 +95,8 @@
 	return int(n.KeyHash % uint64(shards)), true
 }
 
-// Covered returns how many of the needed shards of the view have a leaf, and
-// how many are needed.
+// Covered returns how many of the needed shards of the view are held by a leaf, and how many are
+// needed.
 func (n Need) Covered(view *View) (covered, needed int) {
 	if len(n.Shards) > 0 {
 		return n.countCoveredListed(view), len(n.Shards)
@@ -124,10 +121,9 @@
 	return covered
 }
 
-// Pick returns the index of the newest view in which every needed shard has a
-// leaf; without one, that of the newest of those with the largest share of
-// the needed shards. It returns false if no view holds any needed shard.
-// The views must be sorted newest first.
+// Pick returns the index of the newest view in which a leaf holds every needed shard. If there is
+// none, it returns the newest of the views with the largest share of the needed shards. It returns
+// false if no view holds any needed shard. The views must be sorted newest first.
 func Pick(views []View, need Need) (int, bool) {
 	best, bestShare := -1, 0.0
 	for index := range views {
--- a/internal/decide/snapshot/snapshot_test.go
+++ b/internal/decide/snapshot/snapshot_test.go
@@ -19,7 +19,7 @@
 	return rapid.SliceOfN(rapid.SliceOfN(holding, 0, 3), 0, 5).Draw(t, "holdings")
 }
 
-// covered counts, from the definition, the needed shards that some leaf holds.
+// countCovered counts, from the definition, the needed shards that some leaf holds.
 func countCovered(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shards int, need Need) (count, needed int) {
 	for shard := range shards {
 		if only, single := need.Shard(shards); single && only != shard {
@@ -50,7 +50,7 @@
 }
 
 func TestPickMatchesDefinition(t *testing.T) {
-	partitions := []catalog.Partition{{Epoch: 1, Shards: 2}, {Epoch: 2, Shards: 3}} // epoch 3 is unknown
+	partitions := []catalog.Partition{{Epoch: 1, Shards: 2}, {Epoch: 2, Shards: 3}} // epoch 3 has no partition
 	rapid.Check(t, func(t *rapid.T) {
 		holdings := drawHoldings(t)
 		need := Need{HasKey: rapid.Bool().Draw(t, "key"), KeyHash: rapid.Uint64Range(0, 9).Draw(t, "hash")}
@@ -69,12 +69,12 @@
 		}
 		index, ok := Pick(views, need)
 		if ok != exists || ok && views[index].Snapshot != best {
-			t.Fatalf("picked %v, wanted %v of %v", index, best, views)
+			t.Fatalf("picked index %d (exists: %v) of %v, want %v (exists: %v)", index, ok, views, best, exists)
 		}
 		for _, view := range views {
 			for shard, replicas := range view.Replicas {
 				if len(replicas) != countHolders(holdings, view.Snapshot, shard) {
-					t.Fatalf("%v of shard %d of %v", replicas, shard, view.Snapshot)
+					t.Fatalf("got replicas %v of shard %d of %v, want %d", replicas, shard, view.Snapshot, countHolders(holdings, view.Snapshot, shard))
 				}
 			}
 		}
