--- a/internal/decide/share/budget.go
+++ b/internal/decide/share/budget.go
@@ -7,37 +7,32 @@
 )
 
 const (
-	// slackUsed is the part of the extra load beyond the ratio that running nodes
-	// spend in any window; the rest is for nodes that start. Not measured by itself:
-	// with it and half of the slack for executors, the answers that left parts out on
-	// a calm day of 64 nodes fell from 903 to 661.
+	// steadyShare is the share of the extra load beyond the ratio that running nodes spend in
+	// any window; the rest is for nodes that start.
 	steadyShare = 0.75
-	// savedPart is the part of that which a node saves up for a burst; the rest comes
-	// with time, over the window. At 0.35 two large deployments earned 0.619 and 0.543
-	// in place of 0.630 and 0.578.
+	// burstShare is the share of the steady part that a node saves for a burst; the rest is
+	// refilled over the window.
 	burstShare = 0.6
-	// aloneInitial bounds the tokens of a node that has earned nothing yet, where none
-	// runs requests for others: nodes that are killed come back with it each time.
-	// Executors get what slackUsed leaves. Not measured: chosen as one attempt.
+	// standaloneInitial bounds the initial tokens of a node if no node runs requests for others:
+	// nodes that are killed get them again at each start. Executors get what steadyShare
+	// leaves.
 	standaloneInitial = 1
-	// maxReserve bounds the tokens that hedges leave for retries, and reservePart is
-	// the part of the capacity that they leave at most. Not measured for themselves;
-	// without a reserve a deployment of 60 nodes earned 0.6608 in place of 0.6625,
-	// which is within the spread.
+	// maxReserve bounds the tokens that hedges leave for retries, and reserveShare bounds them as
+	// a share of the capacity.
 	maxReserve   = 1
 	reserveShare = 0.25
 )
 
-// Extra is the extra load that all nodes together may cause at a service, beyond the
-// ratio that requests earn.
+// Extra is the extra load that all nodes together may cause at a service, beyond the ratio that
+// requests earn.
 type Extra struct {
-	// Attempts is how many extra attempts may come in any window.
+	// Attempts is how many extra attempts are allowed in any window.
 	Attempts float64
 	Window   time.Duration
 }
 
-// Budget returns the bounds of the extra load that the node may cause at a shard, in
-// attempts, and attempts a second for Refill.
+// Budget returns the bounds of the extra load that the node may cause at a shard, in attempts, with
+// Refill in attempts per second.
 func (s Share) Budget(allowed Extra) hedge.Bounds {
 	slack := s.fraction * allowed.Attempts / float64(max(s.nodeCounts.Total, 1))
 	capacity := steadyShare * burstShare * slack
--- a/internal/decide/share/budget_test.go
+++ b/internal/decide/share/budget_test.go
@@ -10,31 +10,31 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// extraOf returns the extra load that some settings allow.
+// extraLoad returns the extra load that the settings allow.
 func extraLoad(from settings.Settings) Extra {
 	return Extra{Attempts: from.Forward.ExtraSlack, Window: from.Forward.ExtraWindow.Duration()}
 }
 
-// TestBudgetSharesStayWithinTheSlack adds up what all nodes may save.
+// TestNodeBudgetsStayWithinExtraLoad sums up the budgets of all nodes.
 func TestNodeBudgetsStayWithinExtraLoad(t *testing.T) {
 	allowed := extraLoad(settings.Defaults())
 	for _, nodes := range []int{1, 2, 8, 12, 60, 300, 3900} {
 		bounds := Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}.Budget(allowed)
 		spent := bounds.Capacity + bounds.Refill*allowed.Window.Seconds()
 		if all := spent * float64(nodes); all > allowed.Attempts || all < allowed.Attempts/2 {
-			t.Errorf("%d nodes save up to %.1f of %.0f", nodes, all, allowed.Attempts)
+			t.Errorf("%d nodes may spend %.1f attempts per window, want %.1f to %.0f", nodes, all, allowed.Attempts/2, allowed.Attempts)
 		}
 		if bounds.Reserve <= 0 || bounds.Reserve >= bounds.Capacity || bounds.Initial > bounds.Capacity {
-			t.Errorf("%d nodes: %+v", nodes, bounds)
+			t.Errorf("%d nodes: reserve or initial tokens do not fit the capacity: %+v", nodes, bounds)
 		}
 	}
 	if bounds := (Share{fraction: 1}).Budget(allowed); bounds.Capacity > allowed.Attempts {
-		t.Errorf("no node is known: %+v", bounds)
+		t.Errorf("no node is announced: got capacity %.1f, want at most %.0f", bounds.Capacity, allowed.Attempts)
 	}
 }
 
-// TestExecutorsAndOthersShareTheSlack adds up what all nodes save, and have when
-// all start at once.
+// TestExecutorsAndOthersShareExtraLoad sums up the budgets of all nodes, including their initial
+// tokens when all of them start at once.
 func TestExecutorsAndOthersShareExtraLoad(t *testing.T) {
 	allowed := extraLoad(settings.Defaults())
 	allowed.Attempts = 168
@@ -53,18 +53,18 @@
 			saved += bounds.Capacity + bounds.Refill*allowed.Window.Seconds() + bounds.Initial
 		}
 		if saved > allowed.Attempts+0.001 || saved < 0.9*allowed.Attempts {
-			t.Errorf("shard %v: %.1f of %.0f", shard, saved, allowed.Attempts)
+			t.Errorf("shard %v: all nodes may spend %.1f attempts, want %.1f to %.0f", shard, saved, 0.9*allowed.Attempts, allowed.Attempts)
 		}
 	}
 	executor := OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(allowed)
 	if executor.Initial < 1+executor.Reserve {
-		t.Errorf("an executor that starts has nothing for a hedge: %+v", executor)
+		t.Errorf("an executor that starts cannot send a hedge: %+v", executor)
 	}
 	if total := 8 * executor.Capacity; total < 0.8*steadyShare*burstShare*allowed.Attempts {
-		t.Errorf("executors save up to %.1f of %.0f at a shard", total, allowed.Attempts)
+		t.Errorf("executors save up to %.1f of %.0f attempts at a shard", total, allowed.Attempts)
 	}
 	other := OfSlack(executors.Assign(members[63], members), members, len(members), false).Budget(allowed)
 	if alone := OfSlack(executors.Assign(members[0], members), members, len(members), false).Budget(allowed); alone != other {
-		t.Errorf("at a service that is no shard an executor saves %+v, another node %+v", alone, other)
+		t.Errorf("at a service that is not a shard, an executor gets %+v and another node %+v, want the same", alone, other)
 	}
 }
--- a/internal/decide/share/connections.go
+++ b/internal/decide/share/connections.go
@@ -8,36 +8,36 @@
 
 // Leaf is one leaf of a service.
 type Leaf struct {
-	// ID names its incarnation.
+	// ID is the name of the leaf's incarnation.
 	ID   string
 	Zone string
-	// Usable says that it may get new attempts.
+	// Usable is set if the leaf may get new attempts.
 	Usable bool
 }
 
-// Kept says what a node keeps to one leaf.
+// LeafAllocation describes the connections that a node keeps to one leaf.
 type LeafAllocation struct {
-	// Connections is how many it may keep.
+	// Connections is how many connections the node may keep.
 	Connections int
-	// Standby says that it keeps none while other leaves of the service have some: the
-	// leaf gets work only if none of those can take it.
+	// Standby is set if the node keeps no connection to this leaf while it keeps some to other
+	// leaves of the service: the leaf gets work only if none of the others can run it.
 	Standby bool
 }
 
-// Bounds are those on the connections to one leaf of a service.
+// Bounds limits the connections to one leaf of a service.
 type Bounds struct {
-	// Taken is how many a leaf takes of all nodes together; zero if nobody says.
+	// Taken is how many connections a leaf accepts from all nodes together; zero if unknown.
 	Taken int
-	// PerNode is how many one node keeps at most.
+	// PerNode is the largest number of connections that one node keeps.
 	PerNode int
 }
 
-// Connections returns what the node keeps to each leaf of a service. Leaves that may
-// get no new attempts get none, and the others take over their part.
+// Connections returns the connections that the node keeps to each leaf of a service. Leaves that
+// may get no new attempts get none, and the other leaves take over their share.
 //
-// Where a leaf takes fewer connections than there are nodes, each attempt would open
-// one: 92,500 for 152,219 requests on a calm day of 64 nodes, which fell to 13,058
-// with subsets of the leaves.
+// If a leaf accepts fewer connections than there are nodes, a node without a subset of the leaves
+// opens a connection for most attempts: with 64 nodes about 60 % of the attempts, with subsets less
+// than 9 %.
 func (s Share) Connections(self subset.Node, service string, leaves []Leaf, bounds Bounds) []LeafAllocation {
 	allocations := make([]LeafAllocation, len(leaves))
 	var positions []int
@@ -56,7 +56,7 @@
 	return allocations
 }
 
-// chosen returns how many connections the node keeps to each replica.
+// allocate returns how many connections the node keeps to each replica.
 func (s Share) allocate(self subset.Node, service string, replicas []subset.Replica, bounds Bounds) []int {
 	if bounds.Taken == 0 {
 		return slices.Repeat([]int{bounds.PerNode}, len(replicas))
@@ -68,7 +68,7 @@
 	return connections
 }
 
-// markStandby marks the leaves without a connection if others have some.
+// markStandby marks the leaves without a connection if others have one.
 func markStandby(allocations []LeafAllocation) {
 	anyConnected := false
 	for _, allocation := range allocations {
--- a/internal/decide/share/probe_test.go
+++ b/internal/decide/share/probe_test.go
@@ -7,15 +7,15 @@
 	"github.com/micaplank/micaplank/internal/decide/subset"
 )
 
-// TestProbesOfAllNodesTogetherAreBounded: what many nodes spend on probes of one
-// slow leaf would else eat the budget of its shard.
+// TestProbeIntervalBoundsFleetProbeRate guards against probes of many nodes that use up the budget
+// of a shard with a slow leaf.
 func TestProbeIntervalBoundsFleetProbeRate(t *testing.T) {
 	for _, test := range []struct {
 		nodes int
 		want  time.Duration
 	}{{1, MinProbeInterval}, {6, MinProbeInterval}, {18, 18 * fleetProbeInterval}, {300, maxNodeProbeInterval}} {
 		if got := (Share{nodeCounts: subset.NodeCounts{Total: test.nodes}}).ProbeInterval(); got != test.want {
-			t.Errorf("%d nodes probe each %v, want %v", test.nodes, got, test.want)
+			t.Errorf("%d nodes: got probe interval %v, want %v", test.nodes, got, test.want)
 		}
 	}
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -1,22 +1,19 @@
-// Package share divides among the nodes what all of them have together: the extra
-// load beyond its ratio, the probes of slow leaves, and the connections to leaves
-// that take few. It is pure.
+// Package share divides among the nodes what all of them have together: the extra load beyond its
+// ratio, the probes of slow leaves, and the connections to leaves that accept few. It is pure.
 //
-// The rule: executors divide one part among each other and all other nodes the rest;
-// where each node runs its own requests, all divide the whole alike. Each node
-// computes its own share from the announced nodes, so nobody hands anything out and
-// no message is needed when a node comes or goes.
+// Rule: executors divide one fraction among each other and all other nodes the rest. If each node
+// runs its own requests, all nodes get the same share. Each node computes its share from the
+// announced nodes, so no node assigns shares and no message is needed when a node joins or leaves.
 //
-// Inputs: the roles of the nodes (executors.Roles), the announced nodes, their number
-// (which may be larger than that of the members known, for nodes count for a while
-// after they left), whether a service is a shard of some route, the extra attempts
-// that the platform allows in a window, and the connections that a leaf takes.
+// Inputs: the roles of the nodes (executors.Roles), the announced nodes, their number (which may
+// exceed the number of announced nodes, since nodes count for a while after they left), whether a
+// service is a shard of a route, the extra attempts that the platform allows in a window, and the
+// connections that a leaf accepts.
 //
-// Reason: executors run the requests of many shards, the others run theirs only when
-// no executor can.
+// Reason: executors run the requests of many shards; the other nodes run theirs only if no executor
+// can.
 //
-// It owns nothing. It relies on package subset for which replicas a node connects to,
-// and on hedge for how a budget is spent.
+// Package subset decides which replicas a node connects to, package hedge how a budget is spent.
 package share
 
 import (
@@ -26,29 +23,26 @@
 )
 
 const (
-	// executorConnections is the part of the connections to leaves, and of the extra
-	// load where executors and others are not told apart by service, that executors
-	// divide. With 0.8 two large deployments earned 0.634 and 0.573 in place of 0.630
-	// and 0.578, which is within the spread.
+	// executorConnectionShare is the share of the connections to leaves, and of the extra load
+	// if executors and others do not differ by service, that executors divide.
 	executorConnectionShare = 0.5
-	// executorSlack is the part of the extra load beyond the ratio that executors
-	// divide at services that are shards of a route, whose requests they run as a
-	// rule. Where a third of the attempts hang, one of eight executors answers 0.74 of
-	// its queries in time with it, and 0.70 with half
-	// (TestSlackOfExecutorsReachesCallers).
+	// executorSlackShare is the share of the extra load beyond the ratio that executors divide
+	// at services that are shards of a route, since executors usually run the requests for these
+	// services. If a third of the attempts hang, one of eight executors answers 74 % of its
+	// queries in time with it, and 70 % with 0.5 (TestSlackOfExecutorsReachesCallers).
 	executorSlackShare = 0.85
 )
 
-// Share is the part of something that a node and others like it divide.
+// Share is one node's share of a resource that it divides with similar nodes.
 type Share struct {
 	nodeCounts subset.NodeCounts
-	// part is the part that they divide, from 0 to 1.
+	// fraction is the fraction of the resource that these nodes divide, from 0 to 1.
 	fraction float64
-	// alone says that no node runs requests for others.
+	// standalone is set if no node runs requests for others.
 	standalone bool
 }
 
-// Alone returns the share of a node among some, each of which runs its own requests.
+// Alone returns the share of one of several nodes, each of which runs its own requests.
 func Alone(nodes int) Share {
 	return Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}
 }
@@ -64,9 +58,9 @@
 	return Share{nodeCounts: countNodes(roles.NonExecutors(members), nodes-len(roles.Executors)), fraction: 1 - executorConnectionShare}
 }
 
-// OfSlack returns the share of the extra load beyond the ratio of a node with a role:
-// at a service that is a shard of a route, or at another one, whose requests run where
-// they came in.
+// OfSlack returns a node's share of the extra load beyond the ratio. shard tells whether the
+// service is a shard of a route; the requests for any other service run on the nodes that received
+// them.
 func OfSlack(roles executors.Roles, members []roster.Member, nodes int, shard bool) Share {
 	divided := Of(roles, members, nodes)
 	switch {
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -1,17 +1,16 @@
-// Package subset decides to which replicas of a shard a node keeps connections, where the
-// replicas take fewer connections than there are nodes.
+// Package subset decides to which replicas of a shard a node keeps connections if the replicas
+// accept fewer connections than there are nodes. It is pure.
 //
-// The rule: every node computes its own subset from what all of them know, by rendezvous
-// hashing, replicas of its own zone first where they can take all nodes there.
+// Rule: every node computes its own subset from shared knowledge by rendezvous hashing. Replicas
+// of its own zone come first if they can accept all nodes of the zone.
 //
-// Inputs: the name and zone of the node, how many nodes there are in each zone, and the
-// replicas of a shard with the connections that each takes from all nodes together.
+// Inputs: the name and zone of the node, the number of nodes in each zone, and the replicas of a
+// shard with the number of connections that each accepts from all nodes together.
 //
-// Reason: no node has to hand connections out; hashing spreads the nodes evenly over the
-// replicas, and moves few connections when a replica or a node comes or goes. Two other
-// ways cost more: ranks in a sorted list move many connections, and connections that are
-// kept only for a part of the time between requests are opened again for each attempt
-// (92,500 for 152,219 requests). It is pure, and relies on no other package.
+// Reason: no node has to assign connections. Hashing spreads the nodes evenly over the replicas
+// and moves few connections when a replica or a node is added or removed. Ranks in a sorted list
+// would move many connections; connections that are closed between requests would be reopened for
+// about 60 % of the attempts.
 package subset
 
 import (
@@ -23,16 +22,14 @@
 )
 
 const (
-	// plannedShare is the part of a replica's connections that nodes plan to keep. Not
-	// measured: chosen because connections that are being closed, and those of nodes that
-	// start, need some.
+	// usableShare is the share of a replica's connections that nodes plan to keep. Connections
+	// that are being closed, and those of nodes that start, need the rest.
 	usableShare = 0.96
-	// deviations is how many standard deviations of the hashing are left free as well:
-	// about one replica in a hundred gets more connections than it takes, by the normal
-	// distribution.
+	// spareDeviations is how many standard deviations of the hashing are left free as well. By
+	// the normal distribution, about 1 % of the replicas get more connections than they accept.
 	spareDeviations = 2.2
-	// nearShare is the part of its connections up to which nodes may prefer a replica of
-	// their own zone. Not measured: chosen because the others need some.
+	// localShare is the share of its connections up to which nodes may prefer a replica of their
+	// own zone. Nodes of other zones need the rest.
 	localShare = 0.9
 )
 
@@ -40,7 +37,7 @@
 type Replica struct {
 	ID   string
 	Zone string
-	// Connections is how many it takes from all nodes together.
+	// MaxConnections is how many connections the leaf accepts from all nodes together.
 	MaxConnections int
 }
 
@@ -50,14 +47,14 @@
 	Zone string
 }
 
-// Census counts the nodes that share the replicas.
+// NodeCounts counts the nodes that share the replicas.
 type NodeCounts struct {
 	Total  int
 	ByZone map[string]int
 }
 
-// Choose returns, for each replica of a shard, how many connections the node
-// may keep. Zero means that the replica isn't in its subset.
+// Choose returns, for each replica of a shard, how many connections the node may keep. Zero means
+// that the replica is not in the node's subset.
 func Choose(self Node, census NodeCounts, shard string, replicas []Replica) []int {
 	connections := make([]int, len(replicas))
 	nodes := float64(max(census.Total, 1))
@@ -80,12 +77,12 @@
 	return connections
 }
 
-// planned returns how many connections the nodes may plan to keep to a replica.
-// Where there are enough for each node, nothing is left to chance. Where there
-// are not, a node that has one by hashing is a draw of a binomial distribution,
-// and the number m that is planned solves
+// plannedConnections returns how many connections the nodes together may plan to keep to a
+// replica. If there are enough for each node, hashing is not involved. Otherwise the number of
+// nodes that select the replica by hashing has a binomial distribution, and the planned number m
+// solves
 //
-//	m + deviations * sqrt(m * (1 - m/nodes)) = capacity.
+//	m + spareDeviations * sqrt(m * (1 - m/nodes)) = capacity.
 func plannedConnections(connections int, nodes float64) float64 {
 	capacity := usableShare * float64(connections)
 	if capacity >= nodes {
@@ -97,8 +94,8 @@
 	return (b - math.Sqrt(b*b-4*a*capacity*capacity)) / (2 * a)
 }
 
-// memberCount rounds the number of connections that the node may keep to a
-// shard, up or down by chance so that all nodes together use what there is.
+// subsetSize rounds the number of connections that the node may keep to a shard. It rounds up or
+// down by hash so that all nodes together use the available connections.
 func subsetSize(self Node, shard string, total float64, replicas int) int {
 	count := int(total)
 	if hashFraction(self.Name, shard) < total-float64(count) {
@@ -107,8 +104,8 @@
 	return min(count, replicas)
 }
 
-// ranked returns the indexes of the replicas, those first that the node should
-// connect to.
+// rankReplicas returns the indexes of the replicas in the order in which the node should connect
+// to them.
 func rankReplicas(self Node, census NodeCounts, shard string, replicas []Replica, size int) []int {
 	order := make([]int, len(replicas))
 	weights := make([]float64, len(replicas))
@@ -123,8 +120,8 @@
 	return order
 }
 
-// nearFits reports whether a replica can take all nodes of its zone, beside its
-// part of the others.
+// fitsLocalNodes reports whether a replica can accept all nodes of its zone in addition to its
+// share of the other nodes.
 func fitsLocalNodes(census NodeCounts, near Replica, replicas, members int) bool {
 	local := float64(census.ByZone[near.Zone])
 	others := float64(census.Total) - local
@@ -132,11 +129,11 @@
 	return local+others*spread <= localShare*float64(near.MaxConnections)
 }
 
-// chance maps words to a number from 0 up to 1, the same on every node.
+// hashFraction maps words to a number from 0 to below 1, which is the same on every node.
 func hashFraction(words ...string) float64 {
 	digest := xxhash.New()
 	for _, word := range words {
-		_, _ = digest.WriteString(word) // a digest takes any bytes
+		_, _ = digest.WriteString(word) // hashing never fails
 		_, _ = digest.Write(separator)
 	}
 	return float64(digest.Sum64()>>11) / (1 << 53)
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet returns nodes spread over zones, and their census.
+// newNodes returns nodes that are spread over zones, and their counts.
 func newNodes(count int, zones []string) ([]Node, NodeCounts) {
 	census := NodeCounts{Total: count, ByZone: make(map[string]int)}
 	nodes := make([]Node, count)
@@ -26,7 +26,7 @@
 	return replicas
 }
 
-// arrivals counts the connections that all nodes keep to each replica.
+// connectionsPerReplica counts the connections that all nodes keep to each replica.
 func connectionsPerReplica(nodes []Node, census NodeCounts, shard string, replicas []Replica) []int {
 	sums := make([]int, len(replicas))
 	for _, node := range nodes {
@@ -39,8 +39,8 @@
 
 var zones = []string{"a", "b", "c", "d"}
 
-// TestConnectionsFitAndAreUsed is the size of the grown deployment: three
-// replicas of 54 connections, and more nodes than that.
+// TestConnectionsFitCapacityAndAreUsed covers fleets below and above the number of connections
+// that each of the three replicas accepts, which is 54.
 func TestConnectionsFitCapacityAndAreUsed(t *testing.T) {
 	for _, count := range []int{1, 8, 40, 64, 75, 100, 300} {
 		nodes, census := newNodes(count, zones)
@@ -55,10 +55,10 @@
 			}
 		}
 		if full > shards*3/50 {
-			t.Errorf("%d nodes: %d of %d replicas get more connections than they take", count, full, shards*3)
+			t.Errorf("%d nodes: %d of %d replicas get more connections than they accept, want at most %d", count, full, shards*3, shards*3/50)
 		}
 		if share := float64(used) / (shards * 3 * 54); count >= 64 && share < 0.68 {
-			t.Errorf("%d nodes use %.2f of the connections", count, share)
+			t.Errorf("%d nodes use a share of %.2f of the connections, want at least 0.68", count, share)
 		}
 	}
 }
@@ -71,12 +71,12 @@
 			total += connections
 		}
 		if total < 2 {
-			t.Errorf("%s keeps %d connections", node.Name, total)
+			t.Errorf("%s keeps %d connections, want at least 2", node.Name, total)
 		}
 	}
 }
 
-// TestNearReplicaIsInTheSubset holds where the zones are about equal.
+// TestLocalReplicaIsInSubset uses zones of about equal size.
 func TestLocalReplicaIsInSubset(t *testing.T) {
 	nodes, census := newNodes(64, zones)
 	candidates := newReplicas(3, 54, zones)
@@ -89,20 +89,19 @@
 	}
 }
 
-// TestCrowdedZoneDoesNotFloodItsReplica: most nodes are in one zone.
+// TestUnevenZonesDoNotOverloadLocalReplica places most nodes in one zone.
 func TestUnevenZonesDoNotOverloadLocalReplica(t *testing.T) {
 	nodes, census := newNodes(64, []string{"a", "a", "a", "b"})
 	for shard := range 50 {
 		for index, sum := range connectionsPerReplica(nodes, census, fmt.Sprint(shard), newReplicas(3, 54, []string{"a", "b", "c"})) {
 			if sum > 58 {
-				t.Errorf("shard %d: replica %d gets %d connections", shard, index, sum)
+				t.Errorf("shard %d: replica %d gets %d connections, want at most 58", shard, index, sum)
 			}
 		}
 	}
 }
 
-// TestOneReplicaLessMovesFewConnections compares subsets before and after a
-// replica has gone.
+// TestReplicaRemovalMovesFewConnections compares subsets before and after the removal of a replica.
 func TestReplicaRemovalMovesFewConnections(t *testing.T) {
 	nodes, census := newNodes(100, zones)
 	before := newReplicas(10, 30, zones)
@@ -116,7 +115,7 @@
 		}
 	}
 	if lost > 30 {
-		t.Errorf("%d connections to replicas that stay are given up", lost)
+		t.Errorf("%d connections to remaining replicas are closed, want at most 30", lost)
 	}
 }
 
@@ -129,15 +128,15 @@
 		shard := rapid.String().Draw(t, "shard")
 		chosen := Choose(self, census, shard, candidates)
 		if len(chosen) != count {
-			t.Fatalf("%d answers for %d replicas", len(chosen), count)
+			t.Fatalf("got %d connection counts for %d replicas", len(chosen), count)
 		}
 		for index, connections := range chosen {
 			if connections < 0 || connections > candidates[index].MaxConnections {
-				t.Fatalf("%d connections of %d", connections, candidates[index].MaxConnections)
+				t.Fatalf("got %d connections to replica %d, want 0 to %d", connections, index, candidates[index].MaxConnections)
 			}
 		}
 		if again := Choose(self, census, shard, candidates); fmt.Sprint(again) != fmt.Sprint(chosen) {
-			t.Fatalf("%v, and then %v", chosen, again)
+			t.Fatalf("got %v first and %v on the second call", chosen, again)
 		}
 	})
 }
