--- a/internal/decide/recordfloor/recordfloor.go
+++ b/internal/decide/recordfloor/recordfloor.go
@@ -1,47 +1,44 @@
-// Package recordfloor decides below which record none of a part has to be sent to
-// another zone, since it is unlikely to count in the answer.
+// Package recordfloor decides below which record a part of an answer omits records when it is sent
+// to another zone, since these records are unlikely to be in the answer.
 //
-// The rule: the floor of a kind of request is the least of its last eight samples, where
-// a sample is the record above which half as many again as an answer holds, and five
-// more, are expected in all parts. A floor that was too high once is forgotten.
+// Rule: the floor of a kind of request is the lowest of its last eight samples. A sample is the
+// record above which, over all parts, 1.5 times the number of records of an answer and five more
+// are expected. The samples are discarded once a floor was too high.
 //
-// Inputs: the kind of the request; k, the records of an answer; the parts of an answer
-// that came whole, and the number of all its parts; whether records were missed.
+// Inputs: the kind of the request; k, the number of records of an answer; the complete parts of an
+// answer, and the number of all its parts; whether records were missed.
 //
-// Reason: bytes between zones. The answer is exact whatever the floor is: records that
-// were left out and count are fetched, which takes time. With floors in place of none
-// the bytes of a day cost 0.015 of its worth (docs/ROUNDS.md) in place of 0.023 with 7
-// machines, and 0.031 in place of 0.037 with 60.
+// Reason: fewer bytes between zones. The answer is exact whatever the floor is: omitted records
+// that belong to the answer are fetched, which takes time. Floors reduce the bytes between zones by
+// about a third with 7 nodes, and by a sixth with 60.
 package recordfloor
 
 import "bytes"
 
 const (
-	// Samples is how many answers of a kind a floor rests on. Not measured by itself:
-	// with it and the margin below, 1 of 100 answers at most misses records
+	// Samples is the number of answers of a kind that a floor is based on. With Samples,
+	// rankFactor and rankMargin, at most 1 % of the answers miss records
 	// (TestFloorLeavesOutMuchAndMissesLittle of package forward).
 	Samples = 8
-	// factor and margin say how many records are expected not to be below a floor:
-	// factor times those of an answer, and the margin. Not measured by themselves, as
-	// Samples.
+	// rankFactor and rankMargin determine how many records are expected to reach the floor:
+	// rankFactor times the records of an answer, plus rankMargin.
 	rankFactor = 1.5
 	rankMargin = 5
 )
 
-// Rank returns which of the greatest records of some whole parts, counted from 1, makes
-// the sample of an answer of k records from all parts.
+// Rank returns the rank, counted from 1, of the sample among the greatest records of the complete
+// parts of an answer with k records and the given total number of parts.
 func Rank(k, complete, total int) int {
 	expected := (rankFactor*float64(k) + rankMargin) * float64(complete) / float64(total)
 	return int(expected) + 1
 }
 
-// Estimator holds the samples of each kind of request. It is not safe for concurrent
-// use.
+// Estimator holds the samples of each kind of request. It is not safe for concurrent use.
 type Estimator struct {
 	kinds map[string]*sampleRing
 }
 
-// ring holds the last samples of a kind.
+// sampleRing is a ring buffer of the last samples of a kind.
 type sampleRing struct {
 	samples [Samples][]byte
 	next    int
@@ -53,7 +50,7 @@
 	return &Estimator{kinds: make(map[string]*sampleRing)}
 }
 
-// Floor returns the floor of a kind; nil if too little is known.
+// Floor returns the floor of a kind, or nil if there are too few samples.
 func (e *Estimator) Floor(kind string) []byte {
 	ring := e.kinds[kind]
 	if ring == nil || ring.count < Samples {
@@ -68,8 +65,8 @@
 	return lowest
 }
 
-// Learn takes in the sample of an answer; nil if it has none. Missed says that records
-// were left out that counted: the samples before it are dropped.
+// Learn records the sample of an answer; a nil sample is ignored. If missed is set, the floor
+// omitted records that belong to the answer, and the previous samples are discarded.
 func (e *Estimator) Learn(kind string, sample []byte, missed bool) {
 	ring := e.kinds[kind]
 	if ring == nil || missed {
--- a/internal/decide/requestclass/requestclass.go
+++ b/internal/decide/requestclass/requestclass.go
@@ -1,16 +1,15 @@
-// Package requestclass decides which requests the Dispatcher learns latencies from
-// together, and how urgent they are.
+// Package requestclass decides which requests share the latencies that the Dispatcher learns, and
+// how urgent the requests are.
 //
-// The rule: requests belong to one class if their routes have the same priority,
-// objective, timeout and number of records. The class is one step less urgent than
-// the priority of the route.
+// Rule: requests belong to the same class if their routes have the same priority, objective,
+// timeout and number of records. The priority of the class is one step less urgent than that of the
+// route.
 //
-// Inputs: what the route declares (times as durations), and the quantile and the ratio
-// of the settings.
+// Inputs: the attributes of the route (times as durations), and the quantile and the ratio of the
+// settings.
 //
-// Reason: routes of the same kind do work of the same kind, and a latency that is
-// learned from all of them is known sooner than one of each. Not measured: chosen
-// because a configuration may have any number of routes.
+// Reason: routes with the same attributes do similar work, and a latency learned from all of them
+// is known sooner than one per route. A configuration may have any number of routes.
 package requestclass
 
 import (
@@ -20,29 +19,28 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// Route is what a route declares.
+// Route holds the attributes of a route that determine its class.
 type Route struct {
-	// Priority is its rank; 0 is the most urgent.
+	// Priority is the rank of the route; 0 is the most urgent.
 	Priority  int
 	Objective time.Duration
 	Timeout   time.Duration
-	// TopK is the number of records of an answer; zero if the answer is one part.
+	// TopK is the number of records of an answer; zero if the answer has a single part.
 	TopK int
-	// Repeatable says whether a request may run more than once.
+	// Repeatable tells whether a request may run more than once.
 	Repeatable bool
 }
 
-// Extra is what the settings say of second attempts.
+// Extra holds the settings for extra attempts.
 type Extra struct {
-	// HedgePercentile is the quantile of latency, from 0 to 1, after which an attempt
-	// counts as late.
+	// HedgePercentile is the quantile of latency, from 0 to 1, after which an attempt is late.
 	HedgePercentile float64
 	// Load is the share of extra attempts that requests earn.
 	Load float64
 }
 
-// firstPriority is the most urgent priority of a class (catalog.Class counts from 1),
-// where routes count from 0.
+// topClassPriority is the most urgent priority of a class. Class priorities count from 1 (see
+// catalog.Class), route priorities from 0.
 const topClassPriority = 1
 
 // Of returns the class of a route's requests.
--- a/internal/decide/requestclass/requestclass_test.go
+++ b/internal/decide/requestclass/requestclass_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestClassIsThatOfTheKind: what is not declared by the kind of a route makes no class
-// of its own, and the most urgent route has the most urgent class.
+// TestClassDependsOnRouteAttributes checks the class of the most urgent route, and that a change of
+// any attribute of the route changes the class.
 func TestClassDependsOnRouteAttributes(t *testing.T) {
 	declared := Route{Objective: 100 * time.Millisecond, Timeout: time.Second, TopK: 5, Repeatable: true}
 	extra := Extra{HedgePercentile: 0.9, Load: 0.2}
 	got := Of(declared, extra)
 	if got.Name != "0/100ms/1s/5" || got.Priority != 1 || got.Deadline != time.Second || got.HedgePercentile != 0.9 || got.ExtraLoad != 0.2 || !got.Repeatable {
-		t.Errorf("%+v", got)
+		t.Errorf("got class %+v for route %+v and settings %+v", got, declared, extra)
 	}
 	for _, change := range []func(*Route){
 		func(r *Route) { r.Priority++ }, func(r *Route) { r.Objective++ }, func(r *Route) { r.Timeout++ }, func(r *Route) { r.TopK++ },
@@ -20,7 +20,7 @@
 		other := declared
 		change(&other)
 		if Of(other, extra).Name == got.Name {
-			t.Errorf("%+v has the class of another kind", other)
+			t.Errorf("%+v has the same class as %+v", other, declared)
 		}
 	}
 }
--- a/internal/decide/retryafter/retryafter.go
+++ b/internal/decide/retryafter/retryafter.go
@@ -1,21 +1,20 @@
-// Package retryafter decides what Retry-After a caller receives that the edge node
+// Package retryafter decides the Retry-After value for a caller whose request the edge node
 // refuses.
 //
-// The rule: only a request that provably ran nowhere gets a Retry-After, and it is the
-// time after which the cause of the refusal is likely to be gone. Where the cause is
-// that this node lacks what only the store tells, that time depends on whether the
-// store answers.
+// Rule: only a request that provably ran nowhere gets a Retry-After. The value is the time after
+// which the cause of the refusal is likely to be gone. If this node lacks data from the store, that
+// time depends on whether the store is available.
 //
-// Inputs: the status and the reason of the answer; the time that the rule behind the
-// refusal advises (a duration, zero if it advises none); whether the store is away.
+// Inputs: the status and the reason of the answer; the time that the rule behind the refusal
+// advises (a duration, zero if it advises none); whether the store is unavailable.
 //
-// Reason: a caller retries once or twice. One that retries too early meets the same
-// refusal and has spent its retry; one that retries too late is past its deadline.
+// Reason: a caller retries once or twice. A retry that comes too early meets the same refusal and
+// is used up; a retry that comes too late is past the caller's deadline.
 //
-// Each case in which the node refuses a request or ends it without an answer:
+// Cases in which the node refuses a request or ends it without an answer:
 //
 //	case                                            status  Retry-After
-//	no id, malformed deadline, head or body         400     none: a retry is refused alike
+//	no id, malformed deadline, head or body         400     none: a retry is refused as well
 //	head or body larger than the limits             431,413 none
 //	body slower than the caller's deadline          408     none
 //	no route, the configuration is the newest       404     none
@@ -24,39 +23,39 @@
 //	no usable leaf, or too few shards with one      503     WithoutLeaf
 //	the predicted wait exceeds the deadline         503     the predicted wait, 50 ms to 5 s
 //	                                                        (admission.Config.RetryAfter)
-//	leaves refused for load                         503     the longest time that one asked
-//	                                                        for, 50 ms to 5 s (the same)
-//	other proof that nothing ran: no byte was       503     Least
+//	leaves refused because of load                  503     the longest time requested by a leaf,
+//	                                                        50 ms to 5 s (the same)
+//	other proof that nothing ran: no byte was       503     MinDelay
 //	sent, no budget for another attempt
-//	the deadline passed before anything ran         503     50 ms (admission's least)
+//	the deadline passed before anything ran         503     50 ms (minimum of admission)
 //	quarantined: its trials closed their leaves     503     until it may be tried again
 //	                                                        (quarantine.Table.Admit)
 //	a trial is running, and was awaited             503     quarantine.Config.TrialRetryAfter
-//	the pause between two trials                    503     the rest of it (Table.Admit)
+//	the pause between two trials                    503     the rest of the pause (Table.Admit)
 //	the start of a trial could not be recorded      503     Unknown
-//	the deadline passed, it may have run            504     none: it is not known not to run
+//	the deadline passed, it may have run            504     none: it may have run
 //	anything else without an answer                 502     none
 //
-// A request that another node ran for this one gets the time that the other decided.
+// A request that another node ran for this one gets the time that the other node decided.
 package retryafter
 
 import "time"
 
 const (
-	// Unknown is for a node that lacks the configuration, or a leaf for the request,
-	// while the store answers. Nodes of a fleet of 295 that started as a whole had the
-	// configuration 0.5 to 0.9 s after the first of them listened.
+	// Unknown applies if the node lacks the configuration, or a leaf for the request, while the
+	// store is available. When a fleet of 295 nodes starts at once, its nodes have the
+	// configuration within 0.5 to 0.9 s.
 	Unknown = 600 * time.Millisecond
-	// Outage takes its place while the store does not answer: neither comes before the
-	// store does. Not measured: chosen because a caller retries only once or twice.
+	// Outage replaces Unknown while the store is unavailable. It is longer because a caller
+	// retries only once or twice, and the data arrives only after the store is back.
 	Outage = 2 * time.Second
-	// Least is the shortest time that is sent. Not measured: chosen because zero has
-	// callers retry within the same moment.
+	// MinDelay is the shortest time that is sent. Zero would make callers retry at the same
+	// moment.
 	MinDelay = 10 * time.Millisecond
 )
 
-// Uninformed returns the time for a request that needs what only the store tells this
-// node: the configuration, or a leaf.
+// Uninformed returns the time for a request that needs data from the store: the configuration, or a
+// leaf.
 func Uninformed(storeAway bool) time.Duration {
 	if storeAway {
 		return Outage
@@ -64,9 +63,9 @@
 	return Unknown
 }
 
-// WithoutLeaf returns the time for a request that no leaf can take now. Advised is
-// what the Dispatcher knows; zero if it knows no time: an immediate retry would meet
-// the same leaves.
+// WithoutLeaf returns the time for a request that no leaf can run now. advised is the time that the
+// Dispatcher advises, or zero if it knows none. Zero is replaced, because an immediate retry would
+// find the same leaves.
 func WithoutLeaf(advised time.Duration, storeAway bool) time.Duration {
 	if advised > 0 {
 		return advised
@@ -74,5 +73,5 @@
 	return Uninformed(storeAway)
 }
 
-// OnWire returns the time that is sent for an advised one, which may be zero.
+// OnWire returns the time that is sent for an advised time, which may be zero.
 func OnWire(advised time.Duration) time.Duration { return max(advised, MinDelay) }
--- a/internal/decide/retryafter/retryafter_test.go
+++ b/internal/decide/retryafter/retryafter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestWithoutLeafKeepsWhatIsAdvised, and falls back on what the store would tell.
+// TestWithoutLeafPrefersAdvisedTime also checks the times without advice.
 func TestWithoutLeafPrefersAdvisedTime(t *testing.T) {
 	for _, test := range []struct {
 		advised   time.Duration
@@ -16,7 +16,7 @@
 		{time.Millisecond, false, time.Millisecond}, {3 * time.Second, true, 3 * time.Second},
 	} {
 		if got := WithoutLeaf(test.advised, test.storeAway); got != test.want {
-			t.Errorf("advised %v, store away %v: %v, want %v", test.advised, test.storeAway, got, test.want)
+			t.Errorf("advised %v, store unavailable %v: got %v, want %v", test.advised, test.storeAway, got, test.want)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 		{0, MinDelay}, {MinDelay - 1, MinDelay}, {MinDelay + 1, MinDelay + 1}, {time.Hour, time.Hour},
 	} {
 		if got := OnWire(test.advised); got != test.want {
-			t.Errorf("%v: %v on the wire, want %v", test.advised, got, test.want)
+			t.Errorf("advised %v: sent %v, want %v", test.advised, got, test.want)
 		}
 	}
 }
--- a/internal/decide/timeleft/timeleft_test.go
+++ b/internal/decide/timeleft/timeleft_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestTimeoutIsTheShorter covers which of the two ends a request.
+// TestTimeoutIsShorterOfRouteAndClient checks which of the two timeouts ends a request.
 func TestTimeoutIsShorterOfRouteAndClient(t *testing.T) {
 	const route = 500 * time.Millisecond
 	for _, test := range []struct{ client, sinceArrival, want time.Duration }{
@@ -17,13 +17,12 @@
 		{time.Second, time.Minute, minRemaining},
 	} {
 		if got := Timeout(route, test.client, test.sinceArrival); got != test.want {
-			t.Errorf("client %v, since arrival %v: %v, want %v", test.client, test.sinceArrival, got, test.want)
+			t.Errorf("client %v, since arrival %v: got timeout %v, want %v", test.client, test.sinceArrival, got, test.want)
 		}
 	}
 }
 
-// TestAllThatIsSpentCountsAgainstTheObjective, each quantity by itself and all
-// together.
+// TestSpentTimeReducesObjective checks each spent time alone and all of them together.
 func TestSpentTimeReducesObjective(t *testing.T) {
 	const route = 100 * time.Millisecond
 	for _, test := range []struct {
@@ -39,7 +38,7 @@
 		{Spent{SinceArrival: time.Second}, 0},
 	} {
 		if got := Objective(route, test.spent); got != test.want {
-			t.Errorf("%+v: %v, want %v", test.spent, got, test.want)
+			t.Errorf("%+v: got objective %v, want %v", test.spent, got, test.want)
 		}
 	}
 }
--- a/internal/decide/timeleft/waits.go
+++ b/internal/decide/timeleft/waits.go
@@ -2,40 +2,39 @@
 
 import "time"
 
-// The rule of the estimate: the longest timeout that clients of a kind of request tell
-// is taken for the whole, since they begin with that. What is missing from it in a
-// request is the time that its client has waited already.
+// Rule of the estimate: the longest timeout that clients send with a kind of request is taken as
+// the full timeout, since first attempts send it. The difference between it and the timeout of a
+// request is the time that the client of the request has already waited.
 //
-// Inputs: the kind of the request, and what its client tells.
+// Inputs: the kind of the request, and the timeout that its client sends.
 //
-// Reason: a client does not say when it first sent a request; retries tell a shorter
-// timeout than first tries.
+// Reason: a client does not send when it first sent a request, but a retry sends a shorter timeout
+// than a first attempt.
 
-// waitsMemory is after how many requests of a kind the longest timeout is looked for
-// again, so that a change of the clients is followed within twice as many. Not
-// measured: chosen because it holds many first tries beside some retries.
+// windowSize is the number of requests of a kind after which a new window for the longest timeout
+// begins, so that the estimate follows a change of the clients within two windows. A window has to
+// hold many first attempts among the retries.
 const windowSize = 256
 
-// Waits estimates for how long clients have waited before their requests arrived. It
-// is not safe for concurrent use.
+// Waits estimates how long clients have waited before their requests arrived. It is not safe for
+// concurrent use.
 type Waits struct {
 	kinds map[string]*maxTimeouts
 }
 
-// longest is the longest timeout of a kind: of the present span of requests, and of the
-// one before it.
+// maxTimeouts holds the longest timeouts of a kind in the current and in the previous window.
 type maxTimeouts struct {
 	current, previous time.Duration
 	count             int
 }
 
-// NewWaits returns Waits that have seen no request.
+// NewWaits returns Waits without samples.
 func NewWaits() *Waits {
 	return &Waits{kinds: make(map[string]*maxTimeouts)}
 }
 
-// BeforeArrival takes in the timeout of a client and returns for how long the client
-// has waited already; zero if it did not say.
+// BeforeArrival records the timeout of a client and returns how long the client has already waited.
+// It returns zero if the client sent no timeout.
 func (w *Waits) BeforeArrival(kind string, clientTimeout time.Duration) time.Duration {
 	if clientTimeout <= 0 {
 		return 0
--- a/internal/decide/timeleft/waits_test.go
+++ b/internal/decide/timeleft/waits_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// TestWaitBeforeArrivalIsWhatIsMissingFromTheLongestTimeout feeds the timeouts of first
-// tries and of retries.
+// TestBeforeArrivalIsDifferenceFromLongestTimeout records the timeouts of first attempts and of
+// retries.
 func TestBeforeArrivalIsDifferenceFromLongestTimeout(t *testing.T) {
 	estimator := NewWaits()
 	for _, test := range []struct{ left, want time.Duration }{
 		{800, 0}, {797, 3}, {650, 150}, {0, 0}, {800, 0},
 	} {
 		if got := estimator.BeforeArrival("check", test.left*time.Millisecond); got != test.want*time.Millisecond {
-			t.Errorf("%d ms left: %v before its arrival", test.left, got)
+			t.Errorf("%d ms left: got %v before arrival, want %v", test.left, got, test.want*time.Millisecond)
 		}
 	}
 	if got := estimator.BeforeArrival("sweep", 500*time.Millisecond); got != 0 {
-		t.Errorf("another kind: %v before its arrival", got)
+		t.Errorf("another kind: got %v before arrival, want 0s", got)
 	}
 }
 
-// TestLongestTimeoutIsForgotten follows clients that begin to wait less.
+// TestLongestTimeoutExpires covers clients that begin to send a shorter timeout.
 func TestLongestTimeoutExpires(t *testing.T) {
 	estimator := NewWaits()
 	estimator.BeforeArrival("check", time.Second)
@@ -29,6 +29,6 @@
 		estimator.BeforeArrival("check", 500*time.Millisecond)
 	}
 	if got := estimator.BeforeArrival("check", 500*time.Millisecond); got != 0 {
-		t.Errorf("%v before its arrival", got)
+		t.Errorf("got %v before arrival, want 0s", got)
 	}
 }
