--- a/internal/decide/cordon/cordon_test.go
+++ b/internal/decide/cordon/cordon_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// TestStaleListPutsNoZoneBack, and each zone of a list changes once.
+// TestStaleListReturnsNoZoneToService also checks that each zone of a list changes once.
 func TestStaleListReturnsNoZoneToService(t *testing.T) {
 	zones := NewZones()
 	zones.Set(Change{Zone: "north", Cordoned: true})
 	listed := []string{"south", "south", "east"}
 	added := []Change{{"south", true}, {"east", true}}
 	if got := zones.Changes(listed, true); !slices.Equal(got, added) {
-		t.Errorf("stale: %v", got)
+		t.Errorf("stale list: got changes %v, want %v", got, added)
 	}
 	if got := zones.Changes(listed, false); !slices.Equal(got, append(added, Change{"north", false})) {
-		t.Errorf("whole: %v", got)
+		t.Errorf("complete list: got changes %v, want the additions and the return of north", got)
 	}
 	if got := zones.Names(); !slices.Equal(got, []string{"north"}) {
-		t.Errorf("applied: %v", got)
+		t.Errorf("Changes modified the cordoned zones: got %v, want [north]", got)
 	}
 }
 
@@ -28,7 +28,7 @@
 		{0, 10, 3, 13}, {20, 10, 3, 20}, {5, 10, 0, 10},
 	} {
 		if got := ColdUntil(test.known, test.now, test.cold); got != test.want {
-			t.Errorf("%+v: %d", test, got)
+			t.Errorf("%+v: got %d", test, got)
 		}
 	}
 }
--- a/internal/decide/removal/removal.go
+++ b/internal/decide/removal/removal.go
@@ -1,34 +1,29 @@
-// Package removal decides for how long a leaf is still used whose announcement has
-// vanished from the store.
+// Package removal decides how long a leaf stays in use after its announcement was removed from the
+// store.
 //
-// The rule: an announcement that vanishes during an outage of the store, or in the
-// seconds after it, counts for a short time more; if it is back by then, nothing has
-// happened. At any other time, and for a leaf that drains, the leaf is out of use at once.
+// Rule: an announcement that is removed during an outage of the store, or in the seconds after the
+// outage, remains valid for a grace period. If it is back by then, the leaf was in use without
+// interruption. At any other time, and if the leaf is draining, the leaf is out of use at once.
 //
-// Inputs: the time (a duration on the node's clock), the end of the last outage as this
-// node saw it, whether the leaf drains, and two durations of the settings: Doubt and
-// Settling.
+// Inputs: the time (a duration on the node's clock), the end of the last outage as seen by this
+// node, whether the leaf is draining, and two durations of the settings: Doubt and Settling.
 //
-// Reason: a store that was away may have dropped the leases of leaves that are well, and
-// these need some time to announce themselves again; without the doubt, all leaves would
-// vanish at once. A leaf that has left must get no more work 3 s after its announcement
-// went, so the doubt is shorter.
-//
-// Constants: Doubt is 2 s (forward.leaf_doubt) and Settling 3 s (forward.leaf_settling)
-// by default. Not measured: chosen because of the 3 s above, and because leaves take
-// some seconds to announce themselves again.
+// Reason: a store that was unavailable may have expired the leases of healthy leaves, which need
+// some time to announce themselves again. Without the grace period, all leaves would be out of use
+// at once.
 package removal
 
 import "time"
 
-// Config is the policy of a Rule.
+// Config holds the policy of a Rule.
 type Config struct {
-	// Doubt is how long a leaf is still used whose announcement vanished while the
-	// store was away, or was just back. It is shorter than the time in which a leaf
-	// that left must get no more work.
+	// Doubt is the grace period of a leaf whose announcement was removed during or just after an
+	// outage of the store (setting forward.leaf_doubt, 2 s by default). It is shorter than 3 s, the
+	// time after which a leaf that left must get no more work.
 	Doubt time.Duration
-	// Settling is the time after an outage of the store in which removals are doubted:
-	// the leaves need it to announce themselves again.
+	// Settling is the time after an outage of the store in which removals get a grace period: the
+	// leaves take some seconds to announce themselves again (setting forward.leaf_settling, 3 s
+	// by default).
 	Settling time.Duration
 }
 
@@ -38,14 +33,14 @@
 	settledAfter time.Duration
 }
 
-// NewRule returns a Rule that has seen no outage.
+// NewRule returns a Rule that has recorded no outage.
 func NewRule(config Config) Rule { return Rule{config: config} }
 
-// Outage takes in that the store was away until now.
+// Outage records that the store was unavailable until now.
 func (r *Rule) Outage(now time.Duration) { r.settledAfter = now + r.config.Settling }
 
-// UsedUntil returns until when a leaf is used whose announcement vanishes now; doubted
-// is false if it is not used any more.
+// UsedUntil returns until when a leaf stays in use whose announcement is removed now. doubted is
+// false if the leaf is out of use at once.
 func (r *Rule) UsedUntil(now time.Duration, draining bool) (until time.Duration, doubted bool) {
 	if now >= r.settledAfter || draining {
 		return 0, false
--- a/internal/decide/removal/removal_test.go
+++ b/internal/decide/removal/removal_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestRemovalsAreDoubtedWhileTheStoreSettles, but for a leaf that drains.
+// TestGracePeriodAppliesAfterStoreOutage also checks that a draining leaf gets no grace period.
 func TestGracePeriodAppliesAfterStoreOutage(t *testing.T) {
 	rule := NewRule(Config{Doubt: 2 * time.Second, Settling: 3 * time.Second})
 	if _, doubted := rule.UsedUntil(time.Second, false); doubted {
-		t.Error("doubted without an outage")
+		t.Error("got a grace period without an outage, want none")
 	}
 	rule.Outage(10 * time.Second)
 	for _, test := range []struct {
@@ -24,7 +24,7 @@
 		{11 * time.Second, true, 0, false},
 	} {
 		if until, doubted := rule.UsedUntil(test.at, test.draining); until != test.until || doubted != test.doubted {
-			t.Errorf("%+v: until %v, doubted %v", test, until, doubted)
+			t.Errorf("%+v: got until %v, doubted %v", test, until, doubted)
 		}
 	}
 }
--- a/internal/decide/startup/startup_test.go
+++ b/internal/decide/startup/startup_test.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// address returns that of a node by its number.
+// address returns the address of a node by its number.
 func address(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 7380)
 }
@@ -22,14 +22,15 @@
 	return members
 }
 
-// reversed stands in for chance.
+// reversed is a deterministic Shuffle.
 func reversed(count int, swap func(i, j int)) {
 	for i, j := 0, count-1; i < j; i, j = i+1, j-1 {
 		swap(i, j)
 	}
 }
 
-// TestSourcesOfAStart by the number of announced nodes.
+// TestPlanByFleetSize checks the plans of a new node and of a seed by the number of announced
+// nodes.
 func TestPlanByFleetSize(t *testing.T) {
 	seeds := []netip.AddrPort{address(0), address(1), address(2)}
 	for _, test := range []struct {
@@ -45,15 +46,15 @@
 	} {
 		plan := NewPlan(address(9999), announced(test.nodes), seeds, reversed)
 		if plan.Source != test.source || plan.ReadsDirectly != test.direct || len(plan.Others) < test.others {
-			t.Errorf("%s: %+v", test.name, plan)
+			t.Errorf("%s: got plan %+v, want source %v, direct %v and at least %d others", test.name, plan, test.source, test.direct, test.others)
 		}
 		seed := NewPlan(seeds[1], announced(test.nodes), seeds, reversed)
 		if seed.Source == test.direct || slices.Contains(seed.Others, seeds[1]) {
-			t.Errorf("%s: a seed starts by %+v", test.name, seed)
+			t.Errorf("%s: got plan %+v for a seed", test.name, seed)
 		}
 	}
 	if plan := NewPlan(address(9), nil, seeds, reversed); !slices.Equal(plan.Others, []netip.AddrPort{seeds[2], seeds[1], seeds[0]}) {
-		t.Errorf("not in an order of its own: %v", plan.Others)
+		t.Errorf("got sources %v, want the seeds in shuffled order", plan.Others)
 	}
 }
 
@@ -69,7 +70,7 @@
 		{State{Configured: true, LeavesKnown: true, Draining: true}, false},
 	} {
 		if got := test.state.Ready(); got != test.want {
-			t.Errorf("%+v: %v", test.state, got)
+			t.Errorf("%+v: ready = %v, want %v", test.state, got, test.want)
 		}
 	}
 }
--- a/internal/decide/warmup/warmup.go
+++ b/internal/decide/warmup/warmup.go
@@ -1,21 +1,18 @@
-// Package warmup divides among the nodes what a cold leaf bears: a leaf that has just
-// started, or whose zone was just put back into service. It is pure.
+// Package warmup divides among the nodes the request rate of a cold leaf: a leaf that has just
+// started, or whose zone has just returned to service. It is pure.
 //
-// The rule: all nodes together plan to send a cold leaf a part of the rate that its
-// service declares. At services that are shards of a route executors divide most of
-// that, the other nodes the rest; where there are more nodes than shares, only some
-// nodes send to a given leaf.
+// Rule: all nodes together plan to send a cold leaf a share of the rate that its service declares.
+// For services that are shards of a route, the executors divide most of that rate and the other
+// nodes the rest. If the rate is too low for every node, only some nodes send to a given leaf.
 //
-// Inputs: the rate that a cold leaf bears (requests a second), what is tolerated beyond
-// it, the roles of the nodes, the announced nodes, and the names of node and leaf.
+// Inputs: the rate that a cold leaf can handle (requests per second), the tolerated excess, the
+// roles of the nodes, the announced nodes, and the names of node and leaf.
 //
-// Reason: without it all nodes rush at a leaf that came back. Each node computes its
-// share from the announcements: to ask another one costs a round trip for each attempt,
-// and a few owners of a leaf would need a second way for requests. Where a cold leaf bears
-// 8 requests a second, two runs without shares broke that bound 12 and 98 times, and with
-// them never; the worth of these runs fell by 0.006 and 0.007 (one run each).
+// Reason: without shares, all nodes send to a returned leaf at once and exceed its rate. Each node
+// computes its share from the announcements, because asking another node would cost a round trip
+// per attempt, and assigning each leaf to a few owners would require a second path for requests.
 //
-// It owns nothing. How a node spends its rate is in package dispatch.
+// How a node spends its rate is decided in package dispatch.
 package warmup
 
 import (
@@ -26,44 +23,43 @@
 )
 
 const (
-	// plannedPart is the part of what a cold leaf bears that all nodes plan to send.
-	// Not measured: chosen because attempts sent over more than a second may arrive
-	// within one, and nodes that restart have their first token again.
+	// plannedShare is the share of the rate of a cold leaf that all nodes plan to send. Attempts
+	// sent over more than a second may arrive within one second, and nodes that restart have
+	// their first token again.
 	plannedShare = 0.8
-	// executorPart is the part of that which executors divide at services that are
-	// shards, whose requests they run as a rule. Not measured.
+	// executorShare is the share of the planned rate that executors divide for services that are
+	// shards, since executors usually run the requests for these services.
 	executorShare = 0.75
-	// minRate is the least rate, in attempts a second, of a node that sends to a cold
-	// leaf at all. Where there are more nodes than shares of it, only some send. Not
-	// measured: chosen so that a share is more than an attempt a second.
+	// minRate is the lowest rate, in attempts per second, of a node that sends to a cold leaf.
+	// If there are more nodes than shares of this rate, only some nodes send.
 	minRate = 1.5
 )
 
-// Bound is what a configuration says of the cold leaves of a service.
+// Bound holds the configured request rate of the cold leaves of a service.
 type Bound struct {
-	// Rate is how many requests a second one of them bears.
+	// Rate is how many requests per second a cold leaf can handle.
 	Rate float64
-	// Shard is set if the service is a shard of some route.
+	// Shard is set if the service is a shard of a route.
 	Shard bool
 }
 
-// Tolerance is what is tolerated beyond a Bound, in any second: its rate times
-// Overshoot, and Slack requests more.
+// Tolerance is the tolerated excess over a Bound in any second: the rate may be exceeded by the
+// factor Overshoot, plus Slack requests.
 type Tolerance struct {
 	Overshoot float64
 	Slack     float64
 }
 
-// RateOf returns how many attempts a second a node may send to a cold leaf; zero if it
-// gets no share. The leaf is named by its incarnation.
+// RateOf returns how many attempts per second a node may send to a cold leaf; zero if it has no
+// share. leaf is the name of the leaf's incarnation.
 func (b Bound) RateOf(self roster.Member, leaf string, roles executors.Roles, members []roster.Member, tolerance Tolerance) float64 {
 	rateLimit := b.Rate*tolerance.Overshoot + tolerance.Slack
 	sharers, fraction := findSharers(roles, members, b.Shard)
 	return computeRate(self.Name, leaf, sharers, plannedShare*fraction*rateLimit)
 }
 
-// sharersOf returns the nodes with which this one divides a part of what a cold leaf
-// of a service bears.
+// findSharers returns the nodes that divide the rate of a cold leaf with this node, and the
+// fraction of the rate that they divide.
 func findSharers(roles executors.Roles, members []roster.Member, shard bool) (sharers []roster.Member, fraction float64) {
 	if !shard || len(roles.Executors) == 0 {
 		return members, 1
@@ -74,9 +70,9 @@
 	return roles.NonExecutors(members), 1 - executorShare
 }
 
-// rateOf returns the share of one node in a rate that some nodes divide at a leaf;
-// zero if it gets none. Where they are too many, those first by a hash of both names
-// get some, so that the nodes spread over the leaves.
+// computeRate returns one node's share of a rate that the sharers divide for a leaf; zero if the
+// node has no share. If there are too many sharers, those first by a hash of the leaf and node
+// names get a share, so that the nodes spread over the leaves.
 func computeRate(self, leaf string, sharers []roster.Member, rate float64) float64 {
 	senders := max(min(len(sharers), int(rate/minRate)), 1)
 	selfHash := xxhash.Sum64String(leaf + "/" + self)
--- a/internal/decide/warmup/warmup_test.go
+++ b/internal/decide/warmup/warmup_test.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// fleet returns nodes of which the first are large.
+// fleet returns nodes of which the first ones are large.
 func fleet(nodes, large int) []roster.Member {
 	members := make([]roster.Member, nodes)
 	for index := range members {
@@ -22,8 +22,8 @@
 	return members
 }
 
-// TestSharesOfAColdLeafStayWithinWhatItBears, whatever the size of the fleet, and
-// most of it is shared out.
+// TestNodeRatesSumToAtMostColdLeafRate also checks that most of the rate is shared out, for any
+// size of the fleet.
 func TestNodeRatesSumToAtMostColdLeafRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := fleet(rapid.IntRange(1, 400).Draw(t, "nodes"), rapid.IntRange(0, 20).Draw(t, "large"))
@@ -35,15 +35,15 @@
 			all += computeRate(member.Name, "leaf-7", sharers, plannedShare*part*rateLimit)
 		}
 		if all > plannedShare*rateLimit+1e-6 || all < plannedShare*(1-executorShare)*rateLimit-1e-6 {
-			t.Fatalf("%d nodes send %.1f a second to a leaf that bears %.1f", len(members), all, rateLimit)
+			t.Fatalf("%d nodes send %.1f requests per second to a leaf that can handle %.1f", len(members), all, rateLimit)
 		}
 	})
 }
 
-// TestNodeThatIsNotAnnouncedSendsNothingToAColdLeaf: the others do not reckon with
-// it.
+// TestUnannouncedNodeGetsNoColdLeafRate: the other nodes do not take an unannounced node into
+// account.
 func TestUnannouncedNodeGetsNoColdLeafRate(t *testing.T) {
 	if got := computeRate("new", "leaf-7", fleet(8, 0), 30); got != 0 {
-		t.Errorf("%.1f a second", got)
+		t.Errorf("got rate %.1f, want 0", got)
 	}
 }
