--- a/internal/decide/combiners/combiners.go
+++ b/internal/decide/combiners/combiners.go
@@ -1,25 +1,21 @@
-// Package combiners decides through which node attempts at leaves of another zone go, and
-// which of these nodes are asked whether they live. It is pure: time comes in as an
-// argument, a duration on the node's clock.
+// Package combiners decides through which node the attempts at leaves of another zone are sent, and
+// which of these nodes are sent heartbeats. It is pure: time is passed in as an argument, a
+// duration on the node's clock.
 //
-// The rule: of each other zone a node keeps in touch with the few that it prefers, the
-// combiners. A query goes by the one of the zone with the fewest attempts of this node in
-// flight, of those that answer heartbeats and answer them fast. If there is none, its
-// attempts go to the leaves directly. A silent combiner is taken to be lost.
+// Rule: a node monitors the few nodes that it prefers in each other zone, the combiners. The
+// attempts of a query go through the zone's combiner with the fewest attempts of this node in
+// flight, out of those that answer heartbeats, and answer them quickly. If there is none, the
+// attempts go to the leaves directly. A silent combiner counts as lost.
 //
-// Inputs: the nodes with their zones and addresses, the times of heartbeats and of their
-// answers, and the attempts of this node that each combiner has in flight.
+// Inputs: the nodes with their zones and addresses, the times of heartbeats and of their answers,
+// and the attempts of this node that each combiner has in flight.
 //
-// Reason: a combiner thins out the parts of an answer before they cross to another zone. A
-// lost or a slow one makes them late, so a node turns to the next, or to the leaves, as
-// soon as it sees that.
+// Reason: a combiner reduces the parts of an answer before they cross to another zone. A lost or
+// slow combiner delays them, so a node switches to the next combiner, or to the leaves, as soon as
+// it detects that.
 //
-// Measurements behind the constants: none of their own; Config and roundTripWeight say why
-// they were chosen.
-//
-// The package owns what one node knows of combiners (Table). Package combine asks them and
-// sends attempts by them. It relies on roster (which nodes are preferred) and liveness
-// (whether one answers). Which nodes may be combiners is a role: executors.Roles.
+// Package combine sends the heartbeats, and the attempts through combiners. Which nodes may be
+// combiners depends on their role: see executors.Roles.
 package combiners
 
 import (
@@ -29,28 +25,26 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// roundTripWeight is the weight of one heartbeat in the mean round trip. Not measured:
-// chosen because five of them, half a second, then make two thirds of it.
+// roundTripWeight is the weight of one heartbeat in the moving average of the round trip. With 0.2,
+// five heartbeats, half a second, make up two thirds of the average.
 const roundTripWeight = 0.2
 
-// Config is the policy of a Table. All fields must be set.
+// Config holds the policy of a Table. All fields must be set.
 type Config struct {
-	// CombinersPerZone is how many nodes of each other zone are asked whether they live.
+	// CombinersPerZone is how many nodes of each other zone are sent heartbeats. With two, one
+	// may be lost.
 	CombinersPerZone int
-	// HeartbeatInterval is how long a combiner may be silent before it is asked
-	// whether it lives.
+	// HeartbeatInterval is the time without a message after which a combiner is sent a heartbeat.
 	HeartbeatInterval time.Duration
-	// HeartbeatTimeout is after how long a silence it is taken to be lost, with the
-	// attempts that it has in flight.
+	// HeartbeatTimeout is the time without a message after which a combiner counts as lost, with
+	// the attempts that it has in flight. It allows for two lost heartbeats in a row.
 	HeartbeatTimeout time.Duration
-	// MaxRoundTrip is the mean time of a heartbeat and its answer above which a
-	// combiner is too slow to be used.
+	// MaxRoundTrip is the mean round trip of a heartbeat above which a combiner is too slow to be
+	// used, since it would delay the parts of an answer.
 	MaxRoundTrip time.Duration
 }
 
-// DefaultConfig returns the defaults. Not measured by themselves: chosen because one of
-// two combiners may be lost, up to two heartbeats in a row may be lost on the way, and a
-// slower combiner would make parts late.
+// DefaultConfig returns the default policy.
 func DefaultConfig() Config {
 	return Config{
 		CombinersPerZone:  2,
@@ -60,13 +54,13 @@
 	}
 }
 
-// Combiner is what a node knows of one combiner. Its member never changes.
+// Combiner holds what a node knows about a combiner. Its Member never changes.
 type Combiner struct {
 	roster.Member
 	liveness.State
-	// InFlight is how many attempts of this node it has in hand.
+	// InFlight is the number of this node's attempts that the combiner has in flight.
 	InFlight int
-	// asked is set while a heartbeat to it is open.
+	// heartbeatPending is set while a heartbeat to the combiner is unanswered.
 	heartbeatPending bool
 }
 
@@ -74,8 +68,8 @@
 	return &Combiner{Member: member, State: liveness.State{RoundTripWeight: roundTripWeight}}
 }
 
-// Answered takes in the answer to a heartbeat, and reports whether it brings a lost
-// combiner back. What was known of its speed before the loss is forgotten.
+// Answered records the answer to a heartbeat and reports whether the combiner was lost before. The
+// round trip from before the loss is discarded.
 func (c *Combiner) Answered(now, roundTrip time.Duration) (regained bool) {
 	if c.Alive() == nil {
 		c.RoundTrip = 0
@@ -83,10 +77,10 @@
 	return c.State.Answered(now, roundTrip)
 }
 
-// EndHeartbeat ends the heartbeat that Due began, answered or not.
+// EndHeartbeat ends the heartbeat that Due began, whether answered or not.
 func (c *Combiner) EndHeartbeat() { c.heartbeatPending = false }
 
-// usable reports whether attempts may be handed to it.
+// isUsable reports whether attempts may be sent through the combiner.
 func (c *Combiner) isUsable(maxRoundTrip time.Duration) bool {
 	return c.Alive() != nil && c.RoundTrip <= maxRoundTrip
 }
@@ -97,12 +91,11 @@
 	zones  map[string][]*Combiner
 }
 
-// NewTable returns a Table that knows no combiner.
+// NewTable returns a Table without combiners.
 func NewTable(config Config) *Table { return &Table{config: config} }
 
-// Replace replaces the combiners by those that a node prefers of each other zone. What is
-// known of those that stay is retained, and what the others have in flight is left to
-// finish.
+// Replace replaces the combiners by those that the node prefers in each other zone. The state of
+// combiners that remain is retained, and the attempts in flight at the others are left to finish.
 func (t *Table) Replace(self roster.Member, members []roster.Member) {
 	previous := make(map[string]*Combiner)
 	for _, combiner := range t.all() {
@@ -133,8 +126,8 @@
 	return all
 }
 
-// Choose returns the combiner of a zone for a query: the one with the fewest attempts in
-// flight; nil if none is usable.
+// Choose returns the combiner of a zone for a query: the usable one with the fewest attempts in
+// flight, or nil if there is none.
 func (t *Table) Choose(zone string) *Combiner {
 	var best *Combiner
 	for _, candidate := range t.zones[zone] {
@@ -145,8 +138,8 @@
 	return best
 }
 
-// Due returns the combiners that are to be sent a heartbeat, which EndHeartbeat ends, and
-// those that are lost now.
+// Due returns the combiners to which a heartbeat is due, which EndHeartbeat ends, and those that
+// count as lost from now on.
 func (t *Table) Due(now time.Duration) (due, lost []*Combiner) {
 	for _, combiner := range t.all() {
 		if combiner.IsSilent(now, t.config.HeartbeatTimeout) && combiner.Lose() {
--- a/internal/decide/combiners/combiners_test.go
+++ b/internal/decide/combiners/combiners_test.go
@@ -19,7 +19,7 @@
 	return all
 }
 
-// newTable returns the table of node-0 of zone a.
+// newTable returns the table of node-0, which is in the first of the zones.
 func newTable(zones ...string) *Table {
 	all := newMembers(zones...)
 	table := NewTable(DefaultConfig())
@@ -30,40 +30,40 @@
 func TestReplaceKeepsAtMostCombinersPerZone(t *testing.T) {
 	table := newTable("a", "a", "b", "b", "b", "c")
 	if len(table.zones["a"]) != 0 || len(table.zones["b"]) != table.config.CombinersPerZone || len(table.zones["c"]) != 1 {
-		t.Errorf("combiners %v", table.zones)
+		t.Errorf("got combiners %v, want none in zone a, %d in zone b and 1 in zone c", table.zones, table.config.CombinersPerZone)
 	}
 }
 
-// TestSilentCombinerIsLost asks it once it is silent, and gives up its attempts
-// when no answer comes.
+// TestSilentCombinerIsLost checks that a silent combiner is sent a heartbeat, and that its attempts
+// end if no answer comes.
 func TestSilentCombinerIsLost(t *testing.T) {
 	table := newTable("a", "b")
 	combiner := table.zones["b"][0]
 	if table.Choose("b") != nil {
-		t.Fatal("a combiner is used that was never heard")
+		t.Fatal("a combiner is chosen before its first answer")
 	}
 	now := time.Second
 	combiner.Answered(now, time.Millisecond)
 	alive := combiner.Alive()
 	if due, _ := table.Due(now + table.config.HeartbeatInterval/2); len(due) != 0 || table.Choose("b") != combiner {
-		t.Fatalf("asked %v right after it was heard", due)
+		t.Fatalf("heartbeats due to %v and chosen %v right after an answer, want none due and the combiner chosen", due, table.Choose("b"))
 	}
 	if due, lost := table.Due(now + table.config.HeartbeatInterval); len(due) != 1 || len(lost) != 0 {
-		t.Fatalf("asked %v, lost %v when it was silent", due, lost)
+		t.Fatalf("after HeartbeatInterval: due %v and lost %v, want one due and none lost", due, lost)
 	}
 	if due, lost := table.Due(now + table.config.HeartbeatTimeout + 1); len(due) != 0 || len(lost) != 1 || alive.Err() == nil {
-		t.Fatalf("asked %v, lost %v after its time", due, lost)
+		t.Fatalf("after HeartbeatTimeout: due %v and lost %v, want none due, one lost and its context ended", due, lost)
 	}
 	if table.Choose("b") != nil {
-		t.Error("a lost combiner is used")
+		t.Error("a lost combiner is chosen")
 	}
 	combiner.Heard(2 * time.Second)
 	if table.Choose("b") != nil {
-		t.Error("a late answer brought it back")
+		t.Error("a combiner is chosen after a message that is not an answer to a heartbeat")
 	}
 	combiner.Answered(2*time.Second, time.Millisecond)
 	if table.Choose("b") != combiner {
-		t.Error("it is not used again")
+		t.Error("a combiner is not chosen after it answered again")
 	}
 }
 
@@ -75,18 +75,18 @@
 		combiner.Answered(1, 4*table.config.MaxRoundTrip)
 	}
 	if table.Choose("b") != nil {
-		t.Error("a slow combiner is used")
+		t.Error("a slow combiner is chosen")
 	}
 	for range 20 {
 		combiner.Answered(1, time.Millisecond)
 	}
 	if table.Choose("b") != combiner {
-		t.Error("it is not used again")
+		t.Error("a combiner is not chosen after it became fast again")
 	}
 }
 
-// TestCombinerThatIsNotPreferredAnyMore gets no attempts, and ends those that it
-// has in hand.
+// TestReplacedCombinerFinishesItsAttempts checks that a combiner that is no longer preferred gets
+// no new attempts, while its attempts in flight continue.
 func TestReplacedCombinerFinishesItsAttempts(t *testing.T) {
 	table := newTable("a", "b")
 	combiner := table.zones["b"][0]
@@ -94,9 +94,9 @@
 	alive := combiner.Alive()
 	table.Replace(newMembers("a")[0], newMembers("a"))
 	if alive.Err() != nil {
-		t.Error("its attempts were cut off")
+		t.Error("the attempts in flight of a replaced combiner were cancelled")
 	}
 	if table.Choose("b") != nil || combiner.isUsable(time.Hour) {
-		t.Error("it gets more attempts")
+		t.Error("a replaced combiner is chosen or usable")
 	}
 }
--- a/internal/decide/executors/assigner_test.go
+++ b/internal/decide/executors/assigner_test.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// equals returns nodes of one size in some zones.
+// newEqualNodes returns nodes of equal size, spread over zones.
 func newEqualNodes(count, zones int) []roster.Member {
 	members := make([]roster.Member, count)
 	for index := range members {
@@ -32,11 +32,11 @@
 		}
 	}
 	if byRole[RoleExecutor] != 8 || byRole[RoleDelegator] != 68 || len(zones) != 4 {
-		t.Errorf("roles %v, executors by zone %v", byRole, zones)
+		t.Errorf("got roles %v and executors by zone %v, want 8 executors in 4 zones and 68 delegators", byRole, zones)
 	}
 	for _, assigner := range []Assigner{{}, {EqualNodes: 77}} {
 		if roles := assigner.Assign(members[0], members); roles.Self != RoleStandalone || len(roles.Executors) > 0 {
-			t.Errorf("%+v: %+v", assigner, roles)
+			t.Errorf("%+v: got roles %+v, want no executors", assigner, roles)
 		}
 	}
 	small := newEqualNodes(76, 4)
@@ -45,16 +45,16 @@
 	}
 	assigner := Assigner{EqualNodes: 24}
 	if roles := assigner.Assign(small[0], small); roles.Self != RoleStandalone {
-		t.Errorf("small nodes: %+v", roles)
+		t.Errorf("nodes with few cores: got roles %+v, want no executors", roles)
 	}
 	withLarge := append(newEqualNodes(76, 4), newMember("large", "zone-0", 1.6))
 	mixed := Assigner{EqualNodes: 24}
 	if roles := mixed.Assign(withLarge[0], withLarge); len(roles.Executors) != 1 || roles.Executors[0].Name != "large" {
-		t.Errorf("beside a large node: %+v", roles)
+		t.Errorf("equal nodes and a large one: got roles %+v, want the large node as the only executor", roles)
 	}
 }
 
-// TestFleetKeepsItsExecutors while a few nodes come and go.
+// TestExecutorAssignmentHasHysteresis lets a few nodes join and leave.
 func TestExecutorAssignmentHasHysteresis(t *testing.T) {
 	members := newEqualNodes(30, 3)
 	assigner := Assigner{EqualNodes: 24}
@@ -64,13 +64,13 @@
 	}{{23, false}, {24, true}, {20, true}, {18, true}, {17, false}, {20, false}, {24, true}} {
 		roles := assigner.Assign(members[0], members[:test.nodes])
 		if chosen := len(roles.Executors) > 0; chosen != test.chosen {
-			t.Errorf("%d nodes: executors %v", test.nodes, roles.Executors)
+			t.Errorf("%d nodes: got executors %v, want any = %v", test.nodes, roles.Executors, test.chosen)
 		}
 	}
 }
 
-// TestLossOfAnEqualChangesOnlyItsPlace: the next of its zone follows it, and all
-// others keep their roles.
+// TestLossOfEqualNodeReplacesOnlyThatExecutor: the next node of its zone replaces the lost
+// executor, and all other nodes keep their roles.
 func TestLossOfEqualNodeReplacesOnlyThatExecutor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := newEqualNodes(rapid.IntRange(24, 300).Draw(t, "nodes"), rapid.IntRange(1, 13).Draw(t, "zones"))
@@ -79,13 +79,13 @@
 		before, after := roster.FirstOfZones(members, executorsPerZone), roster.FirstOfZones(remaining, executorsPerZone)
 		if !slices.Contains(before, members[lost]) {
 			if !slices.Equal(before, after) {
-				t.Fatalf("from %v to %v", before, after)
+				t.Fatalf("the loss of %s, which is no executor, changed the executors from %v to %v", members[lost].Name, before, after)
 			}
 			return
 		}
 		for _, executor := range before {
 			if executor != members[lost] && !slices.Contains(after, executor) {
-				t.Fatalf("%s is lost, and %s runs no requests of others any more", members[lost].Name, executor.Name)
+				t.Fatalf("after the loss of %s, %s is no longer an executor", members[lost].Name, executor.Name)
 			}
 		}
 	})
--- a/internal/decide/executors/executors_test.go
+++ b/internal/decide/executors/executors_test.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// drawFleet returns nodes of some sizes, in some zones.
+// drawMembers returns nodes of some sizes in some zones.
 func drawMembers(t *rapid.T) []roster.Member {
 	sizes := rapid.SliceOfN(rapid.SampledFrom([]float64{0.1, 0.2, 0.4, 0.8, 1.6}), 1, 4).Draw(t, "sizes")
 	zones := rapid.IntRange(1, 6).Draw(t, "zones")
@@ -23,7 +23,7 @@
 	return members
 }
 
-// runsAt returns the node that runs the requests of a node when all is well.
+// chosenExecutor returns the node that runs the requests of self if all executors accept requests.
 func chosenExecutor(self roster.Member, members []roster.Member) string {
 	roles := Assign(self, members)
 	if roles.Self != RoleDelegator {
@@ -38,8 +38,8 @@
 	return table.Choose(Terms{}, nil).Name
 }
 
-// TestLossMovesOnlyTheShareOfTheNodeThatIsLost: the requests of a node move only if
-// they ran at the one that is gone.
+// TestNodeLossMovesOnlyItsOwnRequests checks that the loss of a node moves only requests that ran
+// on it.
 func TestNodeLossMovesOnlyItsOwnRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -49,13 +49,13 @@
 			self := remaining[index]
 			before, after := chosenExecutor(self, members), chosenExecutor(self, remaining)
 			if before != after && before != members[lost].Name {
-				t.Fatalf("%s is lost: requests of %s move from %s to %s", members[lost].Name, self.Name, before, after)
+				t.Fatalf("after the loss of %s, requests of %s move from %s to %s", members[lost].Name, self.Name, before, after)
 			}
 		}
 	})
 }
 
-// TestEveryNodeFindsTheSameExecutors, whoever it is.
+// TestEveryNodeAssignsSameExecutors computes the roles as each of the nodes.
 func TestEveryNodeAssignsSameExecutors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -63,10 +63,10 @@
 		for _, self := range members {
 			roles := Assign(self, members)
 			if len(roles.Executors) != len(want) {
-				t.Fatalf("%d executors by %s, %d by %s", len(roles.Executors), self.Name, len(want), members[0].Name)
+				t.Fatalf("%s assigns %d executors, %s assigns %d", self.Name, len(roles.Executors), members[0].Name, len(want))
 			}
 			if roles.Self == RoleDelegator && len(roles.Executors) == 0 {
-				t.Fatalf("%s delegates to nobody", self.Name)
+				t.Fatalf("%s is a delegator without executors", self.Name)
 			}
 		}
 	})
--- a/internal/decide/executors/load_test.go
+++ b/internal/decide/executors/load_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestLoadEndsTheRoom of a node before its processor is used up, and gives it back.
+// TestLoadBoundsAcceptedWork checks that a node has no capacity above maxUtilization until its load
+// decays.
 func TestLoadBoundsAcceptedWork(t *testing.T) {
 	const cores = 0.8
 	var load Load
@@ -18,12 +19,12 @@
 	}
 	maxRate := int(maxUtilization * cores / attemptCost.Seconds())
 	if addLoad(maxRate * 9 / 10); !load.HasCapacity(now, cores) {
-		t.Error("no room at nine tenths")
+		t.Error("got no capacity at 90 % of the maximum rate")
 	}
 	if addLoad(maxRate * 11 / 10); load.HasCapacity(now, cores) {
-		t.Error("room beyond the bound")
+		t.Error("got capacity at 110 % of the maximum rate")
 	}
 	if !load.HasCapacity(now+loadDecayTime, cores) {
-		t.Error("no room after a pause")
+		t.Error("got no capacity after an idle loadDecayTime")
 	}
 }
--- a/internal/decide/executors/roles.go
+++ b/internal/decide/executors/roles.go
@@ -7,43 +7,41 @@
 )
 
 const (
-	// largeShare is the part of the largest node's cores from which a node is
-	// an executor. Not measured: chosen below one so that nodes of almost the largest
-	// size count, too.
+	// executorCoreShare is the share of the largest node's cores from which a node is an
+	// executor. It is below 1 so that nodes of almost the largest size are executors too.
 	executorCoreShare = 0.8
-	// smallShare is the part of them up to which a node delegates requests. Not
-	// measured: chosen because a query takes an executor half of the processor time
-	// then, which pays for the way to it.
+	// delegatorCoreShare is the share of the largest node's cores up to which a node delegates
+	// requests. An executor needs at most half of the node's processor time for a query, which
+	// pays for the round trip.
 	delegatorCoreShare = 0.5
 )
 
-// Role is what a node does with requests of many shards.
+// Role tells what a node does with requests of many shards.
 type Role int
 
 // The roles of a node.
 const (
-	RoleStandalone Role = iota // runs its own
-	RoleExecutor               // runs its own and those of others
-	RoleDelegator              // hands them to executors
+	RoleStandalone Role = iota // runs its own requests
+	RoleExecutor               // runs its own requests and those of other nodes
+	RoleDelegator              // delegates its requests to executors
 )
 
-// Roles says who runs the requests of whom.
+// Roles tells which nodes run the requests of others.
 type Roles struct {
-	// Self is the role of the node that asked.
+	// Self is the role of the node for which the roles were computed.
 	Self Role
-	// Executors are sorted by name. There are none if each node is alone.
+	// Executors are sorted by name. They are empty if every node runs its own requests.
 	Executors []roster.Member
 }
 
-// Assign computes the roles by the sizes of the nodes there are. Every node computes
-// the same executors from the same members.
+// Assign computes the roles from the sizes of the announced nodes. Every node computes the same
+// executors from the same members.
 //
-// How much the executors can take together does not enter: each says for itself
-// whether it takes requests, by its Load, and what they refuse runs where it came
-// in. So a node that comes or goes moves its own share of the work. A rule over the
-// whole fleet, executors only if they have a fifth of all cores, was replaced by
-// that: on 295 nodes they had 0.213, and with one large node fewer every node ran
-// its own queries.
+// The total capacity of the executors does not matter for the roles: each executor decides by its
+// Load whether it accepts a request, and refused requests run on the node that received them. A
+// node that joins or leaves thus moves only its own share of the work. A rule over the whole fleet,
+// such as executors only if they have a fifth of all cores, lets the loss of a single large node
+// move the requests of every node: the large nodes of a fleet of 295 had 21 % of the cores.
 func Assign(self roster.Member, members []roster.Member) Roles {
 	largest := 0.0
 	for _, member := range members {
@@ -70,9 +68,9 @@
 	return roles
 }
 
-// Combiners returns the nodes through which attempts at leaves of other zones may
-// go: the executors, or all nodes where each runs its own requests. A node that
-// delegates its requests needs none.
+// Combiners returns the nodes through which attempts at leaves of other zones may be sent: the
+// executors, or all nodes if every node runs its own requests. A node that delegates its requests
+// needs none.
 func (r Roles) Combiners(members []roster.Member) []roster.Member {
 	switch {
 	case r.Self == RoleDelegator:
@@ -84,7 +82,7 @@
 	}
 }
 
-// Others returns the members that are no executors.
+// NonExecutors returns the members that are not executors.
 func (r Roles) NonExecutors(members []roster.Member) []roster.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member roster.Member) bool {
 		return slices.Contains(r.Executors, member)
--- a/internal/decide/executors/roles_test.go
+++ b/internal/decide/executors/roles_test.go
@@ -12,7 +12,7 @@
 	return roster.Member{Name: name, Zone: zone, Cores: cores, Peer: netip.MustParseAddrPort("127.0.0.1:" + fmt.Sprint(1000+len(name)+int(name[len(name)-1])))}
 }
 
-// fleet returns large and small nodes, spread over zones.
+// newLargeAndSmallNodes returns large and small nodes, spread over zones.
 func newLargeAndSmallNodes(large, small int) []roster.Member {
 	zones := []string{"a", "b", "c", "d"}
 	var members []roster.Member
@@ -45,7 +45,7 @@
 	} {
 		roles := Assign(test.self, test.members)
 		if roles.Self != test.role || len(roles.Executors) != test.executors {
-			t.Errorf("%s: role %d, %d executors", test.name, roles.Self, len(roles.Executors))
+			t.Errorf("%s: got role %d and %d executors, want role %d and %d", test.name, roles.Self, len(roles.Executors), test.role, test.executors)
 		}
 	}
 }
--- a/internal/decide/executors/table.go
+++ b/internal/decide/executors/table.go
@@ -8,87 +8,84 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// Config is the policy of a Table.
+// Config holds the policy of a Table.
 type Config struct {
-	// HeartbeatInterval is the time between two questions to an executor.
+	// HeartbeatInterval is the time between two heartbeats to an executor. 50 ms until an
+	// executor first answers brings no clear gain after a power loss.
 	HeartbeatInterval time.Duration
-	// HeartbeatTimeout is how long after its last answer an executor counts as
-	// lost.
+	// HeartbeatTimeout is the time since its last answer after which an executor counts as lost:
+	// three heartbeats.
 	HeartbeatTimeout time.Duration
 }
 
-// DefaultConfig returns the defaults.
-//
-// 250 ms between heartbeats: 50 ms until an executor first answers gained 0.018 on the
-// mean in the window of a power-off, within the spread of its runs. 800 ms until one is
-// lost: not measured, chosen as three heartbeats.
+// DefaultConfig returns the default policy.
 func DefaultConfig() Config {
 	return Config{HeartbeatInterval: 250 * time.Millisecond, HeartbeatTimeout: 800 * time.Millisecond}
 }
 
 const (
-	// watchedExecutors is how many executors a node keeps in touch with, beside those
-	// that are lost. Not measured: chosen as those of its zone and one of another.
+	// monitoredExecutors is the number of executors that a node monitors in addition to the lost
+	// ones: those of its zone and one of another zone.
 	monitoredExecutors = 3
-	// MaxOffers is how many executors a request is offered to before the node runs
-	// it itself. Not measured: chosen because each refusal costs a round trip.
+	// MaxOffers is how many executors a request is offered to before the node runs the request
+	// itself. Each refusal costs a round trip.
 	MaxOffers = 2
-	// latencyWeight is the weight of one request, or one heartbeat, in an executor's
-	// mean latency and round trip, from 0 to 1. Not measured.
+	// latencyWeight is the weight of one request or heartbeat in the moving averages of an
+	// executor's latency and round trip, from 0 to 1.
 	latencyWeight = 0.1
-	// slowFactor is how many times slower than another an executor must be, by its
-	// mean latency, to be passed over for it. Not measured: chosen above the spread
-	// between sound ones.
+	// slowFactor is how many times slower than another executor an executor must be, by mean
+	// latency, to be passed over. It exceeds the spread between healthy executors.
 	slowFactor = 1.5
-	// Handling is the time that it takes to read a whole answer and to write it
-	// again, beyond what a heartbeat takes. Not measured.
+	// Handling is the time for reading a whole answer and writing it again, in addition to the
+	// round trip of a heartbeat.
 	Handling = 1500 * time.Microsecond
-	// Grace is how long after a request's timeout its executor may answer: it ends
-	// the request in time, and the answer has a way to come. Not measured.
+	// Grace is how long after a request's timeout its executor may answer: the executor ends the
+	// request at the timeout, and the answer has to be transferred.
 	Grace = 100 * time.Millisecond
 )
 
-// Executor is what a node knows of one executor. Its Member and Near never change.
+// Executor holds what a node knows about an executor. Its Member and Near never change.
 type Executor struct {
 	roster.Member
 	liveness.State
-	// Near says that it is in the node's own zone.
+	// Near is set if the executor is in the node's own zone.
 	Near bool
-	// InFlight counts the requests of this node that it runs.
+	// InFlight is the number of this node's requests that the executor runs.
 	InFlight int
-	// Status is its last one.
+	// Status is the executor's latest status.
 	Status Status
-	// knownAt is since when it is asked.
+	// addedAt is when the node began to monitor the executor.
 	addedAt time.Duration
-	// latency is the mean of its requests, in seconds; zero without one.
+	// meanLatency is the moving average of the latency of its requests, in seconds; zero if there
+	// were none.
 	meanLatency float64
 }
 
-// Table holds the executors of a node, and chooses among them. It is not safe for
-// concurrent use.
+// Table holds the executors that a node knows and chooses among them. It is not safe for concurrent
+// use.
 type Table struct {
 	config Config
 	self   roster.Member
-	// preferred holds all executors, those first that this node prefers.
+	// preferred holds all executors in the order of preference of this node.
 	preferred []roster.Member
-	// watched are the first of them, so many that watchedExecutors are not lost.
+	// monitored holds the first of them, up to monitoredExecutors that are not lost.
 	monitored []*Executor
 }
 
-// NewTable returns a Table of a node that knows no executor yet.
+// NewTable returns a Table of the node self, without executors.
 func NewTable(config Config, self roster.Member) Table {
 	return Table{config: config, self: self}
 }
 
-// Replace sets the executors there are; what is known of those that stay is kept.
-// Requests that run on one that goes are left to finish.
+// Replace sets the executors. The state of those that remain is retained, and requests that run on
+// removed ones are left to finish.
 func (t *Table) Replace(now time.Duration, executors []roster.Member) {
 	t.preferred = roster.Preferred(t.self, executors)
 	t.Watch(now)
 }
 
-// Watch chooses the executors to keep in touch with: the preferred ones, and a
-// further one for each that is lost.
+// Watch selects the executors to monitor: the preferred ones, and an additional one for each lost
+// one.
 func (t *Table) Watch(now time.Duration) {
 	previous := make(map[string]*Executor, len(t.monitored))
 	for _, executor := range t.monitored {
@@ -111,18 +108,18 @@
 	}
 }
 
-// Watched returns the executors to keep in touch with.
+// Watched returns the monitored executors.
 func (t *Table) Watched() []*Executor { return slices.Clone(t.monitored) }
 
-// Len counts the executors to keep in touch with.
+// Len returns the number of monitored executors.
 func (t *Table) Len() int { return len(t.monitored) }
 
-// Alive counts those of them that answer.
+// Alive returns the number of monitored executors that are alive.
 func (t *Table) Alive() int {
 	return t.countMatching(func(executor *Executor) bool { return executor.Alive() != nil })
 }
 
-// Usable counts those of them that would take a request under the terms.
+// Usable returns the number of monitored executors that would accept a request under the terms.
 func (t *Table) Usable(terms Terms) int {
 	return t.countMatching(func(executor *Executor) bool { return executor.isUsable(terms) })
 }
@@ -137,20 +134,20 @@
 	return count
 }
 
-// lost reports whether an executor does not answer. One that was not asked for
-// long enough yet may be well.
+// isLost reports whether an executor does not answer. One that is monitored for less than the
+// timeout may still answer.
 func (t *Table) isLost(now time.Duration, executor *Executor) bool {
 	return executor.Alive() == nil && now-max(executor.LastHeard, executor.addedAt) > t.config.HeartbeatTimeout
 }
 
-// Heard records the answer of an executor to a heartbeat, and reports whether it was
-// lost before.
+// Heard records the answer of an executor to a heartbeat and reports whether the executor was lost
+// before.
 func (t *Table) Heard(now, roundTrip time.Duration, from *Executor, status Status) (regained bool) {
 	from.Status = status
 	return from.Answered(now, roundTrip)
 }
 
-// Expire counts those executors as lost that were not heard for the timeout.
+// Expire marks the executors as lost that were silent for longer than the timeout.
 func (t *Table) Expire(now time.Duration) {
 	for _, executor := range t.monitored {
 		if executor.IsSilent(now, t.config.HeartbeatTimeout) {
@@ -159,9 +156,9 @@
 	}
 }
 
-// Choose returns the executor for a request under the terms, or nil: none of those
-// tried already. Those near come first; among equals, the one with the least in
-// flight, unless it is slow.
+// Choose returns the executor for a request under the terms, or nil if there is none. It skips the
+// executors in tried. Executors of the own zone come first; among those, the one with the fewest
+// requests in flight, unless it is slow.
 func (t *Table) Choose(terms Terms, tried []*Executor) *Executor {
 	var best *Executor
 	for _, candidate := range t.monitored {
@@ -175,13 +172,12 @@
 	return best
 }
 
-// usable reports whether the executor is alive, and takes requests under the
-// terms.
+// isUsable reports whether the executor is alive and accepts requests under the terms.
 func (e *Executor) isUsable(terms Terms) bool {
 	return e.Alive() != nil && e.Status.Takes(terms)
 }
 
-// before reports whether a request should go to e rather than to other.
+// preferredOver reports whether a request should go to e rather than to other.
 func (e *Executor) preferredOver(other *Executor) bool {
 	switch {
 	case e.Near != other.Near:
@@ -195,11 +191,10 @@
 	}
 }
 
-// Away is the time that a request and its answer spend on the way to the executor
-// and back.
+// Away is the time that a request and its answer spend on the way to the executor and back.
 func (e *Executor) Away() time.Duration { return e.RoundTrip + Handling }
 
-// Completed records the time that a request took.
+// Completed records the latency of a request.
 func (e *Executor) Completed(took time.Duration) {
 	if e.meanLatency == 0 {
 		e.meanLatency = took.Seconds()
--- a/internal/decide/executors/table_test.go
+++ b/internal/decide/executors/table_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestWatchedSpreadOverExecutors keeps in touch with those of the zone, and with
-// others, not all nodes with the same.
+// TestMonitoredExecutorsSpreadOverFleet checks that each node monitors the executors of its own
+// zone, and that the nodes do not all monitor the same executor of another zone.
 func TestMonitoredExecutorsSpreadOverFleet(t *testing.T) {
 	members := newLargeAndSmallNodes(8, 56)
 	executors := Assign(members[10], members).Executors
@@ -17,17 +17,18 @@
 		table.Replace(0, executors)
 		chosen := table.monitored
 		if len(chosen) != monitoredExecutors || chosen[0].Zone != self.Zone || chosen[1].Zone != self.Zone {
-			t.Fatalf("%s watches %+v", self.Name, chosen)
+			t.Fatalf("%s monitors %+v, want %d executors with the first two in its zone", self.Name, chosen, monitoredExecutors)
 		}
 		asked[chosen[2].Name]++
 	}
 	if len(asked) < 6 {
-		t.Errorf("executors of other zones: %v", asked)
+		t.Errorf("got monitored executors of other zones %v, want at least 6 different ones", asked)
 	}
 }
 
-// TestFurtherExecutorsTakeThePlaceOfLostOnes, so that a small node runs queries of
-// many shards only when all executors are away, and they go back when it is over.
+// TestLostExecutorsAreReplacedInMonitoredSet checks that a small node runs queries of many shards
+// only if all executors are lost, and that the preferred executors return to the set once they
+// recover.
 func TestLostExecutorsAreReplacedInMonitoredSet(t *testing.T) {
 	members := newLargeAndSmallNodes(8, 8)
 	self := members[10]
@@ -56,12 +57,12 @@
 		heartbeat(func(name string) bool { return name != first[0] && name != first[1] && name != first[2] })
 	}
 	if chosen := table.Choose(Terms{}, nil); len(table.monitored) != 2*monitoredExecutors || chosen == nil {
-		t.Fatalf("watches %v", names())
+		t.Fatalf("monitors %v and chose %v, want %d executors and a usable one", names(), chosen, 2*monitoredExecutors)
 	}
 	for range 20 {
 		heartbeat(func(string) bool { return true })
 	}
 	if got := names(); fmt.Sprint(got) != fmt.Sprint(first) {
-		t.Errorf("watches %v, at first %v", got, first)
+		t.Errorf("monitors %v after recovery, want %v as before", got, first)
 	}
 }
--- a/internal/decide/executors/terms.go
+++ b/internal/decide/executors/terms.go
@@ -2,43 +2,42 @@
 
 import "slices"
 
-// Status is what an executor says of itself. Nodes of several versions send it to
-// each other: its fields keep their names.
+// Status is what an executor reports of itself. Its field names are part of the protocol between
+// nodes of different versions.
 type Status struct {
-	// Version is that of its configuration.
+	// Version is the version of the executor's configuration.
 	Version uint64
-	// Accepting says that it runs requests of others.
+	// Accepting is set if the executor accepts requests of other nodes.
 	Accepting bool
-	// Fresh says that it is in touch with the store: its configuration and
+	// Fresh is set if the executor is in contact with the store, so that its configuration and
 	// leaves are the newest.
 	Fresh bool
-	// Cordoned lists the zones that it knows to be out of service.
+	// Cordoned lists the zones that the executor knows to be out of service.
 	Cordoned []string
 }
 
-// Terms are what a request must be run under: what a caller sees of a node must not
-// depend on where its request ran. Nodes of several versions send them to each
-// other: their fields keep their names.
+// Terms are the conditions under which a request must run, because a caller must not be able to
+// tell on which node its request ran. The field names are part of the protocol between nodes of
+// different versions.
 type Terms struct {
-	// Version is the configuration: what a client sees of one node must not go
-	// back to an older version.
+	// Version is the configuration version. A client of one node must not see an older version
+	// after a newer one.
 	Version uint64
-	// Fresh says that the node that received the request is in touch with the
-	// store. Then the one that runs it must be, too. In an outage that affects
-	// both, neither knows more than the other.
+	// Fresh is set if the node that received the request is in contact with the store. The node
+	// that runs it must be in contact too. During an outage that affects both nodes, neither has
+	// newer data than the other.
 	Fresh bool
-	// Cordoned lists the zones that the node which received the request knows to be
-	// out of service. The one that runs it must know of them, too: it may learn
-	// of them later.
+	// Cordoned lists the zones that the node which received the request knows to be out of service.
+	// The node that runs it must know them too, and might otherwise learn of them later.
 	Cordoned []string
 }
 
-// Takes reports whether an executor of a status takes requests under the terms.
+// Takes reports whether an executor with this status accepts requests under the terms.
 func (s Status) Takes(terms Terms) bool {
 	return s.Accepting && s.Version == terms.Version && (s.Fresh || !terms.Fresh) && s.knowsCordoned(terms.Cordoned)
 }
 
-// knows reports whether the executor knows that zones are out of service.
+// knowsCordoned reports whether the executor knows that the zones are out of service.
 func (s Status) knowsCordoned(cordoned []string) bool {
 	return !slices.ContainsFunc(cordoned, func(zone string) bool { return !slices.Contains(s.Cordoned, zone) })
 }
--- a/internal/decide/liveness/state.go
+++ b/internal/decide/liveness/state.go
@@ -1,18 +1,17 @@
-// Package liveness decides whether another node counts as alive, by its answers to
-// heartbeats. It is pure: time comes in as an argument.
+// Package liveness decides whether another node counts as alive, by its answers to heartbeats. It
+// is pure: time is passed in as an argument.
 //
-// Rule: a node counts as lost until it answers a heartbeat, and again once it was silent
-// for longer than a timeout, or its connection ended. Other messages show that it is not
-// silent, but do not bring a lost node back.
+// Rule: a node counts as lost until it answers a heartbeat, and again once it was silent for longer
+// than a timeout or its connection ended. Other messages end its silence, but do not make a lost
+// node alive again.
 //
-// Inputs: the time of each message (a duration on the node's clock), the round trip of
-// each heartbeat (a duration), and the timeout of the user (a duration).
+// Inputs: the time of each message (a duration on the node's clock), the round trip of each
+// heartbeat (a duration), and the timeout of the using package (a duration).
 //
-// Reason: what was sent to a lost node has to end before the deadlines of its requests do;
-// the context of Alive ends with the loss.
+// Reason: calls to a lost node have to end before the deadlines of their requests, so the context
+// returned by Alive ends with the loss.
 //
-// It owns the State of one other node. Interval and timeout of the heartbeats belong to
-// the rules that use it, with their reasons. It has no constant.
+// The interval and the timeout of the heartbeats belong to the rules that use this package.
 package liveness
 
 import (
@@ -20,31 +19,31 @@
 	"time"
 )
 
-// State is what is known of another node, which is sent heartbeats. It counts as lost
-// until it answers one. A State is not safe for concurrent use.
+// State is the liveness of another node that is sent heartbeats. The node counts as lost until it
+// answers one. A State is not safe for concurrent use.
 type State struct {
-	// Weight is that of one answer in RoundTrip, from 0 to 1.
+	// RoundTripWeight is the weight of one answer in RoundTrip, from 0 to 1.
 	RoundTripWeight float64
-	// HeardAt is when it last answered; zero if it never did.
+	// LastHeard is when the node's last message arrived; zero if there was none.
 	LastHeard time.Duration
-	// RoundTrip is the mean time of a heartbeat and its answer.
+	// RoundTrip is the moving average of the time of a heartbeat and its answer.
 	RoundTrip time.Duration
 
 	alive  context.Context
 	cancel context.CancelFunc
 }
 
-// Alive returns a context that ends when the node is taken to be lost; nil while
-// it is lost or avoided.
+// Alive returns a context that ends when the node is lost. It is nil while the node is lost or not
+// in use.
 func (s *State) Alive() context.Context { return s.alive }
 
-// Heard takes in any message of the node. It does not bring a lost node back.
+// Heard records any message of the node. It does not make a lost node alive.
 func (s *State) Heard(now time.Duration) {
 	s.LastHeard = max(s.LastHeard, now, 1)
 }
 
-// Answered takes in the answer to a heartbeat, which brings a lost node back. It reports
-// whether it does.
+// Answered records the answer to a heartbeat, which makes a lost node alive. It reports whether the
+// node was lost before.
 func (s *State) Answered(now, roundTrip time.Duration) (regained bool) {
 	s.Heard(now)
 	if s.RoundTrip == 0 {
@@ -58,13 +57,13 @@
 	return true
 }
 
-// Silent reports whether nothing was received for longer than a time.
+// IsSilent reports whether no message arrived for longer than the timeout.
 func (s *State) IsSilent(now, timeout time.Duration) bool {
 	return now-s.LastHeard > timeout
 }
 
-// Lose takes the node to be lost, with the calls that it has in flight: it ends the
-// context of Alive. It reports whether the node was alive before.
+// Lose marks the node as lost and ends the context of Alive, and with it the calls in flight. It
+// reports whether the node was alive before.
 func (s *State) Lose() bool {
 	if s.alive == nil {
 		return false
@@ -74,7 +73,7 @@
 	return true
 }
 
-// Avoid is like Lose, but the calls that the node has in flight go on.
+// Avoid is like Lose, but the calls in flight to the node continue.
 func (s *State) Avoid() bool {
 	wasAlive := s.alive != nil
 	s.alive = nil
--- a/internal/decide/liveness/state_test.go
+++ b/internal/decide/liveness/state_test.go
@@ -8,23 +8,23 @@
 func TestPeerLossAndRecovery(t *testing.T) {
 	state := State{RoundTripWeight: 0.5}
 	if state.Alive() != nil || state.Lose() || state.Avoid() {
-		t.Fatal("a peer is alive that never answered")
+		t.Fatal("a peer is alive before its first answer")
 	}
 	if state.Heard(time.Second); state.Alive() != nil {
-		t.Error("a sign of life brought it back")
+		t.Error("a message other than an answer made a lost peer alive")
 	}
 	if !state.Answered(time.Second, time.Millisecond) || state.Answered(2*time.Second, 3*time.Millisecond) {
-		t.Error("it came back not once")
+		t.Error("want the first answer, and only that, to make the peer alive")
 	}
 	if state.RoundTrip != 2*time.Millisecond || state.LastHeard != 2*time.Second {
-		t.Errorf("%+v", state)
+		t.Errorf("got round trip %v and last message at %v, want 2ms and 2s", state.RoundTrip, state.LastHeard)
 	}
 	if state.IsSilent(3*time.Second, time.Second) || !state.IsSilent(3*time.Second+1, time.Second) {
-		t.Error("silent at the wrong time")
+		t.Error("want the peer to be silent from just after the timeout")
 	}
 	alive := state.Alive()
 	if !state.Lose() || alive.Err() == nil || state.Alive() != nil {
-		t.Error("it is not lost")
+		t.Error("want a lost peer not to be alive, and its context to have ended")
 	}
 }
 
@@ -33,9 +33,9 @@
 	state.Answered(1, 1)
 	alive := state.Alive()
 	if !state.Avoid() || state.Alive() != nil || alive.Err() != nil {
-		t.Error("what it has in hand was ended")
+		t.Error("want no new calls to a peer that is avoided, and its calls in flight to continue")
 	}
 	if !state.Answered(2, 1) || state.Alive() == nil {
-		t.Error("it did not come back")
+		t.Error("want an avoided peer to be alive again after an answer")
 	}
 }
