--- a/internal/decide/decisions_test.go
+++ b/internal/decide/decisions_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// root is the repository's, seen from here.
+// root is the root of the repository, relative to this folder.
 const root = "../.."
 
-// TestIndexNamesWhatExists: each row of docs/DECISIONS.md names files and tests that
-// there are.
+// TestIndexNamesWhatExists checks that each row of docs/DECISIONS.md names existing files and
+// tests.
 func TestIndexNamesWhatExists(t *testing.T) {
 	rows := readRows(t)
 	if len(rows) == 0 {
@@ -23,21 +23,21 @@
 	for _, row := range rows {
 		for _, file := range quoted(row.files) {
 			if _, err := os.Stat(filepath.Join(root, file)); err != nil {
-				t.Errorf("%s: no file %s", row.rule, file)
+				t.Errorf("%s: file %s does not exist", row.rule, file)
 			}
 		}
 		for _, test := range quoted(row.tests) {
 			if !tests[test] {
-				t.Errorf("%s: no test %s", row.rule, test)
+				t.Errorf("%s: test %s does not exist", row.rule, test)
 			}
 		}
 		if len(quoted(row.files)) == 0 || len(quoted(row.tests)) == 0 {
-			t.Errorf("%s: a row names a file and a test", row.rule)
+			t.Errorf("%s: got files %q and tests %q, want at least one of each", row.rule, row.files, row.tests)
 		}
 	}
 }
 
-// TestIndexNamesEveryRule: each package below this one has a row.
+// TestIndexNamesEveryRule checks that each package below this one has a row.
 func TestIndexNamesEveryRule(t *testing.T) {
 	var indexed strings.Builder
 	for _, row := range readRows(t) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// indexRow is one line of the table.
+// indexRow is one row of the table.
 type indexRow struct{ rule, files, tests string }
 
 func readRows(t *testing.T) []indexRow {
@@ -67,7 +67,7 @@
 	for line := range strings.Lines(string(page)) {
 		cells := strings.Split(line, "|")
 		if len(cells) < 5 || !strings.Contains(cells[2], "`") {
-			continue // no row, or the head of the table
+			continue // not a row, or the head of the table
 		}
 		rows = append(rows, indexRow{rule: strings.TrimSpace(cells[1]), files: cells[2], tests: cells[3]})
 	}
@@ -76,7 +76,7 @@
 
 var quotation = regexp.MustCompile("`([^`]+)`")
 
-// quoted returns what stands between backquotes.
+// quoted returns the texts between backquotes.
 func quoted(text string) []string {
 	var found []string
 	for _, match := range quotation.FindAllStringSubmatch(text, -1) {
@@ -87,7 +87,7 @@
 
 var testDeclaration = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
 
-// testFunctions returns the names of the repository's tests.
+// testFunctions returns the names of the repository's test functions.
 func testFunctions(t *testing.T) map[string]bool {
 	t.Helper()
 	found := make(map[string]bool)
--- a/internal/decide/once/clock.go
+++ b/internal/decide/once/clock.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Reading is the state of a machine's clocks at one moment. Take both in one
-// go, before the call that they are handed to.
+// Reading holds the clocks of a machine at one moment. Both must be read together, before the call
+// that receives them.
 type Reading struct {
-	// Wall is the time of day. It may jump either way.
+	// Wall is the wall clock. It may jump in either direction.
 	Wall time.Time
-	// Monotonic is the time since an arbitrary origin. It never goes back, but
-	// may stand still while the machine is suspended.
+	// Monotonic is the time since an arbitrary origin. It never decreases, but may stop while the
+	// machine is suspended.
 	Monotonic time.Duration
 }
 
-// clock follows the readings of one machine.
+// clock tracks the readings of one machine.
 type clock struct {
 	last Reading
-	// latest is the latest time of day that the machine can believe in: the
-	// highest seen, moved on by the monotonic time since.
+	// latestWall is the latest plausible wall clock time: the highest one seen, advanced by the
+	// monotonic time since.
 	latestWall time.Time
 }
 
@@ -25,8 +25,8 @@
 	return clock{last: Reading{Wall: wall, Monotonic: now.Monotonic}, latestWall: wall}
 }
 
-// observe takes a reading. It reports whether the time of day ran ahead of the
-// monotonic clock by more than tolerance since the last reading.
+// observe records a reading. It reports whether the wall clock advanced since the last reading by
+// more than tolerance beyond the monotonic clock.
 func (c *clock) observe(now Reading, tolerance time.Duration) (wall time.Time, jumpedAhead bool) {
 	wall = withoutMonotonic(now.Wall)
 	elapsed := max(now.Monotonic-c.last.Monotonic, 0)
@@ -39,6 +39,6 @@
 	return wall, jumpedAhead
 }
 
-// withoutMonotonic strips the monotonic reading that time.Now adds, since
-// subtraction would use it in place of the time of day.
+// withoutMonotonic strips the monotonic reading that time.Now adds, since a subtraction would use
+// it instead of the wall clock.
 func withoutMonotonic(wall time.Time) time.Time { return wall.Round(0) }
--- a/internal/decide/once/decision.go
+++ b/internal/decide/once/decision.go
@@ -6,68 +6,66 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Kind is what a Ledger decides about a submission.
+// Kind is the kind of a Ledger's decision about a submission.
 type Kind string
 
 // The kinds of decision.
 const (
-	// Run: this submission is the one that may run. The driver calls Finish or
-	// Release exactly once.
+	// Run means that this submission may run. The driver calls Finish or Release exactly once.
 	Run Kind = "run"
-	// Replay: the request ran here before; Outcome is what came of it.
+	// Replay means that the request ran here before, with the result in Outcome.
 	Replay Kind = "replay"
-	// InProgress: an earlier submission was let through and has not ended.
+	// InProgress means that an earlier submission was admitted and has not ended.
 	InProgress Kind = "in_progress"
-	// Refuse: this submission must not run.
+	// Refuse means that this submission must not run.
 	Refuse Kind = "refuse"
 )
 
-// Reason says why a submission is refused.
+// Reason tells why a submission is refused.
 type Reason string
 
-// The reasons.
+// The reasons of a refusal.
 const (
 	ReasonNone Reason = ""
-	// ReasonFenced: an earlier owner may have run the request.
+	// ReasonFenced means that an earlier owner may have run the request.
 	ReasonFenced Reason = "fenced"
-	// ReasonTooOld: the id is older than what is remembered.
+	// ReasonTooOld means that the id is older than the ids that are remembered.
 	ReasonTooOld Reason = "too_old"
-	// ReasonFuture: the id's time is too far ahead of this machine's clock.
+	// ReasonFuture means that the id's time is too far ahead of this machine's clock.
 	ReasonFuture Reason = "future"
-	// ReasonFull: no more ids can be remembered now.
+	// ReasonFull means that no more ids can be remembered at present.
 	ReasonFull Reason = "full"
-	// ReasonSuspended: it is not known yet whether this node is the owner.
+	// ReasonSuspended means that it is not yet known whether this node is the owner.
 	ReasonSuspended Reason = "suspended"
 )
 
-// Decision answers Begin.
+// Decision is the result of Begin.
 type Decision[Outcome any] struct {
 	Kind   Kind
 	Reason Reason
-	// Ownership is the ownership under which the decision was taken; see
-	// Ledger.Holds.
+	// Ownership identifies the ownership period in which the decision was made; see Ledger.Holds.
 	Ownership uint64
 	// Outcome is set for Replay.
 	Outcome Outcome
-	// MayHaveRun, for Refuse, is false only if the request has run nowhere,
-	// whatever was submitted before: it may be reported as not run. Otherwise
-	// an earlier submission of the id may have run, and only a caller that
-	// knows that there was none may take it as not run.
+	// MayHaveRun applies to Refuse. It is false only if the request ran nowhere, regardless of
+	// earlier submissions, so that it may be reported as not run. Otherwise an earlier submission
+	// of the id may have run; only a caller that knows that there was none may treat the request
+	// as not run.
 	MayHaveRun bool
-	// RetryAfter, for Refuse, is how long to wait. For ReasonFenced and
-	// ReasonTooOld the same id never runs here: a new id, minted after that
-	// time, does. Zero if unknown.
+	// RetryAfter applies to Refuse and tells how long to wait; zero if unknown. After ReasonFenced
+	// and ReasonTooOld the same id never runs here, but a new id that is created after that time
+	// does.
 	RetryAfter time.Duration
 }
 
-// milliseconds is a time of day as an id holds it: since the Unix epoch.
+// milliseconds is a wall clock time as contained in an id: milliseconds since the Unix epoch.
 type milliseconds int64
 
 func timeOf(id ulid.ULID) milliseconds { return milliseconds(id.Time()) }
 
 func floorMilliseconds(wall time.Time) milliseconds { return milliseconds(wall.UnixMilli()) }
 
-// ceiling rounds up, so that a bound on ids is never too low.
+// ceilMilliseconds rounds up, so that a bound on ids is never too low.
 func ceilMilliseconds(wall time.Time) milliseconds {
 	return milliseconds(wall.Add(time.Millisecond - 1).UnixMilli())
 }
--- a/internal/decide/once/guarantee_test.go
+++ b/internal/decide/once/guarantee_test.go
@@ -14,12 +14,13 @@
 	})
 }
 
-// schedulesToFail is how many seeded schedules a switched-off mechanism gets
-// to break a promise.
+// maxSchedules is how many seeded schedules may run until one breaks the guarantee without a
+// mechanism.
 const maxSchedules = 20000
 
-// The mechanisms left out here break too seldom at random; the tests named TestFence and
-// TestDecisionDoesNotOutliveTheOwnership switch them off one by one.
+// TestEachMechanismIsNeeded covers the mechanisms whose absence random schedules reveal often
+// enough. The tests named TestFence and TestDecisionDoesNotOutliveTheOwnership switch off the
+// others one by one.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	for name, disabled := range map[string]disabledMechanisms{
 		"fence":          {fence: true},
@@ -35,11 +36,11 @@
 			schedule := rapid.Custom(func(draw *rapid.T) error { return runSchedule(draw, config) })
 			for seed := range maxSchedules {
 				if err := schedule.Example(seed); err != nil {
-					t.Logf("without the %s, schedule %d: %v", name, seed, err)
+					t.Logf("without the %s, schedule %d fails: %v", name, seed, err)
 					return
 				}
 			}
-			t.Fatalf("%d schedules broke nothing without the %s", maxSchedules, name)
+			t.Fatalf("none of %d schedules failed without the %s", maxSchedules, name)
 		})
 	}
 }
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -1,32 +1,29 @@
-// Package once decides whether a request that may run at most once may run now. It is
-// pure: time comes in as readings.
+// Package once decides whether a request that may run at most once may run now. It is pure: time is
+// passed in as readings.
 //
-// Rule: the owner of a request id, chosen by rendezvous hashing over the voter slots, lets
-// each id through once, and remembers it with its outcome. An owner that is new, or new to
-// the id, refuses every id that a predecessor may have let through: up to a fence, which
-// works on the time inside the id (a ULID, minted by the caller).
+// Rule: the owner of a request id, chosen by rendezvous hashing over the voter slots, admits each
+// id once and remembers it with its outcome. A new owner, or a new owner of an id, refuses every id
+// that a predecessor may have admitted. These are the ids up to a fence, which is compared with the
+// time inside the id (a ULID, created by the caller).
 //
-// Inputs: the id, readings of the monotonic and of the wall clock, the time since when
-// this node owns its slot, the names of the voters.
+// Inputs: the id, readings of the monotonic and of the wall clock, the time since when this node
+// owns its slot, the names of the voters.
 //
-// Reason: no owner has a disk, so what a former one let through is lost with it; refusing
-// costs some seconds of new ids, running twice cannot be undone. Weighed in
-// docs/design/0005-at-most-once.md; its constants are bounds of the promise, with
-// DefaultConfig.
+// Reason: owners have no disk, so the ids admitted by a former owner are lost with it. Refusing new
+// ids costs some seconds, while a second execution cannot be undone. The design is described in
+// docs/design/0005-at-most-once.md.
 //
 // The guarantee rests on these conditions, which the driver must keep:
-//   - A decision counts only if, at a moment after the reading handed to Begin
-//     and before bytes leave, the node was fresh (confirmed by a majority of
-//     voters within Config.Freshness, on the monotonic clock) and Holds was
-//     true. Otherwise a Run is given back by Release, and a refusal may not be
-//     reported as not run.
-//   - The moment handed to NewLedger or Reset is one after a majority of voters
-//     has acknowledged this incarnation of the slot and the revision with the
-//     present voter set. From installing another voter set until then, the
-//     ledger is suspended; also if the set is the same as before, but another
-//     one was in force in between that this node skipped.
-//   - The wall clocks of two voters never differ by more than
-//     Config.ClockDifference, other than by a jump back after the start.
+//   - A decision counts only if, at a moment after the reading passed to Begin and before bytes are
+//     sent, the node was fresh (confirmed by a majority of voters within Config.Freshness, on the
+//     monotonic clock) and Holds was true. Otherwise a Run is returned by Release, and a refusal may
+//     not be reported as not run.
+//   - The moment passed to NewLedger or Reset is one after a majority of voters has acknowledged this
+//     incarnation of the slot and the revision with the present voter set. From installing another
+//     voter set until then, the ledger is suspended. This also applies if the set is the same as
+//     before, but another one was in force in between that this node skipped.
+//   - The wall clocks of two voters never differ by more than Config.ClockDifference, other than by a
+//     backward jump after the start.
 //
 // A Ledger is not safe for concurrent use.
 package once
@@ -37,25 +34,26 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Config holds the bounds of a ledger.
+// Config holds the bounds of a Ledger.
 type Config struct {
-	// Window is how old an id may be, and how long outcomes are remembered.
+	// Window is the maximum age of an id, and how long outcomes are remembered.
 	Window time.Duration
-	// Freshness is how long a replaced owner may go on without noticing.
+	// Freshness is how long a replaced owner may continue without noticing that it was replaced:
+	// the freshness window of the nodes.
 	Freshness time.Duration
 	// Skew is how far an id's time may be ahead of the owner's clock.
 	Skew time.Duration
-	// ClockDifference is the largest difference between the wall clocks of
-	// two voters.
+	// ClockDifference is the largest difference between the wall clocks of two voters, which the
+	// operation of the voters has to ensure.
 	ClockDifference time.Duration
-	// Capacity is the number of ids that are remembered at most.
+	// Capacity is the maximum number of ids that are remembered.
 	Capacity int
 
 	disabled disabledMechanisms
 }
 
-// mechanisms names parts of the ledger that tests switch off, to see the proof
-// of each fail.
+// disabledMechanisms lists the parts of the ledger that tests switch off, to check that a
+// simulation without each of them breaks the guarantee.
 type disabledMechanisms struct {
 	fence          bool
 	droppedBound   bool
@@ -67,9 +65,8 @@
 	ownershipCheck bool
 }
 
-// DefaultConfig returns the values of docs/design/0005-at-most-once.md. None is measured:
-// Freshness is the freshness window of the nodes, ClockDifference what the clocks of
-// voters must keep to; Freshness, Skew and ClockDifference add up to a fence of 11 s.
+// DefaultConfig returns the values of docs/design/0005-at-most-once.md. Freshness, Skew and
+// ClockDifference add up to a fence of 11 s.
 func DefaultConfig() Config {
 	return Config{
 		Window:          5 * time.Minute,
@@ -80,31 +77,30 @@
 	}
 }
 
-// Ledger remembers the ids that this node let through as their owner.
+// Ledger remembers the ids that this node admitted as their owner.
 type Ledger[Outcome any] struct {
 	config  Config
 	clock   clock
 	records records[Outcome]
-	// fence: ids minted up to it may have been let through by a predecessor.
+	// fence is the time up to which ids may have been admitted by a predecessor.
 	fence milliseconds
-	// dropped is the highest time of an id that was let through here and is
-	// not remembered any more.
+	// maxDropped is the highest time of an id that was admitted here and is no longer remembered.
 	maxDropped milliseconds
 	suspended  bool
 	// ownership counts the calls of Suspend and Reset.
 	ownership uint64
 }
 
-// NewLedger returns the ledger of a node that became an owner at the given
-// reading; see the conditions in the package comment.
+// NewLedger returns the ledger of a node that became an owner at the given reading; see the
+// conditions in the package comment.
 func NewLedger[Outcome any](config Config, ownershipSince Reading) *Ledger[Outcome] {
 	ledger := &Ledger[Outcome]{config: config, clock: newClock(ownershipSince), records: newRecords[Outcome]()}
 	ledger.raiseFence()
 	return ledger
 }
 
-// Begin decides about a submission of the id, at the given reading. The caller
-// has checked that this node is the owner of the id.
+// Begin decides about a submission of the id at the given reading. The caller has checked that this
+// node is the owner of the id.
 func (l *Ledger[Outcome]) Begin(now Reading, id ulid.ULID) Decision[Outcome] {
 	wall := l.observe(now)
 	if record, exists := l.records.find(id); exists {
@@ -120,31 +116,30 @@
 	return Decision[Outcome]{Kind: Run, Ownership: l.ownership}
 }
 
-// Holds reports whether the ownership under which a decision was taken still
-// lasts. A node that slept through a change of the voter set and is fresh
-// again may not act on what it decided before.
+// Holds reports whether the ownership period in which a decision was made still lasts. A node that
+// was suspended during a change of the voter set and is fresh again must not act on an earlier
+// decision.
 func (l *Ledger[Outcome]) Holds(decision Decision[Outcome]) bool {
 	return decision.Ownership == l.ownership || l.config.disabled.ownershipCheck
 }
 
-// Finish records what came of a submission that was let through, also if that
-// is not known. Later submissions of the id get this outcome.
+// Finish records the outcome of an admitted submission, even if the outcome is unknown. Later
+// submissions of the id get this outcome.
 func (l *Ledger[Outcome]) Finish(id ulid.ULID, outcome Outcome) { l.records.finish(id, outcome) }
 
-// Release forgets a submission that was let through and certainly did not run
-// and never will. The id may be submitted again.
+// Release removes an admitted submission that certainly did not run and never will. The id may be
+// submitted again.
 func (l *Ledger[Outcome]) Release(id ulid.ULID) { l.records.release(id) }
 
-// Suspend makes the ledger refuse every id that it does not know, until Reset.
-// The driver calls it before it installs another voter set.
+// Suspend makes the ledger refuse every unknown id until Reset. The driver calls it before it
+// installs another voter set.
 func (l *Ledger[Outcome]) Suspend() {
 	l.suspended = !l.config.disabled.suspension
 	l.ownership++
 }
 
-// Reset starts the ownership anew, at the given reading: ids minted before may
-// have been let through elsewhere meanwhile. What was let through here stays
-// known.
+// Reset starts a new ownership period at the given reading: ids created before may have been
+// admitted elsewhere in the meantime. Ids admitted here remain known.
 func (l *Ledger[Outcome]) Reset(ownershipSince Reading) {
 	l.observe(ownershipSince)
 	l.raiseFence()
@@ -152,8 +147,8 @@
 	l.ownership++
 }
 
-// Expire forgets the finished ids that are older than the window. Call it
-// every second or so.
+// Expire removes the finished ids that are older than the window. It has to be called about once
+// per second.
 func (l *Ledger[Outcome]) Expire(now Reading) {
 	wall := l.observe(now)
 	l.dropExpired(wall)
@@ -162,11 +157,11 @@
 // Length returns the number of ids that are remembered.
 func (l *Ledger[Outcome]) Length() int { return l.records.length() }
 
-// FencedUntil returns the time of day that an id must be minted after.
+// FencedUntil returns the wall clock time after which an id must be created to pass the fence.
 func (l *Ledger[Outcome]) FencedUntil() time.Time { return time.UnixMilli(int64(l.fence)) }
 
-// observe takes a reading. A time of day that jumped ahead was wrong before:
-// the fence may be too low, so it is raised as at a new start.
+// observe records a reading. If the wall clock jumped ahead, earlier readings were wrong and the
+// fence may be too low, so it is raised as at a new start.
 func (l *Ledger[Outcome]) observe(now Reading) (wall time.Time) {
 	wall, jumpedAhead := l.clock.observe(now, l.config.ClockDifference)
 	if l.config.disabled.latestClock {
@@ -178,9 +173,9 @@
 	return wall
 }
 
-// raiseFence sets the fence above every id that a predecessor can let through
-// until it notices: one that takes ids until Freshness from now, by a clock
-// that may be ahead by ClockDifference, of callers ahead of it by Skew.
+// raiseFence sets the fence above every id that a predecessor can admit before it notices that it
+// was replaced. The predecessor admits ids until Freshness from now, by a clock that may be ahead
+// by ClockDifference, from callers whose clocks are ahead of it by Skew.
 func (l *Ledger[Outcome]) raiseFence() {
 	if l.config.disabled.fence {
 		return
--- a/internal/decide/once/ledger_test.go
+++ b/internal/decide/once/ledger_test.go
@@ -9,7 +9,7 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// at is the reading of a correct clock.
+// at returns the reading of a correct clock.
 func at(since time.Duration) Reading { return Reading{Wall: base.Add(since), Monotonic: since} }
 
 func newID(since time.Duration, number byte) ulid.ULID {
@@ -22,7 +22,7 @@
 func checkDecision(t *testing.T, decision Decision[int], kind Kind, reason Reason, mayHaveRun bool) {
 	t.Helper()
 	if decision.Kind != kind || decision.Reason != reason || decision.MayHaveRun != mayHaveRun {
-		t.Fatalf("expected %s %s (may have run: %v), got %+v", kind, reason, mayHaveRun, decision)
+		t.Fatalf("got %+v, want %s %s (may have run: %v)", decision, kind, reason, mayHaveRun)
 	}
 }
 
@@ -31,7 +31,7 @@
 	fenced := ledger.Begin(at(time.Second), newID(time.Second, 1))
 	checkDecision(t, fenced, Refuse, ReasonFenced, true)
 	if fenced.RetryAfter != 10*time.Second+time.Millisecond {
-		t.Fatalf("the fence of 11 s ends in %s", fenced.RetryAfter)
+		t.Fatalf("got retry after %s one second into a fence of 11 s, want 10.001s", fenced.RetryAfter)
 	}
 	id := newID(20*time.Second, 2)
 	checkDecision(t, ledger.Begin(at(14*time.Second), id), Refuse, ReasonFuture, false)
@@ -42,13 +42,13 @@
 	ledger.Finish(id, 7)
 	ledger.Release(id)
 	if replay := ledger.Begin(at(22*time.Second), id); replay.Kind != Replay || replay.Outcome != 7 {
-		t.Fatalf("expected the outcome again, got %+v", replay)
+		t.Fatalf("got %+v, want a replay of outcome 7", replay)
 	}
 	ledger.Expire(at(60 * time.Second))
 	checkDecision(t, ledger.Begin(at(60*time.Second), id), Refuse, ReasonTooOld, true)
 	checkDecision(t, ledger.Begin(at(60*time.Second), newID(25*time.Second, 3)), Refuse, ReasonTooOld, false)
 	if ledger.Length() != 0 {
-		t.Fatalf("%d ids are left", ledger.Length())
+		t.Fatalf("got %d remembered ids, want none", ledger.Length())
 	}
 }
 
@@ -73,8 +73,8 @@
 	checkDecision(t, ledger.Begin(at(time.Hour), id), InProgress, "", false)
 }
 
-// A clock that is back by a minute when the ownership starts anew would set
-// the fence a minute too low.
+// TestFenceUsesLatestWallClock: a clock that is back by a minute when a new ownership period starts
+// would set the fence a minute too low.
 func TestFenceUsesLatestWallClock(t *testing.T) {
 	fencedAfterJump := func(disabled disabledMechanisms) bool {
 		config := testConfig()
@@ -86,12 +86,12 @@
 		return ledger.FencedUntil().Equal(base.Add(81 * time.Second))
 	}
 	if !fencedAfterJump(disabledMechanisms{}) || fencedAfterJump(disabledMechanisms{latestClock: true}) {
-		t.Fatal("the fence must hold with the latest clock kept, and fall without")
+		t.Fatal("want the fence at 81 s if the latest wall clock is retained, and lower otherwise")
 	}
 }
 
-// A machine that starts with a clock far behind has set its fence too low;
-// when the clock is put right, the fence must be raised.
+// TestFenceIsRaisedWhenTheClockJumpsAhead: a machine that starts with a clock far behind sets its
+// fence too low, so the fence has to be raised once the clock is corrected.
 func TestFenceIsRaisedWhenTheClockJumpsAhead(t *testing.T) {
 	decide := func(disabled disabledMechanisms) Decision[int] {
 		config := testConfig()
@@ -103,8 +103,9 @@
 	checkDecision(t, decide(disabledMechanisms{jumpFence: true}), Run, "", false)
 }
 
-// A node that decided, slept through a change of the voter set and is fresh
-// again must not act: an owner in between may have run the id.
+// TestDecisionDoesNotOutliveTheOwnership: a node that made a decision, was suspended during a
+// change of the voter set and is fresh again must not act, since an owner in between may have run
+// the id.
 func TestDecisionDoesNotOutliveTheOwnership(t *testing.T) {
 	for _, disabled := range []disabledMechanisms{{}, {ownershipCheck: true}} {
 		config := testConfig()
@@ -112,13 +113,13 @@
 		ledger := NewLedger[int](config, at(0))
 		decision := ledger.Begin(at(20*time.Second), newID(20*time.Second, 1))
 		if !ledger.Holds(decision) {
-			t.Fatal("the decision must hold at first")
+			t.Fatal("a decision does not hold in its own ownership period")
 		}
 		ledger.Suspend()
 		checkDecision(t, ledger.Begin(at(21*time.Second), newID(20*time.Second, 2)), Refuse, ReasonSuspended, true)
 		ledger.Reset(at(22 * time.Second))
 		if ledger.Holds(decision) != disabled.ownershipCheck {
-			t.Fatalf("holds: %v, with the mechanism off: %v", ledger.Holds(decision), disabled.ownershipCheck)
+			t.Fatalf("after Reset: decision holds = %v, want %v", ledger.Holds(decision), disabled.ownershipCheck)
 		}
 	}
 }
@@ -132,17 +133,17 @@
 		id := newID(time.Duration(random.Int64N(int64(time.Hour))), byte(random.Uint32()))
 		owner, next := Owner(voters, id), Owner(fewer, id)
 		if owner != "e" && owner != next {
-			t.Fatalf("%s moved from %s to %s", id, owner, next)
+			t.Fatalf("%s moved from %s to %s, but only ids of e may move", id, owner, next)
 		}
 		counts[owner]++
 	}
 	for _, voter := range voters {
 		if share := float64(counts[voter]) / ids; share < 0.17 || share > 0.23 {
-			t.Errorf("%s owns a share of %.3f", voter, share)
+			t.Errorf("%s owns a share of %.3f, want 0.17 to 0.23", voter, share)
 		}
 	}
 	if owner := Owner(nil, newID(0, 0)); owner != "" {
-		t.Fatalf("%q owns an id without voters", owner)
+		t.Fatalf("got owner %q without voters, want none", owner)
 	}
 }
 
--- a/internal/decide/once/owner.go
+++ b/internal/decide/once/owner.go
@@ -5,10 +5,10 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Owner returns the voter that decides about the request id: the one with the
-// highest hash of id and name (rendezvous hashing), so that a change of one
-// voter moves only the ids of that voter. The order of voters does not matter.
-// It is empty if there are no voters; then nobody may run the request.
+// Owner returns the voter that decides about the request id: the one with the highest hash of id
+// and name (rendezvous hashing), so that a change of one voter moves only the ids of that voter.
+// The order of voters does not matter. The result is empty if there are no voters; then no node may
+// run the request.
 func Owner(voters []string, id ulid.ULID) string {
 	owner, highest := "", uint64(0)
 	for _, voter := range voters {
--- a/internal/decide/once/records.go
+++ b/internal/decide/once/records.go
@@ -6,17 +6,17 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// record is what is known of one id that was let through.
+// record is the state of an admitted id.
 type record[Outcome any] struct {
 	finished bool
 	outcome  Outcome
 }
 
-// bucketWidth is the span of id times that are dropped together.
+// bucketWidth is the span of id times that are removed together.
 const bucketWidth milliseconds = 1000
 
-// records holds the ids that were let through, with the ids of each second in
-// one bucket, so that old ones are found without a look at the others.
+// records holds the admitted ids. The ids of each second are in one bucket, so that expired ids are
+// found without scanning the others.
 type records[Outcome any] struct {
 	byID    map[ulid.ULID]*record[Outcome]
 	buckets map[milliseconds][]ulid.ULID
@@ -46,7 +46,7 @@
 	}
 }
 
-// release forgets an id that is not finished.
+// release removes an id that is not finished.
 func (r *records[Outcome]) release(id ulid.ULID) {
 	record, exists := r.byID[id]
 	if !exists || record.finished {
@@ -61,8 +61,8 @@
 	}
 }
 
-// dropThrough forgets the finished ids of the buckets that end at or before
-// the given time, and returns the highest time of those forgotten.
+// dropBuckets removes the finished ids of the buckets that end at or before the given time, and
+// returns the highest time of the removed ids.
 func (r *records[Outcome]) dropBuckets(end milliseconds) (highest milliseconds, droppedAny bool) {
 	for bucket, ids := range r.buckets {
 		if (bucket+1)*bucketWidth > end {
@@ -88,7 +88,7 @@
 	return highest, droppedAny
 }
 
-// oldest returns the start of the oldest bucket; 0 if there is none.
+// oldestBucketStart returns the start of the oldest bucket, or 0 if there is none.
 func (r *records[Outcome]) oldestBucketStart() milliseconds {
 	oldest, exists := milliseconds(0), false
 	for bucket := range r.buckets {
--- a/internal/decide/once/refusal.go
+++ b/internal/decide/once/refusal.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// refuse decides about an id that is not known here.
+// checkRefusal decides whether an unknown id is refused.
 func (l *Ledger[Outcome]) checkRefusal(wall time.Time, minted milliseconds) (Decision[Outcome], bool) {
 	switch {
 	case l.suspended:
@@ -12,7 +12,7 @@
 	case minted <= l.maxDropped:
 		return l.newRefusal(ReasonTooOld, true, 0), true
 	}
-	// No owner has let the id through: from here on it ran nowhere.
+	// No owner has admitted the id: the remaining refusals concern ids that ran nowhere.
 	latest := floorMilliseconds(wall.Add(l.config.Skew))
 	switch {
 	case minted <= floorMilliseconds(wall.Add(-l.config.Window)):
@@ -43,7 +43,7 @@
 	return l.records.length() >= l.config.Capacity
 }
 
-// untilExpiry is when the oldest id is forgotten, at least one second.
+// untilExpiry returns the time until the oldest id is removed, at least one second.
 func (l *Ledger[Outcome]) untilExpiry(wall time.Time) time.Duration {
 	oldest := l.records.oldestBucketStart()
 	return max((oldest - floorMilliseconds(wall.Add(-l.config.Window))).duration(), time.Second)
--- a/internal/decide/once/simulation_test.go
+++ b/internal/decide/once/simulation_test.go
@@ -9,21 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// world is a set of owner processes with their faults, in true time. The
-// driver's rules of the package comment are played as separate steps, so that
-// a freeze, a crash or a replacement can come between any two of them.
+// simulation is a set of owner processes with their faults, in true time. The conditions in the
+// package comment are simulated as separate steps, so that a freeze, a crash or a replacement can
+// come between any two of them.
 type simulation struct {
 	draw   *rapid.T
 	config Config
 	now    time.Duration // true time since base
-	// log holds the voter set of each revision; accepted is the highest
-	// revision that a majority holds.
+	// log holds the voter set of each revision. accepted is the highest revision that a majority
+	// holds.
 	log       [][]string
 	accepted  int
-	newest    map[string]*process // by slot: the newest acknowledged incarnation
+	newest    map[string]*process // latest acknowledged incarnation by slot
 	processes []*process
 	tasks     []*task
-	messages  []*task // sent, not yet arrived at a leaf
+	messages  []*task // sent, but not yet arrived at a leaf
 	ids       []ulid.ULID
 	runs      map[ulid.ULID]int
 }
@@ -35,7 +35,7 @@
 	awaitingAcceptance      bool // suspended until its revision is accepted
 	dead, frozen            bool
 	confirmedAt             time.Duration
-	clockOffset, jumpedBack time.Duration // of the wall clock: its own, and after a jump back
+	clockOffset, jumpedBack time.Duration // deviations of the wall clock: constant, and by a backward jump
 }
 
 type task struct {
@@ -43,7 +43,7 @@
 	id       ulid.ULID
 	decision Decision[int]
 	checked  bool
-	// touched: when the decision was taken, the id had run or was on its way.
+	// sentBefore is set if the id had run or was in transit when the decision was made.
 	sentBefore bool
 }
 
@@ -61,7 +61,7 @@
 
 const stepsPerSchedule = 150
 
-// runSchedule plays one schedule and returns the first broken promise.
+// runSchedule runs one schedule and returns the first violation of the guarantee.
 func runSchedule(draw *rapid.T, config Config) error {
 	s := &simulation{
 		draw: draw, config: config, log: [][]string{{"a", "b"}},
@@ -133,7 +133,7 @@
 	return Reading{Wall: base.Add(s.now + p.clockOffset - p.jumpedBack), Monotonic: s.now}
 }
 
-// replace starts a machine in a slot; the one before may still be alive.
+// replace starts a new process in a slot. The previous one may still be alive.
 func (s *simulation) replace(slot string) {
 	half := int(s.config.ClockDifference.Milliseconds() / 2)
 	p := &process{slot: slot, confirmedAt: s.now, revision: s.accepted}
@@ -143,7 +143,7 @@
 	s.processes = append(s.processes, p)
 }
 
-// confirmAll lets every process that may be confirmed by a majority be so.
+// confirmAll confirms every process that a majority may confirm.
 func (s *simulation) confirmAll() {
 	for _, p := range s.processes {
 		if p.isRunning() && s.newest[p.slot] == p && p.revision >= s.accepted {
@@ -162,7 +162,7 @@
 	s.log = append(s.log, sets[s.drawInt("voters", len(sets))])
 }
 
-// install takes the newest revision over, or the ownership once it is accepted.
+// install installs the newest revision, or starts the ownership period once it is accepted.
 func (s *simulation) install(p *process) {
 	switch last := len(s.log) - 1; {
 	case !p.isRunning():
@@ -176,7 +176,7 @@
 	}
 }
 
-// submit hands a new or a known id to a process, which decides at once.
+// submit sends a new or a known id to a process, which decides at once.
 func (s *simulation) submit() {
 	p := s.drawProcess()
 	if !p.isRunning() {
@@ -208,7 +208,7 @@
 	return id
 }
 
-// advanceTask checks the freshness behind a decision, and then acts on it.
+// advanceTask checks whether a decision still holds, and then acts on it.
 func (s *simulation) advanceTask() error {
 	if len(s.tasks) == 0 {
 		return nil
@@ -233,20 +233,20 @@
 		s.messages = append(s.messages, t)
 	}
 	if t.decision.Kind == Refuse && !t.decision.MayHaveRun && s.decisionHolds(t) && t.sentBefore {
-		return fmt.Errorf("refused as %s and not run, but the id may have run", t.decision.Reason)
+		return fmt.Errorf("id %s: refused as %s and not run, but it may have run", t.id, t.decision.Reason)
 	}
 	if t.decision.Kind == Replay && s.runs[t.id] != t.decision.Outcome {
-		return fmt.Errorf("replayed %d for an id that ran %d times", t.decision.Outcome, s.runs[t.id])
+		return fmt.Errorf("id %s: replayed outcome %d, but it ran %d times", t.id, t.decision.Outcome, s.runs[t.id])
 	}
 	return nil
 }
 
-// counts is the check behind a decision: still fresh, and still the owner.
+// decisionHolds reports whether the process is still fresh and still the owner.
 func (s *simulation) decisionHolds(t *task) bool {
 	return s.now-t.process.confirmedAt <= s.config.Freshness && t.process.ledger.Holds(t.decision)
 }
 
-// deliver lets a message reach its leaf, be refused there, or lose its reply.
+// deliver lets a message arrive at its leaf, be refused there, or lose its reply.
 func (s *simulation) deliver() error {
 	if len(s.messages) == 0 {
 		return nil
@@ -255,14 +255,14 @@
 	t := s.messages[index]
 	s.messages = slices.Delete(s.messages, index, index+1)
 	fate := s.drawInt("fate", 4)
-	if fate == 0 { // the leaf proves that it did not run
+	if fate == 0 { // the leaf proves that the request did not run
 		if t.process.isRunning() {
 			t.process.ledger.Release(t.id)
 		}
 		return nil
 	}
 	if s.runs[t.id]++; s.runs[t.id] > 1 {
-		return fmt.Errorf("id %s (minted at %s) ran twice, the second time by %s", t.id, t.id.Timestamp().Sub(base), t.process.slot)
+		return fmt.Errorf("id %s (created at %s) ran twice, the second time by %s", t.id, t.id.Timestamp().Sub(base), t.process.slot)
 	}
 	if fate > 1 && t.process.isRunning() {
 		t.process.ledger.Finish(t.id, 1)
