--- a/internal/decide/combiners/combiners.go
+++ b/internal/decide/combiners/combiners.go
@@ -98,7 +98,7 @@
 // combiners that remain is retained, and the attempts in flight at the others are left to finish.
 func (t *Table) Replace(self roster.Member, members []roster.Member) {
 	previous := make(map[string]*Combiner)
-	for _, combiner := range t.all() {
+	for _, combiner := range t.list() {
 		previous[combiner.Name] = combiner
 	}
 	t.zones = make(map[string][]*Combiner)
@@ -118,12 +118,12 @@
 	}
 }
 
-func (t *Table) all() []*Combiner {
-	var all []*Combiner
+func (t *Table) list() []*Combiner {
+	var list []*Combiner
 	for _, combiners := range t.zones {
-		all = append(all, combiners...)
+		list = append(list, combiners...)
 	}
-	return all
+	return list
 }
 
 // Choose returns the combiner of a zone for a query: the usable one with the fewest attempts in
@@ -141,7 +141,7 @@
 // Due returns the combiners to which a heartbeat is due, which EndHeartbeat ends, and those that
 // count as lost from now on.
 func (t *Table) Due(now time.Duration) (due, lost []*Combiner) {
-	for _, combiner := range t.all() {
+	for _, combiner := range t.list() {
 		if combiner.IsSilent(now, t.config.HeartbeatTimeout) && combiner.Lose() {
 			lost = append(lost, combiner)
 		}
--- a/internal/decide/combiners/combiners_test.go
+++ b/internal/decide/combiners/combiners_test.go
@@ -10,20 +10,20 @@
 )
 
 func newMembers(zones ...string) []roster.Member {
-	var all []roster.Member
+	var members []roster.Member
 	for number, zone := range zones {
-		all = append(all, roster.Member{
+		members = append(members, roster.Member{
 			Name: fmt.Sprint("node-", number), Zone: zone, Peer: netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 7000+number)),
 		})
 	}
-	return all
+	return members
 }
 
 // newTable returns the table of node-0, which is in the first of the zones.
 func newTable(zones ...string) *Table {
-	all := newMembers(zones...)
+	members := newMembers(zones...)
 	table := NewTable(DefaultConfig())
-	table.Replace(all[0], all)
+	table.Replace(members[0], members)
 	return table
 }
 
--- a/internal/decide/executors/assigner.go
+++ b/internal/decide/executors/assigner.go
@@ -48,7 +48,7 @@
 	if a.assigned {
 		least *= retainShare
 	}
-	a.assigned = float64(len(members)) >= least && minNodeCores(members) >= minCores
+	a.assigned = float64(len(members)) >= least && smallestCores(members) >= minCores
 	if !a.assigned {
 		return roles
 	}
@@ -61,7 +61,7 @@
 }
 
 // minNodeCores returns the cores of the smallest node.
-func minNodeCores(members []roster.Member) float64 {
+func smallestCores(members []roster.Member) float64 {
 	least := math.Inf(1)
 	for _, member := range members {
 		least = min(least, member.Cores)
--- a/internal/decide/executors/load.go
+++ b/internal/decide/executors/load.go
@@ -24,19 +24,19 @@
 // Load estimates the processor time that a node spends on attempts at leaves. It is not safe for
 // concurrent use.
 type Load struct {
-	rate float64 // attempts per second
-	at   time.Duration
+	rate      float64 // attempts per second
+	updatedAt time.Duration
 }
 
 // Add records attempts.
 func (l *Load) Add(now time.Duration, attempts int) {
 	l.rate = l.rateAt(now) + float64(attempts)/loadDecayTime.Seconds()
-	l.at = now
+	l.updatedAt = now
 }
 
 // rateAt returns the decayed rate at the time now.
 func (l *Load) rateAt(now time.Duration) float64 {
-	return l.rate * math.Exp(-(now-l.at).Seconds()/loadDecayTime.Seconds())
+	return l.rate * math.Exp(-(now-l.updatedAt).Seconds()/loadDecayTime.Seconds())
 }
 
 // HasCapacity reports whether the processor of a node with the given cores can run more attempts.
--- a/internal/decide/executors/table.go
+++ b/internal/decide/executors/table.go
@@ -97,14 +97,14 @@
 		if answering == monitoredExecutors {
 			return
 		}
-		executor := previous[member.Name]
-		if executor == nil || executor.Member != member {
-			executor = &Executor{Member: member, State: liveness.State{RoundTripWeight: latencyWeight}, addedAt: now, Near: member.Zone == t.self.Zone}
+		candidate := previous[member.Name]
+		if candidate == nil || candidate.Member != member {
+			candidate = &Executor{Member: member, State: liveness.State{RoundTripWeight: latencyWeight}, addedAt: now, Near: member.Zone == t.self.Zone}
 		}
-		if !t.isLost(now, executor) {
+		if !t.isLost(now, candidate) {
 			answering++
 		}
-		t.monitored = append(t.monitored, executor)
+		t.monitored = append(t.monitored, candidate)
 	}
 }
 
@@ -116,15 +116,15 @@
 
 // Alive returns the number of monitored executors that are alive.
 func (t *Table) Alive() int {
-	return t.countMatching(func(executor *Executor) bool { return executor.Alive() != nil })
+	return t.count(func(executor *Executor) bool { return executor.Alive() != nil })
 }
 
 // Usable returns the number of monitored executors that would accept a request under the terms.
 func (t *Table) Usable(terms Terms) int {
-	return t.countMatching(func(executor *Executor) bool { return executor.isUsable(terms) })
+	return t.count(func(executor *Executor) bool { return executor.isUsable(terms) })
 }
 
-func (t *Table) countMatching(matches func(*Executor) bool) int {
+func (t *Table) count(matches func(*Executor) bool) int {
 	count := 0
 	for _, executor := range t.monitored {
 		if matches(executor) {
--- a/internal/decide/executors/table_test.go
+++ b/internal/decide/executors/table_test.go
@@ -11,7 +11,7 @@
 func TestMonitoredExecutorsSpreadOverFleet(t *testing.T) {
 	members := newLargeAndSmallNodes(8, 56)
 	executors := Assign(members[10], members).Executors
-	asked := make(map[string]int)
+	monitoredBy := make(map[string]int)
 	for _, self := range members[8:] {
 		table := NewTable(DefaultConfig(), self)
 		table.Replace(0, executors)
@@ -19,10 +19,10 @@
 		if len(chosen) != monitoredExecutors || chosen[0].Zone != self.Zone || chosen[1].Zone != self.Zone {
 			t.Fatalf("%s monitors %+v, want %d executors with the first two in its zone", self.Name, chosen, monitoredExecutors)
 		}
-		asked[chosen[2].Name]++
+		monitoredBy[chosen[2].Name]++
 	}
-	if len(asked) < 6 {
-		t.Errorf("got monitored executors of other zones %v, want at least 6 different ones", asked)
+	if len(monitoredBy) < 6 {
+		t.Errorf("got monitored executors of other zones %v, want at least 6 different ones", monitoredBy)
 	}
 }
 
--- a/internal/decide/once/guarantee_test.go
+++ b/internal/decide/once/guarantee_test.go
@@ -27,7 +27,7 @@
 		"drop bound":     {droppedBound: true},
 		"suspension":     {suspension: true},
 		"future bound":   {futureBound: true},
-		"honest refusal": {mayHaveRun: true},
+		"honest refusal": {mayHaveRunFlag: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -61,7 +61,7 @@
 	jumpFence      bool
 	suspension     bool
 	futureBound    bool
-	mayHaveRun     bool
+	mayHaveRunFlag bool
 	ownershipCheck bool
 }
 
--- a/internal/decide/once/records.go
+++ b/internal/decide/once/records.go
@@ -29,8 +29,8 @@
 func (r *records[Outcome]) length() int { return len(r.byID) }
 
 func (r *records[Outcome]) find(id ulid.ULID) (*record[Outcome], bool) {
-	record, exists := r.byID[id]
-	return record, exists
+	entry, exists := r.byID[id]
+	return entry, exists
 }
 
 func (r *records[Outcome]) add(id ulid.ULID) {
@@ -40,16 +40,16 @@
 }
 
 func (r *records[Outcome]) finish(id ulid.ULID, outcome Outcome) {
-	if record, exists := r.byID[id]; exists && !record.finished {
-		record.finished = true
-		record.outcome = outcome
+	if entry, exists := r.byID[id]; exists && !entry.finished {
+		entry.finished = true
+		entry.outcome = outcome
 	}
 }
 
 // release removes an id that is not finished.
 func (r *records[Outcome]) release(id ulid.ULID) {
-	record, exists := r.byID[id]
-	if !exists || record.finished {
+	entry, exists := r.byID[id]
+	if !exists || entry.finished {
 		return
 	}
 	delete(r.byID, id)
@@ -68,19 +68,19 @@
 		if (bucket+1)*bucketWidth > end {
 			continue
 		}
-		var kept []ulid.ULID
+		var unfinished []ulid.ULID
 		for _, id := range ids {
-			record, exists := r.byID[id]
+			entry, exists := r.byID[id]
 			switch {
-			case exists && !record.finished:
-				kept = append(kept, id)
+			case exists && !entry.finished:
+				unfinished = append(unfinished, id)
 			case exists:
 				delete(r.byID, id)
 				highest, droppedAny = max(highest, timeOf(id)), true
 			}
 		}
-		if len(kept) > 0 {
-			r.buckets[bucket] = kept
+		if len(unfinished) > 0 {
+			r.buckets[bucket] = unfinished
 		} else {
 			delete(r.buckets, bucket)
 		}
--- a/internal/decide/once/refusal.go
+++ b/internal/decide/once/refusal.go
@@ -3,22 +3,22 @@
 import "time"
 
 // checkRefusal decides whether an unknown id is refused.
-func (l *Ledger[Outcome]) checkRefusal(wall time.Time, minted milliseconds) (Decision[Outcome], bool) {
+func (l *Ledger[Outcome]) checkRefusal(wall time.Time, createdAt milliseconds) (Decision[Outcome], bool) {
 	switch {
 	case l.suspended:
 		return l.newRefusal(ReasonSuspended, true, 0), true
-	case minted <= l.fence:
+	case createdAt <= l.fence:
 		return l.newRefusal(ReasonFenced, true, (l.fence - floorMilliseconds(wall) + 1).duration()), true
-	case minted <= l.maxDropped:
+	case createdAt <= l.maxDropped:
 		return l.newRefusal(ReasonTooOld, true, 0), true
 	}
 	// No owner has admitted the id: the remaining refusals concern ids that ran nowhere.
 	latest := floorMilliseconds(wall.Add(l.config.Skew))
 	switch {
-	case minted <= floorMilliseconds(wall.Add(-l.config.Window)):
+	case createdAt <= floorMilliseconds(wall.Add(-l.config.Window)):
 		return l.newRefusal(ReasonTooOld, false, 0), true
-	case minted > latest && !l.config.disabled.futureBound:
-		return l.newRefusal(ReasonFuture, false, (minted - latest).duration()), true
+	case createdAt > latest && !l.config.disabled.futureBound:
+		return l.newRefusal(ReasonFuture, false, (createdAt - latest).duration()), true
 	case l.isFull(wall):
 		return l.newRefusal(ReasonFull, false, l.untilExpiry(wall)), true
 	}
@@ -26,7 +26,7 @@
 }
 
 func (l *Ledger[Outcome]) newRefusal(reason Reason, mayHaveRun bool, retryAfter time.Duration) Decision[Outcome] {
-	if l.config.disabled.mayHaveRun {
+	if l.config.disabled.mayHaveRunFlag {
 		mayHaveRun = false
 	}
 	return Decision[Outcome]{
--- a/internal/decide/once/simulation_test.go
+++ b/internal/decide/once/simulation_test.go
@@ -29,13 +29,13 @@
 }
 
 type process struct {
-	slot                    string
-	ledger                  *Ledger[int]
-	revision                int
-	awaitingAcceptance      bool // suspended until its revision is accepted
-	dead, frozen            bool
-	confirmedAt             time.Duration
-	clockOffset, jumpedBack time.Duration // deviations of the wall clock: constant, and by a backward jump
+	slot                      string
+	ledger                    *Ledger[int]
+	revision                  int
+	awaitingAcceptance        bool // suspended until its revision is accepted
+	dead, frozen              bool
+	confirmedAt               time.Duration
+	clockOffset, backwardJump time.Duration // deviations of the wall clock: constant, and by a backward jump
 }
 
 type task struct {
@@ -106,7 +106,7 @@
 		s.install(s.drawProcess())
 	case 24:
 		p := s.drawProcess()
-		p.jumpedBack = s.drawDuration("jump back", 0, 0, 15*time.Second, 45*time.Second, time.Hour)
+		p.backwardJump = s.drawDuration("jump back", 0, 0, 15*time.Second, 45*time.Second, time.Hour)
 	case 25:
 		if p := s.drawProcess(); p.isRunning() {
 			p.ledger.Expire(s.reading(p))
@@ -130,7 +130,7 @@
 func (p *process) isRunning() bool { return !p.dead && !p.frozen }
 
 func (s *simulation) reading(p *process) Reading {
-	return Reading{Wall: base.Add(s.now + p.clockOffset - p.jumpedBack), Monotonic: s.now}
+	return Reading{Wall: base.Add(s.now + p.clockOffset - p.backwardJump), Monotonic: s.now}
 }
 
 // replace starts a new process in a slot. The previous one may still be alive.
@@ -192,8 +192,8 @@
 }
 
 func (s *simulation) wasSent(id ulid.ULID) bool {
-	under := func(t *task) bool { return t.id == id && t.checked }
-	return s.runs[id] > 0 || slices.ContainsFunc(s.messages, under) || slices.ContainsFunc(s.tasks, under)
+	isSent := func(t *task) bool { return t.id == id && t.checked }
+	return s.runs[id] > 0 || slices.ContainsFunc(s.messages, isSent) || slices.ContainsFunc(s.tasks, isSent)
 }
 
 func (s *simulation) drawID() ulid.ULID {
--- a/internal/decide/replica/chooser.go
+++ b/internal/decide/replica/chooser.go
@@ -65,14 +65,14 @@
 // Choose returns the index of the replica with the earliest expected completion. There must be
 // at least one candidate. The chosen replica may be full, in which case the attempt waits for
 // it. Ties go to a replica in the node's zone, then to a random one.
-func (h *Chooser) Choose(candidates []Candidate, work Work) int {
+func (c *Chooser) Choose(candidates []Candidate, work Work) int {
 	if len(candidates) == 1 {
 		return 0
 	}
-	best, bestScore, ties := 0, h.score.score(&candidates[0], work), 1
+	best, bestScore, ties := 0, c.score.computeScore(&candidates[0], work), 1
 	for index := 1; index < len(candidates); index++ {
-		current := h.score.score(&candidates[index], work)
-		margin := h.score.Tie * bestScore
+		current := c.score.computeScore(&candidates[index], work)
+		margin := c.score.Tie * bestScore
 		switch {
 		case current < bestScore-margin:
 			best, bestScore, ties = index, current, 1
@@ -83,7 +83,7 @@
 			}
 		default:
 			ties++
-			if h.random.IntN(ties) == 0 {
+			if c.random.IntN(ties) == 0 {
 				best, bestScore = index, current
 			}
 		}
--- a/internal/decide/replica/losses_test.go
+++ b/internal/decide/replica/losses_test.go
@@ -47,8 +47,8 @@
 		{"a lossy one before one that is much slower", lossy, slow, true},
 		{"one loss of a thousand is no matter", seldom, ordinary, false},
 	} {
-		margin := score.Tie * score.score(&test.b, Work{Base: 1, Mean: 1})
-		if got := score.score(&test.a, Work{Base: 1, Mean: 1}) < score.score(&test.b, Work{Base: 1, Mean: 1})-margin; got != test.less {
+		margin := score.Tie * score.computeScore(&test.b, Work{Base: 1, Mean: 1})
+		if got := score.computeScore(&test.a, Work{Base: 1, Mean: 1}) < score.computeScore(&test.b, Work{Base: 1, Mean: 1})-margin; got != test.less {
 			t.Errorf("%s: scores lower = %v, want %v", test.name, got, test.less)
 		}
 	}
--- a/internal/decide/replica/score.go
+++ b/internal/decide/replica/score.go
@@ -34,10 +34,10 @@
 }
 
 // score is Expected plus the costs of utilization and losses.
-func (s *ScoreConfig) score(c *Candidate, work Work) float64 {
+func (s *ScoreConfig) computeScore(c *Candidate, work Work) float64 {
 	attempts := float64(c.InFlight) + s.OthersWeight*c.Others
-	crowding := s.Crowding * attempts / float64(max(c.Slots, 1))
-	expected := s.Expected(c, work) + s.Significant(c.Slowness)*work.Mean*crowding
+	utilizationCost := s.Crowding * attempts / float64(max(c.Slots, 1))
+	expected := s.Expected(c, work) + s.Significant(c.Slowness)*work.Mean*utilizationCost
 	return expected * (1 + s.LossPrice*c.Loss)
 }
 
--- a/internal/decide/share/budget_test.go
+++ b/internal/decide/share/budget_test.go
@@ -21,8 +21,8 @@
 	for _, nodes := range []int{1, 2, 8, 12, 60, 300, 3900} {
 		bounds := Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}.Budget(allowed)
 		spent := bounds.Capacity + bounds.Refill*allowed.Window.Seconds()
-		if all := spent * float64(nodes); all > allowed.Attempts || all < allowed.Attempts/2 {
-			t.Errorf("%d nodes may spend %.1f attempts per window, want %.1f to %.0f", nodes, all, allowed.Attempts/2, allowed.Attempts)
+		if total := spent * float64(nodes); total > allowed.Attempts || total < allowed.Attempts/2 {
+			t.Errorf("%d nodes may spend %.1f attempts per window, want %.1f to %.0f", nodes, total, allowed.Attempts/2, allowed.Attempts)
 		}
 		if bounds.Reserve <= 0 || bounds.Reserve >= bounds.Capacity || bounds.Initial > bounds.Capacity {
 			t.Errorf("%d nodes: reserve or initial tokens do not fit the capacity: %+v", nodes, bounds)
@@ -63,8 +63,8 @@
 	if total := 8 * executor.Capacity; total < 0.8*steadyShare*burstShare*allowed.Attempts {
 		t.Errorf("executors save up to %.1f of %.0f attempts at a shard", total, allowed.Attempts)
 	}
-	other := OfSlack(executors.Assign(members[63], members), members, len(members), false).Budget(allowed)
-	if alone := OfSlack(executors.Assign(members[0], members), members, len(members), false).Budget(allowed); alone != other {
-		t.Errorf("at a service that is not a shard, an executor gets %+v and another node %+v, want the same", alone, other)
+	otherBudget := OfSlack(executors.Assign(members[63], members), members, len(members), false).Budget(allowed)
+	if executorBudget := OfSlack(executors.Assign(members[0], members), members, len(members), false).Budget(allowed); executorBudget != otherBudget {
+		t.Errorf("at a service that is not a shard, an executor gets %+v and another node %+v, want the same", executorBudget, otherBudget)
 	}
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -77,9 +77,9 @@
 }
 
 func countNodes(members []roster.Member, nodes int) subset.NodeCounts {
-	census := subset.NodeCounts{Total: nodes, ByZone: make(map[string]int)}
+	counts := subset.NodeCounts{Total: nodes, ByZone: make(map[string]int)}
 	for _, member := range members {
-		census.ByZone[member.Zone]++
+		counts.ByZone[member.Zone]++
 	}
-	return census
+	return counts
 }
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -55,9 +55,9 @@
 
 // Choose returns, for each replica of a shard, how many connections the node may keep. Zero means
 // that the replica is not in the node's subset.
-func Choose(self Node, census NodeCounts, shard string, replicas []Replica) []int {
+func Choose(self Node, counts NodeCounts, shard string, replicas []Replica) []int {
 	connections := make([]int, len(replicas))
-	nodes := float64(max(census.Total, 1))
+	nodes := float64(max(counts.Total, 1))
 	total := 0.0
 	enoughForEach := true
 	for index, replica := range replicas {
@@ -71,7 +71,7 @@
 	}
 	size := subsetSize(self, shard, total, len(replicas))
 	clear(connections)
-	for _, index := range rankReplicas(self, census, shard, replicas, size)[:size] {
+	for _, index := range rankReplicas(self, counts, shard, replicas, size)[:size] {
 		connections[index] = 1
 	}
 	return connections
@@ -106,13 +106,13 @@
 
 // rankReplicas returns the indexes of the replicas in the order in which the node should connect
 // to them.
-func rankReplicas(self Node, census NodeCounts, shard string, replicas []Replica, size int) []int {
+func rankReplicas(self Node, counts NodeCounts, shard string, replicas []Replica, size int) []int {
 	order := make([]int, len(replicas))
 	weights := make([]float64, len(replicas))
 	for index, replica := range replicas {
 		order[index] = index
 		weights[index] = hashFraction(self.Name, shard, replica.ID)
-		if replica.Zone == self.Zone && fitsLocalNodes(census, replica, len(replicas), size) {
+		if replica.Zone == self.Zone && fitsLocalNodes(counts, replica, len(replicas), size) {
 			weights[index]++
 		}
 	}
@@ -122,11 +122,11 @@
 
 // fitsLocalNodes reports whether a replica can accept all nodes of its zone in addition to its
 // share of the other nodes.
-func fitsLocalNodes(census NodeCounts, near Replica, replicas, members int) bool {
-	local := float64(census.ByZone[near.Zone])
-	others := float64(census.Total) - local
-	spread := float64(members) / float64(replicas)
-	return local+others*spread <= localShare*float64(near.MaxConnections)
+func fitsLocalNodes(counts NodeCounts, replica Replica, replicas, size int) bool {
+	local := float64(counts.ByZone[replica.Zone])
+	others := float64(counts.Total) - local
+	spread := float64(size) / float64(replicas)
+	return local+others*spread <= localShare*float64(replica.MaxConnections)
 }
 
 // hashFraction maps words to a number from 0 to below 1, which is the same on every node.
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -9,13 +9,13 @@
 
 // newNodes returns nodes that are spread over zones, and their counts.
 func newNodes(count int, zones []string) ([]Node, NodeCounts) {
-	census := NodeCounts{Total: count, ByZone: make(map[string]int)}
+	counts := NodeCounts{Total: count, ByZone: make(map[string]int)}
 	nodes := make([]Node, count)
 	for index := range nodes {
 		nodes[index] = Node{Name: fmt.Sprintf("node-%d", index), Zone: zones[index%len(zones)]}
-		census.ByZone[nodes[index].Zone]++
+		counts.ByZone[nodes[index].Zone]++
 	}
-	return nodes, census
+	return nodes, counts
 }
 
 func newReplicas(count, connections int, zones []string) []Replica {
@@ -27,10 +27,10 @@
 }
 
 // connectionsPerReplica counts the connections that all nodes keep to each replica.
-func connectionsPerReplica(nodes []Node, census NodeCounts, shard string, replicas []Replica) []int {
+func connectionsPerReplica(nodes []Node, counts NodeCounts, shard string, replicas []Replica) []int {
 	sums := make([]int, len(replicas))
 	for _, node := range nodes {
-		for index, connections := range Choose(node, census, shard, replicas) {
+		for index, connections := range Choose(node, counts, shard, replicas) {
 			sums[index] += connections
 		}
 	}
@@ -43,11 +43,11 @@
 // that each of the three replicas accepts, which is 54.
 func TestConnectionsFitCapacityAndAreUsed(t *testing.T) {
 	for _, count := range []int{1, 8, 40, 64, 75, 100, 300} {
-		nodes, census := newNodes(count, zones)
+		nodes, counts := newNodes(count, zones)
 		full, used := 0, 0
 		const shards = 100
 		for shard := range shards {
-			for _, sum := range connectionsPerReplica(nodes, census, fmt.Sprintf("shard-%d", shard), newReplicas(3, 54, zones)) {
+			for _, sum := range connectionsPerReplica(nodes, counts, fmt.Sprintf("shard-%d", shard), newReplicas(3, 54, zones)) {
 				used += sum
 				if sum > 54 {
 					full++
@@ -64,10 +64,10 @@
 }
 
 func TestEveryNodeConnectsToTwoReplicas(t *testing.T) {
-	nodes, census := newNodes(64, zones)
+	nodes, counts := newNodes(64, zones)
 	for _, node := range nodes {
 		total := 0
-		for _, connections := range Choose(node, census, "shard", newReplicas(3, 54, zones)) {
+		for _, connections := range Choose(node, counts, "shard", newReplicas(3, 54, zones)) {
 			total += connections
 		}
 		if total < 2 {
@@ -78,10 +78,10 @@
 
 // TestLocalReplicaIsInSubset uses zones of about equal size.
 func TestLocalReplicaIsInSubset(t *testing.T) {
-	nodes, census := newNodes(64, zones)
+	nodes, counts := newNodes(64, zones)
 	candidates := newReplicas(3, 54, zones)
 	for _, node := range nodes {
-		for index, connections := range Choose(node, census, "shard", candidates) {
+		for index, connections := range Choose(node, counts, "shard", candidates) {
 			if candidates[index].Zone == node.Zone && connections == 0 {
 				t.Errorf("%s has no connection to the replica of its zone", node.Name)
 			}
@@ -91,9 +91,9 @@
 
 // TestUnevenZonesDoNotOverloadLocalReplica places most nodes in one zone.
 func TestUnevenZonesDoNotOverloadLocalReplica(t *testing.T) {
-	nodes, census := newNodes(64, []string{"a", "a", "a", "b"})
+	nodes, counts := newNodes(64, []string{"a", "a", "a", "b"})
 	for shard := range 50 {
-		for index, sum := range connectionsPerReplica(nodes, census, fmt.Sprint(shard), newReplicas(3, 54, []string{"a", "b", "c"})) {
+		for index, sum := range connectionsPerReplica(nodes, counts, fmt.Sprint(shard), newReplicas(3, 54, []string{"a", "b", "c"})) {
 			if sum > 58 {
 				t.Errorf("shard %d: replica %d gets %d connections, want at most 58", shard, index, sum)
 			}
@@ -103,19 +103,19 @@
 
 // TestReplicaRemovalMovesFewConnections compares subsets before and after the removal of a replica.
 func TestReplicaRemovalMovesFewConnections(t *testing.T) {
-	nodes, census := newNodes(100, zones)
+	nodes, counts := newNodes(100, zones)
 	before := newReplicas(10, 30, zones)
-	lost := 0
+	closed := 0
 	for _, node := range nodes {
-		former := Choose(node, census, "shard", before)
-		for index, connections := range Choose(node, census, "shard", before[:9]) {
-			if former[index] > connections {
-				lost++
+		previous := Choose(node, counts, "shard", before)
+		for index, connections := range Choose(node, counts, "shard", before[:9]) {
+			if previous[index] > connections {
+				closed++
 			}
 		}
 	}
-	if lost > 30 {
-		t.Errorf("%d connections to remaining replicas are closed, want at most 30", lost)
+	if closed > 30 {
+		t.Errorf("%d connections to remaining replicas are closed, want at most 30", closed)
 	}
 }
 
@@ -123,10 +123,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 6).Draw(t, "replicas")
 		candidates := newReplicas(count, rapid.IntRange(0, 200).Draw(t, "connections"), zones)
-		census := NodeCounts{Total: rapid.IntRange(0, 5000).Draw(t, "nodes"), ByZone: map[string]int{"a": rapid.IntRange(0, 5000).Draw(t, "near")}}
+		counts := NodeCounts{Total: rapid.IntRange(0, 5000).Draw(t, "nodes"), ByZone: map[string]int{"a": rapid.IntRange(0, 5000).Draw(t, "near")}}
 		self := Node{Name: rapid.String().Draw(t, "name"), Zone: "a"}
 		shard := rapid.String().Draw(t, "shard")
-		chosen := Choose(self, census, shard, candidates)
+		chosen := Choose(self, counts, shard, candidates)
 		if len(chosen) != count {
 			t.Fatalf("got %d connection counts for %d replicas", len(chosen), count)
 		}
@@ -135,7 +135,7 @@
 				t.Fatalf("got %d connections to replica %d, want 0 to %d", connections, index, candidates[index].MaxConnections)
 			}
 		}
-		if again := Choose(self, census, shard, candidates); fmt.Sprint(again) != fmt.Sprint(chosen) {
+		if again := Choose(self, counts, shard, candidates); fmt.Sprint(again) != fmt.Sprint(chosen) {
 			t.Fatalf("got %v first and %v on the second call", chosen, again)
 		}
 	})
--- a/internal/decide/warmup/warmup_test.go
+++ b/internal/decide/warmup/warmup_test.go
@@ -11,7 +11,7 @@
 )
 
 // fleet returns nodes of which the first ones are large.
-func fleet(nodes, large int) []roster.Member {
+func newNodes(nodes, large int) []roster.Member {
 	members := make([]roster.Member, nodes)
 	for index := range members {
 		members[index] = roster.Member{Name: fmt.Sprint("node-", index), Cores: 0.2}
@@ -26,16 +26,16 @@
 // size of the fleet.
 func TestNodeRatesSumToAtMostColdLeafRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := fleet(rapid.IntRange(1, 400).Draw(t, "nodes"), rapid.IntRange(0, 20).Draw(t, "large"))
+		members := newNodes(rapid.IntRange(1, 400).Draw(t, "nodes"), rapid.IntRange(0, 20).Draw(t, "large"))
 		shard := rapid.Bool().Draw(t, "shard")
 		rateLimit := rapid.Float64Range(10, 200).Draw(t, "borne")
-		all := 0.0
+		total := 0.0
 		for _, member := range members {
-			sharers, part := findSharers(executors.Assign(member, members), members, shard)
-			all += computeRate(member.Name, "leaf-7", sharers, plannedShare*part*rateLimit)
+			sharers, fraction := findSharers(executors.Assign(member, members), members, shard)
+			total += computeRate(member.Name, "leaf-7", sharers, plannedShare*fraction*rateLimit)
 		}
-		if all > plannedShare*rateLimit+1e-6 || all < plannedShare*(1-executorShare)*rateLimit-1e-6 {
-			t.Fatalf("%d nodes send %.1f requests per second to a leaf that can handle %.1f", len(members), all, rateLimit)
+		if total > plannedShare*rateLimit+1e-6 || total < plannedShare*(1-executorShare)*rateLimit-1e-6 {
+			t.Fatalf("%d nodes send %.1f requests per second to a leaf that can handle %.1f", len(members), total, rateLimit)
 		}
 	})
 }
@@ -43,7 +43,7 @@
 // TestUnannouncedNodeGetsNoColdLeafRate: the other nodes do not take an unannounced node into
 // account.
 func TestUnannouncedNodeGetsNoColdLeafRate(t *testing.T) {
-	if got := computeRate("new", "leaf-7", fleet(8, 0), 30); got != 0 {
+	if got := computeRate("new", "leaf-7", newNodes(8, 0), 30); got != 0 {
 		t.Errorf("got rate %.1f, want 0", got)
 	}
 }
