--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -2,9 +2,9 @@
 // passed in as readings.
 //
 // Rule: the owner of a request id, chosen by rendezvous hashing over the voter slots, admits each
-// id once and remembers it with its outcome. An owner that is new, or new to the id, refuses every id
-// that a predecessor may have admitted. These are the ids up to a fence, which is compared with the
-// time inside the id (a ULID, created by the caller).
+// id once and remembers it with its outcome. An owner that is new, or new to the id, refuses every
+// id that a predecessor may have admitted. These are the ids up to a fence, which is compared with
+// the time inside the id (a ULID, created by the caller).
 //
 // Inputs: the id, readings of the monotonic and of the wall clock, the time since when this node
 // owns its slot, the names of the voters.
--- a/internal/decide/replica/losses_test.go
+++ b/internal/decide/replica/losses_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestLossyLeafIsAvoided checks that a lossy leaf is avoided, unless the alternative costs more than
-// the expected losses.
+// TestLossyLeafIsAvoided checks that a lossy leaf is avoided, unless the alternative costs more
+// than the expected losses.
 func TestLossyLeafIsAvoided(t *testing.T) {
 	score := DefaultScoreConfig()
 	score.LossPrice = 5
--- a/internal/decide/warmup/warmup_test.go
+++ b/internal/decide/warmup/warmup_test.go
@@ -28,7 +28,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members := newNodes(rapid.IntRange(1, 400).Draw(t, "nodes"), rapid.IntRange(0, 20).Draw(t, "large"))
 		shard := rapid.Bool().Draw(t, "shard")
-		rateLimit := rapid.Float64Range(10, 200).Draw(t, "borne")
+		rateLimit := rapid.Float64Range(10, 200).Draw(t, "rate limit")
 		total := 0.0
 		for _, member := range members {
 			sharers, fraction := findSharers(executors.Assign(member, members), members, shard)
