--- a/internal/decide/snapshot/snapshot_test.go
+++ b/internal/decide/snapshot/snapshot_test.go
@@ -38,8 +38,8 @@
 	for _, held := range holdings {
 		holds := false
 		for _, holding := range held {
-			for _, held := range holding.Shards {
-				holds = holds || holding.Snapshot == snapshot && held == shard
+			for _, heldShard := range holding.Shards {
+				holds = holds || holding.Snapshot == snapshot && heldShard == shard
 			}
 		}
 		if holds {
