--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -16,11 +16,11 @@
 		{"short wait", Prediction{Wait: second / 2, Service: second / 100, Remaining: second}, true},
 		{"long wait", Prediction{Wait: second, Service: second / 100, Remaining: second}, false},
 		{"saturated, urgent", Prediction{Wait: second / 2, Remaining: second, Saturated: true, Urgent: true}, true},
-		{"saturated, nothing left", Prediction{Wait: second / 2, Remaining: second, Saturated: true}, false},
-		{"saturated, most is left", Prediction{Wait: second / 2, Remaining: second, Saturated: true, Left: 0.8}, true},
+		{"saturated, no non-urgent work", Prediction{Wait: second / 2, Remaining: second, Saturated: true}, false},
+		{"saturated, mostly non-urgent work", Prediction{Wait: second / 2, Remaining: second, Saturated: true, Left: 0.8}, true},
 	} {
 		if got := DefaultConfig().Admit(test.prediction); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: admitted = %v, want %v", test.name, got, test.want)
 		}
 	}
 }
@@ -28,6 +28,7 @@
 func TestRetryAfterIsNeverZero(t *testing.T) {
 	config := DefaultConfig()
 	if config.RetryAfter(0) < config.RetryMinimum || config.RetryAfter(time.Hour) > config.RetryMaximum {
-		t.Error("out of bounds")
+		t.Errorf("got %v for no wait and %v for an hour, want at least %v and at most %v",
+			config.RetryAfter(0), config.RetryAfter(time.Hour), config.RetryMinimum, config.RetryMaximum)
 	}
 }
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestHedgesNeverExceedWhatWasEarned(t *testing.T) {
+func TestHedgesStayWithinEarnedTokens(t *testing.T) {
 	const share = 0.03
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultBudgetConfig()
@@ -26,17 +26,17 @@
 					hedges++
 				}
 				if hedges > 0 && float64(hedges+retries) > config.Initial+share*float64(needed)+config.Debt+1 {
-					t.Fatalf("%d hedges and %d retries for %d needed", hedges, retries, needed)
+					t.Fatalf("%d hedges and %d retries for %d required attempts exceed earned, initial and debt tokens", hedges, retries, needed)
 				}
 			default:
 				budget.Earn(share)
 				needed++
 			}
 			if retries == 0 && float64(hedges) > config.Initial+share*float64(needed) {
-				t.Fatalf("%d hedges for %d needed", hedges, needed)
+				t.Fatalf("%d hedges for %d required attempts exceed earned and initial tokens", hedges, needed)
 			}
 			if budget.Tokens() > config.Capacity || budget.Tokens() < -config.Debt-1 {
-				t.Fatalf("%f tokens", budget.Tokens())
+				t.Fatalf("got %f tokens, want %f to %f", budget.Tokens(), -config.Debt-1, config.Capacity)
 			}
 		}
 	})
@@ -49,7 +49,7 @@
 		budget.Earn(0)
 	}
 	if budget.Tokens() != before {
-		t.Errorf("%f tokens, %f before", budget.Tokens(), before)
+		t.Errorf("got %f tokens, want %f as before", budget.Tokens(), before)
 	}
 }
 
@@ -60,34 +60,34 @@
 		count++
 	}
 	if count != 3 || !budget.SpendRetry(1) {
-		t.Errorf("%d hedges", count)
+		t.Errorf("got %d hedges, want 3 and a retry after them", count)
 	}
 }
 
-func TestQuantilesAreCloseFromAbove(t *testing.T) {
+func TestQuantileBoundsExactValueFromAbove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		micros := rapid.SliceOfN(rapid.IntRange(0, 100_000_000), 1, 300).Draw(t, "latencies")
+		latencies := rapid.SliceOfN(rapid.IntRange(0, 100_000_000), 1, 300).Draw(t, "latencies")
 		quantile := rapid.Float64Range(0.01, 0.99).Draw(t, "quantile")
 		var quantiles Quantiles
-		for _, value := range micros {
+		for _, value := range latencies {
 			quantiles.Add(time.Duration(value) * time.Microsecond)
 		}
-		slices.Sort(micros)
+		slices.Sort(latencies)
 		exact := 0
-		for rank, value := range micros {
-			if float64(rank+1) >= quantile*float64(len(micros)) {
+		for rank, value := range latencies {
+			if float64(rank+1) >= quantile*float64(len(latencies)) {
 				exact = value
 				break
 			}
 		}
 		got := quantiles.compute(quantile).Microseconds()
 		if got < int64(exact) || float64(got) > float64(exact)*(1+1.0/bucketsPerOctave)+1 {
-			t.Fatalf("%d for %d", got, exact)
+			t.Fatalf("got %d µs for an exact quantile of %d µs", got, exact)
 		}
 	})
 }
 
-func TestQuantilesForget(t *testing.T) {
+func TestOldLatenciesDecay(t *testing.T) {
 	var quantiles Quantiles
 	for range 1000 {
 		quantiles.Add(time.Second)
@@ -96,13 +96,13 @@
 		quantiles.Add(time.Millisecond)
 	}
 	if got := quantiles.Quantile(0.99); got > 2*time.Millisecond {
-		t.Errorf("still %s", got)
+		t.Errorf("got quantile %s after old latencies should have decayed, want at most 2ms", got)
 	}
 }
 
-// TestTokensComeWithTime, up to the capacity: in any window, no more is spent than
-// the capacity and what came in the window.
-func TestTokensComeWithTime(t *testing.T) {
+// TestTokensRefillOverTime checks that the tokens spent within any time window do not exceed
+// the capacity and the refill of that window.
+func TestTokensRefillOverTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		config := BudgetConfig{Capacity: 5, Initial: 5, Refill: 0.4}
@@ -122,7 +122,7 @@
 				first--
 			}
 			if count := last - first + 1; float64(count) > config.Capacity+config.Refill*window.Seconds()+0.001 {
-				t.Fatalf("%d spent between %v and %v", count, spent[first], spent[last])
+				t.Fatalf("%d tokens spent between %v and %v, want at most capacity and refill", count, spent[first], spent[last])
 			}
 		}
 	})
--- a/internal/decide/liveness/state_test.go
+++ b/internal/decide/liveness/state_test.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-func TestPeerIsLostAndComesBack(t *testing.T) {
-	p := State{Weight: 0.5}
-	if p.Alive() != nil || p.Lose() || p.Avoid() {
-		t.Fatal("a peer is alive that never answered")
+func TestPeerLossAndRecovery(t *testing.T) {
+	state := State{RoundTripWeight: 0.5}
+	if state.Alive() != nil || state.Lose() || state.Avoid() {
+		t.Fatal("a peer is alive before its first answer")
 	}
-	if p.Heard(time.Second); p.Alive() != nil {
-		t.Error("a sign of life brought it back")
+	if state.Heard(time.Second); state.Alive() != nil {
+		t.Error("a message other than an answer made a lost peer alive")
 	}
-	if !p.Answered(time.Second, time.Millisecond) || p.Answered(2*time.Second, 3*time.Millisecond) {
-		t.Error("it came back not once")
+	if !state.Answered(time.Second, time.Millisecond) || state.Answered(2*time.Second, 3*time.Millisecond) {
+		t.Error("want the first answer, and only that, to make the peer alive")
 	}
-	if p.RoundTrip != 2*time.Millisecond || p.HeardAt != 2*time.Second {
-		t.Errorf("%+v", p)
+	if state.RoundTrip != 2*time.Millisecond || state.LastHeard != 2*time.Second {
+		t.Errorf("got round trip %v and last message at %v, want 2ms and 2s", state.RoundTrip, state.LastHeard)
 	}
-	if p.Silent(3*time.Second, time.Second) || !p.Silent(3*time.Second+1, time.Second) {
-		t.Error("silent at the wrong time")
+	if state.IsSilent(3*time.Second, time.Second) || !state.IsSilent(3*time.Second+1, time.Second) {
+		t.Error("want the peer to be silent from just after the timeout")
 	}
-	alive := p.Alive()
-	if !p.Lose() || alive.Err() == nil || p.Alive() != nil {
-		t.Error("it is not lost")
+	alive := state.Alive()
+	if !state.Lose() || alive.Err() == nil || state.Alive() != nil {
+		t.Error("want a lost peer not to be alive, and its context to have ended")
 	}
 }
 
-func TestAvoidedPeerFinishes(t *testing.T) {
-	p := State{Weight: 0.5}
-	p.Answered(1, 1)
-	alive := p.Alive()
-	if !p.Avoid() || p.Alive() != nil || alive.Err() != nil {
-		t.Error("what it has in hand was ended")
-	}
-	if !p.Answered(2, 1) || p.Alive() == nil {
-		t.Error("it did not come back")
+func TestAvoidKeepsCallsInFlight(t *testing.T) {
+	state := State{RoundTripWeight: 0.5}
+	state.Answered(1, 1)
+	alive := state.Alive()
+	if !state.Avoid() || state.Alive() != nil || alive.Err() != nil {
+		t.Error("want no new calls to a peer that is avoided, and its calls in flight to continue")
+	}
+	if !state.Answered(2, 1) || state.Alive() == nil {
+		t.Error("want an avoided peer to be alive again after an answer")
 	}
 }
--- a/internal/decide/once/records.go
+++ b/internal/decide/once/records.go
@@ -6,17 +6,17 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// record is what is known of one id that was let through.
+// record is the state of an admitted id.
 type record[Outcome any] struct {
 	finished bool
 	outcome  Outcome
 }
 
-// bucketWidth is the span of id times that are dropped together.
+// bucketWidth is the span of id times that are removed together.
 const bucketWidth milliseconds = 1000
 
-// records holds the ids that were let through, with the ids of each second in
-// one bucket, so that old ones are found without a look at the others.
+// records holds the admitted ids. The ids of each second are in one bucket, so that expired ids are
+// found without scanning the others.
 type records[Outcome any] struct {
 	byID    map[ulid.ULID]*record[Outcome]
 	buckets map[milliseconds][]ulid.ULID
@@ -29,8 +29,8 @@
 func (r *records[Outcome]) length() int { return len(r.byID) }
 
 func (r *records[Outcome]) find(id ulid.ULID) (*record[Outcome], bool) {
-	found, known := r.byID[id]
-	return found, known
+	entry, exists := r.byID[id]
+	return entry, exists
 }
 
 func (r *records[Outcome]) add(id ulid.ULID) {
@@ -40,16 +40,16 @@
 }
 
 func (r *records[Outcome]) finish(id ulid.ULID, outcome Outcome) {
-	if found, known := r.byID[id]; known && !found.finished {
-		found.finished = true
-		found.outcome = outcome
+	if entry, exists := r.byID[id]; exists && !entry.finished {
+		entry.finished = true
+		entry.outcome = outcome
 	}
 }
 
-// release forgets an id that is not finished.
+// release removes an id that is not finished.
 func (r *records[Outcome]) release(id ulid.ULID) {
-	found, known := r.byID[id]
-	if !known || found.finished {
+	entry, exists := r.byID[id]
+	if !exists || entry.finished {
 		return
 	}
 	delete(r.byID, id)
@@ -61,39 +61,39 @@
 	}
 }
 
-// dropThrough forgets the finished ids of the buckets that end at or before
-// the given time, and returns the highest time of those forgotten.
-func (r *records[Outcome]) dropThrough(end milliseconds) (highest milliseconds, some bool) {
+// dropBuckets removes the finished ids of the buckets that end at or before the given time, and
+// returns the highest time of the removed ids.
+func (r *records[Outcome]) dropBuckets(end milliseconds) (highest milliseconds, droppedAny bool) {
 	for bucket, ids := range r.buckets {
 		if (bucket+1)*bucketWidth > end {
 			continue
 		}
-		var kept []ulid.ULID
+		var unfinished []ulid.ULID
 		for _, id := range ids {
-			found, known := r.byID[id]
+			entry, exists := r.byID[id]
 			switch {
-			case known && !found.finished:
-				kept = append(kept, id)
-			case known:
+			case exists && !entry.finished:
+				unfinished = append(unfinished, id)
+			case exists:
 				delete(r.byID, id)
-				highest, some = max(highest, timeOf(id)), true
+				highest, droppedAny = max(highest, timeOf(id)), true
 			}
 		}
-		if len(kept) > 0 {
-			r.buckets[bucket] = kept
+		if len(unfinished) > 0 {
+			r.buckets[bucket] = unfinished
 		} else {
 			delete(r.buckets, bucket)
 		}
 	}
-	return highest, some
+	return highest, droppedAny
 }
 
-// oldest returns the start of the oldest bucket; 0 if there is none.
-func (r *records[Outcome]) oldest() milliseconds {
-	oldest, some := milliseconds(0), false
+// oldestBucketStart returns the start of the oldest bucket, or 0 if there is none.
+func (r *records[Outcome]) oldestBucketStart() milliseconds {
+	oldest, exists := milliseconds(0), false
 	for bucket := range r.buckets {
-		if start := bucket * bucketWidth; !some || start < oldest {
-			oldest, some = start, true
+		if start := bucket * bucketWidth; !exists || start < oldest {
+			oldest, exists = start, true
 		}
 	}
 	return oldest
--- a/internal/decide/presend/presend_test.go
+++ b/internal/decide/presend/presend_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestDecide(t *testing.T) {
+func TestPresendVerdicts(t *testing.T) {
 	notFresh := errors.New("not fresh")
 	for _, test := range []struct {
 		state State
@@ -21,7 +21,7 @@
 		{State{}, NotUsable},
 	} {
 		if got := Decide(test.state); got != test.want {
-			t.Errorf("%+v: %d, want %d", test.state, got, test.want)
+			t.Errorf("%+v: got verdict %d, want %d", test.state, got, test.want)
 		}
 	}
 }
--- a/internal/decide/snapshot/snapshot_test.go
+++ b/internal/decide/snapshot/snapshot_test.go
@@ -19,62 +19,62 @@
 	return rapid.SliceOfN(rapid.SliceOfN(holding, 0, 3), 0, 5).Draw(t, "holdings")
 }
 
-// covered counts, from the definition, the needed shards that some leaf holds.
-func covered(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shards int, need Need) (count, needed int) {
+// countCovered counts, from the definition, the needed shards that some leaf holds.
+func countCovered(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shards int, need Need) (count, needed int) {
 	for shard := range shards {
 		if only, single := need.Shard(shards); single && only != shard {
 			continue
 		}
 		needed++
-		if holders(holdings, snapshot, shard) > 0 {
+		if countHolders(holdings, snapshot, shard) > 0 {
 			count++
 		}
 	}
 	return count, needed
 }
 
-func holders(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shard int) int {
+func countHolders(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shard int) int {
 	count := 0
 	for _, held := range holdings {
-		found := false
+		holds := false
 		for _, holding := range held {
-			for _, one := range holding.Shards {
-				found = found || holding.Snapshot == snapshot && one == shard
+			for _, heldShard := range holding.Shards {
+				holds = holds || holding.Snapshot == snapshot && heldShard == shard
 			}
 		}
-		if found {
+		if holds {
 			count++
 		}
 	}
 	return count
 }
 
-func TestPickFollowsTheDefinition(t *testing.T) {
-	partitions := []catalog.Partition{{Epoch: 1, Shards: 2}, {Epoch: 2, Shards: 3}} // epoch 3 is unknown
+func TestPickMatchesDefinition(t *testing.T) {
+	partitions := []catalog.Partition{{Epoch: 1, Shards: 2}, {Epoch: 2, Shards: 3}} // epoch 3 has no partition
 	rapid.Check(t, func(t *rapid.T) {
 		holdings := drawHoldings(t)
 		need := Need{HasKey: rapid.Bool().Draw(t, "key"), KeyHash: rapid.Uint64Range(0, 9).Draw(t, "hash")}
 		views := Build(partitions, holdings)
 		var best catalog.Snapshot
-		bestShare, found := 0.0, false
+		bestShare, exists := 0.0, false
 		for _, partition := range partitions {
 			for version := uint64(1); version <= 3; version++ {
 				snapshot := catalog.Snapshot{Epoch: partition.Epoch, Version: version}
-				count, needed := covered(holdings, snapshot, partition.Shards, need)
+				count, needed := countCovered(holdings, snapshot, partition.Shards, need)
 				share := float64(count) / float64(needed)
 				if count > 0 && share >= bestShare {
-					best, bestShare, found = snapshot, share, true
+					best, bestShare, exists = snapshot, share, true
 				}
 			}
 		}
 		index, ok := Pick(views, need)
-		if ok != found || ok && views[index].Snapshot != best {
-			t.Fatalf("picked %v, wanted %v of %v", index, best, views)
+		if ok != exists || ok && views[index].Snapshot != best {
+			t.Fatalf("picked index %d (exists: %v) of %v, want %v (exists: %v)", index, ok, views, best, exists)
 		}
 		for _, view := range views {
 			for shard, replicas := range view.Replicas {
-				if len(replicas) != holders(holdings, view.Snapshot, shard) {
-					t.Fatalf("%v of shard %d of %v", replicas, shard, view.Snapshot)
+				if len(replicas) != countHolders(holdings, view.Snapshot, shard) {
+					t.Fatalf("got replicas %v of shard %d of %v, want %d", replicas, shard, view.Snapshot, countHolders(holdings, view.Snapshot, shard))
 				}
 			}
 		}
--- a/internal/decide/warmup/warmup_test.go
+++ b/internal/decide/warmup/warmup_test.go
@@ -10,8 +10,8 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// fleet returns nodes of which the first are large.
-func fleet(nodes, large int) []roster.Member {
+// fleet returns nodes of which the first ones are large.
+func newNodes(nodes, large int) []roster.Member {
 	members := make([]roster.Member, nodes)
 	for index := range members {
 		members[index] = roster.Member{Name: fmt.Sprint("node-", index), Cores: 0.2}
@@ -22,28 +22,28 @@
 	return members
 }
 
-// TestSharesOfAColdLeafStayWithinWhatItBears, whatever the size of the fleet, and
-// most of it is shared out.
-func TestSharesOfAColdLeafStayWithinWhatItBears(t *testing.T) {
+// TestNodeRatesSumToAtMostColdLeafRate also checks that most of the rate is shared out, for any
+// size of the fleet.
+func TestNodeRatesSumToAtMostColdLeafRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := fleet(rapid.IntRange(1, 400).Draw(t, "nodes"), rapid.IntRange(0, 20).Draw(t, "large"))
+		members := newNodes(rapid.IntRange(1, 400).Draw(t, "nodes"), rapid.IntRange(0, 20).Draw(t, "large"))
 		shard := rapid.Bool().Draw(t, "shard")
-		borne := rapid.Float64Range(10, 200).Draw(t, "borne")
-		all := 0.0
+		rateLimit := rapid.Float64Range(10, 200).Draw(t, "rate limit")
+		total := 0.0
 		for _, member := range members {
-			sharers, part := sharersOf(executors.Assign(member, members), members, shard)
-			all += rateOf(member.Name, "leaf-7", sharers, plannedPart*part*borne)
+			sharers, fraction := findSharers(executors.Assign(member, members), members, shard)
+			total += computeRate(member.Name, "leaf-7", sharers, plannedShare*fraction*rateLimit)
 		}
-		if all > plannedPart*borne+1e-6 || all < plannedPart*(1-executorPart)*borne-1e-6 {
-			t.Fatalf("%d nodes send %.1f a second to a leaf that bears %.1f", len(members), all, borne)
+		if total > plannedShare*rateLimit+1e-6 || total < plannedShare*(1-executorShare)*rateLimit-1e-6 {
+			t.Fatalf("%d nodes send %.1f requests per second to a leaf that can handle %.1f", len(members), total, rateLimit)
 		}
 	})
 }
 
-// TestNodeThatIsNotAnnouncedSendsNothingToAColdLeaf: the others do not reckon with
-// it.
-func TestNodeThatIsNotAnnouncedSendsNothingToAColdLeaf(t *testing.T) {
-	if got := rateOf("new", "leaf-7", fleet(8, 0), 30); got != 0 {
-		t.Errorf("%.1f a second", got)
+// TestUnannouncedNodeGetsNoColdLeafRate: the other nodes do not take an unannounced node into
+// account.
+func TestUnannouncedNodeGetsNoColdLeafRate(t *testing.T) {
+	if got := computeRate("new", "leaf-7", newNodes(8, 0), 30); got != 0 {
+		t.Errorf("got rate %.1f, want 0", got)
 	}
 }
