--- a/internal/edge/lease/lease.go
+++ b/internal/edge/lease/lease.go
@@ -44,7 +44,7 @@
 	// Former is a lease of a former incarnation, whose key says the same as Value;
 	// zero without one. It is renewed in place of a new one, and Key is written
 	// only once it has lapsed.
-	Former uint64
+	Previous uint64
 	// TTL is how long the key stays in the store without a renewal.
 	TTL time.Duration
 	// MinBackoff and MaxBackoff bound the pause after an error.
@@ -53,7 +53,7 @@
 
 // renewals is how many times a lease is renewed within its TTL. Not measured: chosen
 // because the answers to two renewals in a row may be lost.
-const renewals = 3
+const renewalsPerTTL = 3
 
 // Holder holds one key.
 type Holder struct {
@@ -67,7 +67,7 @@
 
 // NewHolder returns a Holder that has made no call yet.
 func NewHolder(config Config, store Store, logger *slog.Logger) *Holder {
-	return &Holder{config: config, store: store, logger: logger, id: config.Former, created: config.Former != 0}
+	return &Holder{config: config, store: store, logger: logger, id: config.Previous, created: config.Previous != 0}
 }
 
 // Run holds the key until ctx ends, and then lets the lease expire.
@@ -85,7 +85,7 @@
 
 // step makes the next call and returns the pause after it.
 func (h *Holder) step(ctx context.Context) time.Duration {
-	err := h.next(ctx)
+	err := h.callStore(ctx)
 	switch {
 	case errors.Is(err, ErrLapsed):
 		event.Log(h.logger, event.LeaseLapsed{Key: h.config.Key})
@@ -100,17 +100,17 @@
 		return 0
 	}
 	h.failures = 0
-	return h.config.TTL / renewals
+	return h.config.TTL / renewalsPerTTL
 }
 
-func (h *Holder) next(ctx context.Context) error {
+func (h *Holder) callStore(ctx context.Context) error {
 	switch {
 	case h.id == 0:
 		id, err := h.store.Grant(ctx, h.config.TTL)
 		h.id = id
 		return err
 	case !h.created:
-		return h.create(ctx)
+		return h.createKey(ctx)
 	default:
 		return h.store.Renew(ctx, h.id)
 	}
@@ -118,7 +118,7 @@
 
 // create writes the key. If it exists, a former call was done and its answer was lost:
 // keys of a former lease expired with it.
-func (h *Holder) create(ctx context.Context) error {
+func (h *Holder) createKey(ctx context.Context) error {
 	err := h.store.Create(ctx, h.config.Key, h.config.Value, h.id)
 	if errors.Is(err, ErrExists) {
 		err = nil
--- a/internal/edge/lease/shared.go
+++ b/internal/edge/lease/shared.go
@@ -19,9 +19,9 @@
 	ttl     time.Duration
 	now     func() time.Duration
 
-	mutex   sync.Mutex
-	id      uint64
-	granted time.Duration
+	mutex     sync.Mutex
+	id        uint64
+	grantedAt time.Duration
 }
 
 // NewShared returns a Shared without a lease yet.
@@ -34,19 +34,19 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
-	if s.id != 0 && now < s.granted+s.ttl/2 {
+	if s.id != 0 && now < s.grantedAt+s.ttl/2 {
 		return s.id, nil
 	}
 	id, err := s.granter.Grant(ctx, s.ttl)
 	if err != nil {
 		return 0, err
 	}
-	s.id, s.granted = id, now
+	s.id, s.grantedAt = id, now
 	return id, nil
 }
 
 // Lapsed takes in that a lease has expired before its time: the next ID is another one.
-func (s *Shared) Lapsed(id uint64) {
+func (s *Shared) Invalidate(id uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.id == id {
--- a/internal/edge/lease/shared_test.go
+++ b/internal/edge/lease/shared_test.go
@@ -9,11 +9,11 @@
 
 // TestSharedLeaseHasHalfOfItsTimeLeft, and is granted anew only for that, or when it
 // was lost.
-func TestSharedLeaseHasHalfOfItsTimeLeft(t *testing.T) {
-	store := &model{random: rand.New(rand.NewPCG(1, 1)), leases: make(map[uint64]bool)}
+func TestSharedLeaseIsReplacedAtHalfOfTTL(t *testing.T) {
+	store := &storeModel{random: rand.New(rand.NewPCG(1, 1)), leases: make(map[uint64]bool)}
 	now := time.Duration(0)
 	shared := NewShared(store, 10*time.Second, func() time.Duration { return now })
-	ask := func() uint64 {
+	leaseID := func() uint64 {
 		t.Helper()
 		id, err := shared.ID(context.Background())
 		if err != nil {
@@ -21,22 +21,22 @@
 		}
 		return id
 	}
-	first := ask()
+	first := leaseID()
 	now = 4 * time.Second
-	if again := ask(); again != first {
+	if again := leaseID(); again != first {
 		t.Errorf("lease %d after 4 s, %d before", again, first)
 	}
 	now = 5 * time.Second
-	second := ask()
+	second := leaseID()
 	if second == first {
 		t.Error("the same lease with half of its time left")
 	}
-	shared.Lapsed(first)
-	if again := ask(); again != second {
+	shared.Invalidate(first)
+	if again := leaseID(); again != second {
 		t.Error("the end of a former lease ended this one")
 	}
-	shared.Lapsed(second)
-	if ask() == second {
+	shared.Invalidate(second)
+	if leaseID() == second {
 		t.Error("a lease that was lost is used again")
 	}
 	store.down = true
--- a/internal/edge/node/announcer.go
+++ b/internal/edge/node/announcer.go
@@ -23,8 +23,8 @@
 	// firstRead is closed once the store, or a copy of it, was read. Then former is
 	// the lease of an announcement of this node by a former process; zero without
 	// one.
-	firstRead chan struct{}
-	former    uint64
+	storeRead     chan struct{}
+	previousLease uint64
 }
 
 // announcement returns the key and the value that announce this incarnation.
@@ -38,22 +38,22 @@
 
 // formerLease returns the lease of the last announcement that says what this node
 // would say of itself: by a former process on the same machine.
-func (a *announcer) formerLease(items []mirror.Item) uint64 {
+func (a *announcer) findPreviousLease(items []mirror.Item) uint64 {
 	_, value := a.announcement()
-	var last mirror.Item
+	var latest mirror.Item
 	for _, item := range items {
-		own := a.decoder.Kind(item.Key) == KindNode && bytes.Equal(item.Value, value)
-		if own && item.Revision > last.Revision {
-			last = item
+		matches := a.decoder.Kind(item.Key) == KindNode && bytes.Equal(item.Value, value)
+		if matches && item.Revision > latest.Revision {
+			latest = item
 		}
 	}
-	return last.Lease
+	return latest.Lease
 }
 
 // begin lets the announcement begin. It is called once, after the first reading.
-func (a *announcer) begin(former uint64) {
-	a.former = former
-	close(a.firstRead)
+func (a *announcer) start(previousLease uint64) {
+	a.previousLease = previousLease
+	close(a.storeRead)
 }
 
 // run announces to the other nodes that this one shares the extra load, until ctx ends. It
@@ -62,13 +62,13 @@
 // all nodes receive when many processes restart.
 func (a *announcer) run(ctx context.Context) {
 	select {
-	case <-a.firstRead:
+	case <-a.storeRead:
 	case <-ctx.Done():
 		return
 	}
 	key, value := a.announcement()
 	lease.NewHolder(lease.Config{
-		Key: key, Value: value, Former: a.former,
+		Key: key, Value: value, Previous: a.previousLease,
 		TTL: leaseTTL, MinBackoff: minBackoff, MaxBackoff: leaseBackoff,
 	}, a.leases, a.logger).Run(ctx)
 }
--- a/internal/edge/node/caller_server_test.go
+++ b/internal/edge/node/caller_server_test.go
@@ -13,61 +13,61 @@
 	"time"
 )
 
-const longTime = time.Minute
+const longTimeout = time.Minute
 
 // callers is a callerServer whose times a test can change.
-type callers struct {
+type testServer struct {
 	*testing.T
-	server *callerServer
-	times  atomic.Pointer[callerTimes]
-	served atomic.Int64
+	server   *httpServer
+	timeouts atomic.Pointer[serverTimeouts]
+	served   atomic.Int64
 }
 
-func newCallers(t *testing.T, times callerTimes) *callers {
+func newTestServer(t *testing.T, timeouts serverTimeouts) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &callers{T: t}
-	c.times.Store(&times)
+	c := &testServer{T: t}
+	c.timeouts.Store(&timeouts)
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { c.served.Add(1) })
-	c.server = newCallerServer(listener, handler, func() callerTimes { return *c.times.Load() })
-	ended := make(chan error, 1)
-	go func() { ended <- c.server.Serve() }()
+	c.server = newHTTPServer(listener, handler, func() serverTimeouts { return *c.timeouts.Load() })
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- c.server.Serve() }()
 	t.Cleanup(func() {
 		if err := c.server.Shutdown(context.Background()); err != nil {
 			t.Errorf("shutdown: %v", err)
 		}
-		if err := <-ended; err != http.ErrServerClosed {
+		if err := <-serveErr; err != http.ErrServerClosed {
 			t.Errorf("serve: %v", err)
 		}
 	})
 	return c
 }
 
-func (c *callers) dial() net.Conn {
+func (c *testServer) dial() net.Conn {
 	c.Helper()
-	dialled, err := net.Dial("tcp", c.server.listener.Addr().String())
+	connection, err := net.Dial("tcp", c.server.listener.Addr().String())
 	if err != nil {
 		c.Fatal(err)
 	}
-	c.Cleanup(func() { _ = dialled.Close() })
-	return dialled
+	c.Cleanup(func() { _ = connection.Close() })
+	return connection
 }
 
-func (c *callers) write(to net.Conn, text string) {
+func (c *testServer) write(connection net.Conn, text string) {
 	c.Helper()
-	if _, err := io.WriteString(to, text); err != nil {
+	if _, err := io.WriteString(connection, text); err != nil {
 		c.Fatal(err)
 	}
 }
 
 // ask sends a whole request and reads its answer.
-func (c *callers) ask(through net.Conn) {
+func (c *testServer) request(connection net.Conn) {
 	c.Helper()
-	c.write(through, "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n")
-	response, err := http.ReadResponse(bufio.NewReader(through), nil)
+	c.write(connection, "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n")
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
 		c.Fatal(err)
 	}
@@ -79,71 +79,71 @@
 // ends reads until the server closes the connection; the test's own time limit
 // ends a wait for a server that does not. A close with bytes that the server has
 // not read comes as a reset.
-func (c *callers) ends(connection net.Conn) {
+func (c *testServer) waitForClose(connection net.Conn) {
 	c.Helper()
-	if answer, err := io.ReadAll(connection); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		c.Fatalf("%q, %v", answer, err)
+	if received, err := io.ReadAll(connection); err != nil && !errors.Is(err, syscall.ECONNRESET) {
+		c.Fatalf("%q, %v", received, err)
 	}
 }
 
-func TestSlowHeaderEndsTheConnectionAndNoRequestRuns(t *testing.T) {
-	c := newCallers(t, callerTimes{header: 20 * time.Millisecond, idle: longTime})
+func TestHeaderTimeoutClosesConnectionWithoutRequest(t *testing.T) {
+	c := newTestServer(t, serverTimeouts{header: 20 * time.Millisecond, idle: longTimeout})
 	slow := c.dial()
 	c.write(slow, "GET / HTTP/1.1\r\nHost: a.exam")
-	c.ends(slow)
+	c.waitForClose(slow)
 	if served := c.served.Load(); served != 0 {
 		t.Fatalf("%d requests ran", served)
 	}
-	c.ask(c.dial())
+	c.request(c.dial())
 }
 
 // TestHeaderWhoseTimeIsOverUnread: the server closes the connection with bytes in
 // it that it has not read, as it does when a busy machine lets it read late.
-func TestHeaderWhoseTimeIsOverUnread(t *testing.T) {
-	c := newCallers(t, callerTimes{header: time.Nanosecond, idle: longTime})
+func TestHeaderTimeoutWithUnreadBytes(t *testing.T) {
+	c := newTestServer(t, serverTimeouts{header: time.Nanosecond, idle: longTimeout})
 	unread := c.dial()
 	c.write(unread, "GET / HTTP/1.1\r\nHost: a.exam")
-	c.ends(unread)
+	c.waitForClose(unread)
 	if served := c.served.Load(); served != 0 {
 		t.Fatalf("%d requests ran", served)
 	}
 }
 
-func TestIdleConnectionEndsAfterTheTimeAllowed(t *testing.T) {
-	c := newCallers(t, callerTimes{header: longTime, idle: 20 * time.Millisecond})
-	resting := c.dial()
-	c.ask(resting)
-	c.ends(resting)
+func TestIdleTimeoutClosesConnection(t *testing.T) {
+	c := newTestServer(t, serverTimeouts{header: longTimeout, idle: 20 * time.Millisecond})
+	idle := c.dial()
+	c.request(idle)
+	c.waitForClose(idle)
 }
 
 // TestTimesFollowTheConfiguration gives new connections the times in force,
 // and leaves those that stand as they were accepted.
-func TestTimesFollowTheConfiguration(t *testing.T) {
-	c := newCallers(t, callerTimes{header: longTime, idle: longTime})
+func TestNewConnectionsUseCurrentTimeouts(t *testing.T) {
+	c := newTestServer(t, serverTimeouts{header: longTimeout, idle: longTimeout})
 	before := c.dial()
-	c.ask(before)
-	c.times.Store(&callerTimes{header: 20 * time.Millisecond, idle: longTime})
+	c.request(before)
+	c.timeouts.Store(&serverTimeouts{header: 20 * time.Millisecond, idle: longTimeout})
 	after := c.dial()
 	c.write(after, "GET / HTTP/1.1\r\n")
-	c.ends(after)
-	c.ask(before)
+	c.waitForClose(after)
+	c.request(before)
 }
 
 // TestShutdownServesWhatIsRunning covers connections of every set of times.
-func TestShutdownServesWhatIsRunning(t *testing.T) {
-	c := newCallers(t, callerTimes{header: longTime, idle: longTime})
+func TestShutdownCoversAllTimeouts(t *testing.T) {
+	c := newTestServer(t, serverTimeouts{header: longTimeout, idle: longTimeout})
 	first := c.dial()
-	c.ask(first)
-	c.times.Store(&callerTimes{header: longTime, idle: 2 * longTime})
+	c.request(first)
+	c.timeouts.Store(&serverTimeouts{header: longTimeout, idle: 2 * longTimeout})
 	second := c.dial()
-	c.ask(second)
+	c.request(second)
 	if err := c.server.Shutdown(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	c.ends(first)
-	c.ends(second)
-	if dialled, err := net.Dial("tcp", c.server.listener.Addr().String()); err == nil {
-		_ = dialled.Close()
+	c.waitForClose(first)
+	c.waitForClose(second)
+	if connection, err := net.Dial("tcp", c.server.listener.Addr().String()); err == nil {
+		_ = connection.Close()
 		t.Error("accepted after Shutdown")
 	}
 }
--- a/internal/edge/node/collector.go
+++ b/internal/edge/node/collector.go
@@ -20,33 +20,33 @@
 		Load() dispatch.Load
 		InFlight() int
 	}
-	mirror   interface{ Age() time.Duration }
-	attempts *prometheus.Desc
-	won      *prometheus.Desc
-	queries  *prometheus.Desc
-	waiting  *prometheus.Desc
-	budget   *prometheus.Desc
-	age      *prometheus.Desc
+	mirror         interface{ Age() time.Duration }
+	attempts       *prometheus.Desc
+	hedgesWon      *prometheus.Desc
+	queriesRunning *prometheus.Desc
+	shardsWaiting  *prometheus.Desc
+	budgetAttempts *prometheus.Desc
+	storeAge       *prometheus.Desc
 }
 
 var _ telemetry.TypedCollector = (*collector)(nil)
 
-func newCollector(dispatcher *scatter.Conn[*forward.Request, forward.Part], copied *mirror.Shared) *collector {
+func newCollector(dispatcher *scatter.Conn[*forward.Request, forward.Part], shared *mirror.Shared) *collector {
 	return &collector{
 		dispatcher: dispatcher,
-		mirror:     copied,
+		mirror:     shared,
 		attempts: prometheus.NewDesc("micaplank_frontend_attempts_total",
 			"Attempts sent to leaves, by cause: needed, resend (the former did not execute), or extra, which the budget pays for: hedge, probe, retry or restart.",
 			[]string{"cause"}, nil),
-		won: prometheus.NewDesc("micaplank_frontend_hedges_won_total",
+		hedgesWon: prometheus.NewDesc("micaplank_frontend_hedges_won_total",
 			"Shards answered by a hedge or a probe.", nil, nil),
-		queries: prometheus.NewDesc("micaplank_frontend_queries",
+		queriesRunning: prometheus.NewDesc("micaplank_frontend_queries",
 			"Queries that run here and have not ended.", nil, nil),
-		waiting: prometheus.NewDesc("micaplank_frontend_shards_waiting",
+		shardsWaiting: prometheus.NewDesc("micaplank_frontend_shards_waiting",
 			"Shards of queries that wait for a leaf to take them.", nil, nil),
-		budget: prometheus.NewDesc("micaplank_frontend_budget_attempts",
+		budgetAttempts: prometheus.NewDesc("micaplank_frontend_budget_attempts",
 			"Extra attempts that the budgets of all shards hold together.", nil, nil),
-		age: prometheus.NewDesc("micaplank_frontend_store_age_seconds",
+		storeAge: prometheus.NewDesc("micaplank_frontend_store_age_seconds",
 			"Time since the store, or a watcher of it, last answered: the age of configuration and leaves.", nil, nil),
 	}
 }
@@ -65,7 +65,7 @@
 
 // Describe implements prometheus.Collector.
 func (c *collector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{c.attempts, c.won, c.queries, c.waiting, c.budget, c.age} {
+	for _, description := range []*prometheus.Desc{c.attempts, c.hedgesWon, c.queriesRunning, c.shardsWaiting, c.budgetAttempts, c.storeAge} {
 		descriptions <- description
 	}
 }
@@ -73,16 +73,16 @@
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
 	counters := c.dispatcher.Counters()
-	for _, sent := range counters.ByCause() {
-		metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(sent.Count), string(sent.Cause))
+	for _, byCause := range counters.ByCause() {
+		metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(byCause.Count), string(byCause.Cause))
 	}
 	load := c.dispatcher.Load()
-	gauge := func(of *prometheus.Desc, value float64) {
-		metrics <- prometheus.MustNewConstMetric(of, prometheus.GaugeValue, value)
+	gauge := func(description *prometheus.Desc, value float64) {
+		metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value)
 	}
-	metrics <- prometheus.MustNewConstMetric(c.won, prometheus.CounterValue, float64(counters.HedgesWon))
-	gauge(c.queries, float64(c.dispatcher.InFlight()))
-	gauge(c.waiting, float64(load.Waiting))
-	gauge(c.budget, load.Budget)
-	gauge(c.age, c.mirror.Age().Seconds())
+	metrics <- prometheus.MustNewConstMetric(c.hedgesWon, prometheus.CounterValue, float64(counters.HedgesWon))
+	gauge(c.queriesRunning, float64(c.dispatcher.InFlight()))
+	gauge(c.shardsWaiting, float64(load.Waiting))
+	gauge(c.budgetAttempts, load.Budget)
+	gauge(c.storeAge, c.mirror.Age().Seconds())
 }
--- a/internal/edge/node/endpoints.go
+++ b/internal/edge/node/endpoints.go
@@ -16,7 +16,7 @@
 // headerTimeout bounds the time that a caller may take for its headers if the
 // configuration in force does not say. Not measured: chosen because it only bounds for how
 // long a silent caller holds a connection.
-const headerTimeout = 10 * time.Second
+const defaultHeaderTimeout = 10 * time.Second
 
 // endpoint is one address with what serves it.
 type endpoint struct {
@@ -35,39 +35,39 @@
 }
 
 // listen opens all addresses, or none.
-func listen(endpoints []endpoint, times func() callerTimes) ([]*callerServer, error) {
-	var servers []*callerServer
-	for _, one := range endpoints {
-		if !one.address.IsValid() {
+func listen(endpoints []endpoint, timeouts func() serverTimeouts) ([]*httpServer, error) {
+	var servers []*httpServer
+	for _, endpoint := range endpoints {
+		if !endpoint.address.IsValid() {
 			continue
 		}
-		listener, err := net.Listen("tcp", one.address.String())
+		listener, err := net.Listen("tcp", endpoint.address.String())
 		if err != nil {
 			for _, opened := range servers {
 				_ = opened.listener.Close() // it has served nothing
 			}
-			return nil, oops.In("frontend").With("step", "frontend.listen", "peer", one.address.String()).Wrap(err)
+			return nil, oops.In("frontend").With("step", "frontend.listen", "peer", endpoint.address.String()).Wrap(err)
 		}
-		servers = append(servers, newCallerServer(listener, one.handler, times))
+		servers = append(servers, newHTTPServer(listener, endpoint.handler, timeouts))
 	}
 	return servers, nil
 }
 
 // closeAll ends what has served nothing.
-func closeAll(servers []*callerServer) error {
+func shutdownUnused(servers []*httpServer) error {
 	var errs []error
-	for _, one := range servers {
-		errs = append(errs, one.Shutdown(context.Background()))
+	for _, server := range servers {
+		errs = append(errs, server.Shutdown(context.Background()))
 	}
 	return errors.Join(errs...)
 }
 
 // callerTimes returns the times that the configuration in force allows to
 // callers, or those of the settings where it names none.
-func (n *Node) callerTimes() callerTimes {
+func (n *Node) httpTimeouts() serverTimeouts {
 	limits := n.Limits()
-	return callerTimes{
-		header: cmp.Or(limits.HeaderTimeout, headerTimeout),
+	return serverTimeouts{
+		header: cmp.Or(limits.HeaderTimeout, defaultHeaderTimeout),
 		idle:   cmp.Or(limits.IdleTimeout, n.settings.Forward.IdleTimeout.Duration()),
 	}
 }
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -30,21 +30,21 @@
 
 // storedRollouts follows the orders and records of roll-outs in the store. It returns
 // whether a change alters the topology.
-type storedRollouts interface {
+type rolloutSink interface {
 	decode(items []mirror.Item) rolloutItems
 	// replace is called with the mutex of the view held, and changeOrder and
 	// changeRecord without.
-	replace(all rolloutItems, stale bool)
-	changeOrder(changed mirror.Event) bool
-	changeRecord(changed mirror.Event) bool
+	replace(items rolloutItems, stale bool)
+	applyOrderEvent(change mirror.Event) bool
+	applyRecordEvent(change mirror.Event) bool
 }
 
 // storedQuarantine follows the records of requests under which leaves end.
-type storedQuarantine interface {
+type quarantineSink interface {
 	replace(items map[quarantine.Content]quarantine.Known, stale bool)
-	set(content quarantine.Content, stored quarantine.Known)
+	set(content quarantine.Content, record quarantine.Known)
 	remove(content quarantine.Content, revision uint64)
-	setStoreAway(away bool)
+	setStoreUnavailable(unavailable bool)
 }
 
 // follower applies what the store holds, and its changes, to a node. It implements
@@ -59,8 +59,8 @@
 	view       *view
 	announcer  *announcer
 	config     configConsumer
-	rollouts   storedRollouts
-	quarantine storedQuarantine
+	rollouts   rolloutSink
+	quarantine quarantineSink
 	publisher  interface {
 		publish()
 		publishLocked()
@@ -72,7 +72,7 @@
 var _ mirror.Sink = (*follower)(nil)
 
 // reading is what one reading of the store holds, decoded.
-type reading struct {
+type decodedItems struct {
 	config         *route.Config // nil if it brings no newer one
 	configRevision uint64
 	leaves         []registry.Leaf
@@ -84,8 +84,8 @@
 
 // decode decodes all items of a reading. Those that can't be read are logged and left
 // out.
-func (f *follower) decode(items []mirror.Item) reading {
-	all := reading{
+func (f *follower) decode(items []mirror.Item) decodedItems {
+	decoded := decodedItems{
 		nodes:       make(map[string]roster.Member),
 		quarantined: make(map[quarantine.Content]quarantine.Known),
 		rollouts:    f.rollouts.decode(items),
@@ -93,39 +93,39 @@
 	for _, item := range items {
 		switch f.decoder.Kind(item.Key) {
 		case KindConfig:
-			all.config, all.configRevision = f.newerConfig(item), item.Revision
+			decoded.config, decoded.configRevision = f.decodeNewerConfig(item), item.Revision
 		case KindLeaf:
-			if leaf, ok := f.leaf(item); ok {
-				all.leaves = append(all.leaves, leaf)
+			if leaf, ok := f.decodeLeaf(item); ok {
+				decoded.leaves = append(decoded.leaves, leaf)
 			}
 		case KindNode:
-			if member, ok := f.member(item); ok {
-				all.nodes[item.Key] = member
+			if member, ok := f.decodeMember(item); ok {
+				decoded.nodes[item.Key] = member
 			}
 		case KindCordon:
-			all.cordons = append(all.cordons, f.decoder.CordonedZone(item.Key))
+			decoded.cordons = append(decoded.cordons, f.decoder.CordonedZone(item.Key))
 		case KindQuarantine:
-			if content, known, ok := f.quarantineRecord(item); ok {
-				all.quarantined[content] = known
+			if content, record, ok := f.decodeQuarantineRecord(item); ok {
+				decoded.quarantined[content] = record
 			}
 		}
 	}
-	return all
+	return decoded
 }
 
 // Replace implements mirror.Sink. The leaves come into use before the configuration
 // that may name them: else its requests would be refused for want of leaves.
 func (f *follower) Replace(items []mirror.Item, read mirror.Reading) {
-	all := f.decode(items)
-	f.quarantine.replace(all.quarantined, read.Stale)
-	cordonsChanged := f.replaceView(all, f.announcer.formerLease(items), read.Stale)
-	if all.config != nil {
-		f.install(all.config, all.configRevision)
+	decoded := f.decode(items)
+	f.quarantine.replace(decoded.quarantined, read.Stale)
+	cordonsChanged := f.replaceView(decoded, f.announcer.findPreviousLease(items), read.Stale)
+	if decoded.config != nil {
+		f.installConfig(decoded.config, decoded.configRevision)
 	}
 	for _, zone := range cordonsChanged {
-		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: slices.Contains(all.cordons, zone)})
+		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: slices.Contains(decoded.cordons, zone)})
 	}
-	event.Log(f.logger, event.StoreRead{Leaves: len(all.leaves), Nodes: len(all.nodes), AfterGap: read.Gap, Stale: read.Stale})
+	event.Log(f.logger, event.StoreRead{Leaves: len(decoded.leaves), Nodes: len(decoded.nodes), AfterGap: read.Gap, Stale: read.Stale})
 	f.config.SetFresh(!read.Stale)
 	if !read.Stale {
 		f.metrics.storeUp.Set(1)
@@ -134,19 +134,19 @@
 
 // replaceView applies a reading to the view and publishes it. It returns the zones that
 // were taken out of service or put back.
-func (f *follower) replaceView(all reading, formerLease uint64, stale bool) (cordonsChanged []string) {
+func (f *follower) replaceView(decoded decodedItems, formerLease uint64, stale bool) (cordonsChanged []string) {
 	f.view.mutex.Lock()
 	defer f.view.mutex.Unlock()
-	f.view.leaves.Replace(f.clock.Now(), all.leaves)
-	cordonsChanged = f.view.leaves.ReplaceCordons(f.clock.Now(), all.cordons, stale)
-	f.rollouts.replace(all.rollouts, stale)
-	if !f.view.leavesKnown {
-		f.announcer.begin(formerLease)
+	f.view.leaves.Replace(f.clock.Now(), decoded.leaves)
+	cordonsChanged = f.view.leaves.ReplaceCordons(f.clock.Now(), decoded.cordons, stale)
+	f.rollouts.replace(decoded.rollouts, stale)
+	if !f.view.leavesLoaded {
+		f.announcer.start(formerLease)
 	}
-	f.view.leavesKnown = true
-	f.view.nodes.Replace(f.clock.Now(), all.nodes)
-	if all.config != nil {
-		f.view.applyServices(all.config)
+	f.view.leavesLoaded = true
+	f.view.nodes.Replace(f.clock.Now(), decoded.nodes)
+	if decoded.config != nil {
+		f.view.applyServices(decoded.config)
 	}
 	f.publisher.publishLocked()
 	return cordonsChanged
@@ -155,32 +155,32 @@
 // Change implements mirror.Sink. The removal of the configuration changes
 // nothing: the last one stays in force.
 func (f *follower) Change(events []mirror.Event) {
-	changed := false
-	for _, one := range events {
-		switch f.decoder.Kind(one.Key) {
+	publish := false
+	for _, change := range events {
+		switch f.decoder.Kind(change.Key) {
 		case KindConfig:
-			if !one.Removed {
-				f.changeConfig(one.Item)
+			if !change.Removed {
+				f.applyConfig(change.Item)
 			}
 		case KindLeaf:
-			f.changeLeaf(one)
-			changed = true
+			f.applyLeafEvent(change)
+			publish = true
 		case KindNode:
-			f.changeNode(one)
-			changed = true
+			f.applyNodeEvent(change)
+			publish = true
 		case KindCordon:
-			f.changeCordon(one)
-			changed = true
+			f.applyCordonEvent(change)
+			publish = true
 		case KindOrder:
-			changed = f.rollouts.changeOrder(one) || changed
+			publish = f.rollouts.applyOrderEvent(change) || publish
 		case KindRecord:
-			changed = f.rollouts.changeRecord(one) || changed
+			publish = f.rollouts.applyRecordEvent(change) || publish
 		case KindQuarantine:
-			f.changeQuarantine(one)
+			f.applyQuarantineEvent(change)
 		}
 	}
 	f.config.SetFresh(true)
-	if changed {
+	if publish {
 		f.publisher.publish()
 	}
 }
@@ -189,29 +189,29 @@
 func (f *follower) Lost(err error) {
 	f.config.SetFresh(false)
 	f.config.SetOutage(true)
-	f.quarantine.setStoreAway(true)
+	f.quarantine.setStoreUnavailable(true)
 	f.metrics.storeUp.Set(0)
 	event.Log(f.logger, event.StoreLost{Error: err})
 }
 
 // Regained implements mirror.Sink.
-func (f *follower) Regained(away time.Duration) {
+func (f *follower) Regained(outage time.Duration) {
 	f.view.mutex.Lock()
-	f.view.leaves.Outage(f.clock.Now())
+	f.view.leaves.RecordOutage(f.clock.Now())
 	f.view.mutex.Unlock()
 	f.config.SetOutage(false)
-	f.quarantine.setStoreAway(false)
+	f.quarantine.setStoreUnavailable(false)
 	f.metrics.storeUp.Set(1)
-	event.Log(f.logger, event.StoreRegained{Away: away})
+	event.Log(f.logger, event.StoreRegained{Away: outage})
 }
 
 // planStart implements mirror.Planner.
 func (f *follower) planStart(items []mirror.Item) startup.Plan {
-	known := roster.New(nodesMemory, 0)
+	nodes := roster.New(nodeRetention, 0)
 	for _, item := range items {
-		if member, ok := f.member(item); ok {
-			known.Add(f.clock.Now(), item.Key, member)
+		if member, ok := f.decodeMember(item); ok {
+			nodes.Add(f.clock.Now(), item.Key, member)
 		}
 	}
-	return startup.NewPlan(f.self.Peer, known.Members(f.clock.Now()), f.seeds, rand.Shuffle)
+	return startup.NewPlan(f.self.Peer, nodes.Members(f.clock.Now()), f.seeds, rand.Shuffle)
 }
--- a/internal/edge/node/follower_config.go
+++ b/internal/edge/node/follower_config.go
@@ -8,7 +8,7 @@
 
 // newerConfig decodes a configuration; nil if it is not newer than the one in force, or
 // cannot be used.
-func (f *follower) newerConfig(item mirror.Item) *route.Config {
+func (f *follower) decodeNewerConfig(item mirror.Item) *route.Config {
 	config, err := f.decoder.Config(item)
 	if err == nil {
 		err = config.Validate()
@@ -25,8 +25,8 @@
 }
 
 // changeConfig puts a configuration into force, with the topology by it.
-func (f *follower) changeConfig(item mirror.Item) {
-	config := f.newerConfig(item)
+func (f *follower) applyConfig(item mirror.Item) {
+	config := f.decodeNewerConfig(item)
 	if config == nil {
 		return
 	}
@@ -34,14 +34,14 @@
 	f.view.applyServices(config)
 	f.publisher.publishLocked()
 	f.view.mutex.Unlock()
-	f.install(config, item.Revision)
+	f.installConfig(config, item.Revision)
 }
 
 // install puts a configuration into force. The Dispatcher has the topology by then
 // that goes with it.
-func (f *follower) install(config *route.Config, revision uint64) {
+func (f *follower) installConfig(config *route.Config, revision uint64) {
 	f.config.Install(route.NewTable(config))
-	f.delegate.SetTerms(f.terms.now())
+	f.delegate.SetTerms(f.terms.current())
 	f.metrics.configVersion.Set(float64(config.Version))
 	event.Log(f.logger, event.ConfigInstalled{
 		Version: config.Version, Revision: revision, Routes: len(config.Routes), Services: len(config.Services),
--- a/internal/edge/node/follower_leaves.go
+++ b/internal/edge/node/follower_leaves.go
@@ -7,7 +7,7 @@
 )
 
 // leaf decodes the announcement of a leaf.
-func (f *follower) leaf(item mirror.Item) (registry.Leaf, bool) {
+func (f *follower) decodeLeaf(item mirror.Item) (registry.Leaf, bool) {
 	leaf, err := f.decoder.Leaf(item)
 	if err != nil {
 		f.metrics.leavesRejected.Inc()
@@ -19,48 +19,48 @@
 
 // changeLeaf applies an announcement, or its removal. One that cannot be read names no
 // leaf any more.
-func (f *follower) changeLeaf(changed mirror.Event) {
+func (f *follower) applyLeafEvent(change mirror.Event) {
 	leaf, ok := registry.Leaf{}, false
-	if !changed.Removed {
-		leaf, ok = f.leaf(changed.Item)
+	if !change.Removed {
+		leaf, ok = f.decodeLeaf(change.Item)
 	}
 	if !ok {
-		f.removeLeaf(changed)
+		f.removeLeaf(change)
 		return
 	}
 	f.view.mutex.Lock()
-	taken := f.view.leaves.Set(f.clock.Now(), leaf)
+	accepted := f.view.leaves.Set(f.clock.Now(), leaf)
 	f.view.mutex.Unlock()
-	if !taken {
+	if !accepted {
 		f.metrics.leavesRejected.Inc()
-		event.Log(f.logger, event.LeafRejected{Key: changed.Key, Revision: changed.Revision, Error: registry.ErrFormerStart})
+		event.Log(f.logger, event.LeafRejected{Key: change.Key, Revision: change.Revision, Error: registry.ErrStaleIncarnation})
 		return
 	}
 	event.Log(f.logger, event.LeafChanged{
 		Leaf: leaf.Incarnation(), Service: leaf.Service, Address: leaf.Address,
-		Draining: leaf.Draining, Cold: leaf.Cold, Revision: changed.Revision,
+		Draining: leaf.Draining, Cold: leaf.Cold, Revision: change.Revision,
 	})
 }
 
 // removeLeaf removes the leaf that a key announced.
-func (f *follower) removeLeaf(changed mirror.Event) {
-	id, err := f.decoder.LeafID(changed.Key)
+func (f *follower) removeLeaf(change mirror.Event) {
+	id, err := f.decoder.LeafID(change.Key)
 	if err != nil {
 		return // it never announced one, which was logged when it was written
 	}
 	f.view.mutex.Lock()
 	f.view.leaves.Remove(f.clock.Now(), id)
 	f.view.mutex.Unlock()
-	event.Log(f.logger, event.LeafChanged{Leaf: id, Removed: true, Revision: changed.Revision})
+	event.Log(f.logger, event.LeafChanged{Leaf: id, Removed: true, Revision: change.Revision})
 }
 
 // changeCordon takes a zone out of service, or puts it back.
-func (f *follower) changeCordon(changed mirror.Event) {
-	zone := f.decoder.CordonedZone(changed.Key)
+func (f *follower) applyCordonEvent(change mirror.Event) {
+	zone := f.decoder.CordonedZone(change.Key)
 	f.view.mutex.Lock()
-	toggled := f.view.leaves.Cordon(f.clock.Now(), zone, !changed.Removed)
+	changed := f.view.leaves.SetCordon(f.clock.Now(), zone, !change.Removed)
 	f.view.mutex.Unlock()
-	if toggled {
-		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: !changed.Removed, Revision: changed.Revision})
+	if changed {
+		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: !change.Removed, Revision: change.Revision})
 	}
 }
--- a/internal/edge/node/follower_nodes.go
+++ b/internal/edge/node/follower_nodes.go
@@ -9,7 +9,7 @@
 // member decodes the announcement of a node. One that cannot be read still counts,
 // under its key, if it is under a lease, as those of nodes are: another version may
 // have written it. Without a lease another writer has.
-func (f *follower) member(item mirror.Item) (member roster.Member, counts bool) {
+func (f *follower) decodeMember(item mirror.Item) (member roster.Member, counts bool) {
 	member, err := roster.Decode(item.Value)
 	if err != nil || member.Name == "" {
 		event.Log(f.logger, event.NodeRejected{Key: item.Key, Revision: item.Revision, Error: err})
@@ -19,19 +19,19 @@
 }
 
 // changeNode applies the announcement of a node, or its removal.
-func (f *follower) changeNode(changed mirror.Event) {
+func (f *follower) applyNodeEvent(change mirror.Event) {
 	member, counts := roster.Member{}, false
-	if !changed.Removed {
-		member, counts = f.member(changed.Item)
+	if !change.Removed {
+		member, counts = f.decodeMember(change.Item)
 	}
 	f.view.mutex.Lock()
 	if counts {
-		f.view.nodes.Add(f.clock.Now(), changed.Key, member)
+		f.view.nodes.Add(f.clock.Now(), change.Key, member)
 	} else {
-		f.view.nodes.Remove(f.clock.Now(), changed.Key)
+		f.view.nodes.Remove(f.clock.Now(), change.Key)
 	}
 	f.view.mutex.Unlock()
 	event.Log(f.logger, event.NodeChanged{
-		Peer: f.decoder.Node(changed.Key), Removed: changed.Removed, Revision: changed.Revision,
+		Peer: f.decoder.Node(change.Key), Removed: change.Removed, Revision: change.Revision,
 	})
 }
--- a/internal/edge/node/follower_quarantine.go
+++ b/internal/edge/node/follower_quarantine.go
@@ -7,29 +7,29 @@
 )
 
 // quarantineRecord decodes the record of a request under which leaves ended.
-func (f *follower) quarantineRecord(item mirror.Item) (quarantine.Content, quarantine.Known, bool) {
+func (f *follower) decodeQuarantineRecord(item mirror.Item) (quarantine.Content, quarantine.Known, bool) {
 	content, err := f.decoder.Quarantined(item.Key)
-	var known quarantine.Known
+	var record quarantine.Known
 	if err == nil {
-		known, err = f.decoder.Quarantine(item)
+		record, err = f.decoder.Quarantine(item)
 	}
 	if err != nil {
 		event.Log(f.logger, event.QuarantineRejected{Key: item.Key, Revision: item.Revision, Error: err})
-		return content, known, false
+		return content, record, false
 	}
-	return content, known, true
+	return content, record, true
 }
 
 // changeQuarantine applies a record of a request under which leaves ended, or its
 // removal.
-func (f *follower) changeQuarantine(changed mirror.Event) {
-	if !changed.Removed {
-		if content, known, ok := f.quarantineRecord(changed.Item); ok {
-			f.quarantine.set(content, known)
+func (f *follower) applyQuarantineEvent(change mirror.Event) {
+	if !change.Removed {
+		if content, record, ok := f.decodeQuarantineRecord(change.Item); ok {
+			f.quarantine.set(content, record)
 		}
 		return
 	}
-	if content, err := f.decoder.Quarantined(changed.Key); err == nil { // else it was never applied
-		f.quarantine.remove(content, changed.Revision)
+	if content, err := f.decoder.Quarantined(change.Key); err == nil { // else it was never applied
+		f.quarantine.remove(content, change.Revision)
 	}
 }
--- a/internal/edge/node/follower_test.go
+++ b/internal/edge/node/follower_test.go
@@ -50,13 +50,13 @@
 }
 
 func (keyDecoder) Config(item mirror.Item) (*route.Config, error) {
-	served := string(item.Value)
+	service := string(item.Value)
 	return &route.Config{
 		Version:  item.Revision,
-		Services: []route.Service{{Name: served}},
+		Services: []route.Service{{Name: service}},
 		Routes: []route.Route{{
 			Name: "all", Host: "host", Prefix: "/", Repeatable: true, Timeout: time.Second, MaxAttempts: 1,
-			Targets: []route.Target{{Service: served, Weight: 1}},
+			Targets: []route.Target{{Service: service, Weight: 1}},
 		}},
 	}, nil
 }
@@ -80,25 +80,25 @@
 }
 
 // onLine calls a function at each log line.
-type onLine struct{ call func() }
+type logHook struct{ handle func() }
 
-func (onLine) Enabled(context.Context, slog.Level) bool    { return true }
-func (h onLine) Handle(context.Context, slog.Record) error { h.call(); return nil }
-func (h onLine) WithAttrs([]slog.Attr) slog.Handler        { return h }
-func (h onLine) WithGroup(string) slog.Handler             { return h }
+func (logHook) Enabled(context.Context, slog.Level) bool    { return true }
+func (h logHook) Handle(context.Context, slog.Record) error { h.handle(); return nil }
+func (h logHook) WithAttrs([]slog.Attr) slog.Handler        { return h }
+func (h logHook) WithGroup(string) slog.Handler             { return h }
 
 // TestNodeIsReadyOnlyWithLeaves sends a request at each moment of the reading of a
 // store at which a line is logged: a node that says it is ready knows the leaves
 // of the configuration in force, and refuses nothing for want of them.
-func TestNodeIsReadyOnlyWithLeaves(t *testing.T) {
+func TestReadyNodeHasLeavesOfConfiguration(t *testing.T) {
 	var n *Node
-	asking, served, published := false, 0, 0
-	logger := slog.New(onLine{call: func() {
-		if asking || !n.ready() {
+	executing, served, publications := false, 0, 0
+	logger := slog.New(logHook{handle: func() {
+		if executing || !n.ready() {
 			return
 		}
-		asking = true
-		defer func() { asking = false }()
+		executing = true
+		defer func() { executing = false }()
 		answer := n.Execute(t.Context(), &forward.Request{ID: "r", Host: "host", Path: "/"})
 		if answer.Fate != forward.FateAnswered {
 			t.Errorf("a node that is ready refuses: %+v", answer)
@@ -109,15 +109,15 @@
 	n = New(settings.Defaults(), Ports{
 		Decoder:  keyDecoder{},
 		Leaves:   servingLeaves{},
-		OnLeaves: func([]LeafShare) { published++ },
+		OnLeaves: func([]LeafShare) { publications++ },
 	}, telemetry.NewRegistry("test"), logger)
 	sink := n.follower
 	sink.Replace([]mirror.Item{
 		{Key: "config", Value: []byte("desk"), Revision: 2},
 		{Key: "leaf/desk", Revision: 1},
 	}, mirror.Reading{})
-	if served == 0 || published != 1 {
-		t.Errorf("after the first reading %d served, %d topologies", served, published)
+	if served == 0 || publications != 1 {
+		t.Errorf("after the first reading %d served, %d topologies", served, publications)
 	}
 	served = 0
 	sink.Replace([]mirror.Item{
@@ -131,7 +131,7 @@
 }
 
 // TestStoreIsUpFromTheFirstReading, and not from a stale copy of another node.
-func TestStoreIsUpFromTheFirstReading(t *testing.T) {
+func TestStoreUpMetricAfterFirstRead(t *testing.T) {
 	for _, test := range []struct {
 		read mirror.Reading
 		want float64
--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -12,79 +12,79 @@
 
 // metrics are those of a Node.
 type metrics struct {
-	outcomes        *prometheus.CounterVec
-	requests        *prometheus.HistogramVec
-	configVersion   prometheus.Gauge
-	leaves          prometheus.Gauge
-	cordoned        prometheus.Gauge
-	configsRejected prometheus.Counter
-	leavesRejected  prometheus.Counter
-	nodes           prometheus.Gauge
-	storeUp         prometheus.Gauge
-	suspended       prometheus.Counter
+	requestsTotal    *prometheus.CounterVec
+	requestSeconds   *prometheus.HistogramVec
+	configVersion    prometheus.Gauge
+	leaves           prometheus.Gauge
+	zonesCordoned    prometheus.Gauge
+	configsRejected  prometheus.Counter
+	leavesRejected   prometheus.Counter
+	nodes            prometheus.Gauge
+	storeUp          prometheus.Gauge
+	suspendedSeconds prometheus.Counter
 
-	mutex  sync.Mutex
-	labels routeLabels
+	mutex       sync.Mutex
+	routeLabels labelSet
 }
 
 // latencyBuckets are the bounds in seconds.
 var latencyBuckets = []float64{.005, .01, .02, .04, .08, .15, .3, .6, 1, 2, 4, 8}
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	create := telemetry.NewFactory(registerer)
+	factory := telemetry.NewFactory(registerer)
 	return &metrics{
-		outcomes: create.Counters("micaplank_frontend_requests_total",
+		requestsTotal: factory.Counters("micaplank_frontend_requests_total",
 			"Requests of callers, by route (64 at most, then other), fate and reason.",
 			"route", "fate", "reason"),
-		labels: make(routeLabels),
-		requests: create.Histograms("micaplank_frontend_request_seconds",
+		routeLabels: make(labelSet),
+		requestSeconds: factory.Histograms("micaplank_frontend_request_seconds",
 			"Time from reading a request until its final answer, by fate.",
 			latencyBuckets, "fate"),
-		configVersion: create.Gauge("micaplank_frontend_config_version",
+		configVersion: factory.Gauge("micaplank_frontend_config_version",
 			"Version of the declared configuration in force."),
-		leaves: create.Gauge("micaplank_frontend_leaves",
+		leaves: factory.Gauge("micaplank_frontend_leaves",
 			"Leaves that are known."),
-		cordoned: create.Gauge("micaplank_frontend_zones_cordoned",
+		zonesCordoned: factory.Gauge("micaplank_frontend_zones_cordoned",
 			"Zones that operators took out of service: their leaves get no new attempts."),
-		configsRejected: create.Counter("micaplank_frontend_configs_rejected_total",
+		configsRejected: factory.Counter("micaplank_frontend_configs_rejected_total",
 			"Configurations that could not be used; the last good one stayed in force."),
-		leavesRejected: create.Counter("micaplank_frontend_leaves_rejected_total",
+		leavesRejected: factory.Counter("micaplank_frontend_leaves_rejected_total",
 			"Announcements of leaves that could not be read."),
-		nodes: create.Gauge("micaplank_frontend_nodes",
+		nodes: factory.Gauge("micaplank_frontend_nodes",
 			"Nodes that share the extra load."),
-		storeUp: create.Gauge("micaplank_frontend_store_up",
+		storeUp: factory.Gauge("micaplank_frontend_store_up",
 			"Whether the store answers: 1 or 0."),
-		suspended: create.Counter("micaplank_frontend_suspended_seconds_total",
+		suspendedSeconds: factory.Counter("micaplank_frontend_suspended_seconds_total",
 			"Time for which the machine was suspended while this process ran."),
 	}
 }
 
-func (m *metrics) observe(answer forward.Answer, took time.Duration) {
-	m.requests.WithLabelValues(string(answer.Fate)).Observe(took.Seconds())
+func (m *metrics) observe(answer forward.Answer, duration time.Duration) {
+	m.requestSeconds.WithLabelValues(string(answer.Fate)).Observe(duration.Seconds())
 	m.mutex.Lock()
-	route := m.labels.of(answer.Route)
+	route := m.routeLabels.bound(answer.Route)
 	m.mutex.Unlock()
-	m.outcomes.WithLabelValues(route, string(answer.Fate), string(answer.Reason)).Inc()
+	m.requestsTotal.WithLabelValues(route, string(answer.Fate), string(answer.Reason)).Inc()
 }
 
 // maxRouteLabels bounds the routes that have a label of their own.
-const maxRouteLabels = 64
+const maxLabelValues = 64
 
 // otherRoutes is the label of the routes beyond them.
-const otherRoutes = "other"
+const otherLabel = "other"
 
 // routeLabels bounds the values of a label. It is not safe for concurrent use.
-type routeLabels map[string]bool
+type labelSet map[string]bool
 
-func (r routeLabels) of(route string) string {
-	if r[route] {
-		return route
+func (r labelSet) bound(value string) string {
+	if r[value] {
+		return value
 	}
-	if len(r) >= maxRouteLabels {
-		return otherRoutes
+	if len(r) >= maxLabelValues {
+		return otherLabel
 	}
-	r[route] = true
-	return route
+	r[value] = true
+	return value
 }
 
 // The values of the label result.
--- a/internal/edge/node/metrics_test.go
+++ b/internal/edge/node/metrics_test.go
@@ -6,18 +6,18 @@
 )
 
 func TestRouteLabelsAreBounded(t *testing.T) {
-	labels := make(routeLabels)
-	for number := range 2 * maxRouteLabels {
+	values := make(labelSet)
+	for number := range 2 * maxLabelValues {
 		name := fmt.Sprint("route-", number)
 		want := name
-		if number >= maxRouteLabels {
-			want = otherRoutes
+		if number >= maxLabelValues {
+			want = otherLabel
 		}
-		if got := labels.of(name); got != want {
+		if got := values.bound(name); got != want {
 			t.Errorf("%s: %s", name, got)
 		}
 	}
-	if labels.of("route-0") != "route-0" {
+	if values.bound("route-0") != "route-0" {
 		t.Error("a label is not kept")
 	}
 }
--- a/internal/edge/node/mirror_calls.go
+++ b/internal/edge/node/mirror_calls.go
@@ -64,17 +64,17 @@
 }
 
 // serveMirror answers the calls of other nodes from a copy of the store.
-func serveMirror(server *peer.Server, from mirrorServer) {
+func serveMirror(server *peer.Server, shared mirrorServer) {
 	peer.Register(server, methodWatch, func(ctx context.Context, _ netip.AddrPort, request *watchRequest) (*mirror.Watched, error) {
-		answer, err := from.Serve(ctx, request.After, request.Wait)
+		answer, err := shared.Serve(ctx, request.After, request.Wait)
 		return &answer, err
 	})
 	peer.Register(server, methodOffer, func(ctx context.Context, _ netip.AddrPort, request *offerRequest) (*mirror.Offer, error) {
-		answer := from.Offer(ctx, request.Wait)
+		answer := shared.Offer(ctx, request.Wait)
 		return &answer, nil
 	})
 	peer.Register(server, methodSnapshot, func(context.Context, netip.AddrPort, *snapshotRequest) (*mirror.Snapshot, error) {
-		answer, err := from.Snapshot()
+		answer, err := shared.Snapshot()
 		return &answer, err
 	})
 }
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -74,19 +74,19 @@
 		clock:           clock.NewMonotonic(),
 		metrics:         newMetrics(metricsRegistry),
 		metricsRegistry: metricsRegistry,
-		self:            memberOf(configured),
+		self:            newSelfMember(configured),
 	}
 	view := newView(configured.Forward, n.clock)
 	n.connectPeers(metricsRegistry)
-	n.buildRequests(view, metricsRegistry)
-	n.buildFollowing(view, metricsRegistry)
+	n.buildRequestPath(view, metricsRegistry)
+	n.buildStoreFollower(view, metricsRegistry)
 	n.runner = n.newRunner()
 	metricsRegistry.MustRegister(newCollector(n.conn, n.mirror))
 	return n
 }
 
 // memberOf returns what a node announces of itself.
-func memberOf(configured settings.Settings) roster.Member {
+func newSelfMember(configured settings.Settings) roster.Member {
 	return roster.Member{
 		Name: configured.Name, Zone: configured.Zone, Peer: configured.Listen.Peer,
 		Cores: configured.Process.Cores * configured.Process.CoreShare,
@@ -102,7 +102,7 @@
 }
 
 // buildRequests makes what runs requests.
-func (n *Node) buildRequests(view *view, registerer prometheus.Registerer) {
+func (n *Node) buildRequestPath(view *view, registerer prometheus.Registerer) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	n.conn = scatter.NewConn(scatter.Config[*forward.Request, forward.Part]{
 		AttemptPrefix: n.settings.Name,
@@ -112,14 +112,14 @@
 		Metrics:       scatter.NewMetrics(registerer),
 		Linger:        n.settings.Forward.Linger.Duration(),
 		Trace:         true,
-		OnClosed:      func(ended scatter.Unfinished[*forward.Request]) { n.quarantine.Losing(ended) },
+		OnClosed:      func(running scatter.Unfinished[*forward.Request]) { n.quarantine.LeafLost(running) },
 	}, dispatch.New(dispatchConfig(n.settings), random))
 	n.quarantine = newQuarantineDriver(n.self.Name, n.settings.Forward, n.ports.Quarantine, view, n.clock, n.logger, registerer)
 	n.forwarder = forward.New(forwardConfig(n.settings.Forward, n.clock), n.conn, n.quarantine, view.index)
 }
 
 // buildFollowing makes what follows the store.
-func (n *Node) buildFollowing(view *view, registerer prometheus.Registerer) {
+func (n *Node) buildStoreFollower(view *view, registerer prometheus.Registerer) {
 	terms := &terms{config: n.forwarder}
 	n.rollouts = newRolloutDriver(rolloutPorts{
 		self: n.self, clock: n.clock, logger: n.logger,
@@ -140,7 +140,7 @@
 		clock: n.clock, logger: n.logger, metrics: n.metrics, view: view,
 		announcer: &announcer{
 			self: n.self, decoder: n.ports.Decoder, leases: n.ports.Leases, logger: n.logger,
-			firstRead: make(chan struct{}),
+			storeRead: make(chan struct{}),
 		},
 		config: n.forwarder, rollouts: n.rollouts, quarantine: n.quarantine,
 		publisher: n.publisher, terms: terms, delegate: n.delegate,
@@ -160,16 +160,16 @@
 func (n *Node) Execute(ctx context.Context, request *forward.Request) forward.Answer {
 	started := n.clock.Now()
 	answer := n.execute(ctx, request)
-	took := n.clock.Now() - started
-	n.metrics.observe(answer, took)
-	logRequest(n.logger, request, answer, took, n.settings.Name)
+	duration := n.clock.Now() - started
+	n.metrics.observe(answer, duration)
+	logRequest(n.logger, request, answer, duration, n.settings.Name)
 	return answer
 }
 
 // execute delegates a request of many shards to an executor, or runs it here.
 func (n *Node) execute(ctx context.Context, request *forward.Request) forward.Answer {
-	if timeout, spread := n.forwarder.Spread(request); spread && n.delegate.InUse() {
-		if answer, done := n.delegated(ctx, timeout, request); done {
+	if timeout, scattered := n.forwarder.Spread(request); scattered && n.delegate.InUse() {
+		if answer, done := n.delegateRequest(ctx, timeout, request); done {
 			return answer
 		}
 	}
@@ -177,10 +177,10 @@
 }
 
 // delegated hands a request to an executor. It returns false if none takes it.
-func (n *Node) delegated(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
-	delegating, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
+func (n *Node) delegateRequest(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
+	delegateCtx, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
 	defer cancel()
-	return n.delegate.Execute(delegating, n.follower.terms.now(), request)
+	return n.delegate.Execute(delegateCtx, n.follower.terms.current(), request)
 }
 
 // Now implements Service.
@@ -202,7 +202,7 @@
 func (n *Node) ready() bool {
 	return startup.State{
 		Configured:  n.forwarder.Table() != nil,
-		LeavesKnown: n.follower.view.hasLeaves(),
+		LeavesKnown: n.follower.view.areLeavesLoaded(),
 		Draining:    n.draining.Load(),
 	}.Ready()
 }
--- a/internal/edge/node/policy.go
+++ b/internal/edge/node/policy.go
@@ -13,7 +13,7 @@
 // nodesMemory is how long a node that is no longer announced still counts: two windows
 // of the budget, so that leases that lapse in an outage free nothing at once. Not
 // measured: chosen because a node that is gone may have spent its part in the window.
-const nodesMemory = 20 * time.Second
+const nodeRetention = 20 * time.Second
 
 // peerDialTimeout bounds the time to open a connection to another node. It is
 // shorter than the second after which an opening packet that was lost is sent again: a
@@ -21,24 +21,24 @@
 const peerDialTimeout = 500 * time.Millisecond
 
 // forwardConfig returns the policy of a node's Forwarder, all of it from the settings.
-func forwardConfig(from settings.Forward, clock clock.Clock) forward.Config {
+func forwardConfig(configured settings.Forward, clock clock.Clock) forward.Config {
 	return forward.Config{
 		Clock:           clock,
-		HedgeShare:      from.HedgeShare,
-		HedgePercentile: from.HedgePercentile,
-		ExtraLoad:       from.ExtraRatio,
-		ClientAllowance: from.ClientAllowance.Duration(),
+		HedgeShare:      configured.HedgeShare,
+		HedgePercentile: configured.HedgePercentile,
+		ExtraLoad:       configured.ExtraRatio,
+		ClientAllowance: configured.ClientAllowance.Duration(),
 	}
 }
 
 // dispatchConfig returns the policy of a node's Dispatcher: dispatch.DefaultConfig, and
 // here what differs from it. Worth is that of docs/ROUNDS.md, from 0 to 1; two pairs of
 // figures are those of two fleets, or of two seeds where that is said.
-func dispatchConfig(from settings.Settings) dispatch.Config {
+func dispatchConfig(configured settings.Settings) dispatch.Config {
 	config := dispatch.DefaultConfig()
-	config.Zone = from.Zone
-	scoreReplicas(&config)
-	spendExtraLoad(&config, from.Forward)
+	config.Zone = configured.Zone
+	configureReplicaScore(&config)
+	configureExtraLoad(&config, configured.Forward)
 
 	// Guards requests of all priorities against waiting in the node while leaves have
 	// free slots: worth 0.670 to 0.701 and 0.811 to 0.815.
@@ -64,7 +64,7 @@
 	// An answer with enough coverage is given at this share of the objective that is
 	// left (0.9 by default): with 0.95 worth 0.7566 over 0.7585; 0.8 and 1.0 were tried
 	// and left, too.
-	config.Settle.ObjectiveShare = from.Forward.SettleShare
+	config.Settle.ObjectiveShare = configured.Forward.SettleShare
 	return config
 }
 
@@ -72,39 +72,39 @@
 	// crowdingPrice, in mean attempts, is the price of a leaf whose slots are all in
 	// use: it spreads work over two replicas of few slots before queues form. Measured
 	// only together with hedge_share and Hedge.Queue.
-	crowdingPrice = 0.6
+	crowdingPenalty = 0.6
 	// lossPrice is the price of a lost attempt, over the time of one that is answered: a
 	// leaf that loses a third of its attempts counts like one that takes almost three
 	// times as long. Where half of the leaves lose 0.4 of their answers, worth 0.567 and
 	// 0.574 to 0.582 and 0.585 (two seeds); with a price of 12 0.573 and 0.560.
-	lossPrice = 5
+	lossPenalty = 5
 	// zoneTie is the relative difference of two scores up to which the zone decides: it
 	// keeps bytes within a zone where that costs little time. With 0.05 and 0.4 worth
 	// 0.7497 and 0.7638 over 0.7585, before parts were thinned out on their way between
 	// zones, and 0.7796 and 0.7811 over 0.7833 since.
-	zoneTie = 0.2
+	zoneTieTolerance = 0.2
 )
 
 // scoreReplicas sets how a leaf is chosen among the replicas of a shard.
-func scoreReplicas(config *dispatch.Config) {
-	config.Score.Crowding = crowdingPrice
-	config.Score.LossPrice = lossPrice
-	config.Score.Tie = zoneTie
+func configureReplicaScore(config *dispatch.Config) {
+	config.Score.Crowding = crowdingPenalty
+	config.Score.LossPrice = lossPenalty
+	config.Score.Tie = zoneTieTolerance
 }
 
 // earnedShare is the part of the allowed extra load that is spent, so that attempts
 // which are counted differently by the back ends stay within it. Not measured: chosen
 // because the bound must hold for each service in any window.
-const earnedShare = 0.9
+const spendableShare = 0.9
 
 // spendExtraLoad sets what pays for hedges, probes and retries, until the nodes that
 // share it are counted.
-func spendExtraLoad(config *dispatch.Config, from settings.Forward) {
+func configureExtraLoad(config *dispatch.Config, configured settings.Forward) {
 	// Each service is bounded by itself, and counts what it refuses as load.
 	config.BudgetByShard = true
 	config.ChargeRefusals = true
-	config.Budget.Earned = earnedShare
-	config.Budget.Resize(share.Alone(from.ExtraNodes).Budget(extraLoad(from)))
+	config.Budget.Earned = spendableShare
+	config.Budget.Resize(share.Alone(configured.ExtraNodes).Budget(extraLoadSettings(configured)))
 	// Retries may overdraw nothing: the bound holds whatever is lost.
 	config.Budget.Debt = 0
 }
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -83,7 +83,7 @@
 	// record as it is then. With ErrOvertaken that is what is there instead; a revision
 	// of zero means nothing. With lease.ErrLapsed nothing was done. Any other call that
 	// failed may have been done, or may be done later.
-	WriteQuarantine(ctx context.Context, change quarantine.Change, under uint64) (quarantine.Known, error)
+	WriteQuarantine(ctx context.Context, change quarantine.Change, leaseID uint64) (quarantine.Known, error)
 }
 
 // Ports are the ways to the outside that a Node uses.
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -56,19 +56,19 @@
 	metrics  *metrics
 	roles    executors.Assigner
 	// expiry publishes again when the next leaf is not doubted any more.
-	expiry *time.Timer
+	expiryTimer *time.Timer
 }
 
 // start returns p with what it needs to publish by itself.
 func (p *publisher) start() *publisher {
 	p.roles = executors.Assigner{EqualNodes: p.settings.Forward.EqualNodes}
-	p.expiry = time.AfterFunc(time.Hour, p.publish) // any time: it runs once it is reset
-	p.expiry.Stop()
+	p.expiryTimer = time.AfterFunc(time.Hour, p.publish) // any time: it runs once it is reset
+	p.expiryTimer.Stop()
 	return p
 }
 
 // stop ends the publication by time.
-func (p *publisher) stop() { p.expiry.Stop() }
+func (p *publisher) stop() { p.expiryTimer.Stop() }
 
 // publish publishes what the view holds now.
 func (p *publisher) publish() {
@@ -81,9 +81,9 @@
 // caller holds the mutex of the view.
 func (p *publisher) publishLocked() {
 	now := p.view.clock.Now()
-	_, next := p.view.leaves.Expire(now)
-	if next > 0 {
-		p.expiry.Reset(max(next-p.view.clock.Now(), 0))
+	_, nextExpiry := p.view.leaves.Expire(now)
+	if nextExpiry > 0 {
+		p.expiryTimer.Reset(max(nextExpiry-p.view.clock.Now(), 0))
 	}
 	nodes := p.view.nodes.Count(now)
 	p.metrics.nodes.Set(float64(nodes))
@@ -92,14 +92,14 @@
 	members := p.view.nodes.Members(p.view.clock.Now())
 	p.rollouts.setAllowances(members)
 	roles := p.roles.Assign(p.self, members)
-	p.delegate.SetRoles(roles, p.terms.now())
+	p.delegate.SetRoles(roles, p.terms.current())
 	p.combine.SetMembers(roles.Combiners(members))
 	p.setWatchers(members)
-	divided := share.Of(roles, members, nodes)
+	nodeShare := share.Of(roles, members, nodes)
 	p.dispatcher.ResizeBudgets(p.budgets(roles, members, nodes))
-	p.dispatcher.SetProbeInterval(divided.ProbeInterval())
+	p.dispatcher.SetProbeInterval(nodeShare.ProbeInterval())
 	p.boundColdLeaves(&topology, roles, members)
-	p.onLeaves(p.shareLeaves(&topology, divided))
+	p.onLeaves(p.shareLeaves(&topology, nodeShare))
 	p.dispatcher.SetTopology(topology)
 }
 
@@ -110,7 +110,7 @@
 	p.metrics.leaves.Set(float64(len(topology.Leaves)))
 	cordoned := p.view.leaves.Cordoned()
 	p.terms.setCordoned(cordoned)
-	p.metrics.cordoned.Set(float64(len(cordoned)))
+	p.metrics.zonesCordoned.Set(float64(len(cordoned)))
 	return topology
 }
 
--- a/internal/edge/node/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -20,8 +20,8 @@
 )
 
 // announcedLeaves says which of some starts of leaves are announced now. It is a view.
-type announcedLeaves interface {
-	announced(starts []string) map[string]bool
+type announcementView interface {
+	announced(incarnations []string) map[string]bool
 }
 
 // quarantineDriver keeps requests under which leaves crash from the leaves, by what all
@@ -29,7 +29,7 @@
 // forward.Quarantine and is safe for concurrent use.
 type quarantineDriver struct {
 	store     Quarantine
-	announced announcedLeaves
+	announced announcementView
 	clock     clock.Clock
 	logger    *slog.Logger
 	enabled   bool
@@ -40,7 +40,7 @@
 	// wake wakes the writer when there is something to write.
 	wake chan struct{}
 	// storeAway is set while the store does not answer.
-	storeAway atomic.Bool
+	storeUnavailable atomic.Bool
 
 	mutex sync.Mutex
 	table *quarantine.Table
@@ -54,10 +54,10 @@
 
 // newQuarantineDriver returns the driver of a node by name. It admits everything if it has
 // no store, or if the settings name no number of leaves.
-func newQuarantineDriver(name string, from settings.Forward, store Quarantine, announced announcedLeaves, clock clock.Clock, logger *slog.Logger, registerer prometheus.Registerer) *quarantineDriver {
+func newQuarantineDriver(name string, configured settings.Forward, store Quarantine, announced announcementView, clock clock.Clock, logger *slog.Logger, registerer prometheus.Registerer) *quarantineDriver {
 	config := quarantine.DefaultConfig(name + "/" + ulid.Make().String())
-	config.MinCrashes = from.QuarantineAfter
-	config.Heartbeat = from.LeafHeartbeat.Duration()
+	config.MinCrashes = configured.QuarantineAfter
+	config.Heartbeat = configured.LeafHeartbeat.Duration()
 	return &quarantineDriver{
 		store:      store,
 		announced:  announced,
@@ -80,7 +80,7 @@
 		return forward.Admission{}
 	}
 	for range quarantine.MaxTrialWrites {
-		decision := q.await(ctx, content)
+		decision := q.awaitDecision(ctx, content)
 		switch decision.Verdict {
 		case quarantine.Run:
 			return forward.Admission{}
@@ -100,7 +100,7 @@
 
 // await decides on a request once no trial of it is running, or after a while. Otherwise
 // its client would spend a retry on what is known in a moment.
-func (q *quarantineDriver) await(ctx context.Context, content quarantine.Content) quarantine.Decision {
+func (q *quarantineDriver) awaitDecision(ctx context.Context, content quarantine.Content) quarantine.Decision {
 	decision, changed := q.admit(content)
 	if !decision.TrialRunning {
 		return decision
@@ -139,7 +139,7 @@
 
 // beginTrial writes that a trial begins, if that is to be written.
 func (q *quarantineDriver) beginTrial(ctx context.Context, change quarantine.Change) error {
-	if !quarantine.WritesTrial(q.storeAway.Load()) {
+	if !quarantine.WritesTrial(q.storeUnavailable.Load()) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantine.TrialWriteTimeout)
@@ -149,7 +149,7 @@
 
 // tableChanged wakes those that wait for a change of the table, and counts what is in it. The
 // caller holds the mutex.
-func (q *quarantineDriver) tableChanged() {
+func (q *quarantineDriver) notifyTableChange() {
 	close(q.changed)
 	q.changed = make(chan struct{})
 	known, held := q.table.Len()
--- a/internal/edge/node/quarantine_finished.go
+++ b/internal/edge/node/quarantine_finished.go
@@ -11,31 +11,31 @@
 )
 
 // Finished implements forward.Quarantine.
-func (q *quarantineDriver) Finished(content quarantine.Content, ended forward.Execution) {
+func (q *quarantineDriver) Finished(content quarantine.Content, execution forward.Execution) {
 	if !q.enabled {
 		return
 	}
-	attempts, trial := ended.Attempts, ended.Trial
+	attempts, trial := execution.Attempts, execution.Trial
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.clock.Now()
-	crashes, answered := q.learn(now, content, ended)
-	write := false
+	crashes, answered := q.recordAttempts(now, content, execution)
+	changed := false
 	switch {
 	case answered:
 		q.recent.Add(now, content)
-		write = q.table.Answered(content)
+		changed = q.table.Answered(content)
 	case trial:
-		q.trialUnanswered(now, content, crashes, attempts)
-		write = true
+		q.recordFailedTrial(now, content, crashes, attempts)
+		changed = true
 	case len(crashes) > 0 && !q.recent.Has(now, content):
-		write = q.suspect(now, content, ended.Route, crashes)
+		changed = q.suspect(now, content, execution.Route, crashes)
 	}
 	if trial {
 		q.metrics.trials.WithLabelValues(trialResult(crashes, answered)).Inc()
 	}
-	if write {
-		q.tableChanged()
+	if changed {
+		q.notifyTableChange()
 		q.wakeWriter()
 	}
 }
@@ -44,11 +44,11 @@
 // crashed under it, and none has answered, it is suspected at once: a node that waited for
 // the end of the run, which is that of its slowest shard, ran it as a whole for the next
 // callers meanwhile. The rest of the leaves comes with Finished.
-func (q *quarantineDriver) Losing(ended scatter.Unfinished[*forward.Request]) {
-	if !q.enabled || !q.enough(ended.Attempts) {
+func (q *quarantineDriver) LeafLost(running scatter.Unfinished[*forward.Request]) {
+	if !q.enabled || !q.reachedMinCrashes(running.Attempts) {
 		return
 	}
-	content := ended.Payload.Content()
+	content := running.Payload.Content()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.clock.Now()
@@ -56,29 +56,29 @@
 		return
 	}
 	var crashes []quarantine.Crash
-	for index := range ended.Attempts {
-		if one := &ended.Attempts[index]; one.Closed {
-			sent := ended.Began + one.At
-			if crash, crashed := q.table.Lost(one.BootID, sent, sent+one.Took); crashed {
-				crashes = append(crashes, quarantine.NewCrash(crash, ended.RequestID))
+	for index := range running.Attempts {
+		if attempt := &running.Attempts[index]; attempt.Closed {
+			sent := running.Began + attempt.At
+			if crash, crashed := q.table.Lost(attempt.BootID, sent, sent+attempt.Took); crashed {
+				crashes = append(crashes, quarantine.NewCrash(crash, running.RequestID))
 			}
 		}
 	}
-	if len(crashes) > 0 && q.suspect(now, content, ended.Payload.Route, crashes) {
-		q.tableChanged()
+	if len(crashes) > 0 && q.suspect(now, content, running.Payload.Route, crashes) {
+		q.notifyTableChange()
 		q.wakeWriter()
 	}
 }
 
 // enough reports whether just as many attempts were lost as have a request suspected, and
 // none was answered.
-func (q *quarantineDriver) enough(attempts []scatter.AttemptTrace) bool {
+func (q *quarantineDriver) reachedMinCrashes(attempts []scatter.AttemptTrace) bool {
 	lost := 0
 	for index := range attempts {
-		switch one := &attempts[index]; {
-		case one.End == scatter.EndAnswered, one.End == scatter.EndFailed:
+		switch attempt := &attempts[index]; {
+		case attempt.End == scatter.EndAnswered, attempt.End == scatter.EndFailed:
 			return false
-		case one.Closed:
+		case attempt.Closed:
 			lost++
 		}
 	}
@@ -88,40 +88,40 @@
 // learn takes in the attempts of a request, for the leaves and for the background. It
 // returns the leaves that crashed under it, and whether a leaf answered it, if only with a
 // failure of its own. The caller holds the mutex.
-func (q *quarantineDriver) learn(now time.Duration, content quarantine.Content, ended forward.Execution) (crashes []quarantine.Crash, answered bool) {
+func (q *quarantineDriver) recordAttempts(now time.Duration, content quarantine.Content, execution forward.Execution) (crashes []quarantine.Crash, answered bool) {
 	_, suspected := q.table.Of(content)
-	for index := range ended.Attempts {
-		one := &ended.Attempts[index]
-		sent := ended.Began + one.At
+	for index := range execution.Attempts {
+		attempt := &execution.Attempts[index]
+		sent := execution.Began + attempt.At
 		switch {
-		case one.End == scatter.EndAnswered, one.End == scatter.EndFailed:
+		case attempt.End == scatter.EndAnswered, attempt.End == scatter.EndFailed:
 			answered = true
-			q.table.LeafAnswered(one.BootID, sent)
-			q.background.Add(now, content, suspected, one.Shard, false)
-		case one.Closed:
-			crash, crashed := q.table.Lost(one.BootID, sent, sent+one.Took)
+			q.table.LeafAnswered(attempt.BootID, sent)
+			q.background.Add(now, content, suspected, attempt.Shard, false)
+		case attempt.Closed:
+			crash, crashed := q.table.Lost(attempt.BootID, sent, sent+attempt.Took)
 			if !crashed {
-				q.metrics.void.Inc()
+				q.metrics.voidLosses.Inc()
 				continue
 			}
-			crashes = append(crashes, quarantine.NewCrash(crash, ended.RequestID))
-			q.background.Add(now, content, suspected, one.Shard, true)
+			crashes = append(crashes, quarantine.NewCrash(crash, execution.RequestID))
+			q.background.Add(now, content, suspected, attempt.Shard, true)
 		}
 	}
 	return crashes, answered
 }
 
 // reached reports whether a leaf may have begun to run one of some attempts.
-func reached(attempts []scatter.AttemptTrace) bool {
-	return slices.ContainsFunc(attempts, func(one scatter.AttemptTrace) bool {
-		return one.End != scatter.EndUnsent && one.End != scatter.EndRefused
+func anyMayHaveRun(attempts []scatter.AttemptTrace) bool {
+	return slices.ContainsFunc(attempts, func(attempt scatter.AttemptTrace) bool {
+		return attempt.End != scatter.EndUnsent && attempt.End != scatter.EndRefused
 	})
 }
 
 // trialUnanswered records a trial that brought no answer. The caller holds the mutex.
-func (q *quarantineDriver) trialUnanswered(now time.Duration, content quarantine.Content, crashes []quarantine.Crash, attempts []scatter.AttemptTrace) {
+func (q *quarantineDriver) recordFailedTrial(now time.Duration, content quarantine.Content, crashes []quarantine.Crash, attempts []scatter.AttemptTrace) {
 	switch {
-	case !reached(attempts):
+	case !anyMayHaveRun(attempts):
 		q.table.Withdraw(content)
 		return
 	case len(crashes) == 0:
@@ -132,7 +132,7 @@
 	held := q.table.TrialCrashed(now, content, crashes, chance)
 	known, _ := q.table.Of(content)
 	event.Log(q.logger, event.RequestTried{
-		Content: content, Route: known.Route, Leaf: crashes[0].Leaf, Trials: known.Trials, Chance: rounded(chance), Odds: rounded(known.Odds),
+		Content: content, Route: known.Route, Leaf: crashes[0].Leaf, Trials: known.Trials, Chance: roundToHundredths(chance), Odds: roundToHundredths(known.Odds),
 	})
 	if held {
 		q.logHeld(content, known)
@@ -142,24 +142,24 @@
 // suspect records that leaves crashed under a request that has no answer. The caller
 // holds the mutex.
 func (q *quarantineDriver) suspect(now time.Duration, content quarantine.Content, route string, crashes []quarantine.Crash) bool {
-	news := q.table.Suspect(now, content, route, crashes)
-	if news {
-		event.Log(q.logger, event.RequestSuspected{Content: content, Route: route, Leaves: leavesOf(crashes)})
+	added := q.table.Suspect(now, content, route, crashes)
+	if added {
+		event.Log(q.logger, event.RequestSuspected{Content: content, Route: route, Leaves: crashedLeaves(crashes)})
 	}
-	q.metrics.reported(news)
-	return news
+	q.metrics.countReport(added)
+	return added
 }
 
-func leavesOf(crashes []quarantine.Crash) []string {
+func crashedLeaves(crashes []quarantine.Crash) []string {
 	leaves := make([]string, 0, len(crashes))
-	for _, one := range crashes {
-		leaves = append(leaves, one.Leaf)
+	for _, crash := range crashes {
+		leaves = append(leaves, crash.Leaf)
 	}
 	return leaves
 }
 
 func (q *quarantineDriver) logHeld(content quarantine.Content, known quarantine.Known) {
 	event.Log(q.logger, event.RequestHeld{
-		Content: content, Route: known.Route, Leaves: leavesOf(known.Crashes), Trials: known.Trials, Odds: rounded(known.Odds), Revision: known.Revision,
+		Content: content, Route: known.Route, Leaves: crashedLeaves(known.Crashes), Trials: known.Trials, Odds: roundToHundredths(known.Odds), Revision: known.Revision,
 	})
 }
--- a/internal/edge/node/quarantine_metrics.go
+++ b/internal/edge/node/quarantine_metrics.go
@@ -16,39 +16,39 @@
 	refused *prometheus.CounterVec
 	writes  *prometheus.CounterVec
 	// void counts losses that were no crash, and survived leaves that lived on.
-	void     prometheus.Counter
-	survived prometheus.Counter
+	voidLosses prometheus.Counter
+	survivors  prometheus.Counter
 }
 
 func newQuarantineMetrics(registerer prometheus.Registerer) *quarantineMetrics {
-	create := telemetry.NewFactory(registerer)
+	factory := telemetry.NewFactory(registerer)
 	return &quarantineMetrics{
-		known: create.Gauge("micaplank_quarantine_known",
+		known: factory.Gauge("micaplank_quarantine_known",
 			"Requests that are known to have lost leaves without an answer, those that are held among them."),
-		held: create.Gauge("micaplank_quarantine_held",
+		held: factory.Gauge("micaplank_quarantine_held",
 			"Requests that get no leaf, since their trials ended with their leaves."),
-		reports: create.Counters("micaplank_quarantine_reports_total",
+		reports: factory.Counters("micaplank_quarantine_reports_total",
 			"Requests that ended without an answer and with leaves that ended under them, by result: kept, or left (nothing new, or too many at once).",
 			"result"),
-		trials: create.Counters("micaplank_quarantine_trials_total",
+		trials: factory.Counters("micaplank_quarantine_trials_total",
 			"Requests tried on one leaf alone, by result: answered, ended (the leaf did) or open.",
 			"result"),
-		refused: create.Counters("micaplank_quarantine_refused_total",
+		refused: factory.Counters("micaplank_quarantine_refused_total",
 			"Requests refused without a leaf, by reason: quarantined (held) or trial (one is under way, or was a moment ago).",
 			"reason"),
-		writes: create.Counters("micaplank_quarantine_writes_total",
+		writes: factory.Counters("micaplank_quarantine_writes_total",
 			"Changes of records in the store, by result: written, overtaken or failed.",
 			"result"),
-		void: create.Counter("micaplank_quarantine_void_losses_total",
+		voidLosses: factory.Counter("micaplank_quarantine_void_losses_total",
 			"Connections that leaves closed or reset before a byte of an answer, and that count as no crash: the leaf had been lost before the attempt was sent, and had not answered since."),
-		survived: create.Counter("micaplank_quarantine_survivors_total",
+		survivors: factory.Counter("micaplank_quarantine_survivors_total",
 			"Leaves that were seen to live on after it was said that they ended under a request."),
 	}
 }
 
 // reported counts a report; news says that it brought some.
-func (m *quarantineMetrics) reported(news bool) {
-	if news {
+func (m *quarantineMetrics) countReport(added bool) {
+	if added {
 		m.reports.WithLabelValues("kept").Inc()
 		return
 	}
--- a/internal/edge/node/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -15,7 +15,7 @@
 // write makes one change, and records what the store has then. If it was not done,
 // withdraw is called first, with the mutex held; nil for nothing.
 func (q *quarantineDriver) write(ctx context.Context, change quarantine.Change, withdraw func()) error {
-	current, err := q.change(ctx, change)
+	current, err := q.writeWithRetry(ctx, change)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.clock.Now()
@@ -30,12 +30,12 @@
 	case errors.Is(err, ErrOvertaken):
 		q.table.Set(now, change.Content, current)
 	}
-	q.metrics.writes.WithLabelValues(resultOf(err)).Inc()
-	q.tableChanged()
+	q.metrics.writes.WithLabelValues(writeResult(err)).Inc()
+	q.notifyTableChange()
 	return err
 }
 
-func resultOf(err error) string {
+func writeResult(err error) string {
 	switch {
 	case err == nil:
 		return resultWritten
@@ -48,10 +48,10 @@
 
 // change makes one change. A call without an answer may have been done: another one
 // shows it, and then it counts as done.
-func (q *quarantineDriver) change(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
-	current, err := q.writeOnce(ctx, change)
+func (q *quarantineDriver) writeWithRetry(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
+	current, err := q.writeUnderLease(ctx, change)
 	if err != nil && !errors.Is(err, ErrOvertaken) && ctx.Err() == nil {
-		current, err = q.writeOnce(ctx, change)
+		current, err = q.writeUnderLease(ctx, change)
 	}
 	if errors.Is(err, ErrOvertaken) && change.Done(current) {
 		return current, nil
@@ -60,23 +60,23 @@
 }
 
 // writeOnce calls the store for one change, under a new lease if the last one is over.
-func (q *quarantineDriver) writeOnce(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
+func (q *quarantineDriver) writeUnderLease(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
 	if change.Remove {
 		return q.store.WriteQuarantine(ctx, change, 0)
 	}
-	under, err := q.lease.ID(ctx)
+	leaseID, err := q.lease.ID(ctx)
 	if err != nil {
 		return quarantine.Known{}, err
 	}
-	current, err := q.store.WriteQuarantine(ctx, change, under)
+	current, err := q.store.WriteQuarantine(ctx, change, leaseID)
 	if !errors.Is(err, lease.ErrLapsed) {
 		return current, err
 	}
-	q.lease.Lapsed(under)
-	if under, err = q.lease.ID(ctx); err != nil {
+	q.lease.Invalidate(leaseID)
+	if leaseID, err = q.lease.ID(ctx); err != nil {
 		return quarantine.Known{}, err
 	}
-	return q.store.WriteQuarantine(ctx, change, under)
+	return q.store.WriteQuarantine(ctx, change, leaseID)
 }
 
 func (q *quarantineDriver) wakeWriter() {
@@ -100,7 +100,7 @@
 		select {
 		case <-q.wake:
 		case <-reviews.C:
-			q.review()
+			q.reviewSuspects()
 			continue
 		case <-ctx.Done():
 			return
@@ -124,9 +124,9 @@
 	q.mutex.Unlock()
 	for _, content := range pending {
 		q.mutex.Lock()
-		change, wanted := q.table.Change(content)
+		change, needed := q.table.Change(content)
 		q.mutex.Unlock()
-		if !wanted {
+		if !needed {
 			continue
 		}
 		if err := q.write(ctx, change, nil); err != nil && !errors.Is(err, ErrOvertaken) && ctx.Err() == nil {
@@ -140,26 +140,26 @@
 }
 
 // replace applies all records of a reading, or some if it is stale.
-func (q *quarantineDriver) replace(items map[quarantine.Content]quarantine.Known, stale bool) {
+func (q *quarantineDriver) replace(records map[quarantine.Content]quarantine.Known, stale bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if stale {
-		q.table.Merge(q.clock.Now(), items)
+		q.table.Merge(q.clock.Now(), records)
 	} else {
-		q.table.Replace(q.clock.Now(), items)
+		q.table.Replace(q.clock.Now(), records)
 	}
-	q.tableChanged()
+	q.notifyTableChange()
 }
 
 // set applies one record of the store.
-func (q *quarantineDriver) set(content quarantine.Content, stored quarantine.Known) {
+func (q *quarantineDriver) set(content quarantine.Content, record quarantine.Known) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.table.Set(q.clock.Now(), content, stored) {
+	if q.table.Set(q.clock.Now(), content, record) {
 		known, _ := q.table.Of(content)
 		q.logHeld(content, known)
 	}
-	q.tableChanged()
+	q.notifyTableChange()
 	q.wakeWriter()
 }
 
@@ -170,11 +170,11 @@
 	if q.table.Remove(q.clock.Now(), content, revision) {
 		event.Log(q.logger, event.RequestReleased{Content: content})
 	}
-	q.tableChanged()
+	q.notifyTableChange()
 }
 
 // review looks which leaves have lived on that are said to have crashed.
-func (q *quarantineDriver) review() {
+func (q *quarantineDriver) reviewSuspects() {
 	q.mutex.Lock()
 	suspects := q.table.Suspects()
 	q.mutex.Unlock()
@@ -185,25 +185,25 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	survivors := q.table.Review(q.clock.Now(), announced)
-	for _, one := range survivors {
-		q.metrics.survived.Inc()
-		event.Log(q.logger, event.LeafSurvived{Content: one.Content, Route: one.Route, Leaf: one.Leaf})
-		if one.Released {
-			event.Log(q.logger, event.RequestReleased{Content: one.Content})
+	for _, survivor := range survivors {
+		q.metrics.survivors.Inc()
+		event.Log(q.logger, event.LeafSurvived{Content: survivor.Content, Route: survivor.Route, Leaf: survivor.Leaf})
+		if survivor.Released {
+			event.Log(q.logger, event.RequestReleased{Content: survivor.Content})
 		}
 	}
 	if len(survivors) > 0 {
-		q.tableChanged()
+		q.notifyTableChange()
 		q.wakeWriter()
 	}
 }
 
 // setStoreAway says whether the store does not answer.
-func (q *quarantineDriver) setStoreAway(away bool) {
-	q.storeAway.Store(away)
+func (q *quarantineDriver) setStoreUnavailable(unavailable bool) {
+	q.storeUnavailable.Store(unavailable)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.table.SetStoreAway(q.clock.Now(), away)
+	q.table.SetStoreAway(q.clock.Now(), unavailable)
 }
 
 // setNodes says how many nodes there are. It comes with each topology, and what was
--- a/internal/edge/node/request_log.go
+++ b/internal/edge/node/request_log.go
@@ -13,8 +13,8 @@
 
 // logRequest writes the line on a request. From is the node that received it from its
 // client.
-func logRequest(logger *slog.Logger, request *forward.Request, answer forward.Answer, took time.Duration, from string) {
-	level := levelOf(answer)
+func logRequest(logger *slog.Logger, request *forward.Request, answer forward.Answer, duration time.Duration, receivedBy string) {
+	level := requestLogLevel(answer)
 	if !logger.Enabled(context.Background(), level) {
 		return
 	}
@@ -22,15 +22,15 @@
 		RequestID: request.ID, Content: request.Content().String(), Route: answer.Route, Version: answer.Version,
 		Fate: string(answer.Fate), Reason: string(answer.Reason),
 		Answered: answer.Answered, Total: answer.Total, Status: answer.Part.Status,
-		TookMS: took.Milliseconds(), PatienceMS: request.ClientTimeout.Milliseconds(),
+		TookMS: duration.Milliseconds(), PatienceMS: request.ClientTimeout.Milliseconds(),
 		RetryAfterMS: answer.RetryAfter.Milliseconds(),
-		From:         from, Executor: answer.Executor,
-		Attempts: attemptLines(answer),
+		From:         receivedBy, Executor: answer.Executor,
+		Attempts: loggedAttempts(answer),
 	}.WithLevel(level))
 }
 
 // levelOf returns warn if there is no answer.
-func levelOf(answer forward.Answer) slog.Level {
+func requestLogLevel(answer forward.Answer) slog.Level {
 	switch answer.Fate {
 	case forward.FateMerged, forward.FateAnswered:
 		return slog.LevelInfo
@@ -41,33 +41,33 @@
 
 const (
 	// maxAttemptLines bounds the attempts on one line.
-	maxAttemptLines = 24
+	maxLoggedAttempts = 24
 	// maxPlainAttemptLines bounds them if nothing is missing from the answer.
-	maxPlainAttemptLines = 4
+	maxLoggedAttemptsIfComplete = 4
 )
 
 // attemptLines returns the attempts that explain an answer: all of a request to
 // one leaf; of many shards those that were extra or did not bring a part.
-func attemptLines(answer forward.Answer) []event.Attempt {
-	most := maxAttemptLines
+func loggedAttempts(answer forward.Answer) []event.Attempt {
+	limit := maxLoggedAttempts
 	if answer.Total > 1 && answer.Answered == answer.Total {
-		most = maxPlainAttemptLines
+		limit = maxLoggedAttemptsIfComplete
 	}
-	lines := []event.Attempt{}
-	for _, one := range answer.Attempts {
-		plain := one.End == scatter.EndAnswered && !one.Extra
-		if plain && answer.Total > 1 || len(lines) == most {
+	logged := []event.Attempt{}
+	for _, attempt := range answer.Attempts {
+		unremarkable := attempt.End == scatter.EndAnswered && !attempt.Extra
+		if unremarkable && answer.Total > 1 || len(logged) == limit {
 			continue
 		}
-		lines = append(lines, event.Attempt{
-			Shard: one.Shard, Leaf: one.BootID, Address: one.Leaf.String(), Cause: string(one.Cause),
-			AtMS: one.At.Milliseconds(), TookMS: one.Took.Milliseconds(), End: string(one.End), Closed: one.Closed, Detail: one.Detail,
-			InFlight: one.Basis.InFlight, Limit: one.Basis.Limit, Others: rounded(one.Basis.Others),
-			AgeMS: one.Basis.Age.Milliseconds(), Pace: one.Basis.Pace, Slowness: rounded(one.Basis.Slowness), Budget: rounded(one.Basis.Budget),
+		logged = append(logged, event.Attempt{
+			Shard: attempt.Shard, Leaf: attempt.BootID, Address: attempt.Leaf.String(), Cause: string(attempt.Cause),
+			AtMS: attempt.At.Milliseconds(), TookMS: attempt.Took.Milliseconds(), End: string(attempt.End), Closed: attempt.Closed, Detail: attempt.Detail,
+			InFlight: attempt.Basis.InFlight, Limit: attempt.Basis.Limit, Others: roundToHundredths(attempt.Basis.Others),
+			AgeMS: attempt.Basis.Age.Milliseconds(), Pace: attempt.Basis.Pace, Slowness: roundToHundredths(attempt.Basis.Slowness), Budget: roundToHundredths(attempt.Basis.Budget),
 		})
 	}
-	return lines
+	return logged
 }
 
 // rounded keeps two digits after the point.
-func rounded(value float64) float64 { return math.Round(value*100) / 100 }
+func roundToHundredths(value float64) float64 { return math.Round(value*100) / 100 }
--- a/internal/edge/node/request_log_test.go
+++ b/internal/edge/node/request_log_test.go
@@ -13,7 +13,7 @@
 
 // TestLevelOfRequestLines: every request has its line, and those without an
 // answer are urgent.
-func TestLevelOfRequestLines(t *testing.T) {
+func TestRequestLogLevel(t *testing.T) {
 	for _, test := range []struct {
 		answer forward.Answer
 		want   slog.Level
@@ -27,7 +27,7 @@
 		{forward.Answer{Fate: forward.FateFailed}, slog.LevelWarn},
 		{forward.Answer{Fate: forward.FateNoRoute}, slog.LevelWarn},
 	} {
-		if got := levelOf(test.answer); got != test.want {
+		if got := requestLogLevel(test.answer); got != test.want {
 			t.Errorf("%+v: %v", test.answer, got)
 		}
 	}
@@ -35,27 +35,27 @@
 
 // TestLinesTellTheAttemptsThatMatter leaves out the plain attempts of a request
 // to many shards, and bounds the rest.
-func TestLinesTellTheAttemptsThatMatter(t *testing.T) {
+func TestLoggedAttemptsAreSelectedAndBounded(t *testing.T) {
 	plain := scatter.AttemptTrace{Send: dispatch.Send{Cause: dispatch.CauseNeeded, Leaf: netip.MustParseAddrPort("10.0.0.1:80")}, End: scatter.EndAnswered}
-	late := plain
-	late.End, late.At, late.Basis.Slowness = scatter.EndOpen, 54*time.Millisecond, 1.23456
+	unanswered := plain
+	unanswered.End, unanswered.At, unanswered.Basis.Slowness = scatter.EndOpen, 54*time.Millisecond, 1.23456
 	hedge := plain
 	hedge.Extra, hedge.Cause = true, dispatch.CauseHedge
-	lines := attemptLines(forward.Answer{Total: 3, Attempts: []scatter.AttemptTrace{plain, late, hedge}})
-	if len(lines) != 2 || lines[0].End != "open" || lines[0].AtMS != 54 || lines[0].Slowness != 1.23 || lines[1].Cause != "hedge" {
-		t.Errorf("%+v", lines)
+	logged := loggedAttempts(forward.Answer{Total: 3, Attempts: []scatter.AttemptTrace{plain, unanswered, hedge}})
+	if len(logged) != 2 || logged[0].End != "open" || logged[0].AtMS != 54 || logged[0].Slowness != 1.23 || logged[1].Cause != "hedge" {
+		t.Errorf("%+v", logged)
 	}
-	if lines := attemptLines(forward.Answer{Total: 1, Attempts: []scatter.AttemptTrace{plain}}); len(lines) != 1 {
-		t.Errorf("of a request to one leaf: %+v", lines)
+	if logged := loggedAttempts(forward.Answer{Total: 1, Attempts: []scatter.AttemptTrace{plain}}); len(logged) != 1 {
+		t.Errorf("of a request to one leaf: %+v", logged)
 	}
 	many := make([]scatter.AttemptTrace, 100)
 	for index := range many {
-		many[index] = late
+		many[index] = unanswered
 	}
-	if lines := attemptLines(forward.Answer{Total: 100, Attempts: many}); len(lines) != maxAttemptLines {
-		t.Errorf("%d lines", len(lines))
+	if logged := loggedAttempts(forward.Answer{Total: 100, Attempts: many}); len(logged) != maxLoggedAttempts {
+		t.Errorf("%d lines", len(logged))
 	}
-	if lines := attemptLines(forward.Answer{Total: 100, Answered: 100, Attempts: many}); len(lines) != maxPlainAttemptLines {
-		t.Errorf("%d lines of a request that lacks nothing", len(lines))
+	if logged := loggedAttempts(forward.Answer{Total: 100, Answered: 100, Attempts: many}); len(logged) != maxLoggedAttemptsIfComplete {
+		t.Errorf("%d lines of a request that lacks nothing", len(logged))
 	}
 }
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -74,7 +74,7 @@
 
 	// reports chooses the node to report to. That was reportedTo the last time, and
 	// reportFailure is how it failed; nil if it did not.
-	reports       *rollout.Reporting
+	reporting     *rollout.Reporting
 	reportedTo    string
 	reportFailure error
 	// writing holds the services whose step is being written.
@@ -92,8 +92,8 @@
 	burst bool
 }
 
-func newRolloutDriver(ports rolloutPorts, from settings.Forward, registerer prometheus.Registerer) *rolloutDriver {
-	bounds := rollout.Bounds{Ratio: from.CanaryRatio, Slack: from.CanarySlack}
+func newRolloutDriver(ports rolloutPorts, configured settings.Forward, registerer prometheus.Registerer) *rolloutDriver {
+	bounds := rollout.Bounds{Ratio: configured.CanaryRatio, Slack: configured.CanarySlack}
 	table := rollout.NewTable()
 	incarnation := ports.self.Name + "/" + ulid.Make().String()
 	return &rolloutDriver{
@@ -107,20 +107,20 @@
 		decider:      rollout.NewDecider(table, incarnation),
 		allowances:   make(map[string]allowance),
 		wake:         make(chan struct{}, 1),
-		reports:      rollout.NewReporting(),
+		reporting:    rollout.NewReporting(),
 		writing:      make(map[string]bool),
 	}
 }
 
-func (r *rolloutDriver) logPhase(known *rollout.Rollout) {
+func (r *rolloutDriver) logPhase(state *rollout.Rollout) {
 	event.Log(r.logger, event.RolloutChanged{
-		Service: known.Record.Service, Version: known.Record.Version, Phase: string(known.Phase()),
-		Reason: known.Record.Reason, Age: known.Age(r.clock.Now()).Round(time.Millisecond), Order: known.Order.Revision,
+		Service: state.Record.Service, Version: state.Record.Version, Phase: string(state.Phase()),
+		Reason: state.Record.Reason, Age: state.Age(r.clock.Now()).Round(time.Millisecond), Order: state.Order.Revision,
 	})
 }
 
 // tableChanged follows a change of the table. The caller holds the mutex of the view.
-func (r *rolloutDriver) tableChanged() {
+func (r *rolloutDriver) applyTableChange() {
 	open := r.table.Open()
 	r.metrics.open.Set(float64(len(open)))
 	r.open.Store(len(open) > 0)
@@ -130,7 +130,7 @@
 	}
 	r.counter.Retain(orders)
 	if len(open) == 0 {
-		r.reports.Forget()
+		r.reporting.Forget()
 		return
 	}
 	select {
@@ -148,12 +148,12 @@
 	}
 	stages := make(map[string]registry.Stage, len(services))
 	for _, service := range services {
-		known := r.table.Of(service)
-		if known.Version() == "" {
+		state := r.table.Of(service)
+		if state.Version() == "" {
 			continue
 		}
 		stages[service] = registry.Stage{
-			Order: known.Order.Revision, Version: known.Version(), Phase: known.Phase(), Recorded: known.Record.Revision,
+			Order: state.Order.Revision, Version: state.Version(), Phase: state.Phase(), Recorded: state.Record.Revision,
 		}
 	}
 	return stages
@@ -177,78 +177,78 @@
 		return
 	}
 	for _, service := range open {
-		known := r.table.Of(service)
-		if known.Order.Revision != 0 && !known.Phase().Shifted() {
-			r.allow(known, len(participants))
+		state := r.table.Of(service)
+		if state.Order.Revision != 0 && !state.Phase().Shifted() {
+			r.giveAllowance(state, len(participants))
 		}
 	}
 }
 
 // allow gives an order its allowance, and lets it burst in time.
-func (r *rolloutDriver) allow(known *rollout.Rollout, participants int) {
-	service, order := known.Order.Service, known.Order.Revision
-	given := r.allowances[service]
-	if given.order != order {
-		part := rollout.PartOfSlack(participants, known.Found)
+func (r *rolloutDriver) giveAllowance(state *rollout.Rollout, participants int) {
+	service, order := state.Order.Service, state.Order.Revision
+	issued := r.allowances[service]
+	if issued.order != order {
+		part := rollout.PartOfSlack(participants, state.Found)
 		now := r.clock.Now()
-		deadline := now - known.Age(now) + known.Order.Duration
+		deadline := now - state.Age(now) + state.Order.Duration
 		r.dispatcher.SetAllowance(r.view.index.Of(service), rollout.NewAllowance(r.bounds, part, deadline, rand.Float64))
-		given = allowance{order: order}
+		issued = allowance{order: order}
 	}
-	if known.Phase() == rollout.PhaseBurst && !given.burst {
+	if state.Phase() == rollout.PhaseBurst && !issued.burst {
 		r.dispatcher.Burst(r.view.index.Of(service))
-		given.burst = true
+		issued.burst = true
 	}
-	r.allowances[service] = given
+	r.allowances[service] = issued
 }
 
 // observe counts the attempts of a request, if their services are being rolled
 // out. It locks the mutex of the view.
-func (r *rolloutDriver) observe(answer forward.Answer, took time.Duration) {
+func (r *rolloutDriver) observe(answer forward.Answer, duration time.Duration) {
 	if !r.open.Load() {
 		return
 	}
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	for index := range answer.Attempts {
-		r.count(&answer, &answer.Attempts[index], took)
+		r.countAttempt(&answer, &answer.Attempts[index], duration)
 	}
 }
 
 // count counts one attempt of a request.
-func (r *rolloutDriver) count(answer *forward.Answer, attempt *scatter.AttemptTrace, took time.Duration) {
+func (r *rolloutDriver) countAttempt(answer *forward.Answer, attempt *scatter.AttemptTrace, duration time.Duration) {
 	service := r.view.index.Name(attempt.Shard)
-	known := r.table.Of(service)
-	if known == nil || !known.Open() || known.Order.Revision == 0 {
+	state := r.table.Of(service)
+	if state == nil || !state.Open() || state.Order.Revision == 0 {
 		return
 	}
-	version, zone, listed := r.view.leaves.Version(attempt.BootID)
-	if !listed {
+	version, zone, announced := r.view.leaves.VersionAndZone(attempt.BootID)
+	if !announced {
 		return // it left while it ran
 	}
 	subject := rollout.Subject{
-		Service: service, Order: known.Order.Revision, Route: answer.Route,
-		Target: version == known.Order.Version, Zone: zone, Leaf: attempt.BootID,
+		Service: service, Order: state.Order.Revision, Route: answer.Route,
+		Target: version == state.Order.Version, Zone: zone, Leaf: attempt.BootID,
 	}
 	switch {
 	case attempt.End == scatter.EndOpen && answer.Reason == dispatch.ReasonCancelled:
 		return // its client left: that says nothing of the leaf
 	case attempt.End == scatter.EndOpen:
-		r.counter.Took(subject, took-attempt.At)
+		r.counter.Took(subject, duration-attempt.At)
 	case attempt.End == scatter.EndAnswered, attempt.Aborted:
 		r.counter.Took(subject, attempt.Took)
 	default:
 		r.counter.Failed(subject)
 	}
 	if attempt.Cause == dispatch.CauseNeeded {
-		r.counter.First(subject, overtaken(answer, attempt))
+		r.counter.First(subject, overtakenAfter(answer, attempt))
 	}
 	r.metrics.count(subject, attempt)
 }
 
 // overtaken returns how long an attempt was open when a later one at its shard was answered;
 // zero if none was.
-func overtaken(answer *forward.Answer, attempt *scatter.AttemptTrace) time.Duration {
+func overtakenAfter(answer *forward.Answer, attempt *scatter.AttemptTrace) time.Duration {
 	if attempt.End != scatter.EndOpen && !attempt.Aborted {
 		return 0
 	}
--- a/internal/edge/node/rollout_driver.go
+++ b/internal/edge/node/rollout_driver.go
@@ -34,7 +34,7 @@
 				return
 			}
 		}
-		pause := r.round(ctx)
+		pause := r.runRound(ctx)
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
@@ -45,38 +45,38 @@
 
 // round reports once and writes the steps that are due. It returns the pause until
 // the next.
-func (r *rolloutDriver) round(ctx context.Context) time.Duration {
+func (r *rolloutDriver) runRound(ctx context.Context) time.Duration {
 	started := r.clock.Now()
 	r.view.mutex.Lock()
 	members := r.view.nodes.Members(started)
 	participants := rollout.Participants(members)
-	to := r.self
+	decider := r.self
 	if candidates := rollout.Candidates(members); len(candidates) > 0 {
-		to = r.reports.Choose(started, candidates)
+		decider = r.reporting.Choose(started, candidates)
 	}
-	report := r.report(started, to.Name)
+	report := r.buildReport(started, decider.Name)
 	r.view.mutex.Unlock()
 	if !rollout.Reports(r.self.Name, participants) {
 		return rollout.Interval(len(participants))
 	}
-	reply, err := r.send(ctx, to, report)
-	r.applyReply(started, to, report, reply, err)
-	r.advance(ctx)
+	reply, err := r.sendReport(ctx, decider, report)
+	r.applyReply(started, decider, report, reply, err)
+	r.writeDueSteps(ctx)
 	return max(rollout.Interval(len(participants))-(r.clock.Now()-started), 0)
 }
 
 // report makes the report of this node to another one. The caller holds the mutex of the
 // view.
-func (r *rolloutDriver) report(now time.Duration, to string) rollout.Report {
-	if to != r.reportedTo {
-		r.reports.Forget()
+func (r *rolloutDriver) buildReport(now time.Duration, decider string) rollout.Report {
+	if decider != r.reportedTo {
+		r.reporting.Forget()
 	}
-	report := rollout.Report{Node: r.incarnation, Decider: r.reports.Decider(), Rows: r.counter.Changed(r.reports.Received())}
+	report := rollout.Report{Node: r.incarnation, Decider: r.reporting.Decider(), Rows: r.counter.Changed(r.reporting.Received())}
 	for _, service := range r.table.Open() {
-		known := r.table.Of(service)
+		state := r.table.Of(service)
 		others := r.view.leaves.Supply(service).Others
 		report.Orders = append(report.Orders, rollout.Progress{
-			Service: service, Order: known.Order.Revision, Phase: known.Phase(), Age: known.Age(now), Bad: known.Bad,
+			Service: service, Order: state.Order.Revision, Phase: state.Phase(), Age: state.Age(now), Bad: state.Bad,
 			Busy: r.dispatcher.InFlightAt(func(boot string) bool { return others[boot] }),
 		})
 	}
@@ -84,32 +84,32 @@
 }
 
 // send sends a report to the node that decides, which may be this one.
-func (r *rolloutDriver) send(ctx context.Context, to roster.Member, report rollout.Report) (rollout.Reply, error) {
-	if to.Name == r.self.Name {
-		return r.decide(report), nil
+func (r *rolloutDriver) sendReport(ctx context.Context, decider roster.Member, report rollout.Report) (rollout.Reply, error) {
+	if decider.Name == r.self.Name {
+		return r.answerReport(report), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var reply rollout.Reply
-	if err := r.peers.Call(ctx, to.Peer, methodReport, &report, &reply); err != nil {
-		return rollout.Reply{}, oops.In("frontend").With("step", methodReport, "peer", to.Name).Wrap(err)
+	if err := r.peers.Call(ctx, decider.Peer, methodReport, &report, &reply); err != nil {
+		return rollout.Reply{}, oops.In("frontend").With("step", methodReport, "peer", decider.Name).Wrap(err)
 	}
 	return reply, nil
 }
 
 // serve answers the reports of other nodes.
-func (r *rolloutDriver) serve(server *peer.Server) {
+func (r *rolloutDriver) serveReports(server *peer.Server) {
 	peer.Register(server, methodReport, func(_ context.Context, _ netip.AddrPort, report *rollout.Report) (*rollout.Reply, error) {
 		if !r.enabled {
 			return nil, oops.In("frontend").With("step", methodReport).Errorf("roll-outs are not heeded here")
 		}
-		reply := r.decide(*report)
+		reply := r.answerReport(*report)
 		return &reply, nil
 	})
 }
 
 // decide answers a report as the node that decides.
-func (r *rolloutDriver) decide(report rollout.Report) rollout.Reply {
+func (r *rolloutDriver) answerReport(report rollout.Report) rollout.Reply {
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	now := r.clock.Now()
@@ -119,7 +119,7 @@
 }
 
 // applyReply applies the answer to a report that was sent at some time.
-func (r *rolloutDriver) applyReply(sent time.Duration, to roster.Member, report rollout.Report, reply rollout.Reply, err error) {
+func (r *rolloutDriver) applyReply(sent time.Duration, decider roster.Member, report rollout.Report, reply rollout.Reply, err error) {
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	now := r.clock.Now()
@@ -127,19 +127,19 @@
 	switch {
 	case err != nil:
 		result = resultFailed
-		r.reports.Avoid(now, to.Name)
+		r.reporting.Avoid(now, decider.Name)
 	case !reply.Deciding:
 		result = resultPassed
-		r.reports.Avoid(now, to.Name)
+		r.reporting.Avoid(now, decider.Name)
 	}
 	r.metrics.reports.WithLabelValues(result).Inc()
-	if to.Name != r.reportedTo {
-		event.Log(r.logger, event.RolloutDecider{Peer: to.Name, Former: r.reportedTo, Error: r.reportFailure})
-		r.reportedTo = to.Name
+	if decider.Name != r.reportedTo {
+		event.Log(r.logger, event.RolloutDecider{Peer: decider.Name, Former: r.reportedTo, Error: r.reportFailure})
+		r.reportedTo = decider.Name
 	}
 	r.reportFailure = err
 	if err == nil {
-		r.reports.Answered(reply.Decider, report)
+		r.reporting.Answered(reply.Decider, report)
 	}
 	changed := false
 	for _, grant := range reply.Grants {
@@ -154,23 +154,23 @@
 // changed. The caller holds the mutex of the view.
 func (r *rolloutDriver) applyGrant(sent time.Duration, grant rollout.Grant) bool {
 	changed := r.table.Merge(r.clock.Now(), grant.Service, grant.Order, grant.Age, grant.Record, grant.Bad)
-	known := r.table.Of(grant.Service)
-	if grant.Open && known.Order.Revision == grant.Order && known.Bad == "" {
+	state := r.table.Of(grant.Service)
+	if grant.Open && state.Order.Revision == grant.Order && state.Bad == "" {
 		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent+rollout.GrantTTL)
 	}
-	if known.Bad != "" {
+	if state.Bad != "" {
 		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent)
 	}
 	if changed {
-		r.logPhase(known)
-		r.tableChanged()
+		r.logPhase(state)
+		r.applyTableChange()
 	}
 	return changed
 }
 
 // advance writes the steps that are due, if this node decides. A step is written
 // beside the reports, which must not wait for the store.
-func (r *rolloutDriver) advance(ctx context.Context) {
+func (r *rolloutDriver) writeDueSteps(ctx context.Context) {
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	now := r.clock.Now()
@@ -182,7 +182,7 @@
 	for _, step := range steps {
 		if service := step.Record.Service; !r.writing[service] {
 			r.writing[service] = true
-			go r.write(ctx, step)
+			go r.writeStep(ctx, step)
 		}
 	}
 }
@@ -190,12 +190,12 @@
 // supply returns what the decider needs to know of the leaves of a service. The caller
 // holds the mutex of the view.
 func (r *rolloutDriver) supply(service string) rollout.Supply {
-	there := r.view.leaves.Supply(service)
-	return rollout.Supply{Target: there.Target, Control: there.Control, Mixed: r.view.leaves.Mixed(service), Usable: there.Usable}
+	leaves := r.view.leaves.Supply(service)
+	return rollout.Supply{Target: leaves.Target, Control: leaves.Control, Mixed: r.view.leaves.HasMixedVersions(service), Usable: leaves.Usable}
 }
 
 // write writes one step.
-func (r *rolloutDriver) write(ctx context.Context, step rollout.Transition) {
+func (r *rolloutDriver) writeStep(ctx context.Context, step rollout.Transition) {
 	revision, err := r.store.Advance(ctx, step)
 	record := step.Record
 	record.Revision = revision
--- a/internal/edge/node/rollout_metrics.go
+++ b/internal/edge/node/rollout_metrics.go
@@ -10,28 +10,28 @@
 
 // rolloutMetrics are those of roll-outs.
 type rolloutMetrics struct {
-	open     prometheus.Gauge
-	attempts *prometheus.CounterVec
-	steps    *prometheus.CounterVec
-	reports  *prometheus.CounterVec
-	services routeLabels
+	open          prometheus.Gauge
+	attempts      *prometheus.CounterVec
+	steps         *prometheus.CounterVec
+	reports       *prometheus.CounterVec
+	serviceLabels labelSet
 }
 
 func newRolloutMetrics(registerer prometheus.Registerer) *rolloutMetrics {
-	create := telemetry.NewFactory(registerer)
+	factory := telemetry.NewFactory(registerer)
 	return &rolloutMetrics{
-		open: create.Gauge("micaplank_rollout_open",
+		open: factory.Gauge("micaplank_rollout_open",
 			"Roll-outs with steps left to take."),
-		attempts: create.Counters("micaplank_rollout_attempts_total",
+		attempts: factory.Counters("micaplank_rollout_attempts_total",
 			"Attempts of this node at services that are rolled out, by service (64 at most, then other), version (target or control) and end.",
 			"service", "version", "end"),
-		steps: create.Counters("micaplank_rollout_steps_total",
+		steps: factory.Counters("micaplank_rollout_steps_total",
 			"Steps of roll-outs that this node decided, by phase and result: written, overtaken or failed.",
 			"phase", "result"),
-		reports: create.Counters("micaplank_rollout_reports_total",
+		reports: factory.Counters("micaplank_rollout_reports_total",
 			"Reports of this node to the one that decides, by result: answered, passed (it cannot write to the store) or failed.",
 			"result"),
-		services: make(routeLabels),
+		serviceLabels: make(labelSet),
 	}
 }
 
@@ -46,5 +46,5 @@
 	if subject.Target {
 		version = labelTarget
 	}
-	m.attempts.WithLabelValues(m.services.of(subject.Service), version, string(attempt.End)).Inc()
+	m.attempts.WithLabelValues(m.serviceLabels.bound(subject.Service), version, string(attempt.End)).Inc()
 }
--- a/internal/edge/node/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -16,26 +16,26 @@
 
 // decode decodes the roll-outs of a reading. It needs no mutex.
 func (r *rolloutDriver) decode(items []mirror.Item) rolloutItems {
-	var all rolloutItems
+	var decoded rolloutItems
 	if !r.enabled {
-		return all
+		return decoded
 	}
 	for _, item := range items {
 		switch r.decoder.Kind(item.Key) {
 		case KindOrder:
-			if order, ok := r.order(item); ok {
-				all.orders = append(all.orders, order)
+			if order, ok := r.decodeOrder(item); ok {
+				decoded.orders = append(decoded.orders, order)
 			}
 		case KindRecord:
-			if record, ok := r.record(item); ok {
-				all.records = append(all.records, record)
+			if record, ok := r.decodeRecord(item); ok {
+				decoded.records = append(decoded.records, record)
 			}
 		}
 	}
-	return all
+	return decoded
 }
 
-func (r *rolloutDriver) order(item mirror.Item) (rollout.Order, bool) {
+func (r *rolloutDriver) decodeOrder(item mirror.Item) (rollout.Order, bool) {
 	order, err := r.decoder.Order(item)
 	if err != nil {
 		event.Log(r.logger, event.RolloutRejected{Key: item.Key, Revision: item.Revision, Error: err})
@@ -44,7 +44,7 @@
 	return order, true
 }
 
-func (r *rolloutDriver) record(item mirror.Item) (rollout.Record, bool) {
+func (r *rolloutDriver) decodeRecord(item mirror.Item) (rollout.Record, bool) {
 	record, err := r.decoder.Record(item)
 	if err != nil {
 		event.Log(r.logger, event.RolloutRejected{Key: item.Key, Revision: item.Revision, Error: err})
@@ -55,18 +55,18 @@
 
 // replace applies all roll-outs there are. The caller holds the mutex of the view, and
 // publishes.
-func (r *rolloutDriver) replace(all rolloutItems, stale bool) {
+func (r *rolloutDriver) replace(items rolloutItems, stale bool) {
 	if !r.enabled {
 		return
 	}
-	former := r.phases()
-	r.table.Replace(r.clock.Now(), time.Now(), all.orders, all.records, stale)
+	formerPhases := r.phases()
+	r.table.Replace(r.clock.Now(), time.Now(), items.orders, items.records, stale)
 	for _, service := range r.table.Services() {
-		if known := r.table.Of(service); known.Phase() != former[service] {
-			r.logPhase(known)
+		if state := r.table.Of(service); state.Phase() != formerPhases[service] {
+			r.logPhase(state)
 		}
 	}
-	r.tableChanged()
+	r.applyTableChange()
 }
 
 func (r *rolloutDriver) phases() map[string]rollout.Phase {
@@ -79,14 +79,14 @@
 
 // changeOrder applies an order, or its removal. It locks the mutex of the view, and
 // reports whether it changes anything.
-func (r *rolloutDriver) changeOrder(changed mirror.Event) bool {
+func (r *rolloutDriver) applyOrderEvent(change mirror.Event) bool {
 	if !r.enabled {
 		return false
 	}
-	service := r.decoder.OrderedService(changed.Key)
+	service := r.decoder.OrderedService(change.Key)
 	order, ok := rollout.Order{Service: service}, true
-	if !changed.Removed {
-		order, ok = r.order(changed.Item)
+	if !change.Removed {
+		order, ok = r.decodeOrder(change.Item)
 	}
 	if !ok {
 		return false
@@ -94,27 +94,27 @@
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	applied := false
-	if changed.Removed {
+	if change.Removed {
 		applied = r.table.Withdraw(service)
 	} else {
 		applied = r.table.SetOrder(r.clock.Now(), order)
 	}
 	if applied {
 		event.Log(r.logger, event.RolloutOrdered{
-			Service: service, Version: order.Version, Duration: order.Duration, Withdrawn: changed.Removed, Revision: changed.Revision,
+			Service: service, Version: order.Version, Duration: order.Duration, Withdrawn: change.Removed, Revision: change.Revision,
 		})
-		r.tableChanged()
+		r.applyTableChange()
 	}
 	return applied
 }
 
 // changeRecord applies a record. One that is gone changes nothing. It locks the
 // mutex of the view, and reports whether the phase changes.
-func (r *rolloutDriver) changeRecord(changed mirror.Event) bool {
-	if !r.enabled || changed.Removed {
+func (r *rolloutDriver) applyRecordEvent(change mirror.Event) bool {
+	if !r.enabled || change.Removed {
 		return false
 	}
-	record, ok := r.record(changed.Item)
+	record, ok := r.decodeRecord(change.Item)
 	if !ok {
 		return false
 	}
@@ -130,6 +130,6 @@
 		return false
 	}
 	r.logPhase(r.table.Of(record.Service))
-	r.tableChanged()
+	r.applyTableChange()
 	return true
 }
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -36,31 +36,31 @@
 // wakeInterval is how often a node looks whether it was suspended: its timers stand
 // still with the machine, so until then what is due waits for the next event. Not
 // measured: chosen because it is short against the time that a request may take.
-const wakeInterval = 100 * time.Millisecond
+const suspensionCheckInterval = 100 * time.Millisecond
 
 // Run serves until ctx ends, and then stops as planned: it is not ready at
 // once, goes on to serve for the drain delay, and finishes what is in flight.
 func (n *Node) Run(ctx context.Context) error {
-	servers, err := listen(n.endpoints(), n.callerTimes)
+	servers, err := listen(n.endpoints(), n.httpTimeouts)
 	if err != nil {
 		return err
 	}
 	peers, err := n.listenPeers()
 	if err != nil {
-		return errors.Join(err, closeAll(servers))
+		return errors.Join(err, shutdownUnused(servers))
 	}
 	event.Log(n.logger, event.Started{HTTP: n.settings.Listen.HTTP.String(), Zone: n.settings.Zone, Cores: n.self.Cores, SeesSuspensions: n.clock.Failures() == 0})
-	following, stop := context.WithCancel(context.Background())
+	backgroundCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var background sync.WaitGroup
-	n.startBackground(following, &background)
-	failed := make(chan error, len(servers))
-	for _, one := range servers {
-		background.Go(func() { failed <- ignoreClosed(one.Serve()) })
+	n.startBackground(backgroundCtx, &background)
+	serveErrors := make(chan error, len(servers))
+	for _, server := range servers {
+		background.Go(func() { serveErrors <- ignoreServerClosed(server.Serve()) })
 	}
 	select {
 	case <-ctx.Done():
-	case err = <-failed:
+	case err = <-serveErrors:
 	}
 	err = errors.Join(err, n.drain(servers, peers))
 	stop()
@@ -79,12 +79,12 @@
 	background.Go(func() { n.combine.Run(ctx) })
 	background.Go(func() { n.rollouts.run(ctx) })
 	background.Go(func() { n.quarantine.run(ctx) })
-	background.Go(func() { n.clock.Watch(ctx, wakeInterval, n.resumed) })
+	background.Go(func() { n.clock.Watch(ctx, suspensionCheckInterval, n.handleResume) })
 }
 
 // resumed follows a suspension of the machine: what has expired meanwhile ends now.
-func (n *Node) resumed(suspended time.Duration) {
-	n.metrics.suspended.Add(suspended.Seconds())
+func (n *Node) handleResume(suspended time.Duration) {
+	n.metrics.suspendedSeconds.Add(suspended.Seconds())
 	event.Log(n.logger, event.Woke{Suspended: suspended})
 	n.conn.Wake()
 	n.publisher.publish()
@@ -113,24 +113,24 @@
 	delegate.Serve(server, n.runner)
 	combine.Serve(server, n.ports.Leaves, n.conn.MayGetWork)
 	serveMirror(server, n.mirror)
-	n.rollouts.serve(server)
+	n.rollouts.serveReports(server)
 	server.Serve()
 	return server, nil
 }
 
 // drain ends what callers use, then readiness checks, and last what other nodes use.
-func (n *Node) drain(servers []*callerServer, peers *peer.Server) error {
+func (n *Node) drain(servers []*httpServer, peers *peer.Server) error {
 	n.draining.Store(true)
 	event.Log(n.logger, event.Draining{InFlight: n.conn.InFlight()})
 	time.Sleep(n.settings.Forward.DrainDelay.Duration())
-	finishing, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	var errs []error
-	for _, one := range servers {
-		errs = append(errs, one.Shutdown(finishing))
+	for _, server := range servers {
+		errs = append(errs, server.Shutdown(shutdownCtx))
 	}
 	if peers != nil {
-		errs = append(errs, peers.Close(finishing))
+		errs = append(errs, peers.Close(shutdownCtx))
 	}
 	return errors.Join(errs...)
 }
@@ -141,7 +141,7 @@
 	event.Log(n.logger, event.SettingsRead{Changed: !reflect.DeepEqual(current, n.settings)})
 }
 
-func ignoreClosed(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/edge/node/runner.go
+++ b/internal/edge/node/runner.go
@@ -21,7 +21,7 @@
 	}
 	workload *workload
 	rollouts interface {
-		observe(answer forward.Answer, took time.Duration)
+		observe(answer forward.Answer, duration time.Duration)
 	}
 	terms *terms
 	ready func() bool
@@ -36,14 +36,14 @@
 }
 
 // record counts a request that took some time.
-func (r *localRunner) record(answer forward.Answer, took time.Duration) {
+func (r *localRunner) record(answer forward.Answer, duration time.Duration) {
 	r.workload.add(answer.Total)
-	r.rollouts.observe(answer, took)
+	r.rollouts.observe(answer, duration)
 }
 
 // Status implements delegate.Runner.
 func (r *localRunner) Status() executors.Status {
-	now := r.terms.now()
+	now := r.terms.current()
 	return executors.Status{
 		Version:   now.Version,
 		Accepting: r.workload.accepts() && r.ready(),
@@ -58,9 +58,9 @@
 	request.Arrived = started
 	answer, ran := r.forwarder.ExecuteVersion(ctx, version, request)
 	if ran {
-		took := r.clock.Now() - started
-		r.record(answer, took)
-		logRequest(r.logger, request, answer, took, from)
+		duration := r.clock.Now() - started
+		r.record(answer, duration)
+		logRequest(r.logger, request, answer, duration, from)
 	}
 	return answer, ran
 }
--- a/internal/edge/node/services_test.go
+++ b/internal/edge/node/services_test.go
@@ -8,13 +8,13 @@
 	"github.com/micaplank/micaplank/internal/edge/route"
 )
 
-func TestColdBoundsOfAConfiguration(t *testing.T) {
+func TestFindColdBounds(t *testing.T) {
 	config := &route.Config{
 		Services: []route.Service{{Name: "free"}, {Name: "shard", ColdRate: 8}, {Name: "vault", ColdRate: 20}},
 		Routes:   []route.Route{{Shards: []string{"free", "shard"}}, {Targets: []route.Target{{Service: "vault"}}}},
 	}
 	want := map[string]warmup.Bound{"shard": {Rate: 8, Shard: true}, "vault": {Rate: 20}}
-	if got := coldBoundsOf(config, shardsOf(config)); !maps.Equal(got, want) {
+	if got := findColdBounds(config, findShardServices(config)); !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -33,25 +33,25 @@
 	t.Helper()
 	configured := settings.Example()
 	configured.Name, configured.Zone = "node-0", "a"
-	var handed []LeafShare
+	var published []LeafShare
 	n := New(configured, Ports{
 		Store: mirror.Store(nil), Leases: lease.Store(nil), Leaves: noLeaves{},
 		Handler:  func(Service) http.Handler { return nil },
-		OnLeaves: func(shares []LeafShare) { handed = shares },
+		OnLeaves: func(shares []LeafShare) { published = shares },
 	}, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
 	t.Cleanup(n.publisher.stop)
 	n.forwarder.Install(route.NewTable(&route.Config{Version: 1, Services: services}))
-	for _, one := range leaves {
-		n.publisher.view.index.Of(one.Service) // as a configuration that names it does
-		n.publisher.view.leaves.Set(0, one)
+	for _, leaf := range leaves {
+		n.publisher.view.index.Of(leaf.Service) // as a configuration that names it does
+		n.publisher.view.leaves.Set(0, leaf)
 	}
 	return n, func() map[string]int {
 		n.publisher.publish()
-		kept := make(map[string]int)
-		for _, one := range handed {
-			kept[one.BootID] = one.Connections
+		connections := make(map[string]int)
+		for _, leafShare := range published {
+			connections[leafShare.BootID] = leafShare.Connections
 		}
-		return kept
+		return connections
 	}
 }
 
@@ -74,25 +74,25 @@
 	}
 }
 
-func (n *Node) standby() map[string]bool {
-	marked := make(map[string]bool)
+func (n *Node) standbyLeaves() map[string]bool {
+	standby := make(map[string]bool)
 	p := n.publisher
 	members := p.view.nodes.Members(0)
 	topology := p.view.leaves.Topology()
 	p.shareLeaves(&topology, share.Of(p.roles.Assign(p.self, members), members, p.view.nodes.Count(0)))
-	for _, one := range topology.Leaves {
-		marked[one.BootID] = one.Standby
+	for _, leaf := range topology.Leaves {
+		standby[leaf.BootID] = leaf.Standby
 	}
-	return marked
+	return standby
 }
 
 // TestFewNodesKeepConnectionsToAllLeaves has plenty for each.
 func TestFewNodesKeepConnectionsToAllLeaves(t *testing.T) {
 	n, publish := newTestNode(t, []route.Service{{Name: "s", MaxConns: 54}}, threeLeaves("s"))
 	n.announceNodes(12)
-	for id, kept := range publish() {
-		if kept != n.settings.Leaf.ConnectionsPerLeaf || n.standby()[id] {
-			t.Errorf("%s: %d connections, standby %v", id, kept, n.standby()[id])
+	for id, connections := range publish() {
+		if connections != n.settings.Leaf.ConnectionsPerLeaf || n.standbyLeaves()[id] {
+			t.Errorf("%s: %d connections, standby %v", id, connections, n.standbyLeaves()[id])
 		}
 	}
 }
@@ -103,34 +103,34 @@
 	leaves := threeLeaves("s")
 	n, publish := newTestNode(t, []route.Service{{Name: "s", MaxConns: 54}}, leaves)
 	n.announceNodes(80)
-	kept := publish()
-	some := 0
-	for id, connections := range kept {
-		some += connections
-		if standby := n.standby()[id]; standby != (connections == 0) {
-			t.Errorf("%s: %d connections, standby %v", id, connections, standby)
+	connections := publish()
+	total := 0
+	for id, count := range connections {
+		total += count
+		if standby := n.standbyLeaves()[id]; standby != (count == 0) {
+			t.Errorf("%s: %d connections, standby %v", id, count, standby)
 		}
 	}
-	if some == 0 || some == 3 {
-		t.Errorf("connections to %d leaves", some)
+	if total == 0 || total == 3 {
+		t.Errorf("connections to %d leaves", total)
 	}
 	for index := range leaves {
 		leaves[index].Draining = index > 0
 		n.publisher.view.leaves.Set(0, leaves[index])
 	}
-	kept = publish()
-	if kept["s-1"] != 0 || kept["s-2"] != 0 {
-		t.Errorf("leaves that drain: %v", kept)
+	connections = publish()
+	if connections["s-1"] != 0 || connections["s-2"] != 0 {
+		t.Errorf("leaves that drain: %v", connections)
 	}
 }
 
 // TestUnknownNumberOfConnections keeps what the settings say.
-func TestUnknownNumberOfConnections(t *testing.T) {
+func TestConnectionsWithoutConfiguredMaximum(t *testing.T) {
 	n, publish := newTestNode(t, nil, threeLeaves("s"))
 	n.announceNodes(500)
-	for id, kept := range publish() {
-		if kept != n.settings.Leaf.ConnectionsPerLeaf {
-			t.Errorf("%s: %d connections", id, kept)
+	for id, connections := range publish() {
+		if connections != n.settings.Leaf.ConnectionsPerLeaf {
+			t.Errorf("%s: %d connections", id, connections)
 		}
 	}
 }
--- a/internal/edge/node/slack_test.go
+++ b/internal/edge/node/slack_test.go
@@ -21,46 +21,48 @@
 )
 
 // slackPlay is one node whose queries meet leaves that hang now and then.
-type slackPlay struct {
+type budgetSimulation struct {
 	// pause is the time between two queries.
-	pause time.Duration
+	queryInterval time.Duration
 	// slow reports whether an attempt at a leaf hangs.
-	slow       func(random *rand.Rand, leaf netip.AddrPort) bool
-	random     *rand.Rand
-	dispatcher *dispatch.Dispatcher
-	now        time.Duration
-	ends       map[dispatch.AttemptID]time.Duration
-	sends      map[dispatch.AttemptID]dispatch.Send
-	begun      map[dispatch.QueryID]time.Duration
-	inTime     int
+	hangs          func(random *rand.Rand, leaf netip.AddrPort) bool
+	random         *rand.Rand
+	dispatcher     *dispatch.Dispatcher
+	now            time.Duration
+	ends           map[dispatch.AttemptID]time.Duration
+	sends          map[dispatch.AttemptID]dispatch.Send
+	submitted      map[dispatch.QueryID]time.Duration
+	answeredInTime int
 }
 
 const (
-	slackObjective = 200 * time.Millisecond
-	slackQueries   = 60
+	simulatedObjective = 200 * time.Millisecond
+	simulatedQueries   = 60
 	// executorPause is the pause between two queries of one of eight executors, and
 	// alonePause of one of 76 nodes that each run their own.
-	executorPause = time.Second / 6
-	alonePause    = 76 * executorPause / 8
+	executorQueryInterval   = time.Second / 6
+	standaloneQueryInterval = 76 * executorQueryInterval / 8
 	// hanging is the share of attempts that hang.
-	hanging = 0.35
+	hangProbability = 0.35
 )
 
 // anyHangs lets attempts at all leaves hang by chance, and oneHangs all at one leaf of
 // three.
-func anyHangs(random *rand.Rand, _ netip.AddrPort) bool { return random.Float64() < hanging }
+func hangAtRandom(random *rand.Rand, _ netip.AddrPort) bool {
+	return random.Float64() < hangProbability
+}
 
-func oneHangs(_ *rand.Rand, leaf netip.AddrPort) bool { return leaf.Port() == 1 }
+func hangAtFirstLeaf(_ *rand.Rand, leaf netip.AddrPort) bool { return leaf.Port() == 1 }
 
-func newSlackPlay(bounds hedge.Bounds, pause time.Duration, slow func(*rand.Rand, netip.AddrPort) bool, seed uint64) *slackPlay {
+func newBudgetSimulation(bounds hedge.Bounds, pause time.Duration, hangs func(*rand.Rand, netip.AddrPort) bool, seed uint64) *budgetSimulation {
 	configured := settings.Example()
-	p := &slackPlay{
-		pause: pause, slow: slow,
+	s := &budgetSimulation{
+		queryInterval: pause, hangs: hangs,
 		random: rand.New(rand.NewPCG(seed, 1)), ends: make(map[dispatch.AttemptID]time.Duration),
-		sends: make(map[dispatch.AttemptID]dispatch.Send), begun: make(map[dispatch.QueryID]time.Duration),
+		sends: make(map[dispatch.AttemptID]dispatch.Send), submitted: make(map[dispatch.QueryID]time.Duration),
 	}
-	p.dispatcher = dispatch.New(dispatchConfig(configured), rand.New(rand.NewPCG(seed, 2)))
-	p.dispatcher.ResizeBudgets(func(int) hedge.Bounds { return bounds })
+	s.dispatcher = dispatch.New(dispatchConfig(configured), rand.New(rand.NewPCG(seed, 2)))
+	s.dispatcher.ResizeBudgets(func(int) hedge.Bounds { return bounds })
 	topology := dispatch.Topology{Partitions: []catalog.Partition{{Epoch: registry.Snapshot.Epoch, Shards: 1}}}
 	for number := range 3 {
 		topology.Leaves = append(topology.Leaves, dispatch.Leaf{
@@ -68,63 +70,63 @@
 			Holdings: []leaf.Holding{{Snapshot: registry.Snapshot, Shards: []int{0}}},
 		})
 	}
-	p.perform(p.dispatcher.SetTopology(p.now, topology))
-	return p
+	s.perform(s.dispatcher.SetTopology(s.now, topology))
+	return s
 }
 
-func (p *slackPlay) perform(actions []dispatch.Action) {
+func (s *budgetSimulation) perform(actions []dispatch.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case dispatch.Send:
-			took := 20 * time.Millisecond
-			if p.slow(p.random, action.Leaf) {
-				took = time.Second
+			duration := 20 * time.Millisecond
+			if s.hangs(s.random, action.Leaf) {
+				duration = time.Second
 			}
-			p.ends[action.Attempt], p.sends[action.Attempt] = p.now+took, action
+			s.ends[action.Attempt], s.sends[action.Attempt] = s.now+duration, action
 		case dispatch.Abort:
-			delete(p.ends, action.Attempt)
-			p.perform(p.dispatcher.Fail(p.now, action.Attempt, dispatch.Failure{Sent: true, Aborted: true}))
+			delete(s.ends, action.Attempt)
+			s.perform(s.dispatcher.Fail(s.now, action.Attempt, dispatch.Failure{Sent: true, Aborted: true}))
 		case dispatch.Finish:
-			if len(action.Answered) == 1 && p.now-p.begun[action.Query] <= slackObjective {
-				p.inTime++
+			if len(action.Answered) == 1 && s.now-s.submitted[action.Query] <= simulatedObjective {
+				s.answeredInTime++
 			}
 		}
 	}
 }
 
 // run plays all queries and returns how many were answered within the objective.
-func (p *slackPlay) run() int {
+func (s *budgetSimulation) run() int {
 	class := catalog.Class{Name: "sweep", Priority: 1, HedgePercentile: 0.9, ExtraLoad: 0.2, Repeatable: true}
 	next, count := time.Duration(0), 0
-	for ; p.now < slackQueries*p.pause+time.Second; p.now += time.Millisecond {
-		if count < slackQueries && p.now >= next {
+	for ; s.now < simulatedQueries*s.queryInterval+time.Second; s.now += time.Millisecond {
+		if count < simulatedQueries && s.now >= next {
 			count++
-			next += p.pause
+			next += s.queryInterval
 			id := dispatch.QueryID(count)
-			p.begun[id] = p.now
-			p.perform(p.dispatcher.Submit(p.now, dispatch.Query{
-				ID: id, Class: class, Shards: []int{0}, Deadline: p.now + 800*time.Millisecond, Objective: p.now + slackObjective,
+			s.submitted[id] = s.now
+			s.perform(s.dispatcher.Submit(s.now, dispatch.Query{
+				ID: id, Class: class, Shards: []int{0}, Deadline: s.now + 800*time.Millisecond, Objective: s.now + simulatedObjective,
 				HedgeDelay: 60 * time.Millisecond, MaximumSends: 2, MinimumCoverage: 1,
 			}))
 		}
-		for _, id := range slices.Sorted(maps.Keys(p.ends)) {
-			if end, open := p.ends[id]; open && end <= p.now {
-				delete(p.ends, id)
-				sent := p.sends[id]
-				p.perform(p.dispatcher.Reply(p.now, id, dispatch.Reply{Shard: 0, Snapshot: sent.Snapshot, BootID: sent.BootID}))
+		for _, id := range slices.Sorted(maps.Keys(s.ends)) {
+			if end, open := s.ends[id]; open && end <= s.now {
+				delete(s.ends, id)
+				sent := s.sends[id]
+				s.perform(s.dispatcher.Reply(s.now, id, dispatch.Reply{Shard: 0, Snapshot: sent.Snapshot, BootID: sent.BootID}))
 			}
 		}
-		if at, wanted := p.dispatcher.NextTick(); wanted && at <= p.now {
-			p.perform(p.dispatcher.Tick(p.now))
+		if at, wanted := s.dispatcher.NextTick(); wanted && at <= s.now {
+			s.perform(s.dispatcher.Tick(s.now))
 		}
 	}
-	return p.inTime
+	return s.answeredInTime
 }
 
 // TestSlackOfExecutorsReachesCallers plays a shard whose leaves hang in a third of the
 // attempts, at one of eight executors with six queries a second: with its part of the
 // slack it answers more of them in time than with an equal part of half of it.
-func TestSlackOfExecutorsReachesCallers(t *testing.T) {
+func TestExecutorsShareWholeSlack(t *testing.T) {
 	from := settings.Defaults().Forward
 	from.ExtraSlack = 190
 	var members []roster.Member
@@ -136,41 +138,41 @@
 		members = append(members, member)
 	}
 	roles := executors.Assign(members[0], members)
-	half := share.Of(roles, members, len(members)).Budget(extraLoad(from))
-	own := share.OfSlack(roles, members, len(members), true).Budget(extraLoad(from))
-	before, now := 0, 0
+	halfOfSlack := share.Of(roles, members, len(members)).Budget(extraLoadSettings(from))
+	wholeSlack := share.OfSlack(roles, members, len(members), true).Budget(extraLoadSettings(from))
+	baseline, actual := 0, 0
 	for seed := range uint64(20) {
-		before += newSlackPlay(half, executorPause, anyHangs, seed).run()
-		now += newSlackPlay(own, executorPause, anyHangs, seed).run()
+		baseline += newBudgetSimulation(halfOfSlack, executorQueryInterval, hangAtRandom, seed).run()
+		actual += newBudgetSimulation(wholeSlack, executorQueryInterval, hangAtRandom, seed).run()
 	}
-	t.Logf("answered in time: %d of %d, with half of the slack %d", now, 20*slackQueries, before)
-	if now < before+20*slackQueries/50 {
-		t.Errorf("answered in time: %d of %d, with half of the slack %d", now, 20*slackQueries, before)
+	t.Logf("answered in time: %d of %d, with half of the slack %d", actual, 20*simulatedQueries, baseline)
+	if actual < baseline+20*simulatedQueries/50 {
+		t.Errorf("answered in time: %d of %d, with half of the slack %d", actual, 20*simulatedQueries, baseline)
 	}
 }
 
 // TestExecutorsAmongEqualsReachCallers plays a shard of which one leaf of three hangs,
 // at one of 76 equal nodes that each run their own queries, and at one of eight that
 // run them for all: the latter meets the leaf often enough to know it.
-func TestExecutorsAmongEqualsReachCallers(t *testing.T) {
+func TestExecutorsOfEqualNodesDetectHangingLeaf(t *testing.T) {
 	from := settings.Defaults().Forward
 	from.ExtraSlack = 190
 	var members []roster.Member
 	for index := range 76 {
 		members = append(members, roster.Member{Name: fmt.Sprint(index), Zone: fmt.Sprint("zone-", index%4), Cores: 0.8})
 	}
-	fleet := executors.Assigner{EqualNodes: from.EqualNodes}
-	chosen := fleet.Assign(members[0], members)
-	executor := share.OfSlack(fleet.Assign(chosen.Executors[0], members), members, len(members), true).Budget(extraLoad(from))
-	alone := share.OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(extraLoad(from))
-	before, now := 0, 0
+	assigner := executors.Assigner{EqualNodes: from.EqualNodes}
+	chosen := assigner.Assign(members[0], members)
+	executor := share.OfSlack(assigner.Assign(chosen.Executors[0], members), members, len(members), true).Budget(extraLoadSettings(from))
+	alone := share.OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(extraLoadSettings(from))
+	baseline, actual := 0, 0
 	for seed := range uint64(20) {
-		before += newSlackPlay(alone, alonePause, oneHangs, seed).run()
-		now += newSlackPlay(executor, executorPause, oneHangs, seed).run()
+		baseline += newBudgetSimulation(alone, standaloneQueryInterval, hangAtFirstLeaf, seed).run()
+		actual += newBudgetSimulation(executor, executorQueryInterval, hangAtFirstLeaf, seed).run()
 	}
-	late, lateBefore := 20*slackQueries-now, 20*slackQueries-before
-	t.Logf("late: %d of %d, where each runs its own %d", late, 20*slackQueries, lateBefore)
+	late, lateBefore := 20*simulatedQueries-actual, 20*simulatedQueries-baseline
+	t.Logf("late: %d of %d, where each runs its own %d", late, 20*simulatedQueries, lateBefore)
 	if 4*late > lateBefore || lateBefore == 0 {
-		t.Errorf("late: %d of %d, where each runs its own %d", late, 20*slackQueries, lateBefore)
+		t.Errorf("late: %d of %d, where each runs its own %d", late, 20*simulatedQueries, lateBefore)
 	}
 }
--- a/internal/edge/node/terms.go
+++ b/internal/edge/node/terms.go
@@ -18,17 +18,17 @@
 }
 
 // now returns the terms of a request that is received now.
-func (t *terms) now() executors.Terms {
-	return executors.Terms{Version: t.config.Version(), Fresh: t.config.Fresh(), Cordoned: t.outOfService()}
+func (t *terms) current() executors.Terms {
+	return executors.Terms{Version: t.config.Version(), Fresh: t.config.Fresh(), Cordoned: t.cordonedZones()}
 }
 
 // setCordoned sets the zones that are out of service.
 func (t *terms) setCordoned(zones []string) { t.cordoned.Store(&zones) }
 
 // outOfService returns the zones that are out of service, by name.
-func (t *terms) outOfService() []string {
-	if known := t.cordoned.Load(); known != nil {
-		return *known
+func (t *terms) cordonedZones() []string {
+	if zones := t.cordoned.Load(); zones != nil {
+		return *zones
 	}
 	return nil
 }
--- a/internal/edge/node/view.go
+++ b/internal/edge/node/view.go
@@ -20,53 +20,53 @@
 	mutex    sync.Mutex
 	leaves   *registry.Table
 	nodes    *roster.Roster
-	services services
+	services servicePolicies
 	// leavesKnown is set once the Dispatcher has the leaves of a first reading.
-	leavesKnown bool
+	leavesLoaded bool
 }
 
-func newView(from settings.Forward, clock clock.Clock) *view {
+func newView(configured settings.Forward, clock clock.Clock) *view {
 	index := registry.NewIndex()
 	return &view{
 		clock: clock,
 		index: index,
 		leaves: registry.NewTable(registry.Config{
-			Doubt:    from.LeafDoubt.Duration(),
-			Settling: from.LeafSettling.Duration(),
+			Doubt:    configured.LeafDoubt.Duration(),
+			Settling: configured.LeafSettling.Duration(),
 		}, index),
-		nodes: roster.New(nodesMemory, from.ExtraNodes),
+		nodes: roster.New(nodeRetention, configured.ExtraNodes),
 	}
 }
 
 // applyServices applies what a configuration says of services and their leaves, which
 // the next topology shows. The caller holds the mutex.
 func (v *view) applyServices(config *route.Config) {
-	for _, declared := range config.Services {
-		v.index.Of(declared.Name)
+	for _, service := range config.Services {
+		v.index.Of(service.Name)
 	}
 	for index := range config.Routes {
 		for _, service := range config.Routes[index].Services() {
 			v.index.Of(service)
 		}
 	}
-	v.services = servicesOf(config)
-	v.leaves.SetColdTimes(v.services.coldTimes)
+	v.services = newServicePolicies(config)
+	v.leaves.SetColdTimes(v.services.coldDurations)
 }
 
 // hasLeaves reports whether the Dispatcher has the leaves of a first reading.
-func (v *view) hasLeaves() bool {
+func (v *view) areLeavesLoaded() bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.leavesKnown
+	return v.leavesLoaded
 }
 
 // announced implements announcedLeaves.
-func (v *view) announced(starts []string) map[string]bool {
+func (v *view) announced(incarnations []string) map[string]bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	found := make(map[string]bool, len(starts))
-	for _, start := range starts {
-		found[start] = v.leaves.Announced(start)
+	announced := make(map[string]bool, len(incarnations))
+	for _, incarnation := range incarnations {
+		announced[incarnation] = v.leaves.Announced(incarnation)
 	}
-	return found
+	return announced
 }
--- a/internal/edge/node/wire_test.go
+++ b/internal/edge/node/wire_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
+func TestMessagesMatchRecordedGob(t *testing.T) {
 	wiretest.Gob[watchRequest](t, "store.watch.request")
 	wiretest.Gob[mirror.Watched](t, "store.watch.response")
 	wiretest.Gob[offerRequest](t, "store.offer.request")
@@ -22,7 +22,7 @@
 
 // TestFormerReportIsRead: nodes of a former version count neither first attempts nor those
 // that were overtaken.
-func TestFormerReportIsRead(t *testing.T) {
+func TestReportOfFormerVersionIsDecoded(t *testing.T) {
 	report := wiretest.FormerGob[rollout.Report](t, "rollout.report.request")
 	if counts := report.Rows[0].Counts; counts.Failed != 88 || counts.Took[0] != 18 || counts.First != 0 || counts.Overtaken != 0 {
 		t.Errorf("%+v", counts)
--- a/internal/edge/records/records.go
+++ b/internal/edge/records/records.go
@@ -15,12 +15,12 @@
 func Greatest(k int, parts [][]byte) []byte {
 	top := NewTop(k, nil)
 	for _, part := range parts {
-		added, _ := top.split(part)
+		added, _ := top.splitPart(part)
 		top.merge(added)
 	}
 	greatest := make([]byte, 0, len(top.kept)*Size)
-	for _, one := range top.kept {
-		greatest = append(greatest, one[:]...)
+	for _, record := range top.kept {
+		greatest = append(greatest, record[:]...)
 	}
 	return greatest
 }
--- a/internal/edge/records/records_test.go
+++ b/internal/edge/records/records_test.go
@@ -15,9 +15,9 @@
 		parts := rapid.SliceOfN(part, 0, 4).Draw(t, "parts")
 		k := rapid.IntRange(-1, 8).Draw(t, "k")
 		var all []string
-		for _, one := range parts {
-			for at := 0; at+Size <= len(one); at += Size {
-				all = append(all, string(one[at:at+Size]))
+		for _, part := range parts {
+			for offset := 0; offset+Size <= len(part); offset += Size {
+				all = append(all, string(part[offset:offset+Size]))
 			}
 		}
 		slices.Sort(all)
--- a/internal/edge/records/top.go
+++ b/internal/edge/records/top.go
@@ -25,22 +25,22 @@
 // Add takes in a part. It returns the records of the part that are among the
 // greatest so far, and the others. Records that were returned by an earlier call
 // stay returned.
-func (t *Top) Add(part []byte) (kept, left []byte) {
-	added, excluded := t.split(part)
+func (t *Top) Add(part []byte) (kept, rest []byte) {
+	added, excluded := t.splitPart(part)
 	counted := t.merge(added)
-	for _, one := range added[:counted] {
-		kept = append(kept, one[:]...)
+	for _, record := range added[:counted] {
+		kept = append(kept, record[:]...)
 	}
-	left = excluded
-	for _, one := range added[counted:] {
-		left = append(left, one[:]...)
+	rest = excluded
+	for _, record := range added[counted:] {
+		rest = append(rest, record[:]...)
 	}
-	return kept, left
+	return kept, rest
 }
 
 // split returns the records of a part that may be among the greatest, greatest
 // first, and those that cannot.
-func (t *Top) split(part []byte) (added []record, excluded []byte) {
+func (t *Top) splitPart(part []byte) (added []record, excluded []byte) {
 	for ; len(part) >= Size; part = part[Size:] {
 		if t.excludes(part[:Size]) {
 			excluded = append(excluded, part[:Size]...)
@@ -53,28 +53,28 @@
 }
 
 // excludes reports whether a record cannot be among the greatest any more.
-func (t *Top) excludes(one []byte) bool {
-	if len(t.floor) > 0 && bytes.Compare(one, t.floor) < 0 {
+func (t *Top) excludes(candidate []byte) bool {
+	if len(t.floor) > 0 && bytes.Compare(candidate, t.floor) < 0 {
 		return true
 	}
-	return len(t.kept) == t.k && (t.k == 0 || bytes.Compare(one, t.kept[t.k-1][:]) <= 0)
+	return len(t.kept) == t.k && (t.k == 0 || bytes.Compare(candidate, t.kept[t.k-1][:]) <= 0)
 }
 
 // merge takes sorted records in, and returns how many of them are kept.
 func (t *Top) merge(added []record) int {
 	merged := make([]record, 0, min(t.k, len(t.kept)+len(added)))
-	former, own := 0, 0
-	for len(merged) < t.k && (former < len(t.kept) || own < len(added)) {
-		if own == len(added) || former < len(t.kept) && compare(t.kept[former], added[own]) >= 0 {
-			merged = append(merged, t.kept[former])
-			former++
+	keptIndex, addedIndex := 0, 0
+	for len(merged) < t.k && (keptIndex < len(t.kept) || addedIndex < len(added)) {
+		if addedIndex == len(added) || keptIndex < len(t.kept) && compare(t.kept[keptIndex], added[addedIndex]) >= 0 {
+			merged = append(merged, t.kept[keptIndex])
+			keptIndex++
 			continue
 		}
-		merged = append(merged, added[own])
-		own++
+		merged = append(merged, added[addedIndex])
+		addedIndex++
 	}
 	t.kept = merged
-	return own
+	return addedIndex
 }
 
 // Max returns the greatest record of a part; nil if it has none.
--- a/internal/edge/records/top_test.go
+++ b/internal/edge/records/top_test.go
@@ -15,7 +15,7 @@
 
 // TestTopLosesNothing thins parts out one by one: the greatest records of what
 // is left are those of the whole parts.
-func TestTopLosesNothing(t *testing.T) {
+func TestTopKeepsGreatestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := drawParts(t)
 		k := rapid.IntRange(0, 8).Draw(t, "k")
@@ -34,7 +34,7 @@
 // TestCoversTellsWhatIsMissing leaves some thinned parts out, as a query does
 // that settles: if Covers holds for all that are used, the greatest records are
 // those of the whole parts.
-func TestCoversTellsWhatIsMissing(t *testing.T) {
+func TestCoveredResultIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := drawParts(t)
 		k := rapid.IntRange(0, 8).Draw(t, "k")
@@ -42,15 +42,15 @@
 		top := NewTop(k, floor)
 		var whole, thinned, dropped [][]byte
 		for _, part := range parts {
-			kept, left := top.Add(part)
-			greatest := Max(left)
+			kept, rest := top.Add(part)
+			greatest := Max(rest)
 			if rapid.Bool().Draw(t, "used") {
 				whole, thinned, dropped = append(whole, part), append(thinned, kept), append(dropped, greatest)
 			}
 		}
 		got := Greatest(k, thinned)
-		for _, one := range dropped {
-			if !Covers(got, k, one) {
+		for _, record := range dropped {
+			if !Covers(got, k, record) {
 				return
 			}
 		}
@@ -60,39 +60,39 @@
 	})
 }
 
-func TestTopDropsWhatCannotCount(t *testing.T) {
-	of := func(values ...byte) (part []byte) {
+func TestTopDropsSmallerRecords(t *testing.T) {
+	repeat := func(values ...byte) (part []byte) {
 		for _, value := range values {
 			part = append(part, bytes.Repeat([]byte{value}, Size)...)
 		}
 		return part
 	}
 	top := NewTop(2, nil)
-	if kept, dropped := top.Add(of(1, 5, 3)); !bytes.Equal(kept, of(5, 3)) || !bytes.Equal(dropped, of(1)) {
+	if kept, dropped := top.Add(repeat(1, 5, 3)); !bytes.Equal(kept, repeat(5, 3)) || !bytes.Equal(dropped, repeat(1)) {
 		t.Errorf("first part: kept %x, dropped %x", kept, dropped)
 	}
-	if kept, dropped := top.Add(of(4, 2)); !bytes.Equal(kept, of(4)) || !bytes.Equal(dropped, of(2)) {
+	if kept, dropped := top.Add(repeat(4, 2)); !bytes.Equal(kept, repeat(4)) || !bytes.Equal(dropped, repeat(2)) {
 		t.Errorf("second part: kept %x, dropped %x", kept, dropped)
 	}
-	if kept, dropped := top.Add(of(9)); !bytes.Equal(kept, of(9)) || dropped != nil {
+	if kept, dropped := top.Add(repeat(9)); !bytes.Equal(kept, repeat(9)) || dropped != nil {
 		t.Errorf("third part: kept %x, dropped %x", kept, dropped)
 	}
-	top = NewTop(2, of(3))
-	if kept, dropped := top.Add(of(2, 3)); !bytes.Equal(kept, of(3)) || !bytes.Equal(dropped, of(2)) {
+	top = NewTop(2, repeat(3))
+	if kept, dropped := top.Add(repeat(2, 3)); !bytes.Equal(kept, repeat(3)) || !bytes.Equal(dropped, repeat(2)) {
 		t.Errorf("with a floor: kept %x, dropped %x", kept, dropped)
 	}
-	if got := NotBelow(of(1, 4, 3), of(3)); !bytes.Equal(got, of(4, 3)) {
+	if got := NotBelow(repeat(1, 4, 3), repeat(3)); !bytes.Equal(got, repeat(4, 3)) {
 		t.Errorf("not below 3: %x", got)
 	}
 }
 
 // TestNothingIsLost gives every whole record of a part back, kept or left.
-func TestNothingIsLost(t *testing.T) {
+func TestAddReturnsEveryRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		top := NewTop(rapid.IntRange(0, 4).Draw(t, "k"), rapid.SliceOfN(rapid.ByteRange(0, 2), Size, Size).Draw(t, "floor"))
 		for _, part := range drawParts(t) {
-			kept, left := top.Add(part)
-			all := Greatest(len(part), [][]byte{kept, left})
+			kept, rest := top.Add(part)
+			all := Greatest(len(part), [][]byte{kept, rest})
 			if want := Greatest(len(part), [][]byte{part}); !bytes.Equal(all, want) {
 				t.Fatalf("got %x, want %x", all, want)
 			}
--- a/internal/edge/registry/cordon.go
+++ b/internal/edge/registry/cordon.go
@@ -8,16 +8,16 @@
 
 // Cordon takes in that operators took a zone out of service, or put it back, by the
 // rule of package cordon. It reports whether that is news.
-func (t *Table) Cordon(now time.Duration, zone string, cordoned bool) bool {
+func (t *Table) SetCordon(now time.Duration, zone string, cordoned bool) bool {
 	if !t.zones.Set(cordon.Change{Zone: zone, Cordoned: cordoned}) {
 		return false
 	}
 	if cordoned {
 		return true
 	}
-	for _, known := range t.entries {
-		if known.Zone == zone {
-			known.coldUntil = cordon.ColdUntil(known.coldUntil, now, t.coldTimes[known.Service])
+	for _, entry := range t.entries {
+		if entry.Zone == zone {
+			entry.coldUntil = cordon.ColdUntil(entry.coldUntil, now, t.coldTimes[entry.Service])
 		}
 	}
 	return true
@@ -27,7 +27,7 @@
 // state changed. A stale list may lack the newest changes.
 func (t *Table) ReplaceCordons(now time.Duration, zones []string, stale bool) (changed []string) {
 	for _, change := range t.zones.Changes(zones, stale) {
-		t.Cordon(now, change.Zone, change.Cordoned)
+		t.SetCordon(now, change.Zone, change.Cordoned)
 		changed = append(changed, change.Zone)
 	}
 	return changed
--- a/internal/edge/registry/cordon_test.go
+++ b/internal/edge/registry/cordon_test.go
@@ -10,29 +10,29 @@
 	"pgregory.net/rapid"
 )
 
-func TestCordonHoldsForLeavesThatComeLater(t *testing.T) {
-	table := NewTable(config, named())
+func TestCordonAppliesToLaterLeaves(t *testing.T) {
+	table := NewTable(config, newTestIndex())
 	leaf := leafAt("a", "x", 1, 1)
 	leaf.Zone = "north"
 	table.Set(0, leaf)
-	if !table.Cordon(0, "north", true) || table.Cordon(0, "north", true) {
+	if !table.SetCordon(0, "north", true) || table.SetCordon(0, "north", true) {
 		t.Error("a cordon is news once")
 	}
-	later := leafAt("b", "x", 2, 2)
-	later.Zone = "north"
-	table.Set(0, later)
-	if found := usable(table.Topology()); len(found) != 0 {
-		t.Errorf("usable: %v", found)
+	laterLeaf := leafAt("b", "x", 2, 2)
+	laterLeaf.Zone = "north"
+	table.Set(0, laterLeaf)
+	if usable := usableLeaves(table.Topology()); len(usable) != 0 {
+		t.Errorf("usable: %v", usable)
 	}
-	table.Cordon(0, "north", false)
-	if found := usable(table.Topology()); len(found) != 2 {
-		t.Errorf("usable after it was taken back: %v", found)
+	table.SetCordon(0, "north", false)
+	if usable := usableLeaves(table.Topology()); len(usable) != 2 {
+		t.Errorf("usable after it was taken back: %v", usable)
 	}
 }
 
-func TestStaleListPutsNoZoneBack(t *testing.T) {
-	table := NewTable(config, named())
-	table.Cordon(0, "north", true)
+func TestStaleCordonListRemovesNoCordon(t *testing.T) {
+	table := NewTable(config, newTestIndex())
+	table.SetCordon(0, "north", true)
 	if changed := table.ReplaceCordons(0, []string{"south"}, true); !slices.Equal(changed, []string{"south"}) {
 		t.Errorf("changed by a stale list: %v", changed)
 	}
@@ -56,7 +56,7 @@
 
 // tell replaces what a table knows by the whole of a store, as after a
 // compaction or at a start.
-func (m storeModel) tell(table *Table, now time.Duration, stale bool) {
+func (m storeModel) replaceTable(table *Table, now time.Duration, stale bool) {
 	table.Replace(now, slices.Collect(maps.Values(m.leaves)))
 	table.ReplaceCordons(now, slices.Sorted(maps.Keys(m.cordons)), stale)
 }
@@ -65,12 +65,12 @@
 // that come, drain, lapse in outages and leave, histories that are lost, and
 // tables that start anew from a fresh or an old copy: no leaf of a cordoned zone
 // is usable, and every other one that is announced and does not drain is.
-func TestCordonUnderRandomOrders(t *testing.T) {
+func TestCordonUnderRandomEvents(t *testing.T) {
 	zones := []string{"north", "south", "west"}
 	rapid.Check(t, func(t *rapid.T) {
 		model := storeModel{leaves: make(map[string]Leaf), cordons: make(map[string]bool)}
-		old := model.clone()
-		table := NewTable(config, named())
+		staleCopy := model.clone()
+		table := NewTable(config, newTestIndex())
 		now := time.Hour
 		staleStart := false
 		anyID := func() string { return fmt.Sprint("leaf-", rapid.IntRange(0, 5).Draw(t, "leaf")) }
@@ -79,8 +79,8 @@
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
 			case 0, 1: // announced, or announced again
 				id := anyID()
-				announced, known := model.leaves[id]
-				if !known {
+				announced, exists := model.leaves[id]
+				if !exists {
 					number := int(id[len(id)-1])
 					announced = leafAt(id, "x", number, uint64(now))
 					announced.Zone = rapid.SampledFrom(zones).Draw(t, "zone")
@@ -89,7 +89,7 @@
 				table.Set(now, announced)
 			case 2: // drains
 				id := anyID()
-				if draining, known := model.leaves[id]; known {
+				if draining, exists := model.leaves[id]; exists {
 					draining.Draining = true
 					model.leaves[id] = draining
 					table.Set(now, draining)
@@ -97,28 +97,28 @@
 			case 3: // leaves, or lapses around an outage
 				id := anyID()
 				if rapid.Bool().Draw(t, "outage") {
-					table.Outage(now)
+					table.RecordOutage(now)
 				}
 				delete(model.leaves, id)
 				table.Remove(now, id)
 			case 4, 5:
 				zone := rapid.SampledFrom(zones).Draw(t, "cordoned")
 				model.cordons[zone] = true
-				table.Cordon(now, zone, true)
-				old = model.clone()
+				table.SetCordon(now, zone, true)
+				staleCopy = model.clone()
 			case 6:
 				zone := rapid.SampledFrom(zones).Draw(t, "put back")
 				delete(model.cordons, zone)
-				table.Cordon(now, zone, false)
+				table.SetCordon(now, zone, false)
 			case 7: // the history was lost
-				model.tell(table, now, false)
+				model.replaceTable(table, now, false)
 				staleStart = false
 			case 8: // a process starts
-				table = NewTable(config, named())
+				table = NewTable(config, newTestIndex())
 				if staleStart = rapid.Bool().Draw(t, "from an old copy"); staleStart {
-					old.tell(table, now, true)
+					staleCopy.replaceTable(table, now, true)
 				}
-				model.tell(table, now, staleStart)
+				model.replaceTable(table, now, staleStart)
 			}
 			table.Expire(now)
 			checkCordons(t, model, table, staleStart)
@@ -127,15 +127,15 @@
 }
 
 func checkCordons(t *rapid.T, model storeModel, table *Table, staleStart bool) {
-	found := usable(table.Topology())
-	for id := range found {
-		if known := table.entries[id]; model.cordons[known.Zone] {
-			t.Fatalf("%s is usable in %s, which is out of service", id, known.Zone)
+	usable := usableLeaves(table.Topology())
+	for id := range usable {
+		if entry := table.entries[id]; model.cordons[entry.Zone] {
+			t.Fatalf("%s is usable in %s, which is out of service", id, entry.Zone)
 		}
 	}
 	for id, announced := range model.leaves {
-		_, got := found[id]
-		if want := !announced.Draining && !model.cordons[announced.Zone]; want && !got && !staleStart {
+		_, isUsable := usable[id]
+		if want := !announced.Draining && !model.cordons[announced.Zone]; want && !isUsable && !staleStart {
 			t.Fatalf("%s is not usable in %s", id, announced.Zone)
 		}
 	}
--- a/internal/edge/registry/incarnation_test.go
+++ b/internal/edge/registry/incarnation_test.go
@@ -8,24 +8,24 @@
 )
 
 // bornAt is a leaf of the id "a" that started at a second.
-func bornAt(second int, revision uint64) Leaf {
+func leafStartedAt(startSecond int, revision uint64) Leaf {
 	leaf := leafAt("a", "x", 1, 1)
 	leaf.Revision = revision
-	if second > 0 {
-		leaf.Born = time.Unix(int64(second), 0)
+	if startSecond > 0 {
+		leaf.Born = time.Unix(int64(startSecond), 0)
 	}
 	return leaf
 }
 
 // only returns the one incarnation that may get work, or none.
-func (t *Table) only() string {
-	for incarnation := range usable(t.Topology()) {
+func (t *Table) soleUsable() string {
+	for incarnation := range usableLeaves(t.Topology()) {
 		return incarnation
 	}
 	return ""
 }
 
-func TestNamesOfIncarnations(t *testing.T) {
+func TestIncarnationNames(t *testing.T) {
 	for _, test := range []struct {
 		id   string
 		born int64
@@ -43,22 +43,22 @@
 
 // TestNextStartKnowsNothingOfBefore: it takes work though the former drained, is cold
 // by its own word alone, and is another leaf to whoever learned of the former.
-func TestNextStartKnowsNothingOfBefore(t *testing.T) {
-	table := NewTable(config, named())
-	former := bornAt(10, 5)
-	former.Draining, former.Cold = true, time.Hour
-	table.Set(0, former)
-	if got := table.only(); got != "" {
+func TestNewIncarnationInheritsNoState(t *testing.T) {
+	table := NewTable(config, newTestIndex())
+	previous := leafStartedAt(10, 5)
+	previous.Draining, previous.Cold = true, time.Hour
+	table.Set(0, previous)
+	if got := table.soleUsable(); got != "" {
 		t.Fatalf("%q takes work", got)
 	}
-	table.Set(time.Second, bornAt(20, 9))
-	if got := table.only(); got != "a@20000" {
+	table.Set(time.Second, leafStartedAt(20, 9))
+	if got := table.soleUsable(); got != "a@20000" {
 		t.Fatalf("%q takes work", got)
 	}
 	if cold := table.Topology().Leaves[0].ColdUntil; cold != 0 {
 		t.Errorf("cold until %v", cold)
 	}
-	if _, _, known := table.Version("a@10000"); known {
+	if _, _, known := table.VersionAndZone("a@10000"); known {
 		t.Error("what a former start did counts for this one")
 	}
 }
@@ -66,34 +66,34 @@
 // TestFormerStartIsNotBroughtBack by a write that comes late, by a copy of the store
 // that is behind, after the entry went, or by an entry that does not say of which
 // start it is; what is heard again of the newest is heard.
-func TestFormerStartIsNotBroughtBack(t *testing.T) {
+func TestStaleIncarnationIsRejected(t *testing.T) {
 	for name, test := range map[string]struct {
-		gone bool
-		then Leaf
-		want string
+		removed bool
+		update  Leaf
+		want    string
 	}{
-		"late write":           {false, bornAt(10, 12), "a@20000"},
-		"late write, gone":     {true, bornAt(10, 12), ""},
-		"no word of the start": {false, bornAt(0, 12), ""},
-		"no word, gone":        {true, bornAt(0, 12), ""},
-		"the same":             {false, bornAt(20, 12), "a@20000"},
-		"the same, gone":       {true, bornAt(20, 12), "a@20000"},
-		"the next":             {false, bornAt(30, 12), "a@30000"},
+		"late write":           {false, leafStartedAt(10, 12), "a@20000"},
+		"late write, gone":     {true, leafStartedAt(10, 12), ""},
+		"no word of the start": {false, leafStartedAt(0, 12), ""},
+		"no word, gone":        {true, leafStartedAt(0, 12), ""},
+		"the same":             {false, leafStartedAt(20, 12), "a@20000"},
+		"the same, gone":       {true, leafStartedAt(20, 12), "a@20000"},
+		"the next":             {false, leafStartedAt(30, 12), "a@30000"},
 	} {
-		table := NewTable(config, named())
-		table.Set(0, bornAt(10, 5))
-		table.Set(0, bornAt(20, 9))
-		if test.gone {
+		table := NewTable(config, newTestIndex())
+		table.Set(0, leafStartedAt(10, 5))
+		table.Set(0, leafStartedAt(20, 9))
+		if test.removed {
 			table.Remove(time.Minute, "a")
 		}
-		table.Set(time.Minute, test.then)
-		if got := table.only(); got != test.want {
+		table.Set(time.Minute, test.update)
+		if got := table.soleUsable(); got != test.want {
 			t.Errorf("%s: %q takes work, want %q", name, got, test.want)
 		}
-		stale := NewTable(config, named())
-		stale.Set(0, bornAt(20, 9))
-		stale.Replace(time.Minute, []Leaf{bornAt(10, 5)})
-		if got := stale.only(); got != "a@20000" {
+		stale := NewTable(config, newTestIndex())
+		stale.Set(0, leafStartedAt(20, 9))
+		stale.Replace(time.Minute, []Leaf{leafStartedAt(10, 5)})
+		if got := stale.soleUsable(); got != "a@20000" {
 			t.Errorf("a copy that is behind: %q takes work", got)
 		}
 	}
@@ -101,31 +101,31 @@
 
 // TestBirthsAreForgotten some time after the last word, so that their number is
 // bounded.
-func TestBirthsAreForgotten(t *testing.T) {
-	table := NewTable(config, named())
-	table.Set(0, bornAt(10, 5))
+func TestStartTimesExpire(t *testing.T) {
+	table := NewTable(config, newTestIndex())
+	table.Set(0, leafStartedAt(10, 5))
 	table.Remove(time.Second, "a")
-	table.Expire(time.Second + birthMemory)
-	if len(table.births) != 0 {
-		t.Errorf("%v", table.births)
+	table.Expire(time.Second + startTimeRetention)
+	if len(table.startTimes) != 0 {
+		t.Errorf("%v", table.startTimes)
 	}
 }
 
 // TestNextStartAfterARollout is no leaf that is about to be stopped.
-func TestNextStartAfterARollout(t *testing.T) {
-	table := NewTable(config, named())
-	former, fresh := bornAt(10, 5), leafAt("b", "x", 2, 6)
-	former.Version, fresh.Version = "v1", "v2"
-	table.Set(0, former)
-	table.Set(0, fresh)
+func TestLeafRestartedAfterRolloutIsUsable(t *testing.T) {
+	table := NewTable(config, newTestIndex())
+	previous, target := leafStartedAt(10, 5), leafAt("b", "x", 2, 6)
+	previous.Version, target.Version = "v1", "v2"
+	table.Set(0, previous)
+	table.Set(0, target)
 	table.SetStages(map[string]Stage{"x": {Order: 7, Version: "v2", Phase: rollout.PhaseCompleted, Recorded: 8}})
-	if _, taken := usable(table.Topology())["a@10000"]; taken {
+	if _, usable := usableLeaves(table.Topology())["a@10000"]; usable {
 		t.Error("the former version takes work")
 	}
-	again := bornAt(20, 9)
-	again.Version = "v1"
-	table.Set(0, again)
-	if _, taken := usable(table.Topology())["a@20000"]; !taken {
+	restarted := leafStartedAt(20, 9)
+	restarted.Version = "v1"
+	table.Set(0, restarted)
+	if _, usable := usableLeaves(table.Topology())["a@20000"]; !usable {
 		t.Error("a leaf that started after the roll-out takes none")
 	}
 }
--- a/internal/edge/registry/index.go
+++ b/internal/edge/registry/index.go
@@ -19,20 +19,20 @@
 func (i *Index) Find(service string) (int, bool) {
 	i.mutex.RLock()
 	defer i.mutex.RUnlock()
-	number, known := i.numbers[service]
-	return number, known
+	number, exists := i.numbers[service]
+	return number, exists
 }
 
 // Of returns the number of a service, which it gets if it has none. Only services
 // that a configuration names get one: announcements may name any.
 func (i *Index) Of(service string) int {
-	number, known := i.Find(service)
-	if known {
+	number, exists := i.Find(service)
+	if exists {
 		return number
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if number, known = i.numbers[service]; known {
+	if number, exists = i.numbers[service]; exists {
 		return number
 	}
 	number = len(i.names)
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -52,39 +52,39 @@
 type Config = removal.Config
 
 // entry is what the Table knows of one id.
-type entry struct {
+type leafEntry struct {
 	Leaf
 	// goneAt is when the leaf stops being used, after its announcement vanished;
 	// zero while it is announced.
-	goneAt time.Duration
+	expiresAt time.Duration
 	// coldUntil is when the leaf is warm, as it announced or as is assumed.
 	coldUntil time.Duration
 }
 
 // Table is the set of leaves. It is not safe for concurrent use.
 type Table struct {
-	index     *Index
-	entries   map[string]*entry
-	removals  removal.Rule
-	zones     *cordon.Zones
-	stages    map[string]Stage  // by service
-	mixed     map[string]uint64 // orders under which another version was seen, by service
-	births    births
-	coldTimes map[string]time.Duration // by service
-	revision  uint64
+	index       *Index
+	entries     map[string]*leafEntry
+	removals    removal.Rule
+	zones       *cordon.Zones
+	stages      map[string]Stage  // by service
+	mixedOrders map[string]uint64 // orders under which another version was seen, by service
+	startTimes  startTimes
+	coldTimes   map[string]time.Duration // by service
+	revision    uint64
 }
 
 // NewTable returns an empty Table that numbers services by index.
 func NewTable(config Config, index *Index) *Table {
 	return &Table{
-		index: index, entries: make(map[string]*entry), removals: removal.NewRule(config),
-		zones: cordon.NewZones(), mixed: make(map[string]uint64), births: make(births),
+		index: index, entries: make(map[string]*leafEntry), removals: removal.NewRule(config),
+		zones: cordon.NewZones(), mixedOrders: make(map[string]uint64), startTimes: make(startTimes),
 	}
 }
 
 // ErrFormerStart means that an announcement is of a former start of its leaf, or does
 // not say of which, though another did.
-var ErrFormerStart = errors.New("announcement is not of the newest start of its leaf")
+var ErrStaleIncarnation = errors.New("announcement is not of the newest start of its leaf")
 
 // Set takes in an announcement, and reports whether it did: one of a former start of
 // the leaf, written late or read from a copy that is behind, brings nothing back. A
@@ -92,27 +92,27 @@
 // stays so: it may have turned cold after it wrote its announcement. Nothing of that
 // holds for its next start.
 func (t *Table) Set(now time.Duration, announced Leaf) bool {
-	if !t.births.newest(now, announced) {
+	if !t.startTimes.recordNewest(now, announced) {
 		if announced.Born.IsZero() {
 			t.Remove(now, announced.ID) // what it announced before was overwritten
 		}
 		return false
 	}
-	taken := &entry{Leaf: announced}
-	known, found := t.entries[announced.ID]
-	again := found && announced.Born.After(known.Born)
+	updated := &leafEntry{Leaf: announced}
+	current, exists := t.entries[announced.ID]
+	restarted := exists && announced.Born.After(current.Born)
 	switch {
-	case again:
-		taken.Created = announced.Revision
-	case found:
-		taken.Created = known.Created
-		taken.Draining = announced.Draining || known.Draining
-		taken.coldUntil = known.coldUntil
+	case restarted:
+		updated.Created = announced.Revision
+	case exists:
+		updated.Created = current.Created
+		updated.Draining = announced.Draining || current.Draining
+		updated.coldUntil = current.coldUntil
 	}
-	if news := !found || known.Revision != announced.Revision; news && announced.Cold > 0 {
-		taken.coldUntil = max(taken.coldUntil, now+announced.Cold)
+	if isNew := !exists || current.Revision != announced.Revision; isNew && announced.Cold > 0 {
+		updated.coldUntil = max(updated.coldUntil, now+announced.Cold)
 	}
-	t.entries[announced.ID] = taken
+	t.entries[announced.ID] = updated
 	return true
 }
 
@@ -122,27 +122,27 @@
 // Remove takes in that the announcement of an id has vanished. The leaf may be used for
 // a while more, by the rule of package removal.
 func (t *Table) Remove(now time.Duration, id string) {
-	known, found := t.entries[id]
-	if !found || known.goneAt > 0 {
+	entry, exists := t.entries[id]
+	if !exists || entry.expiresAt > 0 {
 		return
 	}
-	until, doubted := t.removals.UsedUntil(now, known.Draining)
-	if !doubted {
+	usedUntil, delayed := t.removals.UsedUntil(now, entry.Draining)
+	if !delayed {
 		delete(t.entries, id)
 		return
 	}
-	known.goneAt = until
+	entry.expiresAt = usedUntil
 }
 
 // Replace takes in all announcements there are. They may be old: a leaf that was
 // cold then does not start slowly here, but bounds of cold leaves hold for it.
 func (t *Table) Replace(now time.Duration, announced []Leaf) {
 	present := make(map[string]bool, len(announced))
-	for _, one := range announced {
-		if t.Set(now, one) {
-			t.entries[one.ID].Cold = 0
+	for _, leaf := range announced {
+		if t.Set(now, leaf) {
+			t.entries[leaf.ID].Cold = 0
 		}
-		present[one.ID] = t.entries[one.ID] != nil
+		present[leaf.ID] = t.entries[leaf.ID] != nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
 		if !present[id] {
@@ -154,26 +154,26 @@
 // Announced reports whether an incarnation is announced now. One whose announcement has
 // vanished is not, though it may still be used for a while.
 func (t *Table) Announced(incarnation string) bool {
-	known, found := t.entries[IDOf(incarnation)]
-	return found && known.goneAt == 0 && known.Incarnation() == incarnation
+	entry, exists := t.entries[IDOf(incarnation)]
+	return exists && entry.expiresAt == 0 && entry.Incarnation() == incarnation
 }
 
 // Outage takes in that the store was away until now.
-func (t *Table) Outage(now time.Duration) { t.removals.Outage(now) }
+func (t *Table) RecordOutage(now time.Duration) { t.removals.Outage(now) }
 
 // Expire drops the leaves whose announcements are not doubted to be gone any more, and
 // what was remembered of others for long enough. It reports whether it dropped a leaf,
 // and when it has to be called next, on the node's clock; zero for never.
 func (t *Table) Expire(now time.Duration) (changed bool, next time.Duration) {
-	t.births.expire(now)
-	for id, known := range t.entries {
+	t.startTimes.expire(now)
+	for id, entry := range t.entries {
 		switch {
-		case known.goneAt == 0:
-		case known.goneAt <= now:
+		case entry.expiresAt == 0:
+		case entry.expiresAt <= now:
 			delete(t.entries, id)
 			changed = true
-		case next == 0 || known.goneAt < next:
-			next = known.goneAt
+		case next == 0 || entry.expiresAt < next:
+			next = entry.expiresAt
 		}
 	}
 	return changed, next
@@ -187,41 +187,41 @@
 // created last has it.
 func (t *Table) Topology() dispatch.Topology {
 	t.revision++
-	t.findMixed()
-	owners := make(map[netip.AddrPort]*entry, len(t.entries))
-	for _, known := range t.entries {
-		owner, taken := owners[known.Address]
-		if !taken || cmp.Or(cmp.Compare(known.Created, owner.Created), cmp.Compare(known.ID, owner.ID)) > 0 {
-			owners[known.Address] = known
+	t.recordMixedOrders()
+	owners := make(map[netip.AddrPort]*leafEntry, len(t.entries))
+	for _, entry := range t.entries {
+		owner, exists := owners[entry.Address]
+		if !exists || cmp.Or(cmp.Compare(entry.Created, owner.Created), cmp.Compare(entry.ID, owner.ID)) > 0 {
+			owners[entry.Address] = entry
 		}
 	}
 	topology := dispatch.Topology{
 		Revision:   t.revision,
 		Partitions: []catalog.Partition{{Epoch: Snapshot.Epoch, Shards: t.index.Len()}},
 	}
-	for _, known := range owners {
-		if service, named := t.index.Find(known.Service); named {
-			topology.Leaves = append(topology.Leaves, t.listed(known, service))
+	for _, entry := range owners {
+		if shard, exists := t.index.Find(entry.Service); exists {
+			topology.Leaves = append(topology.Leaves, t.dispatchLeaf(entry, shard))
 		}
 	}
 	slices.SortFunc(topology.Leaves, func(a, b dispatch.Leaf) int { return a.Address.Compare(b.Address) })
 	return topology
 }
 
-func (t *Table) listed(known *entry, service int) dispatch.Leaf {
+func (t *Table) dispatchLeaf(entry *leafEntry, shard int) dispatch.Leaf {
 	return dispatch.Leaf{
-		Address:   known.Address,
-		Zone:      known.Zone,
-		ColdUntil: known.coldUntil,
-		BootID:    known.Incarnation(),
-		Usable:    t.usable(known) && !t.barred(known),
-		Canary:    t.canary(known),
-		WarmAt:    known.coldUntil,
-		Cold:      known.Cold > 0,
-		Slots:     known.Slots,
+		Address:   entry.Address,
+		Zone:      entry.Zone,
+		ColdUntil: entry.coldUntil,
+		BootID:    entry.Incarnation(),
+		Usable:    t.usable(entry) && !t.excludedByRollout(entry),
+		Canary:    t.canary(entry),
+		WarmAt:    entry.coldUntil,
+		Cold:      entry.Cold > 0,
+		Slots:     entry.Slots,
 		Holdings: []leaf.Holding{{
 			Snapshot: Snapshot,
-			Shards:   []int{service},
+			Shards:   []int{shard},
 		}},
 	}
 }
--- a/internal/edge/registry/registry_test.go
+++ b/internal/edge/registry/registry_test.go
@@ -11,7 +11,7 @@
 var config = Config{Doubt: 2 * time.Second, Settling: 3 * time.Second}
 
 // named returns an Index of the services that a configuration names in these tests.
-func named() *Index {
+func newTestIndex() *Index {
 	index := NewIndex()
 	for _, service := range []string{"x", "y"} {
 		index.Of(service)
@@ -24,77 +24,77 @@
 }
 
 // usable returns the ids that may get work, by service number.
-func usable(topology dispatch.Topology) map[string]int {
-	found := make(map[string]int)
-	for _, listed := range topology.Leaves {
-		if listed.Usable {
-			found[listed.BootID] = listed.Holdings[0].Shards[0]
+func usableLeaves(topology dispatch.Topology) map[string]int {
+	shards := make(map[string]int)
+	for _, leaf := range topology.Leaves {
+		if leaf.Usable {
+			shards[leaf.BootID] = leaf.Holdings[0].Shards[0]
 		}
 	}
-	return found
+	return shards
 }
 
 func TestTopologyNumbersServices(t *testing.T) {
-	table := NewTable(config, named())
+	table := NewTable(config, newTestIndex())
 	table.Replace(0, []Leaf{leafAt("a", "x", 1, 1), leafAt("b", "y", 2, 2), leafAt("c", "x", 3, 3)})
 	topology := table.Topology()
-	found := usable(topology)
-	if len(found) != 3 || found["a"] != found["c"] || found["a"] == found["b"] || topology.Partitions[0].Shards != 2 {
-		t.Errorf("%v in %+v", found, topology.Partitions)
+	usable := usableLeaves(topology)
+	if len(usable) != 3 || usable["a"] != usable["c"] || usable["a"] == usable["b"] || topology.Partitions[0].Shards != 2 {
+		t.Errorf("%v in %+v", usable, topology.Partitions)
 	}
 }
 
-func TestDrainingSticksToTheID(t *testing.T) {
-	table := NewTable(config, named())
+func TestDrainingPersistsForIncarnation(t *testing.T) {
+	table := NewTable(config, newTestIndex())
 	leaf := leafAt("a", "x", 1, 1)
 	leaf.Draining = true
 	table.Set(0, leaf)
 	leaf.Draining = false
 	table.Set(0, leaf)
-	if found := usable(table.Topology()); len(found) != 0 {
-		t.Errorf("usable: %v", found)
+	if usable := usableLeaves(table.Topology()); len(usable) != 0 {
+		t.Errorf("usable: %v", usable)
 	}
 	table.Set(0, leafAt("b", "x", 1, 9))
-	if _, ok := usable(table.Topology())["b"]; !ok {
+	if _, ok := usableLeaves(table.Topology())["b"]; !ok {
 		t.Error("the next incarnation at the address gets no work")
 	}
 }
 
 func TestNewerLeafOwnsItsAddress(t *testing.T) {
-	table := NewTable(config, named())
+	table := NewTable(config, newTestIndex())
 	table.Replace(0, []Leaf{leafAt("new", "y", 1, 7), leafAt("old", "x", 1, 3)})
-	found := usable(table.Topology())
-	if _, ok := found["new"]; !ok || len(found) != 1 {
-		t.Errorf("usable: %v", found)
+	usable := usableLeaves(table.Topology())
+	if _, ok := usable["new"]; !ok || len(usable) != 1 {
+		t.Errorf("usable: %v", usable)
 	}
 }
 
 // TestRemovalsAreDoubtedAroundAnOutage covers when a leaf stops being used
 // whose entry went.
-func TestRemovalsAreDoubtedAroundAnOutage(t *testing.T) {
+func TestRemovalsAroundOutageAreDelayed(t *testing.T) {
 	const outageEnd = 100 * time.Second
 	for _, test := range []struct {
-		name      string
-		at        time.Duration // of the removal
-		draining  bool
-		back      bool // it is announced again before the doubt ends
-		usedUntil time.Duration
+		name           string
+		at             time.Duration // of the removal
+		draining       bool
+		announcedAgain bool // it is announced again before the doubt ends
+		usedUntil      time.Duration
 	}{
 		{"long after an outage", outageEnd + config.Settling, false, false, 0},
 		{"just after an outage", outageEnd + time.Second, false, false, outageEnd + time.Second + config.Doubt},
 		{"announced again", outageEnd + time.Second, false, true, time.Hour},
 		{"it drained before", outageEnd + time.Second, true, false, 0},
 	} {
-		table := NewTable(config, named())
+		table := NewTable(config, newTestIndex())
 		leaf := leafAt("a", "x", 1, 1)
 		table.Set(0, leaf)
 		if leaf.Draining = test.draining; leaf.Draining {
 			table.Set(0, leaf)
 		}
-		table.Outage(outageEnd)
+		table.RecordOutage(outageEnd)
 		table.Remove(test.at, "a")
 		table.Remove(test.at+time.Second, "a")
-		if test.back {
+		if test.announcedAgain {
 			table.Set(0, leaf)
 		}
 		for _, now := range []time.Duration{test.at, test.usedUntil - 1, test.usedUntil, 2 * time.Hour} {
@@ -102,10 +102,10 @@
 				continue
 			}
 			changed, next := table.Expire(now)
-			if got, want := table.Len() == 1, now < test.usedUntil || test.back; got != want {
+			if got, want := table.Len() == 1, now < test.usedUntil || test.announcedAgain; got != want {
 				t.Errorf("%s: at %v known %v, want %v", test.name, now, got, want)
 			}
-			if table.Len() == 1 && !test.back && next != test.usedUntil {
+			if table.Len() == 1 && !test.announcedAgain && next != test.usedUntil {
 				t.Errorf("%s: next look at %v", test.name, next)
 			}
 			if changed && now < test.usedUntil {
@@ -115,39 +115,39 @@
 	}
 }
 
-func TestReplaceTakesOutWhatIsGone(t *testing.T) {
-	table := NewTable(config, named())
+func TestReplaceRemovesMissingLeaves(t *testing.T) {
+	table := NewTable(config, newTestIndex())
 	table.Replace(0, []Leaf{leafAt("a", "x", 1, 1), leafAt("b", "x", 2, 1)})
 	table.Replace(10*time.Second, []Leaf{leafAt("b", "x", 2, 1)})
-	found := usable(table.Topology())
-	if _, ok := found["b"]; !ok || len(found) != 1 {
-		t.Errorf("usable: %v", found)
+	usable := usableLeaves(table.Topology())
+	if _, ok := usable["b"]; !ok || len(usable) != 1 {
+		t.Errorf("usable: %v", usable)
 	}
 }
 
 // TestColdIsBelievedOnlyOfNews reads an announcement that may be old: the time
 // for which its leaf was slow may be over.
-func TestColdIsBelievedOnlyOfNews(t *testing.T) {
-	table := NewTable(config, named())
-	old, news := leafAt("a", "x", 1, 1), leafAt("b", "x", 2, 2)
-	old.Cold, news.Cold = time.Second, time.Second
-	table.Replace(0, []Leaf{old})
-	table.Set(0, news)
-	for _, listed := range table.Topology().Leaves {
-		if want := listed.BootID == "b"; listed.Cold != want {
-			t.Errorf("%s: cold %v", listed.BootID, listed.Cold)
+func TestReplaceIgnoresAnnouncedCold(t *testing.T) {
+	table := NewTable(config, newTestIndex())
+	stale, fresh := leafAt("a", "x", 1, 1), leafAt("b", "x", 2, 2)
+	stale.Cold, fresh.Cold = time.Second, time.Second
+	table.Replace(0, []Leaf{stale})
+	table.Set(0, fresh)
+	for _, leaf := range table.Topology().Leaves {
+		if want := leaf.BootID == "b"; leaf.Cold != want {
+			t.Errorf("%s: cold %v", leaf.BootID, leaf.Cold)
 		}
 	}
 }
 
 // TestColdUntil covers until when a leaf is taken to be cold.
 func TestColdUntil(t *testing.T) {
-	table := NewTable(config, named())
+	table := NewTable(config, newTestIndex())
 	table.SetColdTimes(map[string]time.Duration{"x": 3 * time.Second})
-	check := func(what string, want time.Duration) {
+	check := func(description string, want time.Duration) {
 		t.Helper()
 		if got := table.Topology().Leaves[0].ColdUntil; got != want {
-			t.Errorf("%s: until %v, want %v", what, got, want)
+			t.Errorf("%s: until %v, want %v", description, got, want)
 		}
 	}
 	announced := leafAt("a", "x", 1, 1)
@@ -159,8 +159,8 @@
 	announced.Revision, announced.Cold = 2, 0
 	table.Set(11*time.Second, announced)
 	check("warm, by a word that may be older", 12*time.Second)
-	table.Cordon(20*time.Second, "north", true)
-	table.Cordon(30*time.Second, "north", false)
+	table.SetCordon(20*time.Second, "north", true)
+	table.SetCordon(30*time.Second, "north", false)
 	check("its zone was out of service", 33*time.Second)
 	announced.Revision, announced.Cold = 3, time.Second
 	table.Set(31*time.Second, announced)
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -16,37 +16,39 @@
 // SetStages replaces the roll-outs, by service.
 func (t *Table) SetStages(stages map[string]Stage) {
 	t.stages = stages
-	t.findMixed()
+	t.recordMixedOrders()
 }
 
 // findMixed notes the services that have leaves of another version under their
 // order. Where all leaves have the version from the start there is nothing to try.
-func (t *Table) findMixed() {
+func (t *Table) recordMixedOrders() {
 	if len(t.stages) == 0 {
 		return
 	}
-	for _, known := range t.entries {
-		if stage, found := t.stages[known.Service]; found && known.Version != stage.Version {
-			t.mixed[known.Service] = stage.Order
+	for _, entry := range t.entries {
+		if stage, exists := t.stages[entry.Service]; exists && entry.Version != stage.Version {
+			t.mixedOrders[entry.Service] = stage.Order
 		}
 	}
 }
 
 // Mixed reports whether leaves of another version were known under the order of a
 // service.
-func (t *Table) Mixed(service string) bool {
-	stage, found := t.stages[service]
-	order, seen := t.mixed[service]
-	return found && seen && order == stage.Order
+func (t *Table) HasMixedVersions(service string) bool {
+	stage, exists := t.stages[service]
+	order, seen := t.mixedOrders[service]
+	return exists && seen && order == stage.Order
 }
 
 // usable reports whether a leaf may get work but for its version.
-func (t *Table) usable(known *entry) bool { return !known.Draining && !t.zones.Cordoned(known.Zone) }
+func (t *Table) usable(entry *leafEntry) bool {
+	return !entry.Draining && !t.zones.Cordoned(entry.Zone)
+}
 
 // canary reports whether a leaf may get attempts only within an allowance.
-func (t *Table) canary(known *entry) bool {
-	stage, found := t.stages[known.Service]
-	if !found || known.Version != stage.Version || !t.Mixed(known.Service) {
+func (t *Table) canary(entry *leafEntry) bool {
+	stage, exists := t.stages[entry.Service]
+	if !exists || entry.Version != stage.Version || !t.HasMixedVersions(entry.Service) {
 		return false
 	}
 	return !stage.Phase.Shifted() && stage.Phase != rollout.PhaseRolledBack
@@ -54,25 +56,25 @@
 
 // barred reports whether a leaf gets no work because of its version: one that was rolled
 // back, or that is about to be stopped for another one.
-func (t *Table) barred(known *entry) bool {
-	stage, found := t.stages[known.Service]
-	if !found {
+func (t *Table) excludedByRollout(entry *leafEntry) bool {
+	stage, exists := t.stages[entry.Service]
+	if !exists {
 		return false
 	}
-	if known.Version == stage.Version {
+	if entry.Version == stage.Version {
 		return stage.Phase == rollout.PhaseRolledBack
 	}
-	if !stage.Phase.Shifted() || !t.served(known.Service, stage.Version) {
+	if !stage.Phase.Shifted() || !t.hasUsableLeaf(entry.Service, stage.Version) {
 		return false
 	}
 	// What comes once a roll-out is over has nothing to do with it.
-	return stage.Phase == rollout.PhaseShift || stage.Recorded == 0 || known.Created < stage.Recorded
+	return stage.Phase == rollout.PhaseShift || stage.Recorded == 0 || entry.Created < stage.Recorded
 }
 
 // served reports whether a service has a leaf of a version that may get work.
-func (t *Table) served(service, version string) bool {
-	for _, known := range t.entries {
-		if known.Service == service && known.Version == version && t.usable(known) {
+func (t *Table) hasUsableLeaf(service, version string) bool {
+	for _, entry := range t.entries {
+		if entry.Service == service && entry.Version == version && t.usable(entry) {
 			return true
 		}
 	}
@@ -93,21 +95,21 @@
 func (t *Table) Supply(service string) Supply {
 	stage := t.stages[service]
 	supply := Supply{Others: make(map[string]bool), Usable: make(map[string]bool)}
-	for _, known := range t.entries {
-		if known.Service != service {
+	for _, entry := range t.entries {
+		if entry.Service != service {
 			continue
 		}
-		target := known.Version == stage.Version
+		target := entry.Version == stage.Version
 		if !target {
-			supply.Others[known.Incarnation()] = true
+			supply.Others[entry.Incarnation()] = true
 		}
 		switch {
-		case !t.usable(known):
+		case !t.usable(entry):
 		case target:
-			supply.Target += known.Slots
-			supply.Usable[known.Incarnation()] = true
+			supply.Target += entry.Slots
+			supply.Usable[entry.Incarnation()] = true
 		default:
-			supply.Control += known.Slots
+			supply.Control += entry.Slots
 		}
 	}
 	return supply
@@ -115,10 +117,10 @@
 
 // Version returns the version of a leaf's software, and its zone; false if this
 // incarnation is not known, or not any more.
-func (t *Table) Version(incarnation string) (version, zone string, found bool) {
-	known, found := t.entries[IDOf(incarnation)]
-	if !found || known.Incarnation() != incarnation {
+func (t *Table) VersionAndZone(incarnation string) (version, zone string, exists bool) {
+	entry, exists := t.entries[IDOf(incarnation)]
+	if !exists || entry.Incarnation() != incarnation {
 		return "", "", false
 	}
-	return known.Version, known.Zone, true
+	return entry.Version, entry.Zone, true
 }
--- a/internal/edge/registry/stage_test.go
+++ b/internal/edge/registry/stage_test.go
@@ -8,33 +8,33 @@
 )
 
 // versioned returns a Table with an old leaf and a new one of the service x.
-func versioned() *Table {
-	table := NewTable(config, named())
-	for _, one := range []struct {
+func newTwoVersionTable() *Table {
+	table := NewTable(config, newTestIndex())
+	for _, spec := range []struct {
 		id, version string
 		port        int
 	}{{"old", "v1", 1}, {"new", "v2", 2}} {
-		leaf := leafAt(one.id, "x", one.port, uint64(one.port))
-		leaf.Version, leaf.Zone = one.version, "zone-"+one.version
+		leaf := leafAt(spec.id, "x", spec.port, uint64(spec.port))
+		leaf.Version, leaf.Zone = spec.version, "zone-"+spec.version
 		table.Set(0, leaf)
 	}
 	return table
 }
 
 // roles returns the leaves that get work, and those that get only what is allowed.
-func roles(table *Table) (usable, canaries []string) {
-	for _, listed := range table.Topology().Leaves {
+func usableAndCanaries(table *Table) (usable, canaries []string) {
+	for _, leaf := range table.Topology().Leaves {
 		switch {
-		case listed.Usable && listed.Canary:
-			canaries = append(canaries, listed.BootID)
-		case listed.Usable:
-			usable = append(usable, listed.BootID)
+		case leaf.Usable && leaf.Canary:
+			canaries = append(canaries, leaf.BootID)
+		case leaf.Usable:
+			usable = append(usable, leaf.BootID)
 		}
 	}
 	return usable, canaries
 }
 
-func TestStages(t *testing.T) {
+func TestRolloutPhaseSelectsLeaves(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		stage            Stage
@@ -50,9 +50,9 @@
 		{"withdrawn", Stage{Version: "v2", Phase: rollout.PhaseTrial}, []string{"old"}, []string{"new"}},
 		{"another version", Stage{Order: 5, Version: "v3", Phase: rollout.PhaseTrial}, []string{"old", "new"}, nil},
 	} {
-		table := versioned()
+		table := newTwoVersionTable()
 		table.SetStages(map[string]Stage{"x": test.stage})
-		usable, canaries := roles(table)
+		usable, canaries := usableAndCanaries(table)
 		if !slices.Equal(usable, test.usable) || !slices.Equal(canaries, test.canaries) {
 			t.Errorf("%s: usable %v, canaries %v", test.name, usable, canaries)
 		}
@@ -61,27 +61,27 @@
 
 // TestVersionThatAllLeavesHaveStaysInUse: there is nothing to try, until a leaf of
 // another version is seen.
-func TestVersionThatAllLeavesHaveStaysInUse(t *testing.T) {
-	table := versioned()
+func TestSoleVersionStaysUsable(t *testing.T) {
+	table := newTwoVersionTable()
 	table.Remove(0, "old")
 	table.SetStages(map[string]Stage{"x": {Order: 5, Version: "v2"}})
-	if usable, canaries := roles(table); !slices.Equal(usable, []string{"new"}) || len(canaries) > 0 || table.Mixed("x") {
+	if usable, canaries := usableAndCanaries(table); !slices.Equal(usable, []string{"new"}) || len(canaries) > 0 || table.HasMixedVersions("x") {
 		t.Errorf("usable %v, canaries %v", usable, canaries)
 	}
-	table = versioned()
+	table = newTwoVersionTable()
 	table.SetStages(map[string]Stage{"x": {Order: 5, Version: "v2"}})
 	table.Remove(0, "old")
-	if usable, canaries := roles(table); len(usable) > 0 || !slices.Equal(canaries, []string{"new"}) || !table.Mixed("x") {
+	if usable, canaries := usableAndCanaries(table); len(usable) > 0 || !slices.Equal(canaries, []string{"new"}) || !table.HasMixedVersions("x") {
 		t.Errorf("after the others ended: usable %v, canaries %v", usable, canaries)
 	}
 }
 
 // TestOthersServeWhileTheVersionCannot: the zone of its leaves is out of service.
-func TestOthersServeWhileTheVersionCannot(t *testing.T) {
-	table := versioned()
+func TestControlServesWhileTargetIsUnusable(t *testing.T) {
+	table := newTwoVersionTable()
 	table.SetStages(map[string]Stage{"x": {Order: 5, Version: "v2", Phase: rollout.PhaseShift}})
-	table.Cordon(0, "zone-v2", true)
-	if usable, _ := roles(table); !slices.Equal(usable, []string{"old"}) {
+	table.SetCordon(0, "zone-v2", true)
+	if usable, _ := usableAndCanaries(table); !slices.Equal(usable, []string{"old"}) {
 		t.Errorf("usable %v", usable)
 	}
 	supply := table.Supply("x")
--- a/internal/edge/route/route_test.go
+++ b/internal/edge/route/route_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func sound() Route {
+func validRoute() Route {
 	return Route{
 		Name: "lookup", Host: "a.example", Prefix: "/x/", Timeout: time.Second, MaxAttempts: 1,
 		Targets: []Target{{Service: "vault", Weight: 1}},
@@ -39,7 +39,7 @@
 		}, "once"},
 		{"coverage above one", func(r *Route) { r.MinCoverage = 1.5 }, "coverage"},
 	} {
-		route := sound()
+		route := validRoute()
 		test.change(&route)
 		err := (&Config{Version: 1, Routes: []Route{route}}).Validate()
 		if (err == nil) != (test.want == "") || err != nil && !strings.Contains(err.Error(), test.want) {
@@ -53,8 +53,8 @@
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	config := &Config{Version: 1}
-	for _, declared := range [][2]string{{"a.example", "/"}, {"a.example", "/x/"}, {"a.example", "/x/y/"}, {"b.example", "/z/"}} {
-		config.Routes = append(config.Routes, Route{Name: declared[0] + declared[1], Host: declared[0], Prefix: declared[1]})
+	for _, hostAndPrefix := range [][2]string{{"a.example", "/"}, {"a.example", "/x/"}, {"a.example", "/x/y/"}, {"b.example", "/z/"}} {
+		config.Routes = append(config.Routes, Route{Name: hostAndPrefix[0] + hostAndPrefix[1], Host: hostAndPrefix[0], Prefix: hostAndPrefix[1]})
 	}
 	table := NewTable(config)
 	for _, test := range []struct{ host, path, want string }{
@@ -65,9 +65,9 @@
 		{"b.example", "/z", ""},
 		{"c.example", "/x/", ""},
 	} {
-		found, ok := table.Match(test.host, test.path)
-		if ok != (test.want != "") || ok && found.Name != test.want {
-			t.Errorf("%s%s: %+v", test.host, test.path, found)
+		matched, ok := table.Match(test.host, test.path)
+		if ok != (test.want != "") || ok && matched.Name != test.want {
+			t.Errorf("%s%s: %+v", test.host, test.path, matched)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 }
 
 // TestSplitOfManyNodesFollowsTheWeights: each of them gets a few requests only.
-func TestSplitOfManyNodesFollowsTheWeights(t *testing.T) {
+func TestSplittersOfManyNodesFollowTheWeights(t *testing.T) {
 	const nodes = 76
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, weight := range []float64{0.05, 0.1, 0.2, 0.5} {
--- a/internal/edge/route/table.go
+++ b/internal/edge/route/table.go
@@ -55,22 +55,22 @@
 type Splitter struct {
 	random func(n int) int
 	mutex  sync.Mutex
-	routes map[string]*split
+	routes map[string]*splitState
 }
 
 // places is the number of places of a round at which a Splitter may start. Not measured:
 // chosen because weights of a hundredth have their part among so many.
-const places = 100
+const startPositions = 100
 
 // split is the state of one route.
-type split struct {
+type splitState struct {
 	targets []Target
 	credit  []float64
 }
 
 // NewSplitter returns a Splitter. Random returns a number from 0 to below n.
 func NewSplitter(random func(n int) int) *Splitter {
-	return &Splitter{random: random, routes: make(map[string]*split)}
+	return &Splitter{random: random, routes: make(map[string]*splitState)}
 }
 
 // Pick returns the service of the next request of a route with targets.
@@ -80,15 +80,15 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	state, known := s.routes[route.Name]
-	if !known || !slices.Equal(state.targets, route.Targets) {
-		state = &split{targets: route.Targets, credit: make([]float64, len(route.Targets))}
-		for range s.random(places) {
-			state.next()
+	state, exists := s.routes[route.Name]
+	if !exists || !slices.Equal(state.targets, route.Targets) {
+		state = &splitState{targets: route.Targets, credit: make([]float64, len(route.Targets))}
+		for range s.random(startPositions) {
+			state.pickNext()
 		}
 		s.routes[route.Name] = state
 	}
-	return state.next()
+	return state.pickNext()
 }
 
 // Retain forgets the routes that a configuration does not have.
@@ -106,7 +106,7 @@
 	}
 }
 
-func (s *split) next() string {
+func (s *splitState) pickNext() string {
 	total, best := 0.0, 0
 	for index, target := range s.targets {
 		total += target.Weight
