--- a/internal/edge/registry/cordon.go
+++ b/internal/edge/registry/cordon.go
@@ -6,8 +6,8 @@
 	"github.com/micaplank/micaplank/internal/decide/cordon"
 )
 
-// Cordon takes in that operators took a zone out of service, or put it back, by the
-// rule of package cordon. It reports whether that is news.
+// SetCordon records that operators cordoned or uncordoned a zone, and applies the rule of package
+// cordon. It reports whether the state of the zone changed.
 func (t *Table) SetCordon(now time.Duration, zone string, cordoned bool) bool {
 	if !t.zones.Set(cordon.Change{Zone: zone, Cordoned: cordoned}) {
 		return false
@@ -23,8 +23,8 @@
 	return true
 }
 
-// ReplaceCordons takes in all zones that are out of service, and returns those whose
-// state changed. A stale list may lack the newest changes.
+// ReplaceCordons applies the list of all cordoned zones, and returns the zones whose state changed.
+// A stale list may lack the newest changes.
 func (t *Table) ReplaceCordons(now time.Duration, zones []string, stale bool) (changed []string) {
 	for _, change := range t.zones.Changes(zones, stale) {
 		t.SetCordon(now, change.Zone, change.Cordoned)
@@ -33,5 +33,5 @@
 	return changed
 }
 
-// Cordoned returns the zones that are out of service, by name.
+// Cordoned returns the cordoned zones, sorted by name.
 func (t *Table) Cordoned() []string { return t.zones.Names() }
--- a/internal/edge/registry/cordon_test.go
+++ b/internal/edge/registry/cordon_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// storeModel is what the store holds: the truth that a Table is told of.
+// storeModel is the content of the store, of which a Table is informed.
 type storeModel struct {
 	leaves  map[string]Leaf
 	cordons map[string]bool
@@ -54,17 +54,17 @@
 	return storeModel{leaves: maps.Clone(m.leaves), cordons: maps.Clone(m.cordons)}
 }
 
-// tell replaces what a table knows by the whole of a store, as after a
-// compaction or at a start.
+// replaceTable replaces the content of a table by that of the store, as after a compaction or at a
+// start.
 func (m storeModel) replaceTable(table *Table, now time.Duration, stale bool) {
 	table.Replace(now, slices.Collect(maps.Values(m.leaves)))
 	table.ReplaceCordons(now, slices.Sorted(maps.Keys(m.cordons)), stale)
 }
 
-// TestCordonUnderRandomOrders cordons zones and takes that back, among leaves
-// that come, drain, lapse in outages and leave, histories that are lost, and
-// tables that start anew from a fresh or an old copy: no leaf of a cordoned zone
-// is usable, and every other one that is announced and does not drain is.
+// TestCordonUnderRandomEvents checks that no leaf of a cordoned zone is usable, and that every
+// other leaf is that is announced and not draining. Zones are cordoned and uncordoned at random;
+// leaves appear, drain, expire in outages and disappear; the history of the store is lost; and
+// tables start from a fresh or a stale copy.
 func TestCordonUnderRandomEvents(t *testing.T) {
 	zones := []string{"north", "south", "west"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -77,7 +77,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
-			case 0, 1: // announced, or announced again
+			case 0, 1: // announced for the first time or again
 				id := anyID()
 				announced, exists := model.leaves[id]
 				if !exists {
@@ -87,14 +87,14 @@
 				}
 				model.leaves[id] = announced
 				table.Set(now, announced)
-			case 2: // drains
+			case 2: // starts to drain
 				id := anyID()
 				if draining, exists := model.leaves[id]; exists {
 					draining.Draining = true
 					model.leaves[id] = draining
 					table.Set(now, draining)
 				}
-			case 3: // leaves, or lapses around an outage
+			case 3: // removed, possibly by an expired lease around an outage
 				id := anyID()
 				if rapid.Bool().Draw(t, "outage") {
 					table.RecordOutage(now)
@@ -110,10 +110,10 @@
 				zone := rapid.SampledFrom(zones).Draw(t, "put back")
 				delete(model.cordons, zone)
 				table.SetCordon(now, zone, false)
-			case 7: // the history was lost
+			case 7: // the history was compacted
 				model.replaceTable(table, now, false)
 				staleStart = false
-			case 8: // a process starts
+			case 8: // a new process starts
 				table = NewTable(config, newTestIndex())
 				if staleStart = rapid.Bool().Draw(t, "from an old copy"); staleStart {
 					staleCopy.replaceTable(table, now, true)
--- a/internal/edge/registry/incarnation.go
+++ b/internal/edge/registry/incarnation.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// bornMark stands between the id of a leaf and its start.
+// startTimeSeparator stands between the ID of a leaf and its start time.
 const startTimeSeparator = "@"
 
-// Incarnation names one start of the leaf: its id, with the Unix millisecond of the
-// start where that is known. All that is learned of a leaf is learned of it.
+// Incarnation names one start of the leaf: its ID, followed by the start time in Unix milliseconds
+// if that is known. All observations of a leaf are kept per incarnation.
 func (l *Leaf) Incarnation() string {
 	born := int64(0)
 	if !l.Born.IsZero() {
@@ -22,7 +22,7 @@
 	return l.ID + startTimeSeparator + strconv.FormatInt(born, 10)
 }
 
-// IDOf returns the id in the name of an incarnation.
+// IDOf returns the ID in the name of an incarnation.
 func IDOf(incarnation string) string {
 	if index := strings.LastIndex(incarnation, startTimeSeparator); index >= 0 {
 		return incarnation[:index]
@@ -30,12 +30,11 @@
 	return incarnation
 }
 
-// birthMemory is how long the start of a leaf is remembered whose announcement vanished.
-// Not measured: chosen because it is longer than a write can be late, or a copy of the
-// store behind.
+// startTimeRetention is how long the start time of a leaf is kept after its last announcement. It
+// is longer than a write can be delayed and than a copy of the store can lag behind.
 const startTimeRetention = 10 * time.Minute
 
-// births are the newest starts by the id of the leaf, also of leaves that are gone.
+// startTimes holds the newest start time by the ID of the leaf, also of leaves that are gone.
 type startTimes map[string]startRecord
 
 type startRecord struct {
@@ -43,8 +42,9 @@
 	seenAt    time.Duration
 }
 
-// newest reports whether an announcement is of the newest start of its leaf that is known,
-// and remembers it. One that does not say of which start it is not, if another did.
+// recordNewest reports whether an announcement belongs to the newest incarnation of its leaf that
+// is known, and records its start time. An announcement without a start time does not if an earlier
+// one had a start time.
 func (b startTimes) recordNewest(now time.Duration, announced Leaf) bool {
 	newest, exists := b[announced.ID]
 	if exists && announced.Born.Before(newest.startedAt) {
@@ -56,7 +56,7 @@
 	return true
 }
 
-// expire forgets the starts that were announced for the last time long ago.
+// expire drops the start times that were last announced more than startTimeRetention ago.
 func (b startTimes) expire(now time.Duration) {
 	for id, record := range b {
 		if now-record.seenAt > startTimeRetention {
--- a/internal/edge/registry/incarnation_test.go
+++ b/internal/edge/registry/incarnation_test.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/decide/rollout"
 )
 
-// bornAt is a leaf of the id "a" that started at a second.
+// leafStartedAt returns the leaf "a" with a start time in seconds; zero for none.
 func leafStartedAt(startSecond int, revision uint64) Leaf {
 	leaf := leafAt("a", "x", 1, 1)
 	leaf.Revision = revision
@@ -17,7 +17,7 @@
 	return leaf
 }
 
-// only returns the one incarnation that may get work, or none.
+// soleUsable returns the only usable incarnation, or an empty string if there is none.
 func (t *Table) soleUsable() string {
 	for incarnation := range usableLeaves(t.Topology()) {
 		return incarnation
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestNextStartKnowsNothingOfBefore: it takes work though the former drained, is cold
-// by its own word alone, and is another leaf to whoever learned of the former.
+// TestNewIncarnationInheritsNoState checks that a restarted leaf is usable although its previous
+// incarnation drained, is cold only if it announces so, and has another name than the previous one.
 func TestNewIncarnationInheritsNoState(t *testing.T) {
 	table := NewTable(config, newTestIndex())
 	previous := leafStartedAt(10, 5)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestFormerStartIsNotBroughtBack by a write that comes late, by a copy of the store
-// that is behind, after the entry went, or by an entry that does not say of which
-// start it is; what is heard again of the newest is heard.
+// TestStaleIncarnationIsRejected guards against an older start that replaces a newer one: by a
+// delayed write, by a stale copy of the store, after the entry was removed, or by an entry without
+// a start time. A repeated announcement of the newest start is accepted.
 func TestStaleIncarnationIsRejected(t *testing.T) {
 	for name, test := range map[string]struct {
 		removed bool
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestBirthsAreForgotten some time after the last word, so that their number is
-// bounded.
+// TestStartTimesExpire checks that start times are dropped some time after the last announcement,
+// so that their number is bounded.
 func TestStartTimesExpire(t *testing.T) {
 	table := NewTable(config, newTestIndex())
 	table.Set(0, leafStartedAt(10, 5))
@@ -111,7 +111,8 @@
 	}
 }
 
-// TestNextStartAfterARollout is no leaf that is about to be stopped.
+// TestLeafRestartedAfterRolloutIsUsable checks that a leaf of the old version that starts after the
+// end of a rollout is not excluded as one that is about to be stopped.
 func TestLeafRestartedAfterRolloutIsUsable(t *testing.T) {
 	table := NewTable(config, newTestIndex())
 	previous, target := leafStartedAt(10, 5), leafAt("b", "x", 2, 6)
--- a/internal/edge/registry/index.go
+++ b/internal/edge/registry/index.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Index numbers services in the order in which they are first named. A number
-// is never given twice. It is safe for concurrent use.
+// Index numbers services in the order in which they are first named. A number is never assigned
+// twice. It is safe for concurrent use.
 type Index struct {
 	mutex   sync.RWMutex
 	numbers map[string]int
@@ -23,8 +23,8 @@
 	return number, exists
 }
 
-// Of returns the number of a service, which it gets if it has none. Only services
-// that a configuration names get one: announcements may name any.
+// Of returns the number of a service, and assigns one if it has none. Call it only with services
+// that a configuration names, since an announcement may name any service.
 func (i *Index) Of(service string) int {
 	number, exists := i.Find(service)
 	if exists {
@@ -48,7 +48,7 @@
 	return i.names[number]
 }
 
-// Len returns how many services are numbered.
+// Len returns the number of numbered services.
 func (i *Index) Len() int {
 	i.mutex.RLock()
 	defer i.mutex.RUnlock()
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -1,12 +1,12 @@
-// Package registry holds the leaves as they announce themselves in a store, and makes the
-// topology of the Dispatcher from them: which may get work, which are cold, canaries of a
-// roll-out, or gone.
+// Package registry holds the leaves as they announce themselves in a store, and builds the topology
+// of the Dispatcher from them: which leaves are usable, which are cold, which are canaries of a
+// rollout, and which are removed.
 //
-// It owns the announcements (Table) and the numbers of services (Index): each service is
-// one shard of the topology, numbered in the order in which it was first named. It relies
-// on the rules of decide/cordon and decide/removal, and on the phases of decide/rollout;
-// docs/design/0017-incarnations.md says what a restart of a leaf does. It is pure: time
-// comes in as an argument, a duration on the node's clock.
+// It owns the announcements (Table) and the numbers of services (Index): each service is one shard
+// of the topology, numbered in the order in which it was first named. It relies on the rules of
+// decide/cordon and decide/removal, and on the phases of decide/rollout;
+// docs/design/0017-incarnations.md describes restarts of leaves. The package is pure: time is an
+// argument, a duration on the node's clock.
 package registry
 
 import (
@@ -24,40 +24,39 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Leaf is one announcement.
+// Leaf is the announcement of a leaf.
 type Leaf struct {
 	ID string
-	// Born is when its process started; zero if the announcement does not say. A leaf
-	// may start again under its id: then it is another one, which knows nothing of
-	// before.
+	// Born is the start time of the leaf's process; zero if the announcement has none. A leaf that
+	// restarts under its ID is a new incarnation, which inherits no state.
 	Born    time.Time
 	Service string
 	Address netip.AddrPort
 	Zone    string
-	// Version is that of its software.
+	// Version is the version of the leaf's software.
 	Version  string
 	Slots    int
 	Draining bool
-	// Cold is how much longer the leaf is slow after its start, as it announced.
+	// Cold is how much longer the leaf is slow after its start, as announced.
 	Cold time.Duration
-	// Created is the revision at which the id was first announced, or this start of
-	// it, if that was seen here.
+	// Created is the revision at which the ID was first announced, or this incarnation of it if its
+	// start was observed here.
 	Created uint64
-	// Revision is that of this announcement.
+	// Revision is the revision of this announcement.
 	Revision uint64
 }
 
-// Config is the policy of a Table: for how long a leaf is still used whose announcement
-// has vanished.
+// Config is the policy of a Table: how long a leaf stays usable after its announcement has
+// vanished.
 type Config = removal.Config
 
-// entry is what the Table knows of one id.
+// leafEntry is what the Table holds about one ID.
 type leafEntry struct {
 	Leaf
-	// goneAt is when the leaf stops being used, after its announcement vanished;
-	// zero while it is announced.
+	// expiresAt is when the leaf is dropped after its announcement has vanished; zero while it is
+	// announced.
 	expiresAt time.Duration
-	// coldUntil is when the leaf is warm, as it announced or as is assumed.
+	// coldUntil is when the leaf is warm, by its announcement or by an assumption.
 	coldUntil time.Duration
 }
 
@@ -68,7 +67,7 @@
 	removals    removal.Rule
 	zones       *cordon.Zones
 	stages      map[string]Stage  // by service
-	mixedOrders map[string]uint64 // orders under which another version was seen, by service
+	mixedOrders map[string]uint64 // orders under which leaves of another version were seen, by service
 	startTimes  startTimes
 	coldTimes   map[string]time.Duration // by service
 	revision    uint64
@@ -82,19 +81,18 @@
 	}
 }
 
-// ErrFormerStart means that an announcement is of a former start of its leaf, or does
-// not say of which, though another did.
+// ErrStaleIncarnation means that an announcement belongs to an older start of its leaf, or that it
+// has no start time though an earlier announcement had one.
 var ErrStaleIncarnation = errors.New("announcement is not of the newest start of its leaf")
 
-// Set takes in an announcement, and reports whether it did: one of a former start of
-// the leaf, written late or read from a copy that is behind, brings nothing back. A
-// leaf that drains stays draining, and one that was taken to be cold until some time
-// stays so: it may have turned cold after it wrote its announcement. Nothing of that
-// holds for its next start.
+// Set applies an announcement. It returns false for one of an older incarnation, which was written
+// late or read from a stale copy. Within an incarnation, a draining leaf stays draining, and a leaf
+// that was assumed to be cold until some time stays so, since it may have turned cold after it
+// wrote its announcement. The next incarnation inherits neither.
 func (t *Table) Set(now time.Duration, announced Leaf) bool {
 	if !t.startTimes.recordNewest(now, announced) {
 		if announced.Born.IsZero() {
-			t.Remove(now, announced.ID) // what it announced before was overwritten
+			t.Remove(now, announced.ID) // its previous announcement was overwritten
 		}
 		return false
 	}
@@ -116,11 +114,11 @@
 	return true
 }
 
-// SetColdTimes says how long the leaves of each service are cold after a start.
+// SetColdTimes sets how long the leaves of each service are cold after a start.
 func (t *Table) SetColdTimes(times map[string]time.Duration) { t.coldTimes = times }
 
-// Remove takes in that the announcement of an id has vanished. The leaf may be used for
-// a while more, by the rule of package removal.
+// Remove applies the removal of an announcement. The leaf may stay usable for some time, by the
+// rule of package removal.
 func (t *Table) Remove(now time.Duration, id string) {
 	entry, exists := t.entries[id]
 	if !exists || entry.expiresAt > 0 {
@@ -134,8 +132,8 @@
 	entry.expiresAt = usedUntil
 }
 
-// Replace takes in all announcements there are. They may be old: a leaf that was
-// cold then does not start slowly here, but bounds of cold leaves hold for it.
+// Replace applies the list of all announcements. They may be old: a leaf that was cold when it
+// wrote its announcement does not start slowly here, but the bounds on cold leaves apply to it.
 func (t *Table) Replace(now time.Duration, announced []Leaf) {
 	present := make(map[string]bool, len(announced))
 	for _, leaf := range announced {
@@ -151,19 +149,18 @@
 	}
 }
 
-// Announced reports whether an incarnation is announced now. One whose announcement has
-// vanished is not, though it may still be used for a while.
+// Announced reports whether an incarnation is announced now. An incarnation whose announcement has
+// vanished is not, even while it stays usable.
 func (t *Table) Announced(incarnation string) bool {
 	entry, exists := t.entries[IDOf(incarnation)]
 	return exists && entry.expiresAt == 0 && entry.Incarnation() == incarnation
 }
 
-// Outage takes in that the store was away until now.
+// RecordOutage records that the store was unavailable until now.
 func (t *Table) RecordOutage(now time.Duration) { t.removals.Outage(now) }
 
-// Expire drops the leaves whose announcements are not doubted to be gone any more, and
-// what was remembered of others for long enough. It reports whether it dropped a leaf,
-// and when it has to be called next, on the node's clock; zero for never.
+// Expire drops the leaves whose delayed removal is due, and old start times. It reports whether it
+// dropped a leaf, and when it must be called next, on the node's clock; zero for never.
 func (t *Table) Expire(now time.Duration) (changed bool, next time.Duration) {
 	t.startTimes.expire(now)
 	for id, entry := range t.entries {
@@ -182,9 +179,8 @@
 // Len returns the number of leaves.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Topology returns what the Dispatcher may use: leaves of services that a
-// configuration has named. Of two leaves that announce the same address, the one
-// created last has it.
+// Topology returns the leaves of all services that a configuration names. If two leaves announce
+// the same address, the one that was created last gets it.
 func (t *Table) Topology() dispatch.Topology {
 	t.revision++
 	t.recordMixedOrders()
@@ -226,6 +222,6 @@
 	}
 }
 
-// Snapshot is the only snapshot of the topology: a request names its shards
-// itself, all from one version of the configuration.
+// Snapshot is the only snapshot of the topology: a request names its shards itself, all from one
+// version of the configuration.
 var Snapshot = catalog.Snapshot{Epoch: 1, Version: 1}
--- a/internal/edge/registry/registry_test.go
+++ b/internal/edge/registry/registry_test.go
@@ -10,7 +10,7 @@
 
 var config = Config{Doubt: 2 * time.Second, Settling: 3 * time.Second}
 
-// named returns an Index of the services that a configuration names in these tests.
+// newTestIndex returns an Index with the services that the configuration names in these tests.
 func newTestIndex() *Index {
 	index := NewIndex()
 	for _, service := range []string{"x", "y"} {
@@ -23,7 +23,7 @@
 	return Leaf{ID: id, Service: service, Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(port)), Slots: 2, Created: created}
 }
 
-// usable returns the ids that may get work, by service number.
+// usableLeaves returns the usable leaves with the number of their service.
 func usableLeaves(topology dispatch.Topology) map[string]int {
 	shards := make(map[string]int)
 	for _, leaf := range topology.Leaves {
@@ -69,15 +69,15 @@
 	}
 }
 
-// TestRemovalsAreDoubtedAroundAnOutage covers when a leaf stops being used
-// whose entry went.
+// TestRemovalsAroundOutageAreDelayed checks until when a leaf stays usable after its announcement
+// has vanished: around an outage of the store, a lease may have expired although its leaf is alive.
 func TestRemovalsAroundOutageAreDelayed(t *testing.T) {
 	const outageEnd = 100 * time.Second
 	for _, test := range []struct {
 		name           string
-		at             time.Duration // of the removal
+		at             time.Duration // when the announcement is removed
 		draining       bool
-		announcedAgain bool // it is announced again before the doubt ends
+		announcedAgain bool // announced again before the removal takes effect
 		usedUntil      time.Duration
 	}{
 		{"long after an outage", outageEnd + config.Settling, false, false, 0},
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestColdIsBelievedOnlyOfNews reads an announcement that may be old: the time
-// for which its leaf was slow may be over.
+// TestReplaceIgnoresAnnouncedCold guards against a slow start for a leaf whose announcement may be
+// old: the time for which it was cold may be over.
 func TestReplaceIgnoresAnnouncedCold(t *testing.T) {
 	table := NewTable(config, newTestIndex())
 	stale, fresh := leafAt("a", "x", 1, 1), leafAt("b", "x", 2, 2)
@@ -140,7 +140,7 @@
 	}
 }
 
-// TestColdUntil covers until when a leaf is taken to be cold.
+// TestColdUntil checks until when a leaf is assumed to be cold.
 func TestColdUntil(t *testing.T) {
 	table := NewTable(config, newTestIndex())
 	table.SetColdTimes(map[string]time.Duration{"x": 3 * time.Second})
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -2,25 +2,25 @@
 
 import "github.com/micaplank/micaplank/internal/decide/rollout"
 
-// Stage says how far the roll-out of a version is at a service.
+// Stage is the progress of a version's rollout at a service.
 type Stage struct {
 	// Order is the revision of the order; zero if it was withdrawn.
 	Order   uint64
 	Version string
 	Phase   rollout.Phase
-	// Recorded is the revision at which the phase was written; zero if it came only from
-	// another node.
+	// Recorded is the revision at which the phase was written; zero if only another node has
+	// reported it.
 	Recorded uint64
 }
 
-// SetStages replaces the roll-outs, by service.
+// SetStages replaces the stages of all services.
 func (t *Table) SetStages(stages map[string]Stage) {
 	t.stages = stages
 	t.recordMixedOrders()
 }
 
-// findMixed notes the services that have leaves of another version under their
-// order. Where all leaves have the version from the start there is nothing to try.
+// recordMixedOrders records the services that have leaves of another version under their order. If
+// all leaves have the ordered version from the start, there is nothing to try out.
 func (t *Table) recordMixedOrders() {
 	if len(t.stages) == 0 {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// Mixed reports whether leaves of another version were known under the order of a
+// HasMixedVersions reports whether leaves of another version were seen under the order of a
 // service.
 func (t *Table) HasMixedVersions(service string) bool {
 	stage, exists := t.stages[service]
@@ -40,7 +40,7 @@
 	return exists && seen && order == stage.Order
 }
 
-// usable reports whether a leaf may get work but for its version.
+// usable reports whether a leaf may get attempts, regardless of its version.
 func (t *Table) usable(entry *leafEntry) bool {
 	return !entry.Draining && !t.zones.Cordoned(entry.Zone)
 }
@@ -54,8 +54,8 @@
 	return !stage.Phase.Shifted() && stage.Phase != rollout.PhaseRolledBack
 }
 
-// barred reports whether a leaf gets no work because of its version: one that was rolled
-// back, or that is about to be stopped for another one.
+// excludedByRollout reports whether a leaf gets no attempts because of its version: the version was
+// rolled back, or the leaf is about to be stopped in favour of another version.
 func (t *Table) excludedByRollout(entry *leafEntry) bool {
 	stage, exists := t.stages[entry.Service]
 	if !exists {
@@ -67,11 +67,11 @@
 	if !stage.Phase.Shifted() || !t.hasUsableLeaf(entry.Service, stage.Version) {
 		return false
 	}
-	// What comes once a roll-out is over has nothing to do with it.
+	// A leaf that is created after the end of a rollout is unrelated to it.
 	return stage.Phase == rollout.PhaseShift || stage.Recorded == 0 || entry.Created < stage.Recorded
 }
 
-// served reports whether a service has a leaf of a version that may get work.
+// hasUsableLeaf reports whether a service has a usable leaf of a version.
 func (t *Table) hasUsableLeaf(service, version string) bool {
 	for _, entry := range t.entries {
 		if entry.Service == service && entry.Version == version && t.usable(entry) {
@@ -81,17 +81,17 @@
 	return false
 }
 
-// Supply is what there is of a service's leaves, by version.
+// Supply is the capacity of a service's leaves by version.
 type Supply struct {
-	// Target and Control are the slots of leaves of the version, and of the others,
-	// that may get work.
+	// Target is the number of slots of usable leaves of the version, and Control that of the other
+	// versions.
 	Target, Control int
-	// Others lists the leaves of other versions by incarnation, and Usable those of the
-	// version that may get work.
+	// Others holds the incarnations of all leaves of other versions, and Usable those of usable
+	// leaves of the version.
 	Others, Usable map[string]bool
 }
 
-// Supply returns what there is of the leaves of a service that has a Stage.
+// Supply returns the capacity of a service that has a Stage.
 func (t *Table) Supply(service string) Supply {
 	stage := t.stages[service]
 	supply := Supply{Others: make(map[string]bool), Usable: make(map[string]bool)}
@@ -115,8 +115,8 @@
 	return supply
 }
 
-// Version returns the version of a leaf's software, and its zone; false if this
-// incarnation is not known, or not any more.
+// VersionAndZone returns the software version and the zone of an incarnation; false if it is not in
+// the table.
 func (t *Table) VersionAndZone(incarnation string) (version, zone string, exists bool) {
 	entry, exists := t.entries[IDOf(incarnation)]
 	if !exists || entry.Incarnation() != incarnation {
--- a/internal/edge/registry/stage_test.go
+++ b/internal/edge/registry/stage_test.go
@@ -7,7 +7,8 @@
 	"github.com/micaplank/micaplank/internal/decide/rollout"
 )
 
-// versioned returns a Table with an old leaf and a new one of the service x.
+// newTwoVersionTable returns a Table with the leaf "old" of v1 and the leaf "new" of v2 of the
+// service x.
 func newTwoVersionTable() *Table {
 	table := NewTable(config, newTestIndex())
 	for _, spec := range []struct {
@@ -21,7 +22,8 @@
 	return table
 }
 
-// roles returns the leaves that get work, and those that get only what is allowed.
+// usableAndCanaries returns the leaves that may get any attempt, and those that get attempts only
+// within an allowance.
 func usableAndCanaries(table *Table) (usable, canaries []string) {
 	for _, leaf := range table.Topology().Leaves {
 		switch {
@@ -59,8 +61,8 @@
 	}
 }
 
-// TestVersionThatAllLeavesHaveStaysInUse: there is nothing to try, until a leaf of
-// another version is seen.
+// TestSoleVersionStaysUsable checks that there are no canaries while all leaves have the ordered
+// version, until a leaf of another version was seen.
 func TestSoleVersionStaysUsable(t *testing.T) {
 	table := newTwoVersionTable()
 	table.Remove(0, "old")
@@ -76,7 +78,8 @@
 	}
 }
 
-// TestOthersServeWhileTheVersionCannot: the zone of its leaves is out of service.
+// TestControlServesWhileTargetIsUnusable checks that the other versions stay usable while the zone
+// of the new version's leaves is cordoned.
 func TestControlServesWhileTargetIsUnusable(t *testing.T) {
 	table := newTwoVersionTable()
 	table.SetStages(map[string]Stage{"x": {Order: 5, Version: "v2", Phase: rollout.PhaseShift}})
