--- a/internal/edge/route/route.go
+++ b/internal/edge/route/route.go
@@ -1,10 +1,10 @@
-// Package route holds the declared configuration of a deployment: which routes exist,
-// which services serve them, and how long each may take. It finds the route of a request
-// (Table) and divides the requests of a route among its targets (Splitter).
+// Package route holds the declared configuration of a deployment: which routes exist, which
+// services serve them, and how long a request may take. It finds the route of a request (Table) and
+// divides the requests of a route among its targets (Splitter).
 //
-// A Config is one document with a rising version. It is installed whole, and a process
-// never goes back to a lower version; see forward.Forwarder.Install. The package relies on
-// no other; the adapter to the platform decodes the document.
+// A Config is one document with a rising version. It is installed as a whole, and a process never
+// goes back to a lower version; see forward.Forwarder.Install. The package imports no other package
+// of the module; the adapter to the platform decodes the document.
 package route
 
 import (
@@ -14,44 +14,44 @@
 	"time"
 )
 
-// Config is one version of the declared configuration. It is not modified
-// after it was handed over.
+// Config is one version of the declared configuration. It must not be modified once it is in use.
 type Config struct {
-	// Version rises with each change, in uneven steps.
+	// Version rises with each change, possibly by more than one.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
 }
 
-// Route says how the requests of one host and path prefix are served.
+// Route declares how the requests of one host and path prefix are served.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Repeatable says whether a request may run more than once.
+	// Repeatable reports whether a request may run more than once.
 	Repeatable bool
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the longest time until a request is answered.
 	Timeout time.Duration
 	// Objective is the time within which an answer is worth most; zero for none.
 	Objective time.Duration
 	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how many leaves one try may be sent to, for each shard.
+	// MaxAttempts is the maximum number of leaves to which a request is sent, for each shard.
 	MaxAttempts int
-	// Targets lists the services that share the requests by weight. Exactly
-	// one of Targets and Shards is set.
+	// Targets lists the services that share the requests by weight. Exactly one of Targets and
+	// Shards is set.
 	Targets []Target
 	// Shards lists the services that each answer a part of every request.
 	Shards []string
-	// TopK is how many of the greatest records of all parts make the answer.
+	// TopK is the number of greatest records of all parts that form the answer.
 	TopK int
-	// MinCoverage is the least share of the shards, from 0 to 1, of a success.
+	// MinCoverage is the minimum share of the shards, from 0 to 1, that a successful answer
+	// contains.
 	MinCoverage float64
 }
 
-// Services lists the services that may run its requests.
+// Services returns the services that may run requests of the route.
 func (r *Route) Services() []string {
 	services := slices.Clone(r.Shards)
 	for _, target := range r.Targets {
@@ -66,21 +66,20 @@
 	Weight  float64
 }
 
-// Service is a set of leaves that answer alike.
+// Service is a set of interchangeable leaves.
 type Service struct {
 	Name string
-	// MaxConns is how many connections each leaf takes from all callers
-	// together; zero if unknown.
+	// MaxConns is how many connections each leaf accepts from all clients together; zero if
+	// unknown.
 	MaxConns int
-	// ColdRate is how many requests a second a cold leaf bears from all callers
-	// together; zero for no bound. ColdTime is how long a leaf is cold after a
-	// start.
+	// ColdRate is how many requests per second a cold leaf can handle from all clients together;
+	// zero for no bound. ColdTime is how long a leaf is cold after a start.
 	ColdRate float64
 	ColdTime time.Duration
 }
 
-// Limits bounds what a client may send, and how long it may take or be idle.
-// A zero field means the default of the server.
+// Limits bounds the size and duration of client requests, and the idle time of client connections.
+// A field that is zero means the default of the server.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -88,7 +87,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Validate reports the first reason why the configuration cannot be used.
+// Validate returns the first reason why the configuration cannot be used.
 func (c *Config) Validate() error {
 	if c.Version == 0 {
 		return fmt.Errorf("version: expected a number above 0")
--- a/internal/edge/route/route_test.go
+++ b/internal/edge/route/route_test.go
@@ -21,7 +21,7 @@
 	for _, test := range []struct {
 		name   string
 		change func(*Route)
-		want   string // part of the error; empty for none
+		want   string // substring of the error; empty for none
 	}{
 		{"sound", func(*Route) {}, ""},
 		{"no host", func(r *Route) { r.Host = "" }, "host"},
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestSplitterFollowsTheWeights counts any run of requests: each target is
-// within one request for each other target of its share.
+// TestSplitterFollowsTheWeights checks that after any number of requests, each target's count
+// differs from its share by at most one request for each target.
 func TestSplitterFollowsTheWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 20), 1, 5).Draw(t, "weights")
@@ -98,12 +98,13 @@
 	})
 }
 
-// TestSplitOfManyNodesFollowsTheWeights: each of them gets a few requests only.
+// TestSplittersOfManyNodesFollowTheWeights guards against nodes that all begin with the heaviest
+// target: with a few requests at each node, the lighter ones would get none.
 func TestSplittersOfManyNodesFollowTheWeights(t *testing.T) {
 	const nodes = 76
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, weight := range []float64{0.05, 0.1, 0.2, 0.5} {
-		for _, requests := range []int{1, 2, 4, 9} { // of each node
+		for _, requests := range []int{1, 2, 4, 9} { // per node
 			route := &Route{Name: "r", Targets: []Target{{"new", weight}, {"old", 1 - weight}}}
 			count := 0
 			for range nodes {
--- a/internal/edge/route/table.go
+++ b/internal/edge/route/table.go
@@ -7,14 +7,13 @@
 	"sync"
 )
 
-// Table finds the route of a request in one version of the configuration. It
-// is not modified after NewTable.
+// Table finds the route of a request in one version of the configuration. It is immutable.
 type Table struct {
 	Config *Config
 	byHost map[string][]*Route // longest prefix first
 }
 
-// NewTable returns the table of a configuration, which it keeps.
+// NewTable returns the table of a configuration, and keeps a reference to it.
 func NewTable(config *Config) *Table {
 	table := &Table{Config: config, byHost: make(map[string][]*Route)}
 	for index := range config.Routes {
@@ -30,8 +29,8 @@
 	return table
 }
 
-// Match returns the route of the host whose prefix is the longest that begins
-// the path. The host may carry a port.
+// Match returns the route of the host with the longest prefix of the path. The host may contain a
+// port.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, route := range t.byHost[hostname(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -48,32 +47,32 @@
 	return strings.ToLower(host)
 }
 
-// Splitter shares the requests of routes among their targets by smooth
-// weighted round robin, so that any run of requests is close to the weights. Each starts
-// at a random place of the round: many nodes that receive a few requests each would
-// otherwise send all of them to the heaviest target. It is safe for concurrent use.
+// Splitter divides the requests of routes among their targets by smooth weighted round robin, so
+// that the counts of any run of requests are close to the weights. Each Splitter starts at a random
+// position of the round: otherwise many nodes that receive a few requests each would send all of
+// them to the heaviest target. It is safe for concurrent use.
 type Splitter struct {
 	random func(n int) int
 	mutex  sync.Mutex
 	routes map[string]*splitState
 }
 
-// places is the number of places of a round at which a Splitter may start. Not measured:
-// chosen because weights of a hundredth have their part among so many.
+// startPositions is the number of positions of a round at which a Splitter may start. With so many,
+// weights of one hundredth get their share.
 const startPositions = 100
 
-// split is the state of one route.
+// splitState is the state of one route.
 type splitState struct {
 	targets []Target
 	credit  []float64
 }
 
-// NewSplitter returns a Splitter. Random returns a number from 0 to below n.
+// NewSplitter returns a Splitter. The function random returns a number from 0 to n-1.
 func NewSplitter(random func(n int) int) *Splitter {
 	return &Splitter{random: random, routes: make(map[string]*splitState)}
 }
 
-// Pick returns the service of the next request of a route with targets.
+// Pick returns the service for the next request of a route that has targets.
 func (s *Splitter) Pick(route *Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
@@ -91,7 +90,7 @@
 	return state.pickNext()
 }
 
-// Retain forgets the routes that a configuration does not have.
+// Retain drops the state of routes that a configuration does not contain.
 func (s *Splitter) Retain(config *Config) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
