--- a/internal/edge/lease/lease.go
+++ b/internal/edge/lease/lease.go
@@ -1,9 +1,10 @@
-// Package lease keeps one key of a process in a key-value store, under a lease that the
-// process renews (Holder): the key expires after the process has ended. A Shared is a lease
-// for many keys that is not renewed.
+// Package lease keeps one key of a process in a key-value store under a lease that the process
+// renews (Holder). The key expires after the process has ended. Shared is a lease for many keys
+// that is replaced rather than renewed.
 //
-// It owns the id of the lease. It relies on a Store, whose calls may have been done though
-// they failed, and on timers for the pauses; the store alone says whether a lease holds.
+// The package owns the ID of the lease. It relies on a Store, whose calls may have been carried out
+// although they returned an error, and on timers for the pauses. Only the store decides whether a
+// lease is still valid.
 package lease
 
 import (
@@ -16,34 +17,33 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// Errors of a Store that a Holder distinguishes. Others are taken for temporary.
+// These are the errors of a Store that a Holder distinguishes. Any other error counts as temporary.
 var (
-	// ErrLapsed means that the lease has expired, or was dropped by the store.
+	// ErrLapsed means that the lease has expired or was revoked by the store.
 	ErrLapsed = errors.New("lease has lapsed")
-	// ErrExists means that the key is there already.
+	// ErrExists means that the key already exists.
 	ErrExists = errors.New("key exists")
 )
 
-// Store grants leases and writes keys under them. A call that failed may have
-// been done, or may be done later.
+// Store grants leases and writes keys under them. A call that returned an error may have been
+// carried out, or may still be carried out later.
 type Store interface {
-	// Grant returns the id of a new lease.
+	// Grant returns the ID of a new lease.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, id uint64) error
-	// Create writes a key that does not exist, bound to a lease.
+	// Create writes a key that must not exist, bound to a lease.
 	Create(ctx context.Context, key string, value []byte, id uint64) error
 }
 
 // Config is the policy of a Holder.
 type Config struct {
-	// Key is the key to hold. No other process may write it, nor a former
-	// incarnation of this one: so a key that exists was written here, and its
-	// answer was lost.
+	// Key is the key to hold. No other process and no earlier incarnation of this one may write it.
+	// A key that already exists was therefore written by this Holder, and the response was lost.
 	Key   string
 	Value []byte
-	// Former is a lease of a former incarnation, whose key says the same as Value;
-	// zero without one. It is renewed in place of a new one, and Key is written
-	// only once it has lapsed.
+	// Previous is the lease of an earlier incarnation, whose key has the same value; zero if there
+	// is none. The Holder renews this lease, and requests a new one and writes Key only after it
+	// has expired.
 	Previous uint64
 	// TTL is how long the key stays in the store without a renewal.
 	TTL time.Duration
@@ -51,8 +51,8 @@
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// renewals is how many times a lease is renewed within its TTL. Not measured: chosen
-// because the answers to two renewals in a row may be lost.
+// renewalsPerTTL is how many times a lease is renewed within its TTL. The responses to two renewals
+// in a row may be lost.
 const renewalsPerTTL = 3
 
 // Holder holds one key.
@@ -65,7 +65,7 @@
 	failures int
 }
 
-// NewHolder returns a Holder that has made no call yet.
+// NewHolder returns a Holder. It makes no call before Run.
 func NewHolder(config Config, store Store, logger *slog.Logger) *Holder {
 	return &Holder{config: config, store: store, logger: logger, id: config.Previous, created: config.Previous != 0}
 }
@@ -116,8 +116,8 @@
 	}
 }
 
-// create writes the key. If it exists, a former call was done and its answer was lost:
-// keys of a former lease expired with it.
+// createKey writes the key. If the key exists, an earlier call was carried out and its response was
+// lost: keys under an earlier lease expired with that lease.
 func (h *Holder) createKey(ctx context.Context) error {
 	err := h.store.Create(ctx, h.config.Key, h.config.Value, h.id)
 	if errors.Is(err, ErrExists) {
--- a/internal/edge/lease/lease_test.go
+++ b/internal/edge/lease/lease_test.go
@@ -13,15 +13,15 @@
 
 var errUnavailable = errors.New("away")
 
-// model is a Store with one key, whose answers get lost by chance.
+// storeModel is a Store with one key, whose responses are lost at random.
 type storeModel struct {
 	random          *rand.Rand
 	lossProbability float64
 	down            bool
 	leases          map[uint64]bool
 	granted         uint64
-	keyLease        uint64 // lease of the key; zero if it is not there
-	creates         int    // that took effect
+	keyLease        uint64 // lease of the key; zero if the key does not exist
+	creates         int    // number of creates that took effect
 	renewals        int
 }
 
@@ -74,8 +74,8 @@
 	m.keyLease = 0
 }
 
-// formerly writes the key under the lease of a former process, or not, and returns
-// the lease. It may have lapsed since that was read.
+// seedPreviousLease writes the key under the lease of an earlier process if exists is set, and
+// returns that lease. If expired is set, the lease has expired since it was read.
 func (m *storeModel) seedPreviousLease(exists, expired bool) uint64 {
 	if !exists {
 		return 0
@@ -88,7 +88,8 @@
 	return m.granted
 }
 
-// TestFormerLeaseIsRenewed in place of a new one.
+// TestPreviousLeaseIsRenewed checks that a Holder renews the lease of an earlier process and
+// requests no new one.
 func TestPreviousLeaseIsRenewed(t *testing.T) {
 	store := &storeModel{random: rand.New(rand.NewPCG(1, 1)), leases: make(map[uint64]bool)}
 	previous := store.seedPreviousLease(true, false)
@@ -98,9 +99,8 @@
 	}
 }
 
-// TestKeyIsHeldAgainAfterAnyTrouble lets answers get lost, the store be down
-// and leases lapse, in any order: once that ends, the key is held by the lease
-// that is renewed.
+// TestHolderRecoversFromFailures loses responses, stops the store and expires leases in any order,
+// and checks that afterwards the key is held by the lease that is renewed.
 func TestHolderRecoversFromFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &storeModel{random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), leases: make(map[uint64]bool)}
--- a/internal/edge/lease/shared.go
+++ b/internal/edge/lease/shared.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Granter grants leases; a Store is one.
+// Granter grants leases. A Store is a Granter.
 type Granter interface {
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 }
 
-// Shared is a lease for many keys, which is not renewed: it is granted when one is
-// wanted, and replaced once half of its time is over. So a key under it stays for
-// half of the TTL at least, and for the TTL at most. It is safe for concurrent use.
+// Shared is a lease for many keys. It is not renewed, but granted on demand and replaced once half
+// of its TTL has passed. A key under it therefore stays for at least half of the TTL, and at most
+// for the TTL. It is safe for concurrent use.
 type Shared struct {
 	granter Granter
 	ttl     time.Duration
@@ -24,12 +24,13 @@
 	grantedAt time.Duration
 }
 
-// NewShared returns a Shared without a lease yet.
+// NewShared returns a Shared that has no lease yet.
 func NewShared(granter Granter, ttl time.Duration, now func() time.Duration) *Shared {
 	return &Shared{granter: granter, ttl: ttl, now: now}
 }
 
-// ID returns a lease with at least half of its time left. Its error is the granter's.
+// ID returns the ID of a lease with at least half of its TTL left. It returns the error of the
+// Granter if a new lease is needed and cannot be granted.
 func (s *Shared) ID(ctx context.Context) (uint64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,7 +46,7 @@
 	return id, nil
 }
 
-// Lapsed takes in that a lease has expired before its time: the next ID is another one.
+// Invalidate records that a lease has expired early: the next call of ID returns another one.
 func (s *Shared) Invalidate(id uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/edge/lease/shared_test.go
+++ b/internal/edge/lease/shared_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestSharedLeaseHasHalfOfItsTimeLeft, and is granted anew only for that, or when it
-// was lost.
+// TestSharedLeaseIsReplacedAtHalfOfTTL checks that a lease is granted only when half of the TTL has
+// passed or the lease was lost.
 func TestSharedLeaseIsReplacedAtHalfOfTTL(t *testing.T) {
 	store := &storeModel{random: rand.New(rand.NewPCG(1, 1)), leases: make(map[uint64]bool)}
 	now := time.Duration(0)
