--- a/internal/edge/records/records.go
+++ b/internal/edge/records/records.go
@@ -1,17 +1,16 @@
-// Package records selects the greatest records of fixed size out of several parts, and
-// says whether an answer is complete though records were left out of its parts.
+// Package records selects the greatest records of fixed size from several parts, and determines
+// whether a result is complete although records were dropped from its parts.
 //
-// It owns no state but that of a Top, reads nothing of a record but the order of its bytes,
-// and relies on no other package.
+// Its only state is that of a Top. It compares records by their bytes, and imports no other package
+// of the module.
 package records
 
 // Size is the size of a record in bytes.
 const Size = 16
 
-// Greatest returns the k greatest records of the parts, greatest first, in the
-// order of their bytes. Equal records all count. A remainder of a part that is
-// shorter than a record is none. The parts are not modified, and the result
-// shares no memory with them.
+// Greatest returns the k greatest records of the parts, greatest first, in the order of their
+// bytes. Equal records all count. Trailing bytes of a part that are shorter than a record are
+// ignored. The parts are not modified, and the result shares no memory with them.
 func Greatest(k int, parts [][]byte) []byte {
 	top := NewTop(k, nil)
 	for _, part := range parts {
--- a/internal/edge/records/records_test.go
+++ b/internal/edge/records/records_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestGreatest compares with the definition: all whole records, sorted.
+// TestGreatest compares the result with the definition: all whole records, sorted.
 func TestGreatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 5*Size+Size/2)
--- a/internal/edge/records/top.go
+++ b/internal/edge/records/top.go
@@ -5,26 +5,25 @@
 	"slices"
 )
 
-// record is one record as a value.
+// record is a record as a comparable value.
 type record [Size]byte
 
-// Top keeps the greatest records of parts that are added one after the other.
-// It is not safe for concurrent use.
+// Top keeps the greatest records of parts that are added one after the other. It is not safe for
+// concurrent use.
 type Top struct {
 	k     int
 	floor []byte
-	kept  []record // greatest first, k at most
+	kept  []record // greatest first, at most k
 }
 
-// NewTop returns a Top of the k greatest records that are not below a floor;
-// nil is no floor.
+// NewTop returns a Top of the k greatest records that are not below a floor; a nil floor excludes
+// none.
 func NewTop(k int, floor []byte) *Top {
 	return &Top{k: max(k, 0), floor: floor}
 }
 
-// Add takes in a part. It returns the records of the part that are among the
-// greatest so far, and the others. Records that were returned by an earlier call
-// stay returned.
+// Add adds a part. It returns the records of the part that are among the greatest so far, and the
+// remaining ones. Records returned by an earlier call are not revoked.
 func (t *Top) Add(part []byte) (kept, rest []byte) {
 	added, excluded := t.splitPart(part)
 	counted := t.merge(added)
@@ -38,8 +37,8 @@
 	return kept, rest
 }
 
-// split returns the records of a part that may be among the greatest, greatest
-// first, and those that cannot.
+// splitPart returns the records of a part that may be among the greatest, greatest first, and the
+// others.
 func (t *Top) splitPart(part []byte) (added []record, excluded []byte) {
 	for ; len(part) >= Size; part = part[Size:] {
 		if t.excludes(part[:Size]) {
@@ -52,7 +51,7 @@
 	return added, excluded
 }
 
-// excludes reports whether a record cannot be among the greatest any more.
+// excludes reports whether a record can no longer be among the greatest.
 func (t *Top) excludes(candidate []byte) bool {
 	if len(t.floor) > 0 && bytes.Compare(candidate, t.floor) < 0 {
 		return true
@@ -60,7 +59,7 @@
 	return len(t.kept) == t.k && (t.k == 0 || bytes.Compare(candidate, t.kept[t.k-1][:]) <= 0)
 }
 
-// merge takes sorted records in, and returns how many of them are kept.
+// merge adds sorted records, and returns how many of them are kept.
 func (t *Top) merge(added []record) int {
 	merged := make([]record, 0, min(t.k, len(t.kept)+len(added)))
 	keptIndex, addedIndex := 0, 0
@@ -88,8 +87,7 @@
 	return greatest
 }
 
-// NotBelow returns the records of a part that are not below a floor; nil is no
-// floor.
+// NotBelow returns the records of a part that are not below a floor; a nil floor excludes none.
 func NotBelow(part, floor []byte) []byte {
 	var above []byte
 	for ; len(part) >= Size; part = part[Size:] {
@@ -100,8 +98,8 @@
 	return above
 }
 
-// Covers reports whether greatest, the k greatest records of some parts, stays
-// the same with a record that is not greater than the one given.
+// Covers reports whether greatest, the k greatest records of some parts, remains correct if a
+// record no greater than dropped is added.
 func Covers(greatest []byte, k int, dropped []byte) bool {
 	if k <= 0 || len(dropped) == 0 {
 		return true
--- a/internal/edge/records/top_test.go
+++ b/internal/edge/records/top_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// drawParts returns parts with many equal records, and remainders.
+// drawParts returns parts with many equal records, and with trailing bytes.
 func drawParts(t *rapid.T) [][]byte {
 	part := rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 5*Size+Size/2)
 	return rapid.SliceOfN(part, 0, 6).Draw(t, "parts")
 }
 
-// TestTopLosesNothing thins parts out one by one: the greatest records of what
-// is left are those of the whole parts.
+// TestTopKeepsGreatestRecords checks that the parts without the records that Add sorted out have
+// the same greatest records as the whole parts.
 func TestTopKeepsGreatestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := drawParts(t)
@@ -31,9 +31,9 @@
 	})
 }
 
-// TestCoversTellsWhatIsMissing leaves some thinned parts out, as a query does
-// that settles: if Covers holds for all that are used, the greatest records are
-// those of the whole parts.
+// TestCoveredResultIsComplete leaves some parts out, as a query does that ends before all shards
+// have answered. If Covers holds for the dropped records of all parts in use, the greatest records
+// must be those of the whole parts.
 func TestCoveredResultIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := drawParts(t)
@@ -86,7 +86,8 @@
 	}
 }
 
-// TestNothingIsLost gives every whole record of a part back, kept or left.
+// TestAddReturnsEveryRecord checks that Add returns each whole record of a part, either as kept or
+// as remaining.
 func TestAddReturnsEveryRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		top := NewTop(rapid.IntRange(0, 4).Draw(t, "k"), rapid.SliceOfN(rapid.ByteRange(0, 2), Size, Size).Draw(t, "floor"))
