--- a/internal/edge/node/quarantine_metrics.go
+++ b/internal/edge/node/quarantine_metrics.go
@@ -25,25 +25,25 @@
 	factory := telemetry.NewFactory(registerer)
 	return &quarantineMetrics{
 		known: factory.Gauge("micaplank_quarantine_known",
-			"Requests that are known to have lost leaves without an answer, those that are held among them."),
+			"Requests under which leaves were lost and that were not answered, including those that are held."),
 		held: factory.Gauge("micaplank_quarantine_held",
-			"Requests that get no leaf, since their trials ended with their leaves."),
+			"Requests that are sent to no leaf, because leaves crashed in their trials."),
 		reports: factory.Counters("micaplank_quarantine_reports_total",
-			"Requests that ended without an answer and with leaves that ended under them, by result: kept, or left (nothing new, or too many at once).",
+			"Requests that ended without an answer after leaves crashed under them, by result: kept, or left (nothing new, or too many at once).",
 			"result"),
 		trials: factory.Counters("micaplank_quarantine_trials_total",
-			"Requests tried on one leaf alone, by result: answered, ended (the leaf did) or open.",
+			"Requests tried on a single leaf, by result: answered, ended (the leaf crashed) or open.",
 			"result"),
 		refused: factory.Counters("micaplank_quarantine_refused_total",
-			"Requests refused without a leaf, by reason: quarantined (held) or trial (one is under way, or was a moment ago).",
+			"Requests refused without being sent to a leaf, by reason: quarantined (held) or trial (one is running or has just ended).",
 			"reason"),
 		writes: factory.Counters("micaplank_quarantine_writes_total",
-			"Changes of records in the store, by result: written, overtaken or failed.",
+			"Changes of quarantine records in the store, by result: written, overtaken or failed.",
 			"result"),
 		voidLosses: factory.Counter("micaplank_quarantine_void_losses_total",
-			"Connections that leaves closed or reset before a byte of an answer, and that count as no crash: the leaf had been lost before the attempt was sent, and had not answered since."),
+			"Connections that leaves closed or reset before the first byte of an answer, and that do not count as a crash: the leaf had been lost before the attempt was sent, and had not answered since."),
 		survivors: factory.Counter("micaplank_quarantine_survivors_total",
-			"Leaves that were seen to live on after it was said that they ended under a request."),
+			"Leaves that were seen alive after they had been reported as crashed under a request."),
 	}
 }
 
--- a/internal/edge/node/rollout_metrics.go
+++ b/internal/edge/node/rollout_metrics.go
@@ -21,15 +21,15 @@
 	factory := telemetry.NewFactory(registerer)
 	return &rolloutMetrics{
 		open: factory.Gauge("micaplank_rollout_open",
-			"Roll-outs with steps left to take."),
+			"Rollouts with steps left to take."),
 		attempts: factory.Counters("micaplank_rollout_attempts_total",
-			"Attempts of this node at services that are rolled out, by service (64 at most, then other), version (target or control) and end.",
+			"Attempts of this node at services that are being rolled out, by service (64 at most, then other), version (target or control) and end.",
 			"service", "version", "end"),
 		steps: factory.Counters("micaplank_rollout_steps_total",
-			"Steps of roll-outs that this node decided, by phase and result: written, overtaken or failed.",
+			"Steps of rollouts that this node decided, by phase and result: written, overtaken or failed.",
 			"phase", "result"),
 		reports: factory.Counters("micaplank_rollout_reports_total",
-			"Reports of this node to the one that decides, by result: answered, passed (it cannot write to the store) or failed.",
+			"Reports of this node to the deciding node, by result: answered, passed (it cannot write to the store) or failed.",
 			"result"),
 		serviceLabels: make(labelSet),
 	}
