--- a/internal/edge/node/budget_test.go
+++ b/internal/edge/node/budget_test.go
@@ -148,7 +148,7 @@
 	}
 	t.Logf("answered in time: %d of %d, with half of the slack %d", actual, 20*simulatedQueries, baseline)
 	if actual < baseline+20*simulatedQueries/50 {
-		t.Errorf("answered in time: %d of %d, with half of the slack %d", actual, 20*simulatedQueries, baseline)
+		t.Errorf("answered in time: got %d of %d, want at least %d", actual, 20*simulatedQueries, baseline+20*simulatedQueries/50)
 	}
 }
 
@@ -172,8 +172,8 @@
 		actual += newBudgetSimulation(executor, executorQueryInterval, hangAtFirstLeaf, seed).run()
 	}
 	late, lateBefore := 20*simulatedQueries-actual, 20*simulatedQueries-baseline
-	t.Logf("late: %d of %d, where each runs its own %d", late, 20*simulatedQueries, lateBefore)
+	t.Logf("late: %d of %d, where each node runs its own queries %d", late, 20*simulatedQueries, lateBefore)
 	if 4*late > lateBefore || lateBefore == 0 {
-		t.Errorf("late: %d of %d, where each runs its own %d", late, 20*simulatedQueries, lateBefore)
+		t.Errorf("late: got %d of %d, want at most a quarter of the %d where each node runs its own queries, and those above 0", late, 20*simulatedQueries, lateBefore)
 	}
 }
--- a/internal/edge/node/follower_test.go
+++ b/internal/edge/node/follower_test.go
@@ -101,7 +101,7 @@
 		defer func() { executing = false }()
 		answer := n.Execute(t.Context(), &forward.Request{ID: "r", Host: "host", Path: "/"})
 		if answer.Fate != forward.FateAnswered {
-			t.Errorf("a node that is ready refuses: %+v", answer)
+			t.Errorf("request to a ready node: got answer %+v, want fate %q", answer, forward.FateAnswered)
 			return
 		}
 		served++
@@ -117,7 +117,7 @@
 		{Key: "leaf/desk", Revision: 1},
 	}, mirror.Reading{})
 	if served == 0 || publications != 1 {
-		t.Errorf("after the first reading %d served, %d topologies", served, publications)
+		t.Errorf("after the first read: got %d requests answered, %d topologies published; want at least 1 and exactly 1", served, publications)
 	}
 	served = 0
 	sink.Replace([]mirror.Item{
@@ -126,7 +126,7 @@
 		{Key: "leaf/desk", Revision: 1},
 	}, mirror.Reading{Gap: true})
 	if served == 0 {
-		t.Error("nothing was asked after the second reading")
+		t.Error("after the second read: got no request answered, want at least 1")
 	}
 }
 
@@ -142,7 +142,7 @@
 		}, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
 		n.follower.Replace([]mirror.Item{{Key: "leaf/desk", Revision: 1}}, test.read)
 		if got := testutil.ToFloat64(n.metrics.storeUp); got != test.want {
-			t.Errorf("%+v: %v, want %v", test.read, got, test.want)
+			t.Errorf("store_up after a read with %+v: got %v, want %v", test.read, got, test.want)
 		}
 	}
 }
--- a/internal/edge/node/http_server_test.go
+++ b/internal/edge/node/http_server_test.go
@@ -37,10 +37,10 @@
 	go func() { serveErr <- c.server.Serve() }()
 	t.Cleanup(func() {
 		if err := c.server.Shutdown(context.Background()); err != nil {
-			t.Errorf("shutdown: %v", err)
+			t.Errorf("Shutdown: got error %v, want none", err)
 		}
 		if err := <-serveErr; err != http.ErrServerClosed {
-			t.Errorf("serve: %v", err)
+			t.Errorf("Serve: got %v, want %v", err, http.ErrServerClosed)
 		}
 	})
 	return c
@@ -72,7 +72,7 @@
 		c.Fatal(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		c.Fatalf("status %d", response.StatusCode)
+		c.Fatalf("got status %d, want %d", response.StatusCode, http.StatusOK)
 	}
 }
 
@@ -82,7 +82,7 @@
 func (c *testServer) waitForClose(connection net.Conn) {
 	c.Helper()
 	if received, err := io.ReadAll(connection); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		c.Fatalf("%q, %v", received, err)
+		c.Fatalf("reading until the server closes the connection: got %q and error %v, want EOF or a reset", received, err)
 	}
 }
 
@@ -92,7 +92,7 @@
 	c.write(slow, "GET / HTTP/1.1\r\nHost: a.exam")
 	c.waitForClose(slow)
 	if served := c.served.Load(); served != 0 {
-		t.Fatalf("%d requests ran", served)
+		t.Fatalf("got %d requests run, want 0", served)
 	}
 	c.request(c.dial())
 }
@@ -105,7 +105,7 @@
 	c.write(unread, "GET / HTTP/1.1\r\nHost: a.exam")
 	c.waitForClose(unread)
 	if served := c.served.Load(); served != 0 {
-		t.Fatalf("%d requests ran", served)
+		t.Fatalf("got %d requests run, want 0", served)
 	}
 }
 
@@ -144,6 +144,6 @@
 	c.waitForClose(second)
 	if connection, err := net.Dial("tcp", c.server.listener.Addr().String()); err == nil {
 		_ = connection.Close()
-		t.Error("accepted after Shutdown")
+		t.Error("dial after Shutdown: got a connection, want an error")
 	}
 }
--- a/internal/edge/node/metrics_test.go
+++ b/internal/edge/node/metrics_test.go
@@ -14,10 +14,10 @@
 			want = otherLabel
 		}
 		if got := values.bound(name); got != want {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("label for %q: got %q, want %q", name, got, want)
 		}
 	}
 	if values.bound("route-0") != "route-0" {
-		t.Error("a label is not kept")
+		t.Error("label for \"route-0\": got another value once the set was full, want it kept")
 	}
 }
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -65,7 +65,7 @@
 
 // ErrOvertaken means that a concurrent write came first: the record, or the order that it answers,
 // is not the one on which the change was based.
-var ErrOvertaken = errors.New("the record has changed meanwhile")
+var ErrOvertaken = errors.New("record was changed concurrently")
 
 // Rollouts writes the steps of rollouts.
 type Rollouts interface {
--- a/internal/edge/node/request_log_test.go
+++ b/internal/edge/node/request_log_test.go
@@ -28,7 +28,7 @@
 		{forward.Answer{Fate: forward.FateNoRoute}, slog.LevelWarn},
 	} {
 		if got := requestLogLevel(test.answer); got != test.want {
-			t.Errorf("%+v: %v", test.answer, got)
+			t.Errorf("level of %+v: got %v, want %v", test.answer, got, test.want)
 		}
 	}
 }
@@ -43,19 +43,19 @@
 	hedge.Extra, hedge.Cause = true, dispatch.CauseHedge
 	logged := loggedAttempts(forward.Answer{Total: 3, Attempts: []scatter.AttemptTrace{plain, unanswered, hedge}})
 	if len(logged) != 2 || logged[0].End != "open" || logged[0].AtMS != 54 || logged[0].Slowness != 1.23 || logged[1].Cause != "hedge" {
-		t.Errorf("%+v", logged)
+		t.Errorf("attempts of 3 shards: got %+v, want the open one and the hedge", logged)
 	}
 	if logged := loggedAttempts(forward.Answer{Total: 1, Attempts: []scatter.AttemptTrace{plain}}); len(logged) != 1 {
-		t.Errorf("of a request to one leaf: %+v", logged)
+		t.Errorf("attempts of a request to one leaf: got %+v, want 1", logged)
 	}
 	many := make([]scatter.AttemptTrace, 100)
 	for index := range many {
 		many[index] = unanswered
 	}
 	if logged := loggedAttempts(forward.Answer{Total: 100, Attempts: many}); len(logged) != maxLoggedAttempts {
-		t.Errorf("%d lines", len(logged))
+		t.Errorf("incomplete answer: got %d attempts, want %d", len(logged), maxLoggedAttempts)
 	}
 	if logged := loggedAttempts(forward.Answer{Total: 100, Answered: 100, Attempts: many}); len(logged) != maxLoggedAttemptsIfComplete {
-		t.Errorf("%d lines of a request that lacks nothing", len(logged))
+		t.Errorf("complete answer: got %d attempts, want %d", len(logged), maxLoggedAttemptsIfComplete)
 	}
 }
--- a/internal/edge/node/rollout_reports.go
+++ b/internal/edge/node/rollout_reports.go
@@ -100,7 +100,7 @@
 func (r *rolloutDriver) serveReports(server *peer.Server) {
 	peer.Register(server, methodReport, func(_ context.Context, _ netip.AddrPort, report *rollout.Report) (*rollout.Reply, error) {
 		if !r.enabled {
-			return nil, oops.In("frontend").With("step", methodReport).Errorf("roll-outs are not heeded here")
+			return nil, oops.In("frontend").With("step", methodReport).Errorf("report of node %q rejected: rollouts are disabled on this node", report.Node)
 		}
 		reply := r.answerReport(*report)
 		return &reply, nil
--- a/internal/edge/node/services_test.go
+++ b/internal/edge/node/services_test.go
@@ -15,6 +15,6 @@
 	}
 	want := map[string]warmup.Bound{"shard": {Rate: 8, Shard: true}, "vault": {Rate: 20}}
 	if got := findColdBounds(config, findShardServices(config)); !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("cold bounds: got %v, want %v", got, want)
 	}
 }
--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -24,7 +24,7 @@
 type noLeaves struct{}
 
 func (noLeaves) Execute(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
-	return nil, fmt.Errorf("nothing is sent")
+	return nil, fmt.Errorf("attempt sent by a test that sends none")
 }
 
 // newTestNode returns a node that is not started, with leaves of some services, and a function that
@@ -93,7 +93,7 @@
 	n.announceNodes(12)
 	for id, connections := range publish() {
 		if connections != n.settings.Leaf.ConnectionsPerLeaf || n.standbyLeaves()[id] {
-			t.Errorf("%s: %d connections, standby %v", id, connections, n.standbyLeaves()[id])
+			t.Errorf("leaf %s: got %d connections, standby %v; want %d connections, not on standby", id, connections, n.standbyLeaves()[id], n.settings.Leaf.ConnectionsPerLeaf)
 		}
 	}
 }
@@ -109,11 +109,11 @@
 	for id, count := range connections {
 		total += count
 		if standby := n.standbyLeaves()[id]; standby != (count == 0) {
-			t.Errorf("%s: %d connections, standby %v", id, count, standby)
+			t.Errorf("leaf %s: got %d connections, standby %v; want standby exactly without connections", id, count, standby)
 		}
 	}
 	if total == 0 || total == 3 {
-		t.Errorf("connections to %d leaves", total)
+		t.Errorf("got %d connections to 3 leaves, want 1 or 2", total)
 	}
 	for index := range leaves {
 		leaves[index].Draining = index > 0
@@ -121,7 +121,7 @@
 	}
 	connections = publish()
 	if connections["s-1"] != 0 || connections["s-2"] != 0 {
-		t.Errorf("leaves that drain: %v", connections)
+		t.Errorf("got connections %v, want none to the draining leaves s-1 and s-2", connections)
 	}
 }
 
@@ -132,7 +132,7 @@
 	n.announceNodes(500)
 	for id, connections := range publish() {
 		if connections != n.settings.Leaf.ConnectionsPerLeaf {
-			t.Errorf("%s: %d connections", id, connections)
+			t.Errorf("leaf %s: got %d connections, want %d", id, connections, n.settings.Leaf.ConnectionsPerLeaf)
 		}
 	}
 }
--- a/internal/edge/node/wire_test.go
+++ b/internal/edge/node/wire_test.go
@@ -25,6 +25,6 @@
 func TestReportOfFormerVersionIsDecoded(t *testing.T) {
 	report := wiretest.FormerGob[rollout.Report](t, "rollout.report.request")
 	if counts := report.Rows[0].Counts; counts.Failed != 88 || counts.Took[0] != 18 || counts.First != 0 || counts.Overtaken != 0 {
-		t.Errorf("%+v", counts)
+		t.Errorf("got counts %+v, want 88 failed, 18 in the first bucket, no first and no overtaken attempts", counts)
 	}
 }
