--- a/internal/edge/registry/cordon_test.go
+++ b/internal/edge/registry/cordon_test.go
@@ -16,17 +16,17 @@
 	leaf.Zone = "north"
 	table.Set(0, leaf)
 	if !table.SetCordon(0, "north", true) || table.SetCordon(0, "north", true) {
-		t.Error("a cordon is news once")
+		t.Error("SetCordon(north, true) twice: want true, then false")
 	}
 	laterLeaf := leafAt("b", "x", 2, 2)
 	laterLeaf.Zone = "north"
 	table.Set(0, laterLeaf)
 	if usable := usableLeaves(table.Topology()); len(usable) != 0 {
-		t.Errorf("usable: %v", usable)
+		t.Errorf("usable leaves of a cordoned zone: got %v, want none", usable)
 	}
 	table.SetCordon(0, "north", false)
 	if usable := usableLeaves(table.Topology()); len(usable) != 2 {
-		t.Errorf("usable after it was taken back: %v", usable)
+		t.Errorf("usable leaves once the zone is uncordoned: got %v, want a and b", usable)
 	}
 }
 
@@ -34,13 +34,13 @@
 	table := NewTable(config, newTestIndex())
 	table.SetCordon(0, "north", true)
 	if changed := table.ReplaceCordons(0, []string{"south"}, true); !slices.Equal(changed, []string{"south"}) {
-		t.Errorf("changed by a stale list: %v", changed)
+		t.Errorf("zones changed by a stale list: got %v, want [south]", changed)
 	}
 	if got := table.Cordoned(); !slices.Equal(got, []string{"north", "south"}) {
-		t.Errorf("after a stale list: %v", got)
+		t.Errorf("cordoned zones after a stale list: got %v, want [north south]", got)
 	}
 	if changed := table.ReplaceCordons(0, []string{"south"}, false); !slices.Equal(changed, []string{"north"}) {
-		t.Errorf("changed by a fresh list: %v", changed)
+		t.Errorf("zones changed by a fresh list: got %v, want [north]", changed)
 	}
 }
 
@@ -107,7 +107,7 @@
 				table.SetCordon(now, zone, true)
 				staleCopy = model.clone()
 			case 6:
-				zone := rapid.SampledFrom(zones).Draw(t, "put back")
+				zone := rapid.SampledFrom(zones).Draw(t, "uncordoned")
 				delete(model.cordons, zone)
 				table.SetCordon(now, zone, false)
 			case 7: // the history was compacted
@@ -115,7 +115,7 @@
 				staleStart = false
 			case 8: // a new process starts
 				table = NewTable(config, newTestIndex())
-				if staleStart = rapid.Bool().Draw(t, "from an old copy"); staleStart {
+				if staleStart = rapid.Bool().Draw(t, "from a stale copy"); staleStart {
 					staleCopy.replaceTable(table, now, true)
 				}
 				model.replaceTable(table, now, staleStart)
@@ -130,13 +130,13 @@
 	usable := usableLeaves(table.Topology())
 	for id := range usable {
 		if entry := table.entries[id]; model.cordons[entry.Zone] {
-			t.Fatalf("%s is usable in %s, which is out of service", id, entry.Zone)
+			t.Fatalf("leaf %s is usable in the cordoned zone %s", id, entry.Zone)
 		}
 	}
 	for id, announced := range model.leaves {
 		_, isUsable := usable[id]
 		if want := !announced.Draining && !model.cordons[announced.Zone]; want && !isUsable && !staleStart {
-			t.Fatalf("%s is not usable in %s", id, announced.Zone)
+			t.Fatalf("leaf %s is not usable in zone %s, want it usable", id, announced.Zone)
 		}
 	}
 }
--- a/internal/edge/registry/incarnation_test.go
+++ b/internal/edge/registry/incarnation_test.go
@@ -36,7 +36,7 @@
 			leaf.Born = time.UnixMilli(test.born)
 		}
 		if got := leaf.Incarnation(); got != test.want || IDOf(got) != test.id {
-			t.Errorf("%q at %d: %q, of %q", test.id, test.born, got, IDOf(got))
+			t.Errorf("leaf %q started at %d: got incarnation %q with ID %q, want %q", test.id, test.born, got, IDOf(got), test.want)
 		}
 	}
 }
@@ -49,17 +49,17 @@
 	previous.Draining, previous.Cold = true, time.Hour
 	table.Set(0, previous)
 	if got := table.soleUsable(); got != "" {
-		t.Fatalf("%q takes work", got)
+		t.Fatalf("usable incarnation: got %q, want none", got)
 	}
 	table.Set(time.Second, leafStartedAt(20, 9))
 	if got := table.soleUsable(); got != "a@20000" {
-		t.Fatalf("%q takes work", got)
+		t.Fatalf("usable incarnation: got %q, want \"a@20000\"", got)
 	}
 	if cold := table.Topology().Leaves[0].ColdUntil; cold != 0 {
-		t.Errorf("cold until %v", cold)
+		t.Errorf("cold until: got %v, want 0", cold)
 	}
 	if _, _, known := table.VersionAndZone("a@10000"); known {
-		t.Error("what a former start did counts for this one")
+		t.Error("VersionAndZone finds the previous incarnation, want only the current one")
 	}
 }
 
@@ -72,13 +72,13 @@
 		update  Leaf
 		want    string
 	}{
-		"late write":           {false, leafStartedAt(10, 12), "a@20000"},
-		"late write, gone":     {true, leafStartedAt(10, 12), ""},
-		"no word of the start": {false, leafStartedAt(0, 12), ""},
-		"no word, gone":        {true, leafStartedAt(0, 12), ""},
-		"the same":             {false, leafStartedAt(20, 12), "a@20000"},
-		"the same, gone":       {true, leafStartedAt(20, 12), "a@20000"},
-		"the next":             {false, leafStartedAt(30, 12), "a@30000"},
+		"late write":          {false, leafStartedAt(10, 12), "a@20000"},
+		"late write, gone":    {true, leafStartedAt(10, 12), ""},
+		"no start time":       {false, leafStartedAt(0, 12), ""},
+		"no start time, gone": {true, leafStartedAt(0, 12), ""},
+		"same start":          {false, leafStartedAt(20, 12), "a@20000"},
+		"same start, gone":    {true, leafStartedAt(20, 12), "a@20000"},
+		"newer start":         {false, leafStartedAt(30, 12), "a@30000"},
 	} {
 		table := NewTable(config, newTestIndex())
 		table.Set(0, leafStartedAt(10, 5))
@@ -88,13 +88,13 @@
 		}
 		table.Set(time.Minute, test.update)
 		if got := table.soleUsable(); got != test.want {
-			t.Errorf("%s: %q takes work, want %q", name, got, test.want)
+			t.Errorf("%s: usable incarnation: got %q, want %q", name, got, test.want)
 		}
 		stale := NewTable(config, newTestIndex())
 		stale.Set(0, leafStartedAt(20, 9))
 		stale.Replace(time.Minute, []Leaf{leafStartedAt(10, 5)})
 		if got := stale.soleUsable(); got != "a@20000" {
-			t.Errorf("a copy that is behind: %q takes work", got)
+			t.Errorf("stale copy: usable incarnation: got %q, want \"a@20000\"", got)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	table.Remove(time.Second, "a")
 	table.Expire(time.Second + startTimeRetention)
 	if len(table.startTimes) != 0 {
-		t.Errorf("%v", table.startTimes)
+		t.Errorf("start times after their retention: got %v, want none", table.startTimes)
 	}
 }
 
@@ -121,12 +121,12 @@
 	table.Set(0, target)
 	table.SetStages(map[string]Stage{"x": {Order: 7, Version: "v2", Phase: rollout.PhaseCompleted, Recorded: 8}})
 	if _, usable := usableLeaves(table.Topology())["a@10000"]; usable {
-		t.Error("the former version takes work")
+		t.Error("leaf of the old version is usable after the rollout, want it excluded")
 	}
 	restarted := leafStartedAt(20, 9)
 	restarted.Version = "v1"
 	table.Set(0, restarted)
 	if _, usable := usableLeaves(table.Topology())["a@20000"]; !usable {
-		t.Error("a leaf that started after the roll-out takes none")
+		t.Error("leaf of the old version that started after the rollout is not usable, want it usable")
 	}
 }
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -83,7 +83,7 @@
 
 // ErrStaleIncarnation means that an announcement belongs to an older start of its leaf, or that it
 // has no start time though an earlier announcement had one.
-var ErrStaleIncarnation = errors.New("announcement is not of the newest start of its leaf")
+var ErrStaleIncarnation = errors.New("announcement is not of the newest known start of its leaf")
 
 // Set applies an announcement. It returns false for one of an older incarnation, which was written
 // late or read from a stale copy. Within an incarnation, a draining leaf stays draining, and a leaf
--- a/internal/edge/registry/registry_test.go
+++ b/internal/edge/registry/registry_test.go
@@ -40,7 +40,7 @@
 	topology := table.Topology()
 	usable := usableLeaves(topology)
 	if len(usable) != 3 || usable["a"] != usable["c"] || usable["a"] == usable["b"] || topology.Partitions[0].Shards != 2 {
-		t.Errorf("%v in %+v", usable, topology.Partitions)
+		t.Errorf("got shards %v in %+v, want one for a and c and another one for b", usable, topology.Partitions)
 	}
 }
 
@@ -52,11 +52,11 @@
 	leaf.Draining = false
 	table.Set(0, leaf)
 	if usable := usableLeaves(table.Topology()); len(usable) != 0 {
-		t.Errorf("usable: %v", usable)
+		t.Errorf("usable leaves: got %v, want none", usable)
 	}
 	table.Set(0, leafAt("b", "x", 1, 9))
 	if _, ok := usableLeaves(table.Topology())["b"]; !ok {
-		t.Error("the next incarnation at the address gets no work")
+		t.Error("leaf with another ID at the same address is not usable, want it usable")
 	}
 }
 
@@ -65,7 +65,7 @@
 	table.Replace(0, []Leaf{leafAt("new", "y", 1, 7), leafAt("old", "x", 1, 3)})
 	usable := usableLeaves(table.Topology())
 	if _, ok := usable["new"]; !ok || len(usable) != 1 {
-		t.Errorf("usable: %v", usable)
+		t.Errorf("usable leaves: got %v, want only the new one", usable)
 	}
 }
 
@@ -83,7 +83,7 @@
 		{"long after an outage", outageEnd + config.Settling, false, false, 0},
 		{"just after an outage", outageEnd + time.Second, false, false, outageEnd + time.Second + config.Doubt},
 		{"announced again", outageEnd + time.Second, false, true, time.Hour},
-		{"it drained before", outageEnd + time.Second, true, false, 0},
+		{"draining before", outageEnd + time.Second, true, false, 0},
 	} {
 		table := NewTable(config, newTestIndex())
 		leaf := leafAt("a", "x", 1, 1)
@@ -103,13 +103,13 @@
 			}
 			changed, next := table.Expire(now)
 			if got, want := table.Len() == 1, now < test.usedUntil || test.announcedAgain; got != want {
-				t.Errorf("%s: at %v known %v, want %v", test.name, now, got, want)
+				t.Errorf("%s: leaf kept at %v: got %v, want %v", test.name, now, got, want)
 			}
 			if table.Len() == 1 && !test.announcedAgain && next != test.usedUntil {
-				t.Errorf("%s: next look at %v", test.name, next)
+				t.Errorf("%s: next expiry: got %v, want %v", test.name, next, test.usedUntil)
 			}
 			if changed && now < test.usedUntil {
-				t.Errorf("%s: dropped at %v", test.name, now)
+				t.Errorf("%s: leaf dropped at %v, want it kept until %v", test.name, now, test.usedUntil)
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 	table.Replace(10*time.Second, []Leaf{leafAt("b", "x", 2, 1)})
 	usable := usableLeaves(table.Topology())
 	if _, ok := usable["b"]; !ok || len(usable) != 1 {
-		t.Errorf("usable: %v", usable)
+		t.Errorf("usable leaves: got %v, want only b", usable)
 	}
 }
 
@@ -135,7 +135,7 @@
 	table.Set(0, fresh)
 	for _, leaf := range table.Topology().Leaves {
 		if want := leaf.BootID == "b"; leaf.Cold != want {
-			t.Errorf("%s: cold %v", leaf.BootID, leaf.Cold)
+			t.Errorf("leaf %s: got cold %v, want %v", leaf.BootID, leaf.Cold, want)
 		}
 	}
 }
@@ -147,25 +147,25 @@
 	check := func(description string, want time.Duration) {
 		t.Helper()
 		if got := table.Topology().Leaves[0].ColdUntil; got != want {
-			t.Errorf("%s: until %v, want %v", description, got, want)
+			t.Errorf("%s: cold until: got %v, want %v", description, got, want)
 		}
 	}
 	announced := leafAt("a", "x", 1, 1)
 	announced.Zone, announced.Revision, announced.Cold = "north", 1, 2*time.Second
 	table.Set(10*time.Second, announced)
-	check("by its word", 12*time.Second)
+	check("announced as cold", 12*time.Second)
 	table.Replace(11*time.Second, []Leaf{announced})
-	check("the same word again", 12*time.Second)
+	check("same announcement again", 12*time.Second)
 	announced.Revision, announced.Cold = 2, 0
 	table.Set(11*time.Second, announced)
-	check("warm, by a word that may be older", 12*time.Second)
+	check("announced as warm, which may be older", 12*time.Second)
 	table.SetCordon(20*time.Second, "north", true)
 	table.SetCordon(30*time.Second, "north", false)
-	check("its zone was out of service", 33*time.Second)
+	check("zone uncordoned", 33*time.Second)
 	announced.Revision, announced.Cold = 3, time.Second
 	table.Set(31*time.Second, announced)
-	check("its word of before that", 33*time.Second)
+	check("announced as cold for less time than after the cordon", 33*time.Second)
 	announced.Revision, announced.Cold = 4, 5*time.Second
 	table.Set(31*time.Second, announced)
-	check("by a later word", 36*time.Second)
+	check("announced as cold for longer", 36*time.Second)
 }
--- a/internal/edge/registry/stage_test.go
+++ b/internal/edge/registry/stage_test.go
@@ -56,7 +56,7 @@
 		table.SetStages(map[string]Stage{"x": test.stage})
 		usable, canaries := usableAndCanaries(table)
 		if !slices.Equal(usable, test.usable) || !slices.Equal(canaries, test.canaries) {
-			t.Errorf("%s: usable %v, canaries %v", test.name, usable, canaries)
+			t.Errorf("%s: got usable %v, canaries %v; want usable %v, canaries %v", test.name, usable, canaries, test.usable, test.canaries)
 		}
 	}
 }
@@ -68,13 +68,13 @@
 	table.Remove(0, "old")
 	table.SetStages(map[string]Stage{"x": {Order: 5, Version: "v2"}})
 	if usable, canaries := usableAndCanaries(table); !slices.Equal(usable, []string{"new"}) || len(canaries) > 0 || table.HasMixedVersions("x") {
-		t.Errorf("usable %v, canaries %v", usable, canaries)
+		t.Errorf("got usable %v, canaries %v; want usable [new], no canaries, no mixed versions", usable, canaries)
 	}
 	table = newTwoVersionTable()
 	table.SetStages(map[string]Stage{"x": {Order: 5, Version: "v2"}})
 	table.Remove(0, "old")
 	if usable, canaries := usableAndCanaries(table); len(usable) > 0 || !slices.Equal(canaries, []string{"new"}) || !table.HasMixedVersions("x") {
-		t.Errorf("after the others ended: usable %v, canaries %v", usable, canaries)
+		t.Errorf("after the old leaf was removed: got usable %v, canaries %v; want none usable, canaries [new], mixed versions", usable, canaries)
 	}
 }
 
@@ -85,10 +85,10 @@
 	table.SetStages(map[string]Stage{"x": {Order: 5, Version: "v2", Phase: rollout.PhaseShift}})
 	table.SetCordon(0, "zone-v2", true)
 	if usable, _ := usableAndCanaries(table); !slices.Equal(usable, []string{"old"}) {
-		t.Errorf("usable %v", usable)
+		t.Errorf("got usable %v, want [old]", usable)
 	}
 	supply := table.Supply("x")
 	if supply.Target != 0 || supply.Control != 2 || !supply.Others["old"] || supply.Others["new"] {
-		t.Errorf("%+v", supply)
+		t.Errorf("got supply %+v, want 2 slots of the old leaf and none of the new one", supply)
 	}
 }
