--- a/internal/edge/route/route.go
+++ b/internal/edge/route/route.go
@@ -90,7 +90,7 @@
 // Validate returns the first reason why the configuration cannot be used.
 func (c *Config) Validate() error {
 	if c.Version == 0 {
-		return fmt.Errorf("version: expected a number above 0")
+		return fmt.Errorf("version is 0, want a number above 0")
 	}
 	for index := range c.Routes {
 		if err := c.Routes[index].validate(); err != nil {
@@ -103,21 +103,21 @@
 func (r *Route) validate() error {
 	switch {
 	case r.Host == "":
-		return fmt.Errorf("host: expected a name")
+		return fmt.Errorf("host is empty")
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return fmt.Errorf("prefix %q: expected a slash at both ends", r.Prefix)
+		return fmt.Errorf("prefix %q does not begin and end with a slash", r.Prefix)
 	case r.Timeout <= 0:
-		return fmt.Errorf("timeout: expected a time above 0")
+		return fmt.Errorf("timeout %v is not above 0", r.Timeout)
 	case r.MaxAttempts < 1:
-		return fmt.Errorf("most attempts: expected 1 or more")
+		return fmt.Errorf("maximum attempts %d are less than 1", r.MaxAttempts)
 	case (len(r.Targets) > 0) == (len(r.Shards) > 0):
-		return fmt.Errorf("expected either targets or shards")
+		return fmt.Errorf("got %d targets and %d shards, want either targets or shards", len(r.Targets), len(r.Shards))
 	case len(r.Shards) > 0 && r.TopK < 1:
-		return fmt.Errorf("records of an answer: expected 1 or more")
+		return fmt.Errorf("number of records %d is less than 1", r.TopK)
 	case len(r.Shards) > 0 && !r.Repeatable:
-		return fmt.Errorf("a request to many shards must be repeatable")
+		return fmt.Errorf("route with shards is not repeatable")
 	case r.MinCoverage < 0 || r.MinCoverage > 1:
-		return fmt.Errorf("least coverage: expected a share from 0 to 1")
+		return fmt.Errorf("minimum coverage %v is not between 0 and 1", r.MinCoverage)
 	}
 	return r.validateNames()
 }
@@ -126,19 +126,19 @@
 	seen := make(map[string]bool, len(r.Shards))
 	for _, shard := range r.Shards {
 		if shard == "" || seen[shard] {
-			return fmt.Errorf("shard %q: expected each name once", shard)
+			return fmt.Errorf("shard %q is empty or named more than once", shard)
 		}
 		seen[shard] = true
 	}
 	total := 0.0
 	for _, target := range r.Targets {
 		if target.Service == "" || target.Weight < 0 {
-			return fmt.Errorf("target %q: expected a name and a weight of 0 or more", target.Service)
+			return fmt.Errorf("target %q with weight %v has no name or a negative weight", target.Service, target.Weight)
 		}
 		total += target.Weight
 	}
 	if len(r.Targets) > 0 && total <= 0 {
-		return fmt.Errorf("targets: expected a weight above 0")
+		return fmt.Errorf("total weight of the targets is 0")
 	}
 	return nil
 }
--- a/internal/edge/route/route_test.go
+++ b/internal/edge/route/route_test.go
@@ -23,7 +23,7 @@
 		change func(*Route)
 		want   string // substring of the error; empty for none
 	}{
-		{"sound", func(*Route) {}, ""},
+		{"valid", func(*Route) {}, ""},
 		{"no host", func(r *Route) { r.Host = "" }, "host"},
 		{"prefix without slash", func(r *Route) { r.Prefix = "/x" }, "prefix"},
 		{"no timeout", func(r *Route) { r.Timeout = 0 }, "timeout"},
@@ -43,11 +43,11 @@
 		test.change(&route)
 		err := (&Config{Version: 1, Routes: []Route{route}}).Validate()
 		if (err == nil) != (test.want == "") || err != nil && !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: got error %v, want one that contains %q", test.name, err, test.want)
 		}
 	}
 	if err := (&Config{}).Validate(); err == nil {
-		t.Error("version 0 is taken")
+		t.Error("version 0: got no error")
 	}
 }
 
@@ -67,7 +67,7 @@
 	} {
 		matched, ok := table.Match(test.host, test.path)
 		if ok != (test.want != "") || ok && matched.Name != test.want {
-			t.Errorf("%s%s: %+v", test.host, test.path, matched)
+			t.Errorf("%s%s: got route %+v, want %q", test.host, test.path, matched, test.want)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 			route.Targets = append(route.Targets, Target{Service: string(rune('a' + index)), Weight: float64(weight)})
 			total += weight
 		}
-		splitter := NewSplitter(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "begin") })
+		splitter := NewSplitter(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "start position") })
 		counts := make(map[string]int)
 		requests := rapid.IntRange(1, 200).Draw(t, "requests")
 		for range requests {
@@ -92,7 +92,7 @@
 		for index, weight := range weights {
 			share := float64(requests*weight) / float64(total)
 			if got := float64(counts[string(rune('a'+index))]); math.Abs(got-share) > float64(len(weights)) {
-				t.Fatalf("target %d got %v of %d, its share is %.1f", index, got, requests, share)
+				t.Fatalf("target %d: got %v of %d requests, want about %.1f", index, got, requests, share)
 			}
 		}
 	})
@@ -117,7 +117,7 @@
 			}
 			got := float64(count) / float64(nodes*requests)
 			if allowed := 1.5 / math.Sqrt(nodes); math.Abs(got-weight) > allowed*math.Sqrt(weight) {
-				t.Errorf("%d requests of each node: a share of %.3f, want %.2f", requests, got, weight)
+				t.Errorf("%d requests per node: got a share of %.3f, want about %.2f", requests, got, weight)
 			}
 		}
 	}
@@ -129,6 +129,6 @@
 	splitter.Pick(&route)
 	splitter.Retain(&Config{})
 	if len(splitter.routes) != 0 {
-		t.Error("a dropped route is kept")
+		t.Error("state of a dropped route is kept")
 	}
 }
