--- a/internal/edge/lease/lease.go
+++ b/internal/edge/lease/lease.go
@@ -20,9 +20,9 @@
 // These are the errors of a Store that a Holder distinguishes. Any other error counts as temporary.
 var (
 	// ErrLapsed means that the lease has expired or was revoked by the store.
-	ErrLapsed = errors.New("lease has lapsed")
+	ErrLapsed = errors.New("lease has expired")
 	// ErrExists means that the key already exists.
-	ErrExists = errors.New("key exists")
+	ErrExists = errors.New("key already exists")
 )
 
 // Store grants leases and writes keys under them. A call that returned an error may have been
--- a/internal/edge/lease/lease_test.go
+++ b/internal/edge/lease/lease_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-var errUnavailable = errors.New("away")
+var errUnavailable = errors.New("store unavailable")
 
 // storeModel is a Store with one key, whose responses are lost at random.
 type storeModel struct {
@@ -95,7 +95,7 @@
 	previous := store.seedPreviousLease(true, false)
 	holder := NewHolder(Config{Key: "k", Previous: previous, TTL: 9 * time.Second, MinBackoff: time.Millisecond, MaxBackoff: time.Second}, store, slog.New(slog.DiscardHandler))
 	if pause := holder.step(context.Background()); pause != 3*time.Second || store.renewals != 1 || store.creates != 0 || store.granted != previous {
-		t.Errorf("pause %v, %d renewals, %d keys written, %d leases", pause, store.renewals, store.creates, store.granted)
+		t.Errorf("got pause %v, %d renewals, %d keys written, last lease %d; want 3s, 1, 0, %d", pause, store.renewals, store.creates, store.granted, previous)
 	}
 }
 
@@ -104,9 +104,9 @@
 func TestHolderRecoversFromFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &storeModel{random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), leases: make(map[uint64]bool)}
-		previous := store.seedPreviousLease(rapid.Bool().Draw(t, "former"), rapid.Bool().Draw(t, "lapsed"))
+		previous := store.seedPreviousLease(rapid.Bool().Draw(t, "previous"), rapid.Bool().Draw(t, "expired"))
 		holder := NewHolder(Config{Key: "k", Previous: previous, TTL: time.Second, MinBackoff: time.Millisecond, MaxBackoff: time.Second}, store, slog.New(slog.DiscardHandler))
-		for _, failure := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 40).Draw(t, "troubles") {
+		for _, failure := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 40).Draw(t, "failures") {
 			switch failure {
 			case 0:
 				store.expireLeases()
@@ -118,7 +118,7 @@
 				store.lossProbability = 0
 			}
 			if pause := holder.step(context.Background()); pause < 0 || pause > time.Second {
-				t.Fatalf("pause %v", pause)
+				t.Fatalf("got pause %v, want 0 to 1s", pause)
 			}
 		}
 		store.down, store.lossProbability = false, 0
@@ -126,7 +126,7 @@
 			holder.step(context.Background())
 		}
 		if store.keyLease == 0 || store.keyLease != holder.id || !store.leases[holder.id] {
-			t.Fatalf("the key is under lease %d, the holder renews %d of %v", store.keyLease, holder.id, store.leases)
+			t.Fatalf("key is under lease %d, holder renews lease %d, valid leases are %v; want the same valid lease", store.keyLease, holder.id, store.leases)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		holder.step(context.Background())
 	}
 	if pause := holder.step(context.Background()); pause != 3*time.Second || store.renewals != 1 {
-		t.Errorf("pause %v after %d renewals", pause, store.renewals)
+		t.Errorf("got pause %v after %d renewals, want 3s after 1", pause, store.renewals)
 	}
 }
 
--- a/internal/edge/lease/shared_test.go
+++ b/internal/edge/lease/shared_test.go
@@ -24,24 +24,24 @@
 	first := leaseID()
 	now = 4 * time.Second
 	if again := leaseID(); again != first {
-		t.Errorf("lease %d after 4 s, %d before", again, first)
+		t.Errorf("lease after 4 s: got %d, want %d", again, first)
 	}
 	now = 5 * time.Second
 	second := leaseID()
 	if second == first {
-		t.Error("the same lease with half of its time left")
+		t.Error("lease after 5 s: got the same one, want a new one")
 	}
 	shared.Invalidate(first)
 	if again := leaseID(); again != second {
-		t.Error("the end of a former lease ended this one")
+		t.Error("Invalidate of an earlier lease has replaced the current one")
 	}
 	shared.Invalidate(second)
 	if leaseID() == second {
-		t.Error("a lease that was lost is used again")
+		t.Error("lease after Invalidate: got the same one, want a new one")
 	}
 	store.down = true
 	now = time.Hour
 	if _, err := shared.ID(context.Background()); err == nil {
-		t.Error("a lease without a store")
+		t.Error("unavailable store: got a lease, want an error")
 	}
 }
