--- a/internal/edge/records/top_test.go
+++ b/internal/edge/records/top_test.go
@@ -69,20 +69,20 @@
 	}
 	top := NewTop(2, nil)
 	if kept, dropped := top.Add(repeat(1, 5, 3)); !bytes.Equal(kept, repeat(5, 3)) || !bytes.Equal(dropped, repeat(1)) {
-		t.Errorf("first part: kept %x, dropped %x", kept, dropped)
+		t.Errorf("first part: got kept %x, dropped %x; want 5 and 3 kept, 1 dropped", kept, dropped)
 	}
 	if kept, dropped := top.Add(repeat(4, 2)); !bytes.Equal(kept, repeat(4)) || !bytes.Equal(dropped, repeat(2)) {
-		t.Errorf("second part: kept %x, dropped %x", kept, dropped)
+		t.Errorf("second part: got kept %x, dropped %x; want 4 kept, 2 dropped", kept, dropped)
 	}
 	if kept, dropped := top.Add(repeat(9)); !bytes.Equal(kept, repeat(9)) || dropped != nil {
-		t.Errorf("third part: kept %x, dropped %x", kept, dropped)
+		t.Errorf("third part: got kept %x, dropped %x; want 9 kept, none dropped", kept, dropped)
 	}
 	top = NewTop(2, repeat(3))
 	if kept, dropped := top.Add(repeat(2, 3)); !bytes.Equal(kept, repeat(3)) || !bytes.Equal(dropped, repeat(2)) {
-		t.Errorf("with a floor: kept %x, dropped %x", kept, dropped)
+		t.Errorf("floor 3: got kept %x, dropped %x; want 3 kept, 2 dropped", kept, dropped)
 	}
 	if got := NotBelow(repeat(1, 4, 3), repeat(3)); !bytes.Equal(got, repeat(4, 3)) {
-		t.Errorf("not below 3: %x", got)
+		t.Errorf("records not below 3: got %x, want 4 and 3", got)
 	}
 }
 
