--- a/internal/edge/node/announcer.go
+++ b/internal/edge/node/announcer.go
@@ -28,7 +28,7 @@
 }
 
 // announcement returns the key and the value that announce this incarnation of the node.
-func (a *announcer) announcement() (key string, value []byte) {
+func (a *announcer) newAnnouncement() (key string, value []byte) {
 	value, err := a.self.Encode()
 	if err != nil {
 		event.Log(a.logger, event.NodeNotAnnounced{Error: err})
@@ -39,7 +39,7 @@
 // findPreviousLease returns the lease of the newest announcement with the same content as this
 // node's own. An earlier process on the same machine wrote it.
 func (a *announcer) findPreviousLease(items []mirror.Item) uint64 {
-	_, value := a.announcement()
+	_, value := a.newAnnouncement()
 	var latest mirror.Item
 	for _, item := range items {
 		matches := a.decoder.Kind(item.Key) == KindNode && bytes.Equal(item.Value, value)
@@ -66,7 +66,7 @@
 	case <-ctx.Done():
 		return
 	}
-	key, value := a.announcement()
+	key, value := a.newAnnouncement()
 	lease.NewHolder(lease.Config{
 		Key: key, Value: value, Previous: a.previousLease,
 		TTL: leaseTTL, MinBackoff: minBackoff, MaxBackoff: leaseBackoff,
--- a/internal/edge/node/budget_test.go
+++ b/internal/edge/node/budget_test.go
@@ -54,10 +54,10 @@
 
 func hangAtFirstLeaf(_ *rand.Rand, leaf netip.AddrPort) bool { return leaf.Port() == 1 }
 
-func newBudgetSimulation(bounds hedge.Bounds, pause time.Duration, hangs func(*rand.Rand, netip.AddrPort) bool, seed uint64) *budgetSimulation {
+func newBudgetSimulation(bounds hedge.Bounds, queryInterval time.Duration, hangs func(*rand.Rand, netip.AddrPort) bool, seed uint64) *budgetSimulation {
 	configured := settings.Example()
 	s := &budgetSimulation{
-		queryInterval: pause, hangs: hangs,
+		queryInterval: queryInterval, hangs: hangs,
 		random: rand.New(rand.NewPCG(seed, 1)), ends: make(map[dispatch.AttemptID]time.Duration),
 		sends: make(map[dispatch.AttemptID]dispatch.Send), submitted: make(map[dispatch.QueryID]time.Duration),
 	}
@@ -116,7 +116,7 @@
 				s.perform(s.dispatcher.Reply(s.now, id, dispatch.Reply{Shard: 0, Snapshot: sent.Snapshot, BootID: sent.BootID}))
 			}
 		}
-		if at, wanted := s.dispatcher.NextTick(); wanted && at <= s.now {
+		if at, scheduled := s.dispatcher.NextTick(); scheduled && at <= s.now {
 			s.perform(s.dispatcher.Tick(s.now))
 		}
 	}
@@ -128,8 +128,8 @@
 // executors with six queries a second: with its part of the whole slack the executor answers more
 // queries in time than with an equal part of half of it.
 func TestExecutorsShareWholeSlack(t *testing.T) {
-	from := settings.Defaults().Forward
-	from.ExtraSlack = 190
+	configured := settings.Defaults().Forward
+	configured.ExtraSlack = 190
 	var members []roster.Member
 	for index := range 75 {
 		member := roster.Member{Name: fmt.Sprint(index), Cores: 0.2}
@@ -139,8 +139,8 @@
 		members = append(members, member)
 	}
 	roles := executors.Assign(members[0], members)
-	halfOfSlack := share.Of(roles, members, len(members)).Budget(extraLoadSettings(from))
-	wholeSlack := share.OfSlack(roles, members, len(members), true).Budget(extraLoadSettings(from))
+	halfOfSlack := share.Of(roles, members, len(members)).Budget(extraLoadSettings(configured))
+	wholeSlack := share.OfSlack(roles, members, len(members), true).Budget(extraLoadSettings(configured))
 	baseline, actual := 0, 0
 	for seed := range uint64(20) {
 		baseline += newBudgetSimulation(halfOfSlack, executorQueryInterval, hangAtRandom, seed).run()
@@ -156,24 +156,24 @@
 // notice that one of three leaves hangs. It compares one of 76 equal nodes that each run their own
 // queries with one of eight executors that run the queries for all nodes.
 func TestExecutorsOfEqualNodesDetectHangingLeaf(t *testing.T) {
-	from := settings.Defaults().Forward
-	from.ExtraSlack = 190
+	configured := settings.Defaults().Forward
+	configured.ExtraSlack = 190
 	var members []roster.Member
 	for index := range 76 {
 		members = append(members, roster.Member{Name: fmt.Sprint(index), Zone: fmt.Sprint("zone-", index%4), Cores: 0.8})
 	}
-	assigner := executors.Assigner{EqualNodes: from.EqualNodes}
-	chosen := assigner.Assign(members[0], members)
-	executor := share.OfSlack(assigner.Assign(chosen.Executors[0], members), members, len(members), true).Budget(extraLoadSettings(from))
-	alone := share.OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(extraLoadSettings(from))
+	assigner := executors.Assigner{EqualNodes: configured.EqualNodes}
+	executorRoles := assigner.Assign(members[0], members)
+	executor := share.OfSlack(assigner.Assign(executorRoles.Executors[0], members), members, len(members), true).Budget(extraLoadSettings(configured))
+	alone := share.OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(extraLoadSettings(configured))
 	baseline, actual := 0, 0
 	for seed := range uint64(20) {
 		baseline += newBudgetSimulation(alone, standaloneQueryInterval, hangAtFirstLeaf, seed).run()
 		actual += newBudgetSimulation(executor, executorQueryInterval, hangAtFirstLeaf, seed).run()
 	}
-	late, lateBefore := 20*simulatedQueries-actual, 20*simulatedQueries-baseline
-	t.Logf("late: %d of %d, where each node runs its own queries %d", late, 20*simulatedQueries, lateBefore)
-	if 4*late > lateBefore || lateBefore == 0 {
-		t.Errorf("late: got %d of %d, want at most a quarter of the %d where each node runs its own queries, and those above 0", late, 20*simulatedQueries, lateBefore)
+	late, lateBaseline := 20*simulatedQueries-actual, 20*simulatedQueries-baseline
+	t.Logf("late: %d of %d, where each node runs its own queries %d", late, 20*simulatedQueries, lateBaseline)
+	if 4*late > lateBaseline || lateBaseline == 0 {
+		t.Errorf("late: got %d of %d, want at most a quarter of the %d where each node runs its own queries, and those above 0", late, 20*simulatedQueries, lateBaseline)
 	}
 }
--- a/internal/edge/node/endpoints.go
+++ b/internal/edge/node/endpoints.go
@@ -29,7 +29,7 @@
 func (n *Node) endpoints() []endpoint {
 	return []endpoint{
 		{n.settings.Listen.HTTP, n.ports.Handler(n)},
-		{n.settings.Listen.Ready, readyHandler(n.ports.ReadyPath, n.ready)},
+		{n.settings.Listen.Ready, readyHandler(n.ports.ReadyPath, n.isReady)},
 		{n.settings.Listen.Metrics, metricsHandler(n.metricsRegistry.Handler())},
 	}
 }
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -133,14 +133,14 @@
 
 // replaceView applies a full read to the view and publishes it. It returns the zones that were
 // cordoned or uncordoned.
-func (f *follower) replaceView(decoded decodedItems, formerLease uint64, stale bool) (cordonsChanged []string) {
+func (f *follower) replaceView(decoded decodedItems, previousLease uint64, stale bool) (cordonsChanged []string) {
 	f.view.mutex.Lock()
 	defer f.view.mutex.Unlock()
 	f.view.leaves.Replace(f.clock.Now(), decoded.leaves)
 	cordonsChanged = f.view.leaves.ReplaceCordons(f.clock.Now(), decoded.cordons, stale)
 	f.rollouts.replace(decoded.rollouts, stale)
 	if !f.view.leavesLoaded {
-		f.announcer.start(formerLease)
+		f.announcer.start(previousLease)
 	}
 	f.view.leavesLoaded = true
 	f.view.nodes.Replace(f.clock.Now(), decoded.nodes)
--- a/internal/edge/node/follower_test.go
+++ b/internal/edge/node/follower_test.go
@@ -94,7 +94,7 @@
 	var n *Node
 	executing, served, publications := false, 0, 0
 	logger := slog.New(logHook{handle: func() {
-		if executing || !n.ready() {
+		if executing || !n.isReady() {
 			return
 		}
 		executing = true
--- a/internal/edge/node/http_server.go
+++ b/internal/edge/node/http_server.go
@@ -127,29 +127,29 @@
 }
 
 // handOff passes a connection to the http.Server, or closes it if that server has been shut down.
-func (i *handoffListener) handOff(connection net.Conn) {
+func (l *handoffListener) handOff(connection net.Conn) {
 	select {
-	case i.connections <- connection:
-	case <-i.done:
+	case l.connections <- connection:
+	case <-l.done:
 		_ = connection.Close() // nothing was read from it yet
 	}
 }
 
 // Accept implements net.Listener.
-func (i *handoffListener) Accept() (net.Conn, error) {
+func (l *handoffListener) Accept() (net.Conn, error) {
 	select {
-	case connection := <-i.connections:
+	case connection := <-l.connections:
 		return connection, nil
-	case <-i.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (i *handoffListener) Close() error {
-	i.closeOnce.Do(func() { close(i.done) })
+func (l *handoffListener) Close() error {
+	l.closeOnce.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (i *handoffListener) Addr() net.Addr { return i.address }
+func (l *handoffListener) Addr() net.Addr { return l.address }
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -150,7 +150,7 @@
 	return &localRunner{
 		clock: n.clock, logger: n.logger, forwarder: n.forwarder,
 		workload: &workload{clock: n.clock, cores: n.self.Cores, queries: n.conn},
-		rollouts: n.rollouts, terms: n.follower.terms, ready: n.ready,
+		rollouts: n.rollouts, terms: n.follower.terms, ready: n.isReady,
 	}
 }
 
@@ -197,7 +197,7 @@
 func (n *Node) Draining() bool { return n.draining.Load() }
 
 // ready reports whether the node accepts requests.
-func (n *Node) ready() bool {
+func (n *Node) isReady() bool {
 	return startup.State{
 		Configured:  n.forwarder.Table() != nil,
 		LeavesKnown: n.follower.view.areLeavesLoaded(),
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -88,7 +88,7 @@
 	nodes := p.view.nodes.Count(now)
 	p.metrics.nodes.Set(float64(nodes))
 	p.quarantine.setNodes(nodes)
-	topology := p.topology()
+	topology := p.buildTopology()
 	members := p.view.nodes.Members(p.view.clock.Now())
 	p.rollouts.setAllowances(members)
 	roles := p.roles.Assign(p.self, members)
@@ -96,7 +96,7 @@
 	p.combine.SetMembers(roles.Combiners(members))
 	p.setWatchers(members)
 	nodeShare := share.Of(roles, members, nodes)
-	p.dispatcher.ResizeBudgets(p.budgets(roles, members, nodes))
+	p.dispatcher.ResizeBudgets(p.budgetsByShard(roles, members, nodes))
 	p.dispatcher.SetProbeInterval(nodeShare.ProbeInterval())
 	p.boundColdLeaves(&topology, roles, members)
 	p.onLeaves(p.shareLeaves(&topology, nodeShare))
@@ -104,7 +104,7 @@
 }
 
 // topology returns the leaves that rollouts and cordons permit.
-func (p *publisher) topology() dispatch.Topology {
+func (p *publisher) buildTopology() dispatch.Topology {
 	p.view.leaves.SetStages(p.rollouts.stages())
 	topology := p.view.leaves.Topology()
 	p.metrics.leaves.Set(float64(len(topology.Leaves)))
--- a/internal/edge/node/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -22,7 +22,7 @@
 // announcementView reports which incarnations of leaves are announced now. It is implemented by
 // view.
 type announcementView interface {
-	announced(incarnations []string) map[string]bool
+	findAnnounced(incarnations []string) map[string]bool
 }
 
 // quarantineDriver keeps requests that crash leaves away from them, by what all nodes have observed
--- a/internal/edge/node/quarantine_outcomes.go
+++ b/internal/edge/node/quarantine_outcomes.go
@@ -130,12 +130,12 @@
 	}
 	chance := q.background.Chance(now, content, attempts[0].Shard)
 	held := q.table.TrialCrashed(now, content, crashes, chance)
-	known, _ := q.table.Of(content)
+	record, _ := q.table.Of(content)
 	event.Log(q.logger, event.RequestTried{
-		Content: content, Route: known.Route, Leaf: crashes[0].Leaf, Trials: known.Trials, Chance: roundToHundredths(chance), Odds: roundToHundredths(known.Odds),
+		Content: content, Route: record.Route, Leaf: crashes[0].Leaf, Trials: record.Trials, Chance: roundToHundredths(chance), Odds: roundToHundredths(record.Odds),
 	})
 	if held {
-		q.logHeld(content, known)
+		q.logHeld(content, record)
 	}
 }
 
@@ -158,8 +158,8 @@
 	return leaves
 }
 
-func (q *quarantineDriver) logHeld(content quarantine.Content, known quarantine.Known) {
+func (q *quarantineDriver) logHeld(content quarantine.Content, record quarantine.Known) {
 	event.Log(q.logger, event.RequestHeld{
-		Content: content, Route: known.Route, Leaves: crashedLeaves(known.Crashes), Trials: known.Trials, Odds: roundToHundredths(known.Odds), Revision: known.Revision,
+		Content: content, Route: record.Route, Leaves: crashedLeaves(record.Crashes), Trials: record.Trials, Odds: roundToHundredths(record.Odds), Revision: record.Revision,
 	})
 }
--- a/internal/edge/node/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -157,8 +157,8 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.table.Set(q.clock.Now(), content, record) {
-		known, _ := q.table.Of(content)
-		q.logHeld(content, known)
+		record, _ := q.table.Of(content)
+		q.logHeld(content, record)
 	}
 	q.notifyTableChange()
 	q.wakeWriter()
@@ -182,7 +182,7 @@
 	if len(suspects) == 0 {
 		return
 	}
-	announced := q.announced.announced(suspects) // before q.mutex is locked: the view calls this driver with its own mutex held
+	announced := q.announced.findAnnounced(suspects) // before q.mutex is locked: the view calls this driver with its own mutex held
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	survivors := q.table.Review(q.clock.Now(), announced)
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -223,8 +223,8 @@
 	if state == nil || !state.Open() || state.Order.Revision == 0 {
 		return
 	}
-	version, zone, announced := r.view.leaves.VersionAndZone(attempt.BootID)
-	if !announced {
+	version, zone, exists := r.view.leaves.VersionAndZone(attempt.BootID)
+	if !exists {
 		return // the leaf was removed while the attempt ran
 	}
 	subject := rollout.Subject{
--- a/internal/edge/node/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -59,10 +59,10 @@
 	if !r.enabled {
 		return
 	}
-	formerPhases := r.phases()
+	previousPhases := r.phases()
 	r.table.Replace(r.clock.Now(), time.Now(), items.orders, items.records, stale)
 	for _, service := range r.table.Services() {
-		if state := r.table.Of(service); state.Phase() != formerPhases[service] {
+		if state := r.table.Of(service); state.Phase() != previousPhases[service] {
 			r.logPhase(state)
 		}
 	}
--- a/internal/edge/node/runner.go
+++ b/internal/edge/node/runner.go
@@ -43,24 +43,24 @@
 
 // Status implements delegate.Runner.
 func (r *localRunner) Status() executors.Status {
-	now := r.terms.current()
+	terms := r.terms.current()
 	return executors.Status{
-		Version:   now.Version,
+		Version:   terms.Version,
 		Accepting: r.workload.accepts() && r.ready(),
-		Fresh:     now.Fresh,
-		Cordoned:  now.Cordoned,
+		Fresh:     terms.Fresh,
+		Cordoned:  terms.Cordoned,
 	}
 }
 
 // Run implements delegate.Runner.
-func (r *localRunner) Run(ctx context.Context, from string, version uint64, request *forward.Request) (forward.Answer, bool) {
+func (r *localRunner) Run(ctx context.Context, receivedBy string, version uint64, request *forward.Request) (forward.Answer, bool) {
 	started := r.clock.Now()
 	request.Arrived = started
 	answer, ran := r.forwarder.ExecuteVersion(ctx, version, request)
 	if ran {
 		duration := r.clock.Now() - started
 		r.record(answer, duration)
-		logRequest(r.logger, request, answer, duration, from)
+		logRequest(r.logger, request, answer, duration, receivedBy)
 	}
 	return answer, ran
 }
--- a/internal/edge/node/services.go
+++ b/internal/edge/node/services.go
@@ -9,9 +9,9 @@
 
 // servicePolicies holds the declarations on services of one configuration.
 type servicePolicies struct {
-	shards        map[string]bool          // services that are shards of some route
-	coldBounds    map[string]warmup.Bound  // by service
-	coldDurations map[string]time.Duration // how long a leaf of each service is cold after a start
+	shards     map[string]bool          // services that are shards of some route
+	coldBounds map[string]warmup.Bound  // by service
+	coldTimes  map[string]time.Duration // how long a leaf of each service is cold after a start
 }
 
 func newServicePolicies(config *route.Config) servicePolicies {
@@ -20,7 +20,7 @@
 	for _, service := range config.Services {
 		coldTimes[service.Name] = service.ColdTime
 	}
-	return servicePolicies{shards: shards, coldBounds: findColdBounds(config, shards), coldDurations: coldTimes}
+	return servicePolicies{shards: shards, coldBounds: findColdBounds(config, shards), coldTimes: coldTimes}
 }
 
 // findShardServices returns the services that are shards of some route.
--- a/internal/edge/node/shares.go
+++ b/internal/edge/node/shares.go
@@ -20,7 +20,7 @@
 // budgetsByShard returns the bounds of the extra load that this node may cause at each shard of the
 // Dispatcher. They depend on whether the configuration in force uses the service as a shard of a
 // route.
-func (p *publisher) budgets(roles executors.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
+func (p *publisher) budgetsByShard(roles executors.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
 	shards := make(map[int]bool, len(p.view.services.shards))
 	for service := range p.view.services.shards {
 		shards[p.view.index.Of(service)] = true
--- a/internal/edge/node/view.go
+++ b/internal/edge/node/view.go
@@ -50,7 +50,7 @@
 		}
 	}
 	v.services = newServicePolicies(config)
-	v.leaves.SetColdTimes(v.services.coldDurations)
+	v.leaves.SetColdTimes(v.services.coldTimes)
 }
 
 // areLeavesLoaded reports whether the leaves of the first read are published to the Dispatcher.
@@ -61,7 +61,7 @@
 }
 
 // announced implements announcedLeaves.
-func (v *view) announced(incarnations []string) map[string]bool {
+func (v *view) findAnnounced(incarnations []string) map[string]bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	announced := make(map[string]bool, len(incarnations))
--- a/internal/edge/records/records_test.go
+++ b/internal/edge/records/records_test.go
@@ -15,9 +15,9 @@
 		parts := rapid.SliceOfN(part, 0, 4).Draw(t, "parts")
 		k := rapid.IntRange(-1, 8).Draw(t, "k")
 		var all []string
-		for _, part := range parts {
-			for offset := 0; offset+Size <= len(part); offset += Size {
-				all = append(all, string(part[offset:offset+Size]))
+		for _, drawn := range parts {
+			for offset := 0; offset+Size <= len(drawn); offset += Size {
+				all = append(all, string(drawn[offset:offset+Size]))
 			}
 		}
 		slices.Sort(all)
--- a/internal/edge/registry/incarnation.go
+++ b/internal/edge/registry/incarnation.go
@@ -12,14 +12,14 @@
 // Incarnation names one start of the leaf: its ID, followed by the start time in Unix milliseconds
 // if that is known. All observations of a leaf are kept per incarnation.
 func (l *Leaf) Incarnation() string {
-	born := int64(0)
+	startMillis := int64(0)
 	if !l.Born.IsZero() {
-		born = l.Born.UnixMilli()
+		startMillis = l.Born.UnixMilli()
 	}
-	if born == 0 && !strings.Contains(l.ID, startTimeSeparator) {
+	if startMillis == 0 && !strings.Contains(l.ID, startTimeSeparator) {
 		return l.ID
 	}
-	return l.ID + startTimeSeparator + strconv.FormatInt(born, 10)
+	return l.ID + startTimeSeparator + strconv.FormatInt(startMillis, 10)
 }
 
 // IDOf returns the ID in the name of an incarnation.
@@ -45,22 +45,22 @@
 // recordNewest reports whether an announcement belongs to the newest incarnation of its leaf that
 // is known, and records its start time. An announcement without a start time does not if an earlier
 // one had a start time.
-func (b startTimes) recordNewest(now time.Duration, announced Leaf) bool {
-	newest, exists := b[announced.ID]
+func (s startTimes) recordNewest(now time.Duration, announced Leaf) bool {
+	newest, exists := s[announced.ID]
 	if exists && announced.Born.Before(newest.startedAt) {
 		return false
 	}
 	if !announced.Born.IsZero() {
-		b[announced.ID] = startRecord{startedAt: announced.Born, seenAt: now}
+		s[announced.ID] = startRecord{startedAt: announced.Born, seenAt: now}
 	}
 	return true
 }
 
 // expire drops the start times that were last announced more than startTimeRetention ago.
-func (b startTimes) expire(now time.Duration) {
-	for id, record := range b {
+func (s startTimes) expire(now time.Duration) {
+	for id, record := range s {
 		if now-record.seenAt > startTimeRetention {
-			delete(b, id)
+			delete(s, id)
 		}
 	}
 }
--- a/internal/edge/registry/incarnation_test.go
+++ b/internal/edge/registry/incarnation_test.go
@@ -58,7 +58,7 @@
 	if cold := table.Topology().Leaves[0].ColdUntil; cold != 0 {
 		t.Errorf("cold until: got %v, want 0", cold)
 	}
-	if _, _, known := table.VersionAndZone("a@10000"); known {
+	if _, _, exists := table.VersionAndZone("a@10000"); exists {
 		t.Error("VersionAndZone finds the previous incarnation, want only the current one")
 	}
 }
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -41,12 +41,12 @@
 }
 
 // usable reports whether a leaf may get attempts, regardless of its version.
-func (t *Table) usable(entry *leafEntry) bool {
+func (t *Table) isUsable(entry *leafEntry) bool {
 	return !entry.Draining && !t.zones.Cordoned(entry.Zone)
 }
 
 // canary reports whether a leaf may get attempts only within an allowance.
-func (t *Table) canary(entry *leafEntry) bool {
+func (t *Table) isCanary(entry *leafEntry) bool {
 	stage, exists := t.stages[entry.Service]
 	if !exists || entry.Version != stage.Version || !t.HasMixedVersions(entry.Service) {
 		return false
@@ -74,7 +74,7 @@
 // hasUsableLeaf reports whether a service has a usable leaf of a version.
 func (t *Table) hasUsableLeaf(service, version string) bool {
 	for _, entry := range t.entries {
-		if entry.Service == service && entry.Version == version && t.usable(entry) {
+		if entry.Service == service && entry.Version == version && t.isUsable(entry) {
 			return true
 		}
 	}
@@ -104,7 +104,7 @@
 			supply.Others[entry.Incarnation()] = true
 		}
 		switch {
-		case !t.usable(entry):
+		case !t.isUsable(entry):
 		case target:
 			supply.Target += entry.Slots
 			supply.Usable[entry.Incarnation()] = true
