--- a/internal/edge/node/announcer.go
+++ b/internal/edge/node/announcer.go
@@ -27,7 +27,7 @@
 	previousLease uint64
 }
 
-// announcement returns the key and the value that announce this incarnation of the node.
+// newAnnouncement returns the key and the value that announce this incarnation of the node.
 func (a *announcer) newAnnouncement() (key string, value []byte) {
 	value, err := a.self.Encode()
 	if err != nil {
--- a/internal/edge/node/budget_test.go
+++ b/internal/edge/node/budget_test.go
@@ -172,7 +172,7 @@
 		actual += newBudgetSimulation(executor, executorQueryInterval, hangAtFirstLeaf, seed).run()
 	}
 	late, lateBaseline := 20*simulatedQueries-actual, 20*simulatedQueries-baseline
-	t.Logf("late: %d of %d, where each node runs its own queries %d", late, 20*simulatedQueries, lateBaseline)
+	t.Logf("late: %d of %d, and %d where each node runs its own queries", late, 20*simulatedQueries, lateBaseline)
 	if 4*late > lateBaseline || lateBaseline == 0 {
 		t.Errorf("late: got %d of %d, want at most a quarter of the %d where each node runs its own queries, and those above 0", late, 20*simulatedQueries, lateBaseline)
 	}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -196,7 +196,7 @@
 // Draining implements Service.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// ready reports whether the node accepts requests.
+// isReady reports whether the node accepts requests.
 func (n *Node) isReady() bool {
 	return startup.State{
 		Configured:  n.forwarder.Table() != nil,
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -103,7 +103,8 @@
 	p.dispatcher.SetTopology(topology)
 }
 
-// topology returns the leaves that rollouts and cordons permit.
+// buildTopology returns the leaves that rollouts and cordons permit, and updates the gauges of
+// leaves and cordoned zones.
 func (p *publisher) buildTopology() dispatch.Topology {
 	p.view.leaves.SetStages(p.rollouts.stages())
 	topology := p.view.leaves.Topology()
--- a/internal/edge/node/view.go
+++ b/internal/edge/node/view.go
@@ -60,7 +60,7 @@
 	return v.leavesLoaded
 }
 
-// announced implements announcedLeaves.
+// findAnnounced implements announcementView.
 func (v *view) findAnnounced(incarnations []string) map[string]bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/edge/registry/cordon_test.go
+++ b/internal/edge/registry/cordon_test.go
@@ -62,9 +62,9 @@
 }
 
 // TestCordonUnderRandomEvents checks that no leaf of a cordoned zone is usable, and that every
-// other leaf is that is announced and not draining. Zones are cordoned and uncordoned at random;
-// leaves appear, drain, expire in outages and disappear; the history of the store is lost; and
-// tables start from a fresh or a stale copy.
+// announced leaf of another zone is usable unless it drains. Zones are cordoned and uncordoned at
+// random; leaves appear, drain, expire in outages and disappear; the history of the store is lost;
+// and tables start from a fresh or a stale copy.
 func TestCordonUnderRandomEvents(t *testing.T) {
 	zones := []string{"north", "south", "west"}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/edge/registry/incarnation.go
+++ b/internal/edge/registry/incarnation.go
@@ -43,8 +43,8 @@
 }
 
 // recordNewest reports whether an announcement belongs to the newest incarnation of its leaf that
-// is known, and records its start time. An announcement without a start time does not if an earlier
-// one had a start time.
+// is known, and records its start time. An announcement without a start time does not belong to it
+// if an earlier announcement had one.
 func (s startTimes) recordNewest(now time.Duration, announced Leaf) bool {
 	newest, exists := s[announced.ID]
 	if exists && announced.Born.Before(newest.startedAt) {
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -85,10 +85,10 @@
 // has no start time though an earlier announcement had one.
 var ErrStaleIncarnation = errors.New("announcement is not of the newest known start of its leaf")
 
-// Set applies an announcement. It returns false for one of an older incarnation, which was written
-// late or read from a stale copy. Within an incarnation, a draining leaf stays draining, and a leaf
-// that was assumed to be cold until some time stays so, since it may have turned cold after it
-// wrote its announcement. The next incarnation inherits neither.
+// Set applies an announcement. It returns false for an announcement of an older incarnation, which
+// was written late or read from a stale copy. Within an incarnation, a draining leaf stays
+// draining, and a leaf that was assumed to be cold until some time stays so, since it may have
+// turned cold after it wrote its announcement. The next incarnation inherits neither.
 func (t *Table) Set(now time.Duration, announced Leaf) bool {
 	if !t.startTimes.recordNewest(now, announced) {
 		if announced.Born.IsZero() {
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -40,12 +40,12 @@
 	return exists && seen && order == stage.Order
 }
 
-// usable reports whether a leaf may get attempts, regardless of its version.
+// isUsable reports whether a leaf may get attempts, regardless of its version.
 func (t *Table) isUsable(entry *leafEntry) bool {
 	return !entry.Draining && !t.zones.Cordoned(entry.Zone)
 }
 
-// canary reports whether a leaf may get attempts only within an allowance.
+// isCanary reports whether a leaf may get attempts only within an allowance.
 func (t *Table) isCanary(entry *leafEntry) bool {
 	stage, exists := t.stages[entry.Service]
 	if !exists || entry.Version != stage.Version || !t.HasMixedVersions(entry.Service) {
