--- a/internal/edge/node/endpoints.go
+++ b/internal/edge/node/endpoints.go
@@ -37,18 +37,18 @@
 // listen opens all addresses, or returns an error and leaves none open.
 func listen(endpoints []endpoint, timeouts func() serverTimeouts) ([]*httpServer, error) {
 	var servers []*httpServer
-	for _, endpoint := range endpoints {
-		if !endpoint.address.IsValid() {
+	for _, e := range endpoints {
+		if !e.address.IsValid() {
 			continue
 		}
-		listener, err := net.Listen("tcp", endpoint.address.String())
+		listener, err := net.Listen("tcp", e.address.String())
 		if err != nil {
 			for _, opened := range servers {
 				_ = opened.listener.Close() // it has served no connection
 			}
-			return nil, oops.In("frontend").With("step", "frontend.listen", "peer", endpoint.address.String()).Wrap(err)
+			return nil, oops.In("frontend").With("step", "frontend.listen", "peer", e.address.String()).Wrap(err)
 		}
-		servers = append(servers, newHTTPServer(listener, endpoint.handler, timeouts))
+		servers = append(servers, newHTTPServer(listener, e.handler, timeouts))
 	}
 	return servers, nil
 }
@@ -62,9 +62,9 @@
 	return errors.Join(errs...)
 }
 
-// httpTimeouts returns the timeouts of the configuration in force. Where the configuration sets
+// serverTimeouts returns the timeouts of the configuration in force. Where the configuration sets
 // none, it returns the default for headers and the value of the settings for idle connections.
-func (n *Node) httpTimeouts() serverTimeouts {
+func (n *Node) serverTimeouts() serverTimeouts {
 	limits := n.Limits()
 	return serverTimeouts{
 		header: cmp.Or(limits.HeaderTimeout, defaultHeaderTimeout),
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -34,7 +34,7 @@
 	decode(items []mirror.Item) rolloutItems
 	// replace is called with the mutex of the view held, applyOrderEvent and applyRecordEvent
 	// without it.
-	replace(items rolloutItems, stale bool)
+	replace(decoded rolloutItems, stale bool)
 	applyOrderEvent(change mirror.Event) bool
 	applyRecordEvent(change mirror.Event) bool
 }
@@ -136,8 +136,8 @@
 func (f *follower) replaceView(decoded decodedItems, previousLease uint64, stale bool) (cordonsChanged []string) {
 	f.view.mutex.Lock()
 	defer f.view.mutex.Unlock()
-	f.view.leaves.Replace(f.clock.Now(), decoded.leaves)
-	cordonsChanged = f.view.leaves.ReplaceCordons(f.clock.Now(), decoded.cordons, stale)
+	f.view.available.Replace(f.clock.Now(), decoded.leaves)
+	cordonsChanged = f.view.available.ReplaceCordons(f.clock.Now(), decoded.cordons, stale)
 	f.rollouts.replace(decoded.rollouts, stale)
 	if !f.view.leavesLoaded {
 		f.announcer.start(previousLease)
@@ -154,7 +154,7 @@
 // Change implements mirror.Sink. If the configuration is removed from the store, the last one stays
 // in force.
 func (f *follower) Change(events []mirror.Event) {
-	publish := false
+	republish := false
 	for _, change := range events {
 		switch f.decoder.Kind(change.Key) {
 		case KindConfig:
@@ -163,23 +163,23 @@
 			}
 		case KindLeaf:
 			f.applyLeafEvent(change)
-			publish = true
+			republish = true
 		case KindNode:
 			f.applyNodeEvent(change)
-			publish = true
+			republish = true
 		case KindCordon:
 			f.applyCordonEvent(change)
-			publish = true
+			republish = true
 		case KindOrder:
-			publish = f.rollouts.applyOrderEvent(change) || publish
+			republish = f.rollouts.applyOrderEvent(change) || republish
 		case KindRecord:
-			publish = f.rollouts.applyRecordEvent(change) || publish
+			republish = f.rollouts.applyRecordEvent(change) || republish
 		case KindQuarantine:
 			f.applyQuarantineEvent(change)
 		}
 	}
 	f.config.SetFresh(true)
-	if publish {
+	if republish {
 		f.publisher.publish()
 	}
 }
@@ -196,7 +196,7 @@
 // Regained implements mirror.Sink.
 func (f *follower) Regained(outage time.Duration) {
 	f.view.mutex.Lock()
-	f.view.leaves.RecordOutage(f.clock.Now())
+	f.view.available.RecordOutage(f.clock.Now())
 	f.view.mutex.Unlock()
 	f.config.SetOutage(false)
 	f.quarantine.setStoreUnavailable(false)
--- a/internal/edge/node/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -157,8 +157,8 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.table.Set(q.clock.Now(), content, record) {
-		record, _ := q.table.Of(content)
-		q.logHeld(content, record)
+		merged, _ := q.table.Of(content)
+		q.logHeld(content, merged)
 	}
 	q.notifyTableChange()
 	q.wakeWriter()
--- a/internal/edge/node/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -55,12 +55,12 @@
 
 // replace applies the rollouts of a full read. The caller holds the mutex of the view, and
 // publishes afterwards.
-func (r *rolloutDriver) replace(items rolloutItems, stale bool) {
+func (r *rolloutDriver) replace(decoded rolloutItems, stale bool) {
 	if !r.enabled {
 		return
 	}
 	previousPhases := r.phases()
-	r.table.Replace(r.clock.Now(), time.Now(), items.orders, items.records, stale)
+	r.table.Replace(r.clock.Now(), time.Now(), decoded.orders, decoded.records, stale)
 	for _, service := range r.table.Services() {
 		if state := r.table.Of(service); state.Phase() != previousPhases[service] {
 			r.logPhase(state)
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -39,7 +39,7 @@
 // Run serves until ctx ends, and then shuts down gracefully: it reports not ready at once,
 // continues to serve for the drain delay, and finishes the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
-	servers, err := listen(n.endpoints(), n.httpTimeouts)
+	servers, err := listen(n.endpoints(), n.serverTimeouts)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/node/runner.go
+++ b/internal/edge/node/runner.go
@@ -23,7 +23,7 @@
 	rollouts interface {
 		observe(answer forward.Answer, duration time.Duration)
 	}
-	terms *terms
+	current *terms
 	ready func() bool
 }
 
@@ -43,12 +43,12 @@
 
 // Status implements delegate.Runner.
 func (r *localRunner) Status() executors.Status {
-	terms := r.terms.current()
+	current := r.current.current()
 	return executors.Status{
-		Version:   terms.Version,
+		Version:   current.Version,
 		Accepting: r.workload.accepts() && r.ready(),
-		Fresh:     terms.Fresh,
-		Cordoned:  terms.Cordoned,
+		Fresh:     current.Fresh,
+		Cordoned:  current.Cordoned,
 	}
 }
 
--- a/internal/edge/node/shares.go
+++ b/internal/edge/node/shares.go
@@ -55,7 +55,7 @@
 // shareLeaves returns how many connections this node may keep to each leaf, and marks the leaves
 // that are on standby.
 func (p *publisher) shareLeaves(topology *dispatch.Topology, nodeShare share.Share) []LeafShare {
-	maxConnections := p.maxConnections()
+	maxima := p.maxima()
 	self := subset.Node{Name: p.self.Name, Zone: p.self.Zone}
 	shares := make([]LeafShare, len(topology.Leaves))
 	for service, indexes := range p.groupByService(topology) {
@@ -64,7 +64,7 @@
 			leaf := &topology.Leaves[index]
 			leaves[position] = share.Leaf{ID: leaf.BootID, Zone: leaf.Zone, Usable: leaf.Usable}
 		}
-		bounds := share.Bounds{Taken: maxConnections[service], PerNode: p.settings.Leaf.ConnectionsPerLeaf}
+		bounds := share.Bounds{Taken: maxima[service], PerNode: p.settings.Leaf.ConnectionsPerLeaf}
 		for position, assigned := range nodeShare.Connections(self, service, leaves, bounds) {
 			leaf := &topology.Leaves[indexes[position]]
 			leaf.Standby = assigned.Standby
@@ -91,7 +91,7 @@
 
 // maxConnections returns how many connections a leaf of each service accepts by the configuration
 // in force.
-func (p *publisher) maxConnections() map[string]int {
+func (p *publisher) maxima() map[string]int {
 	maxima := make(map[string]int)
 	if table := p.config.Table(); table != nil {
 		for _, service := range table.Config.Services {
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -186,8 +186,8 @@
 	t.recordMixedOrders()
 	owners := make(map[netip.AddrPort]*leafEntry, len(t.entries))
 	for _, entry := range t.entries {
-		owner, exists := owners[entry.Address]
-		if !exists || cmp.Or(cmp.Compare(entry.Created, owner.Created), cmp.Compare(entry.ID, owner.ID)) > 0 {
+		owner, owned := owners[entry.Address]
+		if !owned || cmp.Or(cmp.Compare(entry.Created, owner.Created), cmp.Compare(entry.ID, owner.ID)) > 0 {
 			owners[entry.Address] = entry
 		}
 	}
