--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -136,8 +136,8 @@
 func (f *follower) replaceView(decoded decodedItems, previousLease uint64, stale bool) (cordonsChanged []string) {
 	f.view.mutex.Lock()
 	defer f.view.mutex.Unlock()
-	f.view.available.Replace(f.clock.Now(), decoded.leaves)
-	cordonsChanged = f.view.available.ReplaceCordons(f.clock.Now(), decoded.cordons, stale)
+	f.view.leaves.Replace(f.clock.Now(), decoded.leaves)
+	cordonsChanged = f.view.leaves.ReplaceCordons(f.clock.Now(), decoded.cordons, stale)
 	f.rollouts.replace(decoded.rollouts, stale)
 	if !f.view.leavesLoaded {
 		f.announcer.start(previousLease)
@@ -196,7 +196,7 @@
 // Regained implements mirror.Sink.
 func (f *follower) Regained(outage time.Duration) {
 	f.view.mutex.Lock()
-	f.view.available.RecordOutage(f.clock.Now())
+	f.view.leaves.RecordOutage(f.clock.Now())
 	f.view.mutex.Unlock()
 	f.config.SetOutage(false)
 	f.quarantine.setStoreUnavailable(false)
--- a/internal/edge/node/follower_leaves.go
+++ b/internal/edge/node/follower_leaves.go
@@ -29,7 +29,7 @@
 		return
 	}
 	f.view.mutex.Lock()
-	accepted := f.view.available.Set(f.clock.Now(), leaf)
+	accepted := f.view.leaves.Set(f.clock.Now(), leaf)
 	f.view.mutex.Unlock()
 	if !accepted {
 		f.metrics.leavesRejected.Inc()
@@ -49,7 +49,7 @@
 		return // the key never announced a leaf; its rejection was logged when it was written
 	}
 	f.view.mutex.Lock()
-	f.view.available.Remove(f.clock.Now(), id)
+	f.view.leaves.Remove(f.clock.Now(), id)
 	f.view.mutex.Unlock()
 	event.Log(f.logger, event.LeafChanged{Leaf: id, Removed: true, Revision: change.Revision})
 }
@@ -58,7 +58,7 @@
 func (f *follower) applyCordonEvent(change mirror.Event) {
 	zone := f.decoder.CordonedZone(change.Key)
 	f.view.mutex.Lock()
-	changed := f.view.available.SetCordon(f.clock.Now(), zone, !change.Removed)
+	changed := f.view.leaves.SetCordon(f.clock.Now(), zone, !change.Removed)
 	f.view.mutex.Unlock()
 	if changed {
 		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: !change.Removed, Revision: change.Revision})
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -150,7 +150,7 @@
 	return &localRunner{
 		clock: n.clock, logger: n.logger, forwarder: n.forwarder,
 		workload: &workload{clock: n.clock, cores: n.self.Cores, queries: n.conn},
-		rollouts: n.rollouts, current: n.follower.terms, ready: n.isReady,
+		rollouts: n.rollouts, terms: n.follower.terms, ready: n.isReady,
 	}
 }
 
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -81,7 +81,7 @@
 // the mutex of the view.
 func (p *publisher) publishLocked() {
 	now := p.view.clock.Now()
-	_, nextExpiry := p.view.available.Expire(now)
+	_, nextExpiry := p.view.leaves.Expire(now)
 	if nextExpiry > 0 {
 		p.expiryTimer.Reset(max(nextExpiry-p.view.clock.Now(), 0))
 	}
@@ -106,10 +106,10 @@
 // buildTopology returns the leaves that rollouts and cordons permit, and updates the gauges of
 // leaves and cordoned zones.
 func (p *publisher) buildTopology() dispatch.Topology {
-	p.view.available.SetStages(p.rollouts.stages())
-	topology := p.view.available.Topology()
+	p.view.leaves.SetStages(p.rollouts.stages())
+	topology := p.view.leaves.Topology()
 	p.metrics.leaves.Set(float64(len(topology.Leaves)))
-	cordoned := p.view.available.Cordoned()
+	cordoned := p.view.leaves.Cordoned()
 	p.terms.setCordoned(cordoned)
 	p.metrics.zonesCordoned.Set(float64(len(cordoned)))
 	return topology
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -223,7 +223,7 @@
 	if state == nil || !state.Open() || state.Order.Revision == 0 {
 		return
 	}
-	version, zone, exists := r.view.available.VersionAndZone(attempt.BootID)
+	version, zone, exists := r.view.leaves.VersionAndZone(attempt.BootID)
 	if !exists {
 		return // the leaf was removed while the attempt ran
 	}
--- a/internal/edge/node/rollout_reports.go
+++ b/internal/edge/node/rollout_reports.go
@@ -73,7 +73,7 @@
 	report := rollout.Report{Node: r.incarnation, Decider: r.reporting.Decider(), Rows: r.counter.Changed(r.reporting.Received())}
 	for _, service := range r.table.Open() {
 		state := r.table.Of(service)
-		others := r.view.available.Supply(service).Others
+		others := r.view.leaves.Supply(service).Others
 		report.Orders = append(report.Orders, rollout.Progress{
 			Service: service, Order: state.Order.Revision, Phase: state.Phase(), Age: state.Age(now), Bad: state.Bad,
 			Busy: r.dispatcher.InFlightAt(func(boot string) bool { return others[boot] }),
@@ -190,8 +190,8 @@
 // supply returns the decider's view of the leaves of a service. The caller holds the mutex of the
 // view.
 func (r *rolloutDriver) supply(service string) rollout.Supply {
-	available := r.view.available.Supply(service)
-	return rollout.Supply{Target: available.Target, Control: available.Control, Mixed: r.view.available.HasMixedVersions(service), Usable: available.Usable}
+	available := r.view.leaves.Supply(service)
+	return rollout.Supply{Target: available.Target, Control: available.Control, Mixed: r.view.leaves.HasMixedVersions(service), Usable: available.Usable}
 }
 
 // writeStep writes one step and applies the resulting record. It locks the mutex of the view.
--- a/internal/edge/node/runner.go
+++ b/internal/edge/node/runner.go
@@ -23,7 +23,7 @@
 	rollouts interface {
 		observe(answer forward.Answer, duration time.Duration)
 	}
-	current *terms
+	terms *terms
 	ready func() bool
 }
 
@@ -43,7 +43,7 @@
 
 // Status implements delegate.Runner.
 func (r *localRunner) Status() executors.Status {
-	current := r.current.current()
+	current := r.terms.current()
 	return executors.Status{
 		Version:   current.Version,
 		Accepting: r.workload.accepts() && r.ready(),
--- a/internal/edge/node/shares.go
+++ b/internal/edge/node/shares.go
@@ -55,7 +55,7 @@
 // shareLeaves returns how many connections this node may keep to each leaf, and marks the leaves
 // that are on standby.
 func (p *publisher) shareLeaves(topology *dispatch.Topology, nodeShare share.Share) []LeafShare {
-	maxima := p.maxima()
+	maxima := p.maxConnections()
 	self := subset.Node{Name: p.self.Name, Zone: p.self.Zone}
 	shares := make([]LeafShare, len(topology.Leaves))
 	for service, indexes := range p.groupByService(topology) {
@@ -91,7 +91,7 @@
 
 // maxConnections returns how many connections a leaf of each service accepts by the configuration
 // in force.
-func (p *publisher) maxima() map[string]int {
+func (p *publisher) maxConnections() map[string]int {
 	maxima := make(map[string]int)
 	if table := p.config.Table(); table != nil {
 		for _, service := range table.Config.Services {
--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -43,7 +43,7 @@
 	n.forwarder.Install(route.NewTable(&route.Config{Version: 1, Services: services}))
 	for _, leaf := range leaves {
 		n.publisher.view.index.Of(leaf.Service) // as a configuration does that names the service
-		n.publisher.view.available.Set(0, leaf)
+		n.publisher.view.leaves.Set(0, leaf)
 	}
 	return n, func() map[string]int {
 		n.publisher.publish()
@@ -78,7 +78,7 @@
 	standby := make(map[string]bool)
 	p := n.publisher
 	members := p.view.nodes.Members(0)
-	topology := p.view.available.Topology()
+	topology := p.view.leaves.Topology()
 	p.shareLeaves(&topology, share.Of(p.roles.Assign(p.self, members), members, p.view.nodes.Count(0)))
 	for _, leaf := range topology.Leaves {
 		standby[leaf.BootID] = leaf.Standby
@@ -117,7 +117,7 @@
 	}
 	for index := range leaves {
 		leaves[index].Draining = index > 0
-		n.publisher.view.available.Set(0, leaves[index])
+		n.publisher.view.leaves.Set(0, leaves[index])
 	}
 	connections = publish()
 	if connections["s-1"] != 0 || connections["s-2"] != 0 {
--- a/internal/edge/node/view.go
+++ b/internal/edge/node/view.go
@@ -18,7 +18,7 @@
 	// mutex guards the fields below, the rollouts, and the publication of all of them as a
 	// topology.
 	mutex    sync.Mutex
-	available   *registry.Table
+	leaves   *registry.Table
 	nodes    *roster.Roster
 	services servicePolicies
 	// leavesLoaded is set once the leaves of the first read are published to the Dispatcher.
@@ -30,7 +30,7 @@
 	return &view{
 		clock: clock,
 		index: index,
-		available: registry.NewTable(registry.Config{
+		leaves: registry.NewTable(registry.Config{
 			Doubt:    configured.LeafDoubt.Duration(),
 			Settling: configured.LeafSettling.Duration(),
 		}, index),
@@ -50,7 +50,7 @@
 		}
 	}
 	v.services = newServicePolicies(config)
-	v.available.SetColdTimes(v.services.coldTimes)
+	v.leaves.SetColdTimes(v.services.coldTimes)
 }
 
 // areLeavesLoaded reports whether the leaves of the first read are published to the Dispatcher.
@@ -66,7 +66,7 @@
 	defer v.mutex.Unlock()
 	announced := make(map[string]bool, len(incarnations))
 	for _, incarnation := range incarnations {
-		announced[incarnation] = v.available.Announced(incarnation)
+		announced[incarnation] = v.leaves.Announced(incarnation)
 	}
 	return announced
 }
