--- a/internal/edge/node/announcer.go
+++ b/internal/edge/node/announcer.go
@@ -20,10 +20,10 @@
 	leases  lease.Store
 	logger  *slog.Logger
 
-	// storeRead is closed after the first read of the store or of a copy of it. From then on
+	// storeRead is closed after the first read of the store or of a copy of it.
+	storeRead chan struct{}
 	// previousLease is the lease of an announcement by an earlier process of this node; zero if
-	// there is none.
-	storeRead     chan struct{}
+	// there is none. It is set before storeRead is closed.
 	previousLease uint64
 }
 
--- a/internal/edge/node/budget_test.go
+++ b/internal/edge/node/budget_test.go
@@ -38,20 +38,21 @@
 const (
 	simulatedObjective = 200 * time.Millisecond
 	simulatedQueries   = 60
-	// executorQueryInterval is the time between two queries at one of eight executors, and
-	// standaloneQueryInterval at one of 76 nodes that each run their own queries.
-	executorQueryInterval   = time.Second / 6
+	// executorQueryInterval is the time between two queries at one of eight executors.
+	executorQueryInterval = time.Second / 6
+	// standaloneQueryInterval is the time between two queries at one of 76 nodes that each run
+	// their own queries.
 	standaloneQueryInterval = 76 * executorQueryInterval / 8
 	// hangProbability is the share of attempts that hang.
 	hangProbability = 0.35
 )
 
-// hangAtRandom makes attempts at any leaf hang with hangProbability, and hangAtFirstLeaf makes all
-// attempts at one of the three leaves hang.
+// hangAtRandom makes attempts at any leaf hang with hangProbability.
 func hangAtRandom(random *rand.Rand, _ netip.AddrPort) bool {
 	return random.Float64() < hangProbability
 }
 
+// hangAtFirstLeaf makes all attempts at one of the three leaves hang.
 func hangAtFirstLeaf(_ *rand.Rand, leaf netip.AddrPort) bool { return leaf.Port() == 1 }
 
 func newBudgetSimulation(bounds hedge.Bounds, queryInterval time.Duration, hangs func(*rand.Rand, netip.AddrPort) bool, seed uint64) *budgetSimulation {
--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -76,14 +76,14 @@
 // labelSet bounds the number of values of a metric label. It is not safe for concurrent use.
 type labelSet map[string]bool
 
-func (r labelSet) bound(value string) string {
-	if r[value] {
+func (s labelSet) bound(value string) string {
+	if s[value] {
 		return value
 	}
-	if len(r) >= maxLabelValues {
+	if len(s) >= maxLabelValues {
 		return otherLabel
 	}
-	r[value] = true
+	s[value] = true
 	return value
 }
 
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -48,12 +48,13 @@
 	// OrderedService returns the service whose rollout a key orders. The key exists as long as the
 	// order.
 	OrderedService(key string) string
-	// Order decodes the order of a rollout, and Record the record of one.
+	// Order decodes the order of a rollout.
 	Order(item mirror.Item) (rollout.Order, error)
+	// Record decodes the record of a rollout.
 	Record(item mirror.Item) (rollout.Record, error)
-	// Quarantined returns the content of the request that a key names, and Quarantine decodes its
-	// record.
+	// Quarantined returns the content of the request that a key names.
 	Quarantined(key string) (quarantine.Content, error)
+	// Quarantine decodes the quarantine record of a request.
 	Quarantine(item mirror.Item) (quarantine.Known, error)
 	// NodePrefix is the common prefix of the announcements of nodes.
 	NodePrefix() string
--- a/internal/edge/node/quarantine_metrics.go
+++ b/internal/edge/node/quarantine_metrics.go
@@ -15,10 +15,10 @@
 	trials  *prometheus.CounterVec
 	refused *prometheus.CounterVec
 	writes  *prometheus.CounterVec
-	// voidLosses counts lost connections that count as no crash, and survivors the leaves that
-	// turned out to be alive after they had been reported as crashed.
+	// voidLosses counts lost connections that do not count as crashes.
 	voidLosses prometheus.Counter
-	survivors  prometheus.Counter
+	// survivors counts leaves that turned out to be alive after they had been reported as crashed.
+	survivors prometheus.Counter
 }
 
 func newQuarantineMetrics(registerer prometheus.Registerer) *quarantineMetrics {
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -72,10 +72,11 @@
 	// wake signals the reporting loop that a rollout has opened.
 	wake chan struct{}
 
-	// reporting chooses the node to report to. reportedTo is the node of the last report, and
-	// reportFailure the error of that report; nil if it succeeded.
-	reporting     *rollout.Reporting
-	reportedTo    string
+	// reporting chooses the node to report to.
+	reporting *rollout.Reporting
+	// reportedTo is the node that received the last report.
+	reportedTo string
+	// reportFailure is the error of the last report; nil if it succeeded.
 	reportFailure error
 	// writing holds the services whose next step is being written.
 	writing map[string]bool
--- a/internal/edge/node/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -14,7 +14,7 @@
 	records []rollout.Record
 }
 
-// decode decodes the rollouts of a full read. It does not need the mutex.
+// decode decodes the rollouts of a full read. It works without the mutex of the view.
 func (r *rolloutDriver) decode(items []mirror.Item) rolloutItems {
 	var decoded rolloutItems
 	if !r.enabled {
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -20,14 +20,16 @@
 	// shutdownTimeout bounds the time for requests in flight once the drain delay is over. It is
 	// longer than a request takes.
 	shutdownTimeout = 10 * time.Second
-	// minBackoff and maxBackoff bound the pause between two calls to a store that does not answer.
-	// A node that starts during an outage serves within half a second of the store's return.
+	// minBackoff is the first pause after a failed call to the store.
 	minBackoff = 50 * time.Millisecond
+	// maxBackoff bounds the pause between two calls to a store that does not answer. A node that
+	// starts during an outage serves within half a second of the store's return.
 	maxBackoff = 500 * time.Millisecond
-	// leaseTTL is how long the announcement stays after its node has ended; a node that misses two
-	// renewals in a row stays announced. leaseBackoff bounds the pause between two attempts to
-	// announce, so that several fit into the TTL.
-	leaseTTL     = 30 * time.Second
+	// leaseTTL is how long the announcement stays after its node has ended. A node that misses two
+	// renewals in a row stays announced.
+	leaseTTL = 30 * time.Second
+	// leaseBackoff bounds the pause between two attempts to announce or to write, so that several
+	// attempts to announce fit into leaseTTL.
 	leaseBackoff = 3 * time.Second
 )
 
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -83,12 +83,14 @@
 
 // Supply is the capacity of a service's leaves by version.
 type Supply struct {
-	// Target is the number of slots of usable leaves of the version, and Control that of the other
-	// versions.
-	Target, Control int
-	// Others holds the incarnations of all leaves of other versions, and Usable those of usable
-	// leaves of the version.
-	Others, Usable map[string]bool
+	// Target is the number of slots of usable leaves of the version.
+	Target int
+	// Control is the number of slots of usable leaves of the other versions.
+	Control int
+	// Others holds the incarnations of all leaves of the other versions.
+	Others map[string]bool
+	// Usable holds the incarnations of the usable leaves of the version.
+	Usable map[string]bool
 }
 
 // Supply returns the capacity of a service that has a Stage.
--- a/internal/edge/route/route.go
+++ b/internal/edge/route/route.go
@@ -73,8 +73,9 @@
 	// unknown.
 	MaxConns int
 	// ColdRate is how many requests per second a cold leaf can handle from all clients together;
-	// zero for no bound. ColdTime is how long a leaf is cold after a start.
+	// zero for no bound.
 	ColdRate float64
+	// ColdTime is how long a leaf is cold after a start.
 	ColdTime time.Duration
 }
 
