--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -66,7 +66,7 @@
 	return leaves
 }
 
-// announceNodes announces this node and others like it.
+// announceNodes adds count nodes to the view; the first has the name of this node.
 func (n *Node) announceNodes(count int) {
 	for index := range count {
 		member := roster.Member{Name: fmt.Sprint("node-", index), Zone: string(rune('a' + index%3)), Cores: n.self.Cores}
