--- a/internal/edge/node/endpoints.go
+++ b/internal/edge/node/endpoints.go
@@ -13,61 +13,61 @@
 	"github.com/samber/oops"
 )
 
-// headerTimeout bounds the time that a caller may take for its headers if the
-// configuration in force does not say. Not measured: chosen because it only bounds for how
-// long a silent caller holds a connection.
-const headerTimeout = 10 * time.Second
+// defaultHeaderTimeout bounds the time that a client may take to send its headers if the
+// configuration in force sets no limit. It only bounds how long a silent client occupies a
+// connection.
+const defaultHeaderTimeout = 10 * time.Second
 
-// endpoint is one address with what serves it.
+// endpoint is an address and the handler that serves it.
 type endpoint struct {
 	address netip.AddrPort
 	handler http.Handler
 }
 
-// endpoints returns what callers and the platform use. Those without a valid address are
-// not served.
+// endpoints returns the addresses that clients and the platform use. An endpoint without a valid
+// address is not served.
 func (n *Node) endpoints() []endpoint {
 	return []endpoint{
 		{n.settings.Listen.HTTP, n.ports.Handler(n)},
-		{n.settings.Listen.Ready, readyHandler(n.ports.ReadyPath, n.ready)},
+		{n.settings.Listen.Ready, readyHandler(n.ports.ReadyPath, n.isReady)},
 		{n.settings.Listen.Metrics, metricsHandler(n.metricsRegistry.Handler())},
 	}
 }
 
-// listen opens all addresses, or none.
-func listen(endpoints []endpoint, times func() callerTimes) ([]*callerServer, error) {
-	var servers []*callerServer
-	for _, one := range endpoints {
-		if !one.address.IsValid() {
+// listen opens all addresses, or returns an error and leaves none open.
+func listen(endpoints []endpoint, timeouts func() serverTimeouts) ([]*httpServer, error) {
+	var servers []*httpServer
+	for _, e := range endpoints {
+		if !e.address.IsValid() {
 			continue
 		}
-		listener, err := net.Listen("tcp", one.address.String())
+		listener, err := net.Listen("tcp", e.address.String())
 		if err != nil {
 			for _, opened := range servers {
-				_ = opened.listener.Close() // it has served nothing
+				_ = opened.listener.Close() // it has served no connection
 			}
-			return nil, oops.In("frontend").With("step", "frontend.listen", "peer", one.address.String()).Wrap(err)
+			return nil, oops.In("frontend").With("step", "frontend.listen", "peer", e.address.String()).Wrap(err)
 		}
-		servers = append(servers, newCallerServer(listener, one.handler, times))
+		servers = append(servers, newHTTPServer(listener, e.handler, timeouts))
 	}
 	return servers, nil
 }
 
-// closeAll ends what has served nothing.
-func closeAll(servers []*callerServer) error {
+// shutdownUnused closes servers that have served no connection.
+func shutdownUnused(servers []*httpServer) error {
 	var errs []error
-	for _, one := range servers {
-		errs = append(errs, one.Shutdown(context.Background()))
+	for _, server := range servers {
+		errs = append(errs, server.Shutdown(context.Background()))
 	}
 	return errors.Join(errs...)
 }
 
-// callerTimes returns the times that the configuration in force allows to
-// callers, or those of the settings where it names none.
-func (n *Node) callerTimes() callerTimes {
+// serverTimeouts returns the timeouts of the configuration in force. Where the configuration sets
+// none, it returns the default for headers and the value of the settings for idle connections.
+func (n *Node) serverTimeouts() serverTimeouts {
 	limits := n.Limits()
-	return callerTimes{
-		header: cmp.Or(limits.HeaderTimeout, headerTimeout),
+	return serverTimeouts{
+		header: cmp.Or(limits.HeaderTimeout, defaultHeaderTimeout),
 		idle:   cmp.Or(limits.IdleTimeout, n.settings.Forward.IdleTimeout.Duration()),
 	}
 }
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,12 +1,10 @@
-// Package node wires a node that forwards opaque requests by a declared
-// configuration: it follows the configuration and the leaves in a store, runs
-// requests through one Dispatcher, and serves callers, readiness checks and
-// metrics.
+// Package node assembles a node that forwards opaque requests by a declared configuration. It
+// follows the configuration and the leaves in a store, runs requests through one Dispatcher, and
+// serves clients, readiness checks and metrics.
 //
-// It owns the node's view of the store, the publication of topologies, the servers and
-// the planned stop. It decides nothing: what chooses, divides, waits or gives up is in
-// the packages under internal/decide. It knows no names of a platform; those come in
-// through Ports.
+// The package owns the node's view of the store, the publication of topologies, the servers and the
+// graceful shutdown. The rules by which a node chooses, divides, waits or gives up are in the
+// packages under internal/decide. Names of a platform come in through Ports.
 package node
 
 import (
@@ -35,7 +33,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// Node is one node. Make it with New and start it with Run.
+// Node is one node. Use New to create it and Run to start it.
 type Node struct {
 	settings settings.Settings
 	ports    Ports
@@ -47,17 +45,17 @@
 	self            roster.Member
 	draining        atomic.Bool
 
-	// Requests.
+	// These fields run requests.
 	conn      *scatter.Conn[*forward.Request, forward.Part]
 	forwarder *forward.Forwarder
 	runner    *localRunner
 
-	// What the store holds.
+	// These fields follow the store.
 	mirror    *mirror.Shared
 	follower  *follower
 	publisher *publisher
 
-	// Other nodes.
+	// These fields communicate with other nodes.
 	peers      *peer.Client
 	delegate   *delegate.Client
 	combine    *combine.Client
@@ -65,7 +63,7 @@
 	quarantine *quarantineDriver
 }
 
-// New returns a Node that has not started anything.
+// New returns a Node that is not started.
 func New(configured settings.Settings, ports Ports, metricsRegistry *telemetry.Registry, logger *slog.Logger) *Node {
 	n := &Node{
 		settings:        configured,
@@ -74,26 +72,26 @@
 		clock:           clock.NewMonotonic(),
 		metrics:         newMetrics(metricsRegistry),
 		metricsRegistry: metricsRegistry,
-		self:            memberOf(configured),
+		self:            newSelfMember(configured),
 	}
 	view := newView(configured.Forward, n.clock)
 	n.connectPeers(metricsRegistry)
-	n.buildRequests(view, metricsRegistry)
-	n.buildFollowing(view, metricsRegistry)
+	n.buildRequestPath(view, metricsRegistry)
+	n.buildStoreFollower(view, metricsRegistry)
 	n.runner = n.newRunner()
 	metricsRegistry.MustRegister(newCollector(n.conn, n.mirror))
 	return n
 }
 
-// memberOf returns what a node announces of itself.
-func memberOf(configured settings.Settings) roster.Member {
+// newSelfMember returns the announcement of a node with these settings.
+func newSelfMember(configured settings.Settings) roster.Member {
 	return roster.Member{
 		Name: configured.Name, Zone: configured.Zone, Peer: configured.Listen.Peer,
 		Cores: configured.Process.Cores * configured.Process.CoreShare,
 	}
 }
 
-// connectPeers makes what calls other nodes.
+// connectPeers creates the clients that call other nodes.
 func (n *Node) connectPeers(registerer prometheus.Registerer) {
 	n.peers = peer.NewClient(peer.ClientOptions{DialTimeout: peerDialTimeout}, registerer)
 	n.combine = combine.New(combiners.DefaultConfig(), n.self, n.ports.Leaves, n.peers, n.clock, registerer, n.logger)
@@ -101,8 +99,8 @@
 	n.delegate = delegate.New(executors.DefaultConfig(), n.self, n.peers, n.clock, registerer, n.logger)
 }
 
-// buildRequests makes what runs requests.
-func (n *Node) buildRequests(view *view, registerer prometheus.Registerer) {
+// buildRequestPath creates the parts that run requests.
+func (n *Node) buildRequestPath(view *view, registerer prometheus.Registerer) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	n.conn = scatter.NewConn(scatter.Config[*forward.Request, forward.Part]{
 		AttemptPrefix: n.settings.Name,
@@ -112,14 +110,14 @@
 		Metrics:       scatter.NewMetrics(registerer),
 		Linger:        n.settings.Forward.Linger.Duration(),
 		Trace:         true,
-		OnClosed:      func(ended scatter.Unfinished[*forward.Request]) { n.quarantine.Losing(ended) },
+		OnClosed:      func(running scatter.Unfinished[*forward.Request]) { n.quarantine.LeafLost(running) },
 	}, dispatch.New(dispatchConfig(n.settings), random))
 	n.quarantine = newQuarantineDriver(n.self.Name, n.settings.Forward, n.ports.Quarantine, view, n.clock, n.logger, registerer)
 	n.forwarder = forward.New(forwardConfig(n.settings.Forward, n.clock), n.conn, n.quarantine, view.index)
 }
 
-// buildFollowing makes what follows the store.
-func (n *Node) buildFollowing(view *view, registerer prometheus.Registerer) {
+// buildStoreFollower creates the parts that follow the store.
+func (n *Node) buildStoreFollower(view *view, registerer prometheus.Registerer) {
 	terms := &terms{config: n.forwarder}
 	n.rollouts = newRolloutDriver(rolloutPorts{
 		self: n.self, clock: n.clock, logger: n.logger,
@@ -140,19 +138,19 @@
 		clock: n.clock, logger: n.logger, metrics: n.metrics, view: view,
 		announcer: &announcer{
 			self: n.self, decoder: n.ports.Decoder, leases: n.ports.Leases, logger: n.logger,
-			firstRead: make(chan struct{}),
+			storeRead: make(chan struct{}),
 		},
 		config: n.forwarder, rollouts: n.rollouts, quarantine: n.quarantine,
 		publisher: n.publisher, terms: terms, delegate: n.delegate,
 	}
 }
 
-// newRunner returns what runs requests on this node.
+// newRunner returns the runner of requests that are executed on this node.
 func (n *Node) newRunner() *localRunner {
 	return &localRunner{
 		clock: n.clock, logger: n.logger, forwarder: n.forwarder,
 		workload: &workload{clock: n.clock, cores: n.self.Cores, queries: n.conn},
-		rollouts: n.rollouts, terms: n.follower.terms, ready: n.ready,
+		rollouts: n.rollouts, terms: n.follower.terms, ready: n.isReady,
 	}
 }
 
@@ -160,27 +158,27 @@
 func (n *Node) Execute(ctx context.Context, request *forward.Request) forward.Answer {
 	started := n.clock.Now()
 	answer := n.execute(ctx, request)
-	took := n.clock.Now() - started
-	n.metrics.observe(answer, took)
-	logRequest(n.logger, request, answer, took, n.settings.Name)
+	duration := n.clock.Now() - started
+	n.metrics.observe(answer, duration)
+	logRequest(n.logger, request, answer, duration, n.settings.Name)
 	return answer
 }
 
-// execute delegates a request of many shards to an executor, or runs it here.
+// execute delegates a request to many shards to an executor, or runs it on this node.
 func (n *Node) execute(ctx context.Context, request *forward.Request) forward.Answer {
-	if timeout, spread := n.forwarder.Spread(request); spread && n.delegate.InUse() {
-		if answer, done := n.delegated(ctx, timeout, request); done {
+	if timeout, scattered := n.forwarder.Spread(request); scattered && n.delegate.InUse() {
+		if answer, done := n.delegateRequest(ctx, timeout, request); done {
 			return answer
 		}
 	}
 	return n.runner.execute(ctx, request)
 }
 
-// delegated hands a request to an executor. It returns false if none takes it.
-func (n *Node) delegated(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
-	delegating, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
+// delegateRequest hands a request to an executor. It returns false if no executor accepts it.
+func (n *Node) delegateRequest(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
+	delegateCtx, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
 	defer cancel()
-	return n.delegate.Execute(delegating, n.follower.terms.now(), request)
+	return n.delegate.Execute(delegateCtx, n.follower.terms.current(), request)
 }
 
 // Now implements Service.
@@ -198,11 +196,11 @@
 // Draining implements Service.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// ready reports whether the node takes work.
-func (n *Node) ready() bool {
+// isReady reports whether the node accepts requests.
+func (n *Node) isReady() bool {
 	return startup.State{
 		Configured:  n.forwarder.Table() != nil,
-		LeavesKnown: n.follower.view.hasLeaves(),
+		LeavesKnown: n.follower.view.areLeavesLoaded(),
 		Draining:    n.draining.Load(),
 	}.Ready()
 }
--- a/internal/edge/node/rollout_metrics.go
+++ b/internal/edge/node/rollout_metrics.go
@@ -8,34 +8,34 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// rolloutMetrics are those of roll-outs.
+// rolloutMetrics holds the metrics of rollouts.
 type rolloutMetrics struct {
-	open     prometheus.Gauge
-	attempts *prometheus.CounterVec
-	steps    *prometheus.CounterVec
-	reports  *prometheus.CounterVec
-	services routeLabels
+	open          prometheus.Gauge
+	attempts      *prometheus.CounterVec
+	steps         *prometheus.CounterVec
+	reports       *prometheus.CounterVec
+	serviceLabels labelSet
 }
 
 func newRolloutMetrics(registerer prometheus.Registerer) *rolloutMetrics {
-	create := telemetry.NewFactory(registerer)
+	factory := telemetry.NewFactory(registerer)
 	return &rolloutMetrics{
-		open: create.Gauge("micaplank_rollout_open",
-			"Roll-outs with steps left to take."),
-		attempts: create.Counters("micaplank_rollout_attempts_total",
-			"Attempts of this node at services that are rolled out, by service (64 at most, then other), version (target or control) and end.",
+		open: factory.Gauge("micaplank_rollout_open",
+			"Rollouts with steps left to take."),
+		attempts: factory.Counters("micaplank_rollout_attempts_total",
+			"Attempts of this node at services that are being rolled out, by service (64 at most, then other), version (target or control) and end.",
 			"service", "version", "end"),
-		steps: create.Counters("micaplank_rollout_steps_total",
-			"Steps of roll-outs that this node decided, by phase and result: written, overtaken or failed.",
+		steps: factory.Counters("micaplank_rollout_steps_total",
+			"Steps of rollouts that this node decided, by phase and result: written, overtaken or failed.",
 			"phase", "result"),
-		reports: create.Counters("micaplank_rollout_reports_total",
-			"Reports of this node to the one that decides, by result: answered, passed (it cannot write to the store) or failed.",
+		reports: factory.Counters("micaplank_rollout_reports_total",
+			"Reports of this node to the deciding node, by result: answered, passed (it cannot write to the store) or failed.",
 			"result"),
-		services: make(routeLabels),
+		serviceLabels: make(labelSet),
 	}
 }
 
-// The values of the label version.
+// These are the values of the label version.
 const (
 	labelTarget  = "target"
 	labelControl = "control"
@@ -46,5 +46,5 @@
 	if subject.Target {
 		version = labelTarget
 	}
-	m.attempts.WithLabelValues(m.services.of(subject.Service), version, string(attempt.End)).Inc()
+	m.attempts.WithLabelValues(m.serviceLabels.bound(subject.Service), version, string(attempt.End)).Inc()
 }
--- a/internal/edge/node/rollout_driver.go
+++ b/internal/edge/node/rollout_reports.go
@@ -14,14 +14,14 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// methodReport is the call by which a node reports to the one that decides.
+// methodReport is the method by which a node reports to the deciding node.
 const methodReport = "rollout.report"
 
-// reportTimeout bounds a report. Three fit into the time for which a grant holds, so that
-// a node finds the next decider before its grants end.
+// reportTimeout bounds one report. Three reports fit into the lifetime of a grant, so that a node
+// finds the next decider before its grants expire.
 const reportTimeout = 600 * time.Millisecond
 
-// run reports while there are roll-outs, and takes their steps, until ctx ends.
+// run reports and writes steps while rollouts are open, until ctx ends.
 func (r *rolloutDriver) run(ctx context.Context) {
 	if !r.enabled {
 		return
@@ -34,7 +34,7 @@
 				return
 			}
 		}
-		pause := r.round(ctx)
+		pause := r.runRound(ctx)
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
@@ -43,73 +43,72 @@
 	}
 }
 
-// round reports once and writes the steps that are due. It returns the pause until
-// the next.
-func (r *rolloutDriver) round(ctx context.Context) time.Duration {
+// runRound reports once and writes the steps that are due. It returns the pause until the next
+// round.
+func (r *rolloutDriver) runRound(ctx context.Context) time.Duration {
 	started := r.clock.Now()
 	r.view.mutex.Lock()
 	members := r.view.nodes.Members(started)
 	participants := rollout.Participants(members)
-	to := r.self
+	decider := r.self
 	if candidates := rollout.Candidates(members); len(candidates) > 0 {
-		to = r.reports.Choose(started, candidates)
+		decider = r.reporting.Choose(started, candidates)
 	}
-	report := r.report(started, to.Name)
+	report := r.buildReport(started, decider.Name)
 	r.view.mutex.Unlock()
 	if !rollout.Reports(r.self.Name, participants) {
 		return rollout.Interval(len(participants))
 	}
-	reply, err := r.send(ctx, to, report)
-	r.applyReply(started, to, report, reply, err)
-	r.advance(ctx)
+	reply, err := r.sendReport(ctx, decider, report)
+	r.applyReply(started, decider, report, reply, err)
+	r.writeDueSteps(ctx)
 	return max(rollout.Interval(len(participants))-(r.clock.Now()-started), 0)
 }
 
-// report makes the report of this node to another one. The caller holds the mutex of the
-// view.
-func (r *rolloutDriver) report(now time.Duration, to string) rollout.Report {
-	if to != r.reportedTo {
-		r.reports.Forget()
+// buildReport returns this node's report to a decider. The caller holds the mutex of the view.
+func (r *rolloutDriver) buildReport(now time.Duration, decider string) rollout.Report {
+	if decider != r.reportedTo {
+		r.reporting.Forget()
 	}
-	report := rollout.Report{Node: r.incarnation, Decider: r.reports.Decider(), Rows: r.counter.Changed(r.reports.Received())}
+	report := rollout.Report{Node: r.incarnation, Decider: r.reporting.Decider(), Rows: r.counter.Changed(r.reporting.Received())}
 	for _, service := range r.table.Open() {
-		known := r.table.Of(service)
+		state := r.table.Of(service)
 		others := r.view.leaves.Supply(service).Others
 		report.Orders = append(report.Orders, rollout.Progress{
-			Service: service, Order: known.Order.Revision, Phase: known.Phase(), Age: known.Age(now), Bad: known.Bad,
+			Service: service, Order: state.Order.Revision, Phase: state.Phase(), Age: state.Age(now), Bad: state.Bad,
 			Busy: r.dispatcher.InFlightAt(func(boot string) bool { return others[boot] }),
 		})
 	}
 	return report
 }
 
-// send sends a report to the node that decides, which may be this one.
-func (r *rolloutDriver) send(ctx context.Context, to roster.Member, report rollout.Report) (rollout.Reply, error) {
-	if to.Name == r.self.Name {
-		return r.decide(report), nil
+// sendReport sends a report to the deciding node, which may be this one.
+func (r *rolloutDriver) sendReport(ctx context.Context, decider roster.Member, report rollout.Report) (rollout.Reply, error) {
+	if decider.Name == r.self.Name {
+		return r.answerReport(report), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var reply rollout.Reply
-	if err := r.peers.Call(ctx, to.Peer, methodReport, &report, &reply); err != nil {
-		return rollout.Reply{}, oops.In("frontend").With("step", methodReport, "peer", to.Name).Wrap(err)
+	if err := r.peers.Call(ctx, decider.Peer, methodReport, &report, &reply); err != nil {
+		return rollout.Reply{}, oops.In("frontend").With("step", methodReport, "peer", decider.Name).Wrap(err)
 	}
 	return reply, nil
 }
 
-// serve answers the reports of other nodes.
-func (r *rolloutDriver) serve(server *peer.Server) {
+// serveReports answers the reports of other nodes.
+func (r *rolloutDriver) serveReports(server *peer.Server) {
 	peer.Register(server, methodReport, func(_ context.Context, _ netip.AddrPort, report *rollout.Report) (*rollout.Reply, error) {
 		if !r.enabled {
-			return nil, oops.In("frontend").With("step", methodReport).Errorf("roll-outs are not heeded here")
+			return nil, oops.In("frontend").With("step", methodReport).Errorf("report of node %q rejected: rollouts are disabled on this node", report.Node)
 		}
-		reply := r.decide(*report)
+		reply := r.answerReport(*report)
 		return &reply, nil
 	})
 }
 
-// decide answers a report as the node that decides.
-func (r *rolloutDriver) decide(report rollout.Report) rollout.Reply {
+// answerReport processes a report as the deciding node. It locks the mutex of the view.
+func (r *rolloutDriver) answerReport(report rollout.Report) rollout.Reply {
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	now := r.clock.Now()
@@ -118,8 +117,9 @@
 	return reply
 }
 
-// applyReply applies the answer to a report that was sent at some time.
-func (r *rolloutDriver) applyReply(sent time.Duration, to roster.Member, report rollout.Report, reply rollout.Reply, err error) {
+// applyReply applies the reply to a report that was sent at the given time. It locks the mutex of
+// the view.
+func (r *rolloutDriver) applyReply(sent time.Duration, decider roster.Member, report rollout.Report, reply rollout.Reply, err error) {
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	now := r.clock.Now()
@@ -127,19 +127,19 @@
 	switch {
 	case err != nil:
 		result = resultFailed
-		r.reports.Avoid(now, to.Name)
+		r.reporting.Avoid(now, decider.Name)
 	case !reply.Deciding:
 		result = resultPassed
-		r.reports.Avoid(now, to.Name)
+		r.reporting.Avoid(now, decider.Name)
 	}
 	r.metrics.reports.WithLabelValues(result).Inc()
-	if to.Name != r.reportedTo {
-		event.Log(r.logger, event.RolloutDecider{Peer: to.Name, Former: r.reportedTo, Error: r.reportFailure})
-		r.reportedTo = to.Name
+	if decider.Name != r.reportedTo {
+		event.Log(r.logger, event.RolloutDecider{Peer: decider.Name, Former: r.reportedTo, Error: r.reportFailure})
+		r.reportedTo = decider.Name
 	}
 	r.reportFailure = err
 	if err == nil {
-		r.reports.Answered(reply.Decider, report)
+		r.reporting.Answered(reply.Decider, report)
 	}
 	changed := false
 	for _, grant := range reply.Grants {
@@ -150,27 +150,27 @@
 	}
 }
 
-// applyGrant applies what the decider says of one order, and reports whether the phase
-// changed. The caller holds the mutex of the view.
+// applyGrant applies the decider's reply for one order, and reports whether the phase changed. The
+// caller holds the mutex of the view.
 func (r *rolloutDriver) applyGrant(sent time.Duration, grant rollout.Grant) bool {
 	changed := r.table.Merge(r.clock.Now(), grant.Service, grant.Order, grant.Age, grant.Record, grant.Bad)
-	known := r.table.Of(grant.Service)
-	if grant.Open && known.Order.Revision == grant.Order && known.Bad == "" {
+	state := r.table.Of(grant.Service)
+	if grant.Open && state.Order.Revision == grant.Order && state.Bad == "" {
 		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent+rollout.GrantTTL)
 	}
-	if known.Bad != "" {
+	if state.Bad != "" {
 		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent)
 	}
 	if changed {
-		r.logPhase(known)
-		r.tableChanged()
+		r.logPhase(state)
+		r.applyTableChange()
 	}
 	return changed
 }
 
-// advance writes the steps that are due, if this node decides. A step is written
-// beside the reports, which must not wait for the store.
-func (r *rolloutDriver) advance(ctx context.Context) {
+// writeDueSteps starts the writes of the steps that are due if this node is the decider. The writes
+// run concurrently, since reports must not wait for the store. It locks the mutex of the view.
+func (r *rolloutDriver) writeDueSteps(ctx context.Context) {
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	now := r.clock.Now()
@@ -182,20 +182,20 @@
 	for _, step := range steps {
 		if service := step.Record.Service; !r.writing[service] {
 			r.writing[service] = true
-			go r.write(ctx, step)
+			go r.writeStep(ctx, step)
 		}
 	}
 }
 
-// supply returns what the decider needs to know of the leaves of a service. The caller
-// holds the mutex of the view.
+// supply returns the decider's view of the leaves of a service. The caller holds the mutex of the
+// view.
 func (r *rolloutDriver) supply(service string) rollout.Supply {
-	there := r.view.leaves.Supply(service)
-	return rollout.Supply{Target: there.Target, Control: there.Control, Mixed: r.view.leaves.Mixed(service), Usable: there.Usable}
+	available := r.view.leaves.Supply(service)
+	return rollout.Supply{Target: available.Target, Control: available.Control, Mixed: r.view.leaves.HasMixedVersions(service), Usable: available.Usable}
 }
 
-// write writes one step.
-func (r *rolloutDriver) write(ctx context.Context, step rollout.Transition) {
+// writeStep writes one step and applies the resulting record. It locks the mutex of the view.
+func (r *rolloutDriver) writeStep(ctx context.Context, step rollout.Transition) {
 	revision, err := r.store.Advance(ctx, step)
 	record := step.Record
 	record.Revision = revision
@@ -205,7 +205,7 @@
 	result := resultWritten
 	switch {
 	case errors.Is(err, ErrOvertaken):
-		result = resultOvertaken // the record that won comes with the next changes
+		result = resultOvertaken // the winning record arrives with the next changes
 	case err != nil:
 		result = resultFailed
 		r.unwritableUntil = r.clock.Now() + rollout.AvoidTime
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// shutdownTimeout bounds the end of what is in flight once the drain delay
-	// is over. Not measured: chosen longer than a request takes.
+	// shutdownTimeout bounds the time for requests in flight once the drain delay is over. It is
+	// longer than a request takes.
 	shutdownTimeout = 10 * time.Second
-	// minBackoff and maxBackoff bound the pause between two calls to a store that does
-	// not answer. Not measured: chosen because a node that starts meanwhile then serves
-	// within half a second of the store's return.
+	// minBackoff is the first pause after a failed call to the store.
 	minBackoff = 50 * time.Millisecond
+	// maxBackoff bounds the pause between two calls to a store that does not answer. A node that
+	// starts during an outage serves within half a second of the store's return.
 	maxBackoff = 500 * time.Millisecond
-	// leaseTTL is how long the announcement of a node that is gone stays, and
-	// leaseBackoff bounds the pause between two tries to announce this one. Not measured:
-	// chosen because a node that misses two renewals in a row stays announced, and because
-	// some tries fit into the time of a lease.
-	leaseTTL     = 30 * time.Second
+	// leaseTTL is how long the announcement stays after its node has ended. A node that misses two
+	// renewals in a row stays announced.
+	leaseTTL = 30 * time.Second
+	// leaseBackoff bounds the pause between two attempts to announce or to write, so that several
+	// attempts to announce fit into leaseTTL.
 	leaseBackoff = 3 * time.Second
 )
 
-// wakeInterval is how often a node looks whether it was suspended: its timers stand
-// still with the machine, so until then what is due waits for the next event. Not
-// measured: chosen because it is short against the time that a request may take.
-const wakeInterval = 100 * time.Millisecond
+// suspensionCheckInterval is the time between two checks whether the machine was suspended. Timers
+// stop with the machine, so timeouts that expired meanwhile take effect only at the next check. The
+// interval is short compared with the timeout of a request.
+const suspensionCheckInterval = 100 * time.Millisecond
 
-// Run serves until ctx ends, and then stops as planned: it is not ready at
-// once, goes on to serve for the drain delay, and finishes what is in flight.
+// Run serves until ctx ends, and then shuts down gracefully: it reports not ready at once,
+// continues to serve for the drain delay, and finishes the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
-	servers, err := listen(n.endpoints(), n.callerTimes)
+	servers, err := listen(n.endpoints(), n.serverTimeouts)
 	if err != nil {
 		return err
 	}
 	peers, err := n.listenPeers()
 	if err != nil {
-		return errors.Join(err, closeAll(servers))
+		return errors.Join(err, shutdownUnused(servers))
 	}
 	event.Log(n.logger, event.Started{HTTP: n.settings.Listen.HTTP.String(), Zone: n.settings.Zone, Cores: n.self.Cores, SeesSuspensions: n.clock.Failures() == 0})
-	following, stop := context.WithCancel(context.Background())
+	backgroundCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var background sync.WaitGroup
-	n.startBackground(following, &background)
-	failed := make(chan error, len(servers))
-	for _, one := range servers {
-		background.Go(func() { failed <- ignoreClosed(one.Serve()) })
+	n.startBackground(backgroundCtx, &background)
+	serveErrors := make(chan error, len(servers))
+	for _, server := range servers {
+		background.Go(func() { serveErrors <- ignoreServerClosed(server.Serve()) })
 	}
 	select {
 	case <-ctx.Done():
-	case err = <-failed:
+	case err = <-serveErrors:
 	}
 	err = errors.Join(err, n.drain(servers, peers))
 	stop()
@@ -71,7 +71,7 @@
 	return err
 }
 
-// startBackground starts what runs beside the servers, until ctx ends.
+// startBackground starts the goroutines beside the servers. They run until ctx ends.
 func (n *Node) startBackground(ctx context.Context, background *sync.WaitGroup) {
 	background.Go(func() { n.newMirror().Run(ctx) })
 	background.Go(func() { n.follower.announcer.run(ctx) })
@@ -79,18 +79,19 @@
 	background.Go(func() { n.combine.Run(ctx) })
 	background.Go(func() { n.rollouts.run(ctx) })
 	background.Go(func() { n.quarantine.run(ctx) })
-	background.Go(func() { n.clock.Watch(ctx, wakeInterval, n.resumed) })
+	background.Go(func() { n.clock.Watch(ctx, suspensionCheckInterval, n.handleResume) })
 }
 
-// resumed follows a suspension of the machine: what has expired meanwhile ends now.
-func (n *Node) resumed(suspended time.Duration) {
-	n.metrics.suspended.Add(suspended.Seconds())
+// handleResume is called after a suspension of the machine. It processes the timeouts that expired
+// meanwhile.
+func (n *Node) handleResume(suspended time.Duration) {
+	n.metrics.suspendedSeconds.Add(suspended.Seconds())
 	event.Log(n.logger, event.Woke{Suspended: suspended})
 	n.conn.Wake()
 	n.publisher.publish()
 }
 
-// newMirror returns what reads the store for the follower.
+// newMirror returns the reader of the store that feeds the follower.
 func (n *Node) newMirror() *mirror.Mirror {
 	n.mirror.SetPlanner(n.ports.Decoder.NodePrefix(), n.follower.planStart)
 	return mirror.New(mirror.Config{
@@ -101,7 +102,7 @@
 	}, n.mirror, n.follower)
 }
 
-// listenPeers opens the address for other nodes; nil without one.
+// listenPeers opens the address for calls of other nodes. It returns nil if the settings have none.
 func (n *Node) listenPeers() (*peer.Server, error) {
 	if !n.settings.Listen.Peer.IsValid() {
 		return nil, nil
@@ -113,35 +114,36 @@
 	delegate.Serve(server, n.runner)
 	combine.Serve(server, n.ports.Leaves, n.conn.MayGetWork)
 	serveMirror(server, n.mirror)
-	n.rollouts.serve(server)
+	n.rollouts.serveReports(server)
 	server.Serve()
 	return server, nil
 }
 
-// drain ends what callers use, then readiness checks, and last what other nodes use.
-func (n *Node) drain(servers []*callerServer, peers *peer.Server) error {
+// drain shuts down the client endpoint first, then readiness checks and metrics, and last the
+// server for other nodes.
+func (n *Node) drain(servers []*httpServer, peers *peer.Server) error {
 	n.draining.Store(true)
 	event.Log(n.logger, event.Draining{InFlight: n.conn.InFlight()})
 	time.Sleep(n.settings.Forward.DrainDelay.Duration())
-	finishing, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	var errs []error
-	for _, one := range servers {
-		errs = append(errs, one.Shutdown(finishing))
+	for _, server := range servers {
+		errs = append(errs, server.Shutdown(shutdownCtx))
 	}
 	if peers != nil {
-		errs = append(errs, peers.Close(finishing))
+		errs = append(errs, peers.Close(shutdownCtx))
 	}
 	return errors.Join(errs...)
 }
 
-// Reload receives the settings as they are now. All of them take a restart to change;
-// the log says whether one is due.
+// Reload receives the settings after they were read again. All of them need a restart to take
+// effect; the log says whether any has changed.
 func (n *Node) Reload(current settings.Settings) {
 	event.Log(n.logger, event.SettingsRead{Changed: !reflect.DeepEqual(current, n.settings)})
 }
 
-func ignoreClosed(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/edge/records/records_test.go
+++ b/internal/edge/records/records_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestGreatest compares with the definition: all whole records, sorted.
+// TestGreatest compares the result with the definition: all whole records, sorted.
 func TestGreatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 5*Size+Size/2)
 		parts := rapid.SliceOfN(part, 0, 4).Draw(t, "parts")
 		k := rapid.IntRange(-1, 8).Draw(t, "k")
 		var all []string
-		for _, one := range parts {
-			for at := 0; at+Size <= len(one); at += Size {
-				all = append(all, string(one[at:at+Size]))
+		for _, drawn := range parts {
+			for offset := 0; offset+Size <= len(drawn); offset += Size {
+				all = append(all, string(drawn[offset:offset+Size]))
 			}
 		}
 		slices.Sort(all)
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -1,12 +1,12 @@
-// Package registry holds the leaves as they announce themselves in a store, and makes the
-// topology of the Dispatcher from them: which may get work, which are cold, canaries of a
-// roll-out, or gone.
+// Package registry holds the leaves as they announce themselves in a store, and builds the topology
+// of the Dispatcher from them: which leaves are usable, which are cold, which are canaries of a
+// rollout, and which are removed.
 //
-// It owns the announcements (Table) and the numbers of services (Index): each service is
-// one shard of the topology, numbered in the order in which it was first named. It relies
-// on the rules of decide/cordon and decide/removal, and on the phases of decide/rollout;
-// docs/design/0017-incarnations.md says what a restart of a leaf does. It is pure: time
-// comes in as an argument, a duration on the node's clock.
+// It owns the announcements (Table) and the numbers of services (Index): each service is one shard
+// of the topology, numbered in the order in which it was first named. It relies on the rules of
+// decide/cordon and decide/removal, and on the phases of decide/rollout;
+// docs/design/0017-incarnations.md describes restarts of leaves. The package is pure: time is an
+// argument, a duration on the node's clock.
 package registry
 
 import (
@@ -24,125 +24,123 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Leaf is one announcement.
+// Leaf is the announcement of a leaf.
 type Leaf struct {
 	ID string
-	// Born is when its process started; zero if the announcement does not say. A leaf
-	// may start again under its id: then it is another one, which knows nothing of
-	// before.
+	// Born is the start time of the leaf's process; zero if the announcement has none. A leaf that
+	// restarts under its ID is a new incarnation, which inherits no state.
 	Born    time.Time
 	Service string
 	Address netip.AddrPort
 	Zone    string
-	// Version is that of its software.
+	// Version is the version of the leaf's software.
 	Version  string
 	Slots    int
 	Draining bool
-	// Cold is how much longer the leaf is slow after its start, as it announced.
+	// Cold is how much longer the leaf is slow after its start, as announced.
 	Cold time.Duration
-	// Created is the revision at which the id was first announced, or this start of
-	// it, if that was seen here.
+	// Created is the revision at which the ID was first announced, or this incarnation of it if its
+	// start was observed here.
 	Created uint64
-	// Revision is that of this announcement.
+	// Revision is the revision of this announcement.
 	Revision uint64
 }
 
-// Config is the policy of a Table: for how long a leaf is still used whose announcement
-// has vanished.
+// Config is the policy of a Table: how long a leaf stays usable after its announcement has
+// vanished.
 type Config = removal.Config
 
-// entry is what the Table knows of one id.
-type entry struct {
+// leafEntry is what the Table holds about one ID.
+type leafEntry struct {
 	Leaf
-	// goneAt is when the leaf stops being used, after its announcement vanished;
-	// zero while it is announced.
-	goneAt time.Duration
-	// coldUntil is when the leaf is warm, as it announced or as is assumed.
+	// expiresAt is when the leaf is dropped after its announcement has vanished; zero while it is
+	// announced.
+	expiresAt time.Duration
+	// coldUntil is when the leaf is warm, by its announcement or by an assumption.
 	coldUntil time.Duration
 }
 
 // Table is the set of leaves. It is not safe for concurrent use.
 type Table struct {
-	index     *Index
-	entries   map[string]*entry
-	removals  removal.Rule
-	zones     *cordon.Zones
-	stages    map[string]Stage  // by service
-	mixed     map[string]uint64 // orders under which another version was seen, by service
-	births    births
-	coldTimes map[string]time.Duration // by service
-	revision  uint64
+	index       *Index
+	entries     map[string]*leafEntry
+	removals    removal.Rule
+	zones       *cordon.Zones
+	stages      map[string]Stage  // by service
+	mixedOrders map[string]uint64 // orders under which leaves of another version were seen, by service
+	startTimes  startTimes
+	coldTimes   map[string]time.Duration // by service
+	revision    uint64
 }
 
 // NewTable returns an empty Table that numbers services by index.
 func NewTable(config Config, index *Index) *Table {
 	return &Table{
-		index: index, entries: make(map[string]*entry), removals: removal.NewRule(config),
-		zones: cordon.NewZones(), mixed: make(map[string]uint64), births: make(births),
+		index: index, entries: make(map[string]*leafEntry), removals: removal.NewRule(config),
+		zones: cordon.NewZones(), mixedOrders: make(map[string]uint64), startTimes: make(startTimes),
 	}
 }
 
-// ErrFormerStart means that an announcement is of a former start of its leaf, or does
-// not say of which, though another did.
-var ErrFormerStart = errors.New("announcement is not of the newest start of its leaf")
+// ErrStaleIncarnation means that an announcement belongs to an older start of its leaf, or that it
+// has no start time though an earlier announcement had one.
+var ErrStaleIncarnation = errors.New("announcement is not of the newest known start of its leaf")
 
-// Set takes in an announcement, and reports whether it did: one of a former start of
-// the leaf, written late or read from a copy that is behind, brings nothing back. A
-// leaf that drains stays draining, and one that was taken to be cold until some time
-// stays so: it may have turned cold after it wrote its announcement. Nothing of that
-// holds for its next start.
+// Set applies an announcement. It returns false for an announcement of an older incarnation, which
+// was written late or read from a stale copy. Within an incarnation, a draining leaf stays
+// draining, and a leaf that was assumed to be cold until some time stays so, since it may have
+// turned cold after it wrote its announcement. The next incarnation inherits neither.
 func (t *Table) Set(now time.Duration, announced Leaf) bool {
-	if !t.births.newest(now, announced) {
+	if !t.startTimes.recordNewest(now, announced) {
 		if announced.Born.IsZero() {
-			t.Remove(now, announced.ID) // what it announced before was overwritten
+			t.Remove(now, announced.ID) // its previous announcement was overwritten
 		}
 		return false
 	}
-	taken := &entry{Leaf: announced}
-	known, found := t.entries[announced.ID]
-	again := found && announced.Born.After(known.Born)
+	updated := &leafEntry{Leaf: announced}
+	current, exists := t.entries[announced.ID]
+	restarted := exists && announced.Born.After(current.Born)
 	switch {
-	case again:
-		taken.Created = announced.Revision
-	case found:
-		taken.Created = known.Created
-		taken.Draining = announced.Draining || known.Draining
-		taken.coldUntil = known.coldUntil
+	case restarted:
+		updated.Created = announced.Revision
+	case exists:
+		updated.Created = current.Created
+		updated.Draining = announced.Draining || current.Draining
+		updated.coldUntil = current.coldUntil
 	}
-	if news := !found || known.Revision != announced.Revision; news && announced.Cold > 0 {
-		taken.coldUntil = max(taken.coldUntil, now+announced.Cold)
+	if isNew := !exists || current.Revision != announced.Revision; isNew && announced.Cold > 0 {
+		updated.coldUntil = max(updated.coldUntil, now+announced.Cold)
 	}
-	t.entries[announced.ID] = taken
+	t.entries[announced.ID] = updated
 	return true
 }
 
-// SetColdTimes says how long the leaves of each service are cold after a start.
+// SetColdTimes sets how long the leaves of each service are cold after a start.
 func (t *Table) SetColdTimes(times map[string]time.Duration) { t.coldTimes = times }
 
-// Remove takes in that the announcement of an id has vanished. The leaf may be used for
-// a while more, by the rule of package removal.
+// Remove applies the removal of an announcement. The leaf may stay usable for some time, by the
+// rule of package removal.
 func (t *Table) Remove(now time.Duration, id string) {
-	known, found := t.entries[id]
-	if !found || known.goneAt > 0 {
+	entry, exists := t.entries[id]
+	if !exists || entry.expiresAt > 0 {
 		return
 	}
-	until, doubted := t.removals.UsedUntil(now, known.Draining)
-	if !doubted {
+	usedUntil, delayed := t.removals.UsedUntil(now, entry.Draining)
+	if !delayed {
 		delete(t.entries, id)
 		return
 	}
-	known.goneAt = until
+	entry.expiresAt = usedUntil
 }
 
-// Replace takes in all announcements there are. They may be old: a leaf that was
-// cold then does not start slowly here, but bounds of cold leaves hold for it.
+// Replace applies the list of all announcements. They may be old: a leaf that was cold when it
+// wrote its announcement does not start slowly here, but the bounds on cold leaves apply to it.
 func (t *Table) Replace(now time.Duration, announced []Leaf) {
 	present := make(map[string]bool, len(announced))
-	for _, one := range announced {
-		if t.Set(now, one) {
-			t.entries[one.ID].Cold = 0
+	for _, leaf := range announced {
+		if t.Set(now, leaf) {
+			t.entries[leaf.ID].Cold = 0
 		}
-		present[one.ID] = t.entries[one.ID] != nil
+		present[leaf.ID] = t.entries[leaf.ID] != nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
 		if !present[id] {
@@ -151,29 +149,28 @@
 	}
 }
 
-// Announced reports whether an incarnation is announced now. One whose announcement has
-// vanished is not, though it may still be used for a while.
+// Announced reports whether an incarnation is announced now. An incarnation whose announcement has
+// vanished is not, even while it stays usable.
 func (t *Table) Announced(incarnation string) bool {
-	known, found := t.entries[IDOf(incarnation)]
-	return found && known.goneAt == 0 && known.Incarnation() == incarnation
+	entry, exists := t.entries[IDOf(incarnation)]
+	return exists && entry.expiresAt == 0 && entry.Incarnation() == incarnation
 }
 
-// Outage takes in that the store was away until now.
-func (t *Table) Outage(now time.Duration) { t.removals.Outage(now) }
+// RecordOutage records that the store was unavailable until now.
+func (t *Table) RecordOutage(now time.Duration) { t.removals.Outage(now) }
 
-// Expire drops the leaves whose announcements are not doubted to be gone any more, and
-// what was remembered of others for long enough. It reports whether it dropped a leaf,
-// and when it has to be called next, on the node's clock; zero for never.
+// Expire drops the leaves whose delayed removal is due, and old start times. It reports whether it
+// dropped a leaf, and when it must be called next, on the node's clock; zero for never.
 func (t *Table) Expire(now time.Duration) (changed bool, next time.Duration) {
-	t.births.expire(now)
-	for id, known := range t.entries {
+	t.startTimes.expire(now)
+	for id, entry := range t.entries {
 		switch {
-		case known.goneAt == 0:
-		case known.goneAt <= now:
+		case entry.expiresAt == 0:
+		case entry.expiresAt <= now:
 			delete(t.entries, id)
 			changed = true
-		case next == 0 || known.goneAt < next:
-			next = known.goneAt
+		case next == 0 || entry.expiresAt < next:
+			next = entry.expiresAt
 		}
 	}
 	return changed, next
@@ -182,50 +179,49 @@
 // Len returns the number of leaves.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Topology returns what the Dispatcher may use: leaves of services that a
-// configuration has named. Of two leaves that announce the same address, the one
-// created last has it.
+// Topology returns the leaves of all services that a configuration names. If two leaves announce
+// the same address, the one that was created last gets it.
 func (t *Table) Topology() dispatch.Topology {
 	t.revision++
-	t.findMixed()
-	owners := make(map[netip.AddrPort]*entry, len(t.entries))
-	for _, known := range t.entries {
-		owner, taken := owners[known.Address]
-		if !taken || cmp.Or(cmp.Compare(known.Created, owner.Created), cmp.Compare(known.ID, owner.ID)) > 0 {
-			owners[known.Address] = known
+	t.recordMixedOrders()
+	owners := make(map[netip.AddrPort]*leafEntry, len(t.entries))
+	for _, entry := range t.entries {
+		owner, owned := owners[entry.Address]
+		if !owned || cmp.Or(cmp.Compare(entry.Created, owner.Created), cmp.Compare(entry.ID, owner.ID)) > 0 {
+			owners[entry.Address] = entry
 		}
 	}
 	topology := dispatch.Topology{
 		Revision:   t.revision,
 		Partitions: []catalog.Partition{{Epoch: Snapshot.Epoch, Shards: t.index.Len()}},
 	}
-	for _, known := range owners {
-		if service, named := t.index.Find(known.Service); named {
-			topology.Leaves = append(topology.Leaves, t.listed(known, service))
+	for _, entry := range owners {
+		if shard, exists := t.index.Find(entry.Service); exists {
+			topology.Leaves = append(topology.Leaves, t.dispatchLeaf(entry, shard))
 		}
 	}
 	slices.SortFunc(topology.Leaves, func(a, b dispatch.Leaf) int { return a.Address.Compare(b.Address) })
 	return topology
 }
 
-func (t *Table) listed(known *entry, service int) dispatch.Leaf {
+func (t *Table) dispatchLeaf(entry *leafEntry, shard int) dispatch.Leaf {
 	return dispatch.Leaf{
-		Address:   known.Address,
-		Zone:      known.Zone,
-		ColdUntil: known.coldUntil,
-		BootID:    known.Incarnation(),
-		Usable:    t.usable(known) && !t.barred(known),
-		Canary:    t.canary(known),
-		WarmAt:    known.coldUntil,
-		Cold:      known.Cold > 0,
-		Slots:     known.Slots,
+		Address:   entry.Address,
+		Zone:      entry.Zone,
+		ColdUntil: entry.coldUntil,
+		BootID:    entry.Incarnation(),
+		Usable:    t.isUsable(entry) && !t.excludedByRollout(entry),
+		Canary:    t.isCanary(entry),
+		WarmAt:    entry.coldUntil,
+		Cold:      entry.Cold > 0,
+		Slots:     entry.Slots,
 		Holdings: []leaf.Holding{{
 			Snapshot: Snapshot,
-			Shards:   []int{service},
+			Shards:   []int{shard},
 		}},
 	}
 }
 
-// Snapshot is the only snapshot of the topology: a request names its shards
-// itself, all from one version of the configuration.
+// Snapshot is the only snapshot of the topology: a request names its shards itself, all from one
+// version of the configuration.
 var Snapshot = catalog.Snapshot{Epoch: 1, Version: 1}
