--- a/internal/selfhosted/dissemination/acceptance.go
+++ b/internal/selfhosted/dissemination/acceptance.go
@@ -18,13 +18,13 @@
 	revision uint64
 	voters   map[string]catalog.Voter
 	// firstRound holds the incarnations of the first round's majority.
-	firstRound map[string]uint64
-	firstAt    Time
-	nextPoll   Time
+	firstRound   map[string]uint64
+	firstRoundAt Time
+	nextPoll     Time
 }
 
 // roundTimeout is after how many retry intervals the first round is repeated.
-const roundTimeout = 5
+const roundTimeoutRetries = 5
 
 // pollAcceptance advances a by what is known now, asks the voters if that is
 // due, and says whether the revision is accepted.
@@ -33,15 +33,15 @@
 	if len(voters) == 0 {
 		return true // the store alone decides
 	}
-	if !maps.Equal(a.voters, voters) || (a.firstRound != nil && now-a.firstAt > roundTimeout*c.config.RetryInterval) {
+	if !maps.Equal(a.voters, voters) || (a.firstRound != nil && now-a.firstRoundAt > roundTimeoutRetries*c.config.RetryInterval) {
 		a.voters, a.firstRound, a.nextPoll = voters, nil, now
 	}
 	if a.firstRound == nil {
-		if holders := c.holders(a.revision); len(holders) >= c.quorum() {
-			a.firstRound, a.firstAt, a.nextPoll = holders, now, now
+		if holders := c.votersHolding(a.revision); len(holders) >= c.quorum() {
+			a.firstRound, a.firstRoundAt, a.nextPoll = holders, now, now
 		}
 	}
-	if a.firstRound != nil && (c.omit.secondRound || c.stillHolding(a) >= c.quorum()) {
+	if a.firstRound != nil && (c.disabled.secondRound || c.countSecondRound(a) >= c.quorum()) {
 		return true
 	}
 	if now >= a.nextPoll {
@@ -52,35 +52,35 @@
 }
 
 // holders returns the voters known to hold a revision, with their incarnations.
-func (c *Core) holders(revision uint64) map[string]uint64 {
-	found := map[string]uint64{}
-	for name, s := range c.slots {
-		if c.counts(name, s, revision) {
-			found[name] = s.latest.incarnation
+func (c *Core) votersHolding(revision uint64) map[string]uint64 {
+	incarnations := map[string]uint64{}
+	for name, s := range c.voterStates {
+		if c.holdsCountably(name, s, revision) {
+			incarnations[name] = s.latest.incarnation
 		}
 	}
-	if c.votes() && c.log.revision() >= revision {
-		found[c.self.Name] = c.self.Incarnation
+	if c.canVote() && c.log.revision() >= revision {
+		incarnations[c.self.Name] = c.self.Incarnation
 	}
-	return found
+	return incarnations
 }
 
-func (c *Core) counts(name string, s *slot, revision uint64) bool {
-	return s.latest.valid && s.latest.voter && s.latest.revision >= revision && c.current(name, s.latest.incarnation)
+func (c *Core) holdsCountably(name string, s *voterState, revision uint64) bool {
+	return s.latest.valid && s.latest.voter && s.latest.revision >= revision && c.isCurrentIncarnation(name, s.latest.incarnation)
 }
 
 // stillHolding counts the first round's voters that were asked again since.
-func (c *Core) stillHolding(a *acceptance) int {
+func (c *Core) countSecondRound(a *acceptance) int {
 	count := 0
 	for name, incarnation := range a.firstRound {
 		if name == c.self.Name {
-			if c.votes() && c.self.Incarnation == incarnation {
+			if c.canVote() && c.self.Incarnation == incarnation {
 				count++
 			}
 			continue
 		}
-		s := c.slots[name]
-		if s != nil && c.counts(name, s, a.revision) && s.latest.incarnation == incarnation && s.latest.sentAt >= a.firstAt {
+		state := c.voterStates[name]
+		if state != nil && c.holdsCountably(name, state, a.revision) && state.latest.incarnation == incarnation && state.latest.sentAt >= a.firstRoundAt {
 			count++
 		}
 	}
@@ -90,7 +90,7 @@
 func (c *Core) requestVoters(now Time) {
 	for _, name := range c.voters {
 		if member, ok := c.members.byName[name]; ok {
-			c.request(now, member.Address)
+			c.sendRequest(now, member.Address)
 		}
 	}
 }
--- a/internal/selfhosted/dissemination/adapter_checkpoint.go
+++ b/internal/selfhosted/dissemination/adapter_checkpoint.go
@@ -35,18 +35,18 @@
 
 // LoadCheckpoint implements Store.
 func (a *StoreAdapter) LoadCheckpoint(ctx context.Context) (*catalog.Catalog, error) {
-	found, err := a.client.Range(ctx, checkpointsPrefix, store.PrefixEnd(checkpointsPrefix), 0)
+	response, err := a.client.Range(ctx, checkpointsPrefix, store.PrefixEnd(checkpointsPrefix), 0)
 	if err != nil {
 		return nil, err
 	}
-	entries := found.Entries
+	entries := response.Entries
 	for len(entries) > 0 {
 		first := len(entries) - 1
-		group := groupOf(entries[first].Key)
-		for first > 0 && groupOf(entries[first-1].Key) == group {
+		prefix := chunkKeyPrefix(entries[first].Key)
+		for first > 0 && chunkKeyPrefix(entries[first-1].Key) == prefix {
 			first--
 		}
-		if loaded, err := assemble(entries[first:]); err == nil {
+		if loaded, err := assembleCheckpoint(entries[first:]); err == nil {
 			return loaded, nil
 		}
 		entries = entries[:first] // an older one may be whole
@@ -54,10 +54,10 @@
 	return nil, nil
 }
 
-func groupOf(key string) string { return key[:strings.LastIndexByte(key, '/')+1] }
+func chunkKeyPrefix(key string) string { return key[:strings.LastIndexByte(key, '/')+1] }
 
 // assemble puts the chunks of one checkpoint together.
-func assemble(entries []store.Entry) (*catalog.Catalog, error) {
+func assembleCheckpoint(entries []store.Entry) (*catalog.Catalog, error) {
 	var data []byte
 	var hash uint64
 	for index, entry := range entries {
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("checkpoint %s is damaged", entries[0].Key)
 	}
 	loaded, err := catalog.Decode(data)
-	if err == nil && checkpointPrefix(loaded.Revision) != groupOf(entries[0].Key) {
+	if err == nil && checkpointPrefix(loaded.Revision) != chunkKeyPrefix(entries[0].Key) {
 		err = fmt.Errorf("checkpoint %s holds revision %d", entries[0].Key, loaded.Revision)
 	}
 	return loaded, err
@@ -106,22 +106,22 @@
 	if _, err := a.readCheckpoint(ctx, prefix); err != nil {
 		return err
 	}
-	return a.trim(ctx, keep)
+	return a.deleteBefore(ctx, keep)
 }
 
 func (a *StoreAdapter) readCheckpoint(ctx context.Context, prefix string) (*catalog.Catalog, error) {
-	found, err := a.client.Range(ctx, prefix, store.PrefixEnd(prefix), 0)
+	response, err := a.client.Range(ctx, prefix, store.PrefixEnd(prefix), 0)
 	if err != nil {
 		return nil, err
 	}
-	if len(found.Entries) == 0 {
+	if len(response.Entries) == 0 {
 		return nil, oops.In("dissemination").With("step", "checkpoint").Errorf("there is no checkpoint %s", prefix)
 	}
-	return assemble(found.Entries)
+	return assembleCheckpoint(response.Entries)
 }
 
 // trim deletes the changes before keep and the checkpoints below it.
-func (a *StoreAdapter) trim(ctx context.Context, keep uint64) error {
+func (a *StoreAdapter) deleteBefore(ctx context.Context, keep uint64) error {
 	if keep == 0 {
 		return nil
 	}
--- a/internal/selfhosted/dissemination/adapter_store.go
+++ b/internal/selfhosted/dissemination/adapter_store.go
@@ -29,19 +29,19 @@
 
 // ReadChanges implements Store.
 func (a *StoreAdapter) ReadChanges(ctx context.Context, from uint64, limit int) ([]catalog.Change, bool, error) {
-	found, err := a.client.Range(ctx, changeKey(from), store.PrefixEnd(changesPrefix), int64(limit))
+	response, err := a.client.Range(ctx, changeKey(from), store.PrefixEnd(changesPrefix), int64(limit))
 	if err != nil {
 		return nil, false, err
 	}
-	changes := make([]catalog.Change, 0, len(found.Entries))
-	for _, entry := range found.Entries {
+	changes := make([]catalog.Change, 0, len(response.Entries))
+	for _, entry := range response.Entries {
 		change, err := decodeEntry(entry)
 		if err != nil {
 			return nil, false, err
 		}
 		changes = append(changes, change)
 	}
-	return changes, found.More, nil
+	return changes, response.More, nil
 }
 
 func decodeEntry(entry store.Entry) (catalog.Change, error) {
--- a/internal/selfhosted/dissemination/adapter_test.go
+++ b/internal/selfhosted/dissemination/adapter_test.go
@@ -31,7 +31,7 @@
 }
 
 // fill writes count changes and returns the catalogs after each.
-func fill(t *testing.T, adapter *dissemination.StoreAdapter, count int) []*catalog.Catalog {
+func createChanges(t *testing.T, adapter *dissemination.StoreAdapter, count int) []*catalog.Catalog {
 	t.Helper()
 	catalogs := []*catalog.Catalog{catalog.Empty()}
 	for index := range count {
@@ -50,16 +50,16 @@
 	return catalogs
 }
 
-func TestStoreAdapterKeepsTheLog(t *testing.T) {
+func TestStoreAdapterReadsWritesAndWatchesChanges(t *testing.T) {
 	adapter, _ := startAdapter(t)
 	ctx := context.Background()
 	watched := make(chan catalog.Change, 16)
-	watching, stop := context.WithCancel(ctx)
+	watchContext, stop := context.WithCancel(ctx)
 	ended := make(chan error)
 	go func() {
-		ended <- adapter.WatchChanges(watching, func(changes []catalog.Change) { watched <- changes[0] })
+		ended <- adapter.WatchChanges(watchContext, func(changes []catalog.Change) { watched <- changes[0] })
 	}()
-	fill(t, adapter, 5)
+	createChanges(t, adapter, 5)
 	created, existing, err := adapter.CreateChange(ctx, catalog.Change{Revision: 3, ID: "3-other", Command: createService("x")})
 	if err != nil || created || existing.ID != "3-T" {
 		t.Fatalf("second change at revision 3: %t, %+v, %v", created, existing, err)
@@ -90,7 +90,7 @@
 	if loaded, err := adapter.LoadCheckpoint(ctx); loaded != nil || err != nil {
 		t.Fatalf("load from an empty store: %v, %v", loaded, err)
 	}
-	catalogs := fill(t, adapter, 10)
+	catalogs := createChanges(t, adapter, 10)
 	for _, revision := range []int{4, 8, 8} {
 		if err := adapter.SaveCheckpoint(ctx, catalogs[revision], uint64(revision-2)); err != nil {
 			t.Fatal(err)
--- a/internal/selfhosted/dissemination/benchmark_test.go
+++ b/internal/selfhosted/dissemination/benchmark_test.go
@@ -22,20 +22,20 @@
 }
 
 func measureFault(b *testing.B, kind string) {
-	var asked, fresh, proposed, inForce int
+	var checks, passed, proposed, inForce int
 	var waited Time
 	for seed := range uint64(20) {
 		w := newWorld(seed, 5, false)
-		w.asked, w.fresh = 0, 0
+		w.freshnessChecks, w.freshnessPassed = 0, 0
 		first := len(w.operations)
-		w.begin(fault{kind: kind, duration: 30 * time.Second, target: int(seed) % nodeCount})
+		w.startFault(fault{kind: kind, duration: 30 * time.Second, target: int(seed) % nodeCount})
 		for at := Time(0); at < 50*time.Second; at += 2 * time.Second {
 			w.after(at, func() {
-				w.propose(w.newest(nodeName(w.random.IntN(nodeCount))), serviceProposal(fmt.Sprintf("s%d", w.now)), 12*time.Second)
+				w.propose(w.newestProcess(nodeName(w.random.IntN(nodeCount))), serviceProposal(fmt.Sprintf("s%d", w.now)), 12*time.Second)
 			})
 		}
 		w.run(w.now + time.Minute)
-		asked, fresh = asked+w.asked, fresh+w.fresh
+		checks, passed = checks+w.freshnessChecks, passed+w.freshnessPassed
 		for _, op := range w.operations[first:] {
 			proposed++
 			if op.done && op.result.Fate == FateInForce {
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	b.ReportMetric(float64(fresh)/float64(asked), "fresh/check")
+	b.ReportMetric(float64(passed)/float64(checks), "fresh/check")
 	b.ReportMetric(float64(inForce)/float64(proposed), "in_force/proposal")
 	b.ReportMetric((waited/Time(max(inForce, 1))).Seconds()*1000, "ms/in_force")
 	b.ReportMetric(0, "ns/op")
@@ -61,11 +61,11 @@
 		cores[index].Tick(0)
 		cores[index].Ready()
 	}
-	cores[1].advance(time.Second)
+	cores[1].advanceConfirmation(time.Second)
 	b.ReportAllocs()
 	size := 0
 	for range b.N {
-		cores[0].request(time.Second, address)
+		cores[0].sendRequest(time.Second, address)
 		for _, from := range []int{0, 1} {
 			encoded, err := EncodePacket(cores[from].Ready().Packets[0].Packet)
 			if err != nil {
--- a/internal/selfhosted/dissemination/changeid.go
+++ b/internal/selfhosted/dissemination/changeid.go
@@ -20,15 +20,15 @@
 
 // ParseChangeID splits a change id.
 func ParseChangeID(id string) (revision uint64, token string, err error) {
-	prefix, token, found := strings.Cut(id, "-")
+	prefix, token, ok := strings.Cut(id, "-")
 	revision, err = strconv.ParseUint(prefix, 10, 64)
-	if !found || token == "" || err != nil || revision == 0 {
+	if !ok || token == "" || err != nil || revision == 0 {
 		return 0, "", fmt.Errorf("dissemination: %q is no change id, expected <revision>-<token>", id)
 	}
 	return revision, token, nil
 }
 
-func tokenOf(id string) string {
+func tokenFromID(id string) string {
 	if _, token, err := ParseChangeID(id); err == nil {
 		return token
 	}
--- a/internal/selfhosted/dissemination/checkpoint.go
+++ b/internal/selfhosted/dissemination/checkpoint.go
@@ -4,28 +4,28 @@
 
 // checkpointDelay is the mean time between the turns of the watchers to write a
 // checkpoint.
-const checkpointDelay = 2 * time.Second
+const meanCheckpointDelay = 2 * time.Second
 
 // loadCheckpoint asks the store for a checkpoint, after a gap in the log.
 func (c *Core) loadCheckpoint(now Time) {
-	if c.store.loading {
+	if c.store.loadInFlight {
 		return
 	}
-	c.store.loading = true
-	c.operate(pendingOperation{sentAt: now, kind: operationLoad}, StoreOperation{LoadCheckpoint: true})
+	c.store.loadInFlight = true
+	c.startOperation(pendingOperation{sentAt: now, kind: operationLoad}, StoreOperation{LoadCheckpoint: true})
 }
 
 // planCheckpoint lets the watchers write a checkpoint. Each waits for a random
 // time, so that most find it written.
 func (c *Core) planCheckpoint(now Time) {
-	passed := c.log.checkpoint
+	checkpoint := c.log.checkpoint
 	c.log.checkpoint = nil
-	if passed == nil || !c.watcher() {
+	if checkpoint == nil || !c.isWatcher() {
 		return
 	}
 	watchers := len(c.members.roots) + c.config.WatchersPerZone
-	c.store.checkpoint = passed
-	c.store.checkpointDue = now + Time(c.random.Int64N(int64(watchers)*int64(checkpointDelay)))
+	c.store.checkpoint = checkpoint
+	c.store.checkpointDue = now + Time(c.random.Int64N(int64(watchers)*int64(meanCheckpointDelay)))
 }
 
 func (c *Core) saveCheckpoint(now Time) {
@@ -34,5 +34,5 @@
 	if save.Catalog.Revision > c.config.RetainedInStore {
 		save.Keep = save.Catalog.Revision - c.config.RetainedInStore + 1
 	}
-	c.operate(pendingOperation{sentAt: now, kind: operationSave}, StoreOperation{SaveCheckpoint: save})
+	c.startOperation(pendingOperation{sentAt: now, kind: operationSave}, StoreOperation{SaveCheckpoint: save})
 }
--- a/internal/selfhosted/dissemination/config.go
+++ b/internal/selfhosted/dissemination/config.go
@@ -73,7 +73,7 @@
 
 // omissions leaves single safety mechanisms out. Only tests set it, to see
 // that the checks notice.
-type omissions struct {
+type disabledMechanisms struct {
 	recovery     bool // a restarted voter acknowledges at once
 	registration bool // a voter recovers without its incarnation registered
 	supersession bool // answers of any incarnation of a slot count
--- a/internal/selfhosted/dissemination/core.go
+++ b/internal/selfhosted/dissemination/core.go
@@ -12,10 +12,10 @@
 // Every method that takes the time must get a reading made after the event
 // that it reports.
 type Core struct {
-	config Config
-	self   Member
-	random *rand.Rand
-	omit   omissions
+	config   Config
+	self     Member
+	random   *rand.Rand
+	disabled disabledMechanisms
 
 	startedAt Time
 	started   bool
@@ -28,9 +28,9 @@
 	// claims holds the highest incarnation known of each voter's slot.
 	claims map[string]uint64
 	// knownHash is the hash of what is known of the slots; 0 if out of date.
-	knownHash uint64
-	slots     map[string]*slot
-	takeover  takeover
+	claimsHash  uint64
+	voterStates map[string]*voterState
+	takeover    takeover
 
 	sequence uint64
 	requests map[uint64]pendingRequest
@@ -39,12 +39,12 @@
 	confirmedAt Time
 	relayed     []relayedConfirmation
 
-	revisions map[string]PeerRevision
+	peerRevisions map[string]PeerRevision
 
-	nextExchange Time
-	exchanges    uint64
-	fetching     fetchState
-	store        storeState
+	nextExchange   Time
+	exchangeRounds uint64
+	fetch          fetchState
+	store          storeState
 
 	proposals    []*proposal
 	lastProposal ProposalID
@@ -59,7 +59,7 @@
 	// Fetch, if set, is a call to a peer.
 	Fetch *Fetch
 	// Store are calls to the store; each ends with a StepStore.
-	Store []StoreOperation
+	StoreOperations []StoreOperation
 	// Watch says whether the node should keep a watch on the store's changes.
 	Watch bool
 	// Catalog is set when a new revision was installed.
@@ -71,16 +71,16 @@
 // New returns a Core at revision zero that is not fresh.
 func New(options Options) *Core {
 	c := &Core{
-		config:    options.Config,
-		self:      options.Self,
-		random:    options.Random,
-		log:       newChangeLog(options.Config.TailLength, options.Config.CheckpointInterval),
-		claims:    map[string]uint64{},
-		slots:     map[string]*slot{},
-		sequence:  options.Random.Uint64(),
-		requests:  map[uint64]pendingRequest{},
-		revisions: map[string]PeerRevision{},
-		store:     storeState{operations: map[uint64]pendingOperation{}},
+		config:        options.Config,
+		self:          options.Self,
+		random:        options.Random,
+		log:           newChangeLog(options.Config.TailLength, options.Config.CheckpointInterval),
+		claims:        map[string]uint64{},
+		voterStates:   map[string]*voterState{},
+		sequence:      options.Random.Uint64(),
+		requests:      map[uint64]pendingRequest{},
+		peerRevisions: map[string]PeerRevision{},
+		store:         storeState{operations: map[uint64]pendingOperation{}},
 	}
 	c.takeover.registered = map[string]bool{}
 	c.members.rebuild(c.self, nil, c.config.WatchersPerZone)
@@ -90,13 +90,13 @@
 // SetMembers replaces the list of members; the core keeps the slice. The entry
 // of this node itself, if there is one, is ignored.
 func (c *Core) SetMembers(members []Member) {
-	if c.members.list != nil && slices.Equal(c.members.list, members) {
+	if c.members.members != nil && slices.Equal(c.members.members, members) {
 		return
 	}
 	c.members.rebuild(c.self, members, c.config.WatchersPerZone)
-	for name := range c.revisions {
-		if _, known := c.members.byName[name]; !known {
-			delete(c.revisions, name)
+	for name := range c.peerRevisions {
+		if _, ok := c.members.byName[name]; !ok {
+			delete(c.peerRevisions, name)
 		}
 	}
 }
@@ -116,27 +116,27 @@
 	c.tickFetch(now)
 	c.tickStore(now)
 	c.reconfirm(now)
-	c.driveProposals(now)
+	c.advanceProposals(now)
 }
 
 // Step processes a packet that was received from an address.
 func (c *Core) Step(now Time, from netip.AddrPort, packet Packet) {
 	switch {
 	case packet.Request != nil:
-		c.answer(now, from, packet.Request)
+		c.answerRequest(now, from, packet.Request)
 	case packet.Response != nil:
-		c.learn(now, from, packet.Response)
+		c.handleResponse(now, from, packet.Response)
 	case packet.Push != nil:
-		c.takePush(now, from, packet.Push)
+		c.handlePush(now, from, packet.Push)
 	}
-	c.driveProposals(now)
+	c.advanceProposals(now)
 }
 
 // Ready returns what is to be done since the last call and forgets it.
 func (c *Core) Ready() Ready {
 	ready := c.ready
 	c.ready = Ready{}
-	ready.Watch = c.watcher()
+	ready.Watch = c.isWatcher()
 	return ready
 }
 
@@ -175,7 +175,7 @@
 func (c *Core) Superseded() bool { return c.takeover.superseded }
 
 // Recovered says whether this node is a voter whose answers may be counted.
-func (c *Core) Recovered() bool { return c.votes() }
+func (c *Core) Recovered() bool { return c.canVote() }
 
 // PeerRevision is what a peer was last known to hold.
 type PeerRevision struct {
@@ -190,13 +190,13 @@
 // PeerRevisions returns what is known of the members' revisions, ordered by
 // name. Members that this node does not exchange with are missing.
 func (c *Core) PeerRevisions() []PeerRevision {
-	known := make([]PeerRevision, 0, len(c.revisions))
+	revisions := make([]PeerRevision, 0, len(c.peerRevisions))
 	for _, member := range c.members.alive {
-		if revision, ok := c.revisions[member.Name]; ok {
-			known = append(known, revision)
+		if revision, ok := c.peerRevisions[member.Name]; ok {
+			revisions = append(revisions, revision)
 		}
 	}
-	return known
+	return revisions
 }
 
 func (c *Core) send(to netip.AddrPort, packet Packet) {
@@ -204,14 +204,14 @@
 }
 
 // watcher says whether this node is one of those that watch the store.
-func (c *Core) watcher() bool { return c.members.position < c.config.WatchersPerZone }
+func (c *Core) isWatcher() bool { return c.members.position < c.config.WatchersPerZone }
 
 // install is called after the log has grown: it settles what waited for it.
-func (c *Core) installed(now Time) {
+func (c *Core) handleInstalled(now Time) {
 	c.ready.Catalog = c.log.catalog
 	c.voters = c.log.catalog.VoterNames()
-	c.knownHash = 0
-	c.resetSlots()
+	c.claimsHash = 0
+	c.resetVoterStates()
 	c.applyRelayed()
 	c.reconfirm(now)
 }
--- a/internal/selfhosted/dissemination/evidence.go
+++ b/internal/selfhosted/dissemination/evidence.go
@@ -3,9 +3,9 @@
 import "slices"
 
 // slot is what is known of one voter.
-type slot struct {
+type voterState struct {
 	// latest is the last answer of the highest incarnation known.
-	latest answer
+	latest voterAnswer
 	// confirmedAt is the sending time of the last request that was answered
 	// with no more than this node holds, by confirmedBy.
 	confirmed   bool
@@ -14,7 +14,7 @@
 }
 
 // answer is a voter's answer to an exchange.
-type answer struct {
+type voterAnswer struct {
 	valid       bool
 	sentAt      Time // of the request
 	incarnation uint64
@@ -33,39 +33,39 @@
 }
 
 // maximumRelayed bounds the confirmations that wait for a revision.
-const maximumRelayed = 8
+const maxRelayed = 8
 
 // majority returns how many of n voters are a majority.
 func majority(n int) int { return n/2 + 1 }
 
 func (c *Core) quorum() int {
-	if c.omit.majority {
+	if c.disabled.majority {
 		return 1
 	}
 	return majority(len(c.log.catalog.Voters))
 }
 
 // resetSlots makes the slots follow the catalog's voters.
-func (c *Core) resetSlots() {
+func (c *Core) resetVoterStates() {
 	voters := c.log.catalog.Voters
-	for name := range c.slots {
+	for name := range c.voterStates {
 		if _, ok := voters[name]; !ok {
-			delete(c.slots, name)
+			delete(c.voterStates, name)
 		}
 	}
 	for name := range voters {
-		if c.slots[name] == nil && name != c.self.Name {
-			c.slots[name] = &slot{}
+		if c.voterStates[name] == nil && name != c.self.Name {
+			c.voterStates[name] = &voterState{}
 		}
 	}
-	for _, s := range c.slots {
-		s.countLatest(c.log.revision())
+	for _, s := range c.voterStates {
+		s.confirmFromLatest(c.log.revision())
 	}
 	c.resetTakeover()
 }
 
 // countLatest counts the latest answer if this node holds what it names.
-func (s *slot) countLatest(revision uint64) {
+func (s *voterState) confirmFromLatest(revision uint64) {
 	if !s.latest.valid || !s.latest.voter || s.latest.revision > revision {
 		return
 	}
@@ -73,21 +73,21 @@
 }
 
 // takeAnswer notes a voter's answer.
-func (c *Core) takeAnswer(name string, got answer) {
-	s := c.slots[name]
-	if s == nil || !c.current(name, got.incarnation) {
+func (c *Core) recordAnswer(name string, received voterAnswer) {
+	state := c.voterStates[name]
+	if state == nil || !c.isCurrentIncarnation(name, received.incarnation) {
 		return
 	}
-	if s.latest.valid && s.latest.incarnation == got.incarnation && s.latest.sentAt > got.sentAt {
+	if state.latest.valid && state.latest.incarnation == received.incarnation && state.latest.sentAt > received.sentAt {
 		return
 	}
-	s.latest = got
-	s.countLatest(c.log.revision())
+	state.latest = received
+	state.confirmFromLatest(c.log.revision())
 }
 
 // current says whether an incarnation of a slot is the highest known.
-func (c *Core) current(name string, incarnation uint64) bool {
-	return c.omit.supersession || incarnation == c.claims[name]
+func (c *Core) isCurrentIncarnation(name string, incarnation uint64) bool {
+	return c.disabled.supersession || incarnation == c.claims[name]
 }
 
 // reconfirm works out the confirmation that the voters' answers prove: the
@@ -95,25 +95,25 @@
 // as asked now. A single voter proves nothing: nobody else could know that a
 // replacement has taken its slot over. Then the store alone confirms.
 func (c *Core) reconfirm(now Time) {
-	c.recover(now)
+	c.updateRecovery(now)
 	voters := len(c.log.catalog.Voters)
 	if voters < 2 {
 		return
 	}
 	times := make([]Time, 0, voters)
-	if c.votes() {
+	if c.canVote() {
 		times = append(times, now)
 	}
-	for name, s := range c.slots {
-		if s.confirmed && c.current(name, s.confirmedBy) {
+	for name, s := range c.voterStates {
+		if s.confirmed && c.isCurrentIncarnation(name, s.confirmedBy) {
 			times = append(times, s.confirmedAt)
 		}
 	}
-	if need := c.quorum(); len(times) >= need {
+	if quorum := c.quorum(); len(times) >= quorum {
 		slices.Sort(times)
-		c.advance(times[len(times)-need])
+		c.advanceConfirmation(times[len(times)-quorum])
 	}
-	c.recover(now)
+	c.updateRecovery(now)
 }
 
 // HeldAt returns the latest time c such that a majority of the voters have
@@ -130,47 +130,47 @@
 		return 0, false
 	}
 	times := make([]Time, 0, len(c.voters))
-	if c.votes() && c.log.revision() >= revision {
+	if c.canVote() && c.log.revision() >= revision {
 		times = append(times, now)
 	}
-	holder := c.holdsSlot()
-	for name, s := range c.slots {
-		if c.counts(name, s, revision) && (s.latest.registered || !holder) {
+	voter := c.isVoter()
+	for name, s := range c.voterStates {
+		if c.holdsCountably(name, s, revision) && (s.latest.registered || !voter) {
 			times = append(times, s.latest.sentAt)
 		}
 	}
-	need := c.quorum()
-	if len(times) < need {
+	quorum := c.quorum()
+	if len(times) < quorum {
 		return 0, false
 	}
 	slices.Sort(times)
-	return times[len(times)-need], true
+	return times[len(times)-quorum], true
 }
 
 // advance raises the confirmation; it never falls, because what is proved
 // once stays true.
-func (c *Core) advance(at Time) {
+func (c *Core) advanceConfirmation(at Time) {
 	if !c.confirmed || at > c.confirmedAt {
 		c.confirmed, c.confirmedAt = true, at
 	}
 }
 
 // takeRelayed counts a peer's confirmation, now or once its revision is held.
-func (c *Core) takeRelayed(confirmation relayedConfirmation) {
+func (c *Core) addRelayed(confirmation relayedConfirmation) {
 	if confirmation.revision <= c.log.revision() {
-		c.advance(confirmation.at)
+		c.advanceConfirmation(confirmation.at)
 		return
 	}
-	if len(c.relayed) == maximumRelayed {
+	if len(c.relayed) == maxRelayed {
 		c.relayed = c.relayed[1:]
 	}
 	c.relayed = append(c.relayed, confirmation)
 }
 
 func (c *Core) applyRelayed() {
-	waiting := c.relayed
+	pending := c.relayed
 	c.relayed = nil
-	for _, confirmation := range waiting {
-		c.takeRelayed(confirmation)
+	for _, confirmation := range pending {
+		c.addRelayed(confirmation)
 	}
 }
--- a/internal/selfhosted/dissemination/exchange.go
+++ b/internal/selfhosted/dissemination/exchange.go
@@ -10,46 +10,46 @@
 type pendingRequest struct {
 	sentAt Time
 	// claimed is the incarnation that the request claimed a slot with, or 0.
-	claimed uint64
+	claimedIncarnation uint64
 }
 
 // randomExchangeEvery is how many rounds lie between exchanges with a random
 // member, which heal what the relay trees miss.
 // Not measured: chosen because it adds a quarter of an exchange to each round.
-const randomExchangeEvery = 4
+const randomExchangeRounds = 4
 
 // exchange sends this round's requests.
 func (c *Core) exchange(now Time) {
 	jitter := Time(c.random.Int64N(int64(c.config.ExchangeInterval)/5 + 1))
 	c.nextExchange = now + c.config.ExchangeInterval - c.config.ExchangeInterval/10 + jitter
-	c.exchanges++
+	c.exchangeRounds++
 	targets := map[netip.AddrPort]bool{}
-	if c.asksVoters() {
+	if c.exchangesWithVoters() {
 		for _, name := range c.voters {
-			c.target(targets, name)
+			c.addTarget(targets, name)
 		}
 	}
 	for _, parent := range c.members.parents(c.config.WatchersPerZone, c.config.RelayFanout) {
 		targets[parent.Address] = true
 	}
-	c.addFallbacks(now, targets)
+	c.addFallbackTargets(now, targets)
 	delete(targets, c.self.Address)
-	for _, to := range sortedAddresses(targets) {
-		c.request(now, to)
+	for _, to := range sortAddresses(targets) {
+		c.sendRequest(now, to)
 	}
 }
 
 // asksVoters says whether this node exchanges with all voters itself.
-func (c *Core) asksVoters() bool {
-	return c.holdsSlot() || c.watcher() || len(c.members.alive) < c.config.DirectLimit
+func (c *Core) exchangesWithVoters() bool {
+	return c.isVoter() || c.isWatcher() || len(c.members.alive) < c.config.DirectLimit
 }
 
 // sortedAddresses makes the order of sending independent of map order.
-func sortedAddresses(targets map[netip.AddrPort]bool) []netip.AddrPort {
+func sortAddresses(targets map[netip.AddrPort]bool) []netip.AddrPort {
 	return slices.SortedFunc(maps.Keys(targets), netip.AddrPort.Compare)
 }
 
-func (c *Core) target(targets map[netip.AddrPort]bool, name string) {
+func (c *Core) addTarget(targets map[netip.AddrPort]bool, name string) {
 	if member, ok := c.members.byName[name]; ok {
 		targets[member.Address] = true
 	}
@@ -57,12 +57,12 @@
 
 // addFallbacks adds random members: in some rounds, and in each one while the
 // confirmation is getting old.
-func (c *Core) addFallbacks(now Time, targets map[netip.AddrPort]bool) {
+func (c *Core) addFallbackTargets(now Time, targets map[netip.AddrPort]bool) {
 	if len(c.members.alive) == 0 {
 		return
 	}
 	old := c.FreshFor(now) < c.config.Window/2
-	if old || c.exchanges%randomExchangeEvery == 0 {
+	if old || c.exchangeRounds%randomExchangeRounds == 0 {
 		targets[c.randomMember().Address] = true
 	}
 	if old && len(c.members.roots) > 0 {
@@ -76,11 +76,11 @@
 
 // request sends one exchange request. The time noted is that of the caller's
 // reading, which is no later than the sending.
-func (c *Core) request(now Time, to netip.AddrPort) {
+func (c *Core) sendRequest(now Time, to netip.AddrPort) {
 	c.sequence++
 	pending := pendingRequest{sentAt: now}
-	if c.holdsSlot() {
-		pending.claimed = c.self.Incarnation
+	if c.isVoter() {
+		pending.claimedIncarnation = c.self.Incarnation
 	}
 	c.requests[c.sequence] = pending
 	c.send(to, Packet{Request: &ExchangeRequest{
@@ -88,8 +88,8 @@
 		Name:        c.self.Name,
 		Incarnation: c.self.Incarnation,
 		Revision:    c.log.revision(),
-		Claim:       pending.claimed != 0,
-		Known:       c.knownClaims(),
+		Claim:       pending.claimedIncarnation != 0,
+		Known:       c.hashClaims(),
 	}})
 }
 
@@ -102,18 +102,18 @@
 }
 
 // answer responds to a request.
-func (c *Core) answer(now Time, from netip.AddrPort, request *ExchangeRequest) {
+func (c *Core) answerRequest(now Time, from netip.AddrPort, request *ExchangeRequest) {
 	if request.Claim {
-		c.takeClaim(now, Claim{Name: request.Name, Incarnation: request.Incarnation})
+		c.recordClaim(now, Claim{Name: request.Name, Incarnation: request.Incarnation})
 	}
-	c.noteRevision(now, request.Name, request.Incarnation, request.Revision)
-	c.want(now, from, request.Revision)
+	c.recordPeerRevision(now, request.Name, request.Incarnation, request.Revision)
+	c.planFetch(now, from, request.Revision)
 	response := &ExchangeResponse{
 		Sequence:    request.Sequence,
 		Name:        c.self.Name,
 		Incarnation: c.self.Incarnation,
 		Revision:    c.log.revision(),
-		Voter:       c.votes(),
+		Voter:       c.canVote(),
 		Claims:      c.claimsFor(request),
 	}
 	if at, ok := c.ConfirmedAt(); ok {
@@ -123,7 +123,7 @@
 }
 
 // learn takes the answer to a request of this process; any other is dropped.
-func (c *Core) learn(now Time, from netip.AddrPort, response *ExchangeResponse) {
+func (c *Core) handleResponse(now Time, from netip.AddrPort, response *ExchangeResponse) {
 	pending, ok := c.requests[response.Sequence]
 	if !ok || response.Name == c.self.Name {
 		return
@@ -131,38 +131,38 @@
 	delete(c.requests, response.Sequence)
 	// Claims come first: what they supersede must not be counted.
 	for _, claim := range response.Claims {
-		c.takeClaim(now, claim)
+		c.recordClaim(now, claim)
 	}
-	c.noteRevision(now, response.Name, response.Incarnation, response.Revision)
-	c.learnFromVoter(now, pending, response)
+	c.recordPeerRevision(now, response.Name, response.Incarnation, response.Revision)
+	c.recordVoterResponse(now, pending, response)
 	if response.Confirmed {
 		at := pending.sentAt - response.Age
-		if c.omit.sendTime {
+		if c.disabled.sendTime {
 			at = now - response.Age
 		}
-		c.takeRelayed(relayedConfirmation{revision: response.Revision, at: at})
+		c.addRelayed(relayedConfirmation{revision: response.Revision, at: at})
 	}
-	c.want(now, from, response.Revision)
+	c.planFetch(now, from, response.Revision)
 	c.reconfirm(now)
 }
 
-func (c *Core) learnFromVoter(now Time, pending pendingRequest, response *ExchangeResponse) {
+func (c *Core) recordVoterResponse(now Time, pending pendingRequest, response *ExchangeResponse) {
 	if _, voter := c.log.catalog.Voters[response.Name]; !voter {
 		return
 	}
-	c.takeClaim(now, Claim{Name: response.Name, Incarnation: response.Incarnation})
-	if !c.current(response.Name, response.Incarnation) {
+	c.recordClaim(now, Claim{Name: response.Name, Incarnation: response.Incarnation})
+	if !c.isCurrentIncarnation(response.Name, response.Incarnation) {
 		return
 	}
-	registered := pending.claimed != 0 && pending.claimed == c.self.Incarnation
+	registered := pending.claimedIncarnation != 0 && pending.claimedIncarnation == c.self.Incarnation
 	if registered {
 		c.takeover.registered[response.Name] = true
 	}
 	sentAt := pending.sentAt
-	if c.omit.sendTime {
+	if c.disabled.sendTime {
 		sentAt = now
 	}
-	c.takeAnswer(response.Name, answer{
+	c.recordAnswer(response.Name, voterAnswer{
 		valid:       true,
 		sentAt:      sentAt,
 		incarnation: response.Incarnation,
@@ -173,16 +173,16 @@
 }
 
 // noteRevision keeps the newest that is known of a member's revision.
-func (c *Core) noteRevision(now Time, name string, incarnation, revision uint64) {
+func (c *Core) recordPeerRevision(now Time, name string, incarnation, revision uint64) {
 	if _, member := c.members.byName[name]; !member {
 		return
 	}
-	known, ok := c.revisions[name]
-	if ok && known.Incarnation > incarnation {
+	previous, ok := c.peerRevisions[name]
+	if ok && previous.Incarnation > incarnation {
 		return
 	}
-	if ok && known.Incarnation == incarnation && known.Revision > revision {
-		revision = known.Revision // an older packet overtaken by a newer one
+	if ok && previous.Incarnation == incarnation && previous.Revision > revision {
+		revision = previous.Revision // an older packet overtaken by a newer one
 	}
-	c.revisions[name] = PeerRevision{Name: name, Incarnation: incarnation, Revision: revision, At: now}
+	c.peerRevisions[name] = PeerRevision{Name: name, Incarnation: incarnation, Revision: revision, At: now}
 }
--- a/internal/selfhosted/dissemination/held_test.go
+++ b/internal/selfhosted/dissemination/held_test.go
@@ -10,34 +10,34 @@
 
 // TestHeldAtCountsVotersOnce has a core with answers of other voters, and asks
 // since when a majority is known to hold a revision.
-func TestHeldAtCountsVotersOnce(t *testing.T) {
+func TestHeldAt(t *testing.T) {
 	const now, early, late = 10 * time.Second, time.Second, 9 * time.Second
-	answered := func(at Time) answer {
-		return answer{valid: true, voter: true, registered: true, incarnation: 1, revision: 3, sentAt: at}
+	answerSentAt := func(at Time) voterAnswer {
+		return voterAnswer{valid: true, voter: true, registered: true, incarnation: 1, revision: 3, sentAt: at}
 	}
-	unregistered := answered(late)
+	unregistered := answerSentAt(late)
 	unregistered.registered = false
-	older := answered(late)
+	older := answerSentAt(late)
 	older.revision = 2
-	predecessor := answered(late)
+	predecessor := answerSentAt(late)
 	predecessor.incarnation = 0
 	cases := []struct {
 		name    string
 		self    string
-		answers map[string]answer
+		answers map[string]voterAnswer
 		at      Time
 		held    bool
 	}{
-		{"one other voter", "a", map[string]answer{"b": answered(late)}, late, true},
+		{"one other voter", "a", map[string]voterAnswer{"b": answerSentAt(late)}, late, true},
 		{"nobody", "a", nil, 0, false},
-		{"asked long ago", "a", map[string]answer{"b": answered(early), "c": answered(early)}, early, true},
-		{"the latest majority counts", "a", map[string]answer{"b": answered(early), "c": answered(late)}, late, true},
-		{"itself does not count twice", "a", map[string]answer{"a": answered(late)}, 0, false},
-		{"an older revision", "a", map[string]answer{"b": older}, 0, false},
-		{"a predecessor of the voter", "a", map[string]answer{"b": predecessor}, 0, false},
-		{"a voter that does not register this process", "a", map[string]answer{"b": unregistered}, 0, false},
-		{"no voter itself, one voter", "d", map[string]answer{"b": answered(late)}, 0, false},
-		{"no voter itself, two voters", "d", map[string]answer{"b": answered(late), "c": answered(early)}, early, true},
+		{"asked long ago", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(early)}, early, true},
+		{"the latest majority counts", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(late)}, late, true},
+		{"itself does not count twice", "a", map[string]voterAnswer{"a": answerSentAt(late)}, 0, false},
+		{"an older revision", "a", map[string]voterAnswer{"b": older}, 0, false},
+		{"a predecessor of the voter", "a", map[string]voterAnswer{"b": predecessor}, 0, false},
+		{"a voter that does not register this process", "a", map[string]voterAnswer{"b": unregistered}, 0, false},
+		{"no voter itself, one voter", "d", map[string]voterAnswer{"b": answerSentAt(late)}, 0, false},
+		{"no voter itself, two voters", "d", map[string]voterAnswer{"b": answerSentAt(late), "c": answerSentAt(early)}, early, true},
 	}
 	for _, test := range cases {
 		core := New(Options{
@@ -48,12 +48,12 @@
 		core.log.catalog = &catalog.Catalog{Revision: 3, Voters: map[string]catalog.Voter{"a": {}, "b": {}, "c": {}}}
 		core.takeover.recovered = true
 		core.voters = core.log.catalog.VoterNames()
-		core.resetSlots()
+		core.resetVoterStates()
 		for _, name := range []string{"a", "b", "c"} {
 			core.claims[name] = 1
 		}
 		for name, got := range test.answers {
-			if s := core.slots[name]; s != nil {
+			if s := core.voterStates[name]; s != nil {
 				s.latest = got
 			}
 		}
--- a/internal/selfhosted/dissemination/log.go
+++ b/internal/selfhosted/dissemination/log.go
@@ -11,19 +11,19 @@
 	catalog *catalog.Catalog
 	// tail holds the last changes in order; its last one is the catalog's
 	// revision unless it is empty.
-	tail   []catalog.Change
-	length int
+	tail       []catalog.Change
+	tailLength int
 	// checkpoint is the catalog at the last multiple of interval that append
 	// passed; its taker sets it to nil.
-	checkpoint *catalog.Catalog
-	interval   uint64
+	checkpoint         *catalog.Catalog
+	checkpointInterval uint64
 	// broken is set when a change that the log contains cannot be applied:
 	// this process does not understand it and must not serve.
 	broken error
 }
 
 func newChangeLog(length int, interval uint64) changeLog {
-	return changeLog{catalog: catalog.Empty(), length: length, interval: interval}
+	return changeLog{catalog: catalog.Empty(), tailLength: length, checkpointInterval: interval}
 }
 
 func (l *changeLog) revision() uint64 { return l.catalog.Revision }
@@ -44,8 +44,8 @@
 		}
 		l.broken = nil
 		l.catalog = next
-		l.remember(change)
-		if next.Revision%l.interval == 0 {
+		l.addToTail(change)
+		if next.Revision%l.checkpointInterval == 0 {
 			l.checkpoint = next
 		}
 		first, last = min(first, i), i+1
@@ -56,15 +56,15 @@
 	return changes[first:last]
 }
 
-func (l *changeLog) remember(change catalog.Change) {
-	if len(l.tail) >= 2*l.length {
-		l.tail = slices.Clone(l.tail[len(l.tail)-l.length+1:])
+func (l *changeLog) addToTail(change catalog.Change) {
+	if len(l.tail) >= 2*l.tailLength {
+		l.tail = slices.Clone(l.tail[len(l.tail)-l.tailLength+1:])
 	}
 	l.tail = append(l.tail, change)
 }
 
 // replace installs a whole catalog if its revision is higher.
-func (l *changeLog) replace(checkpoint *catalog.Catalog) bool {
+func (l *changeLog) installCheckpoint(checkpoint *catalog.Catalog) bool {
 	if checkpoint == nil || checkpoint.Revision <= l.revision() {
 		return false
 	}
@@ -75,7 +75,7 @@
 }
 
 // after returns the changes that follow a revision; false if they are not kept.
-func (l *changeLog) after(revision uint64) ([]catalog.Change, bool) {
+func (l *changeLog) changesAfter(revision uint64) ([]catalog.Change, bool) {
 	missing := l.revision() - min(revision, l.revision())
 	if missing > uint64(len(l.tail)) {
 		return nil, false
@@ -84,7 +84,7 @@
 }
 
 // idAt returns the id of the change at a revision, if it is remembered.
-func (l *changeLog) idAt(revision uint64) (string, bool) {
+func (l *changeLog) changeIDAt(revision uint64) (string, bool) {
 	recent := l.catalog.Recent
 	behind := l.revision() - revision
 	if revision > l.revision() || behind >= uint64(len(recent)) {
--- a/internal/selfhosted/dissemination/members.go
+++ b/internal/selfhosted/dissemination/members.go
@@ -10,21 +10,21 @@
 // memberIndex orders the members for the choice of watchers and relays. It is
 // rebuilt only when the list changes.
 type memberIndex struct {
-	list   []Member
-	byName map[string]Member
+	members []Member
+	byName  map[string]Member
 	// alive lists the other members that are alive, ordered by name.
 	alive []Member
 	// zone lists the alive members of the own zone in the order of a hash, this
 	// node included, at position.
-	zone     []Member
-	position int
+	zoneMembers []Member
+	position    int
 	// roots lists the first members, in the same order, of each other zone.
 	roots []Member
 }
 
 // rebuild takes a new list; the index keeps it.
 func (x *memberIndex) rebuild(self Member, list []Member, rootsPerZone int) {
-	x.list = list
+	x.members = list
 	x.byName = make(map[string]Member, len(list)+1)
 	x.alive = x.alive[:0]
 	zones := map[string][]Member{}
@@ -39,16 +39,16 @@
 		}
 	}
 	slices.SortFunc(x.alive, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	x.zone = append(zones[self.Zone], self)
-	sortByRank(x.zone)
-	x.position = slices.IndexFunc(x.zone, func(m Member) bool { return m.Name == self.Name })
+	x.zoneMembers = append(zones[self.Zone], self)
+	sortByRank(x.zoneMembers)
+	x.position = slices.IndexFunc(x.zoneMembers, func(m Member) bool { return m.Name == self.Name })
 	x.rebuildRoots(self.Zone, zones, rootsPerZone)
 }
 
-func (x *memberIndex) rebuildRoots(own string, zones map[string][]Member, rootsPerZone int) {
+func (x *memberIndex) rebuildRoots(ownZone string, zones map[string][]Member, rootsPerZone int) {
 	x.roots = x.roots[:0]
 	for zone, members := range zones {
-		if zone == own {
+		if zone == ownZone {
 			continue
 		}
 		sortByRank(members)
@@ -74,11 +74,11 @@
 	if x.position < roots {
 		return nil
 	}
-	first := (x.position - roots) / fanout
-	second := first ^ 1
-	chosen := []Member{x.zone[first]}
-	if second < x.position {
-		chosen = append(chosen, x.zone[second])
+	firstIndex := (x.position - roots) / fanout
+	secondIndex := firstIndex ^ 1
+	parents := []Member{x.zoneMembers[firstIndex]}
+	if secondIndex < x.position {
+		parents = append(parents, x.zoneMembers[secondIndex])
 	}
-	return chosen
+	return parents
 }
--- a/internal/selfhosted/dissemination/metrics.go
+++ b/internal/selfhosted/dissemination/metrics.go
@@ -25,13 +25,13 @@
 	gauge("fresh_seconds", "Time for which this node may serve on without another confirmation; zero or less if it may not.",
 		func() float64 { return s.FreshFor().Seconds() })
 	gauge("voter_recovered", "Whether this node is a voter whose answers count (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.Recovered() }))
+		s.boolGauge(func(c *Core) bool { return c.Recovered() }))
 	gauge("superseded", "Whether a newer process has taken over this node's voter slot (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.Superseded() }))
+		s.boolGauge(func(c *Core) bool { return c.Superseded() }))
 	gauge("store_diverged", "Whether the store lacks a change that this node holds (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.StoreDiverged() }))
+		s.boolGauge(func(c *Core) bool { return c.StoreDiverged() }))
 	gauge("log_broken", "Whether the next change of the log cannot be applied by this process (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.Broken() != nil }))
+		s.boolGauge(func(c *Core) bool { return c.Broken() != nil }))
 	return &metrics{
 		packets:   factory.Counters(namespace+"packets_total", "Packets, by kind and direction.", "kind", "direction"),
 		bytes:     factory.Counters(namespace+"bytes_total", "Payload bytes of packets, by direction.", "direction"),
@@ -41,7 +41,7 @@
 	}
 }
 
-func (s *Service) flag(read func(*Core) bool) func() float64 {
+func (s *Service) boolGauge(read func(*Core) bool) func() float64 {
 	return func() float64 {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-func kindOf(packet Packet) string {
+func packetKind(packet Packet) string {
 	switch {
 	case packet.Request != nil:
 		return "request"
@@ -74,7 +74,7 @@
 }
 
 // logChanges writes a line for each change of state. The mutex is held.
-func (s *Service) logChanges() {
+func (s *Service) logStateChanges() {
 	now := logState{
 		fresh:      s.core.Fresh(s.clock.Now()),
 		recovered:  s.core.Recovered(),
@@ -82,8 +82,8 @@
 		diverged:   s.core.StoreDiverged(),
 		broken:     s.core.Broken() != nil,
 	}
-	before := s.state
-	s.state = now
+	before := s.loggedState
+	s.loggedState = now
 	if now == before {
 		return
 	}
--- a/internal/selfhosted/dissemination/proof_test.go
+++ b/internal/selfhosted/dissemination/proof_test.go
@@ -19,15 +19,15 @@
 
 // TestFreshnessIsKept checks that the fence does not stop service where it need
 // not: in an outage of the store, and while voters are replaced one by one.
-func TestFreshnessIsKept(t *testing.T) {
+func TestNodesStayFreshDuringOutageAndReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		w := newWorld(seed, 5, seed%2 == 1)
-		w.begin(fault{kind: "outage", duration: 50 * time.Second})
-		w.begin(fault{kind: "replace all voters in turn", duration: 40 * time.Second})
-		w.asked, w.fresh = 0, 0
+		w.startFault(fault{kind: "outage", duration: 50 * time.Second})
+		w.startFault(fault{kind: "replace all voters in turn", duration: 40 * time.Second})
+		w.freshnessChecks, w.freshnessPassed = 0, 0
 		w.run(w.now + 50*time.Second)
-		if share := float64(w.fresh) / float64(w.asked); len(w.violations) > 0 || share < 0.9 {
+		if share := float64(w.freshnessPassed) / float64(w.freshnessChecks); len(w.violations) > 0 || share < 0.9 {
 			t.Fatalf("seed %d: fresh in %.3f of the checks, violations %v", seed, share, w.violations)
 		}
 	}
--- a/internal/selfhosted/dissemination/properties_test.go
+++ b/internal/selfhosted/dissemination/properties_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestLogGrowsOnlyInOrder installs changes and checkpoints in any order.
-func TestLogGrowsOnlyInOrder(t *testing.T) {
+func TestChangeLogInstallsOnlyHigherRevisions(t *testing.T) {
 	t.Parallel()
 	reference := []*catalog.Catalog{catalog.Empty()}
 	var changes []catalog.Change
@@ -32,7 +32,7 @@
 			from := rapid.IntRange(0, 39).Draw(t, "from")
 			to := rapid.IntRange(from, 40).Draw(t, "to")
 			if rapid.Bool().Draw(t, "checkpoint") {
-				log.replace(reference[to])
+				log.installCheckpoint(reference[to])
 			} else {
 				log.append(changes[from:to])
 			}
@@ -40,7 +40,7 @@
 				t.Fatalf("at revision %d after %d", log.revision(), before)
 			}
 			asked := uint64(rapid.IntRange(0, 40).Draw(t, "asked"))
-			if tail, ok := log.after(asked); ok && len(tail) > 0 && tail[0].Revision != asked+1 {
+			if tail, ok := log.changesAfter(asked); ok && len(tail) > 0 && tail[0].Revision != asked+1 {
 				t.Fatalf("after %d comes %d", asked, tail[0].Revision)
 			}
 		}
@@ -49,7 +49,7 @@
 
 // TestRelayTree checks that each member of a zone takes confirmations from
 // members nearer to the roots, and that none has too many children.
-func TestRelayTree(t *testing.T) {
+func TestRelayTreeParents(t *testing.T) {
 	t.Parallel()
 	const roots, fanout = 2, 8
 	rapid.Check(t, func(t *rapid.T) {
@@ -69,7 +69,7 @@
 			}
 			for _, parent := range parents {
 				children[parent.Name]++
-				for position, member := range index.zone {
+				for position, member := range index.zoneMembers {
 					if member.Name == parent.Name && position >= index.position {
 						t.Fatalf("the parent of %d is at %d", index.position, position)
 					}
@@ -84,7 +84,7 @@
 	})
 }
 
-func TestPacketsRoundTrip(t *testing.T) {
+func TestPacketEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		revision := rapid.Uint64Range(1, 1<<40).Draw(t, "revision")
 		name := rapid.StringN(1, 20, 40).Draw(t, "name")
--- a/internal/selfhosted/dissemination/proposal.go
+++ b/internal/selfhosted/dissemination/proposal.go
@@ -24,7 +24,7 @@
 	// DryRun asks only whether the change would be valid now.
 	DryRun bool
 	// Settle asks for the fate of the change ChangeID; Command is ignored.
-	Settle bool
+	ResolveFate bool
 	// At is the time of day, for the log and the id.
 	At time.Time
 	// Deadline is when the proposal ends with what is known then.
@@ -43,13 +43,13 @@
 	// stagePrepare validates the change against the catalog.
 	stagePrepare stage = iota
 	// stageGuard waits until the voters confirm what a voter change builds on.
-	stageGuard
+	stageAwaitPredecessor
 	// stageCreate writes the change.
 	stageCreate
 	// stageConfirm waits until a majority of the voters hold the change.
-	stageConfirm
+	stageAccept
 	// stageSpread waits until all members hold the change.
-	stageSpread
+	stagePropagate
 )
 
 // refreshTimeout bounds the wait for a current view before a change is refused
@@ -71,14 +71,14 @@
 	failures   int
 	// uncertain says that a create of change may have taken effect or may
 	// still do so.
-	uncertain  bool
-	stored     bool
-	lastErr    error
-	acceptance acceptance
-	acceptedAt Time
-	nextPoll   Time
-	nextCheck  Time
-	result     *Result
+	uncertain       bool
+	stored          bool
+	lastErr         error
+	acceptance      acceptance
+	acceptedAt      Time
+	nextPoll        Time
+	nextMemberCheck Time
+	result          *Result
 }
 
 // Propose begins a proposal. Its end is one of Ready's Results.
@@ -86,33 +86,33 @@
 	c.lastProposal++
 	p := &proposal{id: c.lastProposal, request: request, startedAt: now}
 	c.proposals = append(c.proposals, p)
-	if request.Settle {
+	if request.ResolveFate {
 		p.change.ID = request.ChangeID
 	} else {
-		p.token = tokenOf(request.ChangeID)
+		p.token = tokenFromID(request.ChangeID)
 		if p.token == "" {
 			p.token = c.newToken(request.At)
 		}
 	}
-	c.driveProposals(now)
+	c.advanceProposals(now)
 	return p.id
 }
 
 // driveProposals advances all proposals by what is known now. Only the oldest
 // one that is not stored writes, so that a node does not race with itself.
-func (c *Core) driveProposals(now Time) {
+func (c *Core) advanceProposals(now Time) {
 	if len(c.proposals) == 0 {
 		return
 	}
 	writing := false
 	for _, p := range c.proposals {
-		waits := writing && !p.stored && !p.request.Settle
-		writing = writing || (!p.stored && !p.request.Settle)
-		if !waits {
-			c.drive(now, p)
+		blocked := writing && !p.stored && !p.request.ResolveFate
+		writing = writing || (!p.stored && !p.request.ResolveFate)
+		if !blocked {
+			c.advanceProposal(now, p)
 		}
 		if p.result == nil && now >= p.request.Deadline {
-			c.expire(p)
+			c.finishAtDeadline(p)
 		}
 		if p.result != nil {
 			c.ready.Results = append(c.ready.Results, ProposalResult{ID: p.id, Result: *p.result})
@@ -128,26 +128,26 @@
 			p.request.Deadline = now
 		}
 	}
-	c.driveProposals(now)
+	c.advanceProposals(now)
 }
 
 // drive runs the stages until one has to wait.
-func (c *Core) drive(now Time, p *proposal) {
+func (c *Core) advanceProposal(now Time, p *proposal) {
 	for before := stage(0xff); p.result == nil && before != p.stage; {
 		before = p.stage
 		switch p.stage {
 		case stagePrepare:
 			c.prepare(now, p)
-		case stageGuard:
-			c.guard(now, p)
+		case stageAwaitPredecessor:
+			c.awaitPredecessor(now, p)
 		case stageCreate:
 			c.create(now, p)
-		case stageConfirm:
+		case stageAccept:
 			if c.pollAcceptance(now, &p.acceptance) {
-				p.stage, p.acceptedAt = stageSpread, now
+				p.stage, p.acceptedAt = stagePropagate, now
 			}
-		case stageSpread:
-			c.spread(now, p)
+		case stagePropagate:
+			c.awaitPropagation(now, p)
 		}
 	}
 }
@@ -155,37 +155,37 @@
 // refreshed says whether the catalog is known to have been current at some
 // time since the proposal began; if not, it sees to a read of the store. After
 // refreshTimeout it says yes, since waiting on is of no use.
-func (c *Core) refreshed(now Time, p *proposal) bool {
+func (c *Core) ensureRefreshed(now Time, p *proposal) bool {
 	at, confirmed := c.ConfirmedAt()
-	if (confirmed && at >= p.startedAt) || (c.store.answered && c.store.answeredAt >= p.startedAt) {
+	if (confirmed && at >= p.startedAt) || (c.store.current && c.store.currentAt >= p.startedAt) {
 		return true
 	}
 	if now-p.startedAt >= refreshTimeout || now >= p.request.Deadline {
 		return true
 	}
-	if !c.store.everRead || now-c.store.lastRead >= c.config.RetryInterval {
+	if !c.store.hasRead || now-c.store.lastReadAt >= c.config.RetryInterval {
 		c.readStore(now)
 	}
 	return false
 }
 
 // expire ends a proposal at its deadline with what is known.
-func (c *Core) expire(p *proposal) {
+func (c *Core) finishAtDeadline(p *proposal) {
 	switch {
-	case p.stage == stageSpread:
+	case p.stage == stagePropagate:
 		c.finish(p, FateAccepted, "not all members have confirmed it yet")
 	case p.stored:
 		c.finish(p, FateUnknown, "the store has it for good, but a majority of the voters have not confirmed it yet")
 	case p.uncertain || p.operation != 0:
-		c.finish(p, FateUnknown, "the store has not said whether it took the change"+reason(p))
-	case p.request.Settle:
+		c.finish(p, FateUnknown, "the store has not said whether it took the change"+lastErrorSuffix(p))
+	case p.request.ResolveFate:
 		c.finish(p, FateUnknown, "the store could not be asked")
 	default:
-		c.finish(p, FateNotAccepted, "it was not written in time"+reason(p))
+		c.finish(p, FateNotAccepted, "it was not written in time"+lastErrorSuffix(p))
 	}
 }
 
-func reason(p *proposal) string {
+func lastErrorSuffix(p *proposal) string {
 	if p.lastErr == nil {
 		return ""
 	}
@@ -197,7 +197,7 @@
 	if p.stored {
 		result.Revision = p.change.Revision
 		var missing []Member
-		result.InForceOn, missing = c.holding(p.change.Revision)
+		result.InForceOn, missing = c.membersHolding(p.change.Revision)
 		result.Members = len(c.members.alive) + 1
 		for _, member := range missing {
 			result.Missing = append(result.Missing, member.Name)
--- a/internal/selfhosted/dissemination/push.go
+++ b/internal/selfhosted/dissemination/push.go
@@ -8,16 +8,16 @@
 
 // maximumPushed is the number of changes above which a push only names the
 // revision.
-const maximumPushed = 16
+const maxPushedChanges = 16
 
 // takePush installs pushed changes and pushes the new ones to other members.
-func (c *Core) takePush(now Time, from netip.AddrPort, push *Push) {
+func (c *Core) handlePush(now Time, from netip.AddrPort, push *Push) {
 	installed := c.log.append(push.Changes)
 	if len(installed) > 0 {
-		c.installed(now)
+		c.handleInstalled(now)
 		c.pushToRandom(installed)
 	}
-	c.want(now, from, push.Revision)
+	c.planFetch(now, from, push.Revision)
 }
 
 // pushToRandom pushes changes that are new here to a few random members.
@@ -29,7 +29,7 @@
 }
 
 func (c *Core) push(to netip.AddrPort, changes []catalog.Change) {
-	if len(changes) > maximumPushed {
+	if len(changes) > maxPushedChanges {
 		changes = nil
 	}
 	c.send(to, Packet{Push: &Push{Name: c.self.Name, Revision: c.log.revision(), Changes: changes}})
@@ -37,7 +37,7 @@
 
 // maximumPushedTo is up to how many members the proposer pushes a change to
 // itself; beyond it the change spreads from member to member.
-const maximumPushedTo = 64
+const maxDirectPush = 64
 
 func (c *Core) pushToVoters(changes []catalog.Change) {
 	for _, name := range c.voters {
--- a/internal/selfhosted/dissemination/schedule_test.go
+++ b/internal/selfhosted/dissemination/schedule_test.go
@@ -25,31 +25,31 @@
 
 // schedule is what a simulated run is made from.
 type schedule struct {
-	seed   uint64
-	voters int
-	relays bool
-	faults []fault
-	omit   omissions
+	seed     uint64
+	voters   int
+	relays   bool
+	faults   []fault
+	disabled disabledMechanisms
 }
 
 const (
-	settleTime = 15 * time.Second
-	faultTime  = 60 * time.Second
-	healTime   = 40 * time.Second
-	nodeCount  = 7
+	setupTime = 15 * time.Second
+	faultTime = 60 * time.Second
+	healTime  = 40 * time.Second
+	nodeCount = 7
 )
 
 // runSchedule runs a schedule and returns the world, with what it violated.
-func runSchedule(s schedule) *world {
+func runSchedule(s schedule) *simulation {
 	w := newWorld(s.seed, s.voters, s.relays)
-	w.leaveOut(s.omit)
+	w.disable(s.disabled)
 	for _, f := range s.faults {
-		w.at(settleTime+f.at, func() { w.begin(f) })
+		w.at(setupTime+f.at, func() { w.startFault(f) })
 	}
-	for at := settleTime; at < settleTime+faultTime; at += w.between(200*time.Millisecond, 3*time.Second) {
+	for at := setupTime; at < setupTime+faultTime; at += w.randomTime(200*time.Millisecond, 3*time.Second) {
 		w.at(at, w.proposeRandom)
 	}
-	w.run(settleTime + faultTime)
+	w.run(setupTime + faultTime)
 	w.heal()
 	w.run(w.now + healTime)
 	w.checkEnd()
@@ -57,16 +57,16 @@
 }
 
 // leaveOut switches mechanisms off, also for processes to come.
-func (w *world) leaveOut(omit omissions) {
-	w.omit = omit
+func (w *simulation) disable(omit disabledMechanisms) {
+	w.disabled = omit
 	for _, p := range w.processes {
-		p.core.omit = omit
+		p.core.disabled = omit
 	}
 }
 
 // newWorld returns a world with nodes and voters that have settled.
-func newWorld(seed uint64, voters int, relays bool) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 2)), config: DefaultConfig()}
+func newWorld(seed uint64, voters int, relays bool) *simulation {
+	w := &simulation{random: rand.New(rand.NewPCG(seed, 2)), config: DefaultConfig()}
 	w.config.TailLength, w.config.ReadLimit = 4, 3
 	w.config.CheckpointInterval, w.config.RetainedInStore = 8, 60
 	if relays {
@@ -77,9 +77,9 @@
 	}
 	w.run(2 * time.Second)
 	for index := range voters {
-		w.propose(w.newest(nodeName(0)), addVoterProposal(nodeName(index)), 30*time.Second)
+		w.propose(w.newestProcess(nodeName(0)), addVoterProposal(nodeName(index)), 30*time.Second)
 	}
-	w.run(settleTime)
+	w.run(setupTime)
 	return w
 }
 
@@ -94,7 +94,7 @@
 func nodeName(index int) string { return fmt.Sprintf("n%d", index) }
 
 // newest returns the last process of a name.
-func (w *world) newest(name string) *process {
+func (w *simulation) newestProcess(name string) *process {
 	for _, p := range slices.Backward(w.processes) {
 		if p.member.Name == name {
 			return p
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (w *world) voterNames() []string {
+func (w *simulation) voterNames() []string {
 	current := catalog.Empty()
 	for _, change := range w.store.changes {
 		current, _ = catalog.Apply(current, change)
@@ -113,30 +113,30 @@
 
 // replace starts another process of a name. Now and then its clock is behind
 // that of its predecessor.
-func (w *world) replace(name string, stopOld bool, gap Time) {
-	old := w.newest(name)
+func (w *simulation) replace(name string, stopOld bool, gap Time) {
+	old := w.newestProcess(name)
 	if stopOld {
 		old.dead = true
 	}
 	incarnation := old.core.Incarnation() + w.random.Uint64N(1000) + 1
-	if w.chance(0.1) {
+	if w.randomBool(0.1) {
 		incarnation = old.core.Incarnation() / 2
 	}
 	w.after(gap, func() { w.spawn(name, old.member.Zone, incarnation, w.random.IntN(2)) })
 }
 
-func (w *world) begin(f fault) {
+func (w *simulation) startFault(f fault) {
 	end := func(run func()) { w.after(f.duration, run) }
 	switch f.kind {
 	case "outage":
 		w.store.down = true
 		end(func() { w.store.down = false })
 	case "slow store":
-		w.store.slow = 2 * time.Second
-		end(func() { w.store.slow = 0 })
+		w.store.maxDelay = 2 * time.Second
+		end(func() { w.store.maxDelay = 0 })
 	case "lost replies":
-		w.store.loseReplies = 0.5
-		end(func() { w.store.loseReplies = 0 })
+		w.store.replyLoss = 0.5
+		end(func() { w.store.replyLoss = 0 })
 	case "stale watch":
 		w.store.watchLag = 30 * time.Second
 		end(func() { w.store.watchLag = 0 })
@@ -144,19 +144,19 @@
 		w.loss = 0.3
 		end(func() { w.loss = 0 })
 	case "cut":
-		w.cut, w.store.side = true, w.random.IntN(2)
+		w.partitioned, w.store.side = true, w.random.IntN(2)
 		for _, p := range w.processes {
 			p.side = w.random.IntN(2)
 		}
-		end(func() { w.cut = false })
+		end(func() { w.partitioned = false })
 	case "freeze":
-		p := w.newest(nodeName(f.target))
+		p := w.newestProcess(nodeName(f.target))
 		p.frozenUntil = max(p.frozenUntil, w.now+f.duration)
 	case "burst":
 		for index := range 80 {
 			name := fmt.Sprintf("burst%d-%d", w.now, index)
 			w.after(Time(index)*200*time.Millisecond, func() {
-				w.propose(w.newest(nodeName(f.target)), serviceProposal(name), 3*time.Second)
+				w.propose(w.newestProcess(nodeName(f.target)), serviceProposal(name), 3*time.Second)
 			})
 		}
 	case "replace":
@@ -165,66 +165,66 @@
 		w.replace(nodeName(f.target), false, 0)
 	case "replace all voters in turn":
 		for index, name := range w.voterNames() {
-			w.after(Time(index)*f.duration/4, func() { w.replace(name, true, w.between(0, time.Second)) })
+			w.after(Time(index)*f.duration/4, func() { w.replace(name, true, w.randomTime(0, time.Second)) })
 		}
 	case "forget a majority":
 		names := w.voterNames()
 		for _, name := range names[:majority(len(names))] {
-			w.replace(name, true, w.between(0, time.Second))
+			w.replace(name, true, w.randomTime(0, time.Second))
 		}
 	case "forget all":
 		for index := range nodeCount {
-			w.replace(nodeName(index), true, w.between(0, time.Second))
+			w.replace(nodeName(index), true, w.randomTime(0, time.Second))
 		}
 	}
 }
 
-func (w *world) heal() {
-	w.cut, w.loss = false, 0
-	w.store.down, w.store.slow, w.store.loseReplies, w.store.watchLag = false, 0, 0, 0
+func (w *simulation) heal() {
+	w.partitioned, w.loss = false, 0
+	w.store.down, w.store.maxDelay, w.store.replyLoss, w.store.watchLag = false, 0, 0, 0
 	for _, p := range w.processes {
 		p.frozenUntil = min(p.frozenUntil, w.now)
 	}
 }
 
 // propose lets an operator ask a process; the result is taken when it comes.
-func (w *world) propose(p *process, request Proposal, timeout Time) *operation {
+func (w *simulation) propose(p *process, request Proposal, timeout Time) *operation {
 	op := &operation{client: len(w.operations), process: p, request: request, call: w.now}
-	if !request.Settle && request.ChangeID == "" {
+	if !request.ResolveFate && request.ChangeID == "" {
 		op.request.ChangeID = fmt.Sprintf("T%d", op.client)
 	}
 	w.operations = append(w.operations, op)
-	p.do(func() {
-		begun := op.request
-		begun.Deadline = p.local() + timeout
-		p.pending[p.core.Propose(p.local(), begun)] = op
+	p.runStep(func() {
+		request := op.request
+		request.Deadline = p.localTime() + timeout
+		p.pending[p.core.Propose(p.localTime(), request)] = op
 	})
 	return op
 }
 
 // proposeRandom is what an operator does at a time: mostly one change, now and then
 // two racing ones.
-func (w *world) proposeRandom() {
+func (w *simulation) proposeRandom() {
 	for range 1 + w.random.IntN(2) {
 		p := w.processes[w.random.IntN(len(w.processes))]
 		if p.dead {
 			continue
 		}
-		request := Proposal{Command: w.command(p), DryRun: w.chance(0.05)}
-		if w.chance(0.3) {
+		request := Proposal{Command: w.randomCommand(p), DryRun: w.randomBool(0.05)}
+		if w.randomBool(0.3) {
 			revision := p.core.Revision()
 			request.IfRevision = &revision
 		}
-		w.propose(p, request, w.between(time.Second, 12*time.Second))
+		w.propose(p, request, w.randomTime(time.Second, 12*time.Second))
 	}
 }
 
-func (w *world) command(p *process) catalog.Command {
+func (w *simulation) randomCommand(p *process) catalog.Command {
 	name := nodeName(w.random.IntN(nodeCount))
 	switch {
-	case w.chance(0.08):
+	case w.randomBool(0.08):
 		return addVoterProposal(name).Command
-	case w.chance(0.08) && len(p.core.Catalog().Voters) > 2:
+	case w.randomBool(0.08) && len(p.core.Catalog().Voters) > 2:
 		return catalog.Command{RemoveVoter: &catalog.RemoveVoter{Name: name}}
 	}
 	return serviceProposal(fmt.Sprintf("s%d", len(w.operations))).Command
--- a/internal/selfhosted/dissemination/service.go
+++ b/internal/selfhosted/dissemination/service.go
@@ -61,18 +61,18 @@
 	// freshUntil is the clock reading up to which the node may serve.
 	freshUntil atomic.Int64
 
-	mutex       sync.Mutex
-	core        *Core
-	waiting     map[ProposalID]chan Result
-	subscribers map[int]chan *catalog.Catalog
-	lastID      int
-	state       logState
-	watching    context.CancelFunc
-	closed      bool
-
-	life    context.Context
-	stop    context.CancelFunc
-	running sync.WaitGroup
+	mutex            sync.Mutex
+	core             *Core
+	pendingResults   map[ProposalID]chan Result
+	subscribers      map[int]chan *catalog.Catalog
+	lastSubscriberID int
+	loggedState      logState
+	cancelWatch      context.CancelFunc
+	closed           bool
+
+	ctx     context.Context
+	cancel  context.CancelFunc
+	workers sync.WaitGroup
 }
 
 // NewService returns a service that is not started. It holds the empty catalog
@@ -100,10 +100,10 @@
 			Self:   options.Self,
 			Random: rand.New(rand.NewPCG(options.Seed, options.Self.Incarnation)),
 		}),
-		waiting:     map[ProposalID]chan Result{},
-		subscribers: map[int]chan *catalog.Catalog{},
-		life:        life,
-		stop:        stop,
+		pendingResults: map[ProposalID]chan Result{},
+		subscribers:    map[int]chan *catalog.Catalog{},
+		ctx:            life,
+		cancel:         stop,
 	}
 	s.current.Store(s.core.Catalog())
 	s.freshUntil.Store(math.MinInt64)
@@ -114,19 +114,19 @@
 // Start begins to exchange and to read the store. It does not block.
 func (s *Service) Start() {
 	s.setMembers()
-	s.running.Add(1)
+	s.workers.Add(1)
 	go s.run()
 }
 
 func (s *Service) run() {
-	defer s.running.Done()
+	defer s.workers.Done()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	lastMembers := s.clock.Now()
-	s.do(func(now Time) { s.core.Tick(now) })
+	s.step(func(now Time) { s.core.Tick(now) })
 	for {
 		select {
-		case <-s.life.Done():
+		case <-s.ctx.Done():
 			return
 		case <-ticker.C:
 		}
@@ -134,20 +134,20 @@
 			lastMembers = s.clock.Now()
 			s.setMembers()
 		}
-		s.do(func(now Time) { s.core.Tick(now) })
+		s.step(func(now Time) { s.core.Tick(now) })
 	}
 }
 
 func (s *Service) setMembers() {
 	members := s.options.Members()
-	s.do(func(Time) { s.core.SetMembers(members) })
+	s.step(func(Time) { s.core.SetMembers(members) })
 }
 
 // Close stops the service. Proposals under way end with what is known. It
 // blocks until nothing runs any more; a second call does nothing.
 func (s *Service) Close() {
-	s.do(func(now Time) {
-		for id := range s.waiting {
+	s.step(func(now Time) {
+		for id := range s.pendingResults {
 			s.core.Expire(now, id)
 		}
 	})
@@ -163,13 +163,13 @@
 		delete(s.subscribers, id)
 	}
 	s.mutex.Unlock()
-	s.stop()
-	s.running.Wait()
+	s.cancel()
+	s.workers.Wait()
 }
 
 // do runs one step of the core and carries out what it asks for. The clock is
 // read after the event that the step reports.
-func (s *Service) do(step func(now Time)) {
+func (s *Service) step(step func(now Time)) {
 	s.mutex.Lock()
 	if s.closed {
 		s.mutex.Unlock()
@@ -188,7 +188,7 @@
 	if ready.Catalog != nil {
 		s.current.Store(ready.Catalog)
 		for _, subscriber := range s.subscribers {
-			offer(subscriber, ready.Catalog)
+			deliverLatest(subscriber, ready.Catalog)
 		}
 	}
 	// The catalog is visible before the freshness that it may bring.
@@ -197,13 +197,13 @@
 		until = int64(at + s.options.Config.Window)
 	}
 	s.freshUntil.Store(until)
-	s.logChanges()
+	s.logStateChanges()
 	for _, result := range ready.Results {
 		s.metrics.proposals.WithLabelValues(string(result.Result.Fate)).Inc()
-		if waiting := s.waiting[result.ID]; waiting != nil {
+		if waiting := s.pendingResults[result.ID]; waiting != nil {
 			waiting <- result.Result
-			delete(s.waiting, result.ID)
+			delete(s.pendingResults, result.ID)
 		}
 	}
-	s.startWork(ready)
+	s.startCalls(ready)
 }
--- a/internal/selfhosted/dissemination/service_packets.go
+++ b/internal/selfhosted/dissemination/service_packets.go
@@ -12,10 +12,10 @@
 			err = s.options.Transport.Send(outgoing.To, payload)
 		}
 		if err != nil {
-			s.metrics.packets.WithLabelValues(kindOf(outgoing.Packet), "failed").Inc()
+			s.metrics.packets.WithLabelValues(packetKind(outgoing.Packet), "failed").Inc()
 			continue
 		}
-		s.metrics.packets.WithLabelValues(kindOf(outgoing.Packet), "sent").Inc()
+		s.metrics.packets.WithLabelValues(packetKind(outgoing.Packet), "sent").Inc()
 		s.metrics.bytes.WithLabelValues("sent").Add(float64(len(payload)))
 	}
 }
@@ -27,9 +27,9 @@
 		s.metrics.packets.WithLabelValues("malformed", "received").Inc()
 		return
 	}
-	s.metrics.packets.WithLabelValues(kindOf(packet), "received").Inc()
+	s.metrics.packets.WithLabelValues(packetKind(packet), "received").Inc()
 	s.metrics.bytes.WithLabelValues("received").Add(float64(len(payload)))
-	s.do(func(now Time) { s.core.Step(now, from, packet) })
+	s.step(func(now Time) { s.core.Step(now, from, packet) })
 }
 
 // ServeFetch answers a peer's fetch.
@@ -43,6 +43,6 @@
 // Hint reports that a member announced a revision elsewhere, as in a heartbeat.
 func (s *Service) Hint(from netip.AddrPort, revision uint64) {
 	if revision > s.Current().Revision {
-		s.do(func(now Time) { s.core.Hint(now, from, revision) })
+		s.step(func(now Time) { s.core.Hint(now, from, revision) })
 	}
 }
--- a/internal/selfhosted/dissemination/service_propose.go
+++ b/internal/selfhosted/dissemination/service_propose.go
@@ -26,7 +26,7 @@
 // is a Result with FateNotAccepted and Refusal, not an error. The error is
 // ErrClosed.
 func (s *Service) Propose(ctx context.Context, command catalog.Command, options ProposeOptions) (Result, error) {
-	return s.await(ctx, Proposal{
+	return s.runProposal(ctx, Proposal{
 		Command:    command,
 		IfRevision: options.IfRevision,
 		Operator:   options.Operator,
@@ -38,10 +38,10 @@
 // Fate finds out what became of a change. It waits, as Propose does, while the
 // change is stored but not yet in force.
 func (s *Service) Fate(ctx context.Context, changeID string) (Result, error) {
-	return s.await(ctx, Proposal{ChangeID: changeID, Settle: true})
+	return s.runProposal(ctx, Proposal{ChangeID: changeID, ResolveFate: true})
 }
 
-func (s *Service) await(ctx context.Context, proposal Proposal) (Result, error) {
+func (s *Service) runProposal(ctx context.Context, proposal Proposal) (Result, error) {
 	proposal.At = time.Now()
 	timeout := defaultProposalTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -49,14 +49,14 @@
 	}
 	results := make(chan Result, 1)
 	var id ProposalID
-	begun := false
-	s.do(func(now Time) {
+	started := false
+	s.step(func(now Time) {
 		proposal.Deadline = now + timeout
 		id = s.core.Propose(now, proposal)
-		s.waiting[id] = results
-		begun = true
+		s.pendingResults[id] = results
+		started = true
 	})
-	if !begun {
+	if !started {
 		return Result{Fate: FateNotAccepted, Detail: ErrClosed.Error()}, ErrClosed
 	}
 	select {
@@ -65,6 +65,6 @@
 	case <-ctx.Done():
 	}
 	// Only the core knows whether the change may take effect.
-	s.do(func(now Time) { s.core.Expire(now, id) })
+	s.step(func(now Time) { s.core.Expire(now, id) })
 	return <-results, nil
 }
--- a/internal/selfhosted/dissemination/service_state.go
+++ b/internal/selfhosted/dissemination/service_state.go
@@ -62,8 +62,8 @@
 		return catalogs, func() {}
 	}
 	catalogs <- s.core.Catalog()
-	s.lastID++
-	id := s.lastID
+	s.lastSubscriberID++
+	id := s.lastSubscriberID
 	s.subscribers[id] = catalogs
 	return catalogs, func() { s.unsubscribe(id) }
 }
@@ -78,10 +78,10 @@
 }
 
 // offer replaces what a subscriber has not taken yet by the newest catalog.
-func offer(subscriber chan *catalog.Catalog, newest *catalog.Catalog) {
+func deliverLatest(subscriber chan *catalog.Catalog, latest *catalog.Catalog) {
 	select {
 	case <-subscriber:
 	default:
 	}
-	subscriber <- newest
+	subscriber <- latest
 }
--- a/internal/selfhosted/dissemination/service_work.go
+++ b/internal/selfhosted/dissemination/service_work.go
@@ -18,59 +18,59 @@
 	checkpointTimeout = 20 * time.Second
 	// watchRetry is the time after which a watch that ended is opened again.
 	// Not measured: chosen because a watcher reads the store as often.
-	watchRetry = time.Second
+	watchRetryInterval = time.Second
 )
 
 // startWork starts the calls that a step asked for. The mutex is held.
-func (s *Service) startWork(ready Ready) {
-	for _, operation := range ready.Store {
-		s.running.Add(1)
-		go s.operate(operation)
+func (s *Service) startCalls(ready Ready) {
+	for _, operation := range ready.StoreOperations {
+		s.workers.Add(1)
+		go s.runOperation(operation)
 	}
 	if ready.Fetch != nil {
-		s.running.Add(1)
+		s.workers.Add(1)
 		go s.fetch(*ready.Fetch)
 	}
 	switch {
-	case ready.Watch && s.watching == nil:
-		ctx, cancel := context.WithCancel(s.life)
-		s.watching = cancel
-		s.running.Add(1)
+	case ready.Watch && s.cancelWatch == nil:
+		ctx, cancel := context.WithCancel(s.ctx)
+		s.cancelWatch = cancel
+		s.workers.Add(1)
 		go s.watch(ctx)
-	case !ready.Watch && s.watching != nil:
-		s.watching()
-		s.watching = nil
+	case !ready.Watch && s.cancelWatch != nil:
+		s.cancelWatch()
+		s.cancelWatch = nil
 	}
 }
 
 func (s *Service) fetch(fetch Fetch) {
-	defer s.running.Done()
-	ctx, cancel := context.WithTimeout(s.life, s.options.Config.FetchTimeout)
+	defer s.workers.Done()
+	ctx, cancel := context.WithTimeout(s.ctx, s.options.Config.FetchTimeout)
 	defer cancel()
 	reply, err := s.options.Transport.Fetch(ctx, fetch.To, &FetchCall{Revision: fetch.Request.Revision})
 	var response *FetchResponse
 	if err == nil {
 		response, err = decodeFetchReply(reply)
 	}
-	s.metrics.fetches.WithLabelValues(outcome(err)).Inc()
+	s.metrics.fetches.WithLabelValues(resultLabel(err)).Inc()
 	if err != nil {
 		response = nil
 	}
-	s.do(func(now Time) { s.core.StepFetched(now, response) })
+	s.step(func(now Time) { s.core.StepFetched(now, response) })
 }
 
-func (s *Service) operate(operation StoreOperation) {
-	defer s.running.Done()
+func (s *Service) runOperation(operation StoreOperation) {
+	defer s.workers.Done()
 	timeout := storeTimeout
 	if operation.LoadCheckpoint || operation.SaveCheckpoint != nil {
 		timeout = checkpointTimeout
 	}
-	ctx, cancel := context.WithTimeout(s.life, timeout)
+	ctx, cancel := context.WithTimeout(s.ctx, timeout)
 	defer cancel()
 	kind, result := s.callStore(ctx, operation)
 	result.ID = operation.ID
-	s.metrics.store.WithLabelValues(kind, outcome(result.Err)).Inc()
-	s.do(func(now Time) { s.core.StepStore(now, result) })
+	s.metrics.store.WithLabelValues(kind, resultLabel(result.Err)).Inc()
+	s.step(func(now Time) { s.core.StepStore(now, result) })
 }
 
 func (s *Service) callStore(ctx context.Context, operation StoreOperation) (kind string, result StoreResult) {
@@ -95,20 +95,20 @@
 
 // watch keeps a watch of the store open until ctx ends.
 func (s *Service) watch(ctx context.Context) {
-	defer s.running.Done()
+	defer s.workers.Done()
 	for ctx.Err() == nil {
 		err := s.options.Store.WatchChanges(ctx, func(changes []catalog.Change) {
-			s.do(func(now Time) { s.core.StepWatched(now, changes) })
+			s.step(func(now Time) { s.core.StepWatched(now, changes) })
 		})
-		s.metrics.store.WithLabelValues("watch", outcome(err)).Inc()
+		s.metrics.store.WithLabelValues("watch", resultLabel(err)).Inc()
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryInterval):
 		}
 	}
 }
 
-func outcome(err error) string {
+func resultLabel(err error) string {
 	if err != nil {
 		return "failed"
 	}
--- a/internal/selfhosted/dissemination/simulated_process_test.go
+++ b/internal/selfhosted/dissemination/simulated_process_test.go
@@ -9,128 +9,128 @@
 
 // process is one run of a node. A replacement has the same name.
 type process struct {
-	world       *world
-	core        *Core
-	member      Member
-	offset      Time // of its clock
-	dead        bool
-	frozenUntil Time
-	side        int
-	revision    uint64
-	view        map[string]Member
-	digests     map[uint64]string
-	pending     map[ProposalID]*operation
+	simulation      *simulation
+	core            *Core
+	member          Member
+	clockOffset     Time // of its clock
+	dead            bool
+	frozenUntil     Time
+	side            int
+	highestRevision uint64
+	knownMembers    map[string]Member
+	digests         map[uint64]string
+	pending         map[ProposalID]*operation
 }
 
 // spawn starts a process; the world's order of spawning gives it its address.
-func (w *world) spawn(name, zone string, incarnation uint64, side int) *process {
+func (w *simulation) spawn(name, zone string, incarnation uint64, side int) *process {
 	port := uint16(10000 + len(w.processes))
 	p := &process{
-		world: w, side: side, offset: w.between(0, time.Hour), view: map[string]Member{},
+		simulation: w, side: side, clockOffset: w.randomTime(0, time.Hour), knownMembers: map[string]Member{},
 		digests: map[uint64]string{}, pending: map[ProposalID]*operation{},
 		member: Member{Name: name, Zone: zone, Incarnation: incarnation, Alive: true,
 			Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)},
 	}
 	p.core = New(Options{Config: w.config, Self: p.member, Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))})
-	p.core.omit = w.omit
+	p.core.disabled = w.disabled
 	w.processes = append(w.processes, p)
-	p.refreshView()
+	p.refreshMembers()
 	p.tick()
 	return p
 }
 
-func (p *process) local() Time { return p.world.now + p.offset }
+func (p *process) localTime() Time { return p.simulation.now + p.clockOffset }
 
-func (p *process) frozen() bool { return p.world.now < p.frozenUntil }
+func (p *process) frozen() bool { return p.simulation.now < p.frozenUntil }
 
 // do runs f on the process, after it wakes if it is frozen.
-func (p *process) do(f func()) {
+func (p *process) runStep(f func()) {
 	switch {
 	case p.dead:
 	case p.frozen():
-		p.world.at(p.frozenUntil, func() { p.do(f) })
+		p.simulation.at(p.frozenUntil, func() { p.runStep(f) })
 	default:
-		p.check()
+		p.checkFreshness()
 		f()
-		p.collect()
+		p.runReady()
 	}
 }
 
 func (p *process) tick() {
-	p.do(func() { p.core.Tick(p.local()) })
+	p.runStep(func() { p.core.Tick(p.localTime()) })
 	if !p.dead {
-		p.world.after(p.world.between(40*time.Millisecond, 60*time.Millisecond), p.tick)
+		p.simulation.after(p.simulation.randomTime(40*time.Millisecond, 60*time.Millisecond), p.tick)
 	}
 }
 
 // refreshView lets the process see, for each name, the newest process within
 // reach, and remember one that is out of reach as not alive.
-func (p *process) refreshView() {
+func (p *process) refreshMembers() {
 	if p.dead {
 		return
 	}
-	for name, member := range p.view {
+	for name, member := range p.knownMembers {
 		member.Alive = false
-		p.view[name] = member
+		p.knownMembers[name] = member
 	}
-	for _, other := range p.world.processes {
-		if other != p && !other.dead && p.world.reach(p.side, other.side) {
-			p.view[other.member.Name] = other.member
+	for _, other := range p.simulation.processes {
+		if other != p && !other.dead && p.simulation.reachable(p.side, other.side) {
+			p.knownMembers[other.member.Name] = other.member
 		}
 	}
-	list := make([]Member, 0, len(p.view))
-	for _, member := range p.view {
+	list := make([]Member, 0, len(p.knownMembers))
+	for _, member := range p.knownMembers {
 		list = append(list, member)
 	}
 	slices.SortFunc(list, func(a, b Member) int { return a.Address.Compare(b.Address) })
-	p.do(func() { p.core.SetMembers(list) })
-	p.world.after(p.world.between(200*time.Millisecond, 2*time.Second), p.refreshView)
+	p.runStep(func() { p.core.SetMembers(list) })
+	p.simulation.after(p.simulation.randomTime(200*time.Millisecond, 2*time.Second), p.refreshMembers)
 }
 
 // check is what a node does before it acts.
-func (p *process) check() {
-	p.checkSlot()
-	p.world.asked++
-	if !p.core.Fresh(p.local()) {
+func (p *process) checkFreshness() {
+	p.checkSlotOwner()
+	p.simulation.freshnessChecks++
+	if !p.core.Fresh(p.localTime()) {
 		return
 	}
-	p.world.fresh++
-	if required := p.world.required(); p.core.Revision() < required {
-		p.world.violate("%s (%s) is fresh at revision %d, but %d was accepted more than %v ago",
-			p.member.Name, p.member.Address, p.core.Revision(), required, p.world.config.Window)
+	p.simulation.freshnessPassed++
+	if required := p.simulation.requiredRevision(); p.core.Revision() < required {
+		p.simulation.addViolation("%s (%s) is fresh at revision %d, but %d was accepted more than %v ago",
+			p.member.Name, p.member.Address, p.core.Revision(), required, p.simulation.config.Window)
 	}
 }
 
 // checkSlot checks that a voter's slot belongs to one process: the last time at
 // which it was this one's own is before a successor had been registered.
-func (p *process) checkSlot() {
-	own, ok := p.core.HeldAt(p.local(), 0)
-	if !ok || !p.core.votes() || len(p.core.Catalog().Voters) < 2 {
+func (p *process) checkSlotOwner() {
+	ownedAt, ok := p.core.HeldAt(p.localTime(), 0)
+	if !ok || !p.core.canVote() || len(p.core.Catalog().Voters) < 2 {
 		return
 	}
-	for _, other := range p.world.processes {
-		taken := &other.core.takeover
+	for _, other := range p.simulation.processes {
+		takeover := &other.core.takeover
 		if other.member.Name == p.member.Name && !other.dead && other.core.Incarnation() > p.core.Incarnation() &&
-			taken.complete && len(other.core.Catalog().Voters) > 1 && taken.completedAt-other.offset < own-p.offset {
-			p.world.violate("slot %s belongs to two processes", p.member.Name)
+			takeover.complete && len(other.core.Catalog().Voters) > 1 && takeover.completedAt-other.clockOffset < ownedAt-p.clockOffset {
+			p.simulation.addViolation("slot %s belongs to two processes", p.member.Name)
 		}
 	}
 }
 
 // collect carries out what the core asks for.
-func (p *process) collect() {
-	w := p.world
-	if held := p.core.Revision(); held < p.revision {
-		w.violate("%s fell from revision %d to %d", p.member.Name, p.revision, held)
+func (p *process) runReady() {
+	w := p.simulation
+	if held := p.core.Revision(); held < p.highestRevision {
+		w.addViolation("%s fell from revision %d to %d", p.member.Name, p.highestRevision, held)
 	} else {
-		p.revision = held
+		p.highestRevision = held
 	}
 	for _, proposal := range p.core.proposals {
-		if proposal.stage == stageSpread {
-			w.accept(proposal.change.Revision, proposal.acceptedAt-p.offset)
+		if proposal.stage == stagePropagate {
+			w.recordAccepted(proposal.change.Revision, proposal.acceptedAt-p.clockOffset)
 		}
 	}
-	if p.core.Superseded() && w.newest(p.member.Name) == p && !p.dead {
+	if p.core.Superseded() && w.newestProcess(p.member.Name) == p && !p.dead {
 		// Its predecessor's clock was ahead and it met that too late: it exits,
 		// as a node does, and is started again.
 		w.replace(p.member.Name, true, time.Second)
@@ -140,20 +140,20 @@
 		p.finish(result)
 	}
 	for _, packet := range ready.Packets {
-		w.after(w.between(0, 300*time.Microsecond), func() { p.do(func() { w.transmit(p, packet) }) })
+		w.after(w.randomTime(0, 300*time.Microsecond), func() { p.runStep(func() { w.transmit(p, packet) }) })
 	}
 	if ready.Fetch != nil {
-		w.after(0, func() { p.do(func() { w.fetch(p, *ready.Fetch) }) })
+		w.after(0, func() { p.runStep(func() { w.fetch(p, *ready.Fetch) }) })
 	}
-	for _, operation := range ready.Store {
-		w.after(w.between(0, time.Millisecond), func() { p.do(func() { w.operate(p, operation) }) })
+	for _, operation := range ready.StoreOperations {
+		w.after(w.randomTime(0, time.Millisecond), func() { p.runStep(func() { w.operate(p, operation) }) })
 	}
 }
 
 func (p *process) finish(result ProposalResult) {
 	op := p.pending[result.ID]
-	op.done, op.end, op.result = true, p.world.now, result.Result
+	op.done, op.end, op.result = true, p.simulation.now, result.Result
 	if fate := result.Result.Fate; fate == FateInForce || fate == FateAccepted {
-		p.world.accept(result.Result.Revision, p.world.now)
+		p.simulation.recordAccepted(result.Result.Revision, p.simulation.now)
 	}
 }
--- a/internal/selfhosted/dissemination/simulated_store_test.go
+++ b/internal/selfhosted/dissemination/simulated_store_test.go
@@ -8,42 +8,42 @@
 )
 
 type simulatedStore struct {
-	changes []catalog.Change
-	deleted int // how many of the first are deleted
+	changes      []catalog.Change
+	deletedCount int // how many of the first are deleted
 	// stray holds what was written under deleted keys.
-	stray       map[uint64]catalog.Change
-	checkpoint  *catalog.Catalog
-	down        bool
-	slow        Time
-	loseReplies float64
-	watchLag    Time
-	side        int
+	stray      map[uint64]catalog.Change
+	checkpoint *catalog.Catalog
+	down       bool
+	maxDelay   Time
+	replyLoss  float64
+	watchLag   Time
+	side       int
 }
 
-var errStore = errors.New("the store did not answer")
+var errNoReply = errors.New("the store did not answer")
 
 // operate runs a store operation. A write may take effect long after its
 // caller received an error.
-func (w *world) operate(p *process, operation StoreOperation) {
+func (w *simulation) operate(p *process, operation StoreOperation) {
 	finish := func(delay Time, result StoreResult) {
 		result.ID = operation.ID
-		w.after(delay, func() { p.do(func() { p.core.StepStore(p.local(), result) }) })
+		w.after(delay, func() { p.runStep(func() { p.core.StepStore(p.localTime(), result) }) })
 	}
-	if w.store.down || !w.reach(p.side, w.store.side) {
-		applied := operation.Create != nil && w.reach(p.side, w.store.side) && w.chance(0.2)
+	if w.store.down || !w.reachable(p.side, w.store.side) {
+		applied := operation.Create != nil && w.reachable(p.side, w.store.side) && w.randomBool(0.2)
 		if applied {
-			w.after(w.between(0, 8*time.Second), func() { w.store.apply(operation) })
+			w.after(w.randomTime(0, 8*time.Second), func() { w.store.apply(operation) })
 		}
-		finish(w.between(0, 3*time.Second), StoreResult{Err: errStore, MaybeApplied: applied || w.chance(0.5)})
+		finish(w.randomTime(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: applied || w.randomBool(0.5)})
 		return
 	}
-	w.after(w.between(0, 2*time.Millisecond)+w.between(0, w.store.slow), func() {
+	w.after(w.randomTime(0, 2*time.Millisecond)+w.randomTime(0, w.store.maxDelay), func() {
 		result := w.store.apply(operation)
-		if w.chance(w.store.loseReplies) {
-			finish(w.between(0, 3*time.Second), StoreResult{Err: errStore, MaybeApplied: true})
+		if w.randomBool(w.store.replyLoss) {
+			finish(w.randomTime(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: true})
 			return
 		}
-		finish(w.between(0, 2*time.Millisecond)+w.between(0, w.store.slow), result)
+		finish(w.randomTime(0, 2*time.Millisecond)+w.randomTime(0, w.store.maxDelay), result)
 		if result.Created {
 			w.notify(*operation.Create)
 		}
@@ -51,11 +51,11 @@
 }
 
 // notify delivers a change to the watchers, after the lag.
-func (w *world) notify(change catalog.Change) {
+func (w *simulation) notify(change catalog.Change) {
 	for _, p := range w.processes {
-		if p.core.watcher() && w.reach(p.side, w.store.side) && !w.store.down {
-			w.after(w.between(0, time.Millisecond)+w.store.watchLag, func() {
-				p.do(func() { p.core.StepWatched(p.local(), []catalog.Change{change}) })
+		if p.core.isWatcher() && w.reachable(p.side, w.store.side) && !w.store.down {
+			w.after(w.randomTime(0, time.Millisecond)+w.store.watchLag, func() {
+				p.runStep(func() { p.core.StepWatched(p.localTime(), []catalog.Change{change}) })
 			})
 		}
 	}
@@ -65,7 +65,7 @@
 	switch {
 	case operation.Create != nil:
 		change := *operation.Create
-		if change.Revision <= uint64(s.deleted) {
+		if change.Revision <= uint64(s.deletedCount) {
 			return s.createStray(change)
 		}
 		if change.Revision <= uint64(len(s.changes)) {
@@ -77,10 +77,10 @@
 	case operation.Read != nil:
 		var changes []catalog.Change
 		for revision := operation.Read.From; revision <= uint64(len(s.changes)); revision++ {
-			stray, found := s.stray[revision]
-			if found {
+			stray, ok := s.stray[revision]
+			if ok {
 				changes = append(changes, stray)
-			} else if revision > uint64(s.deleted) {
+			} else if revision > uint64(s.deletedCount) {
 				changes = append(changes, s.changes[revision-1])
 			}
 			if len(changes) == operation.Read.Limit {
@@ -92,9 +92,9 @@
 		if s.checkpoint == nil || s.checkpoint.Revision < operation.SaveCheckpoint.Catalog.Revision {
 			s.checkpoint = operation.SaveCheckpoint.Catalog
 		}
-		for s.deleted < int(operation.SaveCheckpoint.Keep)-1 {
-			s.deleted++
-			delete(s.stray, uint64(s.deleted))
+		for s.deletedCount < int(operation.SaveCheckpoint.Keep)-1 {
+			s.deletedCount++
+			delete(s.stray, uint64(s.deletedCount))
 		}
 		return StoreResult{}
 	default:
@@ -105,7 +105,7 @@
 // createStray writes under a key that was deleted, as a store does that
 // compares only whether the key exists.
 func (s *simulatedStore) createStray(change catalog.Change) StoreResult {
-	if existing, found := s.stray[change.Revision]; found {
+	if existing, ok := s.stray[change.Revision]; ok {
 		return StoreResult{Existing: &existing}
 	}
 	if s.stray == nil {
--- a/internal/selfhosted/dissemination/simulation_test.go
+++ b/internal/selfhosted/dissemination/simulation_test.go
@@ -10,27 +10,27 @@
 
 // world simulates processes, a network and a store in virtual time. Everything
 // follows from its random source.
-type world struct {
-	random    *rand.Rand
-	config    Config
-	omit      omissions
-	now       Time
-	queue     events
-	last      int
-	processes []*process
-	store     simulatedStore
-	loss      float64
-	cut       bool
+type simulation struct {
+	random      *rand.Rand
+	config      Config
+	disabled    disabledMechanisms
+	now         Time
+	queue       events
+	lastOrder   int
+	processes   []*process
+	store       simulatedStore
+	loss        float64
+	partitioned bool
 	// blocked, if set, cuts single links, by the names of the processes.
 	blocked func(from, to string) bool
 	// noFetches makes fetches fail while datagrams pass.
-	noFetches bool
+	failFetches bool
 
 	// asked and fresh count the checks before acting, and those that passed.
-	asked, fresh int
-	accepted     []acceptedChange
-	operations   []*operation
-	violations   []string
+	freshnessChecks, freshnessPassed int
+	accepted                         []acceptedChange
+	operations                       []*operation
+	violations                       []string
 }
 
 // acceptedChange says that a revision was accepted no later than at.
@@ -71,14 +71,14 @@
 	return last
 }
 
-func (w *world) at(when Time, run func()) {
-	w.last++
-	heap.Push(&w.queue, event{max(when, w.now), w.last, run})
+func (w *simulation) at(when Time, run func()) {
+	w.lastOrder++
+	heap.Push(&w.queue, event{max(when, w.now), w.lastOrder, run})
 }
 
-func (w *world) after(delay Time, run func()) { w.at(w.now+delay, run) }
+func (w *simulation) after(delay Time, run func()) { w.at(w.now+delay, run) }
 
-func (w *world) run(until Time) {
+func (w *simulation) run(until Time) {
 	for len(w.queue) > 0 && w.queue[0].at <= until && len(w.violations) == 0 {
 		next := heap.Pop(&w.queue).(event)
 		w.now = next.at
@@ -87,22 +87,24 @@
 	w.now = until
 }
 
-func (w *world) between(low, high Time) Time { return low + Time(w.random.Int64N(int64(high-low)+1)) }
+func (w *simulation) randomTime(low, high Time) Time {
+	return low + Time(w.random.Int64N(int64(high-low)+1))
+}
 
-func (w *world) chance(p float64) bool { return w.random.Float64() < p }
+func (w *simulation) randomBool(p float64) bool { return w.random.Float64() < p }
 
-func (w *world) violate(format string, arguments ...any) {
+func (w *simulation) addViolation(format string, arguments ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, arguments...))
 }
 
-func (w *world) reach(a, b int) bool { return !w.cut || a == b }
+func (w *simulation) reachable(a, b int) bool { return !w.partitioned || a == b }
 
-func (w *world) linked(from, to *process) bool {
-	return w.reach(from.side, to.side) && (w.blocked == nil || !w.blocked(from.member.Name, to.member.Name))
+func (w *simulation) linked(from, to *process) bool {
+	return w.reachable(from.side, to.side) && (w.blocked == nil || !w.blocked(from.member.Name, to.member.Name))
 }
 
 // required returns the revision that a fresh node must hold now.
-func (w *world) required() uint64 {
+func (w *simulation) requiredRevision() uint64 {
 	var revision uint64
 	for _, accepted := range w.accepted {
 		if w.now > accepted.at+w.config.Window {
@@ -112,13 +114,13 @@
 	return revision
 }
 
-func (w *world) accept(revision uint64, at Time) {
+func (w *simulation) recordAccepted(revision uint64, at Time) {
 	if len(w.accepted) == 0 || w.accepted[len(w.accepted)-1].revision < revision {
 		w.accepted = append(w.accepted, acceptedChange{revision, at})
 	}
 }
 
-func (w *world) find(address netip.AddrPort) *process {
+func (w *simulation) processAt(address netip.AddrPort) *process {
 	for _, p := range w.processes {
 		if p.member.Address == address {
 			return p
@@ -127,40 +129,40 @@
 	return nil
 }
 
-func (w *world) latency() Time {
-	if w.chance(0.02) {
-		return w.between(0, 3*time.Second)
+func (w *simulation) latency() Time {
+	if w.randomBool(0.02) {
+		return w.randomTime(0, 3*time.Second)
 	}
-	return w.between(100*time.Microsecond, 5*time.Millisecond)
+	return w.randomTime(100*time.Microsecond, 5*time.Millisecond)
 }
 
-func (w *world) transmit(from *process, outgoing Outgoing) {
-	to := w.find(outgoing.To)
-	if to == nil || !w.linked(from, to) || w.chance(w.loss) {
+func (w *simulation) transmit(from *process, outgoing Outgoing) {
+	to := w.processAt(outgoing.To)
+	if to == nil || !w.linked(from, to) || w.randomBool(w.loss) {
 		return
 	}
 	copies := 1
-	if w.chance(0.02) {
+	if w.randomBool(0.02) {
 		copies = 2
 	}
 	for range copies {
 		w.after(w.latency(), func() {
-			to.do(func() { to.core.Step(to.local(), from.member.Address, outgoing.Packet) })
+			to.runStep(func() { to.core.Step(to.localTime(), from.member.Address, outgoing.Packet) })
 		})
 	}
 }
 
-func (w *world) fetch(from *process, fetch Fetch) {
-	fail := func() { from.do(func() { from.core.StepFetched(from.local(), nil) }) }
-	to := w.find(fetch.To)
-	if to == nil || to.dead || w.noFetches || !w.linked(from, to) {
-		w.after(w.between(0, time.Second), fail)
+func (w *simulation) fetch(from *process, fetch Fetch) {
+	fail := func() { from.runStep(func() { from.core.StepFetched(from.localTime(), nil) }) }
+	to := w.processAt(fetch.To)
+	if to == nil || to.dead || w.failFetches || !w.linked(from, to) {
+		w.after(w.randomTime(0, time.Second), fail)
 		return
 	}
 	w.after(w.latency(), func() {
-		to.do(func() {
+		to.runStep(func() {
 			response := to.core.AnswerFetch(fetch.Request)
-			w.after(w.latency(), func() { from.do(func() { from.core.StepFetched(from.local(), &response) }) })
+			w.after(w.latency(), func() { from.runStep(func() { from.core.StepFetched(from.localTime(), &response) }) })
 		})
 	})
 }
--- a/internal/selfhosted/dissemination/storeoperation.go
+++ b/internal/selfhosted/dissemination/storeoperation.go
@@ -51,10 +51,10 @@
 }
 
 type pendingOperation struct {
-	sentAt   Time
-	kind     operationKind
-	held     uint64 // revision held when a read was sent
-	proposal ProposalID
+	sentAt       Time
+	kind         operationKind
+	heldRevision uint64 // revision held when a read was sent
+	proposal     ProposalID
 }
 
 type operationKind byte
@@ -66,9 +66,9 @@
 	operationSave
 )
 
-func (c *Core) operate(pending pendingOperation, operation StoreOperation) {
-	c.store.lastID++
-	operation.ID = c.store.lastID
+func (c *Core) startOperation(pending pendingOperation, operation StoreOperation) {
+	c.store.lastOperationID++
+	operation.ID = c.store.lastOperationID
 	c.store.operations[operation.ID] = pending
-	c.ready.Store = append(c.ready.Store, operation)
+	c.ready.StoreOperations = append(c.ready.StoreOperations, operation)
 }
--- a/internal/selfhosted/dissemination/takeover.go
+++ b/internal/selfhosted/dissemination/takeover.go
@@ -24,23 +24,23 @@
 }
 
 // holdsSlot says whether the catalog has this node as a voter.
-func (c *Core) holdsSlot() bool {
+func (c *Core) isVoter() bool {
 	_, ok := c.log.catalog.Voters[c.self.Name]
 	return ok
 }
 
 // votes says whether this node's revision may be counted by others.
-func (c *Core) votes() bool {
-	if !c.holdsSlot() || c.takeover.superseded {
+func (c *Core) canVote() bool {
+	if !c.isVoter() || c.takeover.superseded {
 		return false
 	}
-	return c.takeover.recovered || c.omit.recovery
+	return c.takeover.recovered || c.disabled.recovery
 }
 
 // resetTakeover makes a node that is no voter any more start over if it
 // becomes one again.
 func (c *Core) resetTakeover() {
-	if c.holdsSlot() || (!c.takeover.complete && !c.takeover.recovered) {
+	if c.isVoter() || (!c.takeover.complete && !c.takeover.recovered) {
 		return
 	}
 	c.takeover.complete, c.takeover.recovered = false, false
@@ -49,12 +49,12 @@
 
 // recover lets the node vote once its slot is registered and it has been
 // confirmed since.
-func (c *Core) recover(now Time) {
+func (c *Core) updateRecovery(now Time) {
 	t := &c.takeover
-	if t.recovered || t.superseded || !c.holdsSlot() {
+	if t.recovered || t.superseded || !c.isVoter() {
 		return
 	}
-	if !t.complete && c.registrations() >= c.registrationQuorum() {
+	if !t.complete && c.countRegistrations() >= c.registrationQuorum() {
 		t.complete, t.completedAt = true, now
 	}
 	if t.complete && c.confirmed && c.confirmedAt >= t.completedAt {
@@ -62,9 +62,9 @@
 	}
 }
 
-func (c *Core) registrations() int {
+func (c *Core) countRegistrations() int {
 	count := 0
-	for name := range c.slots {
+	for name := range c.voterStates {
 		if c.takeover.registered[name] {
 			count++
 		}
@@ -75,7 +75,7 @@
 // registrationQuorum is a majority of the voters, not counting this one; of two
 // voters it is the other one.
 func (c *Core) registrationQuorum() int {
-	if c.omit.registration {
+	if c.disabled.registration {
 		return 0
 	}
 	voters := len(c.log.catalog.Voters)
@@ -84,7 +84,7 @@
 
 // known returns the incarnation that holds a voter's slot as far as is known;
 // zero if none is.
-func (c *Core) known(voter string) uint64 {
+func (c *Core) incarnation(voter string) uint64 {
 	if voter == c.self.Name {
 		return c.self.Incarnation
 	}
@@ -92,51 +92,51 @@
 }
 
 // knownClaims returns a hash of what is known of the voters' slots.
-func (c *Core) knownClaims() uint64 {
-	if c.knownHash == 0 {
+func (c *Core) hashClaims() uint64 {
+	if c.claimsHash == 0 {
 		var digest xxhash.Digest
 		digest.Reset()
 		for _, name := range c.voters {
 			_, _ = digest.WriteString(name)
-			_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, c.known(name)))
+			_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, c.incarnation(name)))
 		}
-		c.knownHash = digest.Sum64()
+		c.claimsHash = digest.Sum64()
 	}
-	return c.knownHash
+	return c.claimsHash
 }
 
 // claimsFor lists what a requester may not know of the voters' slots, if this
 // node is a voter, and in any case a claim that supersedes the requester.
 func (c *Core) claimsFor(request *ExchangeRequest) []Claim {
 	var claims []Claim
-	if c.holdsSlot() && request.Known != c.knownClaims() {
+	if c.isVoter() && request.Known != c.hashClaims() {
 		for _, name := range c.voters {
-			if known := c.known(name); known != 0 && name != request.Name {
-				claims = append(claims, Claim{Name: name, Incarnation: known})
+			if incarnation := c.incarnation(name); incarnation != 0 && name != request.Name {
+				claims = append(claims, Claim{Name: name, Incarnation: incarnation})
 			}
 		}
 	}
-	if known := c.claims[request.Name]; known > request.Incarnation {
-		claims = append(claims, Claim{Name: request.Name, Incarnation: known})
+	if incarnation := c.claims[request.Name]; incarnation > request.Incarnation {
+		claims = append(claims, Claim{Name: request.Name, Incarnation: incarnation})
 	}
 	return claims
 }
 
 // maximumClaims bounds the slots remembered.
-const maximumClaims = 1024
+const maxClaims = 1024
 
 // takeClaim notes an incarnation of a voter's slot.
-func (c *Core) takeClaim(now Time, claim Claim) {
-	known, ok := c.claims[claim.Name]
+func (c *Core) recordClaim(now Time, claim Claim) {
+	highest, ok := c.claims[claim.Name]
 	if claim.Name == c.self.Name {
-		c.meetClaim(now, claim)
+		c.handleClaimOnSelf(now, claim)
 		return
 	}
-	if claim.Incarnation <= known || (!ok && len(c.claims) >= maximumClaims) {
+	if claim.Incarnation <= highest || (!ok && len(c.claims) >= maxClaims) {
 		return
 	}
 	c.claims[claim.Name] = claim.Incarnation
-	c.knownHash = 0
+	c.claimsHash = 0
 	// What the predecessor registered says nothing of its successor.
 	delete(c.takeover.registered, claim.Name)
 }
@@ -144,13 +144,13 @@
 // meetClaim handles a claim on this node's own name. A process that has just
 // started has met its predecessor's, which had a higher number because a clock
 // was ahead, and takes a higher one. Any other has been replaced.
-func (c *Core) meetClaim(now Time, claim Claim) {
-	if claim.Incarnation <= c.self.Incarnation || c.omit.supersession {
+func (c *Core) handleClaimOnSelf(now Time, claim Claim) {
+	if claim.Incarnation <= c.self.Incarnation || c.disabled.supersession {
 		return
 	}
 	if !c.takeover.recovered && now-c.startedAt < c.config.Window {
-		c.self.Incarnation = claim.Incarnation + 1 + c.random.Uint64N(incarnationSpread)
-		c.knownHash = 0
+		c.self.Incarnation = claim.Incarnation + 1 + c.random.Uint64N(incarnationJitter)
+		c.claimsHash = 0
 		c.takeover.complete = false
 		clear(c.takeover.registered)
 		return
@@ -160,7 +160,7 @@
 
 // incarnationSpread keeps two processes that raise their incarnation at once
 // from choosing the same one.
-const incarnationSpread = 1 << 32
+const incarnationJitter = 1 << 32
 
 // Incarnation returns this node's incarnation, which is raised if that of the
 // predecessor was higher.
--- a/internal/selfhosted/dissemination/validate.go
+++ b/internal/selfhosted/dissemination/validate.go
@@ -31,32 +31,32 @@
 // smallestVoterSet is the number of voters below which none may be removed:
 // fewer do not survive the loss of one, and the registration of a replacement
 // then reaches too few of the voters that an older catalog has.
-const smallestVoterSet = 3
+const minVoters = 3
 
 // check returns why the catalog does not admit the change, or nil.
-func (c *Core) check(p *proposal) error {
-	if wanted := p.request.IfRevision; wanted != nil && *wanted != c.log.revision() {
-		return &ConflictError{Wanted: *wanted, Revision: c.log.revision()}
+func (c *Core) validateChange(p *proposal) error {
+	if expected := p.request.IfRevision; expected != nil && *expected != c.log.revision() {
+		return &ConflictError{Wanted: *expected, Revision: c.log.revision()}
 	}
 	if _, err := catalog.Apply(c.log.catalog, p.change); err != nil {
 		return err
 	}
-	return c.checkVoters(p.change.Command)
+	return c.validateVoterChange(p.change.Command)
 }
 
 // checkVoters refuses a voter that is no alive member, because it could not
 // confirm anything, and no other voter could be added after it.
-func (c *Core) checkVoters(command catalog.Command) error {
-	if add := command.AddVoter; add != nil && !c.alive(add.Voter.Name) {
+func (c *Core) validateVoterChange(command catalog.Command) error {
+	if add := command.AddVoter; add != nil && !c.isAlive(add.Voter.Name) {
 		return &VoterError{Name: add.Voter.Name, Reason: "there is no alive member of that name"}
 	}
-	if remove := command.RemoveVoter; remove != nil && len(c.log.catalog.Voters) <= smallestVoterSet {
-		return &VoterError{Name: remove.Name, Reason: fmt.Sprintf("%d voters must be left, add another one first", smallestVoterSet)}
+	if remove := command.RemoveVoter; remove != nil && len(c.log.catalog.Voters) <= minVoters {
+		return &VoterError{Name: remove.Name, Reason: fmt.Sprintf("%d voters must be left, add another one first", minVoters)}
 	}
 	return nil
 }
 
-func (c *Core) alive(name string) bool {
+func (c *Core) isAlive(name string) bool {
 	return name == c.self.Name || c.members.byName[name].Alive
 }
 
@@ -65,7 +65,7 @@
 }
 
 // appliedToken finds an earlier change with the same token.
-func (c *Core) appliedToken(token string) (catalog.AppliedChange, bool) {
+func (c *Core) findAppliedToken(token string) (catalog.AppliedChange, bool) {
 	recent := c.log.catalog.Recent
 	for i := len(recent) - 1; i >= 0; i-- {
 		if strings.HasSuffix(recent[i].ID, "-"+token) {
--- a/internal/selfhosted/dissemination/write.go
+++ b/internal/selfhosted/dissemination/write.go
@@ -4,13 +4,13 @@
 
 // prepare validates the change against the catalog as it is now.
 func (c *Core) prepare(now Time, p *proposal) {
-	if p.request.Settle {
-		c.settleByID(now, p)
+	if p.request.ResolveFate {
+		c.resolveFate(now, p)
 		return
 	}
-	if applied, ok := c.appliedToken(p.token); ok {
+	if applied, ok := c.findAppliedToken(p.token); ok {
 		p.change.ID, p.change.Revision, p.stored = applied.ID, applied.Revision, true
-		p.beginConfirm()
+		p.beginAcceptance()
 		return
 	}
 	if now < p.nextCreate {
@@ -19,21 +19,21 @@
 	p.uncertain, p.operation = false, 0
 	revision := c.log.revision()
 	p.change = p.changeAt(revision + 1)
-	if refusal := c.check(p); refusal != nil {
-		if c.refreshed(now, p) {
+	if refusal := c.validateChange(p); refusal != nil {
+		if c.ensureRefreshed(now, p) {
 			c.refuse(p, refusal)
 		}
 		return
 	}
 	switch {
-	case !c.mayWrite(now):
+	case !c.ensureRecentLog(now):
 		return
 	case p.request.DryRun:
-		if c.refreshed(now, p) {
+		if c.ensureRefreshed(now, p) {
 			c.finish(p, FateDryRun, "")
 		}
-	case c.changesVoters(p) && !c.omit.voterGuard:
-		p.stage, p.acceptance = stageGuard, acceptance{revision: revision}
+	case c.changesVoters(p) && !c.disabled.voterGuard:
+		p.stage, p.acceptance = stageAwaitPredecessor, acceptance{revision: revision}
 	default:
 		p.stage = stageCreate
 	}
@@ -53,7 +53,7 @@
 // guard lets a voter change be written only once a majority of the voters hold
 // the log that it follows. So no two voter changes are ever under way, and the
 // majorities of a set and of the next one always share a voter.
-func (c *Core) guard(now Time, p *proposal) {
+func (c *Core) awaitPredecessor(now Time, p *proposal) {
 	if c.log.revision()+1 != p.change.Revision {
 		p.stage = stagePrepare
 		return
@@ -67,15 +67,15 @@
 // its revision is held.
 func (c *Core) create(now Time, p *proposal) {
 	if c.log.revision() >= p.change.Revision {
-		c.meetLog(now, p)
+		c.compareWithLog(now, p)
 		return
 	}
-	if p.operation != 0 || now < p.nextCreate || !c.mayWrite(now) {
+	if p.operation != 0 || now < p.nextCreate || !c.ensureRecentLog(now) {
 		return
 	}
 	change := p.change
-	c.operate(pendingOperation{sentAt: now, kind: operationCreate, proposal: p.id}, StoreOperation{Create: &change})
-	p.operation = c.store.lastID
+	c.startOperation(pendingOperation{sentAt: now, kind: operationCreate, proposal: p.id}, StoreOperation{Create: &change})
+	p.operation = c.store.lastOperationID
 }
 
 // mayWrite says whether the log is recent enough to write behind its end; if it
@@ -83,32 +83,32 @@
 // their keys are absent again, and a write under such a key would succeed. No
 // more than Config.RetainedInStore changes are made in two windows, so a key
 // after a log that was current one window ago is not among the deleted ones.
-func (c *Core) mayWrite(now Time) bool {
-	if c.omit.staleWrite || c.Fresh(now) || (c.store.answered && now-c.store.answeredAt < c.config.Window) {
+func (c *Core) ensureRecentLog(now Time) bool {
+	if c.disabled.staleWrite || c.Fresh(now) || (c.store.current && now-c.store.currentAt < c.config.Window) {
 		return true
 	}
-	if !c.store.everRead || now-c.store.lastRead >= c.config.RetryInterval {
+	if !c.store.hasRead || now-c.store.lastReadAt >= c.config.RetryInterval {
 		c.readStore(now)
 	}
 	return false
 }
 
 // meetLog compares the change with the one that the log has at its revision.
-func (c *Core) meetLog(now Time, p *proposal) {
-	id, known := c.log.idAt(p.change.Revision)
+func (c *Core) compareWithLog(now Time, p *proposal) {
+	id, ok := c.log.changeIDAt(p.change.Revision)
 	switch {
-	case !known:
+	case !ok:
 		p.uncertain = true
 		c.finish(p, FateUnknown, "the log has moved on too far to tell")
 	case id == p.change.ID:
-		c.becomeStored(now, p)
+		c.markStored(now, p)
 	default:
-		c.lose(now, p)
+		c.restartAtNextRevision(now, p)
 	}
 }
 
 // takeCreate processes the result of a create.
-func (c *Core) takeCreate(now Time, pending pendingOperation, result StoreResult) {
+func (c *Core) handleCreate(now Time, pending pendingOperation, result StoreResult) {
 	p := c.findProposal(pending.proposal, result.ID)
 	if p == nil {
 		return
@@ -116,18 +116,18 @@
 	p.operation = 0
 	switch {
 	case result.Err != nil:
-		c.createFailed(now, p, result)
-	case result.Created && now-pending.sentAt > c.config.Window && !c.omit.staleWrite:
+		c.handleCreateFailure(now, p, result)
+	case result.Created && now-pending.sentAt > c.config.Window && !c.disabled.staleWrite:
 		// The process was frozen, and the write may have left only after it
 		// resumed; a read of the log shows whether it belongs there.
 		p.uncertain = true
 		p.nextCreate = now + c.config.Window
 		c.readStore(now)
 	case result.Created || (result.Existing != nil && result.Existing.ID == p.change.ID):
-		c.becomeStored(now, p)
+		c.markStored(now, p)
 	case result.Existing != nil:
-		c.takeFromStore(now, []catalog.Change{*result.Existing})
-		c.lose(now, p)
+		c.installFromStore(now, []catalog.Change{*result.Existing})
+		c.restartAtNextRevision(now, p)
 	}
 }
 
@@ -140,11 +140,11 @@
 	return nil
 }
 
-func (c *Core) createFailed(now Time, p *proposal, result StoreResult) {
+func (c *Core) handleCreateFailure(now Time, p *proposal, result StoreResult) {
 	p.lastErr = result.Err
 	p.failures++
 	p.nextCreate = now + c.backoff(p.failures)
-	if c.omit.readBack {
+	if c.disabled.readBack {
 		c.finish(p, FateNotAccepted, "the write failed")
 		return
 	}
@@ -158,7 +158,7 @@
 
 // lose notes that another change holds the revision, so that this one never
 // takes effect there, and starts over.
-func (c *Core) lose(now Time, p *proposal) {
+func (c *Core) restartAtNextRevision(now Time, p *proposal) {
 	p.uncertain, p.operation = false, 0
 	p.stage = stagePrepare
 	p.startedAt = now
@@ -170,14 +170,14 @@
 }
 
 // becomeStored installs the change here and pushes it to the others.
-func (c *Core) becomeStored(now Time, p *proposal) {
+func (c *Core) markStored(now Time, p *proposal) {
 	p.stored, p.uncertain, p.operation = true, false, 0
 	changes := []catalog.Change{p.change}
 	if len(c.log.append(changes)) > 0 {
 		c.planCheckpoint(now)
-		c.installed(now)
+		c.handleInstalled(now)
 	}
-	if len(c.members.alive) <= maximumPushedTo {
+	if len(c.members.alive) <= maxDirectPush {
 		for _, member := range c.members.alive {
 			c.push(member.Address, changes)
 		}
@@ -185,10 +185,10 @@
 		c.pushToVoters(changes)
 		c.pushToRandom(changes)
 	}
-	p.beginConfirm()
+	p.beginAcceptance()
 }
 
-func (p *proposal) beginConfirm() {
-	p.stage = stageConfirm
+func (p *proposal) beginAcceptance() {
+	p.stage = stageAccept
 	p.acceptance = acceptance{revision: p.change.Revision}
 }
--- a/internal/selfhosted/machines/poller.go
+++ b/internal/selfhosted/machines/poller.go
@@ -17,7 +17,7 @@
 const (
 	// maximumListBytes bounds the list that is read, in bytes.
 	// Not measured: chosen because it bounds the memory of a reading.
-	maximumListBytes = 16 << 20
+	maxListBytes = 16 << 20
 	// stepFetch is the step of errors.
 	stepFetch = "machines.fetch"
 )
@@ -58,11 +58,11 @@
 	random  *rand.Rand
 	metrics *metrics
 
-	mutex   sync.Mutex
-	list    List
-	asked   time.Time
-	known   bool
-	failure error
+	mutex       sync.Mutex
+	list        List
+	requestedAt time.Time
+	hasList     bool
+	lastErr     error
 }
 
 // NewPoller returns a poller and registers its metrics. It reads nothing until Run.
@@ -95,23 +95,23 @@
 		if list, err := p.Poll(ctx); err == nil && onReading != nil {
 			onReading(list)
 		}
-		timer.Reset(p.pause())
+		timer.Reset(p.nextDelay())
 	}
 }
 
 // Poll reads the list once and keeps it. A failure, or a list with an entry
 // that makes no sense, leaves the last list in place.
 func (p *Poller) Poll(ctx context.Context) (List, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	list, err := p.fetch(ctx)
 	p.metrics.count(err)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.failure = err
+	p.lastErr = err
 	if err != nil {
 		return List{}, err
 	}
-	p.list, p.asked, p.known = list, asked, true
+	p.list, p.requestedAt, p.hasList = list, requestedAt, true
 	return list, nil
 }
 
@@ -119,14 +119,14 @@
 func (p *Poller) Last() Reading {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	reading := Reading{List: p.list, Known: p.known, Err: p.failure}
-	if p.known {
-		reading.Age = time.Since(p.asked)
+	reading := Reading{List: p.list, Known: p.hasList, Err: p.lastErr}
+	if p.hasList {
+		reading.Age = time.Since(p.requestedAt)
 	}
 	return reading
 }
 
-func (p *Poller) pause() time.Duration {
+func (p *Poller) nextDelay() time.Duration {
 	spread := p.config.Jitter * (2*p.random.Float64() - 1)
 	return time.Duration(float64(p.config.Interval) * (1 + spread))
 }
@@ -134,27 +134,27 @@
 func (p *Poller) fetch(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Timeout)
 	defer cancel()
-	failed := oops.In("machines").With("step", stepFetch, "peer", p.config.Address.String())
+	errorBuilder := oops.In("machines").With("step", stepFetch, "peer", p.config.Address.String())
 	url := "http://" + p.config.Address.String() + ListPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return List{}, failed.Wrap(err)
+		return List{}, errorBuilder.Wrap(err)
 	}
-	reply, err := p.client.Do(request)
+	response, err := p.client.Do(request)
 	if err != nil {
-		return List{}, failed.Wrap(err)
+		return List{}, errorBuilder.Wrap(err)
 	}
-	defer reply.Body.Close()
-	if reply.StatusCode != http.StatusOK {
-		return List{}, failed.Errorf("the machine list answered with HTTP status %d", reply.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return List{}, errorBuilder.Errorf("the machine list answered with HTTP status %d", response.StatusCode)
 	}
 	var list List
-	if err := json.NewDecoder(io.LimitReader(reply.Body, maximumListBytes)).Decode(&list); err != nil {
-		return List{}, failed.Wrap(err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
+		return List{}, errorBuilder.Wrap(err)
 	}
 	if err := list.Check(); err != nil {
-		return List{}, failed.Wrap(err)
+		return List{}, errorBuilder.Wrap(err)
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maximumListBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxListBytes))
 	return list, nil
 }
--- a/internal/selfhosted/machines/poller_test.go
+++ b/internal/selfhosted/machines/poller_test.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-func TestListsThatMakeNoSenseAreRefused(t *testing.T) {
+func TestPollRejectsInvalidLists(t *testing.T) {
 	body := `{"as_of_unix_ms": 5, "machines": [{"address": "127.0.0.1:7101", "kind": "leaf", "state": "live"}]}`
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, body)
@@ -48,11 +48,11 @@
 	}
 }
 
-func TestPausesStayWithinTheJitter(t *testing.T) {
+func TestPollDelayStaysWithinJitter(t *testing.T) {
 	poller := NewPoller(Config{Interval: time.Second, Jitter: 0.2}, rand.New(rand.NewPCG(1, 1)), nil)
 	lowest, highest := time.Hour, time.Duration(0)
 	for range 10000 {
-		pause := poller.pause()
+		pause := poller.nextDelay()
 		lowest, highest = min(lowest, pause), max(highest, pause)
 	}
 	if lowest < 800*time.Millisecond || lowest > 805*time.Millisecond || highest < 1195*time.Millisecond || highest > 1200*time.Millisecond {
