--- a/internal/selfhosted/dissemination/acceptance.go
+++ b/internal/selfhosted/dissemination/acceptance.go
@@ -37,11 +37,11 @@
 		a.voters, a.firstRound, a.nextPoll = voters, nil, now
 	}
 	if a.firstRound == nil {
-		if holders := c.votersHolding(a.revision); len(holders) >= c.quorum() {
+		if holders := c.holders(a.revision); len(holders) >= c.needed() {
 			a.firstRound, a.firstRoundAt, a.nextPoll = holders, now, now
 		}
 	}
-	if a.firstRound != nil && (c.disabled.secondRound || c.countSecondRound(a) >= c.quorum()) {
+	if a.firstRound != nil && (c.disabled.secondRound || c.countSecondRound(a) >= c.needed()) {
 		return true
 	}
 	if now >= a.nextPoll {
@@ -52,7 +52,7 @@
 }
 
 // holders returns the voters known to hold a revision, with their incarnations.
-func (c *Core) votersHolding(revision uint64) map[string]uint64 {
+func (c *Core) holders(revision uint64) map[string]uint64 {
 	incarnations := map[string]uint64{}
 	for name, s := range c.voterStates {
 		if c.holdsCountably(name, s, revision) {
--- a/internal/selfhosted/dissemination/benchmark_test.go
+++ b/internal/selfhosted/dissemination/benchmark_test.go
@@ -22,11 +22,11 @@
 }
 
 func measureFault(b *testing.B, kind string) {
-	var checks, passed, proposed, inForce int
+	var freshnessChecks, freshChecks, proposed, inForce int
 	var waited Time
 	for seed := range uint64(20) {
-		w := newWorld(seed, 5, false)
-		w.freshnessChecks, w.freshnessPassed = 0, 0
+		w := newSimulation(seed, 5, false)
+		w.freshnessChecks, w.freshChecks = 0, 0
 		first := len(w.operations)
 		w.startFault(fault{kind: kind, duration: 30 * time.Second, target: int(seed) % nodeCount})
 		for at := Time(0); at < 50*time.Second; at += 2 * time.Second {
@@ -35,7 +35,7 @@
 			})
 		}
 		w.run(w.now + time.Minute)
-		checks, passed = checks+w.freshnessChecks, passed+w.freshnessPassed
+		freshnessChecks, freshChecks = freshnessChecks+w.freshnessChecks, freshChecks+w.freshChecks
 		for _, op := range w.operations[first:] {
 			proposed++
 			if op.done && op.result.Fate == FateInForce {
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	b.ReportMetric(float64(passed)/float64(checks), "fresh/check")
+	b.ReportMetric(float64(freshChecks)/float64(freshnessChecks), "fresh/check")
 	b.ReportMetric(float64(inForce)/float64(proposed), "in_force/proposal")
 	b.ReportMetric((waited/Time(max(inForce, 1))).Seconds()*1000, "ms/in_force")
 	b.ReportMetric(0, "ns/op")
--- a/internal/selfhosted/dissemination/change_log.go
+++ b/internal/selfhosted/dissemination/change_log.go
@@ -15,15 +15,15 @@
 	tailLength int
 	// checkpoint is the catalog at the last multiple of interval that append
 	// passed; its taker sets it to nil.
-	checkpoint         *catalog.Catalog
+	latest             *catalog.Catalog
 	checkpointInterval uint64
 	// broken is set when a change that the log contains cannot be applied:
 	// this process does not understand it and must not serve.
 	broken error
 }
 
-func newChangeLog(length int, interval uint64) changeLog {
-	return changeLog{catalog: catalog.Empty(), tailLength: length, checkpointInterval: interval}
+func newChangeLog(tailLength int, checkpointInterval uint64) changeLog {
+	return changeLog{catalog: catalog.Empty(), tailLength: tailLength, checkpointInterval: checkpointInterval}
 }
 
 func (l *changeLog) revision() uint64 { return l.catalog.Revision }
@@ -46,7 +46,7 @@
 		l.catalog = next
 		l.addToTail(change)
 		if next.Revision%l.checkpointInterval == 0 {
-			l.checkpoint = next
+			l.latest = next
 		}
 		first, last = min(first, i), i+1
 	}
--- a/internal/selfhosted/dissemination/checkpoint.go
+++ b/internal/selfhosted/dissemination/checkpoint.go
@@ -18,13 +18,13 @@
 // planCheckpoint lets the watchers write a checkpoint. Each waits for a random
 // time, so that most find it written.
 func (c *Core) planCheckpoint(now Time) {
-	checkpoint := c.log.checkpoint
-	c.log.checkpoint = nil
-	if checkpoint == nil || !c.isWatcher() {
+	latest := c.log.latest
+	c.log.latest = nil
+	if latest == nil || !c.isWatcher() {
 		return
 	}
 	watchers := len(c.members.roots) + c.config.WatchersPerZone
-	c.store.checkpoint = checkpoint
+	c.store.checkpoint = latest
 	c.store.checkpointDue = now + Time(c.random.Int64N(int64(watchers)*int64(meanCheckpointDelay)))
 }
 
--- a/internal/selfhosted/dissemination/confirmation.go
+++ b/internal/selfhosted/dissemination/confirmation.go
@@ -38,7 +38,7 @@
 // majority returns how many of n voters are a majority.
 func majority(n int) int { return n/2 + 1 }
 
-func (c *Core) quorum() int {
+func (c *Core) needed() int {
 	if c.disabled.majority {
 		return 1
 	}
@@ -109,9 +109,9 @@
 			times = append(times, s.confirmedAt)
 		}
 	}
-	if quorum := c.quorum(); len(times) >= quorum {
+	if needed := c.needed(); len(times) >= needed {
 		slices.Sort(times)
-		c.advanceConfirmation(times[len(times)-quorum])
+		c.advanceConfirmation(times[len(times)-needed])
 	}
 	c.updateRecovery(now)
 }
@@ -126,7 +126,7 @@
 // revision 0 dates the last moment at which the slot was certainly this
 // process's own.
 func (c *Core) HeldAt(now Time, revision uint64) (Time, bool) {
-	if c.takeover.superseded || len(c.voters) == 0 {
+	if c.successor.superseded || len(c.voters) == 0 {
 		return 0, false
 	}
 	times := make([]Time, 0, len(c.voters))
@@ -139,12 +139,12 @@
 			times = append(times, s.latest.sentAt)
 		}
 	}
-	quorum := c.quorum()
-	if len(times) < quorum {
+	needed := c.needed()
+	if len(times) < needed {
 		return 0, false
 	}
 	slices.Sort(times)
-	return times[len(times)-quorum], true
+	return times[len(times)-needed], true
 }
 
 // advance raises the confirmation; it never falls, because what is proved
--- a/internal/selfhosted/dissemination/core.go
+++ b/internal/selfhosted/dissemination/core.go
@@ -30,7 +30,7 @@
 	// knownHash is the hash of what is known of the slots; 0 if out of date.
 	claimsHash  uint64
 	voterStates map[string]*voterState
-	takeover    takeover
+	successor   takeover
 
 	sequence uint64
 	requests map[uint64]pendingRequest
@@ -82,7 +82,7 @@
 		peerRevisions: map[string]PeerRevision{},
 		store:         storeState{operations: map[uint64]pendingOperation{}},
 	}
-	c.takeover.registered = map[string]bool{}
+	c.successor.registered = map[string]bool{}
 	c.members.rebuild(c.self, nil, c.config.WatchersPerZone)
 	return c
 }
@@ -90,7 +90,7 @@
 // SetMembers replaces the list of members; the core keeps the slice. The entry
 // of this node itself, if there is one, is ignored.
 func (c *Core) SetMembers(members []Member) {
-	if c.members.members != nil && slices.Equal(c.members.members, members) {
+	if c.members.all != nil && slices.Equal(c.members.all, members) {
 		return
 	}
 	c.members.rebuild(c.self, members, c.config.WatchersPerZone)
@@ -152,7 +152,7 @@
 // ConfirmedAt returns the time before which everything accepted is held, and
 // whether there is one.
 func (c *Core) ConfirmedAt() (Time, bool) {
-	return c.confirmedAt, c.confirmed && !c.takeover.superseded
+	return c.confirmedAt, c.confirmed && !c.successor.superseded
 }
 
 // FreshFor returns how long the node may serve on from now; zero or less if it
@@ -172,7 +172,7 @@
 
 // Superseded says that a newer process has taken this node's voter slot over;
 // this one never serves again.
-func (c *Core) Superseded() bool { return c.takeover.superseded }
+func (c *Core) Superseded() bool { return c.successor.superseded }
 
 // Recovered says whether this node is a voter whose answers may be counted.
 func (c *Core) Recovered() bool { return c.canVote() }
--- a/internal/selfhosted/dissemination/exchange.go
+++ b/internal/selfhosted/dissemination/exchange.go
@@ -156,7 +156,7 @@
 	}
 	registered := pending.claimedIncarnation != 0 && pending.claimedIncarnation == c.self.Incarnation
 	if registered {
-		c.takeover.registered[response.Name] = true
+		c.successor.registered[response.Name] = true
 	}
 	sentAt := pending.sentAt
 	if c.disabled.sendTime {
--- a/internal/selfhosted/dissemination/held_at_test.go
+++ b/internal/selfhosted/dissemination/held_at_test.go
@@ -46,7 +46,7 @@
 			Random: rand.New(rand.NewPCG(1, 2)),
 		})
 		core.log.catalog = &catalog.Catalog{Revision: 3, Voters: map[string]catalog.Voter{"a": {}, "b": {}, "c": {}}}
-		core.takeover.recovered = true
+		core.successor.recovered = true
 		core.voters = core.log.catalog.VoterNames()
 		core.resetVoterStates()
 		for _, name := range []string{"a", "b", "c"} {
--- a/internal/selfhosted/dissemination/mechanisms_test.go
+++ b/internal/selfhosted/dissemination/mechanisms_test.go
@@ -146,19 +146,19 @@
 }
 
 // run returns the violations of a schedule with some mechanism left out.
-func (m mechanismCase) run(seed uint64, omit disabledMechanisms) []string {
+func (m mechanismCase) run(seed uint64, disabled disabledMechanisms) []string {
 	if m.script == nil {
-		return runSchedule(randomSchedule(seed, m.kinds, omit)).violations
+		return runSchedule(randomSchedule(seed, m.kinds, disabled)).violations
 	}
-	w := newWorld(seed, m.voters, false)
-	w.disable(omit)
+	w := newSimulation(seed, m.voters, false)
+	w.disable(disabled)
 	m.script(w)
 	return w.violations
 }
 
-func randomSchedule(seed uint64, kinds []string, omit disabledMechanisms) schedule {
+func randomSchedule(seed uint64, kinds []string, disabled disabledMechanisms) schedule {
 	random := rand.New(rand.NewPCG(seed, 3))
-	s := schedule{seed: seed, voters: []int{3, 5}[random.IntN(2)], relays: random.IntN(2) == 0, disabled: omit}
+	s := schedule{seed: seed, voters: []int{3, 5}[random.IntN(2)], relays: random.IntN(2) == 0, disabled: disabled}
 	for range 2 + random.IntN(4) {
 		s.faults = append(s.faults, fault{
 			kind:     kinds[random.IntN(len(kinds))],
@@ -186,8 +186,8 @@
 					continue
 				}
 				t.Logf("seed %d, left out: %v", seed, violations)
-				if violations := m.run(seed, disabledMechanisms{}); len(violations) > 0 {
-					t.Fatalf("seed %d, nothing left out: %v", seed, violations)
+				if baseline := m.run(seed, disabledMechanisms{}); len(baseline) > 0 {
+					t.Fatalf("seed %d, nothing left out: %v", seed, baseline)
 				}
 				return
 			}
--- a/internal/selfhosted/dissemination/member_index.go
+++ b/internal/selfhosted/dissemination/member_index.go
@@ -10,8 +10,8 @@
 // memberIndex orders the members for the choice of watchers and relays. It is
 // rebuilt only when the list changes.
 type memberIndex struct {
-	members []Member
-	byName  map[string]Member
+	all    []Member
+	byName map[string]Member
 	// alive lists the other members that are alive, ordered by name.
 	alive []Member
 	// zone lists the alive members of the own zone in the order of a hash, this
@@ -23,12 +23,12 @@
 }
 
 // rebuild takes a new list; the index keeps it.
-func (x *memberIndex) rebuild(self Member, list []Member, rootsPerZone int) {
-	x.members = list
-	x.byName = make(map[string]Member, len(list)+1)
+func (x *memberIndex) rebuild(self Member, all []Member, rootsPerZone int) {
+	x.all = all
+	x.byName = make(map[string]Member, len(all)+1)
 	x.alive = x.alive[:0]
 	zones := map[string][]Member{}
-	for _, member := range list {
+	for _, member := range all {
 		if member.Name == self.Name {
 			continue
 		}
@@ -76,9 +76,9 @@
 	}
 	firstIndex := (x.position - roots) / fanout
 	secondIndex := firstIndex ^ 1
-	parents := []Member{x.zoneMembers[firstIndex]}
+	selected := []Member{x.zoneMembers[firstIndex]}
 	if secondIndex < x.position {
-		parents = append(parents, x.zoneMembers[secondIndex])
+		selected = append(selected, x.zoneMembers[secondIndex])
 	}
-	return parents
+	return selected
 }
--- a/internal/selfhosted/dissemination/schedules_test.go
+++ b/internal/selfhosted/dissemination/schedules_test.go
@@ -22,12 +22,12 @@
 func TestNodesStayFreshDuringOutageAndReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		w := newWorld(seed, 5, seed%2 == 1)
+		w := newSimulation(seed, 5, seed%2 == 1)
 		w.startFault(fault{kind: "outage", duration: 50 * time.Second})
 		w.startFault(fault{kind: "replace all voters in turn", duration: 40 * time.Second})
-		w.freshnessChecks, w.freshnessPassed = 0, 0
+		w.freshnessChecks, w.freshChecks = 0, 0
 		w.run(w.now + 50*time.Second)
-		if share := float64(w.freshnessPassed) / float64(w.freshnessChecks); len(w.violations) > 0 || share < 0.9 {
+		if share := float64(w.freshChecks) / float64(w.freshnessChecks); len(w.violations) > 0 || share < 0.9 {
 			t.Fatalf("seed %d: fresh in %.3f of the checks, violations %v", seed, share, w.violations)
 		}
 	}
--- a/internal/selfhosted/dissemination/service.go
+++ b/internal/selfhosted/dissemination/service.go
@@ -70,9 +70,9 @@
 	cancelWatch      context.CancelFunc
 	closed           bool
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	workers sync.WaitGroup
+	lifetime       context.Context
+	cancelLifetime context.CancelFunc
+	workers        sync.WaitGroup
 }
 
 // NewService returns a service that is not started. It holds the empty catalog
@@ -90,7 +90,7 @@
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
-	life, stop := context.WithCancel(context.Background())
+	lifetime, cancelLifetime := context.WithCancel(context.Background())
 	s := &Service{
 		options: options,
 		clock:   options.Clock,
@@ -102,8 +102,8 @@
 		}),
 		pendingResults: map[ProposalID]chan Result{},
 		subscribers:    map[int]chan *catalog.Catalog{},
-		ctx:            life,
-		cancel:         stop,
+		lifetime:       lifetime,
+		cancelLifetime: cancelLifetime,
 	}
 	s.current.Store(s.core.Catalog())
 	s.freshUntil.Store(math.MinInt64)
@@ -123,10 +123,10 @@
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	lastMembers := s.clock.Now()
-	s.step(func(now Time) { s.core.Tick(now) })
+	s.runStep(func(now Time) { s.core.Tick(now) })
 	for {
 		select {
-		case <-s.ctx.Done():
+		case <-s.lifetime.Done():
 			return
 		case <-ticker.C:
 		}
@@ -134,19 +134,19 @@
 			lastMembers = s.clock.Now()
 			s.setMembers()
 		}
-		s.step(func(now Time) { s.core.Tick(now) })
+		s.runStep(func(now Time) { s.core.Tick(now) })
 	}
 }
 
 func (s *Service) setMembers() {
 	members := s.options.Members()
-	s.step(func(Time) { s.core.SetMembers(members) })
+	s.runStep(func(Time) { s.core.SetMembers(members) })
 }
 
 // Close stops the service. Proposals under way end with what is known. It
 // blocks until nothing runs any more; a second call does nothing.
 func (s *Service) Close() {
-	s.step(func(now Time) {
+	s.runStep(func(now Time) {
 		for id := range s.pendingResults {
 			s.core.Expire(now, id)
 		}
@@ -163,13 +163,13 @@
 		delete(s.subscribers, id)
 	}
 	s.mutex.Unlock()
-	s.cancel()
+	s.cancelLifetime()
 	s.workers.Wait()
 }
 
 // do runs one step of the core and carries out what it asks for. The clock is
 // read after the event that the step reports.
-func (s *Service) step(step func(now Time)) {
+func (s *Service) runStep(step func(now Time)) {
 	s.mutex.Lock()
 	if s.closed {
 		s.mutex.Unlock()
--- a/internal/selfhosted/dissemination/service_calls.go
+++ b/internal/selfhosted/dissemination/service_calls.go
@@ -33,7 +33,7 @@
 	}
 	switch {
 	case ready.Watch && s.cancelWatch == nil:
-		ctx, cancel := context.WithCancel(s.ctx)
+		ctx, cancel := context.WithCancel(s.lifetime)
 		s.cancelWatch = cancel
 		s.workers.Add(1)
 		go s.watch(ctx)
@@ -45,7 +45,7 @@
 
 func (s *Service) fetch(fetch Fetch) {
 	defer s.workers.Done()
-	ctx, cancel := context.WithTimeout(s.ctx, s.options.Config.FetchTimeout)
+	ctx, cancel := context.WithTimeout(s.lifetime, s.options.Config.FetchTimeout)
 	defer cancel()
 	reply, err := s.options.Transport.Fetch(ctx, fetch.To, &FetchCall{Revision: fetch.Request.Revision})
 	var response *FetchResponse
@@ -56,7 +56,7 @@
 	if err != nil {
 		response = nil
 	}
-	s.step(func(now Time) { s.core.StepFetched(now, response) })
+	s.runStep(func(now Time) { s.core.StepFetched(now, response) })
 }
 
 func (s *Service) runOperation(operation StoreOperation) {
@@ -65,12 +65,12 @@
 	if operation.LoadCheckpoint || operation.SaveCheckpoint != nil {
 		timeout = checkpointTimeout
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, timeout)
+	ctx, cancel := context.WithTimeout(s.lifetime, timeout)
 	defer cancel()
 	kind, result := s.callStore(ctx, operation)
 	result.ID = operation.ID
 	s.metrics.store.WithLabelValues(kind, resultLabel(result.Err)).Inc()
-	s.step(func(now Time) { s.core.StepStore(now, result) })
+	s.runStep(func(now Time) { s.core.StepStore(now, result) })
 }
 
 func (s *Service) callStore(ctx context.Context, operation StoreOperation) (kind string, result StoreResult) {
@@ -98,7 +98,7 @@
 	defer s.workers.Done()
 	for ctx.Err() == nil {
 		err := s.options.Store.WatchChanges(ctx, func(changes []catalog.Change) {
-			s.step(func(now Time) { s.core.StepWatched(now, changes) })
+			s.runStep(func(now Time) { s.core.StepWatched(now, changes) })
 		})
 		s.metrics.store.WithLabelValues("watch", resultLabel(err)).Inc()
 		select {
--- a/internal/selfhosted/dissemination/service_packets.go
+++ b/internal/selfhosted/dissemination/service_packets.go
@@ -29,7 +29,7 @@
 	}
 	s.metrics.packets.WithLabelValues(packetKind(packet), "received").Inc()
 	s.metrics.bytes.WithLabelValues("received").Add(float64(len(payload)))
-	s.step(func(now Time) { s.core.Step(now, from, packet) })
+	s.runStep(func(now Time) { s.core.Step(now, from, packet) })
 }
 
 // ServeFetch answers a peer's fetch.
@@ -43,6 +43,6 @@
 // Hint reports that a member announced a revision elsewhere, as in a heartbeat.
 func (s *Service) Hint(from netip.AddrPort, revision uint64) {
 	if revision > s.Current().Revision {
-		s.step(func(now Time) { s.core.Hint(now, from, revision) })
+		s.runStep(func(now Time) { s.core.Hint(now, from, revision) })
 	}
 }
--- a/internal/selfhosted/dissemination/service_propose.go
+++ b/internal/selfhosted/dissemination/service_propose.go
@@ -50,7 +50,7 @@
 	results := make(chan Result, 1)
 	var id ProposalID
 	started := false
-	s.step(func(now Time) {
+	s.runStep(func(now Time) {
 		proposal.Deadline = now + timeout
 		id = s.core.Propose(now, proposal)
 		s.pendingResults[id] = results
@@ -65,6 +65,6 @@
 	case <-ctx.Done():
 	}
 	// Only the core knows whether the change may take effect.
-	s.step(func(now Time) { s.core.Expire(now, id) })
+	s.runStep(func(now Time) { s.core.Expire(now, id) })
 	return <-results, nil
 }
--- a/internal/selfhosted/dissemination/simulated_process_test.go
+++ b/internal/selfhosted/dissemination/simulated_process_test.go
@@ -94,10 +94,10 @@
 	if !p.core.Fresh(p.localTime()) {
 		return
 	}
-	p.simulation.freshnessPassed++
-	if required := p.simulation.requiredRevision(); p.core.Revision() < required {
+	p.simulation.freshChecks++
+	if requiredRevision := p.simulation.requiredRevision(); p.core.Revision() < requiredRevision {
 		p.simulation.addViolation("%s (%s) is fresh at revision %d, but %d was accepted more than %v ago",
-			p.member.Name, p.member.Address, p.core.Revision(), required, p.simulation.config.Window)
+			p.member.Name, p.member.Address, p.core.Revision(), requiredRevision, p.simulation.config.Window)
 	}
 }
 
@@ -109,9 +109,9 @@
 		return
 	}
 	for _, other := range p.simulation.processes {
-		takeover := &other.core.takeover
+		successor := &other.core.successor
 		if other.member.Name == p.member.Name && !other.dead && other.core.Incarnation() > p.core.Incarnation() &&
-			takeover.complete && len(other.core.Catalog().Voters) > 1 && takeover.completedAt-other.clockOffset < ownedAt-p.clockOffset {
+			successor.complete && len(other.core.Catalog().Voters) > 1 && successor.completedAt-other.clockOffset < ownedAt-p.clockOffset {
 			p.simulation.addViolation("slot %s belongs to two processes", p.member.Name)
 		}
 	}
--- a/internal/selfhosted/dissemination/simulated_schedule_test.go
+++ b/internal/selfhosted/dissemination/simulated_schedule_test.go
@@ -41,7 +41,7 @@
 
 // runSchedule runs a schedule and returns the world, with what it violated.
 func runSchedule(s schedule) *simulation {
-	w := newWorld(s.seed, s.voters, s.relays)
+	w := newSimulation(s.seed, s.voters, s.relays)
 	w.disable(s.disabled)
 	for _, f := range s.faults {
 		w.at(setupTime+f.at, func() { w.startFault(f) })
@@ -57,15 +57,15 @@
 }
 
 // leaveOut switches mechanisms off, also for processes to come.
-func (w *simulation) disable(omit disabledMechanisms) {
-	w.disabled = omit
+func (w *simulation) disable(disabled disabledMechanisms) {
+	w.disabled = disabled
 	for _, p := range w.processes {
-		p.core.disabled = omit
+		p.core.disabled = disabled
 	}
 }
 
 // newWorld returns a world with nodes and voters that have settled.
-func newWorld(seed uint64, voters int, relays bool) *simulation {
+func newSimulation(seed uint64, voters int, relays bool) *simulation {
 	w := &simulation{random: rand.New(rand.NewPCG(seed, 2)), config: DefaultConfig()}
 	w.config.TailLength, w.config.ReadLimit = 4, 3
 	w.config.CheckpointInterval, w.config.RetainedInStore = 8, 60
@@ -189,15 +189,15 @@
 
 // propose lets an operator ask a process; the result is taken when it comes.
 func (w *simulation) propose(p *process, request Proposal, timeout Time) *operation {
-	op := &operation{client: len(w.operations), process: p, request: request, call: w.now}
+	op := &operation{client: len(w.operations), process: p, submitted: request, call: w.now}
 	if !request.ResolveFate && request.ChangeID == "" {
-		op.request.ChangeID = fmt.Sprintf("T%d", op.client)
+		op.submitted.ChangeID = fmt.Sprintf("T%d", op.client)
 	}
 	w.operations = append(w.operations, op)
 	p.runStep(func() {
-		request := op.request
-		request.Deadline = p.localTime() + timeout
-		p.pending[p.core.Propose(p.localTime(), request)] = op
+		submitted := op.submitted
+		submitted.Deadline = p.localTime() + timeout
+		p.pending[p.core.Propose(p.localTime(), submitted)] = op
 	})
 	return op
 }
--- a/internal/selfhosted/dissemination/simulation_test.go
+++ b/internal/selfhosted/dissemination/simulation_test.go
@@ -27,10 +27,10 @@
 	failFetches bool
 
 	// asked and fresh count the checks before acting, and those that passed.
-	freshnessChecks, freshnessPassed int
-	accepted                         []acceptedChange
-	operations                       []*operation
-	violations                       []string
+	freshnessChecks, freshChecks int
+	accepted                     []acceptedChange
+	operations                   []*operation
+	violations                   []string
 }
 
 // acceptedChange says that a revision was accepted no later than at.
@@ -41,13 +41,13 @@
 
 // operation is one proposal of an operator, for the history.
 type operation struct {
-	client  int
-	process *process
-	request Proposal
-	call    Time
-	end     Time
-	done    bool
-	result  Result
+	client    int
+	process   *process
+	submitted Proposal
+	call      Time
+	end       Time
+	done      bool
+	result    Result
 }
 
 type event struct {
--- a/internal/selfhosted/dissemination/takeover.go
+++ b/internal/selfhosted/dissemination/takeover.go
@@ -31,26 +31,26 @@
 
 // votes says whether this node's revision may be counted by others.
 func (c *Core) canVote() bool {
-	if !c.isVoter() || c.takeover.superseded {
+	if !c.isVoter() || c.successor.superseded {
 		return false
 	}
-	return c.takeover.recovered || c.disabled.recovery
+	return c.successor.recovered || c.disabled.recovery
 }
 
 // resetTakeover makes a node that is no voter any more start over if it
 // becomes one again.
 func (c *Core) resetTakeover() {
-	if c.isVoter() || (!c.takeover.complete && !c.takeover.recovered) {
+	if c.isVoter() || (!c.successor.complete && !c.successor.recovered) {
 		return
 	}
-	c.takeover.complete, c.takeover.recovered = false, false
-	clear(c.takeover.registered)
+	c.successor.complete, c.successor.recovered = false, false
+	clear(c.successor.registered)
 }
 
 // recover lets the node vote once its slot is registered and it has been
 // confirmed since.
 func (c *Core) updateRecovery(now Time) {
-	t := &c.takeover
+	t := &c.successor
 	if t.recovered || t.superseded || !c.isVoter() {
 		return
 	}
@@ -65,7 +65,7 @@
 func (c *Core) countRegistrations() int {
 	count := 0
 	for name := range c.voterStates {
-		if c.takeover.registered[name] {
+		if c.successor.registered[name] {
 			count++
 		}
 	}
@@ -138,7 +138,7 @@
 	c.claims[claim.Name] = claim.Incarnation
 	c.claimsHash = 0
 	// What the predecessor registered says nothing of its successor.
-	delete(c.takeover.registered, claim.Name)
+	delete(c.successor.registered, claim.Name)
 }
 
 // meetClaim handles a claim on this node's own name. A process that has just
@@ -148,14 +148,14 @@
 	if claim.Incarnation <= c.self.Incarnation || c.disabled.supersession {
 		return
 	}
-	if !c.takeover.recovered && now-c.startedAt < c.config.Window {
+	if !c.successor.recovered && now-c.startedAt < c.config.Window {
 		c.self.Incarnation = claim.Incarnation + 1 + c.random.Uint64N(incarnationJitter)
 		c.claimsHash = 0
-		c.takeover.complete = false
-		clear(c.takeover.registered)
+		c.successor.complete = false
+		clear(c.successor.registered)
 		return
 	}
-	c.takeover.superseded = true
+	c.successor.superseded = true
 }
 
 // incarnationSpread keeps two processes that raise their incarnation at once
--- a/internal/selfhosted/machines/poller_test.go
+++ b/internal/selfhosted/machines/poller_test.go
@@ -52,8 +52,8 @@
 	poller := NewPoller(Config{Interval: time.Second, Jitter: 0.2}, rand.New(rand.NewPCG(1, 1)), nil)
 	lowest, highest := time.Hour, time.Duration(0)
 	for range 10000 {
-		pause := poller.nextDelay()
-		lowest, highest = min(lowest, pause), max(highest, pause)
+		nextDelay := poller.nextDelay()
+		lowest, highest = min(lowest, nextDelay), max(highest, nextDelay)
 	}
 	if lowest < 800*time.Millisecond || lowest > 805*time.Millisecond || highest < 1195*time.Millisecond || highest > 1200*time.Millisecond {
 		t.Fatalf("pauses from %s to %s", lowest, highest)
