--- a/internal/selfhosted/dissemination/acceptance.go
+++ b/internal/selfhosted/dissemination/acceptance.go
@@ -6,42 +6,40 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// acceptance finds out whether a majority of the voters held a revision at one
-// moment.
+// acceptance determines whether a majority of the voters held a revision at the same moment.
 //
-// One round of answers does not show that: a voter may have been restarted, and
-// have recovered without the revision, between its answer and the last one. So
-// once a majority has answered, at firstAt, the same processes are asked again.
-// A second answer shows that the process ran, and so held the revision, at
-// firstAt.
+// One round of responses is not sufficient: a voter may restart after its response and recover
+// without the revision before the last response arrives. Therefore the same processes are asked
+// again after a majority has responded at firstRoundAt. A second response proves that the process
+// was running, and so held the revision, at firstRoundAt.
 type acceptance struct {
 	revision uint64
 	voters   map[string]catalog.Voter
-	// firstRound holds the incarnations of the first round's majority.
+	// firstRound holds the incarnations of the voters that form the majority of the first round.
 	firstRound   map[string]uint64
 	firstRoundAt Time
 	nextPoll     Time
 }
 
-// roundTimeout is after how many retry intervals the first round is repeated.
+// roundTimeoutRetries is the number of retry intervals after which the first round is repeated.
 const roundTimeoutRetries = 5
 
-// pollAcceptance advances a by what is known now, asks the voters if that is
-// due, and says whether the revision is accepted.
+// pollAcceptance evaluates the received responses, sends requests to the voters if they are due,
+// and reports whether the revision is accepted.
 func (c *Core) pollAcceptance(now Time, a *acceptance) bool {
 	voters := c.log.catalog.Voters
 	if len(voters) == 0 {
-		return true // the store alone decides
+		return true // without voters, a stored change is accepted
 	}
 	if !maps.Equal(a.voters, voters) || (a.firstRound != nil && now-a.firstRoundAt > roundTimeoutRetries*c.config.RetryInterval) {
 		a.voters, a.firstRound, a.nextPoll = voters, nil, now
 	}
 	if a.firstRound == nil {
-		if holders := c.holders(a.revision); len(holders) >= c.needed() {
+		if holders := c.holders(a.revision); len(holders) >= c.quorum() {
 			a.firstRound, a.firstRoundAt, a.nextPoll = holders, now, now
 		}
 	}
-	if a.firstRound != nil && (c.disabled.secondRound || c.countSecondRound(a) >= c.needed()) {
+	if a.firstRound != nil && (c.disabled.secondRound || c.countSecondRound(a) >= c.quorum()) {
 		return true
 	}
 	if now >= a.nextPoll {
@@ -51,12 +49,12 @@
 	return false
 }
 
-// holders returns the voters known to hold a revision, with their incarnations.
+// holders returns the voters that are known to hold a revision, with their incarnations.
 func (c *Core) holders(revision uint64) map[string]uint64 {
 	incarnations := map[string]uint64{}
-	for name, s := range c.voterStates {
-		if c.holdsCountably(name, s, revision) {
-			incarnations[name] = s.latest.incarnation
+	for name, state := range c.voterStates {
+		if c.holdsCountably(name, state, revision) {
+			incarnations[name] = state.latest.incarnation
 		}
 	}
 	if c.canVote() && c.log.revision() >= revision {
@@ -65,11 +63,14 @@
 	return incarnations
 }
 
-func (c *Core) holdsCountably(name string, s *voterState, revision uint64) bool {
-	return s.latest.valid && s.latest.voter && s.latest.revision >= revision && c.isCurrentIncarnation(name, s.latest.incarnation)
+// holdsCountably reports whether the latest response of a voter counts toward a quorum for a
+// revision.
+func (c *Core) holdsCountably(name string, state *voterState, revision uint64) bool {
+	return state.latest.valid && state.latest.voter && state.latest.revision >= revision && c.isCurrentIncarnation(name, state.latest.incarnation)
 }
 
-// stillHolding counts the first round's voters that were asked again since.
+// countSecondRound returns the number of first-round voters that have responded to a request sent
+// after the first round.
 func (c *Core) countSecondRound(a *acceptance) int {
 	count := 0
 	for name, incarnation := range a.firstRound {
--- a/internal/selfhosted/dissemination/adapter_checkpoint.go
+++ b/internal/selfhosted/dissemination/adapter_checkpoint.go
@@ -13,12 +13,11 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
-// chunkSize bounds the data of one chunk: the usual limit of a store is about
-// 1.5 MB for a request.
+// chunkSize is the maximum data size of one chunk. Stores usually limit a request to about 1.5 MB.
 const chunkSize = 512 << 10
 
-// chunk is one part of a checkpoint. All parts name the hash of the whole, so
-// that parts from writers that encode differently are not put together.
+// chunk is one part of a checkpoint. Each chunk carries the hash of the complete checkpoint, so
+// that chunks from writers with different encodings are not combined.
 type chunk struct {
 	Count int    `json:"count"`
 	Hash  uint64 `json:"hash"`
@@ -49,14 +48,15 @@
 		if loaded, err := assembleCheckpoint(entries[first:]); err == nil {
 			return loaded, nil
 		}
-		entries = entries[:first] // an older one may be whole
+		entries = entries[:first] // fall back to the next older checkpoint
 	}
 	return nil, nil
 }
 
+// chunkKeyPrefix returns the part of a chunk's key that all chunks of its checkpoint share.
 func chunkKeyPrefix(key string) string { return key[:strings.LastIndexByte(key, '/')+1] }
 
-// assemble puts the chunks of one checkpoint together.
+// assembleCheckpoint joins the chunks of one checkpoint and verifies the result.
 func assembleCheckpoint(entries []store.Entry) (*catalog.Catalog, error) {
 	var data []byte
 	var hash uint64
@@ -66,27 +66,27 @@
 			return nil, err
 		}
 		if part.Count != len(entries) || (index > 0 && part.Hash != hash) {
-			return nil, fmt.Errorf("checkpoint %s is not whole", entry.Key)
+			return nil, fmt.Errorf("assemble checkpoint %s: chunk count or hash does not match the other chunks", entry.Key)
 		}
 		hash = part.Hash
 		data = append(data, part.Data...)
 	}
 	if xxhash.Sum64(data) != hash {
-		return nil, fmt.Errorf("checkpoint %s is damaged", entries[0].Key)
+		return nil, fmt.Errorf("assemble checkpoint %s: hash does not match the data", entries[0].Key)
 	}
 	loaded, err := catalog.Decode(data)
 	if err == nil && checkpointPrefix(loaded.Revision) != chunkKeyPrefix(entries[0].Key) {
-		err = fmt.Errorf("checkpoint %s holds revision %d", entries[0].Key, loaded.Revision)
+		err = fmt.Errorf("assemble checkpoint %s: data has revision %d", entries[0].Key, loaded.Revision)
 	}
 	return loaded, err
 }
 
-// SaveCheckpoint implements Store. Writers that race write the same bytes, and
-// each chunk is created only if it does not exist.
+// SaveCheckpoint implements Store. Concurrent writers write identical bytes, and each chunk is
+// created only if it does not exist.
 func (a *StoreAdapter) SaveCheckpoint(ctx context.Context, checkpoint *catalog.Catalog, keep uint64) error {
 	prefix := checkpointPrefix(checkpoint.Revision)
 	if _, err := a.readCheckpoint(ctx, prefix); err == nil {
-		return nil // another watcher was first, and deletes
+		return nil // another watcher wrote the checkpoint and deletes older changes
 	}
 	data, err := catalog.Encode(checkpoint)
 	if err != nil {
@@ -115,12 +115,13 @@
 		return nil, err
 	}
 	if len(response.Entries) == 0 {
-		return nil, oops.In("dissemination").With("step", "checkpoint").Errorf("there is no checkpoint %s", prefix)
+		return nil, oops.In("dissemination").With("step", "checkpoint").Errorf("read checkpoint %s: no chunks found", prefix)
 	}
 	return assembleCheckpoint(response.Entries)
 }
 
-// trim deletes the changes before keep and the checkpoints below it.
+// deleteBefore deletes the changes and checkpoints of revisions lower than keep; zero deletes
+// nothing.
 func (a *StoreAdapter) deleteBefore(ctx context.Context, keep uint64) error {
 	if keep == 0 {
 		return nil
--- a/internal/selfhosted/dissemination/adapter_peer.go
+++ b/internal/selfhosted/dissemination/adapter_peer.go
@@ -7,16 +7,16 @@
 	"github.com/micaplank/micaplank/internal/peer"
 )
 
-// fetchMethod is the name of the fetch call.
+// fetchMethod is the name of the fetch call between peers.
 const fetchMethod = "dissemination.fetch"
 
-// PeerTransport is a Transport over the transport between nodes.
+// PeerTransport implements Transport with the datagrams and calls of package peer.
 type PeerTransport struct {
 	datagrams *peer.Datagrams
 	client    *peer.Client
 }
 
-// NewPeerTransport returns a Transport; the caller keeps both parts.
+// NewPeerTransport returns a PeerTransport. The caller keeps ownership of both arguments.
 func NewPeerTransport(datagrams *peer.Datagrams, client *peer.Client) *PeerTransport {
 	return &PeerTransport{datagrams: datagrams, client: client}
 }
@@ -35,7 +35,7 @@
 	return &reply, nil
 }
 
-// Serve lets the service take packets and fetches from peers.
+// Serve registers the service's handlers for packets and fetch calls from peers.
 func (s *Service) Serve(datagrams *peer.Datagrams, server *peer.Server) {
 	datagrams.Handle(peer.KindExchange, s.Receive)
 	peer.Register(server, fetchMethod, s.ServeFetch)
--- a/internal/selfhosted/dissemination/adapter_store.go
+++ b/internal/selfhosted/dissemination/adapter_store.go
@@ -10,8 +10,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
-// Keys of the store. The numbers have a fixed width, so that the order of the
-// keys is the order of the revisions.
+// Key prefixes in the store. Revisions in keys have a fixed width, so that the order of the keys is
+// the order of the revisions.
 const (
 	changesPrefix     = "/micaplank/changes/"
 	checkpointsPrefix = "/micaplank/checkpoints/"
@@ -19,12 +19,12 @@
 
 func changeKey(revision uint64) string { return fmt.Sprintf("%s%016d", changesPrefix, revision) }
 
-// StoreAdapter is a Store over the client of the key-value service.
+// StoreAdapter implements Store with the client of the key-value store.
 type StoreAdapter struct {
 	client *store.Client
 }
 
-// NewStoreAdapter returns an adapter; the caller keeps the client.
+// NewStoreAdapter returns a StoreAdapter. The caller keeps ownership of the client.
 func NewStoreAdapter(client *store.Client) *StoreAdapter { return &StoreAdapter{client: client} }
 
 // ReadChanges implements Store.
@@ -47,7 +47,7 @@
 func decodeEntry(entry store.Entry) (catalog.Change, error) {
 	change, err := catalog.DecodeChange(entry.Value)
 	if err == nil && changeKey(change.Revision) != entry.Key {
-		err = fmt.Errorf("key %s holds the change of revision %d", entry.Key, change.Revision)
+		err = fmt.Errorf("decode change %s: value has revision %d", entry.Key, change.Revision)
 	}
 	if err != nil {
 		return catalog.Change{}, oops.In("dissemination").With("step", "decode", "key", entry.Key).Wrap(err)
@@ -72,7 +72,7 @@
 	return false, &existing, nil
 }
 
-// notSentError is a failure before anything was sent.
+// notSentError is a failure that occurred before a request was sent.
 type notSentError struct{ error }
 
 // MaybeApplied implements Store.
@@ -83,8 +83,8 @@
 	return store.MaybeApplied(err)
 }
 
-// WatchChanges implements Store. It watches from now on; reads of the log fill
-// the gap before.
+// WatchChanges implements Store. The watch starts at the current store revision; reads of the log
+// deliver the changes before it.
 func (a *StoreAdapter) WatchChanges(ctx context.Context, deliver func([]catalog.Change)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/selfhosted/dissemination/change_log.go
+++ b/internal/selfhosted/dissemination/change_log.go
@@ -6,19 +6,19 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// changeLog is the catalog with the recent changes that led to it.
+// changeLog holds the catalog and the most recent changes that led to it.
 type changeLog struct {
 	catalog *catalog.Catalog
-	// tail holds the last changes in order; its last one is the catalog's
-	// revision unless it is empty.
+	// tail holds the most recent changes in order. Unless tail is empty, its last change has the
+	// catalog's revision.
 	tail       []catalog.Change
 	tailLength int
-	// checkpoint is the catalog at the last multiple of interval that append
-	// passed; its taker sets it to nil.
-	latest             *catalog.Catalog
+	// checkpoint is the catalog at the last multiple of checkpointInterval that append reached. The
+	// consumer resets it to nil.
+	checkpoint         *catalog.Catalog
 	checkpointInterval uint64
-	// broken is set when a change that the log contains cannot be applied:
-	// this process does not understand it and must not serve.
+	// broken is set when the next change of the log cannot be applied. This process then does not
+	// understand the log and must not serve.
 	broken error
 }
 
@@ -28,8 +28,7 @@
 
 func (l *changeLog) revision() uint64 { return l.catalog.Revision }
 
-// append installs those of the changes that follow the catalog without a gap
-// and returns them.
+// append installs the changes that follow the catalog without a gap and returns them.
 func (l *changeLog) append(changes []catalog.Change) []catalog.Change {
 	first := len(changes)
 	last := first
@@ -46,7 +45,7 @@
 		l.catalog = next
 		l.addToTail(change)
 		if next.Revision%l.checkpointInterval == 0 {
-			l.latest = next
+			l.checkpoint = next
 		}
 		first, last = min(first, i), i+1
 	}
@@ -56,6 +55,8 @@
 	return changes[first:last]
 }
 
+// addToTail appends a change to tail. It trims tail only when it has reached twice its target
+// length, so that copying is rare.
 func (l *changeLog) addToTail(change catalog.Change) {
 	if len(l.tail) >= 2*l.tailLength {
 		l.tail = slices.Clone(l.tail[len(l.tail)-l.tailLength+1:])
@@ -63,7 +64,7 @@
 	l.tail = append(l.tail, change)
 }
 
-// replace installs a whole catalog if its revision is higher.
+// installCheckpoint installs a complete catalog if its revision is higher.
 func (l *changeLog) installCheckpoint(checkpoint *catalog.Catalog) bool {
 	if checkpoint == nil || checkpoint.Revision <= l.revision() {
 		return false
@@ -74,7 +75,8 @@
 	return true
 }
 
-// after returns the changes that follow a revision; false if they are not kept.
+// changesAfter returns the changes that follow a revision, or false if tail no longer contains all
+// of them.
 func (l *changeLog) changesAfter(revision uint64) ([]catalog.Change, bool) {
 	missing := l.revision() - min(revision, l.revision())
 	if missing > uint64(len(l.tail)) {
@@ -83,7 +85,8 @@
 	return l.tail[len(l.tail)-int(missing):], true
 }
 
-// idAt returns the id of the change at a revision, if it is remembered.
+// changeIDAt returns the ID of the change at a revision if it is among the catalog's recent
+// changes.
 func (l *changeLog) changeIDAt(revision uint64) (string, bool) {
 	recent := l.catalog.Recent
 	behind := l.revision() - revision
--- a/internal/selfhosted/dissemination/checkpoint.go
+++ b/internal/selfhosted/dissemination/checkpoint.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// checkpointDelay is the mean time between the turns of the watchers to write a
+// meanCheckpointDelay is the mean time between the attempts of different watchers to write a
 // checkpoint.
 const meanCheckpointDelay = 2 * time.Second
 
-// loadCheckpoint asks the store for a checkpoint, after a gap in the log.
+// loadCheckpoint requests a checkpoint from the store after a gap in the log.
 func (c *Core) loadCheckpoint(now Time) {
 	if c.store.loadInFlight {
 		return
@@ -15,11 +15,11 @@
 	c.startOperation(pendingOperation{sentAt: now, kind: operationLoad}, StoreOperation{LoadCheckpoint: true})
 }
 
-// planCheckpoint lets the watchers write a checkpoint. Each waits for a random
-// time, so that most find it written.
+// planCheckpoint schedules a checkpoint if this node is a watcher. Each watcher waits for a random
+// time, so that usually only the first one writes the checkpoint.
 func (c *Core) planCheckpoint(now Time) {
-	latest := c.log.latest
-	c.log.latest = nil
+	latest := c.log.checkpoint
+	c.log.checkpoint = nil
 	if latest == nil || !c.isWatcher() {
 		return
 	}
@@ -28,6 +28,7 @@
 	c.store.checkpointDue = now + Time(c.random.Int64N(int64(watchers)*int64(meanCheckpointDelay)))
 }
 
+// saveCheckpoint writes the scheduled checkpoint and lets the store delete older changes.
 func (c *Core) saveCheckpoint(now Time) {
 	save := &SaveCheckpoint{Catalog: c.store.checkpoint}
 	c.store.checkpoint = nil
--- a/internal/selfhosted/dissemination/config.go
+++ b/internal/selfhosted/dissemination/config.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// Config holds the limits of a Core. All durations are of the monotonic clock.
+// Config holds the limits and intervals of a Core. All durations refer to the monotonic clock.
 type Config struct {
-	// Window is how old a confirmation may be for the node to serve.
+	// Window is the maximum age of a confirmation with which the node may serve.
 	Window time.Duration
 	// ExchangeInterval is the time between exchanges with the same peers.
 	ExchangeInterval time.Duration
-	// StoreInterval is the time between reads of the store by a watcher.
+	// StoreInterval is the time between store reads of a watcher.
 	StoreInterval time.Duration
-	// StoreBackoff bounds the time between reads of the store by a node that
-	// has no other source, and after failures.
+	// StoreBackoff is the maximum time between store reads of a node without another source of
+	// confirmations, and after failures.
 	StoreBackoff time.Duration
-	// RetryInterval is the time between attempts of a proposal's next step.
+	// RetryInterval is the time between attempts of the next step of a proposal.
 	RetryInterval time.Duration
-	// FetchTimeout is when a fetch without an end is given up on.
+	// FetchTimeout is the time after which an unfinished fetch is abandoned.
 	FetchTimeout time.Duration
-	// WatchersPerZone is how many nodes of a zone watch the store; the same
-	// nodes are the roots of the zone's relay tree.
+	// WatchersPerZone is the number of nodes per zone that watch the store. These nodes are also
+	// the roots of the zone's relay tree.
 	WatchersPerZone int
-	// DirectLimit is the number of members up to which every node exchanges
-	// with all voters; beyond it only voters and the roots of zones do.
+	// DirectLimit is the number of members up to which every node exchanges with all voters. In a
+	// larger cluster only voters and the roots of zones do so.
 	DirectLimit int
-	// RelayFanout is how many nodes have the same first parent in a relay tree.
+	// RelayFanout is the number of nodes that have the same first parent in a relay tree.
 	RelayFanout int
-	// PushFanout is how many random members a node pushes a new change to.
+	// PushFanout is the number of random members to which a node pushes a new change.
 	PushFanout int
-	// TailLength is how many changes are kept for peers that lag.
+	// TailLength is the number of recent changes kept for lagging peers.
 	TailLength int
-	// ReadLimit is how many changes one read of the store returns at most.
+	// ReadLimit is the maximum number of changes that one store read returns.
 	ReadLimit int
 	// CheckpointInterval is the number of revisions between checkpoints.
 	CheckpointInterval uint64
-	// RetainedInStore is how many changes are left in the store at least when
-	// older ones are deleted. It must exceed what can be made in two windows.
+	// RetainedInStore is the minimum number of recent changes that remain in the store when older
+	// ones are deleted. It must exceed the number of changes that can be made within two windows.
 	RetainedInStore uint64
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		Window:             5 * time.Second,
@@ -61,27 +61,27 @@
 	}
 }
 
-// Options are what a Core is made from.
+// Options configures a Core.
 type Options struct {
 	Config Config
-	// Self is this node. Its incarnation must be higher than that of any
-	// earlier process of the same name; the core raises it if it is not.
+	// Self is this node. Its incarnation should be higher than that of every earlier process of the
+	// same name; the core raises it otherwise.
 	Self Member
-	// Random is the source of the core's choices; the core owns it.
+	// Random is the source of the core's random choices. The core takes ownership of it.
 	Random *rand.Rand
 }
 
-// omissions leaves single safety mechanisms out. Only tests set it, to see
-// that the checks notice.
+// disabledMechanisms switches individual safety mechanisms off. Only tests set it, to verify that
+// their checks detect the violations that each mechanism prevents.
 type disabledMechanisms struct {
-	recovery     bool // a restarted voter acknowledges at once
-	registration bool // a voter recovers without its incarnation registered
-	supersession bool // answers of any incarnation of a slot count
-	majority     bool // one voter's answer confirms, one voter accepts
-	sendTime     bool // a confirmation counts from the arrival of the answer
-	secondRound  bool // acceptance after one round of answers
-	readBack     bool // an uncertain write is taken as refused
-	monotonic    bool // a checkpoint of a lower revision is installed
-	voterGuard   bool // voter changes do not wait for their predecessor
-	staleWrite   bool // a node writes behind the end of a log however old
+	recovery     bool // a restarted voter acknowledges immediately
+	registration bool // a voter recovers before its incarnation is registered
+	supersession bool // responses of any incarnation of a voter count
+	majority     bool // a single voter is a quorum
+	sendTime     bool // a confirmation counts from the arrival of the response
+	secondRound  bool // one round of responses is sufficient for acceptance
+	readBack     bool // a write with an unknown outcome is treated as rejected
+	monotonic    bool // a checkpoint with a lower revision is installed
+	voterGuard   bool // a voter change does not wait until its predecessor is accepted
+	staleWrite   bool // a node appends to its log even if the log is outdated
 }
--- a/internal/selfhosted/dissemination/confirmation.go
+++ b/internal/selfhosted/dissemination/confirmation.go
@@ -2,50 +2,50 @@
 
 import "slices"
 
-// slot is what is known of one voter.
+// voterState holds the responses of one voter.
 type voterState struct {
-	// latest is the last answer of the highest incarnation known.
+	// latest is the last response of the highest known incarnation.
 	latest voterAnswer
-	// confirmedAt is the sending time of the last request that was answered
-	// with no more than this node holds, by confirmedBy.
+	// confirmedAt is the sending time of the last request that incarnation confirmedBy answered
+	// with a revision no higher than this node's.
 	confirmed   bool
 	confirmedAt Time
 	confirmedBy uint64
 }
 
-// answer is a voter's answer to an exchange.
+// voterAnswer is a voter's response to an exchange request.
 type voterAnswer struct {
 	valid       bool
-	sentAt      Time // of the request
+	sentAt      Time // sending time of the request
 	incarnation uint64
 	revision    uint64
 	voter       bool
-	// registered says that the request claimed this node's slot with its
-	// incarnation, so that the voter knows it.
+	// registered reports that the request claimed this node's voter slot with its current
+	// incarnation, so that the voter has registered it.
 	registered bool
 }
 
-// relayedConfirmation is a peer's confirmation that counts once this node holds
-// the revision.
+// relayedConfirmation is a peer's confirmation, which counts once this node holds its revision.
 type relayedConfirmation struct {
 	revision uint64
 	at       Time
 }
 
-// maximumRelayed bounds the confirmations that wait for a revision.
+// maxRelayed is the maximum number of relayed confirmations that wait for their revision.
 const maxRelayed = 8
 
-// majority returns how many of n voters are a majority.
+// majority returns the smallest number of voters that is a majority of n.
 func majority(n int) int { return n/2 + 1 }
 
-func (c *Core) needed() int {
+// quorum returns the number of voters that is required to confirm or accept a revision.
+func (c *Core) quorum() int {
 	if c.disabled.majority {
 		return 1
 	}
 	return majority(len(c.log.catalog.Voters))
 }
 
-// resetSlots makes the slots follow the catalog's voters.
+// resetVoterStates adapts voterStates to the catalog's voters.
 func (c *Core) resetVoterStates() {
 	voters := c.log.catalog.Voters
 	for name := range c.voterStates {
@@ -58,13 +58,14 @@
 			c.voterStates[name] = &voterState{}
 		}
 	}
-	for _, s := range c.voterStates {
-		s.confirmFromLatest(c.log.revision())
+	for _, state := range c.voterStates {
+		state.confirmFromLatest(c.log.revision())
 	}
 	c.resetTakeover()
 }
 
-// countLatest counts the latest answer if this node holds what it names.
+// confirmFromLatest raises the voter's confirmation to the latest response if this node holds the
+// revision in that response.
 func (s *voterState) confirmFromLatest(revision uint64) {
 	if !s.latest.valid || !s.latest.voter || s.latest.revision > revision {
 		return
@@ -72,7 +73,7 @@
 	s.confirmed, s.confirmedAt, s.confirmedBy = true, s.latest.sentAt, s.latest.incarnation
 }
 
-// takeAnswer notes a voter's answer.
+// recordAnswer stores a voter's response unless it is outdated.
 func (c *Core) recordAnswer(name string, received voterAnswer) {
 	state := c.voterStates[name]
 	if state == nil || !c.isCurrentIncarnation(name, received.incarnation) {
@@ -85,15 +86,15 @@
 	state.confirmFromLatest(c.log.revision())
 }
 
-// current says whether an incarnation of a slot is the highest known.
+// isCurrentIncarnation reports whether an incarnation of a voter is the highest known one.
 func (c *Core) isCurrentIncarnation(name string, incarnation uint64) bool {
 	return c.disabled.supersession || incarnation == c.claims[name]
 }
 
-// reconfirm works out the confirmation that the voters' answers prove: the
-// latest time at or after which a majority was asked. The voter itself counts
-// as asked now. A single voter proves nothing: nobody else could know that a
-// replacement has taken its slot over. Then the store alone confirms.
+// reconfirm computes the confirmation that the voters' responses prove: the latest time at or after
+// which requests to a majority were sent. If this node can vote, it counts as asked now. A single
+// voter proves nothing, because no other voter could know that a replacement has taken over its
+// slot; in this case only the store confirms.
 func (c *Core) reconfirm(now Time) {
 	c.updateRecovery(now)
 	voters := len(c.log.catalog.Voters)
@@ -104,29 +105,28 @@
 	if c.canVote() {
 		times = append(times, now)
 	}
-	for name, s := range c.voterStates {
-		if s.confirmed && c.isCurrentIncarnation(name, s.confirmedBy) {
-			times = append(times, s.confirmedAt)
+	for name, state := range c.voterStates {
+		if state.confirmed && c.isCurrentIncarnation(name, state.confirmedBy) {
+			times = append(times, state.confirmedAt)
 		}
 	}
-	if needed := c.needed(); len(times) >= needed {
+	if needed := c.quorum(); len(times) >= needed {
 		slices.Sort(times)
 		c.advanceConfirmation(times[len(times)-needed])
 	}
 	c.updateRecovery(now)
 }
 
-// HeldAt returns the latest time c such that a majority of the voters have
-// answered requests that were sent at c or later with at least a revision; false
-// if there is none. This node counts as asked now if it votes.
+// HeldAt returns the latest time c such that a majority of the voters have answered requests sent
+// at c or later with at least the given revision. It returns false if no such time exists. This
+// node counts as asked now if it can vote.
 //
-// If this node holds a voter's slot, only answers count that register its
-// incarnation. As soon as a successor in the slot has been registered by a
-// majority, some answer names it and HeldAt rises no more. So HeldAt with
-// revision 0 dates the last moment at which the slot was certainly this
-// process's own.
+// If this node is a voter, only responses that register its incarnation count. After a majority has
+// registered a successor in the voter slot, at least one response names the successor, and the
+// result of HeldAt no longer advances. With revision 0, HeldAt therefore returns the last time at
+// which the slot provably belonged to this process.
 func (c *Core) HeldAt(now Time, revision uint64) (Time, bool) {
-	if c.successor.superseded || len(c.voters) == 0 {
+	if c.takeover.superseded || len(c.voters) == 0 {
 		return 0, false
 	}
 	times := make([]Time, 0, len(c.voters))
@@ -134,12 +134,12 @@
 		times = append(times, now)
 	}
 	voter := c.isVoter()
-	for name, s := range c.voterStates {
-		if c.holdsCountably(name, s, revision) && (s.latest.registered || !voter) {
-			times = append(times, s.latest.sentAt)
+	for name, state := range c.voterStates {
+		if c.holdsCountably(name, state, revision) && (state.latest.registered || !voter) {
+			times = append(times, state.latest.sentAt)
 		}
 	}
-	needed := c.needed()
+	needed := c.quorum()
 	if len(times) < needed {
 		return 0, false
 	}
@@ -147,15 +147,16 @@
 	return times[len(times)-needed], true
 }
 
-// advance raises the confirmation; it never falls, because what is proved
-// once stays true.
+// advanceConfirmation raises the confirmation. The confirmation never decreases, because evidence
+// remains valid.
 func (c *Core) advanceConfirmation(at Time) {
 	if !c.confirmed || at > c.confirmedAt {
 		c.confirmed, c.confirmedAt = true, at
 	}
 }
 
-// takeRelayed counts a peer's confirmation, now or once its revision is held.
+// addRelayed applies a peer's confirmation immediately or, if its revision is not held yet, queues
+// it.
 func (c *Core) addRelayed(confirmation relayedConfirmation) {
 	if confirmation.revision <= c.log.revision() {
 		c.advanceConfirmation(confirmation.at)
@@ -167,6 +168,7 @@
 	c.relayed = append(c.relayed, confirmation)
 }
 
+// applyRelayed applies the queued confirmations whose revision is now held.
 func (c *Core) applyRelayed() {
 	pending := c.relayed
 	c.relayed = nil
--- a/internal/selfhosted/dissemination/core.go
+++ b/internal/selfhosted/dissemination/core.go
@@ -8,9 +8,8 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// Core is the state machine of one node. It is not safe for concurrent use.
-// Every method that takes the time must get a reading made after the event
-// that it reports.
+// Core is the state machine of one node. It is not safe for concurrent use. Each method with a time
+// parameter must receive a clock reading taken after the event that it processes.
 type Core struct {
 	config   Config
 	self     Member
@@ -22,15 +21,15 @@
 
 	log     changeLog
 	members memberIndex
-	// voters are the names of the catalog's voters, in order.
+	// voters lists the names of the catalog's voters in sorted order.
 	voters []string
 
-	// claims holds the highest incarnation known of each voter's slot.
+	// claims holds the highest known incarnation of each voter.
 	claims map[string]uint64
-	// knownHash is the hash of what is known of the slots; 0 if out of date.
+	// claimsHash is the hash of the known voter incarnations; 0 if it must be recomputed.
 	claimsHash  uint64
 	voterStates map[string]*voterState
-	successor   takeover
+	takeover    takeover
 
 	sequence uint64
 	requests map[uint64]pendingRequest
@@ -52,19 +51,20 @@
 	ready Ready
 }
 
-// Ready is what the driver has to do, in order, after each call.
+// Ready lists the actions that the driver must carry out, in order, after each call.
 type Ready struct {
-	// Packets are to be sent as datagrams.
+	// Packets are sent as datagrams.
 	Packets []Outgoing
 	// Fetch, if set, is a call to a peer.
 	Fetch *Fetch
-	// Store are calls to the store; each ends with a StepStore.
+	// StoreOperations are calls to the store. The driver reports the outcome of each with
+	// StepStore.
 	StoreOperations []StoreOperation
-	// Watch says whether the node should keep a watch on the store's changes.
+	// Watch reports whether the node should keep a watch on the store's changes open.
 	Watch bool
 	// Catalog is set when a new revision was installed.
 	Catalog *catalog.Catalog
-	// Results are the proposals that have ended.
+	// Results are the outcomes of the proposals that have ended.
 	Results []ProposalResult
 }
 
@@ -82,13 +82,13 @@
 		peerRevisions: map[string]PeerRevision{},
 		store:         storeState{operations: map[uint64]pendingOperation{}},
 	}
-	c.successor.registered = map[string]bool{}
+	c.takeover.registered = map[string]bool{}
 	c.members.rebuild(c.self, nil, c.config.WatchersPerZone)
 	return c
 }
 
-// SetMembers replaces the list of members; the core keeps the slice. The entry
-// of this node itself, if there is one, is ignored.
+// SetMembers replaces the list of members. The core retains the slice and ignores an entry for this
+// node itself.
 func (c *Core) SetMembers(members []Member) {
 	if c.members.all != nil && slices.Equal(c.members.all, members) {
 		return
@@ -101,8 +101,8 @@
 	}
 }
 
-// Tick lets time pass. It is cheap when nothing is due; call it every 50 to
-// 100 ms.
+// Tick processes the passage of time. It is cheap when nothing is due and should be called every 50
+// to 100 ms.
 func (c *Core) Tick(now Time) {
 	if !c.started {
 		c.started, c.startedAt = true, now
@@ -119,7 +119,7 @@
 	c.advanceProposals(now)
 }
 
-// Step processes a packet that was received from an address.
+// Step processes a packet received from an address.
 func (c *Core) Step(now Time, from netip.AddrPort, packet Packet) {
 	switch {
 	case packet.Request != nil:
@@ -132,7 +132,7 @@
 	c.advanceProposals(now)
 }
 
-// Ready returns what is to be done since the last call and forgets it.
+// Ready returns the actions that accumulated since the last call and clears them.
 func (c *Core) Ready() Ready {
 	ready := c.ready
 	c.ready = Ready{}
@@ -140,23 +140,23 @@
 	return ready
 }
 
-// Catalog returns the catalog that this node holds. It must not be modified.
+// Catalog returns the node's catalog. Callers must not modify it.
 func (c *Core) Catalog() *catalog.Catalog { return c.log.catalog }
 
-// Revision returns the revision that this node holds.
+// Revision returns the revision of the node's catalog.
 func (c *Core) Revision() uint64 { return c.log.revision() }
 
-// Broken returns why the next change of the log cannot be applied here, or nil.
+// Broken returns the reason why this process cannot apply the next change of the log, or nil.
 func (c *Core) Broken() error { return c.log.broken }
 
-// ConfirmedAt returns the time before which everything accepted is held, and
-// whether there is one.
+// ConfirmedAt returns the latest time before which every accepted revision is provably held, and
+// whether a confirmation exists.
 func (c *Core) ConfirmedAt() (Time, bool) {
-	return c.confirmedAt, c.confirmed && !c.successor.superseded
+	return c.confirmedAt, c.confirmed && !c.takeover.superseded
 }
 
-// FreshFor returns how long the node may serve on from now; zero or less if it
-// may not.
+// FreshFor returns how long the node may continue to serve from now without another confirmation.
+// The node must not serve if the result is zero or negative.
 func (c *Core) FreshFor(now Time) Time {
 	at, ok := c.ConfirmedAt()
 	if !ok {
@@ -165,30 +165,29 @@
 	return at + c.config.Window - now
 }
 
-// Fresh says whether the node may act now. It must be asked directly before
-// the act, with a reading of the clock made for it: the process may have been
-// frozen since the last one.
+// Fresh reports whether the node may act now. Callers must take a new clock reading immediately
+// before the action, because the process may have been suspended since an earlier reading.
 func (c *Core) Fresh(now Time) bool { return c.FreshFor(now) > 0 }
 
-// Superseded says that a newer process has taken this node's voter slot over;
-// this one never serves again.
-func (c *Core) Superseded() bool { return c.successor.superseded }
+// Superseded reports that a newer process has taken over this node's voter slot. A superseded
+// process never serves again.
+func (c *Core) Superseded() bool { return c.takeover.superseded }
 
-// Recovered says whether this node is a voter whose answers may be counted.
+// Recovered reports whether this node is a voter whose responses count.
 func (c *Core) Recovered() bool { return c.canVote() }
 
-// PeerRevision is what a peer was last known to hold.
+// PeerRevision is the last known revision of a peer.
 type PeerRevision struct {
 	Name        string
 	Incarnation uint64
 	Revision    uint64
-	// At is when that was learned. What was learned then may have been on the
-	// way for long; HeldAt says what is proved.
+	// At is the time at which the revision was received. The packet may have been delayed for a
+	// long time; HeldAt provides proof.
 	At Time
 }
 
-// PeerRevisions returns what is known of the members' revisions, ordered by
-// name. Members that this node does not exchange with are missing.
+// PeerRevisions returns the known revisions of the members, ordered by name. The result omits
+// members with which this node has not exchanged.
 func (c *Core) PeerRevisions() []PeerRevision {
 	revisions := make([]PeerRevision, 0, len(c.peerRevisions))
 	for _, member := range c.members.alive {
@@ -203,10 +202,10 @@
 	c.ready.Packets = append(c.ready.Packets, Outgoing{To: to, Packet: packet})
 }
 
-// watcher says whether this node is one of those that watch the store.
+// isWatcher reports whether this node is one of the nodes of its zone that watch the store.
 func (c *Core) isWatcher() bool { return c.members.position < c.config.WatchersPerZone }
 
-// install is called after the log has grown: it settles what waited for it.
+// handleInstalled updates the state that depends on the log after the log has grown.
 func (c *Core) handleInstalled(now Time) {
 	c.ready.Catalog = c.log.catalog
 	c.voters = c.log.catalog.VoterNames()
--- a/internal/selfhosted/dissemination/exchange.go
+++ b/internal/selfhosted/dissemination/exchange.go
@@ -6,19 +6,18 @@
 	"slices"
 )
 
-// pendingRequest is an exchange that has not been answered.
+// pendingRequest is an exchange request without a response.
 type pendingRequest struct {
 	sentAt Time
-	// claimed is the incarnation that the request claimed a slot with, or 0.
+	// claimedIncarnation is the incarnation with which the request claimed a voter slot, or 0.
 	claimedIncarnation uint64
 }
 
-// randomExchangeEvery is how many rounds lie between exchanges with a random
-// member, which heal what the relay trees miss.
-// Not measured: chosen because it adds a quarter of an exchange to each round.
+// randomExchangeRounds is the number of rounds between exchanges with a random member, which reach
+// members that the relay trees miss. The value 4 adds a quarter of an exchange to each round.
 const randomExchangeRounds = 4
 
-// exchange sends this round's requests.
+// exchange sends the requests of the current round.
 func (c *Core) exchange(now Time) {
 	jitter := Time(c.random.Int64N(int64(c.config.ExchangeInterval)/5 + 1))
 	c.nextExchange = now + c.config.ExchangeInterval - c.config.ExchangeInterval/10 + jitter
@@ -39,12 +38,13 @@
 	}
 }
 
-// asksVoters says whether this node exchanges with all voters itself.
+// exchangesWithVoters reports whether this node exchanges directly with all voters.
 func (c *Core) exchangesWithVoters() bool {
 	return c.isVoter() || c.isWatcher() || len(c.members.alive) < c.config.DirectLimit
 }
 
-// sortedAddresses makes the order of sending independent of map order.
+// sortAddresses returns the addresses in sorted order, because map order would make the order of
+// sending nondeterministic.
 func sortAddresses(targets map[netip.AddrPort]bool) []netip.AddrPort {
 	return slices.SortedFunc(maps.Keys(targets), netip.AddrPort.Compare)
 }
@@ -55,8 +55,8 @@
 	}
 }
 
-// addFallbacks adds random members: in some rounds, and in each one while the
-// confirmation is getting old.
+// addFallbackTargets adds random members in every randomExchangeRounds-th round, and in each round
+// while the confirmation is older than half the window.
 func (c *Core) addFallbackTargets(now Time, targets map[netip.AddrPort]bool) {
 	if len(c.members.alive) == 0 {
 		return
@@ -74,8 +74,8 @@
 	return c.members.alive[c.random.IntN(len(c.members.alive))]
 }
 
-// request sends one exchange request. The time noted is that of the caller's
-// reading, which is no later than the sending.
+// sendRequest sends one exchange request. The recorded time is the caller's clock reading, which is
+// no later than the sending.
 func (c *Core) sendRequest(now Time, to netip.AddrPort) {
 	c.sequence++
 	pending := pendingRequest{sentAt: now}
@@ -93,6 +93,7 @@
 	}})
 }
 
+// expireRequests drops requests that have been unanswered for longer than the window.
 func (c *Core) expireRequests(now Time) {
 	for sequence, pending := range c.requests {
 		if now-pending.sentAt > c.config.Window {
@@ -101,7 +102,7 @@
 	}
 }
 
-// answer responds to a request.
+// answerRequest responds to an exchange request.
 func (c *Core) answerRequest(now Time, from netip.AddrPort, request *ExchangeRequest) {
 	if request.Claim {
 		c.recordClaim(now, Claim{Name: request.Name, Incarnation: request.Incarnation})
@@ -122,14 +123,15 @@
 	c.send(from, Packet{Response: response})
 }
 
-// learn takes the answer to a request of this process; any other is dropped.
+// handleResponse processes the response to a request of this process and drops every other
+// response.
 func (c *Core) handleResponse(now Time, from netip.AddrPort, response *ExchangeResponse) {
 	pending, ok := c.requests[response.Sequence]
 	if !ok || response.Name == c.self.Name {
 		return
 	}
 	delete(c.requests, response.Sequence)
-	// Claims come first: what they supersede must not be counted.
+	// Claims are processed first, because responses of superseded incarnations must not count.
 	for _, claim := range response.Claims {
 		c.recordClaim(now, claim)
 	}
@@ -146,6 +148,7 @@
 	c.reconfirm(now)
 }
 
+// recordVoterResponse records a response if its sender is a voter.
 func (c *Core) recordVoterResponse(now Time, pending pendingRequest, response *ExchangeResponse) {
 	if _, voter := c.log.catalog.Voters[response.Name]; !voter {
 		return
@@ -156,7 +159,7 @@
 	}
 	registered := pending.claimedIncarnation != 0 && pending.claimedIncarnation == c.self.Incarnation
 	if registered {
-		c.successor.registered[response.Name] = true
+		c.takeover.registered[response.Name] = true
 	}
 	sentAt := pending.sentAt
 	if c.disabled.sendTime {
@@ -172,7 +175,7 @@
 	})
 }
 
-// noteRevision keeps the newest that is known of a member's revision.
+// recordPeerRevision stores the highest known revision of a member's newest incarnation.
 func (c *Core) recordPeerRevision(now Time, name string, incarnation, revision uint64) {
 	if _, member := c.members.byName[name]; !member {
 		return
@@ -182,7 +185,7 @@
 		return
 	}
 	if ok && previous.Incarnation == incarnation && previous.Revision > revision {
-		revision = previous.Revision // an older packet overtaken by a newer one
+		revision = previous.Revision // a newer packet arrived before this one
 	}
 	c.peerRevisions[name] = PeerRevision{Name: name, Incarnation: incarnation, Revision: revision, At: now}
 }
--- a/internal/selfhosted/dissemination/fetch.go
+++ b/internal/selfhosted/dissemination/fetch.go
@@ -7,11 +7,11 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// fetchDelay lets a push arrive before the same change is fetched.
-// Not measured: chosen because it is one tick of the Service.
+// fetchDelay is the time that a push has to deliver a change before the change is fetched. It
+// equals one tick of the Service.
 const fetchDelay = 50 * time.Millisecond
 
-// fetchState is the one fetch that runs or waits.
+// fetchState is the running or planned fetch. At most one exists.
 type fetchState struct {
 	from      netip.AddrPort
 	revision  uint64
@@ -20,11 +20,11 @@
 	startedAt Time
 }
 
-// Hint informs the core that a member announced a revision elsewhere, as in a
-// heartbeat.
+// Hint reports that a member announced a revision outside of the exchange protocol, for example in
+// a heartbeat.
 func (c *Core) Hint(now Time, from netip.AddrPort, revision uint64) { c.planFetch(now, from, revision) }
 
-// want plans a fetch if a peer holds more than this node.
+// planFetch schedules a fetch if a peer holds a higher revision than this node.
 func (c *Core) planFetch(now Time, from netip.AddrPort, revision uint64) {
 	if revision <= c.log.revision() {
 		return
@@ -38,6 +38,7 @@
 	}
 }
 
+// tickFetch starts the planned fetch when it is due and abandons a fetch that exceeds its timeout.
 func (c *Core) tickFetch(now Time) {
 	f := &c.fetch
 	if f.inFlight && now-f.startedAt > c.config.FetchTimeout {
@@ -50,8 +51,8 @@
 	c.ready.Fetch = &Fetch{To: f.from, Request: FetchRequest{Revision: c.log.revision()}}
 }
 
-// StepFetched processes the result of a fetch; response is nil if it failed. The
-// next answer of a peer that holds more starts another.
+// StepFetched processes the result of a fetch; response is nil if the fetch failed. The next
+// response of a peer with a higher revision plans another fetch.
 func (c *Core) StepFetched(now Time, response *FetchResponse) {
 	c.fetch.inFlight, c.fetch.revision = false, 0
 	if response == nil {
@@ -63,7 +64,7 @@
 	c.advanceProposals(now)
 }
 
-// replace installs a checkpoint of a higher revision.
+// installCheckpoint installs a checkpoint if its revision is higher and reports whether it did.
 func (c *Core) installCheckpoint(checkpoint *catalog.Catalog) bool {
 	if c.disabled.monotonic && checkpoint != nil {
 		c.log.catalog = catalog.Empty()
@@ -72,7 +73,7 @@
 	return c.log.installCheckpoint(checkpoint)
 }
 
-// AnswerFetch returns what a peer asked for. It changes nothing.
+// AnswerFetch returns the response to a peer's fetch request without changing the core's state.
 func (c *Core) AnswerFetch(request FetchRequest) FetchResponse {
 	changes, ok := c.log.changesAfter(request.Revision)
 	if !ok {
--- a/internal/selfhosted/dissemination/held_at_test.go
+++ b/internal/selfhosted/dissemination/held_at_test.go
@@ -46,15 +46,15 @@
 			Random: rand.New(rand.NewPCG(1, 2)),
 		})
 		core.log.catalog = &catalog.Catalog{Revision: 3, Voters: map[string]catalog.Voter{"a": {}, "b": {}, "c": {}}}
-		core.successor.recovered = true
+		core.takeover.recovered = true
 		core.voters = core.log.catalog.VoterNames()
 		core.resetVoterStates()
 		for _, name := range []string{"a", "b", "c"} {
 			core.claims[name] = 1
 		}
 		for name, got := range test.answers {
-			if s := core.voterStates[name]; s != nil {
-				s.latest = got
+			if state := core.voterStates[name]; state != nil {
+				state.latest = got
 			}
 		}
 		at, held := core.HeldAt(now, 3)
--- a/internal/selfhosted/dissemination/member_index.go
+++ b/internal/selfhosted/dissemination/member_index.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// memberIndex orders the members for the choice of watchers and relays. It is
-// rebuilt only when the list changes.
+// memberIndex orders the members for the selection of watchers and relays. It is rebuilt only when
+// the list changes.
 type memberIndex struct {
 	all    []Member
 	byName map[string]Member
-	// alive lists the other members that are alive, ordered by name.
+	// alive lists the other alive members, ordered by name.
 	alive []Member
-	// zone lists the alive members of the own zone in the order of a hash, this
-	// node included, at position.
+	// zoneMembers lists the alive members of this node's zone, including this node at index
+	// position, ordered by their rendezvous hash.
 	zoneMembers []Member
 	position    int
-	// roots lists the first members, in the same order, of each other zone.
+	// roots lists the first members in hash order of each other zone.
 	roots []Member
 }
 
-// rebuild takes a new list; the index keeps it.
+// rebuild replaces the list of members. The index retains the slice.
 func (x *memberIndex) rebuild(self Member, all []Member, rootsPerZone int) {
 	x.all = all
 	x.byName = make(map[string]Member, len(all)+1)
@@ -45,6 +45,7 @@
 	x.rebuildRoots(self.Zone, zones, rootsPerZone)
 }
 
+// rebuildRoots selects the first members of each zone other than ownZone.
 func (x *memberIndex) rebuildRoots(ownZone string, zones map[string][]Member, rootsPerZone int) {
 	x.roots = x.roots[:0]
 	for zone, members := range zones {
@@ -57,19 +58,19 @@
 	slices.SortFunc(x.roots, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// sortByRank orders the members of one zone by rendezvous hash, so that all
-// nodes with the same view choose the same first ones, and the loss of one
-// moves no other.
+// sortByRank orders the members of one zone by rendezvous hash. All nodes with the same view select
+// the same first members, and the loss of one member does not change the order of the others.
 func sortByRank(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Name, b.Name))
 	})
 }
 
+// rank returns the rendezvous hash of a member.
 func rank(member Member) uint64 { return xxhash.Sum64String(member.Zone + "\x00" + member.Name) }
 
-// parents returns the members from which this node takes confirmations: two
-// nodes nearer to the roots of its zone's tree. A root has none.
+// parents returns the members from which this node takes relayed confirmations: two nodes nearer to
+// the roots of its zone's tree. A root has no parents.
 func (x *memberIndex) parents(roots, fanout int) []Member {
 	if x.position < roots {
 		return nil
--- a/internal/selfhosted/dissemination/metrics.go
+++ b/internal/selfhosted/dissemination/metrics.go
@@ -16,13 +16,13 @@
 
 const namespace = "micaplank_dissemination_"
 
-// newMetrics registers the metrics, unless the registerer is nil.
+// newMetrics creates the metrics and registers them unless the registerer is nil.
 func newMetrics(s *Service, registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	gauge := func(name, help string, value func() float64) { factory.GaugeFunc(namespace+name, help, value) }
 	gauge("revision", "Revision of the catalog that this node holds.",
 		func() float64 { return float64(s.Current().Revision) })
-	gauge("fresh_seconds", "Time for which this node may serve on without another confirmation; zero or less if it may not.",
+	gauge("fresh_seconds", "Time for which this node may continue to serve without another confirmation; zero or less if it may not serve.",
 		func() float64 { return s.FreshFor().Seconds() })
 	gauge("voter_recovered", "Whether this node is a voter whose answers count (1) or not (0).",
 		s.boolGauge(func(c *Core) bool { return c.Recovered() }))
@@ -41,6 +41,7 @@
 	}
 }
 
+// boolGauge returns a gauge function that reports a condition of the core as 1 or 0.
 func (s *Service) boolGauge(read func(*Core) bool) func() float64 {
 	return func() float64 {
 		s.mutex.Lock()
@@ -52,6 +53,7 @@
 	}
 }
 
+// packetKind returns the value of the label kind for a packet.
 func packetKind(packet Packet) string {
 	switch {
 	case packet.Request != nil:
@@ -64,7 +66,7 @@
 	return "empty"
 }
 
-// logState is what the log lines were last written for.
+// logState is the state that the last log lines reported.
 type logState struct {
 	fresh      bool
 	recovered  bool
@@ -73,7 +75,7 @@
 	broken     bool
 }
 
-// logChanges writes a line for each change of state. The mutex is held.
+// logStateChanges logs each change of state. The caller holds the mutex.
 func (s *Service) logStateChanges() {
 	now := logState{
 		fresh:      s.core.Fresh(s.clock.Now()),
--- a/internal/selfhosted/dissemination/propagation.go
+++ b/internal/selfhosted/dissemination/propagation.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// maximumPolled bounds the requests of one poll of the members.
+	// maxPolledMembers is the maximum number of requests in one poll of the members.
 	maxPolledMembers = 256
-	// spreadCheckInterval is the time between looks at many members; a few are
-	// looked at after each answer.
+	// memberCheckInterval is the time between checks of the members' revisions in a cluster of more
+	// than maxDirectPush members. A smaller cluster is checked after each response.
 	memberCheckInterval = 50 * time.Millisecond
 )
 
-// spread waits until all members hold an accepted change. A member that is
-// listed but not alive may serve on for a while, so it is waited for as well;
-// after the window no member that lacks the change can serve.
+// awaitPropagation waits until all members hold an accepted change. It also waits for listed
+// members that are not alive, because they may continue to serve for some time. Once the window has
+// passed, no member without the change can serve.
 func (c *Core) awaitPropagation(now Time, p *proposal) {
 	if now < p.nextMemberCheck {
 		return
@@ -29,7 +29,7 @@
 		return
 	}
 	if now-p.acceptedAt > c.config.Window {
-		c.finish(p, FateInForce, fmt.Sprintf("%d of %d members have not confirmed it; they cannot serve until they hold it",
+		c.finish(p, FateInForce, fmt.Sprintf("%d of %d members have not confirmed the change; they cannot serve until they hold it",
 			len(missing), held+len(missing)))
 		return
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// holding counts the alive members known to hold a revision, this node
-// included, and returns the others.
+// membersHolding returns the number of alive members that are known to hold a revision, including
+// this node, and the alive members that are not.
 func (c *Core) membersHolding(revision uint64) (int, []Member) {
 	held := 0
 	if c.log.revision() >= revision {
@@ -63,6 +63,8 @@
 	return held, missing
 }
 
+// allListedMembersHold reports whether all listed members, alive or not, are known to hold a
+// revision.
 func (c *Core) allListedMembersHold(revision uint64) bool {
 	for name := range c.members.byName {
 		if c.peerRevisions[name].Revision < revision {
--- a/internal/selfhosted/dissemination/proposal.go
+++ b/internal/selfhosted/dissemination/proposal.go
@@ -10,53 +10,54 @@
 // ProposalID identifies a proposal within one Core.
 type ProposalID uint64
 
-// Proposal asks for a change, or for the fate of one.
+// Proposal requests a change, or the fate of an earlier one.
 type Proposal struct {
 	Command catalog.Command
-	// IfRevision, if set, lets the change take effect only as the next one
-	// after that revision.
+	// IfRevision, if set, is the revision that the change must directly follow to take effect.
 	IfRevision *uint64
 	Operator   string
-	// ChangeID is the id, or only its token, under which the change is made;
-	// empty lets the core choose. A second proposal with the same token returns
-	// the fate of the first, as long as the catalog remembers it.
+	// ChangeID is the ID of the change, or only its token. If it is empty, the core generates a
+	// token. A later proposal with the same token returns the fate of the first one while the
+	// change is among the catalog's recent changes.
 	ChangeID string
-	// DryRun asks only whether the change would be valid now.
+	// DryRun only checks whether the change would be valid now.
 	DryRun bool
-	// Settle asks for the fate of the change ChangeID; Command is ignored.
+	// ResolveFate requests the fate of the change ChangeID; Command is ignored.
 	ResolveFate bool
-	// At is the time of day, for the log and the id.
+	// At is the wall-clock time recorded in the log and in the change ID.
 	At time.Time
-	// Deadline is when the proposal ends with what is known then.
+	// Deadline is the time at which the proposal ends with the outcome known by then.
 	Deadline Time
 }
 
-// ProposalResult is the end of a proposal.
+// ProposalResult is the outcome of one proposal.
 type ProposalResult struct {
 	ID     ProposalID
 	Result Result
 }
 
+// stage is the current step of a proposal.
 type stage byte
 
 const (
 	// stagePrepare validates the change against the catalog.
 	stagePrepare stage = iota
-	// stageGuard waits until the voters confirm what a voter change builds on.
+	// stageAwaitPredecessor waits until a majority of the voters hold the log that a voter change
+	// follows.
 	stageAwaitPredecessor
-	// stageCreate writes the change.
+	// stageCreate writes the change to the store.
 	stageCreate
-	// stageConfirm waits until a majority of the voters hold the change.
+	// stageAccept waits until a majority of the voters hold the change.
 	stageAccept
-	// stageSpread waits until all members hold the change.
+	// stagePropagate waits until all members hold the change.
 	stagePropagate
 )
 
-// refreshTimeout bounds the wait for a current view before a change is refused
-// by what the catalog says.
+// refreshTimeout limits the wait for a current catalog before a change is rejected on the basis of
+// the catalog at hand.
 const refreshTimeout = 2 * time.Second
 
-// proposal is a change under way.
+// proposal is the state of a pending proposal.
 type proposal struct {
 	id        ProposalID
 	request   Proposal
@@ -64,13 +65,13 @@
 	stage     stage
 	token     string
 	change    catalog.Change
-	// operation is the create in flight, or 0; nextCreate is when the next one
-	// may be sent.
+	// operation is the ID of the pending create, or 0. nextCreate is the earliest time for the next
+	// create.
 	operation  uint64
 	nextCreate Time
 	failures   int
-	// uncertain says that a create of change may have taken effect or may
-	// still do so.
+	// uncertain reports that an earlier create of the change may have taken effect or may still do
+	// so.
 	uncertain       bool
 	stored          bool
 	lastErr         error
@@ -81,7 +82,7 @@
 	result          *Result
 }
 
-// Propose begins a proposal. Its end is one of Ready's Results.
+// Propose starts a proposal. Its outcome is one of the Results that Ready returns.
 func (c *Core) Propose(now Time, request Proposal) ProposalID {
 	c.lastProposal++
 	p := &proposal{id: c.lastProposal, request: request, startedAt: now}
@@ -98,8 +99,8 @@
 	return p.id
 }
 
-// driveProposals advances all proposals by what is known now. Only the oldest
-// one that is not stored writes, so that a node does not race with itself.
+// advanceProposals advances all proposals as far as possible. Only the oldest proposal that is not
+// stored may write, so that a node does not compete with itself for revisions.
 func (c *Core) advanceProposals(now Time) {
 	if len(c.proposals) == 0 {
 		return
@@ -121,7 +122,7 @@
 	c.proposals = slices.DeleteFunc(c.proposals, func(p *proposal) bool { return p.result != nil })
 }
 
-// Expire ends a proposal now with what is known, as its deadline would.
+// Expire ends a proposal now with the known outcome, as its deadline would.
 func (c *Core) Expire(now Time, id ProposalID) {
 	for _, p := range c.proposals {
 		if p.id == id {
@@ -131,7 +132,7 @@
 	c.advanceProposals(now)
 }
 
-// drive runs the stages until one has to wait.
+// advanceProposal runs the stages of a proposal until one has to wait.
 func (c *Core) advanceProposal(now Time, p *proposal) {
 	for before := stage(0xff); p.result == nil && before != p.stage; {
 		before = p.stage
@@ -152,9 +153,9 @@
 	}
 }
 
-// refreshed says whether the catalog is known to have been current at some
-// time since the proposal began; if not, it sees to a read of the store. After
-// refreshTimeout it says yes, since waiting on is of no use.
+// ensureRefreshed reports whether the catalog was current at some time since the proposal started.
+// If it was not, ensureRefreshed requests a store read. After refreshTimeout it returns true,
+// because a longer wait is unlikely to help.
 func (c *Core) ensureRefreshed(now Time, p *proposal) bool {
 	at, confirmed := c.ConfirmedAt()
 	if (confirmed && at >= p.startedAt) || (c.store.current && c.store.currentAt >= p.startedAt) {
@@ -169,22 +170,23 @@
 	return false
 }
 
-// expire ends a proposal at its deadline with what is known.
+// finishAtDeadline ends a proposal at its deadline with the known outcome.
 func (c *Core) finishAtDeadline(p *proposal) {
 	switch {
 	case p.stage == stagePropagate:
 		c.finish(p, FateAccepted, "not all members have confirmed it yet")
 	case p.stored:
-		c.finish(p, FateUnknown, "the store has it for good, but a majority of the voters have not confirmed it yet")
+		c.finish(p, FateUnknown, "the change is stored permanently, but a majority of the voters has not confirmed it yet")
 	case p.uncertain || p.operation != 0:
 		c.finish(p, FateUnknown, "the store has not said whether it took the change"+lastErrorSuffix(p))
 	case p.request.ResolveFate:
-		c.finish(p, FateUnknown, "the store could not be asked")
+		c.finish(p, FateUnknown, "the store could not be read")
 	default:
-		c.finish(p, FateNotAccepted, "it was not written in time"+lastErrorSuffix(p))
+		c.finish(p, FateNotAccepted, "the change was not written before the deadline"+lastErrorSuffix(p))
 	}
 }
 
+// lastErrorSuffix returns the last error of a create as the end of a message, or an empty string.
 func lastErrorSuffix(p *proposal) string {
 	if p.lastErr == nil {
 		return ""
@@ -192,6 +194,7 @@
 	return ": " + p.lastErr.Error()
 }
 
+// finish sets the result of a proposal.
 func (c *Core) finish(p *proposal, fate Fate, detail string) {
 	result := Result{Fate: fate, ChangeID: p.change.ID, Revision: c.log.revision(), Stored: p.stored, Detail: detail}
 	if p.stored {
@@ -206,7 +209,7 @@
 	p.result = &result
 }
 
-// refuse ends a proposal that the catalog does not admit.
+// refuse ends a proposal whose change is invalid.
 func (c *Core) refuse(p *proposal, cause error) {
 	c.finish(p, FateNotAccepted, cause.Error())
 	p.result.Refusal = cause
--- a/internal/selfhosted/dissemination/proposal_stages.go
+++ b/internal/selfhosted/dissemination/proposal_stages.go
@@ -2,7 +2,7 @@
 
 import "github.com/micaplank/micaplank/internal/catalog"
 
-// prepare validates the change against the catalog as it is now.
+// prepare validates the change against the current catalog.
 func (c *Core) prepare(now Time, p *proposal) {
 	if p.request.ResolveFate {
 		c.resolveFate(now, p)
@@ -39,7 +39,7 @@
 	}
 }
 
-// changeAt returns the change as the one with a revision.
+// changeAt returns the proposed change with the given revision.
 func (p *proposal) changeAt(revision uint64) catalog.Change {
 	return catalog.Change{
 		Revision: revision,
@@ -50,9 +50,9 @@
 	}
 }
 
-// guard lets a voter change be written only once a majority of the voters hold
-// the log that it follows. So no two voter changes are ever under way, and the
-// majorities of a set and of the next one always share a voter.
+// awaitPredecessor delays the write of a voter change until a majority of the voters hold the log
+// that it follows. Therefore at most one voter change is pending at any time, and every majority of
+// a voter set shares a voter with every majority of the next set.
 func (c *Core) awaitPredecessor(now Time, p *proposal) {
 	if c.log.revision()+1 != p.change.Revision {
 		p.stage = stagePrepare
@@ -63,8 +63,8 @@
 	}
 }
 
-// create writes the change, again if its fate is not known, until the key of
-// its revision is held.
+// create writes the change. It repeats a write with an unknown outcome until the key of the
+// change's revision exists.
 func (c *Core) create(now Time, p *proposal) {
 	if c.log.revision() >= p.change.Revision {
 		c.compareWithLog(now, p)
@@ -78,11 +78,11 @@
 	p.operation = c.store.lastOperationID
 }
 
-// mayWrite says whether the log is recent enough to write behind its end; if it
-// is not, it sees to a read. Once changes have been deleted from the store,
-// their keys are absent again, and a write under such a key would succeed. No
-// more than Config.RetainedInStore changes are made in two windows, so a key
-// after a log that was current one window ago is not among the deleted ones.
+// ensureRecentLog reports whether the log is recent enough to append a change to it, and requests a
+// store read otherwise. Once changes have been deleted from the store, their keys no longer exist,
+// and a write to such a key would succeed. At most Config.RetainedInStore changes are made within
+// two windows, so the key after a log that was current one window ago is not among the deleted
+// ones.
 func (c *Core) ensureRecentLog(now Time) bool {
 	if c.disabled.staleWrite || c.Fresh(now) || (c.store.current && now-c.store.currentAt < c.config.Window) {
 		return true
@@ -93,13 +93,13 @@
 	return false
 }
 
-// meetLog compares the change with the one that the log has at its revision.
+// compareWithLog compares the change with the log's change at the same revision.
 func (c *Core) compareWithLog(now Time, p *proposal) {
 	id, ok := c.log.changeIDAt(p.change.Revision)
 	switch {
 	case !ok:
 		p.uncertain = true
-		c.finish(p, FateUnknown, "the log has moved on too far to tell")
+		c.finish(p, FateUnknown, "the revision of the change is no longer among the catalog's recent changes")
 	case id == p.change.ID:
 		c.markStored(now, p)
 	default:
@@ -107,7 +107,7 @@
 	}
 }
 
-// takeCreate processes the result of a create.
+// handleCreate processes the result of a create.
 func (c *Core) handleCreate(now Time, pending pendingOperation, result StoreResult) {
 	p := c.findProposal(pending.proposal, result.ID)
 	if p == nil {
@@ -118,8 +118,8 @@
 	case result.Err != nil:
 		c.handleCreateFailure(now, p, result)
 	case result.Created && now-pending.sentAt > c.config.Window && !c.disabled.staleWrite:
-		// The process was frozen, and the write may have left only after it
-		// resumed; a read of the log shows whether it belongs there.
+		// The process was suspended and may have sent the write only after it resumed. A read of
+		// the log shows whether the write is part of the log.
 		p.uncertain = true
 		p.nextCreate = now + c.config.Window
 		c.readStore(now)
@@ -131,6 +131,7 @@
 	}
 }
 
+// findProposal returns the proposal whose pending create has the given operation ID.
 func (c *Core) findProposal(id ProposalID, operation uint64) *proposal {
 	for _, p := range c.proposals {
 		if p.id == id && p.operation == operation {
@@ -140,6 +141,7 @@
 	return nil
 }
 
+// handleCreateFailure schedules another attempt after a failed create.
 func (c *Core) handleCreateFailure(now Time, p *proposal, result StoreResult) {
 	p.lastErr = result.Err
 	p.failures++
@@ -151,13 +153,14 @@
 	p.uncertain = p.uncertain || result.MaybeApplied
 }
 
+// backoff returns a random delay that grows with the number of failures.
 func (c *Core) backoff(failures int) Time {
 	wait := c.config.RetryInterval << min(failures, 4)
 	return wait/2 + Time(c.random.Int64N(int64(wait)))
 }
 
-// lose notes that another change holds the revision, so that this one never
-// takes effect there, and starts over.
+// restartAtNextRevision returns the proposal to its first stage after another change has taken its
+// revision, so that this change can never take effect there.
 func (c *Core) restartAtNextRevision(now Time, p *proposal) {
 	p.uncertain, p.operation = false, 0
 	p.stage = stagePrepare
@@ -169,7 +172,7 @@
 	}
 }
 
-// becomeStored installs the change here and pushes it to the others.
+// markStored installs the stored change on this node and pushes it to other members.
 func (c *Core) markStored(now Time, p *proposal) {
 	p.stored, p.uncertain, p.operation = true, false, 0
 	changes := []catalog.Change{p.change}
@@ -188,6 +191,7 @@
 	p.beginAcceptance()
 }
 
+// beginAcceptance moves a stored proposal to the stage that waits for a majority of the voters.
 func (p *proposal) beginAcceptance() {
 	p.stage = stageAccept
 	p.acceptance = acceptance{revision: p.change.Revision}
--- a/internal/selfhosted/dissemination/push.go
+++ b/internal/selfhosted/dissemination/push.go
@@ -6,11 +6,10 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// maximumPushed is the number of changes above which a push only names the
-// revision.
+// maxPushedChanges is the number of changes above which a push contains only the revision.
 const maxPushedChanges = 16
 
-// takePush installs pushed changes and pushes the new ones to other members.
+// handlePush installs pushed changes and pushes the new ones to other members.
 func (c *Core) handlePush(now Time, from netip.AddrPort, push *Push) {
 	installed := c.log.append(push.Changes)
 	if len(installed) > 0 {
@@ -20,7 +19,7 @@
 	c.planFetch(now, from, push.Revision)
 }
 
-// pushToRandom pushes changes that are new here to a few random members.
+// pushToRandom pushes newly installed changes to PushFanout random members.
 func (c *Core) pushToRandom(changes []catalog.Change) {
 	alive := len(c.members.alive)
 	for _, index := range c.random.Perm(alive)[:min(alive, c.config.PushFanout)] {
@@ -35,8 +34,8 @@
 	c.send(to, Packet{Push: &Push{Name: c.self.Name, Revision: c.log.revision(), Changes: changes}})
 }
 
-// maximumPushedTo is up to how many members the proposer pushes a change to
-// itself; beyond it the change spreads from member to member.
+// maxDirectPush is the number of members up to which the proposer pushes a change to every member.
+// In a larger cluster, the change spreads from member to member.
 const maxDirectPush = 64
 
 func (c *Core) pushToVoters(changes []catalog.Change) {
--- a/internal/selfhosted/dissemination/resolve_fate.go
+++ b/internal/selfhosted/dissemination/resolve_fate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// settleByID finds the change that an id names.
+// resolveFate determines the fate of the change with the ID of p.
 func (c *Core) resolveFate(now Time, p *proposal) {
 	revision, _, err := ParseChangeID(p.change.ID)
 	if err != nil {
@@ -11,13 +11,13 @@
 	}
 	if c.log.revision() < revision {
 		if c.ensureRefreshed(now, p) {
-			c.finish(p, FateUnknown, fmt.Sprintf("no change has taken revision %d yet", revision))
+			c.finish(p, FateUnknown, fmt.Sprintf("no change has revision %d yet", revision))
 		}
 		return
 	}
 	switch id, ok := c.log.changeIDAt(revision); {
 	case !ok:
-		c.finish(p, FateUnknown, fmt.Sprintf("revision %d is not remembered any more", revision))
+		c.finish(p, FateUnknown, fmt.Sprintf("the change at revision %d is no longer among the catalog's recent changes", revision))
 	case id == p.change.ID:
 		p.change.Revision, p.stored = revision, true
 		p.beginAcceptance()
--- a/internal/selfhosted/dissemination/service.go
+++ b/internal/selfhosted/dissemination/service.go
@@ -16,41 +16,40 @@
 	"github.com/micaplank/micaplank/internal/clock"
 )
 
-// ErrClosed is returned by a Service that has been closed.
+// ErrClosed is returned by the methods of a closed Service.
 var ErrClosed = errors.New("dissemination: closed")
 
-// ServiceOptions are what a Service needs.
+// ServiceOptions configures a Service.
 type ServiceOptions struct {
 	Config Config
-	// Self is this node. A zero incarnation is replaced by the wall clock in
-	// nanoseconds.
+	// Self is this node. A zero incarnation is replaced by the wall-clock time in nanoseconds.
 	Self Member
-	// Members returns the current list of members; it is called every
-	// MembersInterval and must not block.
+	// Members returns the current list of members. It is called every MembersInterval and must not
+	// block.
 	Members   func() []Member
 	Store     Store
 	Transport Transport
-	// Clock is the monotonic clock; nil for that of the process.
+	// Clock is the monotonic clock; nil selects the clock of the process.
 	Clock  clock.Clock
 	Logger *slog.Logger
-	// Registerer takes the metrics; nil for none.
+	// Registerer registers the metrics; nil disables them.
 	Registerer prometheus.Registerer
-	// Seed fixes the random choices; zero for a random seed.
+	// Seed is the seed of the random choices; zero selects a random seed.
 	Seed uint64
 }
 
 const (
-	// tickInterval is the time between ticks of the core.
-	// Not measured: chosen because it is a tenth of the interval of exchanges.
+	// tickInterval is the time between ticks of the core. It is a tenth of the default exchange
+	// interval.
 	tickInterval = 50 * time.Millisecond
 	// MembersInterval is the time between reads of the list of members.
 	MembersInterval = 500 * time.Millisecond
-	// defaultProposalTimeout bounds a proposal whose context has no deadline.
+	// defaultProposalTimeout limits a proposal whose context has no deadline.
 	defaultProposalTimeout = 15 * time.Second
 )
 
-// Service runs the dissemination of one node. Its methods may be called by any
-// goroutine.
+// Service runs the core of one node with real time, transport and store. Its methods are safe for
+// concurrent use.
 type Service struct {
 	options ServiceOptions
 	clock   clock.Clock
@@ -58,7 +57,7 @@
 	metrics *metrics
 
 	current atomic.Pointer[catalog.Catalog]
-	// freshUntil is the clock reading up to which the node may serve.
+	// freshUntil is the clock reading until which the node may serve.
 	freshUntil atomic.Int64
 
 	mutex            sync.Mutex
@@ -75,8 +74,7 @@
 	workers        sync.WaitGroup
 }
 
-// NewService returns a service that is not started. It holds the empty catalog
-// and is not fresh.
+// NewService returns a service that is not started. It has the empty catalog and is not fresh.
 func NewService(options ServiceOptions) *Service {
 	if options.Self.Incarnation == 0 {
 		options.Self.Incarnation = uint64(time.Now().UnixNano())
@@ -111,7 +109,7 @@
 	return s
 }
 
-// Start begins to exchange and to read the store. It does not block.
+// Start starts the exchanges with peers and the reads of the store. It does not block.
 func (s *Service) Start() {
 	s.setMembers()
 	s.workers.Add(1)
@@ -143,8 +141,8 @@
 	s.runStep(func(Time) { s.core.SetMembers(members) })
 }
 
-// Close stops the service. Proposals under way end with what is known. It
-// blocks until nothing runs any more; a second call does nothing.
+// Close stops the service and ends pending proposals with their known outcome. It blocks until all
+// goroutines have ended. Further calls have no effect.
 func (s *Service) Close() {
 	s.runStep(func(now Time) {
 		for id := range s.pendingResults {
@@ -167,8 +165,8 @@
 	s.workers.Wait()
 }
 
-// do runs one step of the core and carries out what it asks for. The clock is
-// read after the event that the step reports.
+// runStep runs one step of the core and carries out the resulting actions. The clock is read after
+// the event that the step processes.
 func (s *Service) runStep(step func(now Time)) {
 	s.mutex.Lock()
 	if s.closed {
@@ -182,8 +180,8 @@
 	s.transmit(ready.Packets)
 }
 
-// publish makes the outcome of a step visible and starts what takes time. The
-// mutex is held.
+// publish makes the outcome of a step visible to readers and starts the requested calls. The caller
+// holds the mutex.
 func (s *Service) publish(ready Ready) {
 	if ready.Catalog != nil {
 		s.current.Store(ready.Catalog)
@@ -191,7 +189,7 @@
 			deliverLatest(subscriber, ready.Catalog)
 		}
 	}
-	// The catalog is visible before the freshness that it may bring.
+	// The catalog is published before the freshness that may depend on it.
 	until := int64(math.MinInt64)
 	if at, ok := s.core.ConfirmedAt(); ok {
 		until = int64(at + s.options.Config.Window)
--- a/internal/selfhosted/dissemination/service_calls.go
+++ b/internal/selfhosted/dissemination/service_calls.go
@@ -8,20 +8,17 @@
 )
 
 const (
-	// storeTimeout bounds an operation on the store that reads or writes changes.
-	// Not measured: chosen because it is above the timeout of one call of the
-	// store's client.
+	// storeTimeout limits a store operation that reads or writes changes. It exceeds the timeout of
+	// one call of the store client.
 	storeTimeout = 3 * time.Second
-	// checkpointTimeout bounds an operation on a checkpoint, which takes several
-	// calls.
-	// Not measured: chosen because it leaves time for several calls.
+	// checkpointTimeout limits a checkpoint operation, which consists of several calls.
 	checkpointTimeout = 20 * time.Second
-	// watchRetry is the time after which a watch that ended is opened again.
-	// Not measured: chosen because a watcher reads the store as often.
+	// watchRetryInterval is the time after which an ended watch is opened again. It equals the
+	// default interval at which a watcher reads the store.
 	watchRetryInterval = time.Second
 )
 
-// startWork starts the calls that a step asked for. The mutex is held.
+// startCalls starts the calls that a step requested. The caller holds the mutex.
 func (s *Service) startCalls(ready Ready) {
 	for _, operation := range ready.StoreOperations {
 		s.workers.Add(1)
@@ -43,6 +40,7 @@
 	}
 }
 
+// fetch calls a peer and reports the response to the core.
 func (s *Service) fetch(fetch Fetch) {
 	defer s.workers.Done()
 	ctx, cancel := context.WithTimeout(s.lifetime, s.options.Config.FetchTimeout)
@@ -59,6 +57,7 @@
 	s.runStep(func(now Time) { s.core.StepFetched(now, response) })
 }
 
+// runOperation performs a store operation and reports its result to the core.
 func (s *Service) runOperation(operation StoreOperation) {
 	defer s.workers.Done()
 	timeout := storeTimeout
@@ -108,6 +107,7 @@
 	}
 }
 
+// resultLabel returns the value of the label result for a call.
 func resultLabel(err error) string {
 	if err != nil {
 		return "failed"
--- a/internal/selfhosted/dissemination/service_packets.go
+++ b/internal/selfhosted/dissemination/service_packets.go
@@ -5,6 +5,7 @@
 	"net/netip"
 )
 
+// transmit encodes and sends packets.
 func (s *Service) transmit(packets []Outgoing) {
 	for _, outgoing := range packets {
 		payload, err := EncodePacket(outgoing.Packet)
@@ -20,7 +21,7 @@
 	}
 }
 
-// Receive processes one datagram. It is called by the owner of the socket.
+// Receive processes one datagram. The owner of the socket calls it.
 func (s *Service) Receive(from netip.AddrPort, payload []byte) {
 	packet, err := DecodePacket(payload)
 	if err != nil {
@@ -32,7 +33,7 @@
 	s.runStep(func(now Time) { s.core.Step(now, from, packet) })
 }
 
-// ServeFetch answers a peer's fetch.
+// ServeFetch answers a peer's fetch call.
 func (s *Service) ServeFetch(_ context.Context, _ netip.AddrPort, call *FetchCall) (*FetchReply, error) {
 	s.mutex.Lock()
 	response := s.core.AnswerFetch(FetchRequest{Revision: call.Revision})
@@ -40,7 +41,8 @@
 	return encodeFetchResponse(response)
 }
 
-// Hint reports that a member announced a revision elsewhere, as in a heartbeat.
+// Hint reports that a member announced a revision outside of the exchange protocol, for example in
+// a heartbeat.
 func (s *Service) Hint(from netip.AddrPort, revision uint64) {
 	if revision > s.Current().Revision {
 		s.runStep(func(now Time) { s.core.Hint(now, from, revision) })
--- a/internal/selfhosted/dissemination/service_propose.go
+++ b/internal/selfhosted/dissemination/service_propose.go
@@ -7,24 +7,22 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// ProposeOptions are the conditions of a change.
+// ProposeOptions are the conditions and attributes of a change.
 type ProposeOptions struct {
-	// IfRevision, if set, refuses the change unless the catalog is at that
-	// revision.
+	// IfRevision, if set, is the revision that the catalog must have for the change to be valid.
 	IfRevision *uint64
 	Operator   string
-	// ChangeID is the id, or only its token, under which the change is made;
-	// empty lets the node choose. Proposing the same token again returns the
-	// fate of the first change instead of making another.
+	// ChangeID is the ID of the change, or only its token. If it is empty, the node generates a
+	// token. A repeated proposal with the same token returns the fate of the first change instead
+	// of making another one.
 	ChangeID string
-	// DryRun asks only whether the change would be valid now.
+	// DryRun only checks whether the change would be valid now.
 	DryRun bool
 }
 
-// Propose makes a change and waits until it is in force, is known not to take
-// effect, or ctx ends; it then returns what is known. A change that is refused
-// is a Result with FateNotAccepted and Refusal, not an error. The error is
-// ErrClosed.
+// Propose makes a change and waits until the change is in force, until it is certain that the
+// change will not take effect, or until ctx ends; it then returns the known outcome. A rejected
+// change is a Result with FateNotAccepted and Refusal, not an error. The only error is ErrClosed.
 func (s *Service) Propose(ctx context.Context, command catalog.Command, options ProposeOptions) (Result, error) {
 	return s.runProposal(ctx, Proposal{
 		Command:    command,
@@ -35,12 +33,13 @@
 	})
 }
 
-// Fate finds out what became of a change. It waits, as Propose does, while the
-// change is stored but not yet in force.
+// Fate determines the outcome of an earlier change. Like Propose, it waits while the change is
+// stored but not yet in force.
 func (s *Service) Fate(ctx context.Context, changeID string) (Result, error) {
 	return s.runProposal(ctx, Proposal{ChangeID: changeID, ResolveFate: true})
 }
 
+// runProposal passes a proposal to the core and waits for its result.
 func (s *Service) runProposal(ctx context.Context, proposal Proposal) (Result, error) {
 	proposal.At = time.Now()
 	timeout := defaultProposalTimeout
@@ -64,7 +63,7 @@
 		return result, nil
 	case <-ctx.Done():
 	}
-	// Only the core knows whether the change may take effect.
+	// The core decides the outcome, because only it knows whether the change may still take effect.
 	s.runStep(func(now Time) { s.core.Expire(now, id) })
 	return <-results, nil
 }
--- a/internal/selfhosted/dissemination/service_state.go
+++ b/internal/selfhosted/dissemination/service_state.go
@@ -7,15 +7,15 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// Current returns the catalog that this node holds. It must not be modified.
+// Current returns the node's catalog. Callers must not modify it.
 func (s *Service) Current() *catalog.Catalog { return s.current.Load() }
 
-// Fresh says whether this node may act now. Ask directly before the act: it
-// reads the clock, because the process may have been frozen.
+// Fresh reports whether this node may act now. Callers must call it immediately before the action:
+// it reads the clock, because the process may have been suspended.
 func (s *Service) Fresh() bool { return s.FreshFor() > 0 }
 
-// FreshFor returns how long this node may serve on unless it is confirmed
-// again; zero or less if it may not.
+// FreshFor returns how long this node may continue to serve without another confirmation. The node
+// must not serve if the result is zero or negative.
 func (s *Service) FreshFor() time.Duration {
 	until := s.freshUntil.Load()
 	if until == math.MinInt64 {
@@ -24,35 +24,34 @@
 	return time.Duration(until) - s.clock.Now()
 }
 
-// Superseded says that a newer process has taken over this node's voter slot.
-// This one never serves again and should exit.
+// Superseded reports that a newer process has taken over this node's voter slot. This process never
+// serves again and should exit.
 func (s *Service) Superseded() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Superseded()
 }
 
-// HeldAt returns the latest reading of the clock such that a majority of the
-// voters have answered requests sent then or later with at least a revision, and
-// whether there is one. With revision 0 it dates the last moment at which the
-// voter slot of this node, if it holds one, was certainly its own. Unlike the
-// times of PeerRevisions it is proof after a freeze or a delay.
+// HeldAt returns the latest clock reading such that a majority of the voters have answered requests
+// sent then or later with at least the given revision, and whether such a reading exists. If this
+// node is a voter, the result for revision 0 is the last time at which the voter slot provably
+// belonged to this process. In contrast to the times in PeerRevisions, the result remains a proof
+// after a suspension or a delay.
 func (s *Service) HeldAt(revision uint64) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.HeldAt(s.clock.Now(), revision)
 }
 
-// PeerRevisions returns what is known of the members' revisions.
+// PeerRevisions returns the known revisions of the members.
 func (s *Service) PeerRevisions() []PeerRevision {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.PeerRevisions()
 }
 
-// Subscribe returns a channel of new catalogs and a function that ends the
-// subscription. A reader that lags gets only the newest. The channel is closed
-// by that function and by Close.
+// Subscribe returns a channel of new catalogs and a function that ends the subscription. A slow
+// reader receives only the newest catalog. The channel is closed by that function and by Close.
 func (s *Service) Subscribe() (<-chan *catalog.Catalog, func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,7 +76,7 @@
 	}
 }
 
-// offer replaces what a subscriber has not taken yet by the newest catalog.
+// deliverLatest replaces a catalog that the subscriber has not received yet by the newest one.
 func deliverLatest(subscriber chan *catalog.Catalog, latest *catalog.Catalog) {
 	select {
 	case <-subscriber:
--- a/internal/selfhosted/dissemination/simulated_process_test.go
+++ b/internal/selfhosted/dissemination/simulated_process_test.go
@@ -109,7 +109,7 @@
 		return
 	}
 	for _, other := range p.simulation.processes {
-		successor := &other.core.successor
+		successor := &other.core.takeover
 		if other.member.Name == p.member.Name && !other.dead && other.core.Incarnation() > p.core.Incarnation() &&
 			successor.complete && len(other.core.Catalog().Voters) > 1 && successor.completedAt-other.clockOffset < ownedAt-p.clockOffset {
 			p.simulation.addViolation("slot %s belongs to two processes", p.member.Name)
--- a/internal/selfhosted/dissemination/simulated_schedule_check_test.go
+++ b/internal/selfhosted/dissemination/simulated_schedule_check_test.go
@@ -29,7 +29,7 @@
 	count := len(w.operations)
 	var settling []*operation
 	for _, op := range w.operations {
-		if op.done && op.result.Fate == FateUnknown && !op.submitted.ResolveFate {
+		if op.done && op.result.Fate == FateUnknown && !op.request.ResolveFate {
 			settling = append(settling, w.propose(w.newestProcess(nodeName(w.random.IntN(nodeCount))),
 				Proposal{ChangeID: op.result.ChangeID, ResolveFate: true}, 10*time.Second))
 		}
@@ -61,20 +61,20 @@
 }
 
 func (w *simulation) checkFate(op *operation) {
-	if !op.done || op.submitted.ResolveFate || op.submitted.DryRun {
+	if !op.done || op.request.ResolveFate || op.request.DryRun {
 		return
 	}
-	stored := w.revisionOfToken(op.submitted.ChangeID)
+	stored := w.revisionOfToken(op.request.ChangeID)
 	switch fate := op.result.Fate; {
 	case fate == FateNotAccepted && stored != 0:
-		w.addViolation("change %s was reported as not accepted and is in the log at %d: %s", op.submitted.ChangeID, stored, op.result.Detail)
+		w.addViolation("change %s was reported as not accepted and is in the log at %d: %s", op.request.ChangeID, stored, op.result.Detail)
 	case (fate == FateInForce || fate == FateAccepted || op.result.Stored) && stored != op.result.Revision:
-		w.addViolation("change %s was reported as %s at %d and is in the log at %d", op.submitted.ChangeID, fate, op.result.Revision, stored)
+		w.addViolation("change %s was reported as %s at %d and is in the log at %d", op.request.ChangeID, fate, op.result.Revision, stored)
 	}
 }
 
 func (w *simulation) checkSettled(op *operation) {
-	revision, token, _ := ParseChangeID(op.submitted.ChangeID)
+	revision, token, _ := ParseChangeID(op.request.ChangeID)
 	want := FateNotAccepted
 	switch stored := w.revisionOfToken(token); {
 	case stored == revision:
@@ -83,7 +83,7 @@
 		want = FateUnknown
 	}
 	if !op.done || op.result.Fate != want {
-		w.addViolation("change %s is settled as %q (%s), want %s", op.submitted.ChangeID, op.result.Fate, op.result.Detail, want)
+		w.addViolation("change %s is settled as %q (%s), want %s", op.request.ChangeID, op.result.Fate, op.result.Detail, want)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 	var history []porcupine.Operation
 	for _, op := range w.operations {
-		if op.submitted.ResolveFate || op.submitted.DryRun || (op.done && op.result.Fate == FateNotAccepted) {
+		if op.request.ResolveFate || op.request.DryRun || (op.done && op.result.Fate == FateNotAccepted) {
 			continue
 		}
 		end := int64(1 << 60)
--- a/internal/selfhosted/dissemination/simulated_schedule_test.go
+++ b/internal/selfhosted/dissemination/simulated_schedule_test.go
@@ -189,13 +189,13 @@
 
 // propose lets an operator ask a process; the result is taken when it comes.
 func (w *simulation) propose(p *process, request Proposal, timeout Time) *operation {
-	op := &operation{client: len(w.operations), process: p, submitted: request, call: w.now}
+	op := &operation{client: len(w.operations), process: p, request: request, call: w.now}
 	if !request.ResolveFate && request.ChangeID == "" {
-		op.submitted.ChangeID = fmt.Sprintf("T%d", op.client)
+		op.request.ChangeID = fmt.Sprintf("T%d", op.client)
 	}
 	w.operations = append(w.operations, op)
 	p.runStep(func() {
-		submitted := op.submitted
+		submitted := op.request
 		submitted.Deadline = p.localTime() + timeout
 		p.pending[p.core.Propose(p.localTime(), submitted)] = op
 	})
--- a/internal/selfhosted/dissemination/simulation_test.go
+++ b/internal/selfhosted/dissemination/simulation_test.go
@@ -41,13 +41,13 @@
 
 // operation is one proposal of an operator, for the history.
 type operation struct {
-	client    int
-	process   *process
-	submitted Proposal
-	call      Time
-	end       Time
-	done      bool
-	result    Result
+	client  int
+	process *process
+	request Proposal
+	call    Time
+	end     Time
+	done    bool
+	result  Result
 }
 
 type event struct {
--- a/internal/selfhosted/dissemination/store_operation.go
+++ b/internal/selfhosted/dissemination/store_operation.go
@@ -2,20 +2,18 @@
 
 import "github.com/micaplank/micaplank/internal/catalog"
 
-// StoreOperation is one call to the store: exactly one of the pointers and
-// flags besides ID is set. The driver bounds its time and reports its end by
-// StepStore with the same ID.
+// StoreOperation is one call to the store. Apart from ID, exactly one field is set. The driver
+// limits its duration and reports its outcome by calling StepStore with the same ID.
 type StoreOperation struct {
 	ID uint64
-	// Read asks for the changes from a revision on, in order, at most Limit.
+	// Read requests at most Limit changes in order, starting with revision From.
 	Read *StoreRead
-	// Create writes a change under the key of its revision, if that key does
-	// not exist.
+	// Create writes a change under the key of its revision if the key does not exist.
 	Create *catalog.Change
-	// LoadCheckpoint asks for the newest whole checkpoint.
+	// LoadCheckpoint requests the newest complete checkpoint.
 	LoadCheckpoint bool
-	// SaveCheckpoint writes a checkpoint unless it is there, and deletes what
-	// lies before Keep once the checkpoint has been read back whole.
+	// SaveCheckpoint writes a checkpoint unless it exists. After the checkpoint has been read back
+	// completely, the changes and checkpoints before Keep are deleted.
 	SaveCheckpoint *SaveCheckpoint
 }
 
@@ -28,32 +26,32 @@
 // SaveCheckpoint is a checkpoint to be written.
 type SaveCheckpoint struct {
 	Catalog *catalog.Catalog
-	// Keep is the first revision to be left in the store; 0 deletes nothing.
+	// Keep is the first revision that remains in the store; 0 deletes nothing.
 	Keep uint64
 }
 
-// StoreResult is the end of a StoreOperation.
+// StoreResult is the outcome of a StoreOperation.
 type StoreResult struct {
 	ID uint64
-	// Err is set if the operation failed; MaybeApplied then says that a write
-	// may have taken effect all the same.
+	// Err is set if the operation failed. MaybeApplied then reports that a write may nevertheless
+	// have taken effect.
 	Err          error
 	MaybeApplied bool
-	// Changes and More are the result of a read; More says that it was cut
-	// short by its limit.
+	// Changes and More are the result of a read. More reports that the limit cut the result short.
 	Changes []catalog.Change
 	More    bool
-	// Created is the result of a create; Existing is the change that was there.
+	// Created is the result of a create. Existing is the change that already had the revision.
 	Created  bool
 	Existing *catalog.Change
-	// Checkpoint is the result of a load, nil if there is none.
+	// Checkpoint is the result of a load; nil if no checkpoint exists.
 	Checkpoint *catalog.Catalog
 }
 
+// pendingOperation is a store operation without a result.
 type pendingOperation struct {
 	sentAt       Time
 	kind         operationKind
-	heldRevision uint64 // revision held when a read was sent
+	heldRevision uint64 // revision of the log when a read was sent
 	proposal     ProposalID
 }
 
@@ -66,6 +64,7 @@
 	operationSave
 )
 
+// startOperation assigns an ID to an operation and adds it to Ready.
 func (c *Core) startOperation(pending pendingOperation, operation StoreOperation) {
 	c.store.lastOperationID++
 	operation.ID = c.store.lastOperationID
--- a/internal/selfhosted/dissemination/store_sync.go
+++ b/internal/selfhosted/dissemination/store_sync.go
@@ -2,7 +2,7 @@
 
 import "github.com/micaplank/micaplank/internal/catalog"
 
-// storeState is what the node knows of the store.
+// storeState holds the state of the node's access to the store.
 type storeState struct {
 	lastOperationID uint64
 	operations      map[uint64]pendingOperation
@@ -12,18 +12,20 @@
 	hasRead         bool
 	lastReadAt      Time
 	failures        int
-	// answered is when the last successful read was sent.
+	// current reports that a successful read has shown that the log was up to date. currentAt is
+	// the sending time of the last such read.
 	current   bool
 	currentAt Time
-	// diverged says that the store does not have a change that this node holds.
+	// diverged reports that the store lacks a change that this node holds or has a different one at
+	// its revision.
 	diverged bool
-	// checkpoint waits to be saved at checkpointDue.
+	// checkpoint, if set, is saved at checkpointDue.
 	checkpoint    *catalog.Catalog
 	checkpointDue Time
 }
 
-// StoreDiverged says that the store lacks a change that this node holds: it
-// was emptied, or is another store.
+// StoreDiverged reports that the store and this node have different logs: the store was emptied or
+// replaced by another one.
 func (c *Core) StoreDiverged() bool { return c.store.diverged }
 
 func (c *Core) tickStore(now Time) {
@@ -35,8 +37,8 @@
 	}
 }
 
-// readsStore says whether this node should read the store itself: as a watcher
-// of its zone, or because no one else confirms it.
+// shouldReadStore reports whether this node should read the store itself, either because it is a
+// watcher of its zone or because it receives no confirmation from peers.
 func (c *Core) shouldReadStore(now Time) bool {
 	if c.isWatcher() {
 		return true
@@ -47,8 +49,8 @@
 	return now-c.confirmedAt > c.config.Window/2
 }
 
-// readStore reads what follows the log. The read starts with the change that
-// is held, so that a store that lacks it is noticed.
+// readStore reads the changes after the log. The read starts with the last change of the log, so
+// that a store without that change is detected.
 func (c *Core) readStore(now Time) {
 	if c.store.readInFlight {
 		return
@@ -60,8 +62,8 @@
 		StoreOperation{Read: &StoreRead{From: max(heldRevision, 1), Limit: c.config.ReadLimit}})
 }
 
-// readInterval doubles with each failure and has a jitter of a quarter, so
-// that many nodes without another source do not ask at once.
+// readInterval doubles with each failure. Its jitter of a quarter keeps many nodes without another
+// source of confirmations from reading at the same time.
 func (c *Core) readInterval() Time {
 	interval := c.config.StoreInterval << min(c.store.failures, 8)
 	if !c.isWatcher() {
@@ -93,8 +95,8 @@
 	c.advanceProposals(now)
 }
 
-// StepWatched processes changes that a watch of the store delivered. They are
-// no evidence of being current: a watch may lag.
+// StepWatched processes changes delivered by a watch of the store. They do not confirm the log,
+// because a watch may lag.
 func (c *Core) StepWatched(now Time, changes []catalog.Change) {
 	c.installFromStore(now, changes)
 	if len(changes) > 0 && changes[len(changes)-1].Revision > c.log.revision() {
@@ -103,6 +105,7 @@
 	c.advanceProposals(now)
 }
 
+// handleRead processes the result of a read.
 func (c *Core) handleRead(now Time, pending pendingOperation, result StoreResult) {
 	c.store.readInFlight = false
 	if result.Err != nil {
@@ -135,8 +138,9 @@
 	}
 }
 
-// agrees says whether a read fits the log: it contains the change that was held
-// when the read was sent, and no other under a revision that is held.
+// matchesLog reports whether the result of a read is consistent with the log: it contains the last
+// change of the log at the time of the request, and none of its changes has the revision of a
+// different change in the log.
 func (c *Core) matchesLog(heldRevision uint64, changes []catalog.Change) bool {
 	if len(changes) == 0 {
 		return heldRevision == 0
@@ -149,9 +153,9 @@
 	return true
 }
 
-// whole says whether a read begins with the change that was held and has no gap.
-// If it does not, older changes have been deleted, and what is left of them is
-// no part of the log: a write that came too late may have made it.
+// isContiguous reports whether the result of a read starts with the last held change and has no
+// gap. Otherwise older changes have been deleted from the store. The remaining older entries may
+// stem from writes that arrived after the deletion and are not part of the log.
 func isContiguous(heldRevision uint64, changes []catalog.Change) bool {
 	for index, change := range changes {
 		if change.Revision != max(heldRevision, 1)+uint64(index) {
@@ -161,6 +165,7 @@
 	return true
 }
 
+// installFromStore installs changes from the store and pushes the new ones to other members.
 func (c *Core) installFromStore(now Time, changes []catalog.Change) {
 	installed := c.log.append(changes)
 	if len(installed) == 0 {
--- a/internal/selfhosted/dissemination/takeover.go
+++ b/internal/selfhosted/dissemination/takeover.go
@@ -6,51 +6,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// takeover is how a process comes to vote in its slot. Machines have no disks:
-// a process that holds a voter's name may be a replacement that has forgotten
-// what its predecessor acknowledged, while the predecessor may even run on.
+// takeover tracks how a process becomes a voter in its slot. Machines have no disks: a process with
+// a voter's name may be a replacement that has lost the acknowledgements of its predecessor, and
+// the predecessor may still be running.
 //
-// First a majority of the other voters registers the incarnation, so that
-// every later majority with an answer of the predecessor also has an answer
-// that names the successor. Then, after that, a confirmation is needed, so that
-// the process holds everything accepted with the predecessor's answer.
+// First, a majority of the other voters registers the incarnation, so that every later majority
+// that contains a response of the predecessor also contains a response that names the successor.
+// After that, the process needs a confirmation, which proves that it holds every revision that was
+// accepted with a response of the predecessor.
 type takeover struct {
-	registered map[string]bool // voters that know this incarnation
-	// complete is set once enough voters have registered, at completedAt.
+	registered map[string]bool // voters that have registered this incarnation
+	// complete is set at completedAt, when enough voters have registered the incarnation.
 	complete    bool
 	completedAt Time
 	recovered   bool
 	superseded  bool
 }
 
-// holdsSlot says whether the catalog has this node as a voter.
+// isVoter reports whether the catalog lists this node as a voter.
 func (c *Core) isVoter() bool {
 	_, ok := c.log.catalog.Voters[c.self.Name]
 	return ok
 }
 
-// votes says whether this node's revision may be counted by others.
+// canVote reports whether this node's revision counts toward a quorum.
 func (c *Core) canVote() bool {
-	if !c.isVoter() || c.successor.superseded {
+	if !c.isVoter() || c.takeover.superseded {
 		return false
 	}
-	return c.successor.recovered || c.disabled.recovery
+	return c.takeover.recovered || c.disabled.recovery
 }
 
-// resetTakeover makes a node that is no voter any more start over if it
-// becomes one again.
+// resetTakeover resets the takeover of a node that is no longer a voter, so that it starts again if
+// the node becomes a voter later.
 func (c *Core) resetTakeover() {
-	if c.isVoter() || (!c.successor.complete && !c.successor.recovered) {
+	if c.isVoter() || (!c.takeover.complete && !c.takeover.recovered) {
 		return
 	}
-	c.successor.complete, c.successor.recovered = false, false
-	clear(c.successor.registered)
+	c.takeover.complete, c.takeover.recovered = false, false
+	clear(c.takeover.registered)
 }
 
-// recover lets the node vote once its slot is registered and it has been
-// confirmed since.
+// updateRecovery marks a voter as recovered once its incarnation is registered and a later
+// confirmation exists.
 func (c *Core) updateRecovery(now Time) {
-	t := &c.successor
+	t := &c.takeover
 	if t.recovered || t.superseded || !c.isVoter() {
 		return
 	}
@@ -62,18 +62,19 @@
 	}
 }
 
+// countRegistrations returns the number of other voters that have registered this incarnation.
 func (c *Core) countRegistrations() int {
 	count := 0
 	for name := range c.voterStates {
-		if c.successor.registered[name] {
+		if c.takeover.registered[name] {
 			count++
 		}
 	}
 	return count
 }
 
-// registrationQuorum is a majority of the voters, not counting this one; of two
-// voters it is the other one.
+// registrationQuorum returns a majority of all voters, which the other voters must provide. With
+// two voters, the registration of the other one is sufficient.
 func (c *Core) registrationQuorum() int {
 	if c.disabled.registration {
 		return 0
@@ -82,36 +83,36 @@
 	return min(majority(voters), voters-1)
 }
 
-// known returns the incarnation that holds a voter's slot as far as is known;
-// zero if none is.
-func (c *Core) incarnation(voter string) uint64 {
+// highestIncarnation returns the highest known incarnation of a voter, or zero.
+func (c *Core) highestIncarnation(voter string) uint64 {
 	if voter == c.self.Name {
 		return c.self.Incarnation
 	}
 	return c.claims[voter]
 }
 
-// knownClaims returns a hash of what is known of the voters' slots.
+// hashClaims returns a hash of the known voter incarnations.
 func (c *Core) hashClaims() uint64 {
 	if c.claimsHash == 0 {
 		var digest xxhash.Digest
 		digest.Reset()
 		for _, name := range c.voters {
 			_, _ = digest.WriteString(name)
-			_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, c.incarnation(name)))
+			_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, c.highestIncarnation(name)))
 		}
 		c.claimsHash = digest.Sum64()
 	}
 	return c.claimsHash
 }
 
-// claimsFor lists what a requester may not know of the voters' slots, if this
-// node is a voter, and in any case a claim that supersedes the requester.
+// claimsFor returns the claims for the response to a request. If this node is a voter, it returns
+// all known incarnations when the requester's differ. In any case it includes a claim that
+// supersedes the requester.
 func (c *Core) claimsFor(request *ExchangeRequest) []Claim {
 	var claims []Claim
 	if c.isVoter() && request.Known != c.hashClaims() {
 		for _, name := range c.voters {
-			if incarnation := c.incarnation(name); incarnation != 0 && name != request.Name {
+			if incarnation := c.highestIncarnation(name); incarnation != 0 && name != request.Name {
 				claims = append(claims, Claim{Name: name, Incarnation: incarnation})
 			}
 		}
@@ -122,10 +123,10 @@
 	return claims
 }
 
-// maximumClaims bounds the slots remembered.
+// maxClaims is the maximum number of voters whose incarnations are kept.
 const maxClaims = 1024
 
-// takeClaim notes an incarnation of a voter's slot.
+// recordClaim stores a higher incarnation of a voter.
 func (c *Core) recordClaim(now Time, claim Claim) {
 	highest, ok := c.claims[claim.Name]
 	if claim.Name == c.self.Name {
@@ -137,31 +138,31 @@
 	}
 	c.claims[claim.Name] = claim.Incarnation
 	c.claimsHash = 0
-	// What the predecessor registered says nothing of its successor.
-	delete(c.successor.registered, claim.Name)
+	// A registration with the predecessor does not apply to its successor.
+	delete(c.takeover.registered, claim.Name)
 }
 
-// meetClaim handles a claim on this node's own name. A process that has just
-// started has met its predecessor's, which had a higher number because a clock
-// was ahead, and takes a higher one. Any other has been replaced.
+// handleClaimOnSelf processes a claim on this node's own name. A process that has just started may
+// receive the claim of its predecessor, whose incarnation is higher because a clock was ahead; the
+// process then selects a higher incarnation. Any other process with a lower incarnation has been
+// superseded.
 func (c *Core) handleClaimOnSelf(now Time, claim Claim) {
 	if claim.Incarnation <= c.self.Incarnation || c.disabled.supersession {
 		return
 	}
-	if !c.successor.recovered && now-c.startedAt < c.config.Window {
+	if !c.takeover.recovered && now-c.startedAt < c.config.Window {
 		c.self.Incarnation = claim.Incarnation + 1 + c.random.Uint64N(incarnationJitter)
 		c.claimsHash = 0
-		c.successor.complete = false
-		clear(c.successor.registered)
+		c.takeover.complete = false
+		clear(c.takeover.registered)
 		return
 	}
-	c.successor.superseded = true
+	c.takeover.superseded = true
 }
 
-// incarnationSpread keeps two processes that raise their incarnation at once
-// from choosing the same one.
+// incarnationJitter is the range of the random increment that prevents two processes from selecting
+// the same incarnation when they raise theirs at the same time.
 const incarnationJitter = 1 << 32
 
-// Incarnation returns this node's incarnation, which is raised if that of the
-// predecessor was higher.
+// Incarnation returns this node's incarnation, which may have been raised above the initial one.
 func (c *Core) Incarnation() uint64 { return c.self.Incarnation }
--- a/internal/selfhosted/dissemination/types.go
+++ b/internal/selfhosted/dissemination/types.go
@@ -7,10 +7,10 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// Time is a reading of a monotonic clock: the time since an arbitrary origin.
+// Time is a reading of a monotonic clock with an arbitrary origin.
 type Time = time.Duration
 
-// Member is one node, as the membership sees it.
+// Member describes a node as reported by the membership service.
 type Member struct {
 	Name        string
 	Zone        string
@@ -20,26 +20,25 @@
 	Alive bool
 }
 
-// Packet is one datagram between nodes: exactly one field is set.
+// Packet is one datagram between nodes. Exactly one field is set.
 type Packet struct {
 	Request  *ExchangeRequest
 	Response *ExchangeResponse
 	Push     *Push
 }
 
-// ExchangeRequest asks a peer what it holds. It must be answered at once.
+// ExchangeRequest asks a peer for its revision and confirmation. The peer must answer immediately,
+// because the age of the confirmation counts from the time of sending.
 type ExchangeRequest struct {
-	// Sequence is echoed by the response. It is unique across restarts, so
-	// that an answer to a predecessor is not taken for one's own.
+	// Sequence is echoed by the response. It is unique across restarts, so that a response to a
+	// previous process of the same node is ignored.
 	Sequence    uint64
 	Name        string
 	Incarnation uint64
 	Revision    uint64
-	// Claim says that the sender holds a voter's slot; the receiver registers
-	// the incarnation.
+	// Claim reports that the sender is a voter. The receiver then registers its incarnation.
 	Claim bool
-	// Known is a hash of the incarnations of the voters' slots that the sender
-	// knows.
+	// Known is a hash of the voter incarnations that the sender knows.
 	Known uint64
 }
 
@@ -49,33 +48,33 @@
 	Name        string
 	Incarnation uint64
 	Revision    uint64
-	// Voter says that the sender is a voter that has recovered, so that its
-	// revision may be counted.
+	// Voter reports that the sender is a recovered voter, so that its revision counts toward a
+	// quorum.
 	Voter bool
-	// Confirmed says that Age is set: the time since the sender's
-	// confirmation, measured after the request had arrived.
+	// Confirmed reports that Age is set. Age is the time since the sender's confirmation, computed
+	// after the request arrived.
 	Confirmed bool
 	Age       time.Duration
-	// Claims lists the highest incarnations that the sender knows of voter
-	// slots; it is empty if the requester knows the same ones.
+	// Claims lists the highest voter incarnations that the sender knows. It is empty if the hash in
+	// the request shows that the requester knows the same ones.
 	Claims []Claim
 }
 
-// Claim is an incarnation of a voter's slot.
+// Claim is an incarnation of the process that occupies a voter slot.
 type Claim struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Push carries new changes to a peer. Changes is empty if they are too large for a
-// datagram; the receiver then fetches them.
+// Push sends new changes to a peer. Changes is empty if they do not fit into a datagram; the
+// receiver then fetches them.
 type Push struct {
 	Name     string
 	Revision uint64
 	Changes  []catalog.Change
 }
 
-// Outgoing is a packet to be sent.
+// Outgoing is a packet with its destination.
 type Outgoing struct {
 	To     netip.AddrPort
 	Packet Packet
@@ -86,55 +85,55 @@
 	Revision uint64
 }
 
-// FetchResponse carries the changes that follow, or a whole catalog if the
-// peer does not have them any more.
+// FetchResponse carries the changes after the requested revision, or a complete catalog if the peer
+// no longer keeps all of these changes.
 type FetchResponse struct {
 	Changes    []catalog.Change
 	Checkpoint *catalog.Catalog
 }
 
-// Fetch is a FetchRequest to be sent. The driver reports its end by
-// StepFetched, also if it failed.
+// Fetch is a FetchRequest with its destination. The driver reports the outcome, including a
+// failure, with StepFetched.
 type Fetch struct {
 	To      netip.AddrPort
 	Request FetchRequest
 }
 
-// Fate is what is known of a change.
+// Fate is the known outcome of a change.
 type Fate string
 
-// The fates.
+// Outcomes of a change.
 const (
-	// FateInForce: accepted, and every serving member holds it.
+	// FateInForce means that the change is accepted and every serving member holds it.
 	FateInForce Fate = "in_force"
-	// FateAccepted: never reverts, but some members may serve without it until
-	// the window has passed.
+	// FateAccepted means that the change is permanent, but some members may serve without it until
+	// the freshness window has passed.
 	FateAccepted Fate = "accepted"
-	// FateNotAccepted: it has not taken effect and never will.
+	// FateNotAccepted means that the change has not taken effect and never will.
 	FateNotAccepted Fate = "not_accepted"
-	// FateUnknown: not settled; ask again by the change id.
+	// FateUnknown means that the outcome is undecided; the caller can ask again with the change ID.
 	FateUnknown Fate = "unknown"
-	// FateDryRun: valid at Revision; nothing was written.
+	// FateDryRun means that the change is valid at Revision. Nothing was written.
 	FateDryRun Fate = "dry_run"
 )
 
-// Result is the end of a proposal.
+// Result is the outcome of a proposal.
 type Result struct {
 	Fate     Fate
 	ChangeID string
-	// Revision is that of the change if the store has it, else the node's.
+	// Revision is the revision of the change if the store has it, otherwise the node's revision.
 	Revision uint64
-	// Stored says that the change stays in the log. A stored change of
-	// unknown fate is not yet held by a majority of the voters.
+	// Stored reports that the change is permanently in the log. A stored change with an unknown
+	// fate is not yet held by a majority of the voters.
 	Stored bool
-	// InForceOn counts the alive members known to hold the change, of Members.
+	// InForceOn is the number of alive members that are known to hold the change, out of Members.
 	InForceOn int
 	Members   int
-	// Missing names the other alive members, in order.
+	// Missing lists the names of the other alive members in sorted order.
 	Missing []string
-	// Detail says in words why, for operators.
+	// Detail explains the outcome to operators.
 	Detail string
-	// Refusal is the reason of a change that the catalog refused, a
-	// *catalog.Error; nil otherwise.
+	// Refusal is the reason why the change was rejected, for example a *catalog.Error; otherwise
+	// nil.
 	Refusal error
 }
--- a/internal/selfhosted/dissemination/wire.go
+++ b/internal/selfhosted/dissemination/wire.go
@@ -7,11 +7,10 @@
 	"github.com/micaplank/micaplank/internal/peer"
 )
 
-// wireVersion must be raised whenever wirePacket or a type in it changes.
+// wireVersion must be incremented whenever wirePacket or a type in it changes.
 const wireVersion = 1
 
-// wirePacket is a Packet on the wire. Changes travel in the canonical form
-// that the log stores.
+// wirePacket is the wire format of a Packet. Changes have the canonical encoding of the log.
 type wirePacket struct {
 	Request  *ExchangeRequest
 	Response *ExchangeResponse
@@ -30,9 +29,8 @@
 	Push:     &wirePush{Revision: 1, Changes: [][]byte{{1}}},
 })
 
-// EncodePacket returns a packet as the payload of one datagram. Changes that
-// would not fit into one frame are left out of a push; the receiver fetches
-// them.
+// EncodePacket encodes a packet as the payload of one datagram. It omits the changes of a push that
+// would not fit into one unfragmented datagram; the receiver fetches them.
 func EncodePacket(packet Packet) ([]byte, error) {
 	wire := wirePacket{Request: packet.Request, Response: packet.Response}
 	if packet.Push != nil {
@@ -48,7 +46,7 @@
 	return packetCodec.Encode(&wire)
 }
 
-// pushOverhead is the room for what surrounds the changes of a push.
+// pushOverhead is the space reserved for the fields of a push other than its changes.
 const pushOverhead = 200
 
 func totalSize(parts [][]byte) int {
@@ -59,7 +57,7 @@
 	return size
 }
 
-// DecodePacket reads what EncodePacket returned.
+// DecodePacket decodes the payload that EncodePacket returned.
 func DecodePacket(payload []byte) (Packet, error) {
 	wire, err := packetCodec.Decode(payload)
 	if err != nil {
@@ -76,12 +74,12 @@
 	return packet, nil
 }
 
-// FetchCall is a FetchRequest on the wire.
+// FetchCall is the wire format of a FetchRequest.
 type FetchCall struct {
 	Revision uint64
 }
 
-// FetchReply is a FetchResponse on the wire.
+// FetchReply is the wire format of a FetchResponse.
 type FetchReply struct {
 	Changes    [][]byte
 	Checkpoint []byte
--- a/internal/selfhosted/machines/list.go
+++ b/internal/selfhosted/machines/list.go
@@ -1,8 +1,8 @@
-// Package machines is the client of the platform's machine list: a lagging
-// list of live and leaving machines, over HTTP with JSON.
+// Package machines is the client of the platform's machine list, which names live and leaving
+// machines and is served over HTTP as JSON. The list lags behind the platform's state.
 //
-// It owns the last list that was read. What a leaving machine means for a leaf
-// is decided in package topology.
+// The package keeps the last list that was read. Package topology decides the consequences of a
+// leaving machine for a leaf.
 package machines
 
 import (
@@ -10,22 +10,22 @@
 	"net/netip"
 )
 
-// ListPath is where the list is read by GET.
+// ListPath is the HTTP path of the list, which is read with GET.
 const ListPath = "/v1/machines"
 
-// Kind says what runs on a machine.
+// Kind is the role of a machine.
 type Kind string
 
-// The kinds of machine.
+// Machine roles.
 const (
 	KindLeaf Kind = "leaf"
 	KindNode Kind = "node"
 )
 
-// State is the state that the platform reports of a machine.
+// State is the state of a machine as reported by the platform.
 type State string
 
-// The states of a machine.
+// Machine states.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
@@ -37,12 +37,11 @@
 	Address netip.AddrPort `json:"address"`
 	Kind    Kind           `json:"kind"`
 	State   State          `json:"state"`
-	// BootID changes with every start of the machine; empty if unknown.
+	// BootID changes with every start of the machine. It is empty if unknown.
 	BootID string `json:"boot_id,omitempty"`
 }
 
-// Check reports what is wrong with an entry: an address that is none, or a
-// kind or state that is not known.
+// Check returns an error if the entry has an invalid address, an unknown kind or an unknown state.
 func (m Machine) Check() error {
 	switch {
 	case !m.Address.IsValid() || m.Address.Port() == 0:
@@ -56,14 +55,14 @@
 	}
 }
 
-// List is one reading of the machine list.
+// List is one version of the machine list.
 type List struct {
-	// AsOfUnixMilliseconds is the platform's clock when the list was true.
+	// AsOfUnixMilliseconds is the platform's clock reading at which the list was current.
 	AsOfUnixMilliseconds int64     `json:"as_of_unix_ms"`
 	Machines             []Machine `json:"machines"`
 }
 
-// Check reports the first entry that is wrong.
+// Check returns the error of the first invalid entry.
 func (l List) Check() error {
 	for _, machine := range l.Machines {
 		if err := machine.Check(); err != nil {
@@ -73,7 +72,7 @@
 	return nil
 }
 
-// Find returns the entry of an address.
+// Find returns the entry with the given address.
 func (l List) Find(address netip.AddrPort) (Machine, bool) {
 	for _, machine := range l.Machines {
 		if machine.Address == address {
--- a/internal/selfhosted/machines/metrics.go
+++ b/internal/selfhosted/machines/metrics.go
@@ -10,14 +10,14 @@
 	polls *prometheus.CounterVec
 }
 
-// newMetrics registers the metrics, unless the registerer is nil.
+// newMetrics creates the metrics and registers them unless the registerer is nil.
 func newMetrics(poller *Poller, registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	factory.GaugeFunc("micaplank_machines_list_age_seconds",
-		"Time since the last successful reading of the machine list was asked for; 0 before the first.",
+		"Time since the last successful read of the machine list was requested; 0 before the first.",
 		func() float64 { return poller.Last().Age.Seconds() })
 	return &metrics{polls: factory.Counters("micaplank_machines_polls_total",
-		"Readings of the platform's machine list, by result (ok or failed).", "result")}
+		"Reads of the platform's machine list, by result (ok or failed).", "result")}
 }
 
 func (m *metrics) count(err error) {
--- a/internal/selfhosted/machines/poller.go
+++ b/internal/selfhosted/machines/poller.go
@@ -15,21 +15,20 @@
 )
 
 const (
-	// maximumListBytes bounds the list that is read, in bytes.
-	// Not measured: chosen because it bounds the memory of a reading.
+	// maxListBytes limits the size of a response and thereby the memory of a read.
 	maxListBytes = 16 << 20
-	// stepFetch is the step of errors.
+	// stepFetch is the value of the attribute step in errors of a read.
 	stepFetch = "machines.fetch"
 )
 
-// Config says where the machine list is and how often it is read.
+// Config specifies the address of the machine list and the timing of reads.
 type Config struct {
 	Address netip.AddrPort
-	// Interval is the time between two readings; each is drawn evenly from
-	// Interval*(1-Jitter) to Interval*(1+Jitter).
+	// Interval is the mean time between two reads. Each delay is uniformly distributed between
+	// Interval*(1-Jitter) and Interval*(1+Jitter).
 	Interval time.Duration
 	Jitter   float64
-	// Timeout bounds one reading.
+	// Timeout limits one read.
 	Timeout time.Duration
 }
 
@@ -38,20 +37,19 @@
 	return Config{Interval: time.Second, Jitter: 0.2, Timeout: time.Second}
 }
 
-// Reading is the last list that was read, with how old it is.
+// Reading is the last list that was read successfully, with its age.
 type Reading struct {
 	List List
-	// Age is the time since the reading was asked for, on the monotonic
-	// clock. The list was already lagging by then.
+	// Age is the time since the list was requested, on the monotonic clock. The list already lagged
+	// behind the platform's state at that time.
 	Age time.Duration
-	// Known is false until the first reading succeeds.
+	// Known is false until the first read succeeds.
 	Known bool
-	// Err is why the latest attempt failed; nil if it succeeded.
+	// Err is the error of the latest attempt; nil if it succeeded.
 	Err error
 }
 
-// Poller reads the machine list periodically and keeps the last one. It
-// is safe for concurrent use.
+// Poller reads the machine list periodically and keeps the last one. It is safe for concurrent use.
 type Poller struct {
 	config  Config
 	client  *http.Client
@@ -65,7 +63,7 @@
 	lastErr     error
 }
 
-// NewPoller returns a poller and registers its metrics. It reads nothing until Run.
+// NewPoller returns a poller and registers its metrics. The first read occurs in Run or Poll.
 func NewPoller(config Config, random *rand.Rand, registerer prometheus.Registerer) *Poller {
 	defaults := DefaultConfig()
 	if config.Interval <= 0 {
@@ -79,9 +77,8 @@
 	return poller
 }
 
-// Run reads the list at once and then at every interval, until ctx ends.
-// onReading, if not nil, is called after each successful reading, from the
-// goroutine of Run.
+// Run reads the list immediately and then at every interval until ctx ends. After each successful
+// read, Run calls onReading, if it is not nil, from its own goroutine.
 func (p *Poller) Run(ctx context.Context, onReading func(List)) {
 	defer p.client.CloseIdleConnections()
 	timer := time.NewTimer(0)
@@ -99,8 +96,8 @@
 	}
 }
 
-// Poll reads the list once and keeps it. A failure, or a list with an entry
-// that makes no sense, leaves the last list in place.
+// Poll reads the list once and keeps it. A failed read or a list with an invalid entry leaves the
+// last list in place.
 func (p *Poller) Poll(ctx context.Context) (List, error) {
 	requestedAt := time.Now()
 	list, err := p.fetch(ctx)
@@ -115,7 +112,7 @@
 	return list, nil
 }
 
-// Last returns the last list that was read. The caller must not modify it.
+// Last returns the last list that was read. Callers must not modify it.
 func (p *Poller) Last() Reading {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -126,6 +123,7 @@
 	return reading
 }
 
+// nextDelay returns the interval with random jitter.
 func (p *Poller) nextDelay() time.Duration {
 	spread := p.config.Jitter * (2*p.random.Float64() - 1)
 	return time.Duration(float64(p.config.Interval) * (1 + spread))
@@ -146,7 +144,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return List{}, errorBuilder.Errorf("the machine list answered with HTTP status %d", response.StatusCode)
+		return List{}, errorBuilder.Errorf("read machine list: HTTP status %d", response.StatusCode)
 	}
 	var list List
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
