--- a/internal/selfhosted/dissemination/adapter_test.go
+++ b/internal/selfhosted/dissemination/adapter_test.go
@@ -10,14 +10,14 @@
 	"time"
 
 	"github.com/micaplank/micaplank/internal/catalog"
-	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	rehearsalstore "github.com/micaplank/micaplank/internal/rehearsal/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
 func startAdapter(t *testing.T) (*dissemination.StoreAdapter, *store.Client) {
 	t.Helper()
-	server, err := standin.Start(standin.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+	server, err := rehearsalstore.Start(rehearsalstore.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,8 @@
 	return dissemination.NewStoreAdapter(client), client
 }
 
-// fill writes count changes and returns the catalogs after each.
+// createChanges writes count changes and returns the catalog before the first change and after each
+// one.
 func createChanges(t *testing.T, adapter *dissemination.StoreAdapter, count int) []*catalog.Catalog {
 	t.Helper()
 	catalogs := []*catalog.Catalog{catalog.Empty()}
@@ -39,7 +40,7 @@
 		change := catalog.Change{Revision: revision, ID: dissemination.ChangeID(revision, "T"), Command: createService(strings.Repeat("s", index+1))}
 		created, _, err := adapter.CreateChange(context.Background(), change)
 		if err != nil || !created {
-			t.Fatalf("create %d: %t, %v", revision, created, err)
+			t.Fatalf("create change %d: got created %t, error %v, want created", revision, created, err)
 		}
 		next, err := catalog.Apply(catalogs[index], change)
 		if err != nil {
@@ -62,13 +63,13 @@
 	createChanges(t, adapter, 5)
 	created, existing, err := adapter.CreateChange(ctx, catalog.Change{Revision: 3, ID: "3-other", Command: createService("x")})
 	if err != nil || created || existing.ID != "3-T" {
-		t.Fatalf("second change at revision 3: %t, %+v, %v", created, existing, err)
+		t.Fatalf("second change at revision 3: got created %t, existing %+v, error %v, want existing change 3-T", created, existing, err)
 	}
 	changes, more, err := adapter.ReadChanges(ctx, 2, 3)
 	if err != nil || !more || len(changes) != 3 || changes[0].Revision != 2 {
-		t.Fatalf("read: %v, more %t, %v", changes, more, err)
+		t.Fatalf("read 3 changes from revision 2: got %v, more %t, error %v, want revisions 2 to 4 and more", changes, more, err)
 	}
-	// The watch may have been opened after the first changes; it sees the next.
+	// The watch may have started after the first changes, so further changes follow until it delivers one.
 	for revision := uint64(6); ; revision++ {
 		_, _, err := adapter.CreateChange(ctx, catalog.Change{Revision: revision, ID: dissemination.ChangeID(revision, "T"), Command: createService("y")})
 		if err != nil {
@@ -88,7 +89,7 @@
 	adapter, client := startAdapter(t)
 	ctx := context.Background()
 	if loaded, err := adapter.LoadCheckpoint(ctx); loaded != nil || err != nil {
-		t.Fatalf("load from an empty store: %v, %v", loaded, err)
+		t.Fatalf("load from an empty store: got %v, error %v, want no checkpoint", loaded, err)
 	}
 	catalogs := createChanges(t, adapter, 10)
 	for _, revision := range []int{4, 8, 8} {
@@ -98,7 +99,7 @@
 	}
 	loaded, err := adapter.LoadCheckpoint(ctx)
 	if err != nil || loaded.Digest() != catalogs[8].Digest() {
-		t.Fatalf("loaded %+v, %v", loaded, err)
+		t.Fatalf("loaded checkpoint: got %+v, error %v, want revision 8", loaded, err)
 	}
 	changes, _, err := adapter.ReadChanges(ctx, 1, 100)
 	revisions := make([]uint64, 0, len(changes))
@@ -106,13 +107,13 @@
 		revisions = append(revisions, change.Revision)
 	}
 	if err != nil || !slices.Equal(revisions, []uint64{6, 7, 8, 9, 10}) {
-		t.Fatalf("changes left: %v, %v", revisions, err)
+		t.Fatalf("changes left: got %v, error %v, want revisions 6 to 10", revisions, err)
 	}
-	// A newer checkpoint that is not whole is passed over.
+	// A newer but incomplete checkpoint is ignored.
 	if _, err := client.CreateIfAbsent(ctx, "/micaplank/checkpoints/0000000000000009/0000", []byte(`{"count":2,"hash":1,"data":""}`)); err != nil {
 		t.Fatal(err)
 	}
 	if loaded, err := adapter.LoadCheckpoint(ctx); err != nil || loaded.Revision != 8 {
-		t.Fatalf("loaded %+v, %v", loaded, err)
+		t.Fatalf("loaded checkpoint: got %+v, error %v, want revision 8", loaded, err)
 	}
 }
--- a/internal/selfhosted/dissemination/benchmark_test.go
+++ b/internal/selfhosted/dissemination/benchmark_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// BenchmarkFault measures in simulation, for each kind of fault in 20 runs of
-// 60 s, the share of the checks before acting that found the node fresh, and
-// the time from a proposal to its end as in force.
+// BenchmarkFault simulates each kind of fault in 20 runs of 60 s. It reports the share of freshness
+// checks that passed, the share of proposals that ended in force, and the mean time that these
+// took.
 func BenchmarkFault(b *testing.B) {
 	for _, kind := range append([]string{"none"}, faultKinds...) {
 		b.Run(kind, func(b *testing.B) {
@@ -50,8 +50,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkExchange is the processor time of one request and its answer on both
-// sides, with encoding.
+// BenchmarkExchange reports the CPU time of one request and its response on both sides, including
+// encoding and decoding.
 func BenchmarkExchange(b *testing.B) {
 	address := netip.MustParseAddrPort("127.0.0.1:1000")
 	var cores []*Core
--- a/internal/selfhosted/dissemination/held_at_test.go
+++ b/internal/selfhosted/dissemination/held_at_test.go
@@ -8,8 +8,9 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// TestHeldAtCountsVotersOnce has a core with answers of other voters, and asks
-// since when a majority is known to hold a revision.
+// TestHeldAt checks that HeldAt counts each voter once and ignores responses that prove nothing:
+// those with an older revision, of a predecessor, or of a voter that has not registered this
+// process.
 func TestHeldAt(t *testing.T) {
 	const now, early, late = 10 * time.Second, time.Second, 9 * time.Second
 	answerSentAt := func(at Time) voterAnswer {
@@ -29,15 +30,15 @@
 		held    bool
 	}{
 		{"one other voter", "a", map[string]voterAnswer{"b": answerSentAt(late)}, late, true},
-		{"nobody", "a", nil, 0, false},
-		{"asked long ago", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(early)}, early, true},
-		{"the latest majority counts", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(late)}, late, true},
-		{"itself does not count twice", "a", map[string]voterAnswer{"a": answerSentAt(late)}, 0, false},
-		{"an older revision", "a", map[string]voterAnswer{"b": older}, 0, false},
-		{"a predecessor of the voter", "a", map[string]voterAnswer{"b": predecessor}, 0, false},
-		{"a voter that does not register this process", "a", map[string]voterAnswer{"b": unregistered}, 0, false},
-		{"no voter itself, one voter", "d", map[string]voterAnswer{"b": answerSentAt(late)}, 0, false},
-		{"no voter itself, two voters", "d", map[string]voterAnswer{"b": answerSentAt(late), "c": answerSentAt(early)}, early, true},
+		{"no voter", "a", nil, 0, false},
+		{"old requests", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(early)}, early, true},
+		{"latest majority counts", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(late)}, late, true},
+		{"own response is not counted twice", "a", map[string]voterAnswer{"a": answerSentAt(late)}, 0, false},
+		{"response with an older revision", "a", map[string]voterAnswer{"b": older}, 0, false},
+		{"response of a voter's predecessor", "a", map[string]voterAnswer{"b": predecessor}, 0, false},
+		{"response without registration of this process", "a", map[string]voterAnswer{"b": unregistered}, 0, false},
+		{"not a voter, one voter responds", "d", map[string]voterAnswer{"b": answerSentAt(late)}, 0, false},
+		{"not a voter, two voters respond", "d", map[string]voterAnswer{"b": answerSentAt(late), "c": answerSentAt(early)}, early, true},
 	}
 	for _, test := range cases {
 		core := New(Options{
@@ -59,7 +60,7 @@
 		}
 		at, held := core.HeldAt(now, 3)
 		if at != test.at || held != test.held {
-			t.Errorf("%s: held %v since %v, want %v since %v", test.name, held, at, test.held, test.at)
+			t.Errorf("%s: got held %v at %v, want held %v at %v", test.name, held, at, test.held, test.at)
 		}
 	}
 }
--- a/internal/selfhosted/dissemination/mechanisms_test.go
+++ b/internal/selfhosted/dissemination/mechanisms_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// mechanism is one that can be left out, with a search for a schedule in which
-// that is noticed.
+// mechanismCase names a safety mechanism that can be disabled and a way to search for a schedule in
+// which its absence causes a violation: either a script or random schedules.
 type mechanismCase struct {
 	name      string
 	disabled  disabledMechanisms
-	script    func(w *simulation) // directed schedule with a number of voters, or
+	script    func(w *simulation) // scripted schedule, nil for random schedules
 	voters    int
-	kinds     []string // faults of random schedules
-	firstSeed uint64   // first seed to be tried
+	kinds     []string // kinds of faults in random schedules
+	firstSeed uint64   // first seed of the search
 }
 
 var mechanismCases = []mechanismCase{
@@ -31,8 +31,8 @@
 	{name: "voter guard", disabled: disabledMechanisms{voterGuard: true}, script: addVotersDuringPartition, voters: 3},
 }
 
-// cutAt puts the named processes and the store on one side of a cut and
-// everything else on the other.
+// partition places the named processes and the store on one side of a network partition and all
+// other processes on the other side.
 func (w *simulation) partition(names ...string) {
 	w.partitioned, w.store.side = true, 1
 	for _, p := range w.processes {
@@ -43,12 +43,14 @@
 	}
 }
 
+// spawnReplacement starts a process with the name and zone of an existing one and the next
+// incarnation, without stopping the existing one.
 func (w *simulation) spawnReplacement(name string, side int) *process {
 	old := w.newestProcess(name)
 	return w.spawn(name, old.member.Zone, old.core.Incarnation()+1, side)
 }
 
-// fetchesLate: n6 gets a checkpoint that it fetched before a change.
+// installStaleFetch delivers to n6 a checkpoint that n6 fetched before a change.
 func installStaleFetch(w *simulation) {
 	p := w.newestProcess("n6")
 	old := FetchResponse{Checkpoint: p.core.Catalog()}
@@ -57,8 +59,8 @@
 	p.runStep(func() { p.core.StepFetched(p.localTime(), &old) })
 }
 
-// forgetsAndMeetsOnlyLaggards: n0 and n1 accept a change that n2 misses; then
-// n1 is replaced and meets only n2.
+// replaceVoterAmongLaggards lets n0 and n1 accept a change that n2 misses. Then n1 is replaced and
+// can reach only n2.
 func replaceVoterAmongLaggards(w *simulation) {
 	w.partition("n0", "n1", "n3")
 	w.run(w.now + 3*time.Second)
@@ -69,8 +71,8 @@
 	w.run(w.now + 10*time.Second)
 }
 
-// replacedBehindACut: n1 is replaced on the side of the store, while its
-// predecessor runs on at the other, with n2.
+// replaceVoterAcrossPartition replaces n1 on the side of the store, while its predecessor continues
+// to run on the other side, with n2.
 func replaceVoterAcrossPartition(w *simulation) {
 	w.partition("n0", "n3")
 	w.run(w.now + 3*time.Second)
@@ -80,8 +82,8 @@
 	w.run(w.now + 12*time.Second)
 }
 
-// predecessorRunsOn: n1 is replaced while all are connected; then a cut leaves
-// the predecessor with n2, and the successor with n0.
+// partitionReplacedVoter replaces n1 while all processes are connected. Then a partition separates
+// the predecessor, with n2, from the successor, with n0.
 func partitionReplacedVoter(w *simulation) {
 	predecessor := w.newestProcess("n1")
 	successor := w.spawnReplacement("n1", 0)
@@ -92,18 +94,18 @@
 	w.run(w.now + 12*time.Second)
 }
 
-// links lets only the pairs through, written as "03": n0 with n3.
+// allowOnlyLinks blocks all links except the given pairs. The pair "03" is the link between n0 and
+// n3.
 func (w *simulation) allowOnlyLinks(pairs ...string) {
 	w.blocked = func(from, to string) bool {
 		return !slices.Contains(pairs, from[1:]+to[1:]) && !slices.Contains(pairs, to[1:]+from[1:])
 	}
 }
 
-// restartsBetweenAnswers: of the voters n0 to n4, n0 and n1 hold a change and
-// say so to the proposer n5. n1 is replaced; n0, n3 and n4 register the
-// successor, and n6 passes a confirmation on to it that rests on n2, n3 and n4,
-// which lack the change. Only then n2 gets the change and says so to n5, without
-// having heard of the successor.
+// replaceVoterBetweenRounds has the voters n0 to n4. n0 and n1 hold a change and report it to the
+// proposer n5. Then n1 is replaced. n0, n3 and n4 register the successor, and n6 relays a
+// confirmation to it that is based on n2, n3 and n4, which lack the change. Only then does n2
+// receive the change and report it to n5, without knowing the successor.
 func replaceVoterBetweenRounds(w *simulation) {
 	w.store.watchLag = time.Hour
 	w.allowOnlyLinks("05", "15")
@@ -126,8 +128,8 @@
 	w.run(w.now + 14*time.Second)
 }
 
-// addsVotersBehindACut: n2 adds n3 and n4 to the voters n0, n1 and n2, while n0
-// and n1 are cut off, but for a moment in which n0 registers the new voters.
+// addVotersDuringPartition lets n2 add n3 and n4 to the voters n0, n1 and n2 while n0 and n1 are
+// unreachable, except for a short time in which n0 registers the new voters.
 func addVotersDuringPartition(w *simulation) {
 	w.partition("n2", "n3", "n4")
 	w.run(w.now + 3*time.Second)
@@ -145,7 +147,7 @@
 	w.run(w.now + 12*time.Second)
 }
 
-// run returns the violations of a schedule with some mechanism left out.
+// run returns the violations of a schedule with the given mechanisms disabled.
 func (m mechanismCase) run(seed uint64, disabled disabledMechanisms) []string {
 	if m.script == nil {
 		return runSchedule(randomSchedule(seed, m.kinds, disabled)).violations
@@ -156,6 +158,7 @@
 	return w.violations
 }
 
+// randomSchedule derives a schedule from a seed.
 func randomSchedule(seed uint64, kinds []string, disabled disabledMechanisms) schedule {
 	random := rand.New(rand.NewPCG(seed, 3))
 	s := schedule{seed: seed, voters: []int{3, 5}[random.IntN(2)], relays: random.IntN(2) == 0, disabled: disabled}
@@ -170,11 +173,11 @@
 	return s
 }
 
-// maximumSearch bounds the schedules tried until a missing mechanism shows.
+// maxSeeds is the maximum number of schedules that are run to find a violation.
 const maxSeeds = 100
 
-// TestEachMechanismIsNeeded leaves one mechanism out at a time: some schedule
-// must show a violation, and none with the mechanism in place.
+// TestEachMechanismIsNeeded disables one safety mechanism at a time. Some schedule must then show a
+// violation, and the same schedule must show none with all mechanisms enabled.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	t.Parallel()
 	for _, m := range mechanismCases {
@@ -185,13 +188,13 @@
 				if len(violations) == 0 {
 					continue
 				}
-				t.Logf("seed %d, left out: %v", seed, violations)
+				t.Logf("seed %d, mechanism disabled: %v", seed, violations)
 				if baseline := m.run(seed, disabledMechanisms{}); len(baseline) > 0 {
-					t.Fatalf("seed %d, nothing left out: %v", seed, baseline)
+					t.Fatalf("seed %d, all mechanisms enabled: got violations %v, want none", seed, baseline)
 				}
 				return
 			}
-			t.Fatalf("leaving it out went unnoticed in %d schedules", maxSeeds)
+			t.Fatalf("mechanism disabled: got no violation in %d schedules, want at least one", maxSeeds)
 		})
 	}
 }
--- a/internal/selfhosted/dissemination/properties_test.go
+++ b/internal/selfhosted/dissemination/properties_test.go
@@ -12,7 +12,8 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// TestLogGrowsOnlyInOrder installs changes and checkpoints in any order.
+// TestChangeLogInstallsOnlyHigherRevisions installs changes and checkpoints in random order. The
+// revision must never decrease, and the catalog must equal the reference catalog at its revision.
 func TestChangeLogInstallsOnlyHigherRevisions(t *testing.T) {
 	t.Parallel()
 	reference := []*catalog.Catalog{catalog.Empty()}
@@ -37,18 +38,18 @@
 				log.append(changes[from:to])
 			}
 			if log.revision() < before || log.catalog.Digest() != reference[log.revision()].Digest() {
-				t.Fatalf("at revision %d after %d", log.revision(), before)
+				t.Fatalf("got revision %d after revision %d, want no decrease and the reference catalog", log.revision(), before)
 			}
 			asked := uint64(rapid.IntRange(0, 40).Draw(t, "asked"))
 			if tail, ok := log.changesAfter(asked); ok && len(tail) > 0 && tail[0].Revision != asked+1 {
-				t.Fatalf("after %d comes %d", asked, tail[0].Revision)
+				t.Fatalf("changes after revision %d: got first revision %d, want the next one", asked, tail[0].Revision)
 			}
 		}
 	})
 }
 
-// TestRelayTree checks that each member of a zone takes confirmations from
-// members nearer to the roots, and that none has too many children.
+// TestRelayTreeParents checks that the parents of each member of a zone are nearer to the roots
+// than the member, and that no member has more than twice the fanout of children.
 func TestRelayTreeParents(t *testing.T) {
 	t.Parallel()
 	const roots, fanout = 2, 8
@@ -65,20 +66,20 @@
 			index.rebuild(self, members, roots)
 			parents := index.parents(roots, fanout)
 			if len(parents) == 0 && index.position >= roots {
-				t.Fatalf("member at %d has no parent", index.position)
+				t.Fatalf("member at position %d: got no parent, want at least one", index.position)
 			}
 			for _, parent := range parents {
 				children[parent.Name]++
 				for position, member := range index.zoneMembers {
 					if member.Name == parent.Name && position >= index.position {
-						t.Fatalf("the parent of %d is at %d", index.position, position)
+						t.Fatalf("member at position %d: got a parent at position %d, want a lower position", index.position, position)
 					}
 				}
 			}
 		}
 		for name, count := range children {
 			if count > 2*fanout {
-				t.Fatalf("%s has %d children", name, count)
+				t.Fatalf("member %s: got %d children, want at most %d", name, count, 2*fanout)
 			}
 		}
 	})
@@ -101,7 +102,7 @@
 		}
 		decoded, err := DecodePacket(encoded)
 		if err != nil || !reflect.DeepEqual(decoded, packet) {
-			t.Fatalf("got %+v, %v", decoded, err)
+			t.Fatalf("decoded packet: got %+v, error %v, want %+v", decoded, err, packet)
 		}
 	})
 }
--- a/internal/selfhosted/dissemination/schedules_test.go
+++ b/internal/selfhosted/dissemination/schedules_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawFault draws one fault of a schedule.
 func drawFault(t *rapid.T) fault {
 	return fault{
 		kind:     rapid.SampledFrom(faultKinds).Draw(t, "kind"),
@@ -17,8 +18,8 @@
 	}
 }
 
-// TestFreshnessIsKept checks that the fence does not stop service where it need
-// not: in an outage of the store, and while voters are replaced one by one.
+// TestNodesStayFreshDuringOutageAndReplacement checks that nodes remain fresh while the store is
+// down and the voters are replaced one after another.
 func TestNodesStayFreshDuringOutageAndReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -28,12 +29,13 @@
 		w.freshnessChecks, w.freshChecks = 0, 0
 		w.run(w.now + 50*time.Second)
 		if share := float64(w.freshChecks) / float64(w.freshnessChecks); len(w.violations) > 0 || share < 0.9 {
-			t.Fatalf("seed %d: fresh in %.3f of the checks, violations %v", seed, share, w.violations)
+			t.Fatalf("seed %d: got fresh in %.3f of the checks and violations %v, want at least 0.9 and none", seed, share, w.violations)
 		}
 	}
 }
 
-// TestSchedules runs random schedules of faults. More of them:
+// TestSchedules runs random schedules of faults and checks that no safety property is violated. To
+// run more schedules:
 //
 //	go test -run TestSchedules -rapid.checks=5000 ./internal/selfhosted/dissemination
 func TestSchedules(t *testing.T) {
--- a/internal/selfhosted/dissemination/service_test.go
+++ b/internal/selfhosted/dissemination/service_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/peer"
-	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	rehearsalstore "github.com/micaplank/micaplank/internal/rehearsal/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/dissemination"
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
-// defaultChecks is how many schedules and values the properties are tried with;
-// -rapid.checks asks for more. The seed is fixed unless -rapid.seed is given.
+// defaultChecks is the number of schedules and values that each property is tested with. The flag
+// -rapid.checks overrides it. The seed is fixed unless -rapid.seed is given.
 const defaultChecks = "60"
 
 func TestMain(m *testing.M) {
@@ -28,15 +28,14 @@
 	goleak.VerifyTestMain(m)
 }
 
-// quickConfig shortens the times, so that an outage longer than the window is
-// soon over.
+// quickConfig shortens the times, so that the test can wait out an outage longer than the window.
 func quickConfig() dissemination.Config {
 	config := dissemination.DefaultConfig()
 	config.Window, config.ExchangeInterval = 2*time.Second, 100*time.Millisecond
 	return config
 }
 
-// node is one Service over real sockets.
+// node is one Service with real sockets.
 type node struct {
 	member    dissemination.Member
 	service   *dissemination.Service
@@ -46,16 +45,16 @@
 	keys      *store.Client
 }
 
-// deployment is some nodes and a stand-in for the store.
+// deployment is a set of nodes and an in-process key-value store.
 type deployment struct {
 	t     *testing.T
-	store *standin.Server
+	store *rehearsalstore.Server
 	nodes []*node
 }
 
 func deploy(t *testing.T, count int) *deployment {
 	t.Helper()
-	server, err := standin.Start(standin.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+	server, err := rehearsalstore.Start(rehearsalstore.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +138,7 @@
 	d.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			d.t.Fatalf("%s: fresh for %v at revision %d", n.member.Name, n.service.FreshFor(), n.service.Current().Revision)
+			d.t.Fatalf("%s: condition does not hold after 20 s: fresh for %v at revision %d", n.member.Name, n.service.FreshFor(), n.service.Current().Revision)
 		}
 	}
 }
@@ -163,15 +162,15 @@
 	refused := d.propose(2, createService("first"), dissemination.ProposeOptions{})
 	d.want(refused, dissemination.FateNotAccepted)
 	if refused.Refusal == nil {
-		t.Fatalf("no reason given: %+v", refused)
+		t.Fatalf("refused change: got no refusal in %+v, want a reason", refused)
 	}
 
-	// The write takes effect and its reply is lost.
-	d.store.SetFaults(standin.Faults{LoseReplies: 1})
+	// The write takes effect, but its reply is lost.
+	d.store.SetFaults(rehearsalstore.Faults{LoseReplies: 1})
 	settled := d.propose(2, createService("second"), dissemination.ProposeOptions{})
 	d.want(settled, dissemination.FateInForce)
 	if settled.InForceOn != 3 || settled.Members != 3 || settled.Revision != 5 {
-		t.Fatalf("got %+v", settled)
+		t.Fatalf("change with a lost reply: got %+v, want revision 5 in force on 3 of 3 members", settled)
 	}
 	asked, err := d.nodes[0].service.Fate(context.Background(), settled.ChangeID)
 	if err != nil {
@@ -179,8 +178,8 @@
 	}
 	d.want(asked, dissemination.FateInForce)
 
-	// In an outage the voters keep each other fresh beyond the window.
-	d.store.SetFaults(standin.Faults{Outage: standin.OutageUnavailable})
+	// During a store outage the voters keep each other fresh beyond the window.
+	d.store.SetFaults(rehearsalstore.Faults{Outage: rehearsalstore.OutageUnavailable})
 	time.Sleep(quickConfig().Window + 100*time.Millisecond)
 	for _, n := range d.nodes {
 		d.await(n, func() bool { return n.service.Fresh() && n.service.Current().Revision == 5 })
@@ -189,6 +188,6 @@
 	defer cancel()
 	result, err := d.nodes[1].service.Propose(ctx, createService("third"), dissemination.ProposeOptions{})
 	if err != nil || (result.Fate != dissemination.FateNotAccepted && result.Fate != dissemination.FateUnknown) {
-		t.Fatalf("in an outage: %+v, %v", result, err)
+		t.Fatalf("proposal during an outage: got %+v, error %v, want fate not_accepted or unknown", result, err)
 	}
 }
--- a/internal/selfhosted/dissemination/simulated_process_test.go
+++ b/internal/selfhosted/dissemination/simulated_process_test.go
@@ -12,7 +12,7 @@
 	simulation      *simulation
 	core            *Core
 	member          Member
-	clockOffset     Time // of its clock
+	clockOffset     Time // difference between its clock and the simulation's clock
 	dead            bool
 	frozenUntil     Time
 	side            int
@@ -22,7 +22,7 @@
 	pending         map[ProposalID]*operation
 }
 
-// spawn starts a process; the world's order of spawning gives it its address.
+// spawn starts a process. Its address is derived from the number of processes started before.
 func (w *simulation) spawn(name, zone string, incarnation uint64, side int) *process {
 	port := uint16(10000 + len(w.processes))
 	p := &process{
@@ -43,7 +43,7 @@
 
 func (p *process) frozen() bool { return p.simulation.now < p.frozenUntil }
 
-// do runs f on the process, after it wakes if it is frozen.
+// runStep runs f on the process, or when its suspension ends.
 func (p *process) runStep(f func()) {
 	switch {
 	case p.dead:
@@ -63,8 +63,8 @@
 	}
 }
 
-// refreshView lets the process see, for each name, the newest process within
-// reach, and remember one that is out of reach as not alive.
+// refreshMembers updates the process's list of members. It contains the newest reachable process of
+// each name; known members that are not reachable are not alive.
 func (p *process) refreshMembers() {
 	if p.dead {
 		return
@@ -87,7 +87,8 @@
 	p.simulation.after(p.simulation.randomTime(200*time.Millisecond, 2*time.Second), p.refreshMembers)
 }
 
-// check is what a node does before it acts.
+// checkFreshness performs the freshness check that a node makes before it acts. A fresh process
+// must hold every revision that was accepted more than one window ago.
 func (p *process) checkFreshness() {
 	p.checkSlotOwner()
 	p.simulation.freshnessChecks++
@@ -96,13 +97,14 @@
 	}
 	p.simulation.freshChecks++
 	if requiredRevision := p.simulation.requiredRevision(); p.core.Revision() < requiredRevision {
-		p.simulation.addViolation("%s (%s) is fresh at revision %d, but %d was accepted more than %v ago",
+		p.simulation.addViolation("%s (%s): got fresh at revision %d, but revision %d was accepted more than %v ago",
 			p.member.Name, p.member.Address, p.core.Revision(), requiredRevision, p.simulation.config.Window)
 	}
 }
 
-// checkSlot checks that a voter's slot belongs to one process: the last time at
-// which it was this one's own is before a successor had been registered.
+// checkSlotOwner checks that a voter slot belongs to at most one process: the last time at which
+// the slot provably belonged to this process must not be later than the completed registration of a
+// successor.
 func (p *process) checkSlotOwner() {
 	ownedAt, ok := p.core.HeldAt(p.localTime(), 0)
 	if !ok || !p.core.canVote() || len(p.core.Catalog().Voters) < 2 {
@@ -117,11 +119,11 @@
 	}
 }
 
-// collect carries out what the core asks for.
+// runReady carries out the actions that the core requests.
 func (p *process) runReady() {
 	w := p.simulation
 	if held := p.core.Revision(); held < p.highestRevision {
-		w.addViolation("%s fell from revision %d to %d", p.member.Name, p.highestRevision, held)
+		w.addViolation("%s: revision decreased from %d to %d", p.member.Name, p.highestRevision, held)
 	} else {
 		p.highestRevision = held
 	}
@@ -131,8 +133,8 @@
 		}
 	}
 	if p.core.Superseded() && w.newestProcess(p.member.Name) == p && !p.dead {
-		// Its predecessor's clock was ahead and it met that too late: it exits,
-		// as a node does, and is started again.
+		// The process learned too late of a predecessor whose clock was ahead. It exits, as a
+		// node does, and is started again.
 		w.replace(p.member.Name, true, time.Second)
 	}
 	ready := p.core.Ready()
--- a/internal/selfhosted/dissemination/simulated_schedule_check_test.go
+++ b/internal/selfhosted/dissemination/simulated_schedule_check_test.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// storedAs returns the revision at which the log has a token, or 0.
+// revisionOfToken returns the revision of the change with a token, or 0.
 func (w *simulation) revisionOfToken(token string) uint64 {
 	for _, change := range w.store.changes {
 		if strings.HasSuffix(change.ID, "-"+token) {
@@ -18,8 +18,8 @@
 	return 0
 }
 
-// checkEnd checks what must hold once everything is healed: all nodes serve the
-// whole log, every fate was true, and what was unknown can be settled.
+// checkEnd checks the state after all faults have ended: all nodes must serve the complete log,
+// every reported fate must be correct, and every unknown fate must be resolvable.
 func (w *simulation) checkEnd() {
 	if len(w.violations) > 0 {
 		return
@@ -43,23 +43,26 @@
 	}
 }
 
+// checkNodes checks that every node is fresh at the last revision and that equal revisions have
+// equal catalogs.
 func (w *simulation) checkNodes() {
 	head := uint64(len(w.store.changes))
 	digests := map[uint64]string{}
 	for index := range nodeCount {
 		p := w.newestProcess(nodeName(index))
 		if p.core.Superseded() || !p.core.Fresh(p.localTime()) || p.core.Revision() != head {
-			w.addViolation("healed, but %s: superseded %t, fresh for %v, revision %d of %d",
+			w.addViolation("after all faults have ended, %s: got superseded %t, fresh for %v, revision %d, want not superseded, fresh, revision %d",
 				p.member.Name, p.core.Superseded(), p.core.FreshFor(p.localTime()), p.core.Revision(), head)
 		}
 		digest := fmt.Sprint(p.core.Catalog().Digest())
 		if previous, ok := digests[p.core.Revision()]; ok && previous != digest {
-			w.addViolation("%s holds another catalog at revision %d", p.member.Name, p.core.Revision())
+			w.addViolation("%s: got a catalog at revision %d that differs from that of another node, want equal catalogs", p.member.Name, p.core.Revision())
 		}
 		digests[p.core.Revision()] = digest
 	}
 }
 
+// checkFate checks the reported fate of a change against the log.
 func (w *simulation) checkFate(op *operation) {
 	if !op.done || op.request.ResolveFate || op.request.DryRun {
 		return
@@ -67,9 +70,9 @@
 	stored := w.revisionOfToken(op.request.ChangeID)
 	switch fate := op.result.Fate; {
 	case fate == FateNotAccepted && stored != 0:
-		w.addViolation("change %s was reported as not accepted and is in the log at %d: %s", op.request.ChangeID, stored, op.result.Detail)
+		w.addViolation("change %s: got fate not accepted, but the log has it at revision %d: %s", op.request.ChangeID, stored, op.result.Detail)
 	case (fate == FateInForce || fate == FateAccepted || op.result.Stored) && stored != op.result.Revision:
-		w.addViolation("change %s was reported as %s at %d and is in the log at %d", op.request.ChangeID, fate, op.result.Revision, stored)
+		w.addViolation("change %s: got fate %s at revision %d, but the log has it at revision %d", op.request.ChangeID, fate, op.result.Revision, stored)
 	}
 }
 
@@ -83,12 +86,12 @@
 		want = FateUnknown
 	}
 	if !op.done || op.result.Fate != want {
-		w.addViolation("change %s is settled as %q (%s), want %s", op.request.ChangeID, op.result.Fate, op.result.Detail, want)
+		w.addViolation("resolved fate of change %s: got %q (%s), want %s", op.request.ChangeID, op.result.Fate, op.result.Detail, want)
 	}
 }
 
-// checkHistory checks that the proposals make up a history of a sequential log
-// to which changes are appended one by one.
+// checkHistory checks that the proposals form a linearizable history of a log to which changes are
+// appended one at a time.
 func (w *simulation) checkHistory() {
 	log := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{uint64(0)} },
@@ -119,6 +122,6 @@
 		history = append(history, porcupine.Operation{ClientId: op.client, Call: int64(op.call), Return: end, Output: op.result})
 	}
 	if porcupine.CheckOperationsTimeout(log.ToModel(), history, 2*time.Second) == porcupine.Illegal {
-		w.addViolation("the proposals are no history of one log")
+		w.addViolation("history of the proposals is not linearizable")
 	}
 }
--- a/internal/selfhosted/dissemination/simulated_schedule_test.go
+++ b/internal/selfhosted/dissemination/simulated_schedule_test.go
@@ -17,13 +17,13 @@
 	target   int
 }
 
-// The kinds of faults.
+// faultKinds lists the kinds of faults.
 var faultKinds = []string{
 	"outage", "slow store", "lost replies", "stale watch", "loss", "cut", "freeze", "replace",
 	"burst", "replace while running", "replace all voters in turn", "forget a majority", "forget all",
 }
 
-// schedule is what a simulated run is made from.
+// schedule defines a simulated run.
 type schedule struct {
 	seed     uint64
 	voters   int
@@ -39,7 +39,7 @@
 	nodeCount = 7
 )
 
-// runSchedule runs a schedule and returns the world, with what it violated.
+// runSchedule runs a schedule and returns the simulation with the violations found.
 func runSchedule(s schedule) *simulation {
 	w := newSimulation(s.seed, s.voters, s.relays)
 	w.disable(s.disabled)
@@ -56,7 +56,7 @@
 	return w
 }
 
-// leaveOut switches mechanisms off, also for processes to come.
+// disable disables mechanisms in all current and future processes.
 func (w *simulation) disable(disabled disabledMechanisms) {
 	w.disabled = disabled
 	for _, p := range w.processes {
@@ -64,7 +64,7 @@
 	}
 }
 
-// newWorld returns a world with nodes and voters that have settled.
+// newSimulation returns a simulation whose nodes and voters have completed their setup.
 func newSimulation(seed uint64, voters int, relays bool) *simulation {
 	w := &simulation{random: rand.New(rand.NewPCG(seed, 2)), config: DefaultConfig()}
 	w.config.TailLength, w.config.ReadLimit = 4, 3
@@ -93,7 +93,7 @@
 
 func nodeName(index int) string { return fmt.Sprintf("n%d", index) }
 
-// newest returns the last process of a name.
+// newestProcess returns the process of a name that was started last.
 func (w *simulation) newestProcess(name string) *process {
 	for _, p := range slices.Backward(w.processes) {
 		if p.member.Name == name {
@@ -103,6 +103,7 @@
 	return nil
 }
 
+// voterNames returns the voters according to the store's log.
 func (w *simulation) voterNames() []string {
 	current := catalog.Empty()
 	for _, change := range w.store.changes {
@@ -111,8 +112,8 @@
 	return current.VoterNames()
 }
 
-// replace starts another process of a name. Now and then its clock is behind
-// that of its predecessor.
+// replace starts another process of a name after a gap. With a probability of 0.1 its clock is
+// behind the clock of its predecessor, so that its incarnation is lower.
 func (w *simulation) replace(name string, stopOld bool, gap Time) {
 	old := w.newestProcess(name)
 	if stopOld {
@@ -125,6 +126,7 @@
 	w.after(gap, func() { w.spawn(name, old.member.Zone, incarnation, w.random.IntN(2)) })
 }
 
+// startFault applies a fault and schedules its end.
 func (w *simulation) startFault(f fault) {
 	end := func(run func()) { w.after(f.duration, run) }
 	switch f.kind {
@@ -179,6 +181,7 @@
 	}
 }
 
+// heal ends all faults.
 func (w *simulation) heal() {
 	w.partitioned, w.loss = false, 0
 	w.store.down, w.store.maxDelay, w.store.replyLoss, w.store.watchLag = false, 0, 0, 0
@@ -187,7 +190,8 @@
 	}
 }
 
-// propose lets an operator ask a process; the result is taken when it comes.
+// propose passes a proposal to a process. The result is recorded in the returned operation when the
+// proposal ends.
 func (w *simulation) propose(p *process, request Proposal, timeout Time) *operation {
 	op := &operation{client: len(w.operations), process: p, request: request, call: w.now}
 	if !request.ResolveFate && request.ChangeID == "" {
@@ -202,8 +206,7 @@
 	return op
 }
 
-// proposeRandom is what an operator does at a time: mostly one change, now and then
-// two racing ones.
+// proposeRandom submits one or two random proposals; two proposals compete with each other.
 func (w *simulation) proposeRandom() {
 	for range 1 + w.random.IntN(2) {
 		p := w.processes[w.random.IntN(len(w.processes))]
--- a/internal/selfhosted/dissemination/simulated_store_test.go
+++ b/internal/selfhosted/dissemination/simulated_store_test.go
@@ -7,10 +7,11 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
+// simulatedStore is a store in virtual time with configurable faults.
 type simulatedStore struct {
 	changes      []catalog.Change
-	deletedCount int // how many of the first are deleted
-	// stray holds what was written under deleted keys.
+	deletedCount int // number of oldest changes that are deleted
+	// stray holds changes that were written under deleted keys.
 	stray      map[uint64]catalog.Change
 	checkpoint *catalog.Catalog
 	down       bool
@@ -20,10 +21,10 @@
 	side       int
 }
 
-var errNoReply = errors.New("the store did not answer")
+var errNoReply = errors.New("store operation: no reply")
 
-// operate runs a store operation. A write may take effect long after its
-// caller received an error.
+// operate runs a store operation. A write may take effect long after its caller has received an
+// error.
 func (w *simulation) operate(p *process, operation StoreOperation) {
 	finish := func(delay Time, result StoreResult) {
 		result.ID = operation.ID
@@ -50,7 +51,7 @@
 	})
 }
 
-// notify delivers a change to the watchers, after the lag.
+// notify delivers a change to the watchers after watchLag.
 func (w *simulation) notify(change catalog.Change) {
 	for _, p := range w.processes {
 		if p.core.isWatcher() && w.reachable(p.side, w.store.side) && !w.store.down {
@@ -61,6 +62,7 @@
 	}
 }
 
+// apply performs an operation on the store's data.
 func (s *simulatedStore) apply(operation StoreOperation) StoreResult {
 	switch {
 	case operation.Create != nil:
@@ -102,8 +104,8 @@
 	}
 }
 
-// createStray writes under a key that was deleted, as a store does that
-// compares only whether the key exists.
+// createStray writes a change under a deleted key, like a store that only checks whether the key
+// exists.
 func (s *simulatedStore) createStray(change catalog.Change) StoreResult {
 	if existing, ok := s.stray[change.Revision]; ok {
 		return StoreResult{Existing: &existing}
--- a/internal/selfhosted/dissemination/simulation_test.go
+++ b/internal/selfhosted/dissemination/simulation_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// world simulates processes, a network and a store in virtual time. Everything
-// follows from its random source.
+// simulation runs processes, a network and a store in virtual time. All its behavior is determined
+// by its random source.
 type simulation struct {
 	random      *rand.Rand
 	config      Config
@@ -21,25 +21,26 @@
 	store       simulatedStore
 	loss        float64
 	partitioned bool
-	// blocked, if set, cuts single links, by the names of the processes.
+	// blocked, if set, blocks individual links by the names of their processes.
 	blocked func(from, to string) bool
-	// noFetches makes fetches fail while datagrams pass.
+	// failFetches makes fetches fail while datagrams pass.
 	failFetches bool
 
-	// asked and fresh count the checks before acting, and those that passed.
+	// freshnessChecks counts the freshness checks before an action, and freshChecks those that
+	// passed.
 	freshnessChecks, freshChecks int
 	accepted                     []acceptedChange
 	operations                   []*operation
 	violations                   []string
 }
 
-// acceptedChange says that a revision was accepted no later than at.
+// acceptedChange records that a revision was accepted no later than at.
 type acceptedChange struct {
 	revision uint64
 	at       Time
 }
 
-// operation is one proposal of an operator, for the history.
+// operation is one proposal of an operator in the history.
 type operation struct {
 	client  int
 	process *process
@@ -103,7 +104,7 @@
 	return w.reachable(from.side, to.side) && (w.blocked == nil || !w.blocked(from.member.Name, to.member.Name))
 }
 
-// required returns the revision that a fresh node must hold now.
+// requiredRevision returns the revision that a fresh node must hold now.
 func (w *simulation) requiredRevision() uint64 {
 	var revision uint64
 	for _, accepted := range w.accepted {
--- a/internal/selfhosted/dissemination/wire_test.go
+++ b/internal/selfhosted/dissemination/wire_test.go
@@ -6,7 +6,9 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions, and what the store holds.
+// TestMessagesReadAsRecorded checks that the encodings of messages and of stored checkpoints match
+// the recorded ones. A change would break clusters with two versions and existing data in the
+// store.
 func TestMessagesReadAsRecorded(t *testing.T) {
 	wiretest.Gob[FetchCall](t, "dissemination.fetch.request")
 	wiretest.Gob[FetchReply](t, "dissemination.fetch.response")
--- a/internal/selfhosted/machines/poller_test.go
+++ b/internal/selfhosted/machines/poller_test.go
@@ -25,7 +25,7 @@
 	poller := NewPoller(config, rand.New(rand.NewPCG(1, 1)), registry)
 	defer poller.client.CloseIdleConnections()
 	if list, err := poller.Poll(context.Background()); err != nil || list.AsOfUnixMilliseconds != 5 {
-		t.Fatalf("%+v, %v", list, err)
+		t.Fatalf("poll of a valid list: got %+v, error %v, want a list as of 5", list, err)
 	}
 	for _, body = range []string{
 		`{"machines": [{"address": "host:7101", "kind": "leaf", "state": "live"}]}`,
@@ -37,14 +37,14 @@
 		``,
 	} {
 		if _, err := poller.Poll(context.Background()); err == nil {
-			t.Errorf("taken: %s", body)
+			t.Errorf("poll of %q: got no error, want one", body)
 		}
 	}
 	if reading := poller.Last(); len(reading.List.Machines) != 1 || reading.Err == nil {
-		t.Fatalf("the last good list is gone: %+v", reading)
+		t.Fatalf("last reading: got %+v, want the last valid list with 1 machine and an error", reading)
 	}
 	if count := testutil.ToFloat64(poller.metrics.polls.WithLabelValues("failed")); count != 7 {
-		t.Errorf("%v readings counted as failed", count)
+		t.Errorf("reads counted as failed: got %v, want 7", count)
 	}
 }
 
@@ -56,6 +56,6 @@
 		lowest, highest = min(lowest, nextDelay), max(highest, nextDelay)
 	}
 	if lowest < 800*time.Millisecond || lowest > 805*time.Millisecond || highest < 1195*time.Millisecond || highest > 1200*time.Millisecond {
-		t.Fatalf("pauses from %s to %s", lowest, highest)
+		t.Fatalf("delays: got %s to %s, want 800 ms to 1200 ms with both limits nearly reached", lowest, highest)
 	}
 }
