--- a/internal/selfhosted/dissemination/acceptance.go
+++ b/internal/selfhosted/dissemination/acceptance.go
@@ -69,8 +69,8 @@
 	return state.latest.valid && state.latest.voter && state.latest.revision >= revision && c.isCurrentIncarnation(name, state.latest.incarnation)
 }
 
-// countSecondRound returns the number of first-round voters that have responded to a request sent
-// after the first round.
+// countSecondRound returns the number of first-round voters that have responded again, to a request
+// sent at firstRoundAt or later.
 func (c *Core) countSecondRound(a *acceptance) int {
 	count := 0
 	for name, incarnation := range a.firstRound {
--- a/internal/selfhosted/dissemination/benchmark_test.go
+++ b/internal/selfhosted/dissemination/benchmark_test.go
@@ -25,22 +25,22 @@
 	var freshnessChecks, freshChecks, proposed, inForce int
 	var waited Time
 	for seed := range uint64(20) {
-		w := newSimulation(seed, 5, false)
-		w.freshnessChecks, w.freshChecks = 0, 0
-		first := len(w.operations)
-		w.startFault(fault{kind: kind, duration: 30 * time.Second, target: int(seed) % nodeCount})
+		sim := newSimulation(seed, 5, false)
+		sim.freshnessChecks, sim.freshChecks = 0, 0
+		first := len(sim.operations)
+		sim.startFault(fault{kind: kind, duration: 30 * time.Second, target: int(seed) % nodeCount})
 		for at := Time(0); at < 50*time.Second; at += 2 * time.Second {
-			w.after(at, func() {
-				w.propose(w.newestProcess(nodeName(w.random.IntN(nodeCount))), serviceProposal(fmt.Sprintf("s%d", w.now)), 12*time.Second)
+			sim.scheduleAfter(at, func() {
+				sim.propose(sim.newestProcess(nodeName(sim.random.IntN(nodeCount))), serviceProposal(fmt.Sprintf("s%d", sim.now)), 12*time.Second)
 			})
 		}
-		w.run(w.now + time.Minute)
-		freshnessChecks, freshChecks = freshnessChecks+w.freshnessChecks, freshChecks+w.freshChecks
-		for _, op := range w.operations[first:] {
+		sim.run(sim.now + time.Minute)
+		freshnessChecks, freshChecks = freshnessChecks+sim.freshnessChecks, freshChecks+sim.freshChecks
+		for _, op := range sim.operations[first:] {
 			proposed++
 			if op.done && op.result.Fate == FateInForce {
 				inForce++
-				waited += op.end - op.call
+				waited += op.endedAt - op.calledAt
 			}
 		}
 	}
--- a/internal/selfhosted/dissemination/confirmation.go
+++ b/internal/selfhosted/dissemination/confirmation.go
@@ -5,7 +5,7 @@
 // voterState holds the responses of one voter.
 type voterState struct {
 	// latest is the last response of the highest known incarnation.
-	latest voterAnswer
+	latest voterResponse
 	// confirmedAt is the sending time of the last request that incarnation confirmedBy answered
 	// with a revision no higher than this node's.
 	confirmed   bool
@@ -13,8 +13,8 @@
 	confirmedBy uint64
 }
 
-// voterAnswer is a voter's response to an exchange request.
-type voterAnswer struct {
+// voterResponse is a voter's response to an exchange request.
+type voterResponse struct {
 	valid       bool
 	sentAt      Time // sending time of the request
 	incarnation uint64
@@ -73,8 +73,8 @@
 	s.confirmed, s.confirmedAt, s.confirmedBy = true, s.latest.sentAt, s.latest.incarnation
 }
 
-// recordAnswer stores a voter's response unless it is outdated.
-func (c *Core) recordAnswer(name string, received voterAnswer) {
+// storeVoterResponse stores a voter's response unless it is outdated.
+func (c *Core) storeVoterResponse(name string, received voterResponse) {
 	state := c.voterStates[name]
 	if state == nil || !c.isCurrentIncarnation(name, received.incarnation) {
 		return
--- a/internal/selfhosted/dissemination/core.go
+++ b/internal/selfhosted/dissemination/core.go
@@ -45,8 +45,8 @@
 	fetch          fetchState
 	store          storeState
 
-	proposals    []*proposal
-	lastProposal ProposalID
+	proposals      []*proposal
+	lastProposalID ProposalID
 
 	ready Ready
 }
--- a/internal/selfhosted/dissemination/exchange.go
+++ b/internal/selfhosted/dissemination/exchange.go
@@ -165,7 +165,7 @@
 	if c.disabled.sendTime {
 		sentAt = now
 	}
-	c.recordAnswer(response.Name, voterAnswer{
+	c.storeVoterResponse(response.Name, voterResponse{
 		valid:       true,
 		sentAt:      sentAt,
 		incarnation: response.Incarnation,
--- a/internal/selfhosted/dissemination/held_at_test.go
+++ b/internal/selfhosted/dissemination/held_at_test.go
@@ -13,32 +13,32 @@
 // process.
 func TestHeldAt(t *testing.T) {
 	const now, early, late = 10 * time.Second, time.Second, 9 * time.Second
-	answerSentAt := func(at Time) voterAnswer {
-		return voterAnswer{valid: true, voter: true, registered: true, incarnation: 1, revision: 3, sentAt: at}
+	responseSentAt := func(at Time) voterResponse {
+		return voterResponse{valid: true, voter: true, registered: true, incarnation: 1, revision: 3, sentAt: at}
 	}
-	unregistered := answerSentAt(late)
+	unregistered := responseSentAt(late)
 	unregistered.registered = false
-	older := answerSentAt(late)
+	older := responseSentAt(late)
 	older.revision = 2
-	predecessor := answerSentAt(late)
+	predecessor := responseSentAt(late)
 	predecessor.incarnation = 0
 	cases := []struct {
-		name    string
-		self    string
-		answers map[string]voterAnswer
-		at      Time
-		held    bool
+		name      string
+		self      string
+		responses map[string]voterResponse
+		at        Time
+		held      bool
 	}{
-		{"one other voter", "a", map[string]voterAnswer{"b": answerSentAt(late)}, late, true},
+		{"one other voter", "a", map[string]voterResponse{"b": responseSentAt(late)}, late, true},
 		{"no voter", "a", nil, 0, false},
-		{"old requests", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(early)}, early, true},
-		{"latest majority counts", "a", map[string]voterAnswer{"b": answerSentAt(early), "c": answerSentAt(late)}, late, true},
-		{"own response is not counted twice", "a", map[string]voterAnswer{"a": answerSentAt(late)}, 0, false},
-		{"response with an older revision", "a", map[string]voterAnswer{"b": older}, 0, false},
-		{"response of a voter's predecessor", "a", map[string]voterAnswer{"b": predecessor}, 0, false},
-		{"response without registration of this process", "a", map[string]voterAnswer{"b": unregistered}, 0, false},
-		{"not a voter, one voter responds", "d", map[string]voterAnswer{"b": answerSentAt(late)}, 0, false},
-		{"not a voter, two voters respond", "d", map[string]voterAnswer{"b": answerSentAt(late), "c": answerSentAt(early)}, early, true},
+		{"old requests", "a", map[string]voterResponse{"b": responseSentAt(early), "c": responseSentAt(early)}, early, true},
+		{"latest majority counts", "a", map[string]voterResponse{"b": responseSentAt(early), "c": responseSentAt(late)}, late, true},
+		{"own response is not counted twice", "a", map[string]voterResponse{"a": responseSentAt(late)}, 0, false},
+		{"response with an older revision", "a", map[string]voterResponse{"b": older}, 0, false},
+		{"response of a voter's predecessor", "a", map[string]voterResponse{"b": predecessor}, 0, false},
+		{"response without registration of this process", "a", map[string]voterResponse{"b": unregistered}, 0, false},
+		{"not a voter, one voter responds", "d", map[string]voterResponse{"b": responseSentAt(late)}, 0, false},
+		{"not a voter, two voters respond", "d", map[string]voterResponse{"b": responseSentAt(late), "c": responseSentAt(early)}, early, true},
 	}
 	for _, test := range cases {
 		core := New(Options{
@@ -53,7 +53,7 @@
 		for _, name := range []string{"a", "b", "c"} {
 			core.claims[name] = 1
 		}
-		for name, got := range test.answers {
+		for name, got := range test.responses {
 			if state := core.voterStates[name]; state != nil {
 				state.latest = got
 			}
--- a/internal/selfhosted/dissemination/mechanisms_test.go
+++ b/internal/selfhosted/dissemination/mechanisms_test.go
@@ -12,7 +12,7 @@
 type mechanismCase struct {
 	name      string
 	disabled  disabledMechanisms
-	script    func(w *simulation) // scripted schedule, nil for random schedules
+	script    func(sim *simulation) // scripted schedule, nil for random schedules
 	voters    int
 	kinds     []string // kinds of faults in random schedules
 	firstSeed uint64   // first seed of the search
@@ -33,9 +33,9 @@
 
 // partition places the named processes and the store on one side of a network partition and all
 // other processes on the other side.
-func (w *simulation) partition(names ...string) {
-	w.partitioned, w.store.side = true, 1
-	for _, p := range w.processes {
+func (sim *simulation) partition(names ...string) {
+	sim.partitioned, sim.store.side = true, 1
+	for _, p := range sim.processes {
 		p.side = 0
 		if slices.Contains(names, p.member.Name) {
 			p.side = 1
@@ -45,59 +45,59 @@
 
 // spawnReplacement starts a process with the name and zone of an existing one and the next
 // incarnation, without stopping the existing one.
-func (w *simulation) spawnReplacement(name string, side int) *process {
-	old := w.newestProcess(name)
-	return w.spawn(name, old.member.Zone, old.core.Incarnation()+1, side)
+func (sim *simulation) spawnReplacement(name string, side int) *process {
+	old := sim.newestProcess(name)
+	return sim.spawn(name, old.member.Zone, old.core.Incarnation()+1, side)
 }
 
 // installStaleFetch delivers to n6 a checkpoint that n6 fetched before a change.
-func installStaleFetch(w *simulation) {
-	p := w.newestProcess("n6")
+func installStaleFetch(sim *simulation) {
+	p := sim.newestProcess("n6")
 	old := FetchResponse{Checkpoint: p.core.Catalog()}
-	w.propose(w.newestProcess("n3"), serviceProposal("late"), 2*time.Second)
-	w.run(w.now + 2*time.Second)
+	sim.propose(sim.newestProcess("n3"), serviceProposal("late"), 2*time.Second)
+	sim.run(sim.now + 2*time.Second)
 	p.runStep(func() { p.core.StepFetched(p.localTime(), &old) })
 }
 
 // replaceVoterAmongLaggards lets n0 and n1 accept a change that n2 misses. Then n1 is replaced and
 // can reach only n2.
-func replaceVoterAmongLaggards(w *simulation) {
-	w.partition("n0", "n1", "n3")
-	w.run(w.now + 3*time.Second)
-	w.propose(w.newestProcess("n3"), serviceProposal("late"), 2*time.Second)
-	w.run(w.now + time.Second)
-	w.newestProcess("n1").dead = true
-	w.spawnReplacement("n1", 0)
-	w.run(w.now + 10*time.Second)
+func replaceVoterAmongLaggards(sim *simulation) {
+	sim.partition("n0", "n1", "n3")
+	sim.run(sim.now + 3*time.Second)
+	sim.propose(sim.newestProcess("n3"), serviceProposal("late"), 2*time.Second)
+	sim.run(sim.now + time.Second)
+	sim.newestProcess("n1").dead = true
+	sim.spawnReplacement("n1", 0)
+	sim.run(sim.now + 10*time.Second)
 }
 
 // replaceVoterAcrossPartition replaces n1 on the side of the store, while its predecessor continues
 // to run on the other side, with n2.
-func replaceVoterAcrossPartition(w *simulation) {
-	w.partition("n0", "n3")
-	w.run(w.now + 3*time.Second)
-	w.spawnReplacement("n1", 1)
-	w.run(w.now + 5*time.Second)
-	w.propose(w.newestProcess("n3"), serviceProposal("late"), 5*time.Second)
-	w.run(w.now + 12*time.Second)
+func replaceVoterAcrossPartition(sim *simulation) {
+	sim.partition("n0", "n3")
+	sim.run(sim.now + 3*time.Second)
+	sim.spawnReplacement("n1", 1)
+	sim.run(sim.now + 5*time.Second)
+	sim.propose(sim.newestProcess("n3"), serviceProposal("late"), 5*time.Second)
+	sim.run(sim.now + 12*time.Second)
 }
 
 // partitionReplacedVoter replaces n1 while all processes are connected. Then a partition separates
 // the predecessor, with n2, from the successor, with n0.
-func partitionReplacedVoter(w *simulation) {
-	predecessor := w.newestProcess("n1")
-	successor := w.spawnReplacement("n1", 0)
-	w.run(w.now + 3*time.Second)
-	w.partition("n0", "n3")
+func partitionReplacedVoter(sim *simulation) {
+	predecessor := sim.newestProcess("n1")
+	successor := sim.spawnReplacement("n1", 0)
+	sim.run(sim.now + 3*time.Second)
+	sim.partition("n0", "n3")
 	successor.side, predecessor.side = 1, 0
-	w.propose(w.newestProcess("n3"), serviceProposal("late"), 5*time.Second)
-	w.run(w.now + 12*time.Second)
+	sim.propose(sim.newestProcess("n3"), serviceProposal("late"), 5*time.Second)
+	sim.run(sim.now + 12*time.Second)
 }
 
 // allowOnlyLinks blocks all links except the given pairs. The pair "03" is the link between n0 and
 // n3.
-func (w *simulation) allowOnlyLinks(pairs ...string) {
-	w.blocked = func(from, to string) bool {
+func (sim *simulation) allowOnlyLinks(pairs ...string) {
+	sim.blocked = func(from, to string) bool {
 		return !slices.Contains(pairs, from[1:]+to[1:]) && !slices.Contains(pairs, to[1:]+from[1:])
 	}
 }
@@ -106,45 +106,45 @@
 // proposer n5. Then n1 is replaced. n0, n3 and n4 register the successor, and n6 relays a
 // confirmation to it that is based on n2, n3 and n4, which lack the change. Only then does n2
 // receive the change and report it to n5, without knowing the successor.
-func replaceVoterBetweenRounds(w *simulation) {
-	w.store.watchLag = time.Hour
-	w.allowOnlyLinks("05", "15")
-	w.propose(w.newestProcess("n5"), serviceProposal("late"), 20*time.Second)
-	for head := len(w.store.changes); len(w.store.changes) == head; {
-		w.run(w.now + time.Millisecond)
+func replaceVoterBetweenRounds(sim *simulation) {
+	sim.store.watchLag = time.Hour
+	sim.allowOnlyLinks("05", "15")
+	sim.propose(sim.newestProcess("n5"), serviceProposal("late"), 20*time.Second)
+	for head := len(sim.store.changes); len(sim.store.changes) == head; {
+		sim.run(sim.now + time.Millisecond)
 	}
-	w.store.down, w.failFetches = true, true
-	w.run(w.now + 500*time.Millisecond)
-	w.newestProcess("n1").dead = true
-	w.spawnReplacement("n1", 0)
-	w.allowOnlyLinks("13", "14", "16", "26", "36", "46")
-	w.failFetches = false
-	w.run(w.now + time.Second)
-	w.failFetches = true
-	w.allowOnlyLinks("01", "13", "14", "16", "26", "36", "46")
-	w.run(w.now + 4*time.Second)
-	w.failFetches = false
-	w.allowOnlyLinks("25", "13", "14", "34", "16", "36", "46")
-	w.run(w.now + 14*time.Second)
+	sim.store.down, sim.failFetches = true, true
+	sim.run(sim.now + 500*time.Millisecond)
+	sim.newestProcess("n1").dead = true
+	sim.spawnReplacement("n1", 0)
+	sim.allowOnlyLinks("13", "14", "16", "26", "36", "46")
+	sim.failFetches = false
+	sim.run(sim.now + time.Second)
+	sim.failFetches = true
+	sim.allowOnlyLinks("01", "13", "14", "16", "26", "36", "46")
+	sim.run(sim.now + 4*time.Second)
+	sim.failFetches = false
+	sim.allowOnlyLinks("25", "13", "14", "34", "16", "36", "46")
+	sim.run(sim.now + 14*time.Second)
 }
 
 // addVotersDuringPartition lets n2 add n3 and n4 to the voters n0, n1 and n2 while n0 and n1 are
 // unreachable, except for a short time in which n0 registers the new voters.
-func addVotersDuringPartition(w *simulation) {
-	w.partition("n2", "n3", "n4")
-	w.run(w.now + 3*time.Second)
+func addVotersDuringPartition(sim *simulation) {
+	sim.partition("n2", "n3", "n4")
+	sim.run(sim.now + 3*time.Second)
 	for _, name := range []string{"n3", "n4"} {
-		w.propose(w.newestProcess("n2"), addVoterProposal(name), 2*time.Second)
-		w.run(w.now + 3*time.Second)
+		sim.propose(sim.newestProcess("n2"), addVoterProposal(name), 2*time.Second)
+		sim.run(sim.now + 3*time.Second)
 	}
-	w.newestProcess("n0").side = 1
-	w.allowOnlyLinks("03", "04", "23", "24", "34")
-	w.failFetches = true
-	w.run(w.now + 3*time.Second)
-	w.blocked, w.failFetches = nil, false
-	w.newestProcess("n0").side = 0
-	w.propose(w.newestProcess("n2"), serviceProposal("late"), 2*time.Second)
-	w.run(w.now + 12*time.Second)
+	sim.newestProcess("n0").side = 1
+	sim.allowOnlyLinks("03", "04", "23", "24", "34")
+	sim.failFetches = true
+	sim.run(sim.now + 3*time.Second)
+	sim.blocked, sim.failFetches = nil, false
+	sim.newestProcess("n0").side = 0
+	sim.propose(sim.newestProcess("n2"), serviceProposal("late"), 2*time.Second)
+	sim.run(sim.now + 12*time.Second)
 }
 
 // run returns the violations of a schedule with the given mechanisms disabled.
@@ -152,16 +152,16 @@
 	if m.script == nil {
 		return runSchedule(randomSchedule(seed, m.kinds, disabled)).violations
 	}
-	w := newSimulation(seed, m.voters, false)
-	w.disable(disabled)
-	m.script(w)
-	return w.violations
+	sim := newSimulation(seed, m.voters, false)
+	sim.disable(disabled)
+	m.script(sim)
+	return sim.violations
 }
 
 // randomSchedule derives a schedule from a seed.
 func randomSchedule(seed uint64, kinds []string, disabled disabledMechanisms) schedule {
 	random := rand.New(rand.NewPCG(seed, 3))
-	s := schedule{seed: seed, voters: []int{3, 5}[random.IntN(2)], relays: random.IntN(2) == 0, disabled: disabled}
+	s := schedule{seed: seed, voters: []int{3, 5}[random.IntN(2)], useRelays: random.IntN(2) == 0, disabled: disabled}
 	for range 2 + random.IntN(4) {
 		s.faults = append(s.faults, fault{
 			kind:     kinds[random.IntN(len(kinds))],
--- a/internal/selfhosted/dissemination/properties_test.go
+++ b/internal/selfhosted/dissemination/properties_test.go
@@ -40,9 +40,9 @@
 			if log.revision() < before || log.catalog.Digest() != reference[log.revision()].Digest() {
 				t.Fatalf("got revision %d after revision %d, want no decrease and the reference catalog", log.revision(), before)
 			}
-			asked := uint64(rapid.IntRange(0, 40).Draw(t, "asked"))
-			if tail, ok := log.changesAfter(asked); ok && len(tail) > 0 && tail[0].Revision != asked+1 {
-				t.Fatalf("changes after revision %d: got first revision %d, want the next one", asked, tail[0].Revision)
+			requested := uint64(rapid.IntRange(0, 40).Draw(t, "asked"))
+			if tail, ok := log.changesAfter(requested); ok && len(tail) > 0 && tail[0].Revision != requested+1 {
+				t.Fatalf("changes after revision %d: got first revision %d, want the next one", requested, tail[0].Revision)
 			}
 		}
 	})
--- a/internal/selfhosted/dissemination/proposal.go
+++ b/internal/selfhosted/dissemination/proposal.go
@@ -84,8 +84,8 @@
 
 // Propose starts a proposal. Its outcome is one of the Results that Ready returns.
 func (c *Core) Propose(now Time, request Proposal) ProposalID {
-	c.lastProposal++
-	p := &proposal{id: c.lastProposal, request: request, startedAt: now}
+	c.lastProposalID++
+	p := &proposal{id: c.lastProposalID, request: request, startedAt: now}
 	c.proposals = append(c.proposals, p)
 	if request.ResolveFate {
 		p.change.ID = request.ChangeID
--- a/internal/selfhosted/dissemination/schedules_test.go
+++ b/internal/selfhosted/dissemination/schedules_test.go
@@ -23,13 +23,13 @@
 func TestNodesStayFreshDuringOutageAndReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		w := newSimulation(seed, 5, seed%2 == 1)
-		w.startFault(fault{kind: "outage", duration: 50 * time.Second})
-		w.startFault(fault{kind: "replace all voters in turn", duration: 40 * time.Second})
-		w.freshnessChecks, w.freshChecks = 0, 0
-		w.run(w.now + 50*time.Second)
-		if share := float64(w.freshChecks) / float64(w.freshnessChecks); len(w.violations) > 0 || share < 0.9 {
-			t.Fatalf("seed %d: got fresh in %.3f of the checks and violations %v, want at least 0.9 and none", seed, share, w.violations)
+		sim := newSimulation(seed, 5, seed%2 == 1)
+		sim.startFault(fault{kind: "outage", duration: 50 * time.Second})
+		sim.startFault(fault{kind: "replace all voters in turn", duration: 40 * time.Second})
+		sim.freshnessChecks, sim.freshChecks = 0, 0
+		sim.run(sim.now + 50*time.Second)
+		if share := float64(sim.freshChecks) / float64(sim.freshnessChecks); len(sim.violations) > 0 || share < 0.9 {
+			t.Fatalf("seed %d: got fresh in %.3f of the checks and violations %v, want at least 0.9 and none", seed, share, sim.violations)
 		}
 	}
 }
@@ -42,14 +42,14 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		s := schedule{
-			seed:   rapid.Uint64().Draw(t, "seed"),
-			voters: rapid.SampledFrom([]int{3, 5, 3, 1, 4}).Draw(t, "voters"),
-			relays: rapid.Bool().Draw(t, "relays"),
-			faults: rapid.SliceOfN(rapid.Custom(drawFault), 0, 5).Draw(t, "faults"),
+			seed:      rapid.Uint64().Draw(t, "seed"),
+			voters:    rapid.SampledFrom([]int{3, 5, 3, 1, 4}).Draw(t, "voters"),
+			useRelays: rapid.Bool().Draw(t, "relays"),
+			faults:    rapid.SliceOfN(rapid.Custom(drawFault), 0, 5).Draw(t, "faults"),
 		}
-		w := runSchedule(s)
-		if len(w.violations) > 0 {
-			t.Fatalf("%s", strings.Join(w.violations, "\n"))
+		sim := runSchedule(s)
+		if len(sim.violations) > 0 {
+			t.Fatalf("%s", strings.Join(sim.violations, "\n"))
 		}
 	})
 }
--- a/internal/selfhosted/dissemination/service_test.go
+++ b/internal/selfhosted/dissemination/service_test.go
@@ -61,15 +61,15 @@
 	t.Cleanup(server.Close)
 	d := &deployment{t: t, store: server}
 	for index := range count {
-		d.nodes = append(d.nodes, d.open(index))
+		d.nodes = append(d.nodes, d.openNode(index))
 	}
 	for _, n := range d.nodes {
-		d.start(n)
+		d.startNode(n)
 	}
 	return d
 }
 
-func (d *deployment) open(index int) *node {
+func (d *deployment) openNode(index int) *node {
 	d.t.Helper()
 	server, datagrams, err := peer.ListenPair(netip.MustParseAddrPort("127.0.0.1:0"), nil)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (d *deployment) start(n *node) {
+func (d *deployment) startNode(n *node) {
 	n.service = dissemination.NewService(dissemination.ServiceOptions{
 		Config: quickConfig(), Self: n.member, Members: d.members,
 		Store:     dissemination.NewStoreAdapter(n.keys),
@@ -126,7 +126,7 @@
 	return result
 }
 
-func (d *deployment) want(result dissemination.Result, fate dissemination.Fate) {
+func (d *deployment) requireFate(result dissemination.Result, fate dissemination.Fate) {
 	d.t.Helper()
 	if result.Fate != fate {
 		d.t.Fatalf("got %+v, want %s", result, fate)
@@ -154,29 +154,29 @@
 func TestServicesOverRealSockets(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3)
-	d.want(d.propose(0, createService("first"), dissemination.ProposeOptions{DryRun: true}), dissemination.FateDryRun)
-	d.want(d.propose(0, createService("first"), dissemination.ProposeOptions{}), dissemination.FateInForce)
+	d.requireFate(d.propose(0, createService("first"), dissemination.ProposeOptions{DryRun: true}), dissemination.FateDryRun)
+	d.requireFate(d.propose(0, createService("first"), dissemination.ProposeOptions{}), dissemination.FateInForce)
 	for _, n := range d.nodes {
-		d.want(d.propose(1, addVoter(n), dissemination.ProposeOptions{}), dissemination.FateInForce)
+		d.requireFate(d.propose(1, addVoter(n), dissemination.ProposeOptions{}), dissemination.FateInForce)
 	}
 	refused := d.propose(2, createService("first"), dissemination.ProposeOptions{})
-	d.want(refused, dissemination.FateNotAccepted)
+	d.requireFate(refused, dissemination.FateNotAccepted)
 	if refused.Refusal == nil {
 		t.Fatalf("refused change: got no refusal in %+v, want a reason", refused)
 	}
 
 	// The write takes effect, but its reply is lost.
 	d.store.SetFaults(rehearsalstore.Faults{LoseReplies: 1})
-	settled := d.propose(2, createService("second"), dissemination.ProposeOptions{})
-	d.want(settled, dissemination.FateInForce)
-	if settled.InForceOn != 3 || settled.Members != 3 || settled.Revision != 5 {
-		t.Fatalf("change with a lost reply: got %+v, want revision 5 in force on 3 of 3 members", settled)
+	created := d.propose(2, createService("second"), dissemination.ProposeOptions{})
+	d.requireFate(created, dissemination.FateInForce)
+	if created.InForceOn != 3 || created.Members != 3 || created.Revision != 5 {
+		t.Fatalf("change with a lost reply: got %+v, want revision 5 in force on 3 of 3 members", created)
 	}
-	asked, err := d.nodes[0].service.Fate(context.Background(), settled.ChangeID)
+	resolved, err := d.nodes[0].service.Fate(context.Background(), created.ChangeID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.want(asked, dissemination.FateInForce)
+	d.requireFate(resolved, dissemination.FateInForce)
 
 	// During a store outage the voters keep each other fresh beyond the window.
 	d.store.SetFaults(rehearsalstore.Faults{Outage: rehearsalstore.OutageUnavailable})
--- a/internal/selfhosted/dissemination/simulated_process_test.go
+++ b/internal/selfhosted/dissemination/simulated_process_test.go
@@ -14,7 +14,7 @@
 	member          Member
 	clockOffset     Time // difference between its clock and the simulation's clock
 	dead            bool
-	frozenUntil     Time
+	suspendedUntil  Time
 	side            int
 	highestRevision uint64
 	knownMembers    map[string]Member
@@ -23,17 +23,17 @@
 }
 
 // spawn starts a process. Its address is derived from the number of processes started before.
-func (w *simulation) spawn(name, zone string, incarnation uint64, side int) *process {
-	port := uint16(10000 + len(w.processes))
+func (sim *simulation) spawn(name, zone string, incarnation uint64, side int) *process {
+	port := uint16(10000 + len(sim.processes))
 	p := &process{
-		simulation: w, side: side, clockOffset: w.randomTime(0, time.Hour), knownMembers: map[string]Member{},
+		simulation: sim, side: side, clockOffset: sim.randomDuration(0, time.Hour), knownMembers: map[string]Member{},
 		digests: map[uint64]string{}, pending: map[ProposalID]*operation{},
 		member: Member{Name: name, Zone: zone, Incarnation: incarnation, Alive: true,
 			Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)},
 	}
-	p.core = New(Options{Config: w.config, Self: p.member, Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))})
-	p.core.disabled = w.disabled
-	w.processes = append(w.processes, p)
+	p.core = New(Options{Config: sim.config, Self: p.member, Random: rand.New(rand.NewPCG(sim.random.Uint64(), 1))})
+	p.core.disabled = sim.disabled
+	sim.processes = append(sim.processes, p)
 	p.refreshMembers()
 	p.tick()
 	return p
@@ -41,14 +41,14 @@
 
 func (p *process) localTime() Time { return p.simulation.now + p.clockOffset }
 
-func (p *process) frozen() bool { return p.simulation.now < p.frozenUntil }
+func (p *process) suspended() bool { return p.simulation.now < p.suspendedUntil }
 
 // runStep runs f on the process, or when its suspension ends.
 func (p *process) runStep(f func()) {
 	switch {
 	case p.dead:
-	case p.frozen():
-		p.simulation.at(p.frozenUntil, func() { p.runStep(f) })
+	case p.suspended():
+		p.simulation.scheduleAt(p.suspendedUntil, func() { p.runStep(f) })
 	default:
 		p.checkFreshness()
 		f()
@@ -59,7 +59,7 @@
 func (p *process) tick() {
 	p.runStep(func() { p.core.Tick(p.localTime()) })
 	if !p.dead {
-		p.simulation.after(p.simulation.randomTime(40*time.Millisecond, 60*time.Millisecond), p.tick)
+		p.simulation.scheduleAfter(p.simulation.randomDuration(40*time.Millisecond, 60*time.Millisecond), p.tick)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	slices.SortFunc(list, func(a, b Member) int { return a.Address.Compare(b.Address) })
 	p.runStep(func() { p.core.SetMembers(list) })
-	p.simulation.after(p.simulation.randomTime(200*time.Millisecond, 2*time.Second), p.refreshMembers)
+	p.simulation.scheduleAfter(p.simulation.randomDuration(200*time.Millisecond, 2*time.Second), p.refreshMembers)
 }
 
 // checkFreshness performs the freshness check that a node makes before it acts. A fresh process
@@ -121,40 +121,40 @@
 
 // runReady carries out the actions that the core requests.
 func (p *process) runReady() {
-	w := p.simulation
+	sim := p.simulation
 	if held := p.core.Revision(); held < p.highestRevision {
-		w.addViolation("%s: revision decreased from %d to %d", p.member.Name, p.highestRevision, held)
+		sim.addViolation("%s: revision decreased from %d to %d", p.member.Name, p.highestRevision, held)
 	} else {
 		p.highestRevision = held
 	}
 	for _, proposal := range p.core.proposals {
 		if proposal.stage == stagePropagate {
-			w.recordAccepted(proposal.change.Revision, proposal.acceptedAt-p.clockOffset)
+			sim.recordAccepted(proposal.change.Revision, proposal.acceptedAt-p.clockOffset)
 		}
 	}
-	if p.core.Superseded() && w.newestProcess(p.member.Name) == p && !p.dead {
+	if p.core.Superseded() && sim.newestProcess(p.member.Name) == p && !p.dead {
 		// The process learned too late of a predecessor whose clock was ahead. It exits, as a
 		// node does, and is started again.
-		w.replace(p.member.Name, true, time.Second)
+		sim.replace(p.member.Name, true, time.Second)
 	}
 	ready := p.core.Ready()
 	for _, result := range ready.Results {
 		p.finish(result)
 	}
 	for _, packet := range ready.Packets {
-		w.after(w.randomTime(0, 300*time.Microsecond), func() { p.runStep(func() { w.transmit(p, packet) }) })
+		sim.scheduleAfter(sim.randomDuration(0, 300*time.Microsecond), func() { p.runStep(func() { sim.transmit(p, packet) }) })
 	}
 	if ready.Fetch != nil {
-		w.after(0, func() { p.runStep(func() { w.fetch(p, *ready.Fetch) }) })
+		sim.scheduleAfter(0, func() { p.runStep(func() { sim.fetch(p, *ready.Fetch) }) })
 	}
 	for _, operation := range ready.StoreOperations {
-		w.after(w.randomTime(0, time.Millisecond), func() { p.runStep(func() { w.operate(p, operation) }) })
+		sim.scheduleAfter(sim.randomDuration(0, time.Millisecond), func() { p.runStep(func() { sim.runStoreOperation(p, operation) }) })
 	}
 }
 
 func (p *process) finish(result ProposalResult) {
 	op := p.pending[result.ID]
-	op.done, op.end, op.result = true, p.simulation.now, result.Result
+	op.done, op.endedAt, op.result = true, p.simulation.now, result.Result
 	if fate := result.Result.Fate; fate == FateInForce || fate == FateAccepted {
 		p.simulation.recordAccepted(result.Result.Revision, p.simulation.now)
 	}
--- a/internal/selfhosted/dissemination/simulated_schedule_test.go
+++ b/internal/selfhosted/dissemination/simulated_schedule_test.go
@@ -25,11 +25,11 @@
 
 // schedule defines a simulated run.
 type schedule struct {
-	seed     uint64
-	voters   int
-	relays   bool
-	faults   []fault
-	disabled disabledMechanisms
+	seed      uint64
+	voters    int
+	useRelays bool
+	faults    []fault
+	disabled  disabledMechanisms
 }
 
 const (
@@ -41,46 +41,46 @@
 
 // runSchedule runs a schedule and returns the simulation with the violations found.
 func runSchedule(s schedule) *simulation {
-	w := newSimulation(s.seed, s.voters, s.relays)
-	w.disable(s.disabled)
+	sim := newSimulation(s.seed, s.voters, s.useRelays)
+	sim.disable(s.disabled)
 	for _, f := range s.faults {
-		w.at(setupTime+f.at, func() { w.startFault(f) })
+		sim.scheduleAt(setupTime+f.at, func() { sim.startFault(f) })
 	}
-	for at := setupTime; at < setupTime+faultTime; at += w.randomTime(200*time.Millisecond, 3*time.Second) {
-		w.at(at, w.proposeRandom)
+	for at := setupTime; at < setupTime+faultTime; at += sim.randomDuration(200*time.Millisecond, 3*time.Second) {
+		sim.scheduleAt(at, sim.proposeRandom)
 	}
-	w.run(setupTime + faultTime)
-	w.heal()
-	w.run(w.now + healTime)
-	w.checkEnd()
-	return w
+	sim.run(setupTime + faultTime)
+	sim.heal()
+	sim.run(sim.now + healTime)
+	sim.checkEnd()
+	return sim
 }
 
 // disable disables mechanisms in all current and future processes.
-func (w *simulation) disable(disabled disabledMechanisms) {
-	w.disabled = disabled
-	for _, p := range w.processes {
+func (sim *simulation) disable(disabled disabledMechanisms) {
+	sim.disabled = disabled
+	for _, p := range sim.processes {
 		p.core.disabled = disabled
 	}
 }
 
 // newSimulation returns a simulation whose nodes and voters have completed their setup.
 func newSimulation(seed uint64, voters int, relays bool) *simulation {
-	w := &simulation{random: rand.New(rand.NewPCG(seed, 2)), config: DefaultConfig()}
-	w.config.TailLength, w.config.ReadLimit = 4, 3
-	w.config.CheckpointInterval, w.config.RetainedInStore = 8, 60
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 2)), config: DefaultConfig()}
+	sim.config.TailLength, sim.config.ReadLimit = 4, 3
+	sim.config.CheckpointInterval, sim.config.RetainedInStore = 8, 60
 	if relays {
-		w.config.DirectLimit, w.config.RelayFanout, w.config.WatchersPerZone = 1, 1, 1
+		sim.config.DirectLimit, sim.config.RelayFanout, sim.config.WatchersPerZone = 1, 1, 1
 	}
 	for index := range nodeCount {
-		w.spawn(nodeName(index), string(rune('a'+index%3)), uint64(1000+index), 0)
+		sim.spawn(nodeName(index), string(rune('a'+index%3)), uint64(1000+index), 0)
 	}
-	w.run(2 * time.Second)
+	sim.run(2 * time.Second)
 	for index := range voters {
-		w.propose(w.newestProcess(nodeName(0)), addVoterProposal(nodeName(index)), 30*time.Second)
+		sim.propose(sim.newestProcess(nodeName(0)), addVoterProposal(nodeName(index)), 30*time.Second)
 	}
-	w.run(setupTime)
-	return w
+	sim.run(setupTime)
+	return sim
 }
 
 func addVoterProposal(name string) Proposal {
@@ -94,8 +94,8 @@
 func nodeName(index int) string { return fmt.Sprintf("n%d", index) }
 
 // newestProcess returns the process of a name that was started last.
-func (w *simulation) newestProcess(name string) *process {
-	for _, p := range slices.Backward(w.processes) {
+func (sim *simulation) newestProcess(name string) *process {
+	for _, p := range slices.Backward(sim.processes) {
 		if p.member.Name == name {
 			return p
 		}
@@ -104,9 +104,9 @@
 }
 
 // voterNames returns the voters according to the store's log.
-func (w *simulation) voterNames() []string {
+func (sim *simulation) voterNames() []string {
 	current := catalog.Empty()
-	for _, change := range w.store.changes {
+	for _, change := range sim.store.changes {
 		current, _ = catalog.Apply(current, change)
 	}
 	return current.VoterNames()
@@ -114,90 +114,90 @@
 
 // replace starts another process of a name after a gap. With a probability of 0.1 its clock is
 // behind the clock of its predecessor, so that its incarnation is lower.
-func (w *simulation) replace(name string, stopOld bool, gap Time) {
-	old := w.newestProcess(name)
+func (sim *simulation) replace(name string, stopOld bool, gap Time) {
+	old := sim.newestProcess(name)
 	if stopOld {
 		old.dead = true
 	}
-	incarnation := old.core.Incarnation() + w.random.Uint64N(1000) + 1
-	if w.randomBool(0.1) {
+	incarnation := old.core.Incarnation() + sim.random.Uint64N(1000) + 1
+	if sim.randomBool(0.1) {
 		incarnation = old.core.Incarnation() / 2
 	}
-	w.after(gap, func() { w.spawn(name, old.member.Zone, incarnation, w.random.IntN(2)) })
+	sim.scheduleAfter(gap, func() { sim.spawn(name, old.member.Zone, incarnation, sim.random.IntN(2)) })
 }
 
 // startFault applies a fault and schedules its end.
-func (w *simulation) startFault(f fault) {
-	end := func(run func()) { w.after(f.duration, run) }
+func (sim *simulation) startFault(f fault) {
+	end := func(run func()) { sim.scheduleAfter(f.duration, run) }
 	switch f.kind {
 	case "outage":
-		w.store.down = true
-		end(func() { w.store.down = false })
+		sim.store.down = true
+		end(func() { sim.store.down = false })
 	case "slow store":
-		w.store.maxDelay = 2 * time.Second
-		end(func() { w.store.maxDelay = 0 })
+		sim.store.maxDelay = 2 * time.Second
+		end(func() { sim.store.maxDelay = 0 })
 	case "lost replies":
-		w.store.replyLoss = 0.5
-		end(func() { w.store.replyLoss = 0 })
+		sim.store.replyLoss = 0.5
+		end(func() { sim.store.replyLoss = 0 })
 	case "stale watch":
-		w.store.watchLag = 30 * time.Second
-		end(func() { w.store.watchLag = 0 })
+		sim.store.watchLag = 30 * time.Second
+		end(func() { sim.store.watchLag = 0 })
 	case "loss":
-		w.loss = 0.3
-		end(func() { w.loss = 0 })
+		sim.lossRate = 0.3
+		end(func() { sim.lossRate = 0 })
 	case "cut":
-		w.partitioned, w.store.side = true, w.random.IntN(2)
-		for _, p := range w.processes {
-			p.side = w.random.IntN(2)
+		sim.partitioned, sim.store.side = true, sim.random.IntN(2)
+		for _, p := range sim.processes {
+			p.side = sim.random.IntN(2)
 		}
-		end(func() { w.partitioned = false })
+		end(func() { sim.partitioned = false })
 	case "freeze":
-		p := w.newestProcess(nodeName(f.target))
-		p.frozenUntil = max(p.frozenUntil, w.now+f.duration)
+		p := sim.newestProcess(nodeName(f.target))
+		p.suspendedUntil = max(p.suspendedUntil, sim.now+f.duration)
 	case "burst":
 		for index := range 80 {
-			name := fmt.Sprintf("burst%d-%d", w.now, index)
-			w.after(Time(index)*200*time.Millisecond, func() {
-				w.propose(w.newestProcess(nodeName(f.target)), serviceProposal(name), 3*time.Second)
+			name := fmt.Sprintf("burst%d-%d", sim.now, index)
+			sim.scheduleAfter(Time(index)*200*time.Millisecond, func() {
+				sim.propose(sim.newestProcess(nodeName(f.target)), serviceProposal(name), 3*time.Second)
 			})
 		}
 	case "replace":
-		w.replace(nodeName(f.target), true, f.duration/8)
+		sim.replace(nodeName(f.target), true, f.duration/8)
 	case "replace while running":
-		w.replace(nodeName(f.target), false, 0)
+		sim.replace(nodeName(f.target), false, 0)
 	case "replace all voters in turn":
-		for index, name := range w.voterNames() {
-			w.after(Time(index)*f.duration/4, func() { w.replace(name, true, w.randomTime(0, time.Second)) })
+		for index, name := range sim.voterNames() {
+			sim.scheduleAfter(Time(index)*f.duration/4, func() { sim.replace(name, true, sim.randomDuration(0, time.Second)) })
 		}
 	case "forget a majority":
-		names := w.voterNames()
+		names := sim.voterNames()
 		for _, name := range names[:majority(len(names))] {
-			w.replace(name, true, w.randomTime(0, time.Second))
+			sim.replace(name, true, sim.randomDuration(0, time.Second))
 		}
 	case "forget all":
 		for index := range nodeCount {
-			w.replace(nodeName(index), true, w.randomTime(0, time.Second))
+			sim.replace(nodeName(index), true, sim.randomDuration(0, time.Second))
 		}
 	}
 }
 
 // heal ends all faults.
-func (w *simulation) heal() {
-	w.partitioned, w.loss = false, 0
-	w.store.down, w.store.maxDelay, w.store.replyLoss, w.store.watchLag = false, 0, 0, 0
-	for _, p := range w.processes {
-		p.frozenUntil = min(p.frozenUntil, w.now)
+func (sim *simulation) heal() {
+	sim.partitioned, sim.lossRate = false, 0
+	sim.store.down, sim.store.maxDelay, sim.store.replyLoss, sim.store.watchLag = false, 0, 0, 0
+	for _, p := range sim.processes {
+		p.suspendedUntil = min(p.suspendedUntil, sim.now)
 	}
 }
 
 // propose passes a proposal to a process. The result is recorded in the returned operation when the
 // proposal ends.
-func (w *simulation) propose(p *process, request Proposal, timeout Time) *operation {
-	op := &operation{client: len(w.operations), process: p, request: request, call: w.now}
+func (sim *simulation) propose(p *process, request Proposal, timeout Time) *operation {
+	op := &operation{client: len(sim.operations), process: p, request: request, calledAt: sim.now}
 	if !request.ResolveFate && request.ChangeID == "" {
 		op.request.ChangeID = fmt.Sprintf("T%d", op.client)
 	}
-	w.operations = append(w.operations, op)
+	sim.operations = append(sim.operations, op)
 	p.runStep(func() {
 		submitted := op.request
 		submitted.Deadline = p.localTime() + timeout
@@ -207,28 +207,28 @@
 }
 
 // proposeRandom submits one or two random proposals; two proposals compete with each other.
-func (w *simulation) proposeRandom() {
-	for range 1 + w.random.IntN(2) {
-		p := w.processes[w.random.IntN(len(w.processes))]
+func (sim *simulation) proposeRandom() {
+	for range 1 + sim.random.IntN(2) {
+		p := sim.processes[sim.random.IntN(len(sim.processes))]
 		if p.dead {
 			continue
 		}
-		request := Proposal{Command: w.randomCommand(p), DryRun: w.randomBool(0.05)}
-		if w.randomBool(0.3) {
+		request := Proposal{Command: sim.randomCommand(p), DryRun: sim.randomBool(0.05)}
+		if sim.randomBool(0.3) {
 			revision := p.core.Revision()
 			request.IfRevision = &revision
 		}
-		w.propose(p, request, w.randomTime(time.Second, 12*time.Second))
+		sim.propose(p, request, sim.randomDuration(time.Second, 12*time.Second))
 	}
 }
 
-func (w *simulation) randomCommand(p *process) catalog.Command {
-	name := nodeName(w.random.IntN(nodeCount))
+func (sim *simulation) randomCommand(p *process) catalog.Command {
+	name := nodeName(sim.random.IntN(nodeCount))
 	switch {
-	case w.randomBool(0.08):
+	case sim.randomBool(0.08):
 		return addVoterProposal(name).Command
-	case w.randomBool(0.08) && len(p.core.Catalog().Voters) > 2:
+	case sim.randomBool(0.08) && len(p.core.Catalog().Voters) > 2:
 		return catalog.Command{RemoveVoter: &catalog.RemoveVoter{Name: name}}
 	}
-	return serviceProposal(fmt.Sprintf("s%d", len(w.operations))).Command
+	return serviceProposal(fmt.Sprintf("s%d", len(sim.operations))).Command
 }
--- a/internal/selfhosted/dissemination/simulated_store_test.go
+++ b/internal/selfhosted/dissemination/simulated_store_test.go
@@ -11,51 +11,51 @@
 type simulatedStore struct {
 	changes      []catalog.Change
 	deletedCount int // number of oldest changes that are deleted
-	// stray holds changes that were written under deleted keys.
-	stray      map[uint64]catalog.Change
-	checkpoint *catalog.Catalog
-	down       bool
-	maxDelay   Time
-	replyLoss  float64
-	watchLag   Time
-	side       int
+	// strayChanges holds changes that were written under deleted keys.
+	strayChanges map[uint64]catalog.Change
+	checkpoint   *catalog.Catalog
+	down         bool
+	maxDelay     Time
+	replyLoss    float64
+	watchLag     Time
+	side         int
 }
 
 var errNoReply = errors.New("store operation: no reply")
 
 // operate runs a store operation. A write may take effect long after its caller has received an
 // error.
-func (w *simulation) operate(p *process, operation StoreOperation) {
+func (sim *simulation) runStoreOperation(p *process, operation StoreOperation) {
 	finish := func(delay Time, result StoreResult) {
 		result.ID = operation.ID
-		w.after(delay, func() { p.runStep(func() { p.core.StepStore(p.localTime(), result) }) })
+		sim.scheduleAfter(delay, func() { p.runStep(func() { p.core.StepStore(p.localTime(), result) }) })
 	}
-	if w.store.down || !w.reachable(p.side, w.store.side) {
-		applied := operation.Create != nil && w.reachable(p.side, w.store.side) && w.randomBool(0.2)
+	if sim.store.down || !sim.reachable(p.side, sim.store.side) {
+		applied := operation.Create != nil && sim.reachable(p.side, sim.store.side) && sim.randomBool(0.2)
 		if applied {
-			w.after(w.randomTime(0, 8*time.Second), func() { w.store.apply(operation) })
+			sim.scheduleAfter(sim.randomDuration(0, 8*time.Second), func() { sim.store.apply(operation) })
 		}
-		finish(w.randomTime(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: applied || w.randomBool(0.5)})
+		finish(sim.randomDuration(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: applied || sim.randomBool(0.5)})
 		return
 	}
-	w.after(w.randomTime(0, 2*time.Millisecond)+w.randomTime(0, w.store.maxDelay), func() {
-		result := w.store.apply(operation)
-		if w.randomBool(w.store.replyLoss) {
-			finish(w.randomTime(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: true})
+	sim.scheduleAfter(sim.randomDuration(0, 2*time.Millisecond)+sim.randomDuration(0, sim.store.maxDelay), func() {
+		result := sim.store.apply(operation)
+		if sim.randomBool(sim.store.replyLoss) {
+			finish(sim.randomDuration(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: true})
 			return
 		}
-		finish(w.randomTime(0, 2*time.Millisecond)+w.randomTime(0, w.store.maxDelay), result)
+		finish(sim.randomDuration(0, 2*time.Millisecond)+sim.randomDuration(0, sim.store.maxDelay), result)
 		if result.Created {
-			w.notify(*operation.Create)
+			sim.notify(*operation.Create)
 		}
 	})
 }
 
 // notify delivers a change to the watchers after watchLag.
-func (w *simulation) notify(change catalog.Change) {
-	for _, p := range w.processes {
-		if p.core.isWatcher() && w.reachable(p.side, w.store.side) && !w.store.down {
-			w.after(w.randomTime(0, time.Millisecond)+w.store.watchLag, func() {
+func (sim *simulation) notify(change catalog.Change) {
+	for _, p := range sim.processes {
+		if p.core.isWatcher() && sim.reachable(p.side, sim.store.side) && !sim.store.down {
+			sim.scheduleAfter(sim.randomDuration(0, time.Millisecond)+sim.store.watchLag, func() {
 				p.runStep(func() { p.core.StepWatched(p.localTime(), []catalog.Change{change}) })
 			})
 		}
@@ -79,7 +79,7 @@
 	case operation.Read != nil:
 		var changes []catalog.Change
 		for revision := operation.Read.From; revision <= uint64(len(s.changes)); revision++ {
-			stray, ok := s.stray[revision]
+			stray, ok := s.strayChanges[revision]
 			if ok {
 				changes = append(changes, stray)
 			} else if revision > uint64(s.deletedCount) {
@@ -96,7 +96,7 @@
 		}
 		for s.deletedCount < int(operation.SaveCheckpoint.Keep)-1 {
 			s.deletedCount++
-			delete(s.stray, uint64(s.deletedCount))
+			delete(s.strayChanges, uint64(s.deletedCount))
 		}
 		return StoreResult{}
 	default:
@@ -107,12 +107,12 @@
 // createStray writes a change under a deleted key, like a store that only checks whether the key
 // exists.
 func (s *simulatedStore) createStray(change catalog.Change) StoreResult {
-	if existing, ok := s.stray[change.Revision]; ok {
+	if existing, ok := s.strayChanges[change.Revision]; ok {
 		return StoreResult{Existing: &existing}
 	}
-	if s.stray == nil {
-		s.stray = map[uint64]catalog.Change{}
+	if s.strayChanges == nil {
+		s.strayChanges = map[uint64]catalog.Change{}
 	}
-	s.stray[change.Revision] = change
+	s.strayChanges[change.Revision] = change
 	return StoreResult{Created: true}
 }
--- a/internal/selfhosted/dissemination/simulation_test.go
+++ b/internal/selfhosted/dissemination/simulation_test.go
@@ -19,7 +19,7 @@
 	lastOrder   int
 	processes   []*process
 	store       simulatedStore
-	loss        float64
+	lossRate    float64
 	partitioned bool
 	// blocked, if set, blocks individual links by the names of their processes.
 	blocked func(from, to string) bool
@@ -42,13 +42,13 @@
 
 // operation is one proposal of an operator in the history.
 type operation struct {
-	client  int
-	process *process
-	request Proposal
-	call    Time
-	end     Time
-	done    bool
-	result  Result
+	client   int
+	process  *process
+	request  Proposal
+	calledAt Time
+	endedAt  Time
+	done     bool
+	result   Result
 }
 
 type event struct {
@@ -72,57 +72,57 @@
 	return last
 }
 
-func (w *simulation) at(when Time, run func()) {
-	w.lastOrder++
-	heap.Push(&w.queue, event{max(when, w.now), w.lastOrder, run})
+func (sim *simulation) scheduleAt(when Time, run func()) {
+	sim.lastOrder++
+	heap.Push(&sim.queue, event{max(when, sim.now), sim.lastOrder, run})
 }
 
-func (w *simulation) after(delay Time, run func()) { w.at(w.now+delay, run) }
+func (sim *simulation) scheduleAfter(delay Time, run func()) { sim.scheduleAt(sim.now+delay, run) }
 
-func (w *simulation) run(until Time) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && len(w.violations) == 0 {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+func (sim *simulation) run(until Time) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until && len(sim.violations) == 0 {
+		next := heap.Pop(&sim.queue).(event)
+		sim.now = next.at
 		next.run()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (w *simulation) randomTime(low, high Time) Time {
-	return low + Time(w.random.Int64N(int64(high-low)+1))
+func (sim *simulation) randomDuration(low, high Time) Time {
+	return low + Time(sim.random.Int64N(int64(high-low)+1))
 }
 
-func (w *simulation) randomBool(p float64) bool { return w.random.Float64() < p }
+func (sim *simulation) randomBool(p float64) bool { return sim.random.Float64() < p }
 
-func (w *simulation) addViolation(format string, arguments ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, arguments...))
+func (sim *simulation) addViolation(format string, arguments ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, arguments...))
 }
 
-func (w *simulation) reachable(a, b int) bool { return !w.partitioned || a == b }
+func (sim *simulation) reachable(a, b int) bool { return !sim.partitioned || a == b }
 
-func (w *simulation) linked(from, to *process) bool {
-	return w.reachable(from.side, to.side) && (w.blocked == nil || !w.blocked(from.member.Name, to.member.Name))
+func (sim *simulation) linked(from, to *process) bool {
+	return sim.reachable(from.side, to.side) && (sim.blocked == nil || !sim.blocked(from.member.Name, to.member.Name))
 }
 
 // requiredRevision returns the revision that a fresh node must hold now.
-func (w *simulation) requiredRevision() uint64 {
+func (sim *simulation) requiredRevision() uint64 {
 	var revision uint64
-	for _, accepted := range w.accepted {
-		if w.now > accepted.at+w.config.Window {
+	for _, accepted := range sim.accepted {
+		if sim.now > accepted.at+sim.config.Window {
 			revision = max(revision, accepted.revision)
 		}
 	}
 	return revision
 }
 
-func (w *simulation) recordAccepted(revision uint64, at Time) {
-	if len(w.accepted) == 0 || w.accepted[len(w.accepted)-1].revision < revision {
-		w.accepted = append(w.accepted, acceptedChange{revision, at})
+func (sim *simulation) recordAccepted(revision uint64, at Time) {
+	if len(sim.accepted) == 0 || sim.accepted[len(sim.accepted)-1].revision < revision {
+		sim.accepted = append(sim.accepted, acceptedChange{revision, at})
 	}
 }
 
-func (w *simulation) processAt(address netip.AddrPort) *process {
-	for _, p := range w.processes {
+func (sim *simulation) processAt(address netip.AddrPort) *process {
+	for _, p := range sim.processes {
 		if p.member.Address == address {
 			return p
 		}
@@ -130,40 +130,40 @@
 	return nil
 }
 
-func (w *simulation) latency() Time {
-	if w.randomBool(0.02) {
-		return w.randomTime(0, 3*time.Second)
+func (sim *simulation) latency() Time {
+	if sim.randomBool(0.02) {
+		return sim.randomDuration(0, 3*time.Second)
 	}
-	return w.randomTime(100*time.Microsecond, 5*time.Millisecond)
+	return sim.randomDuration(100*time.Microsecond, 5*time.Millisecond)
 }
 
-func (w *simulation) transmit(from *process, outgoing Outgoing) {
-	to := w.processAt(outgoing.To)
-	if to == nil || !w.linked(from, to) || w.randomBool(w.loss) {
+func (sim *simulation) transmit(from *process, outgoing Outgoing) {
+	to := sim.processAt(outgoing.To)
+	if to == nil || !sim.linked(from, to) || sim.randomBool(sim.lossRate) {
 		return
 	}
 	copies := 1
-	if w.randomBool(0.02) {
+	if sim.randomBool(0.02) {
 		copies = 2
 	}
 	for range copies {
-		w.after(w.latency(), func() {
+		sim.scheduleAfter(sim.latency(), func() {
 			to.runStep(func() { to.core.Step(to.localTime(), from.member.Address, outgoing.Packet) })
 		})
 	}
 }
 
-func (w *simulation) fetch(from *process, fetch Fetch) {
+func (sim *simulation) fetch(from *process, fetch Fetch) {
 	fail := func() { from.runStep(func() { from.core.StepFetched(from.localTime(), nil) }) }
-	to := w.processAt(fetch.To)
-	if to == nil || to.dead || w.failFetches || !w.linked(from, to) {
-		w.after(w.randomTime(0, time.Second), fail)
+	to := sim.processAt(fetch.To)
+	if to == nil || to.dead || sim.failFetches || !sim.linked(from, to) {
+		sim.scheduleAfter(sim.randomDuration(0, time.Second), fail)
 		return
 	}
-	w.after(w.latency(), func() {
+	sim.scheduleAfter(sim.latency(), func() {
 		to.runStep(func() {
 			response := to.core.AnswerFetch(fetch.Request)
-			w.after(w.latency(), func() { from.runStep(func() { from.core.StepFetched(from.localTime(), &response) }) })
+			sim.scheduleAfter(sim.latency(), func() { from.runStep(func() { from.core.StepFetched(from.localTime(), &response) }) })
 		})
 	})
 }
--- a/internal/selfhosted/dissemination/types.go
+++ b/internal/selfhosted/dissemination/types.go
@@ -27,8 +27,7 @@
 	Push     *Push
 }
 
-// ExchangeRequest asks a peer for its revision and confirmation. The peer must answer immediately,
-// because the age of the confirmation counts from the time of sending.
+// ExchangeRequest asks a peer for its revision and confirmation. The peer must answer immediately.
 type ExchangeRequest struct {
 	// Sequence is echoed by the response. It is unique across restarts, so that a response to a
 	// previous process of the same node is ignored.
@@ -38,7 +37,7 @@
 	Revision    uint64
 	// Claim reports that the sender is a voter. The receiver then registers its incarnation.
 	Claim bool
-	// Known is a hash of the voter incarnations that the sender knows.
+	// Known is a hash of the voter incarnations known to the sender.
 	Known uint64
 }
 
@@ -55,8 +54,8 @@
 	// after the request arrived.
 	Confirmed bool
 	Age       time.Duration
-	// Claims lists the highest voter incarnations that the sender knows. It is empty if the hash in
-	// the request shows that the requester knows the same ones.
+	// Claims lists the highest voter incarnations known to the sender. It is empty if the hash in
+	// the request shows that the requester has the same ones.
 	Claims []Claim
 }
 
