--- a/internal/selfhosted/dissemination/simulated_schedule_check_test.go
+++ b/internal/selfhosted/dissemination/simulated_schedule_check_test.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// checkResolvedFate checks the fate that a query by change ID returned against the log.
 func (sim *simulation) checkResolvedFate(op *operation) {
 	revision, token, _ := ParseChangeID(op.request.ChangeID)
 	want := FateNotAccepted
--- a/internal/selfhosted/dissemination/takeover.go
+++ b/internal/selfhosted/dissemination/takeover.go
@@ -83,7 +83,8 @@
 	return min(majority(voters), voters-1)
 }
 
-// highestIncarnation returns the highest known incarnation of a voter, or zero.
+// highestIncarnation returns the highest known incarnation of a voter, which for this node is its
+// own, or zero.
 func (c *Core) highestIncarnation(voter string) uint64 {
 	if voter == c.self.Name {
 		return c.self.Incarnation
