--- a/internal/edge/mirror/starts_test.go
+++ b/internal/edge/mirror/convergence_test.go
@@ -15,8 +15,8 @@
 // older, and all know the same once the store answers.
 func TestStartsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newFleet(t, 3)
-		f.patience = 5 * time.Millisecond
+		f := newTestFleet(t, 3)
+		f.sourcesTimeout = 5 * time.Millisecond
 		f.store.put("first")
 		nodes := make(map[*Shared]uint64) // with the revision that each has
 		step := func(node *Shared) {
@@ -37,7 +37,7 @@
 			}
 			nodes[node] = got
 		}
-		all := func() {
+		stepAll := func() {
 			for _, address := range f.seeds {
 				if node := f.peers.at(address); node != nil {
 					step(node)
@@ -51,30 +51,30 @@
 			"put":    func(*rapid.T) { f.store.put(fmt.Sprint("k", len(f.store.events)%5)) },
 			"remove": func(*rapid.T) { f.store.remove(fmt.Sprint("k", len(f.store.events)%5)) },
 			"outage": func(rt *rapid.T) { f.store.setDown(rapid.Bool().Draw(rt, "down")) },
-			"forget": func(*rapid.T) { f.store.forget() },
+			"forget": func(*rapid.T) { f.store.compact() },
 			"start": func(rt *rapid.T) {
 				if len(nodes) < 8 {
-					step(f.node())
+					step(f.newNode())
 				}
 			},
-			"seed": func(rt *rapid.T) { step(f.seed(rapid.IntRange(0, 2).Draw(rt, "seed"))) },
+			"seed": func(rt *rapid.T) { step(f.startSeed(rapid.IntRange(0, 2).Draw(rt, "seed"))) },
 			"cut": func(rt *rapid.T) {
-				f.peers.setCut(f.seeds[rapid.IntRange(0, 2).Draw(rt, "seed")], true)
+				f.peers.setUnreachable(f.seeds[rapid.IntRange(0, 2).Draw(rt, "seed")], true)
 			},
 			"freeze": func(rt *rapid.T) {
 				if node := f.peers.at(f.seeds[rapid.IntRange(0, 2).Draw(rt, "seed")]); node != nil {
 					node.mutex.Lock() // a question of a start that has ended may still be under way
-					node.heardAt -= time.Minute
+					node.lastContactAt -= time.Minute
 					node.mutex.Unlock()
 				}
 			},
-			"step": func(*rapid.T) { all() },
+			"step": func(*rapid.T) { stepAll() },
 		})
 		f.store.setDown(false)
-		all()
-		all()
+		stepAll()
+		stepAll()
 		for node, revision := range nodes {
-			if got, want := node.contents.list(), f.store.items(); revision != uint64(len(f.store.events)) || !reflect.DeepEqual(got, want) {
+			if got, want := node.replica.list(), f.store.items(); revision != uint64(len(f.store.events)) || !reflect.DeepEqual(got, want) {
 				rt.Fatalf("at revision %d of %d: %v, want %v", revision, len(f.store.events), got, want)
 			}
 		}
--- a/internal/edge/mirror/fleet_test.go
+++ b/internal/edge/mirror/fleet_start_test.go
@@ -14,15 +14,15 @@
 )
 
 // linkedStore is a store behind a link that carries one range at a time.
-type linkedStore struct {
+type serialStore struct {
 	*memoryStore
-	link chan struct{}
-	took time.Duration // by one range
+	link          chan struct{}
+	rangeDuration time.Duration // by one range
 }
 
-func (l *linkedStore) Range(ctx context.Context, prefix string) ([]Item, uint64, error) {
+func (l *serialStore) Range(ctx context.Context, prefix string) ([]Item, uint64, error) {
 	l.link <- struct{}{}
-	time.Sleep(l.took)
+	time.Sleep(l.rangeDuration)
 	<-l.link
 	return l.memoryStore.Range(ctx, prefix)
 }
@@ -30,20 +30,20 @@
 // TestReturnOfAWholeFleet: when all nodes start at once, the sources after the
 // others, the store is read by the sources only, and all have a copy before the
 // store could have served a tenth of them.
-func TestReturnOfAWholeFleet(t *testing.T) {
+func TestFleetStartReadsStoreOnlyFromSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			nodes, sources = 300, 12
-			took           = 40 * time.Millisecond // 5 MB over 1 Gbit/s
-			late           = 500 * time.Millisecond
+			rangeDuration  = 40 * time.Millisecond // 5 MB over 1 Gbit/s
+			sourceDelay    = 500 * time.Millisecond
 		)
-		store := &linkedStore{memoryStore: &memoryStore{}, link: make(chan struct{}, 1), took: took}
+		store := &serialStore{memoryStore: &memoryStore{}, link: make(chan struct{}, 1), rangeDuration: rangeDuration}
 		store.put("config")
-		peers := &linked{watchers: make(map[netip.AddrPort]*Shared), cut: make(map[netip.AddrPort]bool)}
+		peers := &localPeers{watchers: make(map[netip.AddrPort]*Shared), unreachable: make(map[netip.AddrPort]bool)}
 		var addresses []netip.AddrPort
 		for index := range sources {
 			addresses = append(addresses, netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(index+1)))
-			peers.setCut(addresses[index], true)
+			peers.setUnreachable(addresses[index], true)
 		}
 		fleet := make([]*Shared, nodes)
 		for index := range fleet {
@@ -54,7 +54,7 @@
 				peers.set(addresses[index], fleet[index])
 			}
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		loaded := make(chan error, nodes)
 		start := func(node *Shared) {
 			items, _, err := node.Range(t.Context(), "")
@@ -66,9 +66,9 @@
 		for _, node := range fleet[sources:] {
 			go start(node)
 		}
-		time.Sleep(late)
+		time.Sleep(sourceDelay)
 		for index, node := range fleet[:sources] {
-			peers.setCut(addresses[index], false)
+			peers.setUnreachable(addresses[index], false)
 			go start(node)
 		}
 		for range nodes {
@@ -79,8 +79,8 @@
 		if store.ranges != sources {
 			t.Errorf("the store was read %d times, there are %d sources", store.ranges, sources)
 		}
-		if took := time.Since(begun); took > late+sources*store.took+time.Second {
-			t.Errorf("the last node had a copy after %v", took)
+		if elapsed := time.Since(startedAt); elapsed > sourceDelay+sources*store.rangeDuration+time.Second {
+			t.Errorf("the last node had a copy after %v", elapsed)
 		}
 	})
 }
--- a/internal/edge/mirror/backlog_test.go
+++ b/internal/edge/mirror/gather_test.go
@@ -9,21 +9,21 @@
 
 // TestBacklogOfAnOutageIsTakenInAtOnce: the pause that gathers changes is for those
 // that happen now, not for those of an outage, which come in several answers.
-func TestBacklogOfAnOutageIsTakenInAtOnce(t *testing.T) {
+func TestBacklogAfterOutageIsNotDelayed(t *testing.T) {
 	portion, few := make([]Event, 30), make([]Event, 2)
 	for _, test := range []struct {
 		name    string
 		answers []any
 		pauses  int
 	}{
-		{"after an outage", []any{[]Item{}, errAway, portion, portion, portion, few, portion}, 2},
+		{"after an outage", []any{[]Item{}, errStoreDown, portion, portion, portion, few, portion}, 2},
 		{"many changes at once, no outage", []any{[]Item{}, portion, portion}, 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			const gather = time.Minute
 			ctx, stop := context.WithCancel(t.Context())
-			source := &script{answers: test.answers, stop: stop}
-			var sink recorder
+			source := &scriptedSource{answers: test.answers, stop: stop}
+			var sink recordingSink
 			started := time.Now()
 			New(Config{MinBackoff: 1, MaxBackoff: 1, Gather: gather}, source, &sink).Run(ctx)
 			if got := int(time.Since(started) / gather); got != test.pauses {
--- a/internal/edge/mirror/rig_test.go
+++ b/internal/edge/mirror/helpers_test.go
@@ -15,13 +15,13 @@
 
 // memoryStore is a Source over a list of events; it can be down, and forget.
 type memoryStore struct {
-	mutex   sync.Mutex
-	events  []Event
-	forgot  uint64 // the history up to here is gone
-	down    bool
-	ranges  int
-	watches int
-	waits   []time.Duration
+	mutex             sync.Mutex
+	events            []Event
+	compactedRevision uint64 // the history up to here is gone
+	down              bool
+	ranges            int
+	watches           int
+	waits             []time.Duration
 }
 
 func (m *memoryStore) put(key string) { m.add(Event{Item: Item{Key: key}}) }
@@ -42,18 +42,18 @@
 }
 
 // forget drops the history.
-func (m *memoryStore) forget() {
+func (m *memoryStore) compact() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.forgot = uint64(len(m.events))
+	m.compactedRevision = uint64(len(m.events))
 }
 
 // items returns what there is, by key.
 func (m *memoryStore) items() []Item {
-	var now contents
-	now.replace(nil, 0)
-	now.apply(m.events, uint64(len(m.events)))
-	return now.list()
+	var current replica
+	current.replace(nil, 0)
+	current.apply(m.events, uint64(len(m.events)))
+	return current.list()
 }
 
 func (m *memoryStore) Range(context.Context, string) ([]Item, uint64, error) {
@@ -61,7 +61,7 @@
 	defer m.mutex.Unlock()
 	m.ranges++
 	if m.down {
-		return nil, 0, errAway
+		return nil, 0, errStoreDown
 	}
 	return m.items(), uint64(len(m.events)), nil
 }
@@ -71,15 +71,15 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.down {
-		return nil, errAway
+		return nil, errStoreDown
 	}
-	var found []Item
+	var matching []Item
 	for _, item := range m.items() {
 		if strings.HasPrefix(item.Key, prefix) {
-			found = append(found, item)
+			matching = append(matching, item)
 		}
 	}
-	return found, nil
+	return matching, nil
 }
 
 // Watch returns at once, also without changes.
@@ -89,91 +89,91 @@
 	m.watches++
 	m.waits = append(m.waits, wait)
 	if m.down {
-		return nil, 0, errAway
+		return nil, 0, errStoreDown
 	}
-	if after < m.forgot {
+	if after < m.compactedRevision {
 		return nil, 0, ErrCompacted
 	}
 	return m.events[after:], uint64(len(m.events)), nil
 }
 
 // linked asks watchers in the same process; one that is cut off does not answer.
-type linked struct {
-	mutex    sync.Mutex
-	watchers map[netip.AddrPort]*Shared
-	cut      map[netip.AddrPort]bool
+type localPeers struct {
+	mutex       sync.Mutex
+	watchers    map[netip.AddrPort]*Shared
+	unreachable map[netip.AddrPort]bool
 }
 
 // set puts a watcher at an address. A question of a start that has ended may
 // still be under way.
-func (l *linked) set(address netip.AddrPort, watcher *Shared) {
+func (l *localPeers) set(address netip.AddrPort, watcher *Shared) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.watchers[address] = watcher
 }
 
 // at returns the watcher at an address.
-func (l *linked) at(address netip.AddrPort) *Shared {
+func (l *localPeers) at(address netip.AddrPort) *Shared {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.watchers[address]
 }
 
-func (l *linked) setCut(address netip.AddrPort, cut bool) {
+func (l *localPeers) setUnreachable(address netip.AddrPort, cut bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.cut[address] = cut
+	l.unreachable[address] = cut
 }
 
-func (l *linked) isCut(address netip.AddrPort) bool {
+func (l *localPeers) isUnreachable(address netip.AddrPort) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.cut[address]
+	return l.unreachable[address]
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
-func (l *linked) Watch(ctx context.Context, to netip.AddrPort, after uint64, _ time.Duration) (Watched, error) {
-	if l.isCut(to) {
-		return Watched{}, errCut
+func (l *localPeers) Watch(ctx context.Context, to netip.AddrPort, after uint64, _ time.Duration) (Watched, error) {
+	if l.isUnreachable(to) {
+		return Watched{}, errUnreachable
 	}
 	return l.at(to).Serve(ctx, after, 0)
 }
 
-func (l *linked) Offer(ctx context.Context, source netip.AddrPort, wait time.Duration) (Offer, error) {
-	if l.isCut(source) {
-		return Offer{}, errCut
+func (l *localPeers) Offer(ctx context.Context, source netip.AddrPort, wait time.Duration) (Offer, error) {
+	if l.isUnreachable(source) {
+		return Offer{}, errUnreachable
 	}
 	return l.at(source).Offer(ctx, wait), nil
 }
 
-func (l *linked) Snapshot(_ context.Context, source netip.AddrPort) (Snapshot, error) {
-	if l.isCut(source) {
-		return Snapshot{}, errCut
+func (l *localPeers) Snapshot(_ context.Context, source netip.AddrPort) (Snapshot, error) {
+	if l.isUnreachable(source) {
+		return Snapshot{}, errUnreachable
 	}
 	return l.at(source).Snapshot()
 }
 
 // pair is a watcher and a node that asks it.
-type pair struct {
+type watcherPair struct {
 	*testing.T
-	store    *memoryStore
-	peers    *linked
-	address  netip.AddrPort
-	watcher  *Shared
-	follower *Shared
-	revision uint64 // that the follower has
-	watched  uint64 // that the watcher has
+	store            *memoryStore
+	peers            *localPeers
+	address          netip.AddrPort
+	watcher          *Shared
+	follower         *Shared
+	followerRevision uint64 // that the follower has
+	watcherRevision  uint64 // that the watcher has
 }
 
-func newPair(t *testing.T) *pair {
+func newWatcherPair(t *testing.T) *watcherPair {
 	t.Helper()
-	p := &pair{
+	p := &watcherPair{
 		T: t, store: &memoryStore{}, address: netip.MustParseAddrPort("127.0.0.1:1"),
-		peers: &linked{watchers: make(map[netip.AddrPort]*Shared), cut: make(map[netip.AddrPort]bool)},
+		peers: &localPeers{watchers: make(map[netip.AddrPort]*Shared), unreachable: make(map[netip.AddrPort]bool)},
 	}
 	config := DefaultSharedConfig()
-	config.Pause = 0
+	config.WatcherBackoff = 0
 	logger := slog.New(slog.DiscardHandler)
 	p.watcher, p.follower = NewShared(config, p.store, p.peers, clock.NewMonotonic(), logger), NewShared(config, p.store, p.peers, clock.NewMonotonic(), logger)
 	p.peers.set(p.address, p.watcher)
@@ -189,27 +189,27 @@
 }
 
 // watch lets the watcher watch the store once.
-func (p *pair) watch() error {
-	_, revision, err := p.watcher.Watch(p.Context(), "", p.watched, time.Minute)
-	p.watched = max(p.watched, revision)
+func (p *watcherPair) watch() error {
+	_, revision, err := p.watcher.Watch(p.Context(), "", p.watcherRevision, time.Minute)
+	p.watcherRevision = max(p.watcherRevision, revision)
 	return err
 }
 
 // follow lets the follower ask once, and returns what it got and the calls to
 // the store that this took.
-func (p *pair) follow() (events []Event, calls int, err error) {
-	before := p.store.watches
-	events, revision, err := p.follower.Watch(p.Context(), "", p.revision, time.Minute)
+func (p *watcherPair) follow() (events []Event, calls int, err error) {
+	watchesBefore := p.store.watches
+	events, revision, err := p.follower.Watch(p.Context(), "", p.followerRevision, time.Minute)
 	if err == nil {
-		p.revision = revision
+		p.followerRevision = revision
 	}
-	return events, p.store.watches - before, err
+	return events, p.store.watches - watchesBefore, err
 }
 
-func (p *pair) wantFollow(events, calls int, failure error) {
+func (p *watcherPair) wantFollow(wantEvents, wantCalls int, wantErr error) {
 	p.Helper()
-	got, made, err := p.follow()
-	if len(got) != events || made != calls || !errors.Is(err, failure) {
-		p.Errorf("%d events, %d calls to the store, %v; want %d, %d, %v", len(got), made, err, events, calls, failure)
+	gotEvents, gotCalls, err := p.follow()
+	if len(gotEvents) != wantEvents || gotCalls != wantCalls || !errors.Is(err, wantErr) {
+		p.Errorf("%d events, %d calls to the store, %v; want %d, %d, %v", len(gotEvents), gotCalls, err, wantEvents, wantCalls, wantErr)
 	}
 }
--- a/internal/edge/mirror/history.go
+++ b/internal/edge/mirror/history.go
@@ -6,14 +6,14 @@
 // other nodes.
 type history struct {
 	// most bounds the number of changes.
-	most int
+	maxEvents int
 	// open says that the changes after since are known up to revision.
-	open            bool
-	lost            bool // the store does not answer
+	started         bool
+	disconnected    bool // the store does not answer
 	since, revision uint64
 	events          []Event
 	// gaps are the revisions between which only the difference is known.
-	gaps []gap
+	gaps []diffGap
 	// changed is closed at the next change of any of this.
 	changed chan struct{}
 }
@@ -21,53 +21,53 @@
 // gap is a gap in the history that was closed by comparing what was known at one revision
 // with what there is at a later one. What was written and removed between them is not in
 // it, so a node at a revision between the two cannot follow from it.
-type gap struct{ from, to uint64 }
+type diffGap struct{ from, to uint64 }
 
-func newHistory(most int) history {
-	return history{most: most, changed: make(chan struct{})}
+func newHistory(maxEvents int) history {
+	return history{maxEvents: maxEvents, changed: make(chan struct{})}
 }
 
-func (h *history) wake() {
+func (h *history) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
 // restart drops all changes and goes on from a revision.
 func (h *history) restart(revision uint64) {
-	h.open, h.lost = true, false
+	h.started, h.disconnected = true, false
 	h.since, h.revision = revision, revision
 	h.events, h.gaps = nil, nil
-	h.wake()
+	h.notify()
 }
 
 // markLost notes that the store does not answer.
-func (h *history) markLost() {
-	if !h.lost {
-		h.lost = true
-		h.wake()
+func (h *history) markDisconnected() {
+	if !h.disconnected {
+		h.disconnected = true
+		h.notify()
 	}
 }
 
 // add takes in the changes between two revisions.
-func (h *history) add(after uint64, events []Event, revision uint64) {
-	if !h.open || after != h.revision {
+func (h *history) append(after uint64, events []Event, revision uint64) {
+	if !h.started || after != h.revision {
 		h.restart(after)
 	}
-	returned := h.lost
-	h.lost = false
+	reconnected := h.disconnected
+	h.disconnected = false
 	h.revision = revision
-	if len(events) == 0 && !returned {
+	if len(events) == 0 && !reconnected {
 		return
 	}
 	h.events = append(h.events, events...)
 	h.trim()
-	h.wake()
+	h.notify()
 }
 
 // addDifference takes in what is different between two revisions.
-func (h *history) addDifference(after uint64, events []Event, revision uint64) {
-	h.add(after, events, revision)
-	h.gaps = append(h.gaps, gap{from: after, to: revision})
+func (h *history) appendDiff(after uint64, events []Event, revision uint64) {
+	h.append(after, events, revision)
+	h.gaps = append(h.gaps, diffGap{from: after, to: revision})
 }
 
 // maxHistoryBytes bounds the values that the history keeps. Not measured: chosen because
@@ -76,8 +76,8 @@
 
 // trim drops the oldest changes beyond the bounds. The last one stays.
 func (h *history) trim() {
-	size := sizeOf(h.events)
-	surplus := max(len(h.events)-h.most, 0)
+	size := valueBytes(h.events)
+	surplus := max(len(h.events)-h.maxEvents, 0)
 	for index := range h.events {
 		if index >= surplus && (size <= maxHistoryBytes || index == len(h.events)-1) {
 			surplus = index
@@ -88,23 +88,23 @@
 	if surplus > 0 {
 		h.since = h.events[surplus-1].Revision
 		h.events = slices.Clone(h.events[surplus:])
-		h.gaps = slices.DeleteFunc(h.gaps, func(one gap) bool { return one.to <= h.since })
+		h.gaps = slices.DeleteFunc(h.gaps, func(gap diffGap) bool { return gap.to <= h.since })
 	}
 }
 
 // withinGap reports whether a revision lies inside a gap.
 func (h *history) withinGap(revision uint64) bool {
-	return slices.ContainsFunc(h.gaps, func(one gap) bool { return one.from < revision && revision < one.to })
+	return slices.ContainsFunc(h.gaps, func(gap diffGap) bool { return gap.from < revision && revision < gap.to })
 }
 
 // after returns the answer to a node that has the changes up to a revision, and a channel
 // that is closed when the answer may have changed.
-func (h *history) after(revision uint64) (Watched, <-chan struct{}) {
+func (h *history) eventsAfter(revision uint64) (Watched, <-chan struct{}) {
 	switch {
-	case !h.open, revision < h.since, h.withinGap(revision):
+	case !h.started, revision < h.since, h.withinGap(revision):
 		return Watched{State: WatchRefused}, h.changed
-	case h.lost:
-		return Watched{State: WatchLost}, h.changed
+	case h.disconnected:
+		return Watched{State: WatchDisconnected}, h.changed
 	}
 	first, _ := slices.BinarySearchFunc(h.events, revision+1, func(event Event, wanted uint64) int {
 		switch {
--- a/internal/edge/mirror/mirror.go
+++ b/internal/edge/mirror/mirror.go
@@ -93,20 +93,20 @@
 	source Source
 	sink   Sink
 
-	revision uint64
-	loaded   bool // the range was read at least once
-	reload   bool // the range has to be read again
-	failures int
-	lostAt   time.Time
+	revision       uint64
+	loaded         bool // the range was read at least once
+	reload         bool // the range has to be read again
+	failures       int
+	disconnectedAt time.Time
 	// behind is set after an outage until an answer shows that little is left of
 	// the changes that were missed.
-	behind bool
+	catchingUp bool
 }
 
 // backlogAnswer is the number of changes in an answer from which more are taken to be
 // waiting: a store hands out a backlog in portions. With Gather after each, a node took 2.7
 // s for the 180 changes of an outage of 9 s, which came in six.
-const backlogAnswer = 8
+const backlogThreshold = 8
 
 // New returns a Mirror that has read nothing.
 func New(config Config, source Source, sink Sink) *Mirror {
@@ -116,64 +116,64 @@
 // Run follows the prefix until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := m.step(ctx)
+		err := m.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			m.failed(err)
-			m.pause(ctx)
+			m.recordFailure(err)
+			m.backOff(ctx)
 		}
 	}
 }
 
-func (m *Mirror) step(ctx context.Context) error {
+func (m *Mirror) poll(ctx context.Context) error {
 	if m.reload {
-		return m.load(ctx)
+		return m.loadRange(ctx)
 	}
-	return m.follow(ctx)
+	return m.watch(ctx)
 }
 
-func (m *Mirror) load(ctx context.Context) error {
+func (m *Mirror) loadRange(ctx context.Context) error {
 	items, revision, err := m.source.Range(ctx, m.config.Prefix)
 	stale := errors.Is(err, ErrStale)
 	if err != nil && !stale {
 		return err
 	}
 	if !stale {
-		m.answered()
+		m.recordSuccess()
 	}
 	m.sink.Replace(items, Reading{Gap: m.loaded, Stale: stale})
 	m.revision, m.loaded, m.reload = revision, true, false
 	return err
 }
 
-func (m *Mirror) follow(ctx context.Context) error {
+func (m *Mirror) watch(ctx context.Context) error {
 	events, revision, err := m.source.Watch(ctx, m.config.Prefix, m.revision, m.config.Wait)
 	if errors.Is(err, ErrCompacted) {
-		m.answered()
+		m.recordSuccess()
 		m.reload = true
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	back := m.answered()
-	if back || len(events) > 0 {
+	reconnected := m.recordSuccess()
+	if reconnected || len(events) > 0 {
 		m.sink.Change(events)
 	}
 	m.revision = max(m.revision, revision)
-	m.behind = (m.behind || back) && len(events) >= backlogAnswer
-	if len(events) > 0 && !m.behind {
+	m.catchingUp = (m.catchingUp || reconnected) && len(events) >= backlogThreshold
+	if len(events) > 0 && !m.catchingUp {
 		clock.Sleep(ctx, m.config.Gather)
 	}
 	return nil
 }
 
 // failed reports an outage of the store to the sink.
-func (m *Mirror) failed(err error) {
+func (m *Mirror) recordFailure(err error) {
 	if m.failures == 0 {
-		m.lostAt = time.Now()
+		m.disconnectedAt = time.Now()
 		m.sink.Lost(err)
 	}
 	m.failures++
@@ -181,16 +181,16 @@
 
 // answered reports the end of an outage to the sink, before what the store has answered,
 // which the sink may judge by it. It reports whether there was one.
-func (m *Mirror) answered() bool {
+func (m *Mirror) recordSuccess() bool {
 	if m.failures == 0 {
 		return false
 	}
 	m.failures = 0
-	m.sink.Regained(time.Since(m.lostAt))
+	m.sink.Regained(time.Since(m.disconnectedAt))
 	return true
 }
 
-func (m *Mirror) pause(ctx context.Context) {
-	pause := min(m.config.MinBackoff<<min(m.failures-1, 10), m.config.MaxBackoff)
-	clock.Sleep(ctx, pause/2+rand.N(pause/2+1))
+func (m *Mirror) backOff(ctx context.Context) {
+	backoff := min(m.config.MinBackoff<<min(m.failures-1, 10), m.config.MaxBackoff)
+	clock.Sleep(ctx, backoff/2+rand.N(backoff/2+1))
 }
--- a/internal/edge/mirror/mirror_test.go
+++ b/internal/edge/mirror/mirror_test.go
@@ -14,39 +14,39 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var errAway = errors.New("away")
+var errStoreDown = errors.New("away")
 
 // script is a Source that plays answers in their order, and then ends the run.
-type script struct {
+type scriptedSource struct {
 	answers []any // error, []Item or []Event
 	stop    context.CancelFunc
-	asked   []string
+	calls   []string
 }
 
-func (s *script) next(call string) (any, error) {
-	s.asked = append(s.asked, call)
+func (s *scriptedSource) nextAnswer(call string) (any, error) {
+	s.calls = append(s.calls, call)
 	if len(s.answers) == 0 {
 		s.stop()
 		return nil, context.Canceled
 	}
 	answer := s.answers[0]
 	s.answers = s.answers[1:]
-	if err, failed := answer.(error); failed {
+	if err, ok := answer.(error); ok {
 		return nil, err
 	}
 	return answer, nil
 }
 
-func (s *script) Range(_ context.Context, prefix string) ([]Item, uint64, error) {
-	answer, err := s.next("range " + prefix)
+func (s *scriptedSource) Range(_ context.Context, prefix string) ([]Item, uint64, error) {
+	answer, err := s.nextAnswer("range " + prefix)
 	if err != nil {
 		return nil, 0, err
 	}
 	return answer.([]Item), 10, nil
 }
 
-func (s *script) Watch(_ context.Context, _ string, after uint64, _ time.Duration) ([]Event, uint64, error) {
-	answer, err := s.next(fmt.Sprintf("watch %d", after))
+func (s *scriptedSource) Watch(_ context.Context, _ string, after uint64, _ time.Duration) ([]Event, uint64, error) {
+	answer, err := s.nextAnswer(fmt.Sprintf("watch %d", after))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -54,48 +54,50 @@
 }
 
 // recorder is a Sink that writes down what it receives.
-type recorder []string
+type recordingSink []string
 
-func (r *recorder) Replace(items []Item, read Reading) {
+func (r *recordingSink) Replace(items []Item, read Reading) {
 	text := fmt.Sprintf("replace %d gap=%v", len(items), read.Gap)
 	if read.Stale {
 		text += " stale"
 	}
 	*r = append(*r, text)
 }
-func (r *recorder) Change(events []Event)  { *r = append(*r, fmt.Sprintf("change %d", len(events))) }
-func (r *recorder) Lost(error)             { *r = append(*r, "lost") }
-func (r *recorder) Regained(time.Duration) { *r = append(*r, "regained") }
+func (r *recordingSink) Change(events []Event) {
+	*r = append(*r, fmt.Sprintf("change %d", len(events)))
+}
+func (r *recordingSink) Lost(error)             { *r = append(*r, "lost") }
+func (r *recordingSink) Regained(time.Duration) { *r = append(*r, "regained") }
 
-func play(answers ...any) (asked, received []string) {
+func runScript(answers ...any) (calls, received []string) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	source := &script{answers: answers, stop: stop}
-	var sink recorder
+	source := &scriptedSource{answers: answers, stop: stop}
+	var sink recordingSink
 	New(Config{Prefix: "p/", MinBackoff: time.Microsecond, MaxBackoff: time.Millisecond}, source, &sink).Run(ctx)
-	return source.asked, sink
+	return source.calls, sink
 }
 
-func TestMirror(t *testing.T) {
-	items, events, none := []Item{{Key: "p/a"}}, []Event{{}}, []Event{}
+func TestMirrorCallsAndNotifications(t *testing.T) {
+	items, events, noEvents := []Item{{Key: "p/a"}}, []Event{{}}, []Event{}
 	for _, test := range []struct {
-		name     string
-		answers  []any
-		asked    string
-		received string
+		name         string
+		answers      []any
+		wantCalls    string
+		wantReceived string
 	}{
-		{"range, then watch", []any{items, none, events}, "range p/, watch 10, watch 11, watch 12", "replace 1 gap=false, change 1"},
-		{"down at the start", []any{errAway, errAway, items}, "range p/, range p/, range p/, watch 10", "lost, regained, replace 1 gap=false"},
-		{"outage goes on from the same revision", []any{items, errAway, errAway, events}, "range p/, watch 10, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 1"},
-		{"the sink hears of the return before any change", []any{items, errAway, none}, "range p/, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 0"},
+		{"range, then watch", []any{items, noEvents, events}, "range p/, watch 10, watch 11, watch 12", "replace 1 gap=false, change 1"},
+		{"down at the start", []any{errStoreDown, errStoreDown, items}, "range p/, range p/, range p/, watch 10", "lost, regained, replace 1 gap=false"},
+		{"outage goes on from the same revision", []any{items, errStoreDown, errStoreDown, events}, "range p/, watch 10, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 1"},
+		{"the sink hears of the return before any change", []any{items, errStoreDown, noEvents}, "range p/, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 0"},
 		{"lost history", []any{items, ErrCompacted, items}, "range p/, watch 10, range p/, watch 10", "replace 1 gap=false, replace 1 gap=true"},
-		{"lost history after an outage", []any{items, errAway, ErrCompacted, errAway, items}, "range p/, watch 10, watch 10, range p/, range p/, watch 10", "replace 1 gap=false, lost, regained, lost, regained, replace 1 gap=true"},
+		{"lost history after an outage", []any{items, errStoreDown, ErrCompacted, errStoreDown, items}, "range p/, watch 10, watch 10, range p/, range p/, watch 10", "replace 1 gap=false, lost, regained, lost, regained, replace 1 gap=true"},
 	} {
-		asked, received := play(test.answers...)
-		if !slices.Equal(asked, strings.Split(test.asked, ", ")) {
-			t.Errorf("%s: asked %v", test.name, asked)
+		calls, received := runScript(test.answers...)
+		if !slices.Equal(calls, strings.Split(test.wantCalls, ", ")) {
+			t.Errorf("%s: asked %v", test.name, calls)
 		}
-		if !slices.Equal(received, strings.Split(test.received, ", ")) {
+		if !slices.Equal(received, strings.Split(test.wantReceived, ", ")) {
 			t.Errorf("%s: received %v", test.name, received)
 		}
 	}
--- a/internal/edge/mirror/pack.go
+++ b/internal/edge/mirror/pack.go
@@ -11,10 +11,10 @@
 
 // maxUnpacked bounds what is packed for another node, once it is unpacked: a
 // hundred thousand items of half a kilobyte.
-const maxUnpacked = 48 << 20
+const maxUnpackedBytes = 48 << 20
 
 // errUnpacked means that more than maxUnpacked was packed.
-var errUnpacked = errors.New("more than another node takes")
+var errUnpackedTooLarge = errors.New("more than another node takes")
 
 // pack writes items or events in a compact form. Their values are much alike, and
 // shrink to a fraction.
@@ -32,11 +32,11 @@
 
 // unpack reads what pack wrote.
 func unpack[T Item | Event](packed []byte) ([]T, error) {
-	limited := &io.LimitedReader{R: flate.NewReader(bytes.NewReader(packed)), N: maxUnpacked}
+	limited := &io.LimitedReader{R: flate.NewReader(bytes.NewReader(packed)), N: maxUnpackedBytes}
 	var values []T
 	if err := gob.NewDecoder(limited).Decode(&values); err != nil {
 		if limited.N <= 0 {
-			err = errUnpacked
+			err = errUnpackedTooLarge
 		}
 		return nil, fmt.Errorf("unpack: %w", err)
 	}
@@ -45,10 +45,10 @@
 
 // packFrom is the size of changes, in bytes of their values, from which they are
 // packed for other nodes: below it, packing costs more than it saves.
-const packFrom = 8 << 10
+const packThreshold = 8 << 10
 
 // sizeOf returns the size of changes in bytes of their values.
-func sizeOf(events []Event) int {
+func valueBytes(events []Event) int {
 	size := 0
 	for index := range events {
 		size += len(events[index].Value)
@@ -65,23 +65,23 @@
 
 // of packs the events of an answer to a question for what came after a revision,
 // unless they are few.
-func (p *packedEvents) of(after uint64, answer Watched) (Watched, error) {
-	if sizeOf(answer.Events) < packFrom {
-		return answer, nil
+func (p *packedEvents) pack(after uint64, response Watched) (Watched, error) {
+	if valueBytes(response.Events) < packThreshold {
+		return response, nil
 	}
-	if p.packed == nil || p.after != after || p.revision != answer.Revision {
-		packed, err := pack(answer.Events)
+	if p.packed == nil || p.after != after || p.revision != response.Revision {
+		packed, err := pack(response.Events)
 		if err != nil {
 			return Watched{}, err
 		}
-		*p = packedEvents{after: after, revision: answer.Revision, packed: packed}
+		*p = packedEvents{after: after, revision: response.Revision, packed: packed}
 	}
-	answer.Events, answer.Packed = nil, p.packed
-	return answer, nil
+	response.Events, response.Packed = nil, p.packed
+	return response, nil
 }
 
 // unpacked returns an answer with its events.
-func (w Watched) unpacked() (Watched, error) {
+func (w Watched) unpack() (Watched, error) {
 	if w.Packed == nil {
 		return w, nil
 	}
--- a/internal/edge/mirror/pack_test.go
+++ b/internal/edge/mirror/pack_test.go
@@ -6,17 +6,17 @@
 )
 
 // TestLargeChangesArePacked for followers, once for all that ask alike.
-func TestLargeChangesArePacked(t *testing.T) {
-	p := newPair(t)
-	p.store.add(Event{Item: Item{Key: "large", Value: make([]byte, 4*packFrom)}})
+func TestLargeChangesArePackedOnce(t *testing.T) {
+	p := newWatcherPair(t)
+	p.store.add(Event{Item: Item{Key: "large", Value: make([]byte, 4*packThreshold)}})
 	if err := p.watch(); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := p.watcher.Serve(t.Context(), p.revision, 0)
-	if err != nil || len(answer.Events) != 0 || len(answer.Packed) == 0 || len(answer.Packed) > packFrom/4 {
-		t.Fatalf("%d events, %d packed bytes, %v", len(answer.Events), len(answer.Packed), err)
+	response, err := p.watcher.Serve(t.Context(), p.followerRevision, 0)
+	if err != nil || len(response.Events) != 0 || len(response.Packed) == 0 || len(response.Packed) > packThreshold/4 {
+		t.Fatalf("%d events, %d packed bytes, %v", len(response.Events), len(response.Packed), err)
 	}
-	if again, _ := p.watcher.Serve(t.Context(), p.revision, 0); &again.Packed[0] != &answer.Packed[0] {
+	if repeated, _ := p.watcher.Serve(t.Context(), p.followerRevision, 0); &repeated.Packed[0] != &response.Packed[0] {
 		t.Error("packed anew")
 	}
 	p.wantFollow(1, 0, nil)
@@ -24,18 +24,18 @@
 	if err := p.watch(); err != nil {
 		t.Fatal(err)
 	}
-	if answer, err = p.watcher.Serve(t.Context(), p.revision, 0); err != nil || len(answer.Events) != 1 {
-		t.Errorf("%d events, %v", len(answer.Events), err)
+	if response, err = p.watcher.Serve(t.Context(), p.followerRevision, 0); err != nil || len(response.Events) != 1 {
+		t.Errorf("%d events, %v", len(response.Events), err)
 	}
 }
 
 // TestUnpackRefusesWhatIsTooLarge, or no pack at all.
-func TestUnpackRefusesWhatIsTooLarge(t *testing.T) {
-	packed, err := pack([]Item{{Key: "large", Value: make([]byte, maxUnpacked)}})
+func TestUnpackRejectsOversizedOrInvalidInput(t *testing.T) {
+	packed, err := pack([]Item{{Key: "large", Value: make([]byte, maxUnpackedBytes)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := unpack[Item](packed); !errors.Is(err, errUnpacked) {
+	if _, err := unpack[Item](packed); !errors.Is(err, errUnpackedTooLarge) {
 		t.Errorf("got %v", err)
 	}
 	if _, err := unpack[Item]([]byte("no pack")); err == nil {
--- a/internal/edge/mirror/contents.go
+++ b/internal/edge/mirror/replica.go
@@ -7,13 +7,13 @@
 )
 
 // contents is a copy of the items under a prefix, as of a revision. It is pure.
-type contents struct {
+type replica struct {
 	items    map[string]Item
 	revision uint64
 }
 
 // replace takes in all items there are at a revision.
-func (c *contents) replace(items []Item, revision uint64) {
+func (c *replica) replace(items []Item, revision uint64) {
 	c.items = make(map[string]Item, len(items))
 	for _, item := range items {
 		c.items[item.Key] = item
@@ -22,7 +22,7 @@
 }
 
 // apply takes in the changes up to a revision.
-func (c *contents) apply(events []Event, revision uint64) {
+func (c *replica) apply(events []Event, revision uint64) {
 	for _, event := range events {
 		if event.Removed {
 			delete(c.items, event.Key)
@@ -34,14 +34,14 @@
 }
 
 // list returns all items by key.
-func (c *contents) list() []Item {
+func (c *replica) list() []Item {
 	return slices.SortedFunc(maps.Values(c.items), func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
 }
 
 // changes returns the events that lead from the copy to the items of a later
 // revision. Items that are newer than that revision are left out: a watch from there on
 // returns them.
-func (c *contents) changes(items []Item, revision uint64) []Event {
+func (c *replica) diff(items []Item, revision uint64) []Event {
 	var events []Event
 	present := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -56,9 +56,9 @@
 		}
 		return 1
 	})
-	for _, known := range c.list() {
-		if !present[known.Key] {
-			events = append(events, Event{Item: Item{Key: known.Key, Revision: revision}, Removed: true})
+	for _, existing := range c.list() {
+		if !present[existing.Key] {
+			events = append(events, Event{Item: Item{Key: existing.Key, Revision: revision}, Removed: true})
 		}
 	}
 	return events
--- a/internal/edge/mirror/shared.go
+++ b/internal/edge/mirror/shared.go
@@ -34,21 +34,21 @@
 	// Wait is the longest wait of a question to a watcher, and of a watch of the
 	// store by a watcher. It is short: a node that asks a watcher learns of a
 	// silent store only after the watcher did.
-	Wait time.Duration
+	WatchTimeout time.Duration
 	// Slack is how long after Wait the answer of a watcher may come.
-	Slack time.Duration
+	ResponseSlack time.Duration
 	// History is how many changes a watcher keeps.
-	History int
+	HistoryLength int
 	// Pause is how long a watcher is not asked after it failed to answer well.
-	Pause time.Duration
+	WatcherBackoff time.Duration
 	// Probe is the mean time between two calls to the store by a node whose watcher
 	// has lost it. It is below the time after an outage in which nodes have to be
 	// in touch again.
-	Probe time.Duration
+	ProbeInterval time.Duration
 
 	// Fresh is the age up to which the copy of another node counts as current: a
 	// follower receives an answer once in Wait and Slack.
-	Fresh time.Duration
+	MaxCopyAge time.Duration
 	// StartSpread is the time within which the processes of a fleet start that
 	// starts as a whole: for so long a source that does not answer is asked again.
 	// Machines that get their power back together start within 0.3 s; with the
@@ -56,18 +56,18 @@
 	StartSpread time.Duration
 	// Stagger is the time after which a further source is asked beside those
 	// that have offered nothing.
-	Stagger time.Duration
+	SourceStagger time.Duration
 	// OfferPause is the mean pause before a source that does not listen yet is
 	// asked again.
-	OfferPause time.Duration
+	OfferRetryDelay time.Duration
 	// OfferWait is the longest wait of a question to a source without a copy, and
 	// SourcesTimeout bounds the wait for all sources, before the store is asked.
-	OfferWait, SourcesTimeout time.Duration
+	OfferTimeout, SourcesTimeout time.Duration
 	// SourceTerm is how long after its start a node asks the sources for changes
 	// before the watchers, and how long a source answers at least: of a fleet that
 	// starts, few nodes are known at first, and those that come to be watchers by
 	// that do not watch yet.
-	SourceTerm time.Duration
+	SourcePeriod time.Duration
 }
 
 // DefaultSharedConfig returns the defaults. Wait and Slack together, and Fresh, keep a
@@ -77,9 +77,9 @@
 // follow from these.
 func DefaultSharedConfig() SharedConfig {
 	return SharedConfig{
-		Wait: time.Second, Slack: 600 * time.Millisecond, History: 8192, Pause: 3 * time.Second, Probe: 3 * time.Second,
-		Fresh: 2 * time.Second, StartSpread: 700 * time.Millisecond, Stagger: 250 * time.Millisecond, OfferPause: 150 * time.Millisecond,
-		OfferWait: 250 * time.Millisecond, SourcesTimeout: 2 * time.Second, SourceTerm: 2 * time.Second,
+		WatchTimeout: time.Second, ResponseSlack: 600 * time.Millisecond, HistoryLength: 8192, WatcherBackoff: 3 * time.Second, ProbeInterval: 3 * time.Second,
+		MaxCopyAge: 2 * time.Second, StartSpread: 700 * time.Millisecond, SourceStagger: 250 * time.Millisecond, OfferRetryDelay: 150 * time.Millisecond,
+		OfferTimeout: 250 * time.Millisecond, SourcesTimeout: 2 * time.Second, SourcePeriod: 2 * time.Second,
 	}
 }
 
@@ -99,40 +99,40 @@
 	clock  clock.Clock
 	logger *slog.Logger
 
-	mutex    sync.Mutex
-	contents contents
-	history  history
+	mutex   sync.Mutex
+	replica replica
+	history history
 	// heardAt is when the store, or a watcher for it, last answered, and loadedAt
 	// when the contents were first known, on the clock.
-	heardAt, loadedAt time.Duration
+	lastContactAt, loadedAt time.Duration
 
 	// The start: see startup.Plan.
-	nodes   string // prefix under which nodes are announced
-	plan    Planner
-	source  bool
-	sources []netip.AddrPort
+	nodesPrefix string // prefix under which nodes are announced
+	planner     Planner
+	isSource    bool
+	sources     []netip.AddrPort
 
 	// Following: whom this node asks for changes.
-	watching bool // this node is a watcher
-	watchers []netip.AddrPort
-	paused   map[netip.AddrPort]pause
-	byStore  bool      // the last answer came from the store itself
-	probeAt  time.Time // when the store is asked next although a watcher has lost it
+	isWatcher     bool // this node is a watcher
+	watchers      []netip.AddrPort
+	backoffs      map[netip.AddrPort]watcherBackoff
+	lastFromStore bool      // the last answer came from the store itself
+	nextProbeAt   time.Time // when the store is asked next although a watcher has lost it
 
 	// Serving: what other nodes receive.
-	serves   bool   // the watch of the store in progress, or the last one, is that of a watcher
-	packed   []byte // the contents at the revision packedAt, in the form of pack
-	packedAt uint64
-	answered packedEvents // the last answer to a follower that was packed
+	serving        bool   // the watch of the store in progress, or the last one, is that of a watcher
+	packedItems    []byte // the contents at the revision packedAt, in the form of pack
+	packedRevision uint64
+	packedResponse packedEvents // the last answer to a follower that was packed
 }
 
 // NewShared returns a Source that asks the store alone, until SetWatchers.
-func NewShared(config SharedConfig, store Store, peers Peers, time clock.Clock, logger *slog.Logger) *Shared {
+func NewShared(config SharedConfig, store Store, peers Peers, clk clock.Clock, logger *slog.Logger) *Shared {
 	return &Shared{
-		config: config, store: store, peers: peers, clock: time, logger: logger,
-		paused:  make(map[netip.AddrPort]pause),
-		history: newHistory(config.History),
-		heardAt: time.Now(),
+		config: config, store: store, peers: peers, clock: clk, logger: logger,
+		backoffs:      make(map[netip.AddrPort]watcherBackoff),
+		history:       newHistory(config.HistoryLength),
+		lastContactAt: clk.Now(),
 	}
 }
 
@@ -140,7 +140,7 @@
 func (s *Shared) Age() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.clock.Now() - s.heardAt
+	return s.clock.Now() - s.lastContactAt
 }
 
 // SetWatchers says which nodes watch the store, in the order in which this node
@@ -149,9 +149,9 @@
 func (s *Shared) SetWatchers(watching bool, others []netip.AddrPort) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.watching = watching
+	s.isWatcher = watching
 	s.watchers = others
-	maps.DeleteFunc(s.paused, func(watcher netip.AddrPort, _ pause) bool {
+	maps.DeleteFunc(s.backoffs, func(watcher netip.AddrPort, _ watcherBackoff) bool {
 		return !slices.Contains(others, watcher) && !slices.Contains(s.sources, watcher)
 	})
 }
@@ -159,39 +159,39 @@
 // Range implements Source.
 func (s *Shared) Range(ctx context.Context, prefix string) ([]Item, uint64, error) {
 	s.mutex.Lock()
-	loaded := s.contents.items != nil
+	loaded := s.replica.items != nil
 	s.mutex.Unlock()
 	if !loaded {
-		return s.load(ctx, prefix)
+		return s.loadInitial(ctx, prefix)
 	}
-	return s.rangeStore(ctx, prefix)
+	return s.readStore(ctx, prefix)
 }
 
 // rangeStore reads all items from the store. Nodes that ask this one receive what has
 // changed since its former copy.
-func (s *Shared) rangeStore(ctx context.Context, prefix string) ([]Item, uint64, error) {
+func (s *Shared) readStore(ctx context.Context, prefix string) ([]Item, uint64, error) {
 	items, revision, err := s.store.Range(ctx, prefix)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err != nil {
-		s.history.markLost()
+		s.history.markDisconnected()
 		return nil, 0, err
 	}
-	s.heardAt = s.clock.Now()
-	if s.contents.items == nil || revision < s.contents.revision {
-		s.contents.replace(items, revision)
-		s.restart(revision)
+	s.lastContactAt = s.clock.Now()
+	if s.replica.items == nil || revision < s.replica.revision {
+		s.replica.replace(items, revision)
+		s.restartHistory(revision)
 		return items, revision, nil
 	}
-	before, events := s.contents.revision, s.contents.changes(items, revision)
-	s.contents.replace(items, revision)
-	s.history.addDifference(before, events, revision)
+	previous, events := s.replica.revision, s.replica.diff(items, revision)
+	s.replica.replace(items, revision)
+	s.history.appendDiff(previous, events, revision)
 	return items, revision, nil
 }
 
 // restart restarts the history with the contents.
-func (s *Shared) restart(revision uint64) {
+func (s *Shared) restartHistory(revision uint64) {
 	s.loadedAt = s.clock.Now()
-	s.serves = s.watchesForOthers()
+	s.serving = s.actsAsWatcher()
 	s.history.restart(revision)
 }
--- a/internal/edge/mirror/shared_test.go
+++ b/internal/edge/mirror/shared_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestChangesComeFromTheWatcher(t *testing.T) {
-	p := newPair(t)
+func TestFollowerReceivesChangesFromWatcher(t *testing.T) {
+	p := newWatcherPair(t)
 	p.store.put("a")
 	p.wantFollow(0, 0, nil) // the watcher has not heard of it
 	if err := p.watch(); err != nil {
@@ -21,9 +21,9 @@
 }
 
 // TestWatcherWaitsShortly, since others rely on its noticing an outage.
-func TestWatcherWaitsShortly(t *testing.T) {
-	p := newPair(t)
-	if wait := p.store.waits[len(p.store.waits)-1]; wait != DefaultSharedConfig().Wait {
+func TestWatcherUsesShortWatchTimeout(t *testing.T) {
+	p := newWatcherPair(t)
+	if wait := p.store.waits[len(p.store.waits)-1]; wait != DefaultSharedConfig().WatchTimeout {
 		t.Errorf("watches for %v", wait)
 	}
 	p.follower.SetWatchers(false, nil)
@@ -35,12 +35,12 @@
 
 // TestFollowerTurnsToTheStore when the watcher is cut off, is no watcher, or
 // lacks history.
-func TestFollowerTurnsToTheStore(t *testing.T) {
-	p := newPair(t)
+func TestFollowerFallsBackToStore(t *testing.T) {
+	p := newWatcherPair(t)
 	p.store.put("a")
-	p.peers.setCut(p.address, true)
+	p.peers.setUnreachable(p.address, true)
 	p.wantFollow(1, 1, nil)
-	p.peers.setCut(p.address, false)
+	p.peers.setUnreachable(p.address, false)
 	if err := p.watch(); err != nil {
 		t.Fatal(err)
 	}
@@ -56,34 +56,34 @@
 	if err := p.watch(); err != nil {
 		t.Fatal(err)
 	}
-	p.revision = 1 // the history of the watcher begins later
+	p.followerRevision = 1 // the history of the watcher begins later
 	p.wantFollow(1, 1, nil)
 }
 
 // TestFollowerTurnsToAnotherWatcher first, if there is time.
-func TestFollowerTurnsToAnotherWatcher(t *testing.T) {
-	p := newPair(t)
-	gone := netip.MustParseAddrPort("127.0.0.1:2")
-	p.peers.setCut(gone, true)
-	p.follower.SetWatchers(false, []netip.AddrPort{gone, p.address})
+func TestFollowerTriesNextWatcherFirst(t *testing.T) {
+	p := newWatcherPair(t)
+	unreachable := netip.MustParseAddrPort("127.0.0.1:2")
+	p.peers.setUnreachable(unreachable, true)
+	p.follower.SetWatchers(false, []netip.AddrPort{unreachable, p.address})
 	p.store.put("a")
 	if err := p.watch(); err != nil {
 		t.Fatal(err)
 	}
 	p.wantFollow(1, 0, nil)
-	p.follower.config.Slack = 0 // there is none once the first one has failed
+	p.follower.config.ResponseSlack = 0 // there is none once the first one has failed
 	p.wantFollow(0, 1, nil)
 }
 
 // TestOutageIsSeenThroughTheWatcher, so that the follower judges what vanishes
 // around it as it would if it had met it itself.
-func TestOutageIsSeenThroughTheWatcher(t *testing.T) {
-	p := newPair(t)
+func TestFollowerSeesStoreOutageOfWatcher(t *testing.T) {
+	p := newWatcherPair(t)
 	p.store.setDown(true)
 	if err := p.watch(); err == nil {
 		t.Fatal("watched a store that is down")
 	}
-	p.wantFollow(0, 0, ErrWatcherLost)
+	p.wantFollow(0, 0, ErrWatcherDisconnected)
 	p.store.setDown(false)
 	p.store.put("a")
 	if err := p.watch(); err != nil {
@@ -94,20 +94,20 @@
 
 // TestOutageIsNotProbedByEveryNodeAtOnce: a node whose watchers have lost the store
 // asks it from time to time, and goes on with it if it answers.
-func TestOutageIsNotProbedByEveryNodeAtOnce(t *testing.T) {
-	p := newPair(t)
-	p.follower.config.Pause = time.Hour
+func TestOutageProbesAreRateLimited(t *testing.T) {
+	p := newWatcherPair(t)
+	p.follower.config.WatcherBackoff = time.Hour
 	p.store.setDown(true)
 	_ = p.watch()
 	for range 20 {
-		p.wantFollow(0, 0, ErrWatcherLost)
+		p.wantFollow(0, 0, ErrWatcherDisconnected)
 	}
-	p.follower.probeAt = time.Now()
-	p.wantFollow(0, 1, errAway)
-	p.wantFollow(0, 0, ErrWatcherLost)
+	p.follower.nextProbeAt = time.Now()
+	p.wantFollow(0, 1, errStoreDown)
+	p.wantFollow(0, 0, ErrWatcherDisconnected)
 	p.store.setDown(false) // for the follower; the watcher has not noticed
 	p.store.put("a")
-	p.follower.probeAt = time.Now()
+	p.follower.nextProbeAt = time.Now()
 	p.wantFollow(1, 1, nil)
 	p.store.put("b")
 	p.wantFollow(1, 1, nil)
@@ -119,18 +119,18 @@
 }
 
 // TestServeWakesUp when there is a change, or the store is lost.
-func TestServeWakesUp(t *testing.T) {
-	for name, happen := range map[string]func(p *pair){
-		"change": func(p *pair) { p.store.put("a") },
-		"outage": func(p *pair) { p.store.setDown(true) },
+func TestServeReturnsOnChangeOrOutage(t *testing.T) {
+	for name, trigger := range map[string]func(p *watcherPair){
+		"change": func(p *watcherPair) { p.store.put("a") },
+		"outage": func(p *watcherPair) { p.store.setDown(true) },
 	} {
-		p := newPair(t)
-		answers := make(chan Watched)
-		go func() { answers <- p.watcher.await(t.Context(), 0, time.Hour) }()
-		happen(p)
+		p := newWatcherPair(t)
+		responses := make(chan Watched)
+		go func() { responses <- p.watcher.awaitChanges(t.Context(), 0, time.Hour) }()
+		trigger(p)
 		_ = p.watch()
-		answer := <-answers
-		if got := fmt.Sprint(answer.State, len(answer.Events)); got != map[string]string{"change": "current1", "outage": "lost0"}[name] {
+		response := <-responses
+		if got := fmt.Sprint(response.State, len(response.Events)); got != map[string]string{"change": "current1", "outage": "lost0"}[name] {
 			t.Errorf("%s: %s", name, got)
 		}
 	}
@@ -138,20 +138,20 @@
 
 // TestFollowerMissesNothing plays random changes, outages, cuts, changes of
 // watchers and lost histories: the follower gets every change once, in order.
-func TestFollowerMissesNothing(t *testing.T) {
+func TestFollowerReceivesEveryChangeInOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		p := newPair(t)
-		p.watcher.history.most = 3
+		p := newWatcherPair(t)
+		p.watcher.history.maxEvents = 3
 		var got []uint64
 		rt.Repeat(map[string]func(*rapid.T){
 			"change":  func(*rapid.T) { p.store.put(fmt.Sprint("k", len(p.store.events))) },
 			"outage":  func(rt *rapid.T) { p.store.setDown(rapid.Bool().Draw(rt, "down")) },
-			"cut":     func(rt *rapid.T) { p.peers.setCut(p.address, rapid.Bool().Draw(rt, "cut")) },
+			"cut":     func(rt *rapid.T) { p.peers.setUnreachable(p.address, rapid.Bool().Draw(rt, "cut")) },
 			"watcher": func(rt *rapid.T) { p.watcher.SetWatchers(rapid.Bool().Draw(rt, "watching"), nil) },
 			"watch":   func(*rapid.T) { _ = p.watch() },
 			"range": func(*rapid.T) {
 				if _, revision, err := p.watcher.Range(t.Context(), ""); err == nil {
-					p.watched = revision
+					p.watcherRevision = revision
 				}
 			},
 			"follow": func(*rapid.T) {
@@ -166,8 +166,8 @@
 						rt.Fatalf("got %v", got)
 					}
 				}
-				if p.revision != uint64(len(got)) {
-					rt.Fatalf("at revision %d with %v", p.revision, got)
+				if p.followerRevision != uint64(len(got)) {
+					rt.Fatalf("at revision %d with %v", p.followerRevision, got)
 				}
 			},
 		})
@@ -176,8 +176,8 @@
 
 // TestFollowerThatKnowsMoreThanTheWatcherAsksElsewhere: a watcher that comes back
 // from an outage has old changes to take in, and tells of no new ones meanwhile.
-func TestFollowerThatKnowsMoreThanTheWatcherAsksElsewhere(t *testing.T) {
-	p := newPair(t)
+func TestWatcherBehindFollowerIsSkipped(t *testing.T) {
+	p := newWatcherPair(t)
 	p.store.put("a")
 	p.follower.SetWatchers(false, nil)
 	p.wantFollow(1, 1, nil) // of the store
--- a/internal/edge/mirror/snapshot.go
+++ b/internal/edge/mirror/snapshot.go
@@ -14,7 +14,7 @@
 	// store.
 	OfferCurrent OfferState = "current"
 	// OfferLost means that it has a copy, and has lost the store.
-	OfferLost OfferState = "lost"
+	OfferDisconnected OfferState = "lost"
 	// OfferLoading means that it has no copy yet.
 	OfferLoading OfferState = "loading"
 )
@@ -40,7 +40,7 @@
 	defer timer.Stop()
 	for {
 		s.mutex.Lock()
-		offer, changed := s.offer(), s.history.changed
+		offer, changed := s.currentOffer(), s.history.changed
 		s.mutex.Unlock()
 		if offer.State != OfferLoading {
 			return offer
@@ -56,13 +56,13 @@
 }
 
 // offer describes the copy.
-func (s *Shared) offer() Offer {
-	if s.contents.items == nil {
+func (s *Shared) currentOffer() Offer {
+	if s.replica.items == nil {
 		return Offer{State: OfferLoading}
 	}
-	offer := Offer{State: OfferCurrent, Revision: s.contents.revision, Age: s.clock.Now() - s.heardAt}
-	if s.history.lost || offer.Age > s.config.Fresh {
-		offer.State = OfferLost
+	offer := Offer{State: OfferCurrent, Revision: s.replica.revision, Age: s.clock.Now() - s.lastContactAt}
+	if s.history.disconnected || offer.Age > s.config.MaxCopyAge {
+		offer.State = OfferDisconnected
 	}
 	return offer
 }
@@ -71,16 +71,16 @@
 func (s *Shared) Snapshot() (Snapshot, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	offer := s.offer()
+	offer := s.currentOffer()
 	if offer.State == OfferLoading {
 		return Snapshot{Offer: offer}, nil
 	}
-	if s.packed == nil || s.packedAt != s.contents.revision {
-		packed, err := pack(s.contents.list())
+	if s.packedItems == nil || s.packedRevision != s.replica.revision {
+		packed, err := pack(s.replica.list())
 		if err != nil {
 			return Snapshot{}, err
 		}
-		s.packed, s.packedAt = packed, s.contents.revision
+		s.packedItems, s.packedRevision = packed, s.replica.revision
 	}
-	return Snapshot{Offer: offer, Packed: s.packed}, nil
+	return Snapshot{Offer: offer, Packed: s.packedItems}, nil
 }
--- a/internal/edge/mirror/wire_test.go
+++ b/internal/edge/mirror/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestPackedReadsAsRecorded guards a fleet of two versions: what pack wrote is read.
-func TestPackedReadsAsRecorded(t *testing.T) {
+func TestRecordedPackedValuesDecode(t *testing.T) {
 	wiretest.Gob[[]Item](t, "packed.items")
 	wiretest.Gob[[]Event](t, "packed.events")
 }
