--- a/internal/edge/mirror/convergence_test.go
+++ b/internal/edge/mirror/convergence_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestStartsConverge plays changes, outages, lost histories, seeds that stop,
-// start and stand still, and nodes that start: what a node knows never gets
-// older, and all know the same once the store answers.
+// TestStartsConverge generates random changes, outages, compactions, seeds that stop, start and
+// pause, and nodes that start. The revision of a node must never decrease, and all nodes must have
+// the same items once the store responds.
 func TestStartsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newTestFleet(t, 3)
 		f.sourcesTimeout = 5 * time.Millisecond
 		f.store.put("first")
-		nodes := make(map[*Shared]uint64) // with the revision that each has
+		nodes := make(map[*Shared]uint64) // the revision of each node
 		step := func(node *Shared) {
 			revision, loaded := nodes[node]
 			var got uint64
@@ -33,7 +33,7 @@
 				return
 			}
 			if got < revision {
-				rt.Fatalf("revision %d after %d", got, revision)
+				rt.Fatalf("node went back from revision %d to %d", revision, got)
 			}
 			nodes[node] = got
 		}
@@ -63,7 +63,7 @@
 			},
 			"freeze": func(rt *rapid.T) {
 				if node := f.peers.at(f.seeds[rapid.IntRange(0, 2).Draw(rt, "seed")]); node != nil {
-					node.mutex.Lock() // a question of a start that has ended may still be under way
+					node.mutex.Lock() // a request of an earlier start may still be in flight
 					node.lastContactAt -= time.Minute
 					node.mutex.Unlock()
 				}
@@ -75,7 +75,7 @@
 		stepAll()
 		for node, revision := range nodes {
 			if got, want := node.replica.list(), f.store.items(); revision != uint64(len(f.store.events)) || !reflect.DeepEqual(got, want) {
-				rt.Fatalf("at revision %d of %d: %v, want %v", revision, len(f.store.events), got, want)
+				rt.Fatalf("node at revision %d of %d has items %v, want %v", revision, len(f.store.events), got, want)
 			}
 		}
 	})
--- a/internal/edge/mirror/fleet_start_test.go
+++ b/internal/edge/mirror/fleet_start_test.go
@@ -13,11 +13,11 @@
 	"github.com/micaplank/micaplank/internal/decide/startup"
 )
 
-// linkedStore is a store behind a link that carries one range at a time.
+// serialStore is a store behind a link that carries one range read at a time.
 type serialStore struct {
 	*memoryStore
 	link          chan struct{}
-	rangeDuration time.Duration // by one range
+	rangeDuration time.Duration // of one range read
 }
 
 func (l *serialStore) Range(ctx context.Context, prefix string) ([]Item, uint64, error) {
@@ -27,9 +27,9 @@
 	return l.memoryStore.Range(ctx, prefix)
 }
 
-// TestReturnOfAWholeFleet: when all nodes start at once, the sources after the
-// others, the store is read by the sources only, and all have a copy before the
-// store could have served a tenth of them.
+// TestFleetStartReadsStoreOnlyFromSources starts all nodes at once, the sources after the others.
+// Only the sources may read the store, and all nodes must have a copy before the store could have
+// served a tenth of them.
 func TestFleetStartReadsStoreOnlyFromSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -59,7 +59,7 @@
 		start := func(node *Shared) {
 			items, _, err := node.Range(t.Context(), "")
 			if err == nil && len(items) != 1 {
-				err = fmt.Errorf("%d items", len(items))
+				err = fmt.Errorf("loaded %d items, want 1", len(items))
 			}
 			loaded <- err
 		}
@@ -77,10 +77,10 @@
 			}
 		}
 		if store.ranges != sources {
-			t.Errorf("the store was read %d times, there are %d sources", store.ranges, sources)
+			t.Errorf("the store was read %d times, want %d, once per source", store.ranges, sources)
 		}
 		if elapsed := time.Since(startedAt); elapsed > sourceDelay+sources*store.rangeDuration+time.Second {
-			t.Errorf("the last node had a copy after %v", elapsed)
+			t.Errorf("the last node had a copy after %v, want at most %v", elapsed, sourceDelay+sources*store.rangeDuration+time.Second)
 		}
 	})
 }
--- a/internal/edge/mirror/gather_test.go
+++ b/internal/edge/mirror/gather_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestBacklogOfAnOutageIsTakenInAtOnce: the pause that gathers changes is for those
-// that happen now, not for those of an outage, which come in several answers.
+// TestBacklogAfterOutageIsNotDelayed checks that the Gather delay applies to current changes only.
+// The backlog of an outage comes in several responses, and the delay after each one would add up.
 func TestBacklogAfterOutageIsNotDelayed(t *testing.T) {
 	portion, few := make([]Event, 30), make([]Event, 2)
 	for _, test := range []struct {
--- a/internal/edge/mirror/helpers_test.go
+++ b/internal/edge/mirror/helpers_test.go
@@ -13,11 +13,11 @@
 	"github.com/micaplank/micaplank/internal/clock"
 )
 
-// memoryStore is a Source over a list of events; it can be down, and forget.
+// memoryStore is a Source over a list of events. It can be down, and compact its history.
 type memoryStore struct {
 	mutex             sync.Mutex
 	events            []Event
-	compactedRevision uint64 // the history up to here is gone
+	compactedRevision uint64 // the history up to this revision is compacted
 	down              bool
 	ranges            int
 	watches           int
@@ -41,14 +41,14 @@
 	m.down = down
 }
 
-// forget drops the history.
+// compact drops the history.
 func (m *memoryStore) compact() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.compactedRevision = uint64(len(m.events))
 }
 
-// items returns what there is, by key.
+// items returns the current items in the order of their keys.
 func (m *memoryStore) items() []Item {
 	var current replica
 	current.replace(nil, 0)
@@ -66,7 +66,7 @@
 	return m.items(), uint64(len(m.events)), nil
 }
 
-// Peek returns items of some time ago.
+// Peek returns the current items.
 func (m *memoryStore) Peek(_ context.Context, prefix string) ([]Item, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -97,22 +97,21 @@
 	return m.events[after:], uint64(len(m.events)), nil
 }
 
-// linked asks watchers in the same process; one that is cut off does not answer.
+// localPeers calls nodes in the same process. An unreachable node does not respond.
 type localPeers struct {
 	mutex       sync.Mutex
 	watchers    map[netip.AddrPort]*Shared
 	unreachable map[netip.AddrPort]bool
 }
 
-// set puts a watcher at an address. A question of a start that has ended may
-// still be under way.
+// set places a node at an address. A request of an earlier start may still be in flight.
 func (l *localPeers) set(address netip.AddrPort, watcher *Shared) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.watchers[address] = watcher
 }
 
-// at returns the watcher at an address.
+// at returns the node at an address.
 func (l *localPeers) at(address netip.AddrPort) *Shared {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -131,7 +130,7 @@
 	return l.unreachable[address]
 }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("node is unreachable")
 
 func (l *localPeers) Watch(ctx context.Context, to netip.AddrPort, after uint64, _ time.Duration) (Watched, error) {
 	if l.isUnreachable(to) {
@@ -154,7 +153,7 @@
 	return l.at(source).Snapshot()
 }
 
-// pair is a watcher and a node that asks it.
+// watcherPair is a watcher and a follower that asks it.
 type watcherPair struct {
 	*testing.T
 	store            *memoryStore
@@ -162,8 +161,8 @@
 	address          netip.AddrPort
 	watcher          *Shared
 	follower         *Shared
-	followerRevision uint64 // that the follower has
-	watcherRevision  uint64 // that the watcher has
+	followerRevision uint64
+	watcherRevision  uint64
 }
 
 func newWatcherPair(t *testing.T) *watcherPair {
@@ -188,14 +187,14 @@
 	return p
 }
 
-// watch lets the watcher watch the store once.
+// watch makes the watcher watch the store once.
 func (p *watcherPair) watch() error {
 	_, revision, err := p.watcher.Watch(p.Context(), "", p.watcherRevision, time.Minute)
 	p.watcherRevision = max(p.watcherRevision, revision)
 	return err
 }
 
-// follow lets the follower ask once, and returns what it got and the calls to
+// follow makes the follower ask for changes once. It returns the events and the number of calls to
 // the store that this took.
 func (p *watcherPair) follow() (events []Event, calls int, err error) {
 	watchesBefore := p.store.watches
@@ -210,6 +209,6 @@
 	p.Helper()
 	gotEvents, gotCalls, err := p.follow()
 	if len(gotEvents) != wantEvents || gotCalls != wantCalls || !errors.Is(err, wantErr) {
-		p.Errorf("%d events, %d calls to the store, %v; want %d, %d, %v", len(gotEvents), gotCalls, err, wantEvents, wantCalls, wantErr)
+		p.Errorf("%d events, %d calls to the store, error %v; want %d, %d, %v", len(gotEvents), gotCalls, err, wantEvents, wantCalls, wantErr)
 	}
 }
--- a/internal/edge/mirror/history.go
+++ b/internal/edge/mirror/history.go
@@ -2,25 +2,24 @@
 
 import "slices"
 
-// history holds the last changes of the store, in their order. It lets a watcher answer
-// other nodes.
+// history holds the latest changes of the store in order. A watcher serves other nodes from it.
 type history struct {
-	// most bounds the number of changes.
+	// maxEvents bounds the number of changes.
 	maxEvents int
-	// open says that the changes after since are known up to revision.
+	// started is set if all changes after since, up to revision, have been received.
 	started         bool
-	disconnected    bool // the store does not answer
+	disconnected    bool // the store does not respond
 	since, revision uint64
 	events          []Event
-	// gaps are the revisions between which only the difference is known.
+	// gaps are the revision ranges for which only the difference between both ends is recorded.
 	gaps []diffGap
-	// changed is closed at the next change of any of this.
+	// changed is closed when the history changes next.
 	changed chan struct{}
 }
 
-// gap is a gap in the history that was closed by comparing what was known at one revision
-// with what there is at a later one. What was written and removed between them is not in
-// it, so a node at a revision between the two cannot follow from it.
+// diffGap is a range of revisions that was bridged by comparing the items at both ends. Keys that
+// were written and removed in between are missing from the difference, so a node at a revision
+// inside the range cannot continue from it.
 type diffGap struct{ from, to uint64 }
 
 func newHistory(maxEvents int) history {
@@ -32,7 +31,7 @@
 	h.changed = make(chan struct{})
 }
 
-// restart drops all changes and goes on from a revision.
+// restart drops all changes and continues from a revision.
 func (h *history) restart(revision uint64) {
 	h.started, h.disconnected = true, false
 	h.since, h.revision = revision, revision
@@ -40,7 +39,7 @@
 	h.notify()
 }
 
-// markLost notes that the store does not answer.
+// markDisconnected records that the store does not respond.
 func (h *history) markDisconnected() {
 	if !h.disconnected {
 		h.disconnected = true
@@ -48,7 +47,7 @@
 	}
 }
 
-// add takes in the changes between two revisions.
+// append records the changes between two revisions.
 func (h *history) append(after uint64, events []Event, revision uint64) {
 	if !h.started || after != h.revision {
 		h.restart(after)
@@ -64,17 +63,17 @@
 	h.notify()
 }
 
-// addDifference takes in what is different between two revisions.
+// appendDiff records the difference between two revisions.
 func (h *history) appendDiff(after uint64, events []Event, revision uint64) {
 	h.append(after, events, revision)
 	h.gaps = append(h.gaps, diffGap{from: after, to: revision})
 }
 
-// maxHistoryBytes bounds the values that the history keeps. Not measured: chosen because
-// it holds some versions of a configuration of thousands of routes.
+// maxHistoryBytes bounds the size of the values in the history. It holds several versions of a
+// configuration of thousands of routes.
 const maxHistoryBytes = 4 << 20
 
-// trim drops the oldest changes beyond the bounds. The last one stays.
+// trim drops the oldest changes beyond the bounds. The latest change always stays.
 func (h *history) trim() {
 	size := valueBytes(h.events)
 	surplus := max(len(h.events)-h.maxEvents, 0)
@@ -97,8 +96,8 @@
 	return slices.ContainsFunc(h.gaps, func(gap diffGap) bool { return gap.from < revision && revision < gap.to })
 }
 
-// after returns the answer to a node that has the changes up to a revision, and a channel
-// that is closed when the answer may have changed.
+// eventsAfter returns the response to a node that has the changes up to a revision, and a channel
+// that is closed when the response may have changed.
 func (h *history) eventsAfter(revision uint64) (Watched, <-chan struct{}) {
 	switch {
 	case !h.started, revision < h.since, h.withinGap(revision):
--- a/internal/edge/mirror/history_test.go
+++ b/internal/edge/mirror/history_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestFollowersHearWhatAnExpiredHistoryHid, without a call to the store of their
-// own: the watcher compares what it reads with what it knew.
+// TestFollowersReceiveDiffAfterCompaction checks that followers receive the changes that a
+// compaction hid from the watcher, without a call to the store of their own: the watcher compares
+// the new range with its previous copy.
 func TestFollowersReceiveDiffAfterCompaction(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.put("a")
@@ -23,18 +24,18 @@
 	if err := p.watch(); !errors.Is(err, ErrCompacted) {
 		t.Fatal(err)
 	}
-	p.wantFollow(0, 0, nil) // it waits for the watcher
+	p.wantFollow(0, 0, nil) // the follower waits for the watcher
 	if _, _, err := p.watcher.Range(t.Context(), ""); err != nil {
 		t.Fatal(err)
 	}
 	p.wantFollow(3, 0, nil)
 	if got, want := p.follower.replica.list(), p.store.items(); !reflect.DeepEqual(got, want) {
-		t.Errorf("the follower knows %v, want %v", got, want)
+		t.Errorf("items of the follower: %v, want %v", got, want)
 	}
 }
 
-// TestFollowerThatKnowsMoreIsToldNoDifference: what it knows may have come and gone
-// while the watcher knew nothing, who cannot tell it then.
+// TestFollowerAheadOfDiffMustReload checks that a follower inside a diff gap is refused. A key that
+// it has may have been written and removed within the gap, and the difference would not tell it.
 func TestFollowerAheadOfDiffMustReload(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.put("a")
@@ -48,11 +49,11 @@
 	if _, _, err := p.watcher.Range(t.Context(), ""); err != nil {
 		t.Fatal(err)
 	}
-	p.wantFollow(0, 1, ErrCompacted) // it has to read the store itself
+	p.wantFollow(0, 1, ErrCompacted) // the follower has to read the store itself
 }
 
-// TestFollowerThatBecomesAWatcherKeepsItsHistory, so that others need not turn to
-// the store when the watchers change.
+// TestPromotedFollowerKeepsHistory checks that a follower that becomes a watcher serves its
+// history, so that other nodes need not read the store when the watchers change.
 func TestPromotedFollowerKeepsHistory(t *testing.T) {
 	p := newWatcherPair(t)
 	oldRevision := p.followerRevision
@@ -62,16 +63,16 @@
 	}
 	p.wantFollow(1, 0, nil)
 	if response := p.follower.awaitChanges(t.Context(), oldRevision, 0); response.State != WatchRefused {
-		t.Errorf("a follower answers %s", response.State)
+		t.Errorf("state of a follower: %s, want %s", response.State, WatchRefused)
 	}
 	p.follower.SetWatchers(true, nil)
 	p.wantFollow(0, 1, nil)
 	if response := p.follower.awaitChanges(t.Context(), oldRevision, 0); response.State != WatchCurrent || len(response.Events) != 1 {
-		t.Errorf("a new watcher answers %s with %d events", response.State, len(response.Events))
+		t.Errorf("new watcher: state %s with %d events, want %s with 1", response.State, len(response.Events), WatchCurrent)
 	}
 }
 
-// TestHistoryIsBounded by the number of changes and by the size of their values.
+// TestHistoryIsBounded checks the bounds on the number of changes and on the size of their values.
 func TestHistoryIsBounded(t *testing.T) {
 	for _, test := range []struct{ size, maxEvents, want int }{{0, 3, 3}, {maxHistoryBytes / 2, 10, 2}, {2 * maxHistoryBytes, 10, 1}} {
 		h := newHistory(test.maxEvents)
@@ -82,7 +83,7 @@
 		tooOld, _ := h.eventsAfter(uint64(7 - test.want))
 		complete, _ := h.eventsAfter(uint64(8 - test.want))
 		if tooOld.State != WatchRefused || complete.State != WatchCurrent || len(complete.Events) != test.want {
-			t.Errorf("%+v: %s, %s with %d changes", test, tooOld.State, complete.State, len(complete.Events))
+			t.Errorf("%+v: before the bound %s, at the bound %s with %d changes, want %s, %s with %d", test, tooOld.State, complete.State, len(complete.Events), WatchRefused, WatchCurrent, test.want)
 		}
 	}
 }
--- a/internal/edge/mirror/mirror.go
+++ b/internal/edge/mirror/mirror.go
@@ -1,14 +1,14 @@
-// Package mirror keeps a process's copy of the items under a prefix of a key-value store:
-// it reads the range once and then follows a watch (Mirror). While the store is away the
-// copy stays as it is. After a gap in the history the range is read again, and what has
-// vanished from it is removed.
+// Package mirror keeps a copy of the items under a key prefix of a key-value store. A Mirror reads
+// the range once and then follows a watch. While the store is unreachable, the copy stays as it is.
+// After a gap in the history the range is read again, and items that no longer exist are removed.
 //
-// Many nodes read one store with few calls (Shared): some of them, the watchers, follow it
-// for the others, and a node that starts takes over the copy of another one.
+// Shared lets many nodes read one store with few calls. A few nodes, the watchers, watch the store
+// and serve its changes to the others. A node that starts copies the snapshot of another node.
 //
-// The package owns the copy, the last changes for other nodes (history) and who is asked
-// next. It relies on a Store, on Peers for calls between nodes and on a Sink that receives
-// what is read. docs/design/0011-platform.md and 0013-starts.md have the measurements.
+// The package owns the copy, the recent changes that other nodes ask for (history), and the
+// selection of the node to ask next. It relies on a Store, on Peers for calls between nodes, and on
+// a Sink that receives what is read. docs/design/0011-platform.md and 0013-starts.md explain the
+// design.
 package mirror
 
 import (
@@ -20,70 +20,69 @@
 	"github.com/micaplank/micaplank/internal/clock"
 )
 
-// ErrCompacted means that the store does not have the changes after a revision any more.
-var ErrCompacted = errors.New("history is gone")
+// ErrCompacted means that the store no longer has the changes after the requested revision.
+var ErrCompacted = errors.New("history compacted")
 
-// Item is one key with its value.
+// Item is a key with its value.
 type Item struct {
 	Key      string
 	Value    []byte
-	Revision uint64 // of the last change
-	Created  uint64 // revision of the creation
-	Lease    uint64 // that the key goes with; zero without one
+	Revision uint64 // of the last write
+	Created  uint64 // of the write that created the key
+	Lease    uint64 // the lease that the key is bound to; zero without a lease
 }
 
-// Event is a change: an item as it was written, or the removal of its key.
+// Event is a change: a written item, or the removal of a key.
 type Event struct {
 	Item
 	Removed bool
 }
 
-// Source reads a store. Errors other than ErrCompacted and ErrStale are taken for
-// temporary.
+// Source reads a store. Errors other than ErrCompacted and ErrStale are treated as temporary.
 type Source interface {
-	// Range returns all items under the prefix, read fresh, and a revision
-	// such that every change they lack has a higher one. With ErrStale it returns
-	// items, too, which are not fresh.
+	// Range returns all items under the prefix from an up-to-date read, and a revision that covers
+	// them: changes missing from the items have a higher revision. With ErrStale it also returns
+	// items, which may be outdated.
 	Range(ctx context.Context, prefix string) ([]Item, uint64, error)
-	// Watch blocks until there are changes after the revision, or for the wait.
-	// It returns the changes and the revision to go on from.
+	// Watch blocks until there are changes after the revision, or until wait has passed. It returns
+	// the changes and the revision from which to continue.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error)
 }
 
-// Reading says how all items were read.
+// Reading says how the items of a Replace were read.
 type Reading struct {
-	// Gap is set if changes may have been missed before.
+	// Gap is set if changes before this read may have been missed.
 	Gap bool
-	// Stale is set if there may be newer items: the store did not answer, and
-	// they are the copy of another node.
+	// Stale is set if there may be newer items: the store was unreachable, and the items are the
+	// copy of another node.
 	Stale bool
 }
 
 // Sink receives what is read. Its methods are called one at a time.
 type Sink interface {
-	// Replace hands over all items there are.
+	// Replace receives the complete set of items.
 	Replace(items []Item, read Reading)
-	// Change hands over changes, in their order. After an outage there may be
-	// none: then the items are still those known.
+	// Change receives changes in order. After an outage it is also called without changes: the
+	// items received so far are then still current.
 	Change(events []Event)
-	// Lost is called once for each outage, when the store does not answer.
+	// Lost is called once per outage, when the store becomes unreachable.
 	Lost(err error)
-	// Regained is called when it answers again, after an outage of some time, before the
-	// first answer is handed over.
+	// Regained is called after an outage of the given length when the store responds again, before
+	// the first response is passed on.
 	Regained(away time.Duration)
 }
 
 // Config is the policy of a Mirror.
 type Config struct {
-	// Prefix is what the keys begin with.
+	// Prefix is the key prefix to follow.
 	Prefix string
-	// MinBackoff and MaxBackoff bound the pause after an error; it doubles
-	// with each error in a row and is spread by chance.
+	// MinBackoff and MaxBackoff bound the backoff after an error. It doubles with each consecutive
+	// error and has random jitter.
 	MinBackoff, MaxBackoff time.Duration
-	// Wait is the longest wait of one watch.
+	// Wait is the longest duration of one watch call.
 	Wait time.Duration
-	// Gather is the pause after changes before the next call, so that changes
-	// in quick succession come with one call.
+	// Gather is the delay after a call that returned changes. It batches changes in quick
+	// succession into one call.
 	Gather time.Duration
 }
 
@@ -94,21 +93,22 @@
 	sink   Sink
 
 	revision       uint64
-	loaded         bool // the range was read at least once
-	reload         bool // the range has to be read again
+	loaded         bool // the range has been read at least once
+	reload         bool // the range must be read again
 	failures       int
 	disconnectedAt time.Time
-	// behind is set after an outage until an answer shows that little is left of
-	// the changes that were missed.
+	// catchingUp is set after an outage until a response shows that few of the missed changes are
+	// left.
 	catchingUp bool
 }
 
-// backlogAnswer is the number of changes in an answer from which more are taken to be
-// waiting: a store hands out a backlog in portions. With Gather after each, a node took 2.7
-// s for the 180 changes of an outage of 9 s, which came in six.
+// backlogThreshold is the number of changes in a response from which more changes are expected to
+// be pending, because a store returns a backlog in chunks. The Gather delay is skipped between such
+// chunks: after an outage of 9 s it would delay the 180 missed changes, which come in six chunks,
+// by 2.7 s.
 const backlogThreshold = 8
 
-// New returns a Mirror that has read nothing.
+// New returns a Mirror that has not read anything.
 func New(config Config, source Source, sink Sink) *Mirror {
 	return &Mirror{config: config, source: source, sink: sink, reload: true}
 }
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// failed reports an outage of the store to the sink.
+// recordFailure counts an error, and reports the start of an outage to the sink.
 func (m *Mirror) recordFailure(err error) {
 	if m.failures == 0 {
 		m.disconnectedAt = time.Now()
@@ -179,8 +179,9 @@
 	m.failures++
 }
 
-// answered reports the end of an outage to the sink, before what the store has answered,
-// which the sink may judge by it. It reports whether there was one.
+// recordSuccess reports the end of an outage to the sink and returns whether there was one. It must
+// be called before the store's response is passed on, because the sink interprets the response by
+// whether there was an outage.
 func (m *Mirror) recordSuccess() bool {
 	if m.failures == 0 {
 		return false
--- a/internal/edge/mirror/mirror_test.go
+++ b/internal/edge/mirror/mirror_test.go
@@ -14,9 +14,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var errStoreDown = errors.New("away")
+var errStoreDown = errors.New("store is down")
 
-// script is a Source that plays answers in their order, and then ends the run.
+// scriptedSource is a Source that returns scripted responses in order, and then ends the run.
 type scriptedSource struct {
 	answers []any // error, []Item or []Event
 	stop    context.CancelFunc
@@ -53,7 +53,7 @@
 	return answer.([]Event), after + 1, nil
 }
 
-// recorder is a Sink that writes down what it receives.
+// recordingSink is a Sink that records the calls that it receives.
 type recordingSink []string
 
 func (r *recordingSink) Replace(items []Item, read Reading) {
@@ -87,18 +87,18 @@
 		wantReceived string
 	}{
 		{"range, then watch", []any{items, noEvents, events}, "range p/, watch 10, watch 11, watch 12", "replace 1 gap=false, change 1"},
-		{"down at the start", []any{errStoreDown, errStoreDown, items}, "range p/, range p/, range p/, watch 10", "lost, regained, replace 1 gap=false"},
-		{"outage goes on from the same revision", []any{items, errStoreDown, errStoreDown, events}, "range p/, watch 10, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 1"},
-		{"the sink hears of the return before any change", []any{items, errStoreDown, noEvents}, "range p/, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 0"},
-		{"lost history", []any{items, ErrCompacted, items}, "range p/, watch 10, range p/, watch 10", "replace 1 gap=false, replace 1 gap=true"},
-		{"lost history after an outage", []any{items, errStoreDown, ErrCompacted, errStoreDown, items}, "range p/, watch 10, watch 10, range p/, range p/, watch 10", "replace 1 gap=false, lost, regained, lost, regained, replace 1 gap=true"},
+		{"store is down at the start", []any{errStoreDown, errStoreDown, items}, "range p/, range p/, range p/, watch 10", "lost, regained, replace 1 gap=false"},
+		{"watch resumes from the same revision after an outage", []any{items, errStoreDown, errStoreDown, events}, "range p/, watch 10, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 1"},
+		{"reconnection is reported before any change", []any{items, errStoreDown, noEvents}, "range p/, watch 10, watch 10, watch 11", "replace 1 gap=false, lost, regained, change 0"},
+		{"compacted history", []any{items, ErrCompacted, items}, "range p/, watch 10, range p/, watch 10", "replace 1 gap=false, replace 1 gap=true"},
+		{"compacted history after an outage", []any{items, errStoreDown, ErrCompacted, errStoreDown, items}, "range p/, watch 10, watch 10, range p/, range p/, watch 10", "replace 1 gap=false, lost, regained, lost, regained, replace 1 gap=true"},
 	} {
 		calls, received := runScript(test.answers...)
 		if !slices.Equal(calls, strings.Split(test.wantCalls, ", ")) {
-			t.Errorf("%s: asked %v", test.name, calls)
+			t.Errorf("%s: calls %v, want %s", test.name, calls, test.wantCalls)
 		}
 		if !slices.Equal(received, strings.Split(test.wantReceived, ", ")) {
-			t.Errorf("%s: received %v", test.name, received)
+			t.Errorf("%s: received %v, want %s", test.name, received, test.wantReceived)
 		}
 	}
 }
--- a/internal/edge/mirror/pack.go
+++ b/internal/edge/mirror/pack.go
@@ -9,28 +9,28 @@
 	"io"
 )
 
-// maxUnpacked bounds what is packed for another node, once it is unpacked: a
+// maxUnpackedBytes bounds the unpacked size of a value that another node packed. It allows a
 // hundred thousand items of half a kilobyte.
 const maxUnpackedBytes = 48 << 20
 
-// errUnpacked means that more than maxUnpacked was packed.
-var errUnpackedTooLarge = errors.New("more than another node takes")
+// errUnpackedTooLarge means that a packed value exceeds maxUnpackedBytes.
+var errUnpackedTooLarge = errors.New("unpacked size exceeds the limit")
 
-// pack writes items or events in a compact form. Their values are much alike, and
-// shrink to a fraction.
+// pack encodes items or events with gob and deflate. The values are similar to each other and
+// compress well.
 func pack[T Item | Event](values []T) ([]byte, error) {
 	var packed bytes.Buffer
 	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return nil, fmt.Errorf("pack: %w", err)
+		return nil, fmt.Errorf("pack %T: %w", values, err)
 	}
 	if err := errors.Join(gob.NewEncoder(writer).Encode(values), writer.Close()); err != nil {
-		return nil, fmt.Errorf("pack: %w", err)
+		return nil, fmt.Errorf("pack %T: %w", values, err)
 	}
 	return packed.Bytes(), nil
 }
 
-// unpack reads what pack wrote.
+// unpack decodes the output of pack.
 func unpack[T Item | Event](packed []byte) ([]T, error) {
 	limited := &io.LimitedReader{R: flate.NewReader(bytes.NewReader(packed)), N: maxUnpackedBytes}
 	var values []T
@@ -38,16 +38,16 @@
 		if limited.N <= 0 {
 			err = errUnpackedTooLarge
 		}
-		return nil, fmt.Errorf("unpack: %w", err)
+		return nil, fmt.Errorf("unpack %T: %w", values, err)
 	}
 	return values, nil
 }
 
-// packFrom is the size of changes, in bytes of their values, from which they are
-// packed for other nodes: below it, packing costs more than it saves.
+// packThreshold is the size of changes, in bytes of their values, from which they are packed for
+// other nodes. Below it, packing costs more than it saves.
 const packThreshold = 8 << 10
 
-// sizeOf returns the size of changes in bytes of their values.
+// valueBytes returns the size of changes in bytes of their values.
 func valueBytes(events []Event) int {
 	size := 0
 	for index := range events {
@@ -56,15 +56,15 @@
 	return size
 }
 
-// packedEvents are the changes between two revisions, packed. Followers ask for
-// the same ones, all at once.
+// packedEvents caches the packed changes between two revisions, because followers ask for the same
+// changes at the same time.
 type packedEvents struct {
 	after, revision uint64
 	packed          []byte
 }
 
-// of packs the events of an answer to a question for what came after a revision,
-// unless they are few.
+// pack replaces the events of a response to a request for changes after a revision by their packed
+// form, unless they are small.
 func (p *packedEvents) pack(after uint64, response Watched) (Watched, error) {
 	if valueBytes(response.Events) < packThreshold {
 		return response, nil
@@ -80,7 +80,7 @@
 	return response, nil
 }
 
-// unpacked returns an answer with its events.
+// unpack returns the response with its events unpacked.
 func (w Watched) unpack() (Watched, error) {
 	if w.Packed == nil {
 		return w, nil
--- a/internal/edge/mirror/pack_test.go
+++ b/internal/edge/mirror/pack_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestLargeChangesArePacked for followers, once for all that ask alike.
+// TestLargeChangesArePackedOnce checks that large changes are packed for followers, and only once
+// for all followers at the same revision.
 func TestLargeChangesArePackedOnce(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.add(Event{Item: Item{Key: "large", Value: make([]byte, 4*packThreshold)}})
@@ -14,10 +15,10 @@
 	}
 	response, err := p.watcher.Serve(t.Context(), p.followerRevision, 0)
 	if err != nil || len(response.Events) != 0 || len(response.Packed) == 0 || len(response.Packed) > packThreshold/4 {
-		t.Fatalf("%d events, %d packed bytes, %v", len(response.Events), len(response.Packed), err)
+		t.Fatalf("%d events, %d packed bytes, error %v; want no events and 1 to %d packed bytes", len(response.Events), len(response.Packed), err, packThreshold/4)
 	}
 	if repeated, _ := p.watcher.Serve(t.Context(), p.followerRevision, 0); &repeated.Packed[0] != &response.Packed[0] {
-		t.Error("packed anew")
+		t.Error("changes were packed again, want the packed bytes of the first response")
 	}
 	p.wantFollow(1, 0, nil)
 	p.store.put("small")
@@ -25,20 +26,21 @@
 		t.Fatal(err)
 	}
 	if response, err = p.watcher.Serve(t.Context(), p.followerRevision, 0); err != nil || len(response.Events) != 1 {
-		t.Errorf("%d events, %v", len(response.Events), err)
+		t.Errorf("%d events, error %v; want 1 unpacked event", len(response.Events), err)
 	}
 }
 
-// TestUnpackRefusesWhatIsTooLarge, or no pack at all.
+// TestUnpackRejectsOversizedOrInvalidInput checks that unpack fails on input that exceeds
+// maxUnpackedBytes or is not packed.
 func TestUnpackRejectsOversizedOrInvalidInput(t *testing.T) {
 	packed, err := pack([]Item{{Key: "large", Value: make([]byte, maxUnpackedBytes)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := unpack[Item](packed); !errors.Is(err, errUnpackedTooLarge) {
-		t.Errorf("got %v", err)
+		t.Errorf("unpack of oversized input: got %v, want %v", err, errUnpackedTooLarge)
 	}
 	if _, err := unpack[Item]([]byte("no pack")); err == nil {
-		t.Error("read what was not packed")
+		t.Error("unpack of input that is not packed: got no error")
 	}
 }
--- a/internal/edge/mirror/replica.go
+++ b/internal/edge/mirror/replica.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// contents is a copy of the items under a prefix, as of a revision. It is pure.
+// replica is a copy of the items under a prefix, as of a revision. It does no I/O.
 type replica struct {
 	items    map[string]Item
 	revision uint64
 }
 
-// replace takes in all items there are at a revision.
+// replace sets the complete set of items at a revision.
 func (c *replica) replace(items []Item, revision uint64) {
 	c.items = make(map[string]Item, len(items))
 	for _, item := range items {
@@ -21,7 +21,7 @@
 	c.revision = revision
 }
 
-// apply takes in the changes up to a revision.
+// apply applies the changes up to a revision.
 func (c *replica) apply(events []Event, revision uint64) {
 	for _, event := range events {
 		if event.Removed {
@@ -33,14 +33,13 @@
 	c.revision = max(c.revision, revision)
 }
 
-// list returns all items by key.
+// list returns all items in the order of their keys.
 func (c *replica) list() []Item {
 	return slices.SortedFunc(maps.Values(c.items), func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
 }
 
-// changes returns the events that lead from the copy to the items of a later
-// revision. Items that are newer than that revision are left out: a watch from there on
-// returns them.
+// diff returns the events that lead from the replica to the items of a later revision. Items newer
+// than that revision are left out, because a watch from that revision returns them.
 func (c *replica) diff(items []Item, revision uint64) []Event {
 	var events []Event
 	present := make(map[string]bool, len(items))
--- a/internal/edge/mirror/serve.go
+++ b/internal/edge/mirror/serve.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Serve answers the question of another node: it blocks until there are changes
-// after the revision, or for the wait.
+// Serve handles a watch request of another node. It blocks until there are changes after the
+// revision, or until wait has passed.
 func (s *Shared) Serve(ctx context.Context, after uint64, wait time.Duration) (Watched, error) {
 	response := s.awaitChanges(ctx, after, wait)
 	s.mutex.Lock()
@@ -14,9 +14,9 @@
 	return s.packedResponse.pack(after, response)
 }
 
-// current returns the answer to a node that waited in vain for changes after a revision.
-// If that node knows more than this one, which should have caught up meanwhile, it is
-// refused, and asks elsewhere.
+// refuseIfBehind returns the response to a node that waited for changes after a revision and got
+// none. If this node is behind that revision although it had the time to catch up, it refuses, so
+// that the other node asks elsewhere.
 func (s *Shared) refuseIfBehind(response Watched, after uint64) Watched {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -26,7 +26,7 @@
 	return response
 }
 
-// await blocks until there are changes after a revision, or for the wait.
+// awaitChanges blocks until there are changes after a revision, or until wait has passed.
 func (s *Shared) awaitChanges(ctx context.Context, after uint64, wait time.Duration) Watched {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/edge/mirror/shared.go
+++ b/internal/edge/mirror/shared.go
@@ -12,69 +12,68 @@
 	"github.com/micaplank/micaplank/internal/clock"
 )
 
-// Peers asks other nodes. An error means that there was no answer.
+// Peers calls other nodes. An error means that there was no response.
 type Peers interface {
-	// Offer asks what copy of the store a node could hand over. One that has none
-	// waits for it, for a time.
+	// Offer asks a node which copy of the store it can hand over. A node without a copy waits for
+	// one, up to the given time.
 	Offer(ctx context.Context, source netip.AddrPort, wait time.Duration) (Offer, error)
+	// Snapshot fetches the copy of a node.
 	Snapshot(ctx context.Context, source netip.AddrPort) (Snapshot, error)
+	// Watch asks a watcher for the changes after a revision.
 	Watch(ctx context.Context, watcher netip.AddrPort, after uint64, wait time.Duration) (Watched, error)
 }
 
-// Store is a Source that also returns old items at a low cost.
+// Store is a Source that can also read possibly outdated items at a low cost.
 type Store interface {
 	Source
-	// Peek returns some of the items under a prefix, which may be seconds old. It
-	// costs the store less than Range.
+	// Peek returns some of the items under a prefix, which may be seconds old. It costs the store
+	// less than Range.
 	Peek(ctx context.Context, prefix string) ([]Item, error)
 }
 
 // SharedConfig is the policy of a Shared.
 type SharedConfig struct {
-	// Wait is the longest wait of a question to a watcher, and of a watch of the
-	// store by a watcher. It is short: a node that asks a watcher learns of a
-	// silent store only after the watcher did.
+	// WatchTimeout is the longest wait of a request to a watcher, and of a watch of the store by a
+	// watcher. It is short because a node that asks a watcher notices an unresponsive store only
+	// after the watcher did.
 	WatchTimeout time.Duration
-	// Slack is how long after Wait the answer of a watcher may come.
+	// ResponseSlack is how long after WatchTimeout the response of a watcher may arrive.
 	ResponseSlack time.Duration
-	// History is how many changes a watcher keeps.
+	// HistoryLength is the number of changes that a watcher keeps.
 	HistoryLength int
-	// Pause is how long a watcher is not asked after it failed to answer well.
+	// WatcherBackoff is how long a watcher is not asked after it failed to give a current response.
 	WatcherBackoff time.Duration
-	// Probe is the mean time between two calls to the store by a node whose watcher
-	// has lost it. It is below the time after an outage in which nodes have to be
-	// in touch again.
+	// ProbeInterval is the mean time between two calls to the store by a node whose watcher cannot
+	// reach it. It must be below the time within which nodes have to be reconnected after an
+	// outage.
 	ProbeInterval time.Duration
 
-	// Fresh is the age up to which the copy of another node counts as current: a
-	// follower receives an answer once in Wait and Slack.
+	// MaxCopyAge is the age up to which the copy of another node counts as current. A follower
+	// receives a response once in WatchTimeout and ResponseSlack.
 	MaxCopyAge time.Duration
-	// StartSpread is the time within which the processes of a fleet start that
-	// starts as a whole: for so long a source that does not answer is asked again.
-	// Machines that get their power back together start within 0.3 s; with the
-	// time to start a process on a small one, 0.5 s were seen.
+	// StartSpread is the time within which the processes of a fleet start that starts as a whole. A
+	// source that does not respond is asked again for that long. Machines that regain power
+	// together start within 0.3 s; with the start of a process on a small machine, it can take
+	// 0.5 s.
 	StartSpread time.Duration
-	// Stagger is the time after which a further source is asked beside those
-	// that have offered nothing.
+	// SourceStagger is the delay after which one more source is asked in addition to those that
+	// have not offered a copy.
 	SourceStagger time.Duration
-	// OfferPause is the mean pause before a source that does not listen yet is
-	// asked again.
+	// OfferRetryDelay is the mean delay before a source that does not listen yet is asked again.
 	OfferRetryDelay time.Duration
-	// OfferWait is the longest wait of a question to a source without a copy, and
-	// SourcesTimeout bounds the wait for all sources, before the store is asked.
+	// OfferTimeout is the longest wait of a request to a source without a copy. SourcesTimeout
+	// bounds the wait for all sources, before the store is asked.
 	OfferTimeout, SourcesTimeout time.Duration
-	// SourceTerm is how long after its start a node asks the sources for changes
-	// before the watchers, and how long a source answers at least: of a fleet that
-	// starts, few nodes are known at first, and those that come to be watchers by
-	// that do not watch yet.
+	// SourcePeriod is how long after its start a node asks the sources for changes before the
+	// watchers, and the minimum time for which a source serves changes. While a fleet starts, few
+	// nodes are known, and the nodes selected as watchers from these do not watch yet.
 	SourcePeriod time.Duration
 }
 
-// DefaultSharedConfig returns the defaults. Wait and Slack together, and Fresh, keep a
-// change in force within the 3 s allowed also behind one failing watcher; the times of
-// a start come from starts of 295 nodes (docs/ROUNDS.md, docs/design/0013-starts.md); Probe
-// of 3 s was kept after trials there. The others are not measured: chosen because they
-// follow from these.
+// DefaultSharedConfig returns the defaults. WatchTimeout and ResponseSlack together, and
+// MaxCopyAge, keep the delay of a change within the allowed 3 s even behind one failing watcher.
+// The times that concern the start, and ProbeInterval, come from starts of 295 nodes
+// (docs/ROUNDS.md, docs/design/0013-starts.md), and the others follow from these values.
 func DefaultSharedConfig() SharedConfig {
 	return SharedConfig{
 		WatchTimeout: time.Second, ResponseSlack: 600 * time.Millisecond, HistoryLength: 8192, WatcherBackoff: 3 * time.Second, ProbeInterval: 3 * time.Second,
@@ -83,15 +82,15 @@
 	}
 }
 
-// Shared is a Source for many nodes that follow the same prefix. A few of them,
-// the watchers, watch the store; the others ask a watcher, and turn to the store
-// themselves whenever no watcher has a current answer. So the calls to the store do not
-// grow with the nodes, and a watcher that fails costs one late answer.
+// Shared is a Source for many nodes that follow the same prefix. A few of them, the watchers, watch
+// the store; the others ask a watcher, and fall back to the store whenever no watcher has a current
+// response. So the calls to the store do not grow with the number of nodes, and a failing watcher
+// costs one late response.
 //
-// A node that starts takes over the copy of another one, a source, and goes on
-// from there; it reads the store itself if no source has a current copy.
+// A node that starts copies the snapshot of another node, a source, and continues from there. It
+// reads the store itself if no source has a current copy.
 //
-// It is safe for concurrent use, but for Range and Watch, which must not overlap.
+// Shared is safe for concurrent use, except for Range and Watch, which must not overlap.
 type Shared struct {
 	config SharedConfig
 	store  Store
@@ -102,31 +101,31 @@
 	mutex   sync.Mutex
 	replica replica
 	history history
-	// heardAt is when the store, or a watcher for it, last answered, and loadedAt
-	// when the contents were first known, on the clock.
+	// lastContactAt is when the store last responded to this node, directly or through a watcher,
+	// and loadedAt when the replica was first loaded, both on the clock.
 	lastContactAt, loadedAt time.Duration
 
-	// The start: see startup.Plan.
+	// Start-up: see startup.Plan.
 	nodesPrefix string // prefix under which nodes are announced
 	planner     Planner
 	isSource    bool
 	sources     []netip.AddrPort
 
-	// Following: whom this node asks for changes.
-	isWatcher     bool // this node is a watcher
+	// Following: the nodes that this one asks for changes.
+	isWatcher     bool
 	watchers      []netip.AddrPort
 	backoffs      map[netip.AddrPort]watcherBackoff
-	lastFromStore bool      // the last answer came from the store itself
-	nextProbeAt   time.Time // when the store is asked next although a watcher has lost it
+	lastFromStore bool      // the last response came from the store itself
+	nextProbeAt   time.Time // when the store may be asked next although a watcher cannot reach it
 
 	// Serving: what other nodes receive.
-	serving        bool   // the watch of the store in progress, or the last one, is that of a watcher
-	packedItems    []byte // the contents at the revision packedAt, in the form of pack
+	serving        bool   // the current or latest watch of the store is that of a watcher
+	packedItems    []byte // the replica at packedRevision, in the form of pack
 	packedRevision uint64
-	packedResponse packedEvents // the last answer to a follower that was packed
+	packedResponse packedEvents // the last response to a follower that was packed
 }
 
-// NewShared returns a Source that asks the store alone, until SetWatchers.
+// NewShared returns a Shared that asks only the store until SetWatchers is called.
 func NewShared(config SharedConfig, store Store, peers Peers, clk clock.Clock, logger *slog.Logger) *Shared {
 	return &Shared{
 		config: config, store: store, peers: peers, clock: clk, logger: logger,
@@ -136,16 +135,15 @@
 	}
 }
 
-// Age returns the time since the store, or a watcher for it, last answered.
+// Age returns the time since the store last responded to this node, directly or through a watcher.
 func (s *Shared) Age() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.clock.Now() - s.lastContactAt
 }
 
-// SetWatchers says which nodes watch the store, in the order in which this node
-// asks them, and whether it is one of them. Without watchers each node watches
-// the store.
+// SetWatchers sets which nodes watch the store, in the order in which this node asks them, and
+// whether this node is a watcher. Without watchers each node watches the store.
 func (s *Shared) SetWatchers(watching bool, others []netip.AddrPort) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -167,8 +165,8 @@
 	return s.readStore(ctx, prefix)
 }
 
-// rangeStore reads all items from the store. Nodes that ask this one receive what has
-// changed since its former copy.
+// readStore reads all items from the store. Followers of this node receive the difference to its
+// previous copy.
 func (s *Shared) readStore(ctx context.Context, prefix string) ([]Item, uint64, error) {
 	items, revision, err := s.store.Range(ctx, prefix)
 	s.mutex.Lock()
@@ -189,7 +187,7 @@
 	return items, revision, nil
 }
 
-// restart restarts the history with the contents.
+// restartHistory restarts the history at the revision of the replica.
 func (s *Shared) restartHistory(revision uint64) {
 	s.loadedAt = s.clock.Now()
 	s.serving = s.actsAsWatcher()
--- a/internal/edge/mirror/shared_test.go
+++ b/internal/edge/mirror/shared_test.go
@@ -12,7 +12,7 @@
 func TestFollowerReceivesChangesFromWatcher(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.put("a")
-	p.wantFollow(0, 0, nil) // the watcher has not heard of it
+	p.wantFollow(0, 0, nil) // the watcher has not received the change
 	if err := p.watch(); err != nil {
 		t.Fatal(err)
 	}
@@ -20,21 +20,22 @@
 	p.wantFollow(0, 0, nil)
 }
 
-// TestWatcherWaitsShortly, since others rely on its noticing an outage.
+// TestWatcherUsesShortWatchTimeout checks that a watcher watches the store with a short timeout,
+// because followers rely on the watcher to notice an outage.
 func TestWatcherUsesShortWatchTimeout(t *testing.T) {
 	p := newWatcherPair(t)
 	if wait := p.store.waits[len(p.store.waits)-1]; wait != DefaultSharedConfig().WatchTimeout {
-		t.Errorf("watches for %v", wait)
+		t.Errorf("watcher watches for %v, want %v", wait, DefaultSharedConfig().WatchTimeout)
 	}
 	p.follower.SetWatchers(false, nil)
 	p.wantFollow(0, 1, nil)
 	if wait := p.store.waits[len(p.store.waits)-1]; wait != time.Minute {
-		t.Errorf("a node that nobody asks watches for %v", wait)
+		t.Errorf("node without followers watches for %v, want %v", wait, time.Minute)
 	}
 }
 
-// TestFollowerTurnsToTheStore when the watcher is cut off, is no watcher, or
-// lacks history.
+// TestFollowerFallsBackToStore checks that a follower asks the store if the watcher is unreachable,
+// is no longer a watcher, or does not have enough history.
 func TestFollowerFallsBackToStore(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.put("a")
@@ -60,7 +61,8 @@
 	p.wantFollow(1, 1, nil)
 }
 
-// TestFollowerTurnsToAnotherWatcher first, if there is time.
+// TestFollowerTriesNextWatcherFirst checks that a follower asks another watcher before the store if
+// there is enough time.
 func TestFollowerTriesNextWatcherFirst(t *testing.T) {
 	p := newWatcherPair(t)
 	unreachable := netip.MustParseAddrPort("127.0.0.1:2")
@@ -71,17 +73,17 @@
 		t.Fatal(err)
 	}
 	p.wantFollow(1, 0, nil)
-	p.follower.config.ResponseSlack = 0 // there is none once the first one has failed
+	p.follower.config.ResponseSlack = 0 // no time is left after the first watcher has failed
 	p.wantFollow(0, 1, nil)
 }
 
-// TestOutageIsSeenThroughTheWatcher, so that the follower judges what vanishes
-// around it as it would if it had met it itself.
+// TestFollowerSeesStoreOutageOfWatcher checks that a follower learns from the watcher that the
+// store is down, so that it treats an outage as if it had noticed it itself.
 func TestFollowerSeesStoreOutageOfWatcher(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.setDown(true)
 	if err := p.watch(); err == nil {
-		t.Fatal("watched a store that is down")
+		t.Fatal("watch of a store that is down: got no error")
 	}
 	p.wantFollow(0, 0, ErrWatcherDisconnected)
 	p.store.setDown(false)
@@ -92,8 +94,8 @@
 	p.wantFollow(1, 0, nil)
 }
 
-// TestOutageIsNotProbedByEveryNodeAtOnce: a node whose watchers have lost the store
-// asks it from time to time, and goes on with it if it answers.
+// TestOutageProbesAreRateLimited checks that a node whose watchers cannot reach the store probes it
+// only from time to time, and continues with the store if it responds.
 func TestOutageProbesAreRateLimited(t *testing.T) {
 	p := newWatcherPair(t)
 	p.follower.config.WatcherBackoff = time.Hour
@@ -105,7 +107,7 @@
 	p.follower.nextProbeAt = time.Now()
 	p.wantFollow(0, 1, errStoreDown)
 	p.wantFollow(0, 0, ErrWatcherDisconnected)
-	p.store.setDown(false) // for the follower; the watcher has not noticed
+	p.store.setDown(false) // for the follower; the watcher has not noticed yet
 	p.store.put("a")
 	p.follower.nextProbeAt = time.Now()
 	p.wantFollow(1, 1, nil)
@@ -118,7 +120,8 @@
 	p.wantFollow(1, 0, nil)
 }
 
-// TestServeWakesUp when there is a change, or the store is lost.
+// TestServeReturnsOnChangeOrOutage checks that a waiting request returns when there is a change or
+// the store becomes unreachable.
 func TestServeReturnsOnChangeOrOutage(t *testing.T) {
 	for name, trigger := range map[string]func(p *watcherPair){
 		"change": func(p *watcherPair) { p.store.put("a") },
@@ -131,13 +134,14 @@
 		_ = p.watch()
 		response := <-responses
 		if got := fmt.Sprint(response.State, len(response.Events)); got != map[string]string{"change": "current1", "outage": "lost0"}[name] {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("%s: got state and number of events %s", name, got)
 		}
 	}
 }
 
-// TestFollowerMissesNothing plays random changes, outages, cuts, changes of
-// watchers and lost histories: the follower gets every change once, in order.
+// TestFollowerReceivesEveryChangeInOrder generates random changes, outages, unreachable watchers,
+// changes of the watchers and re-reads of the range. The follower must receive every change once
+// and in order.
 func TestFollowerReceivesEveryChangeInOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := newWatcherPair(t)
@@ -163,24 +167,25 @@
 			"": func(rt *rapid.T) {
 				for index, revision := range got {
 					if revision != uint64(index+1) {
-						rt.Fatalf("got %v", got)
+						rt.Fatalf("received revisions %v, want them consecutive from 1", got)
 					}
 				}
 				if p.followerRevision != uint64(len(got)) {
-					rt.Fatalf("at revision %d with %v", p.followerRevision, got)
+					rt.Fatalf("follower is at revision %d, want %d, after revisions %v", p.followerRevision, len(got), got)
 				}
 			},
 		})
 	})
 }
 
-// TestFollowerThatKnowsMoreThanTheWatcherAsksElsewhere: a watcher that comes back
-// from an outage has old changes to take in, and tells of no new ones meanwhile.
+// TestWatcherBehindFollowerIsSkipped checks that a follower does not wait for a watcher that is
+// behind it. A watcher that comes back from an outage has old changes to process and returns no new
+// ones meanwhile.
 func TestWatcherBehindFollowerIsSkipped(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.put("a")
 	p.follower.SetWatchers(false, nil)
-	p.wantFollow(1, 1, nil) // of the store
+	p.wantFollow(1, 1, nil) // from the store
 	p.follower.SetWatchers(false, []netip.AddrPort{p.address})
 	p.store.put("b")
 	p.wantFollow(1, 1, nil)
--- a/internal/edge/mirror/snapshot.go
+++ b/internal/edge/mirror/snapshot.go
@@ -10,20 +10,19 @@
 
 // The states of an Offer.
 const (
-	// OfferCurrent means that the node has a copy, and is in touch with the
-	// store.
+	// OfferCurrent means that the node has a copy and is connected to the store.
 	OfferCurrent OfferState = "current"
-	// OfferLost means that it has a copy, and has lost the store.
+	// OfferDisconnected means that the node has a copy but cannot reach the store.
 	OfferDisconnected OfferState = "lost"
-	// OfferLoading means that it has no copy yet.
+	// OfferLoading means that the node has no copy yet.
 	OfferLoading OfferState = "loading"
 )
 
-// Offer says what copy of the store a node could hand over.
+// Offer describes the copy of the store that a node can hand over.
 type Offer struct {
 	State    OfferState
 	Revision uint64
-	// Age is the time since the store, or a watcher for it, last answered.
+	// Age is the time since the store last responded to the node, directly or through a watcher.
 	Age time.Duration
 }
 
@@ -34,7 +33,8 @@
 	Packed []byte
 }
 
-// Offer answers a node that starts. Without a copy it waits for one, for a time.
+// Offer handles the request of a node that starts. Without a copy it waits for one, up to the given
+// time.
 func (s *Shared) Offer(ctx context.Context, wait time.Duration) Offer {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -55,7 +55,7 @@
 	}
 }
 
-// offer describes the copy.
+// currentOffer describes the copy as it is now. The caller holds the mutex.
 func (s *Shared) currentOffer() Offer {
 	if s.replica.items == nil {
 		return Offer{State: OfferLoading}
@@ -67,7 +67,7 @@
 	return offer
 }
 
-// Snapshot hands over the copy. It is packed once for each revision.
+// Snapshot returns the copy. It is packed once per revision.
 func (s *Shared) Snapshot() (Snapshot, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/edge/mirror/sources.go
+++ b/internal/edge/mirror/sources.go
@@ -13,26 +13,26 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// ErrStale comes with the items of a node that has lost the store: there may be
-// newer ones.
-var ErrStale = errors.New("the copy of another node, which has lost the store")
+// ErrStale comes with the items of a node that cannot reach the store: there may be newer items.
+var ErrStale = errors.New("stale copy of a node that cannot reach the store")
 
-// errNoSource means that no other node has a copy that can be used.
-var errNoSource = errors.New("no other node has a copy")
+// errNoSource means that no other node has a usable copy.
+var errNoSource = errors.New("no other node has a usable copy")
 
-// search says which copies of other nodes are taken, and which nodes are waited for.
+// copyPolicy selects the copies of other nodes that are accepted, and the nodes that are awaited.
 type copyPolicy struct {
-	// lost is set if the copy of a node that has lost the store will do.
+	// acceptStale is set if the copy of a node that cannot reach the store is accepted.
 	acceptStale bool
-	// wait is set if nodes that have no copy yet, or do not listen, are waited for.
+	// awaitLoading is set if nodes that have no copy yet, or do not listen yet, are awaited.
 	awaitLoading bool
 }
 
-// The searches of a start.
+// The policies of a start.
 var (
-	// whileStoreAnswers waits for a node that reads the store at this moment.
+	// requireCurrent awaits nodes that are reading the store at the moment.
 	requireCurrent = copyPolicy{awaitLoading: true}
-	// withoutStore takes what there is. Who has nothing waits for the store, too.
+	// allowStale accepts any copy at once. Awaiting a node without a copy is pointless, because it
+	// awaits the store itself.
 	allowStale = copyPolicy{acceptStale: true}
 )
 
@@ -40,19 +40,19 @@
 	return offer.State == OfferCurrent || p.acceptStale && offer.State == OfferDisconnected
 }
 
-// Planner makes the plan of a start from the announcements of nodes in the store.
-// They may be old, and are nil if they could not be read.
+// Planner makes the plan of a start from the announcements of nodes in the store. The announcements
+// may be outdated, and are nil if the store could not be read.
 type Planner func(nodes []Item) startup.Plan
 
-// SetPlanner says who plans the start, and under which prefix nodes are announced.
-// It is called before the first Range. Without it the store is read.
+// SetPlanner sets the planner of the start and the prefix under which nodes are announced. It must
+// be called before the first Range. Without a planner the store is read.
 func (s *Shared) SetPlanner(prefix string, planner Planner) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.nodesPrefix, s.planner = prefix, planner
 }
 
-// planBy makes the plan of this start.
+// makePlan makes the plan of this start.
 func (s *Shared) makePlan(planner Planner, nodes []Item) startup.Plan {
 	plan := planner(nodes)
 	s.mutex.Lock()
@@ -64,8 +64,8 @@
 	return plan
 }
 
-// load reads all items for the first time: from a source, from the store, or, if
-// the store does not answer, from a source that has lost it.
+// loadInitial loads all items for the first time: from a source, from the store, or, if the store
+// does not respond, from a source that cannot reach the store either.
 func (s *Shared) loadInitial(ctx context.Context, prefix string) ([]Item, uint64, error) {
 	s.mutex.Lock()
 	nodesPrefix, planner := s.nodesPrefix, s.planner
@@ -91,8 +91,7 @@
 	return s.loadWithoutStore(ctx, plan, storeErr)
 }
 
-// loadWithoutStore takes the copy that another node has, or returns the failure of
-// the store.
+// loadWithoutStore returns the copy of another node, or the error of the store if no node has one.
 func (s *Shared) loadWithoutStore(ctx context.Context, plan startup.Plan, storeErr error) ([]Item, uint64, error) {
 	items, revision, err := s.copyFromSource(ctx, plan.Others, allowStale)
 	if errors.Is(err, errNoSource) {
@@ -101,8 +100,8 @@
 	return items, revision, err
 }
 
-// copyOf takes over the copy of a source. Its error is ErrStale, beside the items,
-// if the source has lost the store.
+// copyFromSource adopts the copy of a source and returns its items. The error is ErrStale, in
+// addition to the items, if the source cannot reach the store.
 func (s *Shared) copyFromSource(ctx context.Context, sources []netip.AddrPort, policy copyPolicy) ([]Item, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.SourcesTimeout)
 	defer cancel()
@@ -126,17 +125,17 @@
 	return nil, 0, errNoSource
 }
 
-// fetched is the copy of another node, unpacked.
+// peerCopy is the unpacked copy of another node.
 type peerCopy struct {
 	Offer
 	items []Item
-	// heardAt is when the store last answered that node, as this one can tell: the
-	// way of the question and the answer counts as age.
+	// lastContactAt is the earliest time, on this node's clock, at which the store may have last
+	// responded to the other node: the round trip of the request counts as age.
 	lastContactAt time.Duration
 }
 
-// fetch fetches the copy of one source. If it became too old on the way, it is one
-// of a node that has lost the store.
+// fetchCopy fetches the copy of one source. A copy that became too old in transit is treated like
+// one of a node that cannot reach the store.
 func (s *Shared) fetchCopy(ctx context.Context, source netip.AddrPort) (peerCopy, error) {
 	requestedAt := s.clock.Now()
 	snapshot, err := s.peers.Snapshot(ctx, source)
@@ -163,9 +162,9 @@
 	}
 }
 
-// survey asks the sources for what they offer, the first one at once and each
-// further one a moment later, and returns those with an acceptable copy as they
-// answer. The channel is closed when none is left that may have one.
+// queryOffers asks the sources for offers, the first one immediately and each further one after
+// another SourceStagger. It sends the sources with an acceptable copy on the channel as they
+// respond, and closes the channel when all sources have responded or failed.
 func (s *Shared) queryOffers(ctx context.Context, sources []netip.AddrPort, policy copyPolicy) <-chan netip.AddrPort {
 	offered := make(chan netip.AddrPort, len(sources))
 	var group sync.WaitGroup
@@ -186,17 +185,16 @@
 	return offered
 }
 
-// offerPause returns the pause between two questions to a source that does not
-// listen yet. It is spread by chance: hundreds of nodes that connect in the same
-// moment overrun the queue of new connections, and what is dropped there is sent
-// again after a second only.
+// offerRetryDelay returns the delay between two requests to a source that does not listen yet, with
+// random jitter. Without jitter, hundreds of nodes connecting at the same moment overflow the
+// accept queue, and a dropped connection request is retransmitted only after a second.
 func (s *Shared) offerRetryDelay() time.Duration {
 	return s.config.OfferRetryDelay/2 + rand.N(s.config.OfferRetryDelay+1)
 }
 
-// awaitOffer asks one source until it has a copy, and reports whether that is
-// acceptable. It gives up on one that does not answer for the time in which a
-// process that starts at the same time would listen.
+// awaitOffer asks one source until it has a copy, and reports whether the copy is acceptable. It
+// gives up on a source that has not responded for StartSpread, within which a process that starts
+// at the same time would listen.
 func (s *Shared) awaitOffer(ctx context.Context, source netip.AddrPort, policy copyPolicy) bool {
 	giveUpAt := time.Now().Add(s.config.StartSpread)
 	wait := s.config.OfferTimeout
--- a/internal/edge/mirror/sources_test.go
+++ b/internal/edge/mirror/sources_test.go
@@ -12,15 +12,15 @@
 	"github.com/micaplank/micaplank/internal/decide/startup"
 )
 
-// fleet is a store and some nodes that ask each other.
+// testFleet is a store and nodes that ask each other.
 type testFleet struct {
 	*testing.T
 	store        *memoryStore
 	peers        *localPeers
 	seeds        []netip.AddrPort
 	addressCount int
-	// patience is that of the nodes. It is long where a source has a copy, and
-	// short where none will ever have one.
+	// sourcesTimeout is the SourcesTimeout of the nodes. It is long where a source has a copy, and
+	// short where no source will ever have one.
 	sourcesTimeout time.Duration
 }
 
@@ -32,7 +32,7 @@
 	}
 	for range seeds {
 		f.seeds = append(f.seeds, f.nextAddress())
-		f.peers.setUnreachable(f.seeds[len(f.seeds)-1], true) // it does not run yet
+		f.peers.setUnreachable(f.seeds[len(f.seeds)-1], true) // the seed does not run yet
 	}
 	return f
 }
@@ -42,7 +42,7 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(f.addressCount))
 }
 
-// config has short times, since nothing here is far away.
+// config returns a config with short times, because all nodes are in the same process.
 func (f *testFleet) config() SharedConfig {
 	config := DefaultSharedConfig()
 	config.StartSpread = 100 * time.Microsecond
@@ -54,7 +54,7 @@
 	return config
 }
 
-// seed starts a seed.
+// startSeed starts a seed.
 func (f *testFleet) startSeed(index int) *Shared {
 	node := NewShared(f.config(), f.store, f.peers, clock.NewMonotonic(), slog.New(slog.DiscardHandler))
 	var others []netip.AddrPort
@@ -69,14 +69,14 @@
 	return node
 }
 
-// node starts a node that is no seed.
+// newNode returns a node that is not a seed.
 func (f *testFleet) newNode() *Shared {
 	node := NewShared(f.config(), f.store, f.peers, clock.NewMonotonic(), slog.New(slog.DiscardHandler))
 	node.SetPlanner("", func([]Item) startup.Plan { return startup.Plan{Others: f.seeds} })
 	return node
 }
 
-// load reads the store for the first time, and wants the items that there are.
+// load makes a node load its items for the first time, and checks them against those in the store.
 func (f *testFleet) load(node *Shared, wantErr error) uint64 {
 	f.Helper()
 	items, revision, err := node.Range(f.Context(), "")
@@ -96,7 +96,8 @@
 	}
 }
 
-// TestStartReadsFromASource, and not from the store, and goes on from there.
+// TestStartCopiesFromSource checks that a node that starts reads its items from a source instead of
+// the store, and continues from the revision of the copy.
 func TestStartCopiesFromSource(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.store.put("a")
@@ -113,12 +114,12 @@
 	watchesBefore := f.store.watches
 	events, _, err := node.Watch(t.Context(), "", revision, 0)
 	if err != nil || len(events) != 1 || f.store.watches != watchesBefore {
-		t.Errorf("%v, %v, %d calls", events, err, f.store.watches-watchesBefore)
+		t.Errorf("events %v, error %v, %d calls to the store; want 1 event and no call", events, err, f.store.watches-watchesBefore)
 	}
 }
 
-// TestStartWithoutAnySource reads the store: all seeds are cut off, or they
-// have no copy.
+// TestStartWithoutSourceReadsStore checks that a node reads the store if all seeds are unreachable
+// or have no copy.
 func TestStartWithoutSourceReadsStore(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.store.put("a")
@@ -129,7 +130,8 @@
 	f.wantRanges(2)
 }
 
-// TestSourcesDoNotWaitForEachOther when all of them start at once.
+// TestSimultaneousSourcesDoNotDeadlock checks that sources that start at the same time do not wait
+// for each other.
 func TestSimultaneousSourcesDoNotDeadlock(t *testing.T) {
 	f := newTestFleet(t, 3)
 	f.store.put("a")
@@ -142,7 +144,8 @@
 	f.wantRanges(3)
 }
 
-// TestPlanIsMadeFromTheNodes that are announced, if the store tells them.
+// TestPlannerReceivesAnnouncedNodes checks that the plan is made from the announced nodes, or from
+// nil if the store is down.
 func TestPlannerReceivesAnnouncedNodes(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.store.put("nodes/a")
@@ -153,7 +156,7 @@
 	node.SetPlanner("nodes/", func(nodes []Item) startup.Plan { announced = nodes; return startup.Plan{} })
 	f.load(node, nil)
 	if len(announced) != 1 || announced[0].Key != "nodes/a" {
-		t.Errorf("announced: %v", announced)
+		t.Errorf("announced nodes %v, want only nodes/a", announced)
 	}
 	f.wantRanges(2)
 	f.store.setDown(true)
@@ -161,12 +164,12 @@
 	other.SetPlanner("nodes/", func(nodes []Item) startup.Plan { announced = nodes; return startup.Plan{Others: f.seeds} })
 	f.load(other, nil)
 	if announced != nil {
-		t.Errorf("announced: %v by a store that is down", announced)
+		t.Errorf("announced nodes %v while the store is down, want nil", announced)
 	}
 }
 
-// TestStartInAnOutageOfTheStore takes the copy of a source that has lost the
-// store, and says so.
+// TestStartDuringStoreOutageUsesStaleCopy checks that a node that starts during an outage of the
+// store adopts the copy of a source, and marks it as stale.
 func TestStartDuringStoreOutageUsesStaleCopy(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.store.put("a")
@@ -174,7 +177,7 @@
 	revision := f.load(seed, nil)
 	f.store.setDown(true)
 	if _, _, err := seed.Watch(t.Context(), "", revision, 0); err == nil {
-		t.Fatal("watched a store that is down")
+		t.Fatal("watch of a store that is down: got no error")
 	}
 	f.load(f.startSeed(1), ErrStale)
 	node := f.newNode()
@@ -182,12 +185,12 @@
 		t.Errorf("revision %d, want %d", got, revision)
 	}
 	if offer := node.Offer(t.Context(), 0); offer.State != OfferDisconnected {
-		t.Errorf("offers a copy that is %s", offer.State)
+		t.Errorf("node offers a copy in state %s, want %s", offer.State, OfferDisconnected)
 	}
 }
 
-// TestOldCopyDoesNotCountAsCurrent: a source that stood still for a while has
-// not noticed anything yet when it goes on.
+// TestOldCopyIsNotCurrent checks that the copy of a source that was paused for a while does not
+// count as current. When the source resumes, it has not noticed the pause yet.
 func TestOldCopyIsNotCurrent(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.store.put("a")
@@ -199,7 +202,7 @@
 	f.wantRanges(2)
 }
 
-// suspended is a Clock that runs and counts suspensions.
+// suspendableClock is a running Clock to which a test can add suspensions.
 type suspendableClock struct {
 	clock.Clock
 	suspension time.Duration
@@ -207,8 +210,8 @@
 
 func (s *suspendableClock) Now() time.Duration { return s.Clock.Now() + s.suspension }
 
-// TestCopyOfASuspendedMachineDoesNotCountAsCurrent: it has heard nothing meanwhile, and
-// knows it before its first call.
+// TestCopyOfSuspendedMachineIsNotCurrent checks that a node does not offer its copy as current
+// after a suspension, during which it received no changes, even before its first call to the store.
 func TestCopyOfSuspendedMachineIsNotCurrent(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.store.put("a")
@@ -217,10 +220,10 @@
 	seed.clock = suspendable
 	f.load(seed, nil)
 	if offer := seed.Offer(t.Context(), 0); offer.State != OfferCurrent {
-		t.Fatalf("offers a copy that is %s", offer.State)
+		t.Fatalf("seed offers a copy in state %s, want %s", offer.State, OfferCurrent)
 	}
 	suspendable.suspension = time.Minute
 	if offer := seed.Offer(t.Context(), 0); offer.State != OfferDisconnected {
-		t.Errorf("offers a copy that is %s after a minute", offer.State)
+		t.Errorf("seed offers a copy in state %s after a suspension, want %s", offer.State, OfferDisconnected)
 	}
 }
--- a/internal/edge/mirror/watch.go
+++ b/internal/edge/mirror/watch.go
@@ -11,37 +11,36 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// ErrWatcherLost means that the node that was asked in place of the store has
-// lost the store.
+// ErrWatcherDisconnected means that a watcher was asked instead of the store, and that it has lost
+// its connection to the store.
 var ErrWatcherDisconnected = errors.New("the watcher has lost the store")
 
-// WatchState is the state of a watcher in its answers.
+// WatchState is the state of a watcher in its responses.
 type WatchState string
 
 // The states of a watcher.
 const (
-	// WatchCurrent means that the answer holds all changes that the watcher has received
-	// from the store, and that the store answers it.
+	// WatchCurrent means that the store responds to the watcher, and that the response holds all
+	// changes that the watcher has received from it.
 	WatchCurrent WatchState = "current"
-	// WatchLost means that the watcher has lost the store.
+	// WatchDisconnected means that the watcher cannot reach the store.
 	WatchDisconnected WatchState = "lost"
-	// WatchRefused means that the node is no watcher, keeps no history that is old
-	// enough, or knows less than the one that asks.
+	// WatchRefused means that the node is not a watcher, does not keep enough history, or is behind
+	// the node that asks.
 	WatchRefused WatchState = "refused"
 )
 
-// Watched is the answer of a watcher.
+// Watched is the response of a watcher.
 type Watched struct {
 	State  WatchState
 	Events []Event
-	// Packed holds the events in their place, in the form of pack, if they are
-	// large.
+	// Packed replaces Events if the events are large. It holds them in the form of pack.
 	Packed   []byte
 	Revision uint64
 }
 
-// Watch implements Source. All questions to watchers take no longer than one that
-// fails may: then the store is asked.
+// Watch implements Source. All watchers together get no more time than one failing watcher may
+// take; after that the store is asked.
 func (s *Shared) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	deadline := time.Now().Add(s.config.WatchTimeout + s.config.ResponseSlack)
 	disconnected := false
@@ -60,7 +59,7 @@
 		}
 		disconnected = disconnected || response.State == WatchDisconnected
 		if time.Until(deadline) < s.config.WatchTimeout {
-			break // a further watcher could not be awaited
+			break // too little time for another watcher to respond
 		}
 	}
 	if disconnected && !s.shouldProbe() {
@@ -69,15 +68,15 @@
 	return s.watchStore(ctx, prefix, after, wait)
 }
 
-// probeDue reports whether the store is to be asked although a watcher has lost
-// it: it may serve this node, and turn the watchers away. In an outage, that must
-// not be a call of each node at each moment.
+// shouldProbe reports whether this node may ask the store although a watcher cannot reach it: the
+// store may still serve this node. Probes are rate-limited, so that an outage does not turn into a
+// call of each node per watch.
 func (s *Shared) shouldProbe() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
 	case !s.history.disconnected && s.lastFromStore:
-		return true // it served this node a moment ago
+		return true // the store served this node's last call
 	case !s.history.disconnected:
 		s.nextProbeAt = time.Now().Add(s.probeDelay())
 	}
@@ -89,22 +88,22 @@
 	return true
 }
 
-// probePause returns the pause before the next probe, spread by chance.
+// probeDelay returns the delay before the next probe, with random jitter.
 func (s *Shared) probeDelay() time.Duration {
 	return s.config.ProbeInterval/2 + rand.N(s.config.ProbeInterval+1)
 }
 
-// watchesForOthers reports whether other nodes may ask this one for changes: it
-// is a watcher, or a source that has started lately.
+// actsAsWatcher reports whether other nodes may ask this one for changes: it is a watcher, or a
+// source that has started recently.
 func (s *Shared) actsAsWatcher() bool {
 	return s.isWatcher || s.isSource && s.clock.Now()-s.loadedAt < sourceServiceFactor*s.config.SourcePeriod
 }
 
-// sourceTerms is for how many times SharedConfig.SourceTerm a source answers others. Not
-// measured: chosen above one because others start later than the sources.
+// sourceServiceFactor is the multiple of SharedConfig.SourcePeriod for which a source serves other
+// nodes. It is above one because other nodes start later than the sources.
 const sourceServiceFactor = 2
 
-// asked returns the nodes to ask for changes.
+// candidateWatchers returns the nodes to ask for changes, in order.
 func (s *Shared) candidateWatchers() []netip.AddrPort {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -137,16 +136,16 @@
 	return response.unpack()
 }
 
-// pause is why and until when a watcher is not asked.
+// watcherBackoff says until when, and why, a watcher is not asked.
 type watcherBackoff struct {
 	until time.Time
-	// lost says that it has lost the store. It is asked after the others, so that
-	// this node learns when the store is back.
+	// disconnected is set if the watcher cannot reach the store. Such a watcher is asked after all
+	// others, so that this node notices when the store is back.
 	disconnected bool
 }
 
-// pauseWatcher notes that a watcher failed to give a current answer, and reports whether
-// that is news.
+// backOffWatcher records that a watcher did not give a current response. It reports whether that is
+// a change of the watcher's state, which is then logged.
 func (s *Shared) backOffWatcher(watcher netip.AddrPort, disconnected bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -155,9 +154,9 @@
 	return time.Now().After(previous.until) || previous.disconnected != disconnected
 }
 
-// follow takes in the answer of a watcher. The history goes on, so that this node can
-// become a watcher, but others may not ask it meanwhile: they could ask each other in a
-// circle.
+// applyFromWatcher applies the response of a watcher. The history continues, so that this node can
+// become a watcher. Until then it does not serve other nodes, because nodes could otherwise ask
+// each other in a cycle.
 func (s *Shared) applyFromWatcher(after uint64, events []Event, revision uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,14 +164,14 @@
 	s.applyChanges(after, events, revision)
 }
 
-// take adds the changes after a revision to the copy and the history.
+// applyChanges applies the changes after a revision to the replica and the history.
 func (s *Shared) applyChanges(after uint64, events []Event, revision uint64) {
 	s.lastContactAt = s.clock.Now()
 	s.replica.apply(events, revision)
 	s.history.append(after, events, revision)
 }
 
-// direct watches the store.
+// watchStore watches the store.
 func (s *Shared) watchStore(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	s.mutex.Lock()
 	if s.serving = s.actsAsWatcher(); s.serving {
@@ -184,7 +183,7 @@
 	defer s.mutex.Unlock()
 	switch {
 	case errors.Is(err, ErrCompacted):
-		// The range is read next; what differs goes to the followers.
+		// The range is read next, and followers receive the difference.
 	case err != nil:
 		s.history.markDisconnected()
 	default:
--- a/internal/edge/mirror/wire_test.go
+++ b/internal/edge/mirror/wire_test.go
@@ -6,7 +6,8 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestPackedReadsAsRecorded guards a fleet of two versions: what pack wrote is read.
+// TestRecordedPackedValuesDecode checks that packed values written by an older version decode,
+// because a fleet may run two versions.
 func TestRecordedPackedValuesDecode(t *testing.T) {
 	wiretest.Gob[[]Item](t, "packed.items")
 	wiretest.Gob[[]Event](t, "packed.events")
