--- a/internal/edge/http1/client.go
+++ b/internal/edge/http1/client.go
@@ -34,9 +34,9 @@
 
 // Errors of exchanges.
 var (
-	errClosed   = errors.New("client is closed")
-	errTooLarge = errors.New("answer is larger than the limit")
-	errMismatch = errors.New("answer belongs to another request")
+	errClosed           = errors.New("client is closed")
+	errBodyTooLarge     = errors.New("answer is larger than the limit")
+	errResponseMismatch = errors.New("answer belongs to another request")
 )
 
 // Target is one incarnation of a back end. A connection to one incarnation is
@@ -85,10 +85,10 @@
 	config  Config
 	metrics *metrics
 
-	mutex  sync.Mutex
-	pools  map[Target]*pool
-	retain map[Target]int // see Retain
-	closed bool
+	mutex   sync.Mutex
+	pools   map[Target]*pool
+	maxIdle map[Target]int // see Retain
+	closed  bool
 }
 
 // New returns a Client and registers its metrics.
@@ -102,34 +102,34 @@
 func (c *Client) Do(ctx context.Context, target Target, message Message, match Matcher) (*Response, error) {
 	connection, err := c.acquire(ctx, target, message.Once)
 	if err != nil {
-		failed := unsent(StepConnect, target, err)
-		failed.Refused = errors.Is(err, syscall.ECONNREFUSED)
-		return nil, failed
+		transportErr := notSentError(StepConnect, target, err)
+		transportErr.Refused = errors.Is(err, syscall.ECONNREFUSED)
+		return nil, transportErr
 	}
 	if err := ctx.Err(); err != nil {
 		connection.release()
-		return nil, unsent(StepSend, target, err)
+		return nil, notSentError(StepSend, target, err)
 	}
 	exchange := &exchange{method: message.Method, match: match, done: make(chan result, 1)}
-	if sent, err := connection.start(ctx, exchange, message.bytes()); err != nil {
+	if sent, err := connection.send(ctx, exchange, message.encode()); err != nil {
 		return nil, &leaf.TransportError{Step: StepSend, Peer: target.Address, Sent: sent, Err: err}
 	}
 	select {
-	case ended := <-exchange.done:
-		if ended.err != nil {
-			c.metrics.broken.Inc()
+	case outcome := <-exchange.done:
+		if outcome.err != nil {
+			c.metrics.brokenExchanges.Inc()
 			return nil, &leaf.TransportError{
-				Step: StepReceive, Peer: target.Address, Sent: true, Closed: ended.closed, Err: ended.err,
+				Step: StepReceive, Peer: target.Address, Sent: true, Closed: outcome.closed, Err: outcome.err,
 			}
 		}
-		return ended.response, nil
+		return outcome.response, nil
 	case <-ctx.Done():
 		connection.close()
 		return nil, &leaf.TransportError{Step: StepReceive, Peer: target.Address, Sent: true, Err: ctx.Err()}
 	}
 }
 
-func unsent(step leaf.Step, target Target, err error) *leaf.TransportError {
+func notSentError(step leaf.Step, target Target, err error) *leaf.TransportError {
 	return &leaf.TransportError{Step: step, Peer: target.Address, Sent: false, Err: err}
 }
 
@@ -139,22 +139,22 @@
 		c.mutex.Unlock()
 		return nil, errClosed
 	}
-	from := c.poolOf(target)
+	targetPool := c.getPool(target)
 	c.mutex.Unlock()
-	return from.acquire(ctx, once)
+	return targetPool.acquire(ctx, once)
 }
 
 // poolOf returns the pool of a target. The caller holds the mutex.
-func (c *Client) poolOf(target Target) *pool {
-	from, known := c.pools[target]
-	if !known {
-		from = newPool(c, target)
-		if maxIdle, given := c.retain[target]; given {
-			from.setMaxIdle(maxIdle)
+func (c *Client) getPool(target Target) *pool {
+	targetPool, ok := c.pools[target]
+	if !ok {
+		targetPool = newPool(c, target)
+		if maxIdle, ok := c.maxIdle[target]; ok {
+			targetPool.setMaxIdle(maxIdle)
 		}
-		c.pools[target] = from
+		c.pools[target] = targetPool
 	}
-	return from
+	return targetPool
 }
 
 // Retain closes the idle connections of all targets but those given, and
@@ -163,11 +163,11 @@
 func (c *Client) Retain(maxIdle map[Target]int) {
 	var dropped []*pool
 	c.mutex.Lock()
-	c.retain = maxIdle
+	c.maxIdle = maxIdle
 	for target, candidate := range c.pools {
-		connections, stays := maxIdle[target]
-		if stays {
-			candidate.setMaxIdle(connections)
+		targetMaxIdle, ok := maxIdle[target]
+		if ok {
+			candidate.setMaxIdle(targetMaxIdle)
 			continue
 		}
 		delete(c.pools, target)
@@ -191,10 +191,10 @@
 func (c *Client) dial(ctx context.Context, target Target) (net.Conn, error) {
 	c.metrics.dials.Inc()
 	dialer := net.Dialer{Timeout: c.config.DialTimeout, KeepAlive: -1}
-	dialed, err := dialer.DialContext(ctx, "tcp", target.Address.String())
+	socket, err := dialer.DialContext(ctx, "tcp", target.Address.String())
 	if err != nil {
 		c.metrics.dialFailures.Inc()
 		return nil, err
 	}
-	return dialed, nil
+	return socket, nil
 }
--- a/internal/edge/http1/client_test.go
+++ b/internal/edge/http1/client_test.go
@@ -28,7 +28,7 @@
 	listener    net.Listener
 	connections atomic.Int32
 	requests    atomic.Int32
-	open        sync.WaitGroup
+	running     sync.WaitGroup
 }
 
 func newBackend(t *testing.T, reply func(connection, request int) string) *backend {
@@ -38,17 +38,17 @@
 		t.Fatal(err)
 	}
 	b := &backend{listener: listener}
-	b.open.Go(func() {
+	b.running.Go(func() {
 		for {
 			socket, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			number := int(b.connections.Add(1))
-			b.open.Go(func() { b.serve(socket, number, reply) })
+			b.running.Go(func() { b.serve(socket, number, reply) })
 		}
 	})
-	t.Cleanup(func() { _ = listener.Close(); b.open.Wait() })
+	t.Cleanup(func() { _ = listener.Close(); b.running.Wait() })
 	return b
 }
 
@@ -89,34 +89,34 @@
 	return Message{Method: http.MethodGet, Head: []byte("GET /x HTTP/1.1\r\nHost: h\r\n")}
 }
 
-func ours(response *Response) bool { return response.Header.Get("Id") != "other" }
+func isMatch(response *Response) bool { return response.Header.Get("Id") != "other" }
 
-func get(t *testing.T, client *Client, target Target) (*Response, error) {
+func doGet(t *testing.T, client *Client, target Target) (*Response, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return client.Do(ctx, target, request(), ours)
+	return client.Do(ctx, target, request(), isMatch)
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // TestConnectionsAreUsedAgainOnlyWithoutDoubt sends two requests, and counts
 // the connections that they took.
-func TestConnectionsAreUsedAgainOnlyWithoutDoubt(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	for _, test := range []struct {
 		name, reply string
 		connections int32
 		fails       bool
 	}{
-		{"whole", whole, 1, false},
+		{"whole", okResponse, 1, false},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1, false},
-		{"interim answer before", "HTTP/1.1 103 Early Hints\r\n\r\n" + whole, 1, false},
+		{"interim answer before", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, 1, false},
 		{"asks to close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 2, false},
 		{"old protocol", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", 2, false},
 		{"no time to rest", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", 2, false},
 		{"time to rest", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 2\r\n\r\nok", 1, false},
-		{"surplus bytes", whole + "more", 2, false},
-		{"another's answer first", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno" + whole, 2, false},
+		{"surplus bytes", okResponse + "more", 2, false},
+		{"another's answer first", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno" + okResponse, 2, false},
 		{"only others' answers", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno", 2, true},
 		{"no answer in the protocol", "nonsense\r\n\r\n", 2, true},
 		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + fmt.Sprintf("%0101d", 1), 2, true},
@@ -125,7 +125,7 @@
 			b := newBackend(t, func(int, int) string { return test.reply })
 			client := newClient(t, 4)
 			for range 2 {
-				response, err := get(t, client, b.target())
+				response, err := doGet(t, client, b.target())
 				if (err != nil) != test.fails {
 					t.Fatalf("%+v, %v", response, err)
 				}
@@ -145,7 +145,7 @@
 }
 
 // TestAnswersThatEndEarly are errors, and say that the request may have run.
-func TestAnswersThatEndEarly(t *testing.T) {
+func TestTruncatedResponsesAreErrors(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"} {
 		served := false
 		b := newBackend(t, func(_, number int) string {
@@ -157,7 +157,7 @@
 		})
 		client := newClient(t, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		_, err := client.Do(ctx, b.target(), request(), ours)
+		_, err := client.Do(ctx, b.target(), request(), isMatch)
 		cancel()
 		var transport *leaf.TransportError
 		if !errors.As(err, &transport) || !transport.Sent {
@@ -172,32 +172,32 @@
 
 // TestBrokenConnectionIsNeverRepeated ends the connection at its second
 // request: that request fails, and goes out once.
-func TestBrokenConnectionIsNeverRepeated(t *testing.T) {
+func TestRequestIsSentOnceOnBrokenConnection(t *testing.T) {
 	b := newBackend(t, func(_, number int) string {
 		if number == 1 {
-			return whole
+			return okResponse
 		}
 		return ""
 	})
 	client := newClient(t, 1)
-	if _, err := get(t, client, b.target()); err != nil {
+	if _, err := doGet(t, client, b.target()); err != nil {
 		t.Fatal(err)
 	}
-	_, err := get(t, client, b.target())
+	_, err := doGet(t, client, b.target())
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || !transport.Sent || b.requests.Load() != 2 {
 		t.Errorf("%v after %d requests", err, b.requests.Load())
 	}
-	if _, err := get(t, client, b.target()); err != nil {
+	if _, err := doGet(t, client, b.target()); err != nil {
 		t.Errorf("on a new connection: %v", err)
 	}
 }
 
 // TestUnreachableTargetSendsNothing and says so.
-func TestUnreachableTargetSendsNothing(t *testing.T) {
-	b := newBackend(t, func(int, int) string { return whole })
+func TestUnreachableTargetIsReportedAsNotSent(t *testing.T) {
+	b := newBackend(t, func(int, int) string { return okResponse })
 	_ = b.listener.Close()
-	_, err := get(t, newClient(t, 1), b.target())
+	_, err := doGet(t, newClient(t, 1), b.target())
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || transport.Sent {
 		t.Errorf("%v", err)
@@ -206,11 +206,11 @@
 
 // TestConnectionsAreBounded sends many requests at once over few connections,
 // with some given up.
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	const connections = 3
 	b := newBackend(t, func(int, int) string {
 		time.Sleep(time.Millisecond)
-		return whole
+		return okResponse
 	})
 	client := newClient(t, connections)
 	var running sync.WaitGroup
@@ -222,7 +222,7 @@
 			if number%10 == 0 {
 				time.AfterFunc(2*time.Millisecond, cancel)
 			}
-			if _, err := client.Do(ctx, b.target(), request(), ours); err == nil {
+			if _, err := client.Do(ctx, b.target(), request(), isMatch); err == nil {
 				served.Add(1)
 			}
 		})
@@ -238,18 +238,18 @@
 
 // TestRetainDropsConnections to targets that are gone: a new incarnation at the
 // same address gets connections of its own.
-func TestRetainDropsConnections(t *testing.T) {
-	b := newBackend(t, func(int, int) string { return whole })
+func TestRetainClosesDroppedTargets(t *testing.T) {
+	b := newBackend(t, func(int, int) string { return okResponse })
 	client := newClient(t, 1)
 	target := b.target()
 	for range 2 {
-		if _, err := get(t, client, target); err != nil {
+		if _, err := doGet(t, client, target); err != nil {
 			t.Fatal(err)
 		}
 	}
 	target.BootID = "two"
 	client.Retain(map[Target]int{target: 1})
-	if _, err := get(t, client, target); err != nil {
+	if _, err := doGet(t, client, target); err != nil {
 		t.Fatal(err)
 	}
 	if got := b.connections.Load(); got != 2 {
@@ -259,8 +259,8 @@
 
 // FuzzAnswer feeds the reader of answers any bytes: it must end, and what it
 // accepts must be whole.
-func FuzzAnswer(f *testing.F) {
-	f.Add([]byte(whole))
+func FuzzResponse(f *testing.F) {
+	f.Add([]byte(okResponse))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5, max=1\r\n\r\nrest"))
@@ -271,7 +271,7 @@
 		go func() { _, _ = far.Write(content); _ = far.Close() }()
 		owner := newPool(client, Target{})
 		c := &connection{pool: owner, socket: near, reader: bufio.NewReader(near)}
-		response, idle, err := c.receive(&exchange{method: http.MethodGet, match: ours})
+		response, idle, err := c.receiveMatching(&exchange{method: http.MethodGet, match: isMatch})
 		_ = near.Close()
 		if err == nil && (response == nil || int64(len(response.Body)) > client.config.BodyBytes || idle > client.config.IdleTimeout) {
 			t.Errorf("accepted %+v, %v", response, idle)
@@ -280,12 +280,12 @@
 }
 
 // TestAnswerToHeadHasNoBody whatever length it names.
-func TestAnswerToHeadHasNoBody(t *testing.T) {
+func TestHeadResponseHasNoBody(t *testing.T) {
 	b := newBackend(t, func(int, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" })
 	client := newClient(t, 1)
 	message := Message{Method: http.MethodHead, Head: []byte("HEAD /x HTTP/1.1\r\nHost: h\r\n")}
 	for range 2 {
-		response, err := client.Do(t.Context(), b.target(), message, ours)
+		response, err := client.Do(t.Context(), b.target(), message, isMatch)
 		if err != nil || len(response.Body) != 0 {
 			t.Fatalf("%+v, %v", response, err)
 		}
--- a/internal/edge/http1/closed_test.go
+++ b/internal/edge/http1/closed_test.go
@@ -12,7 +12,7 @@
 // TestEndBeforeAnyAnswerIsTold apart from one within an answer, and from a wait
 // that is given up here: only the first is what a process leaves behind that ends
 // under a request.
-func TestEndBeforeAnyAnswerIsTold(t *testing.T) {
+func TestCloseBeforeResponseIsReported(t *testing.T) {
 	for _, test := range []struct {
 		name, reply string
 		closed      bool
@@ -31,7 +31,7 @@
 			})
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 			defer cancel()
-			_, err := client.Do(ctx, b.target(), request(), ours)
+			_, err := client.Do(ctx, b.target(), request(), isMatch)
 			var transport *leaf.TransportError
 			if !errors.As(err, &transport) || !transport.Sent || transport.Closed != test.closed {
 				t.Errorf("error %v, %+v", err, transport)
--- a/internal/edge/http1/conncheck.go
+++ b/internal/edge/http1/conncheck.go
@@ -9,7 +9,7 @@
 // nor surplus bytes. The goroutine that reads sees it, too, but on a busy machine later:
 // with five busy processes a core, one request sent 5 ms after the close was lost in a
 // minute of trying, and none with this check.
-func (c *connection) reusable() bool {
+func (c *connection) hasNoPendingInput() bool {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
 		return true // not a socket of the kernel: the goroutine that reads sees it
--- a/internal/edge/http1/conncheck_test.go
+++ b/internal/edge/http1/conncheck_test.go
@@ -13,7 +13,7 @@
 // TestRequestThatMayRunOnceTakesNoClosedConnection closes an idle connection and
 // sends a request before the goroutine that reads it can have run: there is one
 // processor, and nothing in between blocks.
-func TestRequestThatMayRunOnceTakesNoClosedConnection(t *testing.T) {
+func TestAtMostOnceRequestSkipsClosedConnection(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 				return
 			}
 			_, _ = http.ReadRequest(bufio.NewReader(socket))
-			_, _ = io.WriteString(socket, whole)
+			_, _ = io.WriteString(socket, okResponse)
 			accepted <- socket
 		}
 	}()
@@ -38,7 +38,7 @@
 	message := request()
 	message.Once = true
 	for number := range 100 {
-		if _, err := client.Do(t.Context(), target, message, ours); err != nil {
+		if _, err := client.Do(t.Context(), target, message, isMatch); err != nil {
 			t.Fatalf("request %d: %v", number, err)
 		}
 		_ = (<-accepted).Close()
--- a/internal/edge/http1/connection.go
+++ b/internal/edge/http1/connection.go
@@ -47,7 +47,7 @@
 // newConnection returns a connection that is in use by the caller.
 func newConnection(owner *pool, socket net.Conn) *connection {
 	c := &connection{pool: owner, socket: socket, reader: bufio.NewReader(socket), busy: true}
-	go c.read()
+	go c.readLoop()
 	return c
 }
 
@@ -64,19 +64,19 @@
 
 // release gives back a connection on which nothing was sent.
 func (c *connection) release() {
-	idle := c.pool.idleTime()
-	if idle == 0 || !c.rest(idle) {
+	idle := c.pool.idleTimeout()
+	if idle == 0 || !c.markIdle(idle) {
 		c.close()
 	}
 }
 
 // start sends the bytes of a request. If it fails, it reports whether a byte
 // can have left, and the connection is closed.
-func (c *connection) start(ctx context.Context, started *exchange, content []byte) (sent bool, err error) {
+func (c *connection) send(ctx context.Context, next *exchange, content []byte) (sent bool, err error) {
 	c.mutex.Lock()
 	closed := c.closed
 	if !closed {
-		c.current = started
+		c.current = next
 	}
 	c.mutex.Unlock()
 	if closed {
@@ -94,11 +94,11 @@
 }
 
 // read delivers answers until the connection is not to be used any more.
-func (c *connection) read() {
+func (c *connection) readLoop() {
 	defer c.close()
 	for {
 		_, err := c.reader.Peek(1)
-		current, busy := c.state()
+		current, busy := c.currentExchange()
 		if errors.Is(err, os.ErrDeadlineExceeded) && busy {
 			continue // it was idle for long, and is in use again
 		}
@@ -106,10 +106,10 @@
 			return
 		}
 		if err != nil {
-			current.done <- result{err: err, closed: endedByPeer(err)}
+			current.done <- result{err: err, closed: closedByPeer(err)}
 			return
 		}
-		if !c.answer(current) {
+		if !c.handleResponse(current) {
 			return
 		}
 	}
@@ -117,11 +117,11 @@
 
 // endedByPeer reports whether a read failed because the other side closed or reset
 // the connection.
-func endedByPeer(err error) bool {
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-func (c *connection) state() (*exchange, bool) {
+func (c *connection) currentExchange() (*exchange, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.current, c.busy
@@ -129,22 +129,22 @@
 
 // answer reads the answer to an exchange and delivers it. It reports whether
 // the connection may be used again.
-func (c *connection) answer(current *exchange) bool {
-	response, idle, err := c.receive(current)
+func (c *connection) handleResponse(current *exchange) bool {
+	response, idle, err := c.receiveMatching(current)
 	if err != nil {
 		current.done <- result{err: err}
 		return false
 	}
-	reusable := idle > 0 && c.reader.Buffered() == 0 && c.rest(idle)
+	reusable := idle > 0 && c.reader.Buffered() == 0 && c.markIdle(idle)
 	current.done <- result{response: response}
 	return reusable
 }
 
 // receive reads the awaited answer. The duration is how long the connection
 // may be idle then; zero if it must not be used again.
-func (c *connection) receive(current *exchange) (*Response, time.Duration, error) {
+func (c *connection) receiveMatching(current *exchange) (*Response, time.Duration, error) {
 	for skipped := 0; ; skipped++ {
-		response, idle, err := c.receiveOne(current.method)
+		response, idle, err := c.receiveResponse(current.method)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -155,12 +155,12 @@
 			return response, idle, nil
 		}
 		if idle == 0 || skipped >= c.pool.client.config.MaxSkipped {
-			return nil, 0, errMismatch
+			return nil, 0, errResponseMismatch
 		}
 	}
 }
 
-func (c *connection) receiveOne(method string) (*Response, time.Duration, error) {
+func (c *connection) receiveResponse(method string) (*Response, time.Duration, error) {
 	request := &http.Request{Method: method} // all that matters of it for its answer
 	for {
 		received, err := http.ReadResponse(c.reader, request)
@@ -174,8 +174,8 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		answer := &Response{Status: received.StatusCode, Header: received.Header, Body: body}
-		return answer, c.idleTime(received), nil
+		response := &Response{Status: received.StatusCode, Header: received.Header, Body: body}
+		return response, c.idleTimeout(received), nil
 	}
 }
 
@@ -185,7 +185,7 @@
 		return nil, nil // also after HEAD, whatever length is named
 	}
 	if received.ContentLength > limit {
-		return nil, errTooLarge
+		return nil, errBodyTooLarge
 	}
 	if received.ContentLength >= 0 {
 		body := make([]byte, received.ContentLength)
@@ -194,21 +194,21 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(received.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		return nil, errTooLarge
+		return nil, errBodyTooLarge
 	}
 	return body, err
 }
 
 // idleTime returns how long the connection may be idle after an answer; zero if
 // it must not be used again.
-func (c *connection) idleTime(received *http.Response) time.Duration {
+func (c *connection) idleTimeout(received *http.Response) time.Duration {
 	framed := received.ContentLength >= 0 || len(received.TransferEncoding) > 0
 	if received.Close || !framed {
 		return 0
 	}
-	idle := c.pool.idleTime()
-	if named, ok := keepAlive(received.Header.Get("Keep-Alive")); ok {
-		idle = min(idle, named-keepAliveMargin)
+	idle := c.pool.idleTimeout()
+	if keepAlive, ok := parseKeepAlive(received.Header.Get("Keep-Alive")); ok {
+		idle = min(idle, keepAlive-keepAliveMargin)
 	}
 	return max(idle, 0)
 }
@@ -218,7 +218,7 @@
 const keepAliveMargin = 500 * time.Millisecond
 
 // keepAlive returns the time of a Keep-Alive header.
-func keepAlive(value string) (time.Duration, bool) {
+func parseKeepAlive(value string) (time.Duration, bool) {
 	for _, parameter := range strings.Split(value, ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -234,13 +234,13 @@
 }
 
 // rest makes the connection idle and reports whether the pool keeps it.
-func (c *connection) rest(idle time.Duration) bool {
+func (c *connection) markIdle(idle time.Duration) bool {
 	_ = c.socket.SetReadDeadline(time.Now().Add(idle)) // a closed socket shows in Read
 	c.mutex.Lock()
 	c.current = nil
 	c.busy = false
 	c.mutex.Unlock()
-	return c.pool.put(c)
+	return c.pool.putIdle(c)
 }
 
 // close ends the connection; its end is counted once.
@@ -251,6 +251,6 @@
 	c.mutex.Unlock()
 	if first {
 		_ = c.socket.Close() // nothing is left to be said on it
-		c.pool.ended(c)
+		c.pool.remove(c)
 	}
 }
--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -27,7 +27,7 @@
 }
 
 // framing lists the headers that a Client writes itself.
-var framing = map[string]bool{
+var framingHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true,
 }
 
@@ -41,10 +41,10 @@
 		}
 		target = parsed.RequestURI()
 	}
-	excluded := framing
+	excluded := framingHeaders
 	if len(omitted) > 0 {
-		excluded = make(map[string]bool, len(framing)+len(omitted))
-		for name := range framing {
+		excluded = make(map[string]bool, len(framingHeaders)+len(omitted))
+		for name := range framingHeaders {
 			excluded[name] = true
 		}
 		for _, name := range omitted {
@@ -66,14 +66,14 @@
 }
 
 // lengthHeaderSpace is room for the line with the length of the body, in bytes.
-const lengthHeaderSpace = 40
+const contentLengthBytes = 40
 
 // bytes returns the whole request.
-func (m *Message) bytes() []byte {
-	content := make([]byte, 0, len(m.Head)+len(m.Own)+len(m.Body)+lengthHeaderSpace)
+func (m *Message) encode() []byte {
+	content := make([]byte, 0, len(m.Head)+len(m.Own)+len(m.Body)+contentLengthBytes)
 	content = append(content, m.Head...)
 	content = append(content, m.Own...)
-	if len(m.Body) > 0 || m.usuallyHasBody() {
+	if len(m.Body) > 0 || m.needsContentLength() {
 		content = AppendHeader(content, "Content-Length", strconv.Itoa(len(m.Body)))
 	}
 	content = append(content, "\r\n"...)
@@ -81,7 +81,7 @@
 }
 
 // usuallyHasBody reports whether the length is sent also where there is no body.
-func (m *Message) usuallyHasBody() bool {
+func (m *Message) needsContentLength() bool {
 	switch m.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
 		return true
--- a/internal/edge/http1/message_test.go
+++ b/internal/edge/http1/message_test.go
@@ -10,7 +10,7 @@
 
 // TestMessageIsReadAsItWasMeant reads written requests with the library's
 // server side.
-func TestMessageIsReadAsItWasMeant(t *testing.T) {
+func TestMessageEncoding(t *testing.T) {
 	for _, test := range []struct {
 		name, method, target, wantTarget, body, wantLength string
 	}{
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		message := Message{Method: test.method, Head: head, Own: AppendHeader(nil, "X-Own", "mine"), Body: []byte(test.body)}
-		read, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(message.bytes())))
+		read, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(message.encode())))
 		if err != nil {
 			t.Fatalf("%s: %v", test.name, err)
 		}
@@ -50,7 +50,7 @@
 }
 
 // TestHeaderLinesCannotBeSmuggled keeps line ends out of values.
-func TestHeaderLinesCannotBeSmuggled(t *testing.T) {
+func TestHeaderValuesCannotInjectLines(t *testing.T) {
 	head, err := WriteHead(http.MethodGet, "/", "h", http.Header{"X": {"a\r\nY: b"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/http1/metrics.go
+++ b/internal/edge/http1/metrics.go
@@ -8,7 +8,7 @@
 
 // metrics counts what happens to connections.
 type metrics struct {
-	dials, dialFailures, broken prometheus.Counter
+	dials, dialFailures, brokenExchanges prometheus.Counter
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -18,7 +18,7 @@
 			"Connections that were begun to be opened to leaves."),
 		dialFailures: create.Counter("micaplank_http1_dial_failures_total",
 			"Connections to leaves that could not be opened."),
-		broken: create.Counter("micaplank_http1_broken_exchanges_total",
+		brokenExchanges: create.Counter("micaplank_http1_broken_exchanges_total",
 			"Requests that were sent to leaves and got no whole answer of their own."),
 	}
 }
--- a/internal/edge/http1/pool.go
+++ b/internal/edge/http1/pool.go
@@ -12,12 +12,12 @@
 	client *Client
 	target Target
 
-	mutex   sync.Mutex
-	idle    []*connection
-	open    int             // idle, in use, or being opened
-	waiters []chan struct{} // each receives once, and may try again then
-	closed  bool
-	maxIdle int // how many may be idle
+	mutex     sync.Mutex
+	idle      []*connection
+	openCount int             // idle, in use, or being opened
+	waiters   []chan struct{} // each receives once, and may try again then
+	closed    bool
+	maxIdle   int // how many may be idle
 }
 
 func newPool(client *Client, target Target) *pool {
@@ -42,7 +42,7 @@
 }
 
 // idleTime returns how long a connection may be idle.
-func (p *pool) idleTime() time.Duration {
+func (p *pool) idleTimeout() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.maxIdle == 0 {
@@ -56,26 +56,26 @@
 // it looks whether the connection is still open.
 func (p *pool) acquire(ctx context.Context, once bool) (*connection, error) {
 	for {
-		found, wait, mayOpen := p.take()
+		claimed, wait, mayOpen := p.claimOrWait()
 		switch {
-		case found != nil && once && !found.reusable():
-			found.close()
+		case claimed != nil && once && !claimed.hasNoPendingInput():
+			claimed.close()
 			continue
-		case found != nil:
-			return found, nil
+		case claimed != nil:
+			return claimed, nil
 		case mayOpen:
-			return p.connect(ctx)
+			return p.dial(ctx)
 		}
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			p.leave(wait)
+			p.cancelWait(wait)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (p *pool) take() (found *connection, wait chan struct{}, mayOpen bool) {
+func (p *pool) claimOrWait() (claimed *connection, wait chan struct{}, mayOpen bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for len(p.idle) > 0 {
@@ -86,8 +86,8 @@
 			return candidate, nil, false
 		}
 	}
-	if p.open < p.limit() {
-		p.open++
+	if p.openCount < p.limit() {
+		p.openCount++
 		return nil, nil, true
 	}
 	wait = make(chan struct{}, 1)
@@ -96,54 +96,54 @@
 }
 
 // leave takes back a waiter; if it was woken already, the next one is.
-func (p *pool) leave(wait chan struct{}) {
+func (p *pool) cancelWait(wait chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if at := slices.Index(p.waiters, wait); at >= 0 {
-		p.waiters = slices.Delete(p.waiters, at, at+1)
+	if index := slices.Index(p.waiters, wait); index >= 0 {
+		p.waiters = slices.Delete(p.waiters, index, index+1)
 		return
 	}
-	p.wake()
+	p.wakeNext()
 }
 
 // wake wakes the first waiter, which may try again.
-func (p *pool) wake() {
+func (p *pool) wakeNext() {
 	if len(p.waiters) > 0 {
 		p.waiters[0] <- struct{}{}
 		p.waiters = p.waiters[1:]
 	}
 }
 
-func (p *pool) connect(ctx context.Context) (*connection, error) {
-	dialed, err := p.client.dial(ctx, p.target)
+func (p *pool) dial(ctx context.Context) (*connection, error) {
+	socket, err := p.client.dial(ctx, p.target)
 	if err != nil {
-		p.ended(nil)
+		p.remove(nil)
 		return nil, err
 	}
-	return newConnection(p, dialed), nil
+	return newConnection(p, socket), nil
 }
 
 // put takes back a connection, and reports whether it is kept.
-func (p *pool) put(c *connection) bool {
+func (p *pool) putIdle(c *connection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return false
 	}
 	p.idle = append(p.idle, c)
-	p.wake()
+	p.wakeNext()
 	return true
 }
 
 // ended takes a connection out of the count; nil is one that was never open.
-func (p *pool) ended(c *connection) {
+func (p *pool) remove(c *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open--
-	if at := slices.Index(p.idle, c); at >= 0 {
-		p.idle = slices.Delete(p.idle, at, at+1)
+	p.openCount--
+	if index := slices.Index(p.idle, c); index >= 0 {
+		p.idle = slices.Delete(p.idle, index, index+1)
 	}
-	p.wake()
+	p.wakeNext()
 }
 
 func (p *pool) close() {
--- a/internal/edge/http1/pool_test.go
+++ b/internal/edge/http1/pool_test.go
@@ -8,17 +8,17 @@
 
 // TestNoConnectionIsKept to a target of which this client may keep none: each
 // request opens one, and it is closed once the answer is here.
-func TestNoConnectionIsKept(t *testing.T) {
-	b := newBackend(t, func(int, int) string { return whole })
+func TestZeroMaxIdleClosesEveryConnection(t *testing.T) {
+	b := newBackend(t, func(int, int) string { return okResponse })
 	client := newClient(t, 3)
 	target := b.target()
 	client.Retain(map[Target]int{target: 0})
 	const requests = 5
 	for range requests {
-		if _, err := get(t, client, target); err != nil {
+		if _, err := doGet(t, client, target); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the end of the connection", func() bool { return openOf(client, target) == 0 })
+		waitUntil(t, "the end of the connection", func() bool { return openConnections(client, target) == 0 })
 	}
 	if got := b.connections.Load(); got != requests {
 		t.Errorf("%d connections for %d requests", got, requests)
@@ -26,16 +26,16 @@
 }
 
 // TestFewerConnectionsAreKept closes those that rest beyond the new number.
-func TestFewerConnectionsAreKept(t *testing.T) {
+func TestLowerMaxIdleClosesSurplusConnections(t *testing.T) {
 	release := make(chan struct{})
-	b := newBackend(t, func(int, int) string { <-release; return whole })
+	b := newBackend(t, func(int, int) string { <-release; return okResponse })
 	client := newClient(t, 3)
 	target := b.target()
 	client.Retain(map[Target]int{target: 3})
 	var group sync.WaitGroup
 	for range 3 {
 		group.Go(func() {
-			if _, err := get(t, client, target); err != nil {
+			if _, err := doGet(t, client, target); err != nil {
 				t.Error(err)
 			}
 		})
@@ -44,26 +44,26 @@
 	close(release)
 	group.Wait()
 	client.Retain(map[Target]int{target: 1})
-	waitUntil(t, "the end of two", func() bool { return openOf(client, target) == 1 })
-	if _, err := get(t, client, target); err != nil || b.connections.Load() != 3 {
+	waitUntil(t, "the end of two", func() bool { return openConnections(client, target) == 1 })
+	if _, err := doGet(t, client, target); err != nil || b.connections.Load() != 3 {
 		t.Errorf("%v, %d connections", err, b.connections.Load())
 	}
 	for _, test := range []struct{ maxIdle, limit int }{{0, 1}, {1, 1}, {2, 2}, {9, 3}} {
-		from := newPool(client, Target{})
-		from.setMaxIdle(test.maxIdle)
-		if got := from.limit(); got != test.limit {
+		targetPool := newPool(client, Target{})
+		targetPool.setMaxIdle(test.maxIdle)
+		if got := targetPool.limit(); got != test.limit {
 			t.Errorf("%d idle at most: limit %d", test.maxIdle, got)
 		}
 	}
 }
 
-func openOf(client *Client, target Target) int {
+func openConnections(client *Client, target Target) int {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
-	from := client.pools[target]
-	from.mutex.Lock()
-	defer from.mutex.Unlock()
-	return from.open
+	targetPool := client.pools[target]
+	targetPool.mutex.Lock()
+	defer targetPool.mutex.Unlock()
+	return targetPool.openCount
 }
 
 // waitUntil waits for a condition; it measures no time.
