--- a/internal/edge/http1/client.go
+++ b/internal/edge/http1/client.go
@@ -1,13 +1,13 @@
-// Package http1 is an HTTP/1.1 client for back ends that take few connections and where
-// each request must be counted.
+// Package http1 is an HTTP/1.1 client for back ends that accept few connections, with exact control
+// over what is sent.
 //
-// It sends every request once at most: unlike http.Transport it never retries one by
-// itself. It bounds the connections to each target and reuses them, and it does not use a
-// connection again after any doubt: surplus bytes, a body cut short, a body without a
-// length, or a request given up. Errors say whether a byte can have left.
+// It sends every request at most once: unlike http.Transport it never retries a request. It bounds
+// the connections to each target and reuses them. A connection is not reused after surplus bytes, a
+// truncated body, a body without a length, or a cancelled request. Errors say whether a byte of the
+// request may have been sent.
 //
-// The package owns the connections, by target, and their metrics. It relies on net for
-// them, on net/http for the parsing of answers, and on leaf for the type of its errors.
+// The package owns the connections of each target and their metrics. It relies on net for the
+// connections, on net/http for parsing responses, and on leaf for the type of its errors.
 package http1
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// The steps of an exchange, as errors name them.
+// The steps of an exchange, as named in errors.
 const (
 	StepConnect leaf.Step = "http1_connect"
 	StepSend    leaf.Step = "http1_send"
@@ -35,52 +35,51 @@
 // Errors of exchanges.
 var (
 	errClosed           = errors.New("client is closed")
-	errBodyTooLarge     = errors.New("answer is larger than the limit")
-	errResponseMismatch = errors.New("answer belongs to another request")
+	errBodyTooLarge     = errors.New("response body exceeds the limit")
+	errResponseMismatch = errors.New("response belongs to another request")
 )
 
-// Target is one incarnation of a back end. A connection to one incarnation is
-// never used for another.
+// Target is one incarnation of a back end. A connection to one incarnation is never used for
+// another.
 type Target struct {
 	Address netip.AddrPort
-	// BootID names the incarnation: one start of the process.
+	// BootID identifies the incarnation: one start of the process.
 	BootID string
 }
 
-// Config bounds what a Client does. All fields must be set.
+// Config bounds the resources of a Client. All fields must be set.
 type Config struct {
-	// ConnectionsPerTarget is the most connections to one target.
+	// ConnectionsPerTarget is the maximum number of connections to one target.
 	ConnectionsPerTarget int
 	// DialTimeout is the longest time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is when an unused connection is closed, unless the back end
-	// names a shorter time.
+	// IdleTimeout is the time after which an idle connection is closed, unless the back end names a
+	// shorter time.
 	IdleTimeout time.Duration
-	// BodyBytes is the largest body of an answer.
+	// BodyBytes is the maximum size of a response body.
 	BodyBytes int64
-	// MaxSkipped is how many answers to other requests are skipped on a connection before
-	// the awaited one.
+	// MaxSkipped is the number of responses to other requests that are skipped on a connection
+	// before the awaited response.
 	MaxSkipped int
 }
 
-// DefaultConfig returns the bounds that seldom need to be changed; those that depend on the
-// deployment are zero. Not measured: chosen because they only bound what a faulty back end
-// can cost.
+// DefaultConfig returns the bounds that seldom need to be changed. They only limit the cost of a
+// faulty back end. The bounds that depend on the deployment are zero.
 func DefaultConfig() Config {
 	return Config{IdleTimeout: 20 * time.Second, BodyBytes: 16 << 20, MaxSkipped: 2}
 }
 
-// Response is a whole answer.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Matcher reports whether an answer belongs to the request that was sent.
+// Matcher reports whether a response belongs to the request that was sent.
 type Matcher func(*Response) bool
 
-// Client keeps the connections. It is safe for concurrent use.
+// Client keeps connections to targets. It is safe for concurrent use.
 type Client struct {
 	config  Config
 	metrics *metrics
@@ -96,9 +95,8 @@
 	return &Client{config: config, metrics: newMetrics(registerer), pools: make(map[Target]*pool)}
 }
 
-// Do sends a request once and blocks until its whole answer has arrived or ctx ends; then
-// the connection is closed. An error is a *leaf.TransportError, whose step is one of those
-// of this package.
+// Do sends a request once and blocks until the complete response has arrived. If ctx ends first,
+// the connection is closed. An error is a *leaf.TransportError whose step is one of this package.
 func (c *Client) Do(ctx context.Context, target Target, message Message, match Matcher) (*Response, error) {
 	connection, err := c.acquire(ctx, target, message.Once)
 	if err != nil {
@@ -144,7 +142,7 @@
 	return targetPool.acquire(ctx, once)
 }
 
-// poolOf returns the pool of a target. The caller holds the mutex.
+// getPool returns the pool of a target and creates it if needed. The caller holds the mutex.
 func (c *Client) getPool(target Target) *pool {
 	targetPool, ok := c.pools[target]
 	if !ok {
@@ -157,9 +155,9 @@
 	return targetPool
 }
 
-// Retain closes the idle connections of all targets but those given, and
-// forgets these targets. Each target comes with the number of connections that
-// may be idle: with none, one is opened for each request and closed after it.
+// Retain closes the idle connections of all targets that are not in maxIdle and removes these
+// targets. For each target, maxIdle holds the number of connections that may be idle. If it is
+// zero, a connection is opened for each request and closed after it.
 func (c *Client) Retain(maxIdle map[Target]int) {
 	var dropped []*pool
 	c.mutex.Lock()
@@ -179,8 +177,8 @@
 	}
 }
 
-// Close closes the idle connections. Exchanges in progress go on, and close
-// theirs at their end.
+// Close closes the idle connections. Exchanges in progress continue and close their connections
+// when they end.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
--- a/internal/edge/http1/client_test.go
+++ b/internal/edge/http1/client_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// backend answers each request on a connection with the text that reply makes
-// of its number on that connection; an empty text ends the connection.
+// backend responds to the n-th request on a connection with the text that reply returns for it. An
+// empty text closes the connection.
 type backend struct {
 	listener    net.Listener
 	connections atomic.Int32
@@ -100,25 +100,25 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// TestConnectionsAreUsedAgainOnlyWithoutDoubt sends two requests, and counts
-// the connections that they took.
+// TestConnectionReuse sends two requests and counts the connections that they use. A connection may
+// only be reused if the response leaves no doubt about its state.
 func TestConnectionReuse(t *testing.T) {
 	for _, test := range []struct {
 		name, reply string
 		connections int32
 		fails       bool
 	}{
-		{"whole", okResponse, 1, false},
+		{"complete", okResponse, 1, false},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1, false},
-		{"interim answer before", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, 1, false},
-		{"asks to close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 2, false},
-		{"old protocol", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", 2, false},
-		{"no time to rest", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", 2, false},
-		{"time to rest", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 2\r\n\r\nok", 1, false},
+		{"interim response first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, 1, false},
+		{"Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 2, false},
+		{"HTTP/1.0", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", 2, false},
+		{"Keep-Alive of zero", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", 2, false},
+		{"Keep-Alive of a minute", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 2\r\n\r\nok", 1, false},
 		{"surplus bytes", okResponse + "more", 2, false},
-		{"another's answer first", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno" + okResponse, 2, false},
-		{"only others' answers", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno", 2, true},
-		{"no answer in the protocol", "nonsense\r\n\r\n", 2, true},
+		{"response to another request first", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno" + okResponse, 2, false},
+		{"only responses to other requests", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno", 2, true},
+		{"not HTTP", "nonsense\r\n\r\n", 2, true},
 		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + fmt.Sprintf("%0101d", 1), 2, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -127,10 +127,10 @@
 			for range 2 {
 				response, err := doGet(t, client, b.target())
 				if (err != nil) != test.fails {
-					t.Fatalf("%+v, %v", response, err)
+					t.Fatalf("response %+v, error %v, want an error: %v", response, err, test.fails)
 				}
 				if err == nil && string(response.Body) != "ok" {
-					t.Errorf("body %q", response.Body)
+					t.Errorf("body %q, want %q", response.Body, "ok")
 				}
 			}
 			client.Close()
@@ -138,13 +138,14 @@
 				t.Errorf("%d connections, want %d", got, test.connections)
 			}
 			if got := b.requests.Load(); got != 2 {
-				t.Errorf("%d requests were sent", got)
+				t.Errorf("%d requests were sent, want 2", got)
 			}
 		})
 	}
 }
 
-// TestAnswersThatEndEarly are errors, and say that the request may have run.
+// TestTruncatedResponsesAreErrors checks that a truncated response is an error which says that the
+// request may have run, and that the request is not resent.
 func TestTruncatedResponsesAreErrors(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"} {
 		served := false
@@ -161,17 +162,17 @@
 		cancel()
 		var transport *leaf.TransportError
 		if !errors.As(err, &transport) || !transport.Sent {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v, want a TransportError with Sent", text, err)
 		}
 		if got := b.requests.Load(); got != 1 {
-			t.Errorf("%q: sent %d times", text, got)
+			t.Errorf("%q: sent %d times, want once", text, got)
 		}
 		client.Close()
 	}
 }
 
-// TestBrokenConnectionIsNeverRepeated ends the connection at its second
-// request: that request fails, and goes out once.
+// TestRequestIsSentOnceOnBrokenConnection closes the connection on its second request. That request
+// must fail and must not be resent.
 func TestRequestIsSentOnceOnBrokenConnection(t *testing.T) {
 	b := newBackend(t, func(_, number int) string {
 		if number == 1 {
@@ -186,26 +187,27 @@
 	_, err := doGet(t, client, b.target())
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || !transport.Sent || b.requests.Load() != 2 {
-		t.Errorf("%v after %d requests", err, b.requests.Load())
+		t.Errorf("error %v after %d requests, want a TransportError with Sent after 2", err, b.requests.Load())
 	}
 	if _, err := doGet(t, client, b.target()); err != nil {
-		t.Errorf("on a new connection: %v", err)
+		t.Errorf("request on a new connection: %v", err)
 	}
 }
 
-// TestUnreachableTargetSendsNothing and says so.
+// TestUnreachableTargetIsReportedAsNotSent checks that a failed dial is reported as a request that
+// was not sent.
 func TestUnreachableTargetIsReportedAsNotSent(t *testing.T) {
 	b := newBackend(t, func(int, int) string { return okResponse })
 	_ = b.listener.Close()
 	_, err := doGet(t, newClient(t, 1), b.target())
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || transport.Sent {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a TransportError without Sent", err)
 	}
 }
 
-// TestConnectionsAreBounded sends many requests at once over few connections,
-// with some given up.
+// TestConnectionLimit sends many concurrent requests over few connections, and cancels some of
+// them.
 func TestConnectionLimit(t *testing.T) {
 	const connections = 3
 	b := newBackend(t, func(int, int) string {
@@ -229,15 +231,15 @@
 	}
 	running.Wait()
 	if served.Load() < 90 {
-		t.Errorf("%d of 100 served", served.Load())
+		t.Errorf("%d of 100 requests served, want at least 90", served.Load())
 	}
 	if got := b.connections.Load(); got > connections+10 {
-		t.Errorf("%d connections were opened, and at most 10 were given up", got)
+		t.Errorf("%d connections were opened, want at most %d, with 10 requests cancelled", got, connections+10)
 	}
 }
 
-// TestRetainDropsConnections to targets that are gone: a new incarnation at the
-// same address gets connections of its own.
+// TestRetainClosesDroppedTargets checks that Retain closes the connections to targets that are
+// gone: a new incarnation at the same address gets its own connections.
 func TestRetainClosesDroppedTargets(t *testing.T) {
 	b := newBackend(t, func(int, int) string { return okResponse })
 	client := newClient(t, 1)
@@ -253,12 +255,12 @@
 		t.Fatal(err)
 	}
 	if got := b.connections.Load(); got != 2 {
-		t.Errorf("%d connections", got)
+		t.Errorf("%d connections, want 2", got)
 	}
 }
 
-// FuzzAnswer feeds the reader of answers any bytes: it must end, and what it
-// accepts must be whole.
+// FuzzResponse feeds arbitrary bytes to the response reader. It must terminate, and an accepted
+// response must be within the limits.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte(okResponse))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"))
@@ -274,12 +276,13 @@
 		response, idle, err := c.receiveMatching(&exchange{method: http.MethodGet, match: isMatch})
 		_ = near.Close()
 		if err == nil && (response == nil || int64(len(response.Body)) > client.config.BodyBytes || idle > client.config.IdleTimeout) {
-			t.Errorf("accepted %+v, %v", response, idle)
+			t.Errorf("accepted response %+v with idle time %v, want it within the limits", response, idle)
 		}
 	})
 }
 
-// TestAnswerToHeadHasNoBody whatever length it names.
+// TestHeadResponseHasNoBody checks that the response to HEAD has no body, whatever its
+// Content-Length, and that its connection is reused.
 func TestHeadResponseHasNoBody(t *testing.T) {
 	b := newBackend(t, func(int, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" })
 	client := newClient(t, 1)
@@ -287,10 +290,10 @@
 	for range 2 {
 		response, err := client.Do(t.Context(), b.target(), message, isMatch)
 		if err != nil || len(response.Body) != 0 {
-			t.Fatalf("%+v, %v", response, err)
+			t.Fatalf("response %+v, error %v, want an empty body", response, err)
 		}
 	}
 	if got := b.connections.Load(); got != 1 {
-		t.Errorf("%d connections", got)
+		t.Errorf("%d connections, want 1", got)
 	}
 }
--- a/internal/edge/http1/closed_test.go
+++ b/internal/edge/http1/closed_test.go
@@ -9,9 +9,9 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// TestEndBeforeAnyAnswerIsTold apart from one within an answer, and from a wait
-// that is given up here: only the first is what a process leaves behind that ends
-// under a request.
+// TestCloseBeforeResponseIsReported checks that a close by the peer before any byte of the response
+// is distinguished from one within the response and from a local timeout. Only the first is what a
+// process that crashes on the request leaves behind.
 func TestCloseBeforeResponseIsReported(t *testing.T) {
 	for _, test := range []struct {
 		name, reply string
@@ -19,7 +19,7 @@
 	}{
 		{"no byte", "", true},
 		{"within the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false},
-		{"no answer of the protocol", "\x00\x01\r\n\r\n", false},
+		{"not HTTP", "\x00\x01\r\n\r\n", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			client := newClient(t, 1)
@@ -34,7 +34,7 @@
 			_, err := client.Do(ctx, b.target(), request(), isMatch)
 			var transport *leaf.TransportError
 			if !errors.As(err, &transport) || !transport.Sent || transport.Closed != test.closed {
-				t.Errorf("error %v, %+v", err, transport)
+				t.Errorf("error %v, %+v, want Sent true and Closed %v", err, transport, test.closed)
 			}
 			client.Close()
 		})
--- a/internal/edge/http1/conncheck.go
+++ b/internal/edge/http1/conncheck.go
@@ -5,18 +5,18 @@
 	"syscall"
 )
 
-// reusable reports whether nothing has arrived on an idle connection: neither its end
-// nor surplus bytes. The goroutine that reads sees it, too, but on a busy machine later:
-// with five busy processes a core, one request sent 5 ms after the close was lost in a
-// minute of trying, and none with this check.
+// hasNoPendingInput reports whether neither the peer's close nor surplus bytes have arrived on an
+// idle connection. The reading goroutine notices both as well, but later on a busy machine: with
+// five busy processes per core and without this check, a request sent 5 ms after the close can be
+// lost.
 func (c *connection) hasNoPendingInput() bool {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
-		return true // not a socket of the kernel: the goroutine that reads sees it
+		return true // not a kernel socket: only the reading goroutine can tell
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return false // it is closed
+		return false // the connection is closed
 	}
 	var peeked error
 	err = raw.Control(func(descriptor uintptr) {
--- a/internal/edge/http1/conncheck_test.go
+++ b/internal/edge/http1/conncheck_test.go
@@ -10,9 +10,8 @@
 	"testing"
 )
 
-// TestRequestThatMayRunOnceTakesNoClosedConnection closes an idle connection and
-// sends a request before the goroutine that reads it can have run: there is one
-// processor, and nothing in between blocks.
+// TestAtMostOnceRequestSkipsClosedConnection closes an idle connection and sends a request before
+// the reading goroutine can have run: GOMAXPROCS is 1, and nothing in between blocks.
 func TestAtMostOnceRequestSkipsClosedConnection(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/edge/http1/connection.go
+++ b/internal/edge/http1/connection.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// exchange is one request on a connection, until its answer.
+// exchange is one request on a connection, until its response.
 type exchange struct {
 	method string
 	match  Matcher
@@ -25,14 +25,14 @@
 type result struct {
 	response *Response
 	err      error
-	// closed is set if the other side ended the connection before a byte of the
-	// answer.
+	// closed is set if the peer closed or reset the connection before the first byte of the
+	// response.
 	closed bool
 }
 
-// connection is one connection to a target. A goroutine reads it all the time,
-// also while it is idle, so that its end and surplus bytes are seen before it
-// is used again.
+// connection is one connection to a target. A goroutine reads it at all times, also while the
+// connection is idle, so that a close by the peer and surplus bytes are noticed before the
+// connection is reused.
 type connection struct {
 	pool   *pool
 	socket net.Conn
@@ -40,7 +40,7 @@
 
 	mutex   sync.Mutex
 	current *exchange
-	busy    bool // in use, or about to be
+	busy    bool // in use, or claimed
 	closed  bool
 }
 
@@ -51,7 +51,7 @@
 	return c
 }
 
-// claim takes an idle connection into use, unless it has ended.
+// claim marks an idle connection as in use. It returns false if the connection is closed.
 func (c *connection) claim() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,7 +62,7 @@
 	return true
 }
 
-// release gives back a connection on which nothing was sent.
+// release returns a connection on which nothing was sent to the pool.
 func (c *connection) release() {
 	idle := c.pool.idleTimeout()
 	if idle == 0 || !c.markIdle(idle) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// start sends the bytes of a request. If it fails, it reports whether a byte
-// can have left, and the connection is closed.
+// send sends the bytes of a request. On an error it closes the connection and reports whether a
+// byte may have been sent.
 func (c *connection) send(ctx context.Context, next *exchange, content []byte) (sent bool, err error) {
 	c.mutex.Lock()
 	closed := c.closed
@@ -82,7 +82,7 @@
 	if closed {
 		return false, net.ErrClosed
 	}
-	_ = c.socket.SetReadDeadline(time.Time{}) // a closed socket shows in Write
+	_ = c.socket.SetReadDeadline(time.Time{}) // Write reports a closed socket
 	deadline, _ := ctx.Deadline()
 	_ = c.socket.SetWriteDeadline(deadline)
 	written, err := c.socket.Write(content)
@@ -93,14 +93,14 @@
 	return true, nil
 }
 
-// read delivers answers until the connection is not to be used any more.
+// readLoop delivers responses until the connection can no longer be used.
 func (c *connection) readLoop() {
 	defer c.close()
 	for {
 		_, err := c.reader.Peek(1)
 		current, busy := c.currentExchange()
 		if errors.Is(err, os.ErrDeadlineExceeded) && busy {
-			continue // it was idle for long, and is in use again
+			continue // the idle deadline expired, but the connection is in use again
 		}
 		if current == nil {
 			return
@@ -115,8 +115,7 @@
 	}
 }
 
-// endedByPeer reports whether a read failed because the other side closed or reset
-// the connection.
+// closedByPeer reports whether a read failed because the peer closed or reset the connection.
 func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
@@ -127,8 +126,8 @@
 	return c.current, c.busy
 }
 
-// answer reads the answer to an exchange and delivers it. It reports whether
-// the connection may be used again.
+// handleResponse reads and delivers the response to an exchange. It reports whether the connection
+// may be reused.
 func (c *connection) handleResponse(current *exchange) bool {
 	response, idle, err := c.receiveMatching(current)
 	if err != nil {
@@ -140,8 +139,8 @@
 	return reusable
 }
 
-// receive reads the awaited answer. The duration is how long the connection
-// may be idle then; zero if it must not be used again.
+// receiveMatching reads the awaited response. It returns how long the connection may be idle
+// afterwards, or zero if the connection must not be reused.
 func (c *connection) receiveMatching(current *exchange) (*Response, time.Duration, error) {
 	for skipped := 0; ; skipped++ {
 		response, idle, err := c.receiveResponse(current.method)
@@ -161,14 +160,14 @@
 }
 
 func (c *connection) receiveResponse(method string) (*Response, time.Duration, error) {
-	request := &http.Request{Method: method} // all that matters of it for its answer
+	request := &http.Request{Method: method} // parsing a response needs only the method
 	for {
 		received, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, 0, err
 		}
 		if received.StatusCode >= 100 && received.StatusCode < 200 {
-			continue // an interim answer
+			continue // an interim response
 		}
 		body, err := readBody(received, c.pool.client.config.BodyBytes)
 		if err != nil {
@@ -179,10 +178,10 @@
 	}
 }
 
-// readBody reads the whole body of an answer, of at most limit bytes.
+// readBody reads the complete body of a response, of at most limit bytes.
 func readBody(received *http.Response, limit int64) ([]byte, error) {
 	if received.Body == http.NoBody {
-		return nil, nil // also after HEAD, whatever length is named
+		return nil, nil // also after HEAD, whatever the Content-Length
 	}
 	if received.ContentLength > limit {
 		return nil, errBodyTooLarge
@@ -199,8 +198,8 @@
 	return body, err
 }
 
-// idleTime returns how long the connection may be idle after an answer; zero if
-// it must not be used again.
+// idleTimeout returns how long the connection may be idle after a response, or zero if it must not
+// be reused.
 func (c *connection) idleTimeout(received *http.Response) time.Duration {
 	framed := received.ContentLength >= 0 || len(received.TransferEncoding) > 0
 	if received.Close || !framed {
@@ -213,11 +212,12 @@
 	return max(idle, 0)
 }
 
-// keepAliveMargin is how long before the back end a connection is closed here. Not
-// measured: chosen because it is a few times as long as a request is on the way.
+// keepAliveMargin is how much earlier than the back end the client closes an idle connection. It is
+// a few times the transit time of a request, so that no request is sent to a connection that the
+// back end is about to close.
 const keepAliveMargin = 500 * time.Millisecond
 
-// keepAlive returns the time of a Keep-Alive header.
+// parseKeepAlive returns the timeout of a Keep-Alive header.
 func parseKeepAlive(value string) (time.Duration, bool) {
 	for _, parameter := range strings.Split(value, ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -233,9 +233,9 @@
 	return 0, false
 }
 
-// rest makes the connection idle and reports whether the pool keeps it.
+// markIdle makes the connection idle and reports whether the pool keeps it.
 func (c *connection) markIdle(idle time.Duration) bool {
-	_ = c.socket.SetReadDeadline(time.Now().Add(idle)) // a closed socket shows in Read
+	_ = c.socket.SetReadDeadline(time.Now().Add(idle)) // Read reports a closed socket
 	c.mutex.Lock()
 	c.current = nil
 	c.busy = false
@@ -243,14 +243,14 @@
 	return c.pool.putIdle(c)
 }
 
-// close ends the connection; its end is counted once.
+// close closes the connection and removes it from its pool once.
 func (c *connection) close() {
 	c.mutex.Lock()
 	first := !c.closed
 	c.closed = true
 	c.mutex.Unlock()
 	if first {
-		_ = c.socket.Close() // nothing is left to be said on it
+		_ = c.socket.Close() // nothing is pending that an error could affect
 		c.pool.remove(c)
 	}
 }
--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -9,30 +9,30 @@
 	"strings"
 )
 
-// Message is a request as it is sent. What several requests have in common is
-// written once and shared: nothing here is changed by a Client.
+// Message is a request to be sent. Parts that several requests have in common are encoded once and
+// shared, so a Client modifies none of the slices.
 type Message struct {
-	// Method decides whether an answer has a body.
+	// Method determines whether the response has a body.
 	Method string
-	// Head is the request line and the header lines, each with its end, without
-	// the empty line; see WriteHead.
+	// Head holds the request line and the header lines, each with its line end, without the final
+	// empty line; see WriteHead.
 	Head []byte
-	// Own holds header lines of this request alone.
+	// Own holds additional header lines of this request only.
 	Own []byte
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
-	// Once is set if the request may run at most once: it is then not sent on a
-	// connection that the back end has closed, which costs a system call to see.
+	// Once is set if the request may run at most once. It is then not sent on a connection that the
+	// back end has closed; this check costs a system call.
 	Once bool
 }
 
-// framing lists the headers that a Client writes itself.
+// framingHeaders lists the headers that a Client writes itself.
 var framingHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true,
 }
 
-// WriteHead returns the head of a request. The target is the path with the
-// query, or a whole URL. Headers named in omitted are left out.
+// WriteHead returns the head of a request. The target is the path with the query, or an absolute
+// URL. The headers named in omitted are left out.
 func WriteHead(method, target, host string, header http.Header, omitted ...string) ([]byte, error) {
 	if !strings.HasPrefix(target, "/") {
 		parsed, err := url.ParseRequestURI(target)
@@ -57,7 +57,7 @@
 	return head.Bytes(), err
 }
 
-// AppendHeader appends a header line.
+// AppendHeader appends a header line to lines.
 func AppendHeader(lines []byte, name, value string) []byte {
 	lines = append(lines, name...)
 	lines = append(lines, ": "...)
@@ -65,10 +65,10 @@
 	return append(lines, "\r\n"...)
 }
 
-// lengthHeaderSpace is room for the line with the length of the body, in bytes.
+// contentLengthBytes is the space reserved for the Content-Length line.
 const contentLengthBytes = 40
 
-// bytes returns the whole request.
+// encode returns the complete request.
 func (m *Message) encode() []byte {
 	content := make([]byte, 0, len(m.Head)+len(m.Own)+len(m.Body)+contentLengthBytes)
 	content = append(content, m.Head...)
@@ -80,7 +80,7 @@
 	return append(content, m.Body...)
 }
 
-// usuallyHasBody reports whether the length is sent also where there is no body.
+// needsContentLength reports whether Content-Length is sent even with an empty body.
 func (m *Message) needsContentLength() bool {
 	switch m.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
--- a/internal/edge/http1/metrics.go
+++ b/internal/edge/http1/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// metrics counts what happens to connections.
+// metrics counts connection events.
 type metrics struct {
 	dials, dialFailures, brokenExchanges prometheus.Counter
 }
@@ -15,10 +15,10 @@
 	create := telemetry.NewFactory(registerer)
 	return &metrics{
 		dials: create.Counter("micaplank_http1_dials_total",
-			"Connections that were begun to be opened to leaves."),
+			"Connections to leaves that were started to be opened."),
 		dialFailures: create.Counter("micaplank_http1_dial_failures_total",
 			"Connections to leaves that could not be opened."),
 		brokenExchanges: create.Counter("micaplank_http1_broken_exchanges_total",
-			"Requests that were sent to leaves and got no whole answer of their own."),
+			"Requests that were sent to leaves and got no complete response of their own."),
 	}
 }
--- a/internal/edge/http1/pool.go
+++ b/internal/edge/http1/pool.go
@@ -15,16 +15,16 @@
 	mutex     sync.Mutex
 	idle      []*connection
 	openCount int             // idle, in use, or being opened
-	waiters   []chan struct{} // each receives once, and may try again then
+	waiters   []chan struct{} // each receives one value and may then retry
 	closed    bool
-	maxIdle   int // how many may be idle
+	maxIdle   int // maximum number of idle connections
 }
 
 func newPool(client *Client, target Target) *pool {
 	return &pool{client: client, target: target, maxIdle: client.config.ConnectionsPerTarget}
 }
 
-// setMaxIdle changes how many connections may be idle; it closes those beyond.
+// setMaxIdle sets how many connections may be idle, and closes surplus idle connections.
 func (p *pool) setMaxIdle(maxIdle int) {
 	p.mutex.Lock()
 	p.maxIdle = maxIdle
@@ -36,12 +36,12 @@
 	}
 }
 
-// limit returns how many connections there may be.
+// limit returns the maximum number of open connections.
 func (p *pool) limit() int {
 	return min(max(p.maxIdle, 1), p.client.config.ConnectionsPerTarget)
 }
 
-// idleTime returns how long a connection may be idle.
+// idleTimeout returns how long a connection may be idle.
 func (p *pool) idleTimeout() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -51,9 +51,9 @@
 	return p.client.config.IdleTimeout
 }
 
-// acquire returns a connection that nobody else uses. It opens one if none is
-// idle and there may be more, and otherwise waits. For a request that may run once
-// it looks whether the connection is still open.
+// acquire returns a connection for exclusive use. It opens one if none is idle and the limit allows
+// it, and otherwise waits. For a request that may run at most once, it checks that the connection
+// is still open.
 func (p *pool) acquire(ctx context.Context, once bool) (*connection, error) {
 	for {
 		claimed, wait, mayOpen := p.claimOrWait()
@@ -75,6 +75,8 @@
 	}
 }
 
+// claimOrWait claims an idle connection. If there is none, it either allows the caller to open one
+// or enqueues a waiter.
 func (p *pool) claimOrWait() (claimed *connection, wait chan struct{}, mayOpen bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -95,7 +97,7 @@
 	return nil, wait, false
 }
 
-// leave takes back a waiter; if it was woken already, the next one is.
+// cancelWait removes a waiter. If the waiter was already woken, the next one is woken instead.
 func (p *pool) cancelWait(wait chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -106,7 +108,7 @@
 	p.wakeNext()
 }
 
-// wake wakes the first waiter, which may try again.
+// wakeNext wakes the first waiter, which may then retry.
 func (p *pool) wakeNext() {
 	if len(p.waiters) > 0 {
 		p.waiters[0] <- struct{}{}
@@ -123,7 +125,7 @@
 	return newConnection(p, socket), nil
 }
 
-// put takes back a connection, and reports whether it is kept.
+// putIdle adds an idle connection and reports whether the pool keeps it.
 func (p *pool) putIdle(c *connection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -135,7 +137,7 @@
 	return true
 }
 
-// ended takes a connection out of the count; nil is one that was never open.
+// remove removes a connection from the count; nil stands for a connection that was never opened.
 func (p *pool) remove(c *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/edge/http1/pool_test.go
+++ b/internal/edge/http1/pool_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestNoConnectionIsKept to a target of which this client may keep none: each
-// request opens one, and it is closed once the answer is here.
+// TestZeroMaxIdleClosesEveryConnection checks that each request opens a connection and closes it
+// after the response if a target may have no idle connection.
 func TestZeroMaxIdleClosesEveryConnection(t *testing.T) {
 	b := newBackend(t, func(int, int) string { return okResponse })
 	client := newClient(t, 3)
@@ -18,14 +18,15 @@
 		if _, err := doGet(t, client, target); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the end of the connection", func() bool { return openConnections(client, target) == 0 })
+		waitUntil(t, "the connection to be closed", func() bool { return openConnections(client, target) == 0 })
 	}
 	if got := b.connections.Load(); got != requests {
-		t.Errorf("%d connections for %d requests", got, requests)
+		t.Errorf("%d connections for %d requests, want one per request", got, requests)
 	}
 }
 
-// TestFewerConnectionsAreKept closes those that rest beyond the new number.
+// TestLowerMaxIdleClosesSurplusConnections checks that lowering the number of idle connections
+// closes the surplus ones, and that the limit of open connections follows that number.
 func TestLowerMaxIdleClosesSurplusConnections(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(int, int) string { <-release; return okResponse })
@@ -40,19 +41,19 @@
 			}
 		})
 	}
-	waitUntil(t, "three connections", func() bool { return b.connections.Load() == 3 })
+	waitUntil(t, "three open connections", func() bool { return b.connections.Load() == 3 })
 	close(release)
 	group.Wait()
 	client.Retain(map[Target]int{target: 1})
-	waitUntil(t, "the end of two", func() bool { return openConnections(client, target) == 1 })
+	waitUntil(t, "two connections to be closed", func() bool { return openConnections(client, target) == 1 })
 	if _, err := doGet(t, client, target); err != nil || b.connections.Load() != 3 {
-		t.Errorf("%v, %d connections", err, b.connections.Load())
+		t.Errorf("error %v, %d connections, want the idle connection reused and 3 in total", err, b.connections.Load())
 	}
 	for _, test := range []struct{ maxIdle, limit int }{{0, 1}, {1, 1}, {2, 2}, {9, 3}} {
 		targetPool := newPool(client, Target{})
 		targetPool.setMaxIdle(test.maxIdle)
 		if got := targetPool.limit(); got != test.limit {
-			t.Errorf("%d idle at most: limit %d", test.maxIdle, got)
+			t.Errorf("limit with at most %d idle: %d, want %d", test.maxIdle, got, test.limit)
 		}
 	}
 }
@@ -66,7 +67,7 @@
 	return targetPool.openCount
 }
 
-// waitUntil waits for a condition; it measures no time.
+// waitUntil polls until a condition holds. Its deadline is generous, because it is not under test.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -74,5 +75,5 @@
 			return
 		}
 	}
-	t.Fatalf("not seen: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
