--- a/internal/edge/combine/benchmark_test.go
+++ b/internal/edge/combine/benchmark_test.go
@@ -45,14 +45,14 @@
 		time.Sleep(time.Millisecond)
 	}
 	for b.Loop() {
-		asked := query()
-		asked.TopK = 50
+		query := newQuery()
+		query.TopK = 50
 		var all sync.WaitGroup
 		for range 15 {
 			all.Go(func() {
-				ctx, cancel := context.WithTimeout(running, patient)
+				ctx, cancel := context.WithTimeout(running, testTimeout)
 				defer cancel()
-				if _, err := client.Execute(ctx, attemptAt("b", asked)); err != nil {
+				if _, err := client.Execute(ctx, newAttempt("b", query)); err != nil {
 					b.Error(err)
 				}
 			})
--- a/internal/edge/combine/client.go
+++ b/internal/edge/combine/client.go
@@ -23,7 +23,7 @@
 const stepCombiner leaf.Step = "combiner"
 
 // errSilent is why a call to a combiner is given up that does not answer any more.
-var errSilent = errors.New("combiner is silent")
+var errHeartbeatTimeout = errors.New("combiner is silent")
 
 // Client sends attempts to leaves, by way of a combiner where one helps. It
 // implements scatter.LeafClient and is safe for concurrent use.
@@ -59,9 +59,9 @@
 
 // New returns a Client that knows no combiner yet: it sends all attempts
 // directly.
-func New(config combiners.Config, self roster.Member, direct Leaves, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
+func New(config combiners.Config, self roster.Member, direct Leaves, caller Caller, clk clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
 	return &Client{
-		config: config, self: self, direct: direct, caller: caller, clock: time, logger: logger,
+		config: config, self: self, direct: direct, caller: caller, clock: clk, logger: logger,
 		metrics: newMetrics(registerer), combiners: combiners.NewTable(config), sessions: make(map[sessionKey]*clientSession),
 	}
 }
@@ -79,12 +79,12 @@
 		return c.direct.Execute(ctx, attempt)
 	}
 	key := sessionKey{attempt.Payload, attempt.Zone}
-	session, alive, first := c.join(key)
+	session, alive, opened := c.join(key)
 	if session == nil {
 		c.metrics.attempts.WithLabelValues("direct").Inc()
 		return c.direct.Execute(ctx, attempt)
 	}
-	response, done, err := c.fetch(ctx, alive, session, first, attempt)
+	response, done, err := c.fetch(ctx, alive, session, opened, attempt)
 	c.leave(key, session, err, ctx.Err() != nil)
 	if !done {
 		c.metrics.attempts.WithLabelValues("not_taken").Inc()
@@ -95,75 +95,75 @@
 
 // join adds an attempt to the session of its query, which it opens if there is none.
 // First says that it did. The session is nil if no combiner of the zone is usable.
-func (c *Client) join(key sessionKey) (joined *clientSession, alive context.Context, first bool) {
+func (c *Client) join(key sessionKey) (joined *clientSession, alive context.Context, opened bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	found, open := c.sessions[key]
+	session, open := c.sessions[key]
 	if !open {
 		chosen := c.combiners.Choose(key.zone)
 		if chosen == nil {
 			return nil, nil, false
 		}
 		c.lastSession++
-		found = &clientSession{number: c.lastSession, combiner: chosen}
-		c.sessions[key] = found
+		session = &clientSession{number: c.lastSession, combiner: chosen}
+		c.sessions[key] = session
 	}
-	alive = found.combiner.Alive()
+	alive = session.combiner.Alive()
 	if alive == nil {
 		return nil, nil, false
 	}
-	found.inFlight++
-	found.combiner.InFlight++
-	return found, alive, !open
+	session.inFlight++
+	session.combiner.InFlight++
+	return session, alive, !open
 }
 
 // leave takes an attempt out of its session, which was given up here or has ended there.
-func (c *Client) leave(key sessionKey, from *clientSession, err error, givenUp bool) {
+func (c *Client) leave(key sessionKey, session *clientSession, err error, givenUp bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	from.inFlight--
-	from.combiner.InFlight--
-	if from.inFlight == 0 && c.sessions[key] == from {
+	session.inFlight--
+	session.combiner.InFlight--
+	if session.inFlight == 0 && c.sessions[key] == session {
 		delete(c.sessions, key)
 	}
 	switch {
 	case givenUp:
 	case peer.NotExecuted(err):
-		c.avoid(from.combiner) // it is stopping, most likely
+		c.avoid(session.combiner) // it is stopping, most likely
 	case errors.Is(err, peer.ErrLost):
-		c.lost(from.combiner) // its process has ended, most likely
+		c.markLost(session.combiner) // its process has ended, most likely
 	case err == nil:
-		from.combiner.Heard(c.clock.Now())
+		session.combiner.Heard(c.clock.Now())
 	}
 }
 
 // lost takes a combiner to be lost. The caller holds the mutex.
-func (c *Client) lost(one *combiners.Combiner) {
-	if one.Lose() {
-		event.Log(c.logger, event.CombinerLost{Peer: one.Name, InFlight: one.InFlight})
+func (c *Client) markLost(combiner *combiners.Combiner) {
+	if combiner.Lose() {
+		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name, InFlight: combiner.InFlight})
 	}
 }
 
 // avoid gives a combiner no more attempts for now. The caller holds the mutex.
-func (c *Client) avoid(one *combiners.Combiner) {
-	if one.Avoid() {
-		event.Log(c.logger, event.CombinerLost{Peer: one.Name})
+func (c *Client) avoid(combiner *combiners.Combiner) {
+	if combiner.Avoid() {
+		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name})
 	}
 }
 
 // fetch hands one attempt to a combiner. It returns false if the combiner did
 // nothing with it.
-func (c *Client) fetch(ctx, alive context.Context, by *clientSession, first bool, attempt scatter.Attempt[*forward.Request]) (response *scatter.Response[forward.Part], done bool, err error) {
-	calling, cancel := context.WithCancelCause(ctx)
+func (c *Client) fetch(ctx, alive context.Context, session *clientSession, opened bool, attempt scatter.Attempt[*forward.Request]) (response *scatter.Response[forward.Part], done bool, err error) {
+	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stop := context.AfterFunc(alive, func() { cancel(errSilent) })
+	stop := context.AfterFunc(alive, func() { cancel(errHeartbeatTimeout) })
 	defer stop()
-	asked := fetchRequest{Remaining: attempt.Remaining, Session: by.number, Address: attempt.Leaf, Instance: attempt.BootID}
-	if first {
-		asked.Query = headOf(attempt.Payload, attempt.Remaining)
+	request := fetchRequest{Remaining: attempt.Remaining, Session: session.number, Address: attempt.Leaf, Instance: attempt.BootID}
+	if opened {
+		request.Query = newQueryHead(attempt.Payload, attempt.Remaining)
 	}
 	var answer fetchResponse
-	err = c.caller.Call(calling, by.combiner.Peer, methodFetch, &asked, &answer)
+	err = c.caller.Call(callCtx, session.combiner.Peer, methodFetch, &request, &answer)
 	switch {
 	case peer.NotExecuted(err):
 		return nil, false, err
@@ -172,40 +172,40 @@
 		return nil, true, &leaf.TransportError{Step: stepCombiner, Peer: attempt.Leaf, Sent: true, Err: err}
 	case err != nil:
 		c.metrics.attempts.WithLabelValues("lost").Inc()
-		return nil, true, &leaf.TransportError{Step: stepCombiner, Peer: by.combiner.Peer, Sent: true, OnTheWay: true, Err: err}
+		return nil, true, &leaf.TransportError{Step: stepCombiner, Peer: session.combiner.Peer, Sent: true, OnTheWay: true, Err: err}
 	case answer.NotTaken:
 		return nil, false, nil
 	}
 	c.metrics.attempts.WithLabelValues("combined").Inc()
-	if failed := answer.Failure; failed != nil {
+	if failure := answer.Failure; failure != nil {
 		return nil, true, &leaf.TransportError{
-			Step: failed.Step, Peer: attempt.Leaf, Sent: failed.Sent, Closed: failed.Closed, Refused: failed.Refused, Err: errors.New(failed.Text),
+			Step: failure.Step, Peer: attempt.Leaf, Sent: failure.Sent, Closed: failure.Closed, Refused: failure.Refused, Err: errors.New(failure.Text),
 		}
 	}
-	response = answer.scatterResponse(attempt)
+	response = answer.toResponse(attempt)
 	if len(answer.Dropped) > 0 {
-		response.Part.FetchDropped = c.restOf(by, answer.Number)
+		response.Part.FetchDropped = c.fetchDroppedFunc(session, answer.Number)
 	}
 	return response, true, nil
 }
 
 // errForgotten says that a combiner does not hold the rest of a part any more.
-var errForgotten = errors.New("combiner has forgotten the part")
+var errSessionExpired = errors.New("combiner has forgotten the part")
 
 // restOf returns the function that fetches what was left out of a part.
-func (c *Client) restOf(by *clientSession, number int) func(context.Context, []byte) ([]byte, error) {
+func (c *Client) fetchDroppedFunc(session *clientSession, number int) func(context.Context, []byte) ([]byte, error) {
 	return func(ctx context.Context, floor []byte) ([]byte, error) {
 		var response restResponse
-		err := c.caller.Call(ctx, by.combiner.Peer, methodRest, &restRequest{Session: by.number, Number: number, Floor: floor}, &response)
-		c.metrics.rests.Inc()
+		err := c.caller.Call(ctx, session.combiner.Peer, methodRest, &restRequest{Session: session.number, Number: number, Floor: floor}, &response)
+		c.metrics.droppedFetches.Inc()
 		if err == nil && !response.Known {
-			err = errForgotten
+			err = errSessionExpired
 		}
 		return response.Records, err
 	}
 }
 
-func (r *fetchResponse) scatterResponse(attempt scatter.Attempt[*forward.Request]) *scatter.Response[forward.Part] {
+func (r *fetchResponse) toResponse(attempt scatter.Attempt[*forward.Request]) *scatter.Response[forward.Part] {
 	return &scatter.Response[forward.Part]{
 		Executed: r.Executed, Failed: r.Failed, Refusal: r.Refusal, RetryAfter: r.RetryAfter, Load: r.Load,
 		Shard: attempt.Shard, Snapshot: attempt.Snapshot,
@@ -217,11 +217,11 @@
 func (c *Client) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.config.HeartbeatInterval / 2)
 	defer ticker.Stop()
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var group sync.WaitGroup
+	defer group.Wait()
 	for {
-		for _, one := range c.due() {
-			asking.Go(func() { c.ask(ctx, one) })
+		for _, combiner := range c.dueHeartbeats() {
+			group.Go(func() { c.sendHeartbeat(ctx, combiner) })
 		}
 		select {
 		case <-ctx.Done():
@@ -233,31 +233,31 @@
 
 // due returns the combiners to be asked, and takes those to be lost that were
 // silent.
-func (c *Client) due() []*combiners.Combiner {
+func (c *Client) dueHeartbeats() []*combiners.Combiner {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	asked, lost := c.combiners.Due(c.clock.Now())
-	for _, one := range lost {
-		event.Log(c.logger, event.CombinerLost{Peer: one.Name, InFlight: one.InFlight})
+	due, lost := c.combiners.Due(c.clock.Now())
+	for _, combiner := range lost {
+		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name, InFlight: combiner.InFlight})
 	}
-	return asked
+	return due
 }
 
 // ask asks one combiner whether it lives. Its silence is noticed by due.
-func (c *Client) ask(ctx context.Context, of *combiners.Combiner) {
+func (c *Client) sendHeartbeat(ctx context.Context, combiner *combiners.Combiner) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.HeartbeatTimeout)
 	defer cancel()
 	started := c.clock.Now()
 	var response pingResponse
-	err := c.caller.Call(ctx, of.Peer, methodPing, &pingRequest{From: c.self.Name}, &response)
+	err := c.caller.Call(ctx, combiner.Peer, methodPing, &pingRequest{From: c.self.Name}, &response)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	of.EndHeartbeat()
+	combiner.EndHeartbeat()
 	if err != nil {
 		return
 	}
 	now := c.clock.Now()
-	if of.Answered(now, now-started) {
-		event.Log(c.logger, event.CombinerInTouch{Peer: of.Name, Zone: of.Zone})
+	if combiner.Answered(now, now-started) {
+		event.Log(c.logger, event.CombinerInTouch{Peer: combiner.Name, Zone: combiner.Zone})
 	}
 }
--- a/internal/edge/combine/combine_test.go
+++ b/internal/edge/combine/combine_test.go
@@ -12,14 +12,14 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-func TestWhatGoesDirectly(t *testing.T) {
-	r := newRig(t, answers(1))
-	whole := query()
-	whole.TopK = 0
+func TestDirectAttempts(t *testing.T) {
+	r := newTestRig(t, leavesAnswering(1))
+	singleLeaf := newQuery()
+	singleLeaf.TopK = 0
 	for name, attempt := range map[string]scatter.Attempt[*forward.Request]{
-		"own zone":                 attemptAt("a", query()),
-		"a zone without combiners": attemptAt("c", query()),
-		"a request of one leaf":    attemptAt("b", whole),
+		"own zone":                 newAttempt("a", newQuery()),
+		"a zone without combiners": newAttempt("c", newQuery()),
+		"a request of one leaf":    newAttempt("b", singleLeaf),
 	} {
 		before := r.direct.count()
 		if _, err := r.execute(attempt); err != nil || r.direct.count() != before+1 || r.combined.count() != 0 {
@@ -30,16 +30,16 @@
 
 // TestLossOfTheCombiner ends an attempt that the combiner has in hand: it may
 // have run, and the leaf is not to blame. The next ones go directly.
-func TestLossOfTheCombiner(t *testing.T) {
+func TestCombinerLoss(t *testing.T) {
 	taken := make(chan struct{})
-	r := newRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	r := newTestRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		close(taken)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}})
 	ended := make(chan error)
 	go func() {
-		_, err := r.execute(attemptAt("b", query()))
+		_, err := r.execute(newAttempt("b", newQuery()))
 		ended <- err
 	}()
 	<-taken
@@ -51,26 +51,26 @@
 	if r.direct.count() != 0 {
 		t.Error("the attempt was sent twice")
 	}
-	if _, err := r.execute(attemptAt("b", query())); err != nil || r.direct.count() != 1 {
+	if _, err := r.execute(newAttempt("b", newQuery())); err != nil || r.direct.count() != 1 {
 		t.Errorf("the next attempt: %v, %d sent directly", err, r.direct.count())
 	}
 }
 
 // TestCombinerThatStopsFinishesWhatItHasInHand refuses a new attempt, which goes
 // directly, while an earlier one is answered.
-func TestCombinerThatStopsFinishesWhatItHasInHand(t *testing.T) {
+func TestStoppingCombinerFinishesInFlightAttempt(t *testing.T) {
 	taken, release := make(chan struct{}), make(chan struct{})
 	var held atomic.Bool
-	r := newRig(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	r := newTestRig(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		if held.CompareAndSwap(false, true) {
 			close(taken)
 			<-release
 		}
-		return part(9), nil
+		return newPart(9), nil
 	}})
 	ended := make(chan error)
 	go func() {
-		_, err := r.execute(attemptAt("b", query()))
+		_, err := r.execute(newAttempt("b", newQuery()))
 		ended <- err
 	}()
 	<-taken
@@ -80,7 +80,7 @@
 		close(stopped)
 	}()
 	for r.direct.count() == 0 {
-		if _, err := r.execute(attemptAt("b", query())); err != nil {
+		if _, err := r.execute(newAttempt("b", newQuery())); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
@@ -94,9 +94,9 @@
 
 // TestGivingUpFreesTheLeaf ends the attempt at the leaf with that of the caller,
 // and does not count the combiner as lost.
-func TestGivingUpFreesTheLeaf(t *testing.T) {
+func TestCancellationReachesLeaf(t *testing.T) {
 	taken, freed := make(chan struct{}), make(chan struct{})
-	r := newRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	r := newTestRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		close(taken)
 		<-ctx.Done()
 		close(freed)
@@ -107,14 +107,14 @@
 		<-taken
 		cancel()
 	}()
-	_, err := r.client.Execute(ctx, attemptAt("b", query()))
+	_, err := r.client.Execute(ctx, newAttempt("b", newQuery()))
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || transport.OnTheWay {
 		t.Errorf("ended with %v", err)
 	}
 	select {
 	case <-freed:
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatal("the leaf still works")
 	}
 	r.await("a combiner in touch", func() bool { return r.client.combiners.Choose("b") != nil })
@@ -122,14 +122,14 @@
 
 // TestUnknownSession sends an attempt directly, once, whose query the combiner
 // does not know.
-func TestUnknownSession(t *testing.T) {
-	r := newRig(t, answers(1))
-	asked := query()
+func TestUnknownSessionFallsBackToDirect(t *testing.T) {
+	r := newTestRig(t, leavesAnswering(1))
+	query := newQuery()
 	r.client.mutex.Lock()
-	chosen := r.client.combiners.Choose("b")
-	r.client.sessions[sessionKey{asked, "b"}] = &clientSession{number: 77, combiner: chosen, inFlight: 1}
+	combiner := r.client.combiners.Choose("b")
+	r.client.sessions[sessionKey{query, "b"}] = &clientSession{number: 77, combiner: combiner, inFlight: 1}
 	r.client.mutex.Unlock()
-	if _, err := r.execute(attemptAt("b", asked)); err != nil {
+	if _, err := r.execute(newAttempt("b", query)); err != nil {
 		t.Fatal(err)
 	}
 	if r.direct.count() != 1 || r.combined.count() != 0 {
@@ -138,31 +138,31 @@
 }
 
 // TestLeafThatLeaves is not sent an attempt by a combiner that knows of it.
-func TestLeafThatLeaves(t *testing.T) {
-	r := newRig(t, answers(1))
+func TestCombinerRefusesLeavingLeaf(t *testing.T) {
+	r := newTestRig(t, leavesAnswering(1))
 	r.leaving.Store(true)
-	if _, err := r.execute(attemptAt("b", query())); err != nil || r.direct.count() != 1 || r.combined.count() != 0 {
+	if _, err := r.execute(newAttempt("b", newQuery())); err != nil || r.direct.count() != 1 || r.combined.count() != 0 {
 		t.Errorf("%v, %d sent directly, %d by the combiner", err, r.direct.count(), r.combined.count())
 	}
 }
 
 // TestSessionsEnd forgets the queries of other nodes.
-func TestSessionsEnd(t *testing.T) {
-	c := &combiner{leaves: answers(1), sessions: make(map[remoteKey]*session)}
-	known := c.session(remoteKey{number: 1}, headOf(query(), time.Microsecond))
-	unknown := c.session(remoteKey{number: 2}, nil)
-	if known.query == nil || unknown.query != nil {
+func TestSessionsExpire(t *testing.T) {
+	c := &combiner{leaves: leavesAnswering(1), sessions: make(map[remoteSessionKey]*session)}
+	withQuery := c.session(remoteSessionKey{number: 1}, newQueryHead(newQuery(), time.Microsecond))
+	withoutQuery := c.session(remoteSessionKey{number: 2}, nil)
+	if withQuery.query == nil || withoutQuery.query != nil {
 		t.Fatal("a query is where it does not belong")
 	}
-	for deadline := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c.mutex.Lock()
-		left := len(c.sessions)
+		remaining := len(c.sessions)
 		c.mutex.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d sessions are left", left)
+			t.Fatalf("%d sessions are left", remaining)
 		}
 	}
 }
--- a/internal/edge/combine/rig_test.go
+++ b/internal/edge/combine/helpers_test.go
@@ -23,7 +23,7 @@
 )
 
 // patient bounds the waits of these tests; none of them measures a time.
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 const topK = 2
 
@@ -49,7 +49,7 @@
 }
 
 // part returns a part of records that are one value each.
-func part(values ...byte) *scatter.Response[forward.Part] {
+func newPart(values ...byte) *scatter.Response[forward.Part] {
 	response := &scatter.Response[forward.Part]{Executed: true, Part: forward.Part{Status: 200, Signature: "signed"}}
 	for _, value := range values {
 		response.Part.Body = append(response.Part.Body, bytes.Repeat([]byte{value}, records.Size)...)
@@ -57,14 +57,14 @@
 	return response
 }
 
-func answers(values ...byte) *fakeLeaves {
+func leavesAnswering(values ...byte) *fakeLeaves {
 	return &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
-		return part(values...), nil
+		return newPart(values...), nil
 	}}
 }
 
 // rig is a Client in zone a, with a combiner in zone b over loopback.
-type rig struct {
+type testRig struct {
 	*testing.T
 	client   *Client
 	direct   *fakeLeaves // as the client reaches them
@@ -73,9 +73,9 @@
 	leaving  atomic.Bool // whether the combiner gives the leaf no work
 }
 
-func newRig(t *testing.T, combined *fakeLeaves) *rig {
+func newTestRig(t *testing.T, combined *fakeLeaves) *testRig {
 	t.Helper()
-	r := &rig{T: t, direct: answers(9, 8, 7), combined: combined}
+	r := &testRig{T: t, direct: leavesAnswering(9, 8, 7), combined: combined}
 	var err error
 	r.server, err = peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), prometheus.NewRegistry())
 	if err != nil {
@@ -85,8 +85,8 @@
 	r.server.Serve()
 	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
 	config := combiners.DefaultConfig()
-	config.MaxRoundTrip = patient
-	config.HeartbeatTimeout = patient
+	config.MaxRoundTrip = testTimeout
+	config.HeartbeatTimeout = testTimeout
 	r.client = New(config, roster.Member{Name: "here", Zone: "a"}, r.direct, caller, clock.NewMonotonic(),
 		prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
 	r.client.SetMembers([]roster.Member{{Name: "there", Zone: "b", Peer: r.server.Address()}})
@@ -106,39 +106,39 @@
 	return r
 }
 
-func (r *rig) closeServer() {
-	ended, cancel := context.WithCancel(context.Background())
+func (r *testRig) closeServer() {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = r.server.Close(ended) // what runs is cut off
+	_ = r.server.Close(canceled) // what runs is cut off
 }
 
 // await waits for a condition under the client's mutex.
-func (r *rig) await(what string, holds func() bool) {
+func (r *testRig) await(what string, condition func() bool) {
 	r.Helper()
-	for deadline := time.Now().Add(patient); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		r.client.mutex.Lock()
-		held := holds()
+		satisfied := condition()
 		r.client.mutex.Unlock()
-		if held {
+		if satisfied {
 			return
 		}
 	}
 	r.Fatalf("never: %s", what)
 }
 
-func query() *forward.Request {
+func newQuery() *forward.Request {
 	return &forward.Request{ID: "q", Method: "GET", Head: []byte("GET /x HTTP/1.1\r\n"), TopK: topK}
 }
 
-func attemptAt(zone string, asked *forward.Request) scatter.Attempt[*forward.Request] {
+func newAttempt(zone string, query *forward.Request) scatter.Attempt[*forward.Request] {
 	return scatter.Attempt[*forward.Request]{
 		Send:      dispatch.Send{Zone: zone, BootID: "i-1", Leaf: netip.MustParseAddrPort("127.0.0.1:9"), Shard: 3},
-		RequestID: asked.ID, Remaining: patient, Payload: asked,
+		RequestID: query.ID, Remaining: testTimeout, Payload: query,
 	}
 }
 
-func (r *rig) execute(attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patient)
+func (r *testRig) execute(attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return r.client.Execute(ctx, attempt)
 }
--- a/internal/edge/combine/message.go
+++ b/internal/edge/combine/message.go
@@ -46,14 +46,14 @@
 	Limit time.Duration
 }
 
-func headOf(request *forward.Request, limit time.Duration) *queryHead {
+func newQueryHead(request *forward.Request, limit time.Duration) *queryHead {
 	return &queryHead{
 		ID: request.ID, Method: request.Method, Head: request.Head, Body: request.Body,
 		TopK: request.TopK, Floor: request.Floor, Limit: limit,
 	}
 }
 
-func (q *queryHead) request() *forward.Request {
+func (q *queryHead) toRequest() *forward.Request {
 	return &forward.Request{ID: q.ID, Method: q.Method, Head: q.Head, Body: q.Body, TopK: q.TopK, Floor: q.Floor}
 }
 
@@ -63,7 +63,7 @@
 	// query, or would not give the leaf work itself.
 	NotTaken bool
 	// Failure is set if the attempt ended without an answer of the leaf.
-	Failure *failure
+	Failure *transportFailure
 
 	Executed   bool
 	Failed     bool
@@ -95,7 +95,7 @@
 }
 
 // failure is a leaf.TransportError between the combiner and the leaf.
-type failure struct {
+type transportFailure struct {
 	Step    leaf.Step
 	Sent    bool
 	Closed  bool
--- a/internal/edge/combine/thinning_test.go
+++ b/internal/edge/combine/thinning_test.go
@@ -11,21 +11,21 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-func TestPartsOfAnotherZoneAreThinnedOut(t *testing.T) {
-	r := newRig(t, answers(5, 1, 4, 3))
-	response, err := r.execute(attemptAt("b", query()))
+func TestRemoteZonePartIsThinned(t *testing.T) {
+	r := newTestRig(t, leavesAnswering(5, 1, 4, 3))
+	response, err := r.execute(newAttempt("b", newQuery()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := part(5, 4); !bytes.Equal(response.Part.Body, want.Part.Body) || response.Part.Signature != "signed" {
+	if want := newPart(5, 4); !bytes.Equal(response.Part.Body, want.Part.Body) || response.Part.Signature != "signed" {
 		t.Errorf("part %+v", response.Part)
 	}
-	if want := part(3); !bytes.Equal(response.Part.Dropped, want.Part.Body) {
+	if want := newPart(3); !bytes.Equal(response.Part.Dropped, want.Part.Body) {
 		t.Errorf("dropped %x", response.Part.Dropped)
 	}
 	for name, test := range map[string]struct{ floor, want []byte }{
-		"all":           {nil, part(3, 1).Part.Body},
-		"not below two": {part(2).Part.Body, part(3).Part.Body},
+		"all":           {nil, newPart(3, 1).Part.Body},
+		"not below two": {newPart(2).Part.Body, newPart(3).Part.Body},
 	} {
 		if rest, err := response.Part.FetchDropped(t.Context(), test.floor); err != nil || !bytes.Equal(rest, test.want) {
 			t.Errorf("the rest, %s: %x, %v", name, rest, err)
@@ -35,7 +35,7 @@
 		t.Errorf("response %+v", response)
 	}
 	sent := r.combined.attempts[0]
-	if sent.BootID != "i-1" || string(sent.Payload.Head) != "GET /x HTTP/1.1\r\n" || sent.Remaining > patient {
+	if sent.BootID != "i-1" || string(sent.Payload.Head) != "GET /x HTTP/1.1\r\n" || sent.Remaining > testTimeout {
 		t.Errorf("the leaf was asked %+v", sent)
 	}
 	if r.direct.count() != 0 || r.combined.count() != 1 {
@@ -47,12 +47,12 @@
 // against each other.
 func TestQueriesDoNotThinEachOther(t *testing.T) {
 	value := byte(8)
-	r := newRig(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	r := newTestRig(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		value--
-		return part(value, value), nil
+		return newPart(value, value), nil
 	}})
 	for range 3 {
-		response, err := r.execute(attemptAt("b", query()))
+		response, err := r.execute(newAttempt("b", newQuery()))
 		if err != nil || len(response.Part.Body) != 2*records.Size || response.Part.Dropped != nil {
 			t.Fatalf("%+v, %v", response, err)
 		}
@@ -63,41 +63,41 @@
 // that hangs until the others are done.
 func TestPartsOfOneQueryThinEachOther(t *testing.T) {
 	hung, release := make(chan struct{}), make(chan struct{})
-	var order sync.Once
-	r := newRig(t, &fakeLeaves{run: func(_ context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	var once sync.Once
+	r := newTestRig(t, &fakeLeaves{run: func(_ context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		first := false
-		order.Do(func() { first = true })
+		once.Do(func() { first = true })
 		if first {
 			close(hung)
 			<-release
-			return part(1), nil
+			return newPart(1), nil
 		}
-		return part(9, 8), nil
+		return newPart(9, 8), nil
 	}})
-	asked := query()
-	last := make(chan *scatter.Response[forward.Part])
+	query := newQuery()
+	firstResponse := make(chan *scatter.Response[forward.Part])
 	go func() {
-		response, _ := r.execute(attemptAt("b", asked))
-		last <- response
+		response, _ := r.execute(newAttempt("b", query))
+		firstResponse <- response
 	}()
 	<-hung
-	if response, err := r.execute(attemptAt("b", asked)); err != nil || len(response.Part.Body) != 2*records.Size {
+	if response, err := r.execute(newAttempt("b", query)); err != nil || len(response.Part.Body) != 2*records.Size {
 		t.Fatalf("%+v, %v", response, err)
 	}
 	close(release)
-	if response := <-last; response == nil || len(response.Part.Body) != 0 || len(response.Part.Dropped) != records.Size {
+	if response := <-firstResponse; response == nil || len(response.Part.Body) != 0 || len(response.Part.Dropped) != records.Size {
 		t.Errorf("the part that cannot count came back: %+v", response)
 	}
 }
 
 // TestRecordsBelowTheFloorStay leaves out what the asking node takes to be too
 // small, and tells when the rest of a part is not to be had any more.
-func TestRecordsBelowTheFloorStay(t *testing.T) {
-	r := newRig(t, answers(5, 1))
-	asked := query()
-	asked.Floor = part(4).Part.Body
-	response, err := r.execute(attemptAt("b", asked))
-	if err != nil || !bytes.Equal(response.Part.Body, part(5).Part.Body) || !bytes.Equal(response.Part.Dropped, part(1).Part.Body) {
+func TestRecordsBelowFloorAreDropped(t *testing.T) {
+	r := newTestRig(t, leavesAnswering(5, 1))
+	query := newQuery()
+	query.Floor = newPart(4).Part.Body
+	response, err := r.execute(newAttempt("b", query))
+	if err != nil || !bytes.Equal(response.Part.Body, newPart(5).Part.Body) || !bytes.Equal(response.Part.Dropped, newPart(1).Part.Body) {
 		t.Fatalf("%+v, %v", response, err)
 	}
 	r.closeServer()
--- a/internal/edge/combine/wire_test.go
+++ b/internal/edge/combine/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
+func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.Gob[pingRequest](t, "combine.ping.request")
 	wiretest.Gob[pingResponse](t, "combine.ping.response")
 	wiretest.Gob[fetchRequest](t, "combine.fetch.request")
@@ -17,7 +17,7 @@
 }
 
 // TestFormerFailureIsRead: combiners of a former version do not say that nobody listens.
-func TestFormerFailureIsRead(t *testing.T) {
+func TestFormerFailureDecodes(t *testing.T) {
 	response := wiretest.FormerGob[fetchResponse](t, "combine.fetch.response")
 	if failed := response.Failure; failed == nil || !failed.Sent || !failed.Closed || failed.Refused || failed.Text == "" {
 		t.Errorf("%+v", failed)
