--- a/internal/edge/delegate/client.go
+++ b/internal/edge/delegate/client.go
@@ -50,7 +50,7 @@
 // metrics are those of a Client.
 type metrics struct {
 	requests *prometheus.CounterVec
-	up       prometheus.Gauge
+	usable   prometheus.Gauge
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -59,15 +59,15 @@
 		requests: create.Counters("micaplank_relay_requests_total",
 			"Requests handed to executors, by result: answered, refused, not_sent, lost, left.",
 			"result"),
-		up: create.Gauge("micaplank_relay_executors",
+		usable: create.Gauge("micaplank_relay_executors",
 			"Executors that would take a request of this node, by their last word."),
 	}
 }
 
 // New returns a Client that knows no executor yet.
-func New(config executors.Config, self roster.Member, caller Caller, time clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
+func New(config executors.Config, self roster.Member, caller Caller, clk clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
 	return &Client{
-		config: config, self: self, caller: caller, clock: time, logger: logger,
+		config: config, self: self, caller: caller, clock: clk, logger: logger,
 		metrics: newMetrics(registerer), executors: executors.NewTable(config, self),
 	}
 }
@@ -77,12 +77,12 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.terms = terms
-	used := roles.Executors
+	assigned := roles.Executors
 	if roles.Self != executors.RoleDelegator {
-		used = nil
+		assigned = nil
 	}
-	c.executors.Replace(c.clock.Now(), used)
-	c.showUsable()
+	c.executors.Replace(c.clock.Now(), assigned)
+	c.updateUsableGauge()
 }
 
 // SetTerms sets the terms of requests now.
@@ -90,12 +90,12 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.terms = terms
-	c.showUsable()
+	c.updateUsableGauge()
 }
 
 // showUsable counts the executors that would take a request now. The caller holds the
 // mutex.
-func (c *Client) showUsable() { c.metrics.up.Set(float64(c.executors.Usable(c.terms))) }
+func (c *Client) updateUsableGauge() { c.metrics.usable.Set(float64(c.executors.Usable(c.terms))) }
 
 // InUse reports whether this node hands requests to executors at all.
 func (c *Client) InUse() bool {
@@ -108,51 +108,51 @@
 func (c *Client) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.config.HeartbeatInterval)
 	defer ticker.Stop()
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var group sync.WaitGroup
+	defer group.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		for _, one := range c.due() {
-			asking.Go(func() { c.ask(ctx, one) })
+		for _, executor := range c.dueHeartbeats() {
+			group.Go(func() { c.sendHeartbeat(ctx, executor) })
 		}
 	}
 }
 
 // due returns the executors to be asked, and counts those as lost that were silent.
-func (c *Client) due() []*executors.Executor {
+func (c *Client) dueHeartbeats() []*executors.Executor {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	up := c.executors.Alive()
+	before := c.executors.Alive()
 	c.executors.Expire(c.clock.Now())
-	if now := c.executors.Alive(); now < up {
-		event.Log(c.logger, event.ExecutorsLost{Lost: up - now, Left: now})
+	if after := c.executors.Alive(); after < before {
+		event.Log(c.logger, event.ExecutorsLost{Lost: before - after, Left: after})
 	}
 	c.executors.Watch(c.clock.Now())
-	c.showUsable()
+	c.updateUsableGauge()
 	return c.executors.Watched()
 }
 
 // ask asks one executor for its status.
-func (c *Client) ask(ctx context.Context, of *executors.Executor) {
+func (c *Client) sendHeartbeat(ctx context.Context, executor *executors.Executor) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.HeartbeatTimeout)
 	defer cancel()
 	var status executors.Status
 	started := c.clock.Now()
-	err := c.caller.Call(ctx, of.Peer, methodStatus, &statusRequest{From: c.self.Name}, &status)
+	err := c.caller.Call(ctx, executor.Peer, methodStatus, &statusRequest{From: c.self.Name}, &status)
 	if err != nil {
 		return // executors.Table.Expire notices its silence
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.clock.Now()
-	regained := c.executors.Heard(now, now-started, of, status)
-	c.showUsable()
+	regained := c.executors.Heard(now, now-started, executor, status)
+	c.updateUsableGauge()
 	if regained {
-		event.Log(c.logger, event.ExecutorInTouch{Peer: of.Name, Version: status.Version, Accepting: status.Accepting, Fresh: status.Fresh})
+		event.Log(c.logger, event.ExecutorInTouch{Peer: executor.Name, Version: status.Version, Accepting: status.Accepting, Fresh: status.Fresh})
 	}
 }
 
@@ -162,7 +162,7 @@
 func (c *Client) Execute(ctx context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
 	var tried []*executors.Executor
 	for range executors.MaxOffers {
-		chosen, alive, away := c.choose(terms, tried)
+		chosen, alive, relayTime := c.choose(terms, tried)
 		if chosen == nil {
 			return forward.Answer{}, false
 		}
@@ -171,7 +171,7 @@
 		if delegated.ClientTimeout > 0 {
 			delegated.ClientTimeout = request.Remaining(c.clock.Now())
 		}
-		delegated.RelayTime = away
+		delegated.RelayTime = relayTime
 		answer, done := c.offer(ctx, chosen, alive, terms, &delegated)
 		if done {
 			return answer, true
@@ -182,7 +182,7 @@
 
 // choose chooses an executor. It returns with it the context that ends when it is
 // lost, and the time that the way to it and back takes.
-func (c *Client) choose(terms executors.Terms, tried []*executors.Executor) (chosen *executors.Executor, alive context.Context, away time.Duration) {
+func (c *Client) choose(terms executors.Terms, tried []*executors.Executor) (chosen *executors.Executor, alive context.Context, relayTime time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.executors.Expire(c.clock.Now())
@@ -196,51 +196,51 @@
 
 // offer hands a request to one executor. It returns false if the request did
 // not run there and never will.
-func (c *Client) offer(ctx context.Context, to *executors.Executor, alive context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
-	calling, cancel := context.WithCancelCause(ctx)
+func (c *Client) offer(ctx context.Context, executor *executors.Executor, alive context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
+	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stop := context.AfterFunc(alive, func() { cancel(errSilent) })
+	stop := context.AfterFunc(alive, func() { cancel(errHeartbeatTimeout) })
 	defer stop()
 	started := c.clock.Now()
 	var response executeResponse
-	err := c.caller.Call(calling, to.Peer, methodExecute, &executeRequest{
+	err := c.caller.Call(callCtx, executor.Peer, methodExecute, &executeRequest{
 		From: c.self.Name, Terms: terms, ID: request.ID, Method: request.Method, Host: request.Host,
 		Path: request.Path, Head: request.Head, Body: request.Body, Patience: request.ClientTimeout, Away: request.RelayTime,
 	}, &response)
-	c.release(to, c.clock.Now()-started, err, &response)
+	c.finishOffer(executor, c.clock.Now()-started, err, &response)
 	switch {
 	case peer.NotExecuted(err):
 		c.metrics.requests.WithLabelValues("not_sent").Inc()
 		return forward.Answer{}, false
 	case err != nil && ctx.Err() != nil:
 		c.metrics.requests.WithLabelValues("left").Inc()
-		return forward.Answer{Fate: forward.FateLate, Version: terms.Version, Executor: to.Name}, true
+		return forward.Answer{Fate: forward.FateLate, Version: terms.Version, Executor: executor.Name}, true
 	case err != nil:
 		c.metrics.requests.WithLabelValues("lost").Inc()
-		event.Log(c.logger, event.RequestLost{RequestID: request.ID, Executor: to.Name, Error: err})
-		return forward.Answer{Fate: forward.FateFailed, Version: terms.Version, Executor: to.Name}, true
+		event.Log(c.logger, event.RequestLost{RequestID: request.ID, Executor: executor.Name, Error: err})
+		return forward.Answer{Fate: forward.FateFailed, Version: terms.Version, Executor: executor.Name}, true
 	case response.Refusal != "":
 		c.metrics.requests.WithLabelValues("refused").Inc()
 		return forward.Answer{}, false
 	}
 	c.metrics.requests.WithLabelValues("answered").Inc()
-	return response.answer(to.Name, terms.Version), true
+	return response.answer(executor.Name, terms.Version), true
 }
 
 // errSilent is why a call is given up: the executor does not answer heartbeats.
-var errSilent = errors.New("executor is silent")
+var errHeartbeatTimeout = errors.New("executor is silent")
 
 // release records the end of an offer.
-func (c *Client) release(to *executors.Executor, took time.Duration, err error, response *executeResponse) {
+func (c *Client) finishOffer(executor *executors.Executor, latency time.Duration, err error, response *executeResponse) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	to.InFlight--
+	executor.InFlight--
 	switch {
 	case errors.Is(err, peer.ErrLost), peer.NotExecuted(err):
-		to.Lose() // its process has ended, most likely; it is asked again at the next heartbeat
+		executor.Lose() // its process has ended, most likely; it is asked again at the next heartbeat
 	case err == nil && response.Refusal != "":
-		to.Status = response.Status
+		executor.Status = response.Status
 	case err == nil:
-		to.Completed(took)
+		executor.Completed(latency)
 	}
 }
--- a/internal/edge/delegate/rig_test.go
+++ b/internal/edge/delegate/helpers_test.go
@@ -16,7 +16,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-func node(name, zone string, cores float64) roster.Member {
+func newMember(name, zone string, cores float64) roster.Member {
 	return roster.Member{Name: name, Zone: zone, Cores: cores, Peer: netip.MustParseAddrPort("127.0.0.1:" + fmt.Sprint(1000+len(name)+int(name[len(name)-1])))}
 }
 
@@ -54,7 +54,7 @@
 var terms = executors.Terms{Version: version, Fresh: true}
 
 // rig is a Client in touch with two executors.
-type rig struct {
+type testRig struct {
 	*testing.T
 	client *Client
 	clock  *fakeClock
@@ -63,44 +63,44 @@
 	far    roster.Member
 }
 
-func newRig(t *testing.T) *rig {
+func newTestRig(t *testing.T) *testRig {
 	t.Helper()
-	r := &rig{
-		T: t, clock: &fakeClock{now: time.Second}, near: node("large-1", "a", 0.8), far: node("large-2", "b", 0.8),
+	r := &testRig{
+		T: t, clock: &fakeClock{now: time.Second}, near: newMember("large-1", "a", 0.8), far: newMember("large-2", "b", 0.8),
 		peers: &fakePeers{
 			status:  executors.Status{Version: version, Accepting: true, Fresh: true},
 			execute: make(map[netip.AddrPort]func(context.Context, *executeRequest) (executeResponse, error)),
 		},
 	}
-	self := node("small-1", "a", 0.2)
+	self := newMember("small-1", "a", 0.2)
 	r.client = New(executors.DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
 	r.client.SetRoles(executors.Assign(self, []roster.Member{r.near, r.far, self}), terms)
 	for _, member := range []roster.Member{r.near, r.far} {
-		r.peers.execute[member.Peer] = answered(member.Name)
+		r.peers.execute[member.Peer] = executedBy(member.Name)
 	}
-	r.beat()
+	r.sendHeartbeats()
 	return r
 }
 
-func answered(by string) func(context.Context, *executeRequest) (executeResponse, error) {
+func executedBy(executor string) func(context.Context, *executeRequest) (executeResponse, error) {
 	return func(context.Context, *executeRequest) (executeResponse, error) {
-		return executeResponse{Fate: forward.FateMerged, Body: []byte(by)}, nil
+		return executeResponse{Fate: forward.FateMerged, Body: []byte(executor)}, nil
 	}
 }
 
 // beat asks all executors once.
-func (r *rig) beat() {
-	for _, one := range r.client.due() {
-		r.client.ask(context.Background(), one)
+func (r *testRig) sendHeartbeats() {
+	for _, executor := range r.client.dueHeartbeats() {
+		r.client.sendHeartbeat(context.Background(), executor)
 	}
 }
 
-func (r *rig) execute() (forward.Answer, bool) {
+func (r *testRig) execute() (forward.Answer, bool) {
 	return r.client.Execute(context.Background(), terms, &forward.Request{ID: "x", ClientTimeout: time.Second})
 }
 
 // wantExecutor expects an answer by a node; empty for none.
-func (r *rig) wantExecutor(name string) {
+func (r *testRig) wantExecutor(name string) {
 	r.Helper()
 	answer, done := r.execute()
 	if done != (name != "") || string(answer.Body) != name || answer.Executor != name {
--- a/internal/edge/delegate/wire_test.go
+++ b/internal/edge/delegate/wire_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
+func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.Gob[statusRequest](t, "relay.status.request")
 	wiretest.Gob[executors.Status](t, "relay.status.response")
 	wiretest.Gob[executeRequest](t, "relay.execute.request")
