--- a/internal/edge/combine/benchmark_test.go
+++ b/internal/edge/combine/benchmark_test.go
@@ -20,8 +20,8 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// BenchmarkQueryOf15Parts runs 15 attempts of a query through a combiner over
-// loopback; each part is 62 records. One processor does the work of both nodes.
+// BenchmarkQueryOf15Parts runs 15 attempts of a query through a combiner over loopback. Each part
+// has 62 records. The benchmark covers the work of both nodes.
 func BenchmarkQueryOf15Parts(b *testing.B) {
 	leaves := &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		response := &scatter.Response[forward.Part]{Executed: true, Part: forward.Part{Status: 200, Signature: "3e1b.07.5a2.600.0.c9f2a4d1", Body: make([]byte, 62*records.Size)}}
--- a/internal/edge/combine/client.go
+++ b/internal/edge/combine/client.go
@@ -19,14 +19,14 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// stepCombiner is where an attempt is lost that a combiner had in hand.
+// stepCombiner is the step of an attempt that was lost together with its combiner.
 const stepCombiner leaf.Step = "combiner"
 
-// errSilent is why a call to a combiner is given up that does not answer any more.
-var errHeartbeatTimeout = errors.New("combiner is silent")
+// errHeartbeatTimeout is the cause of cancelling a call to a combiner that stopped responding.
+var errHeartbeatTimeout = errors.New("combiner missed its heartbeats")
 
-// Client sends attempts to leaves, by way of a combiner where one helps. It
-// implements scatter.LeafClient and is safe for concurrent use.
+// Client sends attempts to leaves, through a combiner where one helps. It implements
+// scatter.LeafClient and is safe for concurrent use.
 type Client struct {
 	config  combiners.Config
 	self    roster.Member
@@ -44,21 +44,20 @@
 
 var _ Leaves = (*Client)(nil)
 
-// sessionKey names the session of a query with a combiner of a zone.
+// sessionKey identifies the session of a query with a combiner of a zone.
 type sessionKey struct {
 	query *forward.Request
 	zone  string
 }
 
-// clientSession is a session while it has attempts in flight.
+// clientSession is a session that has attempts in flight.
 type clientSession struct {
 	number   uint64
 	combiner *combiners.Combiner
 	inFlight int
 }
 
-// New returns a Client that knows no combiner yet: it sends all attempts
-// directly.
+// New returns a Client without combiners, which sends all attempts directly.
 func New(config combiners.Config, self roster.Member, direct Leaves, caller Caller, clk clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
 	return &Client{
 		config: config, self: self, direct: direct, caller: caller, clock: clk, logger: logger,
@@ -66,7 +65,7 @@
 	}
 }
 
-// SetMembers takes in the nodes that may be combiners.
+// SetMembers sets the nodes that may be combiners.
 func (c *Client) SetMembers(members []roster.Member) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -93,8 +92,9 @@
 	return response, err
 }
 
-// join adds an attempt to the session of its query, which it opens if there is none.
-// First says that it did. The session is nil if no combiner of the zone is usable.
+// join adds an attempt to the session of its query and opens the session if there is none; opened
+// reports whether it did. The context alive ends when the combiner is lost. The session is nil if
+// the zone has no usable combiner.
 func (c *Client) join(key sessionKey) (joined *clientSession, alive context.Context, opened bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -117,7 +117,8 @@
 	return session, alive, !open
 }
 
-// leave takes an attempt out of its session, which was given up here or has ended there.
+// leave removes an attempt from its session. The flag givenUp is set if the caller's context has
+// ended; err then says nothing about the combiner.
 func (c *Client) leave(key sessionKey, session *clientSession, err error, givenUp bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -129,30 +130,30 @@
 	switch {
 	case givenUp:
 	case peer.NotExecuted(err):
-		c.avoid(session.combiner) // it is stopping, most likely
+		c.avoid(session.combiner) // the combiner is most likely stopping
 	case errors.Is(err, peer.ErrLost):
-		c.markLost(session.combiner) // its process has ended, most likely
+		c.markLost(session.combiner) // the process of the combiner has most likely ended
 	case err == nil:
 		session.combiner.Heard(c.clock.Now())
 	}
 }
 
-// lost takes a combiner to be lost. The caller holds the mutex.
+// markLost marks a combiner as lost. The caller holds the mutex.
 func (c *Client) markLost(combiner *combiners.Combiner) {
 	if combiner.Lose() {
 		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name, InFlight: combiner.InFlight})
 	}
 }
 
-// avoid gives a combiner no more attempts for now. The caller holds the mutex.
+// avoid stops giving attempts to a combiner for now. The caller holds the mutex.
 func (c *Client) avoid(combiner *combiners.Combiner) {
 	if combiner.Avoid() {
 		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name})
 	}
 }
 
-// fetch hands one attempt to a combiner. It returns false if the combiner did
-// nothing with it.
+// fetch sends one attempt to a combiner. It returns done as false if the combiner provably did not
+// send the attempt to the leaf.
 func (c *Client) fetch(ctx, alive context.Context, session *clientSession, opened bool, attempt scatter.Attempt[*forward.Request]) (response *scatter.Response[forward.Part], done bool, err error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -189,10 +190,10 @@
 	return response, true, nil
 }
 
-// errForgotten says that a combiner does not hold the rest of a part any more.
-var errSessionExpired = errors.New("combiner has forgotten the part")
+// errSessionExpired means that a combiner no longer holds the dropped records of a part.
+var errSessionExpired = errors.New("combiner no longer holds the dropped records of the part")
 
-// restOf returns the function that fetches what was left out of a part.
+// fetchDroppedFunc returns the function that fetches the records dropped from a part.
 func (c *Client) fetchDroppedFunc(session *clientSession, number int) func(context.Context, []byte) ([]byte, error) {
 	return func(ctx context.Context, floor []byte) ([]byte, error) {
 		var response restResponse
@@ -213,7 +214,7 @@
 	}
 }
 
-// Run keeps in touch with the combiners until ctx ends.
+// Run sends heartbeats to the combiners until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.config.HeartbeatInterval / 2)
 	defer ticker.Stop()
@@ -231,8 +232,8 @@
 	}
 }
 
-// due returns the combiners to be asked, and takes those to be lost that were
-// silent.
+// dueHeartbeats returns the combiners whose heartbeat is due, and marks those as lost that have not
+// responded.
 func (c *Client) dueHeartbeats() []*combiners.Combiner {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -243,7 +244,7 @@
 	return due
 }
 
-// ask asks one combiner whether it lives. Its silence is noticed by due.
+// sendHeartbeat sends a heartbeat to one combiner. A missing response is noticed by dueHeartbeats.
 func (c *Client) sendHeartbeat(ctx context.Context, combiner *combiners.Combiner) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.HeartbeatTimeout)
 	defer cancel()
--- a/internal/edge/combine/combine_test.go
+++ b/internal/edge/combine/combine_test.go
@@ -23,13 +23,13 @@
 	} {
 		before := r.direct.count()
 		if _, err := r.execute(attempt); err != nil || r.direct.count() != before+1 || r.combined.count() != 0 {
-			t.Errorf("%s: %v, %d sent directly", name, err, r.direct.count()-before)
+			t.Errorf("%s: error %v, %d sent directly, want 1 and none by the combiner", name, err, r.direct.count()-before)
 		}
 	}
 }
 
-// TestLossOfTheCombiner ends an attempt that the combiner has in hand: it may
-// have run, and the leaf is not to blame. The next ones go directly.
+// TestCombinerLoss checks that an attempt is ended when the combiner that runs it is lost. The
+// attempt may have run, and the failure is not attributed to the leaf. Later attempts go directly.
 func TestCombinerLoss(t *testing.T) {
 	taken := make(chan struct{})
 	r := newTestRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
@@ -46,18 +46,18 @@
 	r.closeServer()
 	var transport *leaf.TransportError
 	if err := <-ended; !errors.As(err, &transport) || !transport.Sent || !transport.OnTheWay {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("attempt ended with %v, want a TransportError with Sent and OnTheWay", err)
 	}
 	if r.direct.count() != 0 {
-		t.Error("the attempt was sent twice")
+		t.Error("the attempt was also sent directly, want it sent once")
 	}
 	if _, err := r.execute(newAttempt("b", newQuery())); err != nil || r.direct.count() != 1 {
-		t.Errorf("the next attempt: %v, %d sent directly", err, r.direct.count())
+		t.Errorf("next attempt: error %v, %d sent directly, want 1", err, r.direct.count())
 	}
 }
 
-// TestCombinerThatStopsFinishesWhatItHasInHand refuses a new attempt, which goes
-// directly, while an earlier one is answered.
+// TestStoppingCombinerFinishesInFlightAttempt checks that a stopping combiner refuses a new
+// attempt, which then goes directly, while it completes an earlier one.
 func TestStoppingCombinerFinishesInFlightAttempt(t *testing.T) {
 	taken, release := make(chan struct{}), make(chan struct{})
 	var held atomic.Bool
@@ -87,13 +87,13 @@
 	}
 	close(release)
 	if err := <-ended; err != nil {
-		t.Errorf("the attempt in hand: %v", err)
+		t.Errorf("in-flight attempt: %v", err)
 	}
 	<-stopped
 }
 
-// TestGivingUpFreesTheLeaf ends the attempt at the leaf with that of the caller,
-// and does not count the combiner as lost.
+// TestCancellationReachesLeaf checks that the attempt at the leaf ends with that of the caller, and
+// that the combiner is not marked as lost.
 func TestCancellationReachesLeaf(t *testing.T) {
 	taken, freed := make(chan struct{}), make(chan struct{})
 	r := newTestRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
@@ -110,18 +110,18 @@
 	_, err := r.client.Execute(ctx, newAttempt("b", newQuery()))
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || transport.OnTheWay {
-		t.Errorf("ended with %v", err)
+		t.Errorf("attempt ended with %v, want a TransportError without OnTheWay", err)
 	}
 	select {
 	case <-freed:
 	case <-time.After(testTimeout):
-		t.Fatal("the leaf still works")
+		t.Fatal("the attempt at the leaf was not cancelled")
 	}
-	r.await("a combiner in touch", func() bool { return r.client.combiners.Choose("b") != nil })
+	r.await("a connected combiner", func() bool { return r.client.combiners.Choose("b") != nil })
 }
 
-// TestUnknownSession sends an attempt directly, once, whose query the combiner
-// does not know.
+// TestUnknownSessionFallsBackToDirect checks that an attempt is sent directly, once, if the
+// combiner does not know its query.
 func TestUnknownSessionFallsBackToDirect(t *testing.T) {
 	r := newTestRig(t, leavesAnswering(1))
 	query := newQuery()
@@ -133,26 +133,28 @@
 		t.Fatal(err)
 	}
 	if r.direct.count() != 1 || r.combined.count() != 0 {
-		t.Errorf("%d sent directly, %d by the combiner", r.direct.count(), r.combined.count())
+		t.Errorf("%d sent directly, %d by the combiner, want 1 and 0", r.direct.count(), r.combined.count())
 	}
 }
 
-// TestLeafThatLeaves is not sent an attempt by a combiner that knows of it.
+// TestCombinerRefusesLeavingLeaf checks that a combiner does not send an attempt to a leaf that it
+// knows to be leaving.
 func TestCombinerRefusesLeavingLeaf(t *testing.T) {
 	r := newTestRig(t, leavesAnswering(1))
 	r.leaving.Store(true)
 	if _, err := r.execute(newAttempt("b", newQuery())); err != nil || r.direct.count() != 1 || r.combined.count() != 0 {
-		t.Errorf("%v, %d sent directly, %d by the combiner", err, r.direct.count(), r.combined.count())
+		t.Errorf("error %v, %d sent directly, %d by the combiner, want 1 and 0", err, r.direct.count(), r.combined.count())
 	}
 }
 
-// TestSessionsEnd forgets the queries of other nodes.
+// TestSessionsExpire checks that a combiner removes sessions, with and without a query, after their
+// time limit.
 func TestSessionsExpire(t *testing.T) {
 	c := &combiner{leaves: leavesAnswering(1), sessions: make(map[remoteSessionKey]*session)}
 	withQuery := c.session(remoteSessionKey{number: 1}, newQueryHead(newQuery(), time.Microsecond))
 	withoutQuery := c.session(remoteSessionKey{number: 2}, nil)
 	if withQuery.query == nil || withoutQuery.query != nil {
-		t.Fatal("a query is where it does not belong")
+		t.Fatal("want a query in the first session only")
 	}
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c.mutex.Lock()
@@ -162,7 +164,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d sessions are left", remaining)
+			t.Fatalf("%d sessions remain, want 0", remaining)
 		}
 	}
 }
--- a/internal/edge/combine/helpers_test.go
+++ b/internal/edge/combine/helpers_test.go
@@ -22,12 +22,12 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// patient bounds the waits of these tests; none of them measures a time.
+// testTimeout bounds the waits of these tests. No test depends on its value.
 const testTimeout = 20 * time.Second
 
 const topK = 2
 
-// fakeLeaves runs attempts by a function and keeps them.
+// fakeLeaves runs attempts by a function and records them.
 type fakeLeaves struct {
 	run func(ctx context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error)
 
@@ -48,7 +48,7 @@
 	return len(f.attempts)
 }
 
-// part returns a part of records that are one value each.
+// newPart returns a response whose records repeat one byte value each.
 func newPart(values ...byte) *scatter.Response[forward.Part] {
 	response := &scatter.Response[forward.Part]{Executed: true, Part: forward.Part{Status: 200, Signature: "signed"}}
 	for _, value := range values {
@@ -63,14 +63,14 @@
 	}}
 }
 
-// rig is a Client in zone a, with a combiner in zone b over loopback.
+// testRig is a Client in zone a, with a combiner in zone b over loopback.
 type testRig struct {
 	*testing.T
 	client   *Client
-	direct   *fakeLeaves // as the client reaches them
-	combined *fakeLeaves // as the combiner reaches them
+	direct   *fakeLeaves // the leaves as the client reaches them
+	combined *fakeLeaves // the leaves as the combiner reaches them
 	server   *peer.Server
-	leaving  atomic.Bool // whether the combiner gives the leaf no work
+	leaving  atomic.Bool // the combiner gives no work to the leaf
 }
 
 func newTestRig(t *testing.T, combined *fakeLeaves) *testRig {
@@ -102,17 +102,17 @@
 		_ = caller.Close()
 		r.closeServer()
 	})
-	r.await("a combiner in touch", func() bool { return r.client.combiners.Choose("b") != nil })
+	r.await("a connected combiner", func() bool { return r.client.combiners.Choose("b") != nil })
 	return r
 }
 
 func (r *testRig) closeServer() {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = r.server.Close(canceled) // what runs is cut off
+	_ = r.server.Close(canceled) // cancels the calls in progress
 }
 
-// await waits for a condition under the client's mutex.
+// await polls a condition under the client's mutex until it holds.
 func (r *testRig) await(what string, condition func() bool) {
 	r.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -123,7 +123,7 @@
 			return
 		}
 	}
-	r.Fatalf("never: %s", what)
+	r.Fatalf("timed out waiting for %s", what)
 }
 
 func newQuery() *forward.Request {
--- a/internal/edge/combine/message.go
+++ b/internal/edge/combine/message.go
@@ -8,41 +8,41 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// The methods of the calls between nodes.
+// The method names of the calls between nodes.
 const (
 	methodFetch = "combine.fetch"
 	methodRest  = "combine.rest"
 	methodPing  = "combine.ping"
 )
 
-// pingRequest asks whether a combiner lives.
+// pingRequest is a heartbeat to a combiner.
 type pingRequest struct{ From string }
 
-// pingResponse says that it does.
+// pingResponse is the response to a heartbeat.
 type pingResponse struct{ Alive bool }
 
-// fetchRequest asks for one attempt at a leaf.
+// fetchRequest asks a combiner to run one attempt at a leaf.
 type fetchRequest struct {
-	// Remaining is the time left for it. The call may have more where this machine was
-	// suspended: its own time stood still.
+	// Remaining is the time left for the attempt. The deadline of the call may be later if this
+	// machine was suspended, because the call's timer stopped meanwhile.
 	Remaining time.Duration
-	// Session groups the attempts of a query. It is unique to the connection.
+	// Session groups the attempts of a query. It is unique within the connection.
 	Session uint64
-	// Query comes with the first attempt of a session.
+	// Query is set in the first attempt of a session.
 	Query    *queryHead
 	Address  netip.AddrPort
 	Instance string
 }
 
-// queryHead is what all attempts of a query have in common.
+// queryHead holds what all attempts of a query have in common.
 type queryHead struct {
 	ID         string
 	Method     string
 	Head, Body []byte
 	TopK       int
-	// Floor is a record below which none is likely to count.
+	// Floor is a record below which no record is likely to be in the answer.
 	Floor []byte
-	// Limit is how long attempts of the query may come.
+	// Limit is the time within which further attempts of the query may arrive.
 	Limit time.Duration
 }
 
@@ -59,10 +59,10 @@
 
 // fetchResponse is the end of an attempt.
 type fetchResponse struct {
-	// NotTaken is set if the combiner has sent nothing: it does not know the
-	// query, or would not give the leaf work itself.
+	// NotTaken is set if the combiner did not send the attempt: it does not know the query, or it
+	// would not send work to the leaf itself.
 	NotTaken bool
-	// Failure is set if the attempt ended without an answer of the leaf.
+	// Failure is set if the attempt ended without a response of the leaf.
 	Failure *transportFailure
 
 	Executed   bool
@@ -74,27 +74,26 @@
 	Status    int
 	Signature string
 	Body      []byte
-	// Dropped is the greatest record that was left out, and Number names the
-	// part to a restRequest; both are zero if the part is whole.
+	// Dropped is the greatest record that was dropped, and Number identifies the part in a
+	// restRequest. Both are zero if the part is complete.
 	Dropped []byte
 	Number  int
 }
 
-// restRequest asks for the records that were left out of a part and are not
-// below a floor.
+// restRequest asks for the records that were dropped from a part and are not below a floor.
 type restRequest struct {
 	Session uint64
 	Number  int
 	Floor   []byte
 }
 
-// restResponse holds them, if the session is still known.
+// restResponse holds the dropped records. Known is false if the session has expired.
 type restResponse struct {
 	Known   bool
 	Records []byte
 }
 
-// failure is a leaf.TransportError between the combiner and the leaf.
+// transportFailure is a leaf.TransportError between the combiner and the leaf.
 type transportFailure struct {
 	Step    leaf.Step
 	Sent    bool
--- a/internal/edge/combine/metrics.go
+++ b/internal/edge/combine/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// metrics are those of a Client.
+// metrics holds the metrics of a Client.
 type metrics struct {
 	attempts       *prometheus.CounterVec
 	droppedFetches prometheus.Counter
@@ -16,9 +16,9 @@
 	create := telemetry.NewFactory(registerer)
 	return &metrics{
 		attempts: create.Counters("micaplank_combine_attempts_total",
-			"Attempts of requests of many shards at leaves of other zones, by way: combined, direct (no combiner in touch), not_taken (the combiner did nothing, then direct), given_up (not wanted any more) or lost (with the combiner).",
+			"Attempts of multi-shard requests at leaves of other zones, by way: combined, direct (no combiner connected), not_taken (not sent by the combiner, then sent directly), given_up (no longer awaited) or lost (together with the combiner).",
 			"way"),
 		droppedFetches: create.Counter("micaplank_combine_rests_total",
-			"Parts of which a combiner had left out records that counted after all."),
+			"Parts from which a combiner had dropped records that had to be fetched for the answer."),
 	}
 }
--- a/internal/edge/combine/server.go
+++ b/internal/edge/combine/server.go
@@ -16,12 +16,12 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// headTimeout bounds the wait for the attempt of a session that brings the query: it was
-// sent before the others, on the same connection. Not measured: chosen because it is a few
-// times as long as the way between zones.
+// queryTimeout bounds the wait for the attempt of a session that carries the query. That attempt
+// was sent before the others on the same connection, so the timeout is a few times the latency
+// between zones.
 const queryTimeout = 20 * time.Millisecond
 
-// remoteKey names a query of another node, by the connection that it came on.
+// remoteSessionKey identifies a session of another node by the connection on which it arrived.
 type remoteSessionKey struct {
 	from   netip.AddrPort
 	number uint64
@@ -29,13 +29,14 @@
 
 // session is a query of another node while its attempts may arrive.
 type session struct {
-	// known is closed once query is set.
+	// queryReceived is closed when query is set.
 	queryReceived chan struct{}
 	query         *forward.Request
 
 	mutex sync.Mutex
 	top   *records.Top
-	// left holds what was left out of each part, by its number less one.
+	// dropped holds the records dropped from each part, at the index of the part's number minus
+	// one.
 	dropped [][]byte
 }
 
@@ -48,9 +49,9 @@
 	sessions map[remoteSessionKey]*session
 }
 
-// Serve runs attempts of other nodes at leaves that may get work, as far as this node
-// knows: it may know that a leaf is leaving before they do. It is called before the server
-// serves.
+// Serve registers the calls by which other nodes run attempts through this node. The callback
+// acceptsWork reports whether a leaf may get work as far as this node knows; it may learn earlier
+// than the other nodes that a leaf is leaving. Serve must be called before the server serves.
 func Serve(server *peer.Server, leaves Leaves, acceptsWork func(leaf netip.AddrPort) bool) {
 	c := &combiner{leaves: leaves, acceptsWork: acceptsWork, sessions: make(map[remoteSessionKey]*session)}
 	peer.Register(server, methodPing, func(context.Context, netip.AddrPort, *pingRequest) (*pingResponse, error) {
@@ -64,7 +65,7 @@
 	})
 }
 
-// fetch runs one attempt and thins out its part.
+// fetch runs one attempt and drops records from its part.
 func (c *combiner) fetch(ctx context.Context, from netip.AddrPort, request *fetchRequest) *fetchResponse {
 	session := c.session(remoteSessionKey{from, request.Session}, request.Query)
 	if !session.awaitQuery(ctx) || !c.acceptsWork(request.Address) {
@@ -84,8 +85,8 @@
 	return session.thinResponse(response)
 }
 
-// session returns the session of an attempt, which may bring its query. One
-// without a query is made for an attempt that overtook the first.
+// session returns the session of an attempt, which may carry the query. If an attempt arrives
+// before the one with the query, it creates a session without a query.
 func (c *combiner) session(key remoteSessionKey, query *queryHead) *session {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -106,7 +107,7 @@
 	return existing
 }
 
-// forget drops a session whose query has ended.
+// removeSession removes a session whose query has ended.
 func (c *combiner) removeSession(key remoteSessionKey, ended *session) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// forgetUnknown drops a session whose query did not come.
+// removeIfNoQuery removes a session whose query has not arrived.
 func (c *combiner) removeIfNoQuery(key remoteSessionKey, waiting *session) {
 	c.mutex.Lock()
 	noQuery := waiting.query == nil
@@ -125,7 +126,7 @@
 	}
 }
 
-// await waits for the query of the session.
+// awaitQuery waits for the query of the session and reports whether it arrived.
 func (s *session) awaitQuery(ctx context.Context) bool {
 	select {
 	case <-s.queryReceived:
@@ -143,7 +144,7 @@
 	return false
 }
 
-// responseOf thins out the part of a response.
+// thinResponse drops the records of a response's part that are not among the greatest of the query.
 func (s *session) thinResponse(received *scatter.Response[forward.Part]) *fetchResponse {
 	response := &fetchResponse{
 		Executed: received.Executed, Failed: received.Failed, Refusal: received.Refusal,
@@ -164,7 +165,7 @@
 	return response
 }
 
-// rest returns what was left out of a part.
+// fetchDropped returns the records that were dropped from a part.
 func (c *combiner) fetchDropped(from netip.AddrPort, request *restRequest) *restResponse {
 	c.mutex.Lock()
 	session := c.sessions[remoteSessionKey{from, request.Session}]
--- a/internal/edge/combine/wire_test.go
+++ b/internal/edge/combine/wire_test.go
@@ -6,7 +6,8 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions.
+// TestRecordedMessagesDecode checks that recorded messages decode, because a fleet may run two
+// versions.
 func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.Gob[pingRequest](t, "combine.ping.request")
 	wiretest.Gob[pingResponse](t, "combine.ping.response")
@@ -16,10 +17,11 @@
 	wiretest.Gob[restResponse](t, "combine.rest.response")
 }
 
-// TestFormerFailureIsRead: combiners of a former version do not say that nobody listens.
+// TestFormerFailureDecodes checks the message of a former version, whose combiners do not report a
+// refused connection.
 func TestFormerFailureDecodes(t *testing.T) {
 	response := wiretest.FormerGob[fetchResponse](t, "combine.fetch.response")
 	if failed := response.Failure; failed == nil || !failed.Sent || !failed.Closed || failed.Refused || failed.Text == "" {
-		t.Errorf("%+v", failed)
+		t.Errorf("failure %+v, want Sent, Closed and a text, without Refused", failed)
 	}
 }
