--- a/internal/edge/delegate/client.go
+++ b/internal/edge/delegate/client.go
@@ -1,12 +1,11 @@
-// Package delegate hands requests of many shards to executors: nodes that run them for
-// others.
+// Package delegate hands multi-shard requests to executors: nodes that run them for other nodes.
 //
-// It owns the connections, heartbeats and calls; who is an executor, and which one
-// gets a request, is decided by package executors.
+// It owns the connections, heartbeats and calls. Package executors decides which nodes are
+// executors and which executor gets a request.
 //
-// A request is delegated at most once. If the executor proves that it did not run it,
-// another one gets it, and last the node itself. If the executor is lost with it, the
-// request may have run and has failed.
+// A request runs on at most one executor. If an executor provably did not run it, the request is
+// offered to another one and finally runs on the node itself. If the executor is lost while it has
+// the request, the request may have run and has failed.
 package delegate
 
 import (
@@ -28,7 +27,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// Caller makes calls to other nodes; *peer.Client is one.
+// Caller makes calls to other nodes; *peer.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error
 }
@@ -44,10 +43,10 @@
 
 	mutex     sync.Mutex
 	executors executors.Table
-	terms     executors.Terms // of a request now
+	terms     executors.Terms // the terms that a request gets now
 }
 
-// metrics are those of a Client.
+// metrics holds the metrics of a Client.
 type metrics struct {
 	requests *prometheus.CounterVec
 	usable   prometheus.Gauge
@@ -57,14 +56,14 @@
 	create := telemetry.NewFactory(registerer)
 	return &metrics{
 		requests: create.Counters("micaplank_relay_requests_total",
-			"Requests handed to executors, by result: answered, refused, not_sent, lost, left.",
+			"Requests handed to executors, by result: answered, refused, not_sent, lost (with the executor), left (no longer awaited).",
 			"result"),
 		usable: create.Gauge("micaplank_relay_executors",
-			"Executors that would take a request of this node, by their last word."),
+			"Executors that would accept a request of this node, by their last reported status."),
 	}
 }
 
-// New returns a Client that knows no executor yet.
+// New returns a Client without executors.
 func New(config executors.Config, self roster.Member, caller Caller, clk clock.Clock, registerer prometheus.Registerer, logger *slog.Logger) *Client {
 	return &Client{
 		config: config, self: self, caller: caller, clock: clk, logger: logger,
@@ -72,7 +71,7 @@
 	}
 }
 
-// SetRoles sets who runs the requests of whom, and the terms of requests now.
+// SetRoles sets the executors of this node and the terms of its requests.
 func (c *Client) SetRoles(roles executors.Roles, terms executors.Terms) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -85,7 +84,7 @@
 	c.updateUsableGauge()
 }
 
-// SetTerms sets the terms of requests now.
+// SetTerms sets the terms of requests.
 func (c *Client) SetTerms(terms executors.Terms) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -93,18 +92,18 @@
 	c.updateUsableGauge()
 }
 
-// showUsable counts the executors that would take a request now. The caller holds the
-// mutex.
+// updateUsableGauge sets the metric of the executors that would accept a request. The caller holds
+// the mutex.
 func (c *Client) updateUsableGauge() { c.metrics.usable.Set(float64(c.executors.Usable(c.terms))) }
 
-// InUse reports whether this node hands requests to executors at all.
+// InUse reports whether this node has executors to hand requests to.
 func (c *Client) InUse() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.executors.Len() > 0
 }
 
-// Run keeps in touch with the executors until ctx ends.
+// Run sends heartbeats to the executors until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.config.HeartbeatInterval)
 	defer ticker.Stop()
@@ -122,7 +121,8 @@
 	}
 }
 
-// due returns the executors to be asked, and counts those as lost that were silent.
+// dueHeartbeats returns the executors to send heartbeats to, and marks those as lost that have not
+// responded.
 func (c *Client) dueHeartbeats() []*executors.Executor {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -136,7 +136,7 @@
 	return c.executors.Watched()
 }
 
-// ask asks one executor for its status.
+// sendHeartbeat asks one executor for its status.
 func (c *Client) sendHeartbeat(ctx context.Context, executor *executors.Executor) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.HeartbeatTimeout)
 	defer cancel()
@@ -144,7 +144,7 @@
 	started := c.clock.Now()
 	err := c.caller.Call(ctx, executor.Peer, methodStatus, &statusRequest{From: c.self.Name}, &status)
 	if err != nil {
-		return // executors.Table.Expire notices its silence
+		return // executors.Table.Expire notices the missing response
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -156,9 +156,9 @@
 	}
 }
 
-// Execute hands a request to an executor that can keep its terms, and blocks
-// until its answer or the end of ctx. It returns false if the request has run
-// nowhere and this node should run it itself.
+// Execute hands a request to an executor that can satisfy its terms. It blocks until the answer
+// arrives or ctx ends. It returns false if the request has run nowhere and this node should run it
+// itself.
 func (c *Client) Execute(ctx context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
 	var tried []*executors.Executor
 	for range executors.MaxOffers {
@@ -180,8 +180,8 @@
 	return forward.Answer{}, false
 }
 
-// choose chooses an executor. It returns with it the context that ends when it is
-// lost, and the time that the way to it and back takes.
+// choose chooses an executor. It also returns the context that ends when the executor is lost, and
+// the time that the round trip to it takes.
 func (c *Client) choose(terms executors.Terms, tried []*executors.Executor) (chosen *executors.Executor, alive context.Context, relayTime time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -194,8 +194,8 @@
 	return chosen, chosen.Alive(), chosen.Away()
 }
 
-// offer hands a request to one executor. It returns false if the request did
-// not run there and never will.
+// offer hands a request to one executor. It returns false if the request did not run there and
+// never will.
 func (c *Client) offer(ctx context.Context, executor *executors.Executor, alive context.Context, terms executors.Terms, request *forward.Request) (forward.Answer, bool) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -227,17 +227,18 @@
 	return response.answer(executor.Name, terms.Version), true
 }
 
-// errSilent is why a call is given up: the executor does not answer heartbeats.
-var errHeartbeatTimeout = errors.New("executor is silent")
+// errHeartbeatTimeout is the cause of cancelling a call to an executor that does not respond to
+// heartbeats.
+var errHeartbeatTimeout = errors.New("executor missed its heartbeats")
 
-// release records the end of an offer.
+// finishOffer records the end of an offer.
 func (c *Client) finishOffer(executor *executors.Executor, latency time.Duration, err error, response *executeResponse) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	executor.InFlight--
 	switch {
 	case errors.Is(err, peer.ErrLost), peer.NotExecuted(err):
-		executor.Lose() // its process has ended, most likely; it is asked again at the next heartbeat
+		executor.Lose() // its process has most likely ended; the next heartbeat checks it again
 	case err == nil && response.Refusal != "":
 		executor.Status = response.Status
 	case err == nil:
--- a/internal/edge/delegate/client_test.go
+++ b/internal/edge/delegate/client_test.go
@@ -35,7 +35,9 @@
 	}
 }
 
-// TestExecutorThatHasNotHeardOfACordonIsNotAsked, and one that knows more is.
+// TestExecutorUnawareOfCordonIsSkipped checks that an executor gets no request if it does not know
+// of a cordon that the request's terms contain. An executor that knows more cordons gets the
+// request.
 func TestExecutorUnawareOfCordonIsSkipped(t *testing.T) {
 	r := newTestRig(t)
 	cordoned := terms
@@ -46,16 +48,16 @@
 		return done
 	}
 	if execute() {
-		t.Error("handed to an executor that would send work to a zone out of service")
+		t.Error("request was handed to an executor that does not know of a cordon")
 	}
 	r.peers.status.Cordoned = []string{"a", "b"}
 	if !execute() {
-		t.Error("not handed to an executor that knows more")
+		t.Error("request was not handed to an executor that knows more cordons")
 	}
 }
 
-// TestOutageOfTheStoreForBoth: an executor without the store runs the requests
-// of a node without it, and of no other.
+// TestStaleExecutorRunsOnlyStaleRequests checks that an executor without the store runs requests of
+// a node that is without the store too, and of no other node.
 func TestStaleExecutorRunsOnlyStaleRequests(t *testing.T) {
 	r := newTestRig(t)
 	r.peers.status.Fresh = false
@@ -63,11 +65,11 @@
 	r.wantExecutor("")
 	answer, done := r.client.Execute(context.Background(), executors.Terms{Version: version}, &forward.Request{ID: "x"})
 	if !done || answer.Executor != "large-1" {
-		t.Errorf("%+v, %v", answer, done)
+		t.Errorf("answer %+v, done %v, want it executed by large-1", answer, done)
 	}
 }
 
-// TestProofThatNothingRanLeadsToTheNext covers refusals and calls not sent.
+// TestNotExecutedRequestGoesToNextExecutor covers refused requests and calls that were not sent.
 func TestNotExecutedRequestGoesToNextExecutor(t *testing.T) {
 	for name, fail := range map[string]func(context.Context, *executeRequest) (executeResponse, error){
 		"refused": func(context.Context, *executeRequest) (executeResponse, error) {
@@ -82,14 +84,14 @@
 		r.wantExecutor("large-2")
 		r.wantExecutor("large-2")
 		if len(r.peers.calls) != 3 {
-			t.Errorf("%s: %d calls; the executor is asked again before its next word", name, len(r.peers.calls))
+			t.Errorf("%s: %d calls, want 3: an executor is not asked again before its next heartbeat", name, len(r.peers.calls))
 		}
 		r.peers.execute[r.far.Peer] = fail
 		r.wantExecutor("")
 	}
 }
 
-// TestLostRequestIsNotRunAgain fails a request that may have run.
+// TestLostRequestIsNotRetried checks that a request which may have run fails.
 func TestLostRequestIsNotRetried(t *testing.T) {
 	r := newTestRig(t)
 	r.peers.execute[r.near.Peer] = func(context.Context, *executeRequest) (executeResponse, error) {
@@ -97,12 +99,13 @@
 	}
 	answer, done := r.execute()
 	if !done || answer.Fate != forward.FateFailed || len(r.peers.calls) != 1 {
-		t.Errorf("%+v, %v, %d calls", answer, done, len(r.peers.calls))
+		t.Errorf("answer %+v, done %v, %d calls, want fate %s after 1 call", answer, done, len(r.peers.calls), forward.FateFailed)
 	}
 	r.wantExecutor("large-2")
 }
 
-// TestSilentExecutorEndsItsRequests at once, not at their deadline.
+// TestHeartbeatTimeoutEndsRequests checks that the requests of an executor that misses its
+// heartbeats end immediately instead of at their deadline.
 func TestHeartbeatTimeoutEndsRequests(t *testing.T) {
 	r := newTestRig(t)
 	started := make(chan struct{})
@@ -120,11 +123,12 @@
 	r.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
 	r.client.dueHeartbeats()
 	if answer := <-answers; answer.Fate != forward.FateFailed {
-		t.Errorf("%+v", answer)
+		t.Errorf("answer %+v, want fate %s", answer, forward.FateFailed)
 	}
 }
 
-// TestClientThatLeavesEndsTheCall, and that is no sign of a lost executor.
+// TestClientCancellationEndsCall checks that the call ends when the client disconnects, and that
+// the executor is not marked as lost.
 func TestClientCancellationEndsCall(t *testing.T) {
 	r := newTestRig(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -134,13 +138,14 @@
 		return executeResponse{}, &peer.Error{Sent: true, Err: ctx.Err()}
 	}
 	if _, done := r.client.Execute(ctx, terms, &forward.Request{ID: "x"}); !done || !errors.Is(ctx.Err(), context.Canceled) {
-		t.Error("the request of a client that left is run again")
+		t.Error("request of a disconnected client was not done, want it not to run again")
 	}
 	r.peers.execute[r.near.Peer] = executedBy("large-1")
 	r.wantExecutor("large-1")
 }
 
-// TestWayToTheExecutorCounts for the objective of a request.
+// TestRelayTimeIncludesRoundTrip checks that the relay time, which counts towards the objective of
+// a request, includes the round trip to the executor.
 func TestRelayTimeIncludesRoundTrip(t *testing.T) {
 	r := newTestRig(t)
 	r.client.executors.Watched()[0].RoundTrip = 5 * time.Millisecond
@@ -151,11 +156,11 @@
 	}
 	r.wantExecutor("large-1")
 	if relayTime != 5*time.Millisecond+executors.Handling {
-		t.Errorf("away for %v", relayTime)
+		t.Errorf("relay time %v, want %v", relayTime, 5*time.Millisecond+executors.Handling)
 	}
 }
 
-// TestSlowExecutorIsPassedOver by its mean latency.
+// TestSlowExecutorIsSkipped checks that an executor with a higher mean latency gets no requests.
 func TestSlowExecutorIsSkipped(t *testing.T) {
 	r := newTestRig(t)
 	for _, executor := range r.client.executors.Watched() {
@@ -177,8 +182,8 @@
 	}
 }
 
-// TestRequestOnADroppedExecutorIsLeftToFinish: the executor may be well, and only
-// others are preferred now.
+// TestRequestOnRemovedExecutorFinishes checks that removing an executor does not cancel its
+// requests: it may be healthy, and another one is merely preferred.
 func TestRequestOnRemovedExecutorFinishes(t *testing.T) {
 	r := newTestRig(t)
 	r.peers.execute[r.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
@@ -187,14 +192,14 @@
 		select {
 		case <-ctx.Done():
 			return executeResponse{}, &peer.Error{Sent: true, Err: ctx.Err()}
-		case <-time.After(50 * time.Millisecond): // a cancellation comes at once
+		case <-time.After(50 * time.Millisecond): // a cancellation would arrive immediately
 			return executeResponse{Fate: forward.FateMerged, Body: []byte("large-1")}, nil
 		}
 	}
 	r.wantExecutor("large-1")
 }
 
-// TestRolesChangeWhileRequestsRun drops executors that are no members any more.
+// TestRoleChangeRemovesExecutors checks that executors that are no longer members get no requests.
 func TestRoleChangeRemovesExecutors(t *testing.T) {
 	r := newTestRig(t)
 	r.client.SetRoles(executors.Roles{}, terms)
--- a/internal/edge/delegate/helpers_test.go
+++ b/internal/edge/delegate/helpers_test.go
@@ -20,12 +20,12 @@
 	return roster.Member{Name: name, Zone: zone, Cores: cores, Peer: netip.MustParseAddrPort("127.0.0.1:" + fmt.Sprint(1000+len(name)+int(name[len(name)-1])))}
 }
 
-// fakeClock is set by a test.
+// fakeClock is set by the test.
 type fakeClock struct{ now time.Duration }
 
 func (c *fakeClock) Now() time.Duration { return c.now }
 
-// fakePeers answers calls by the executor's address.
+// fakePeers responds to calls by the executor's address.
 type fakePeers struct {
 	mutex   sync.Mutex
 	status  executors.Status
@@ -53,7 +53,7 @@
 
 var terms = executors.Terms{Version: version, Fresh: true}
 
-// rig is a Client in touch with two executors.
+// testRig is a Client that is connected to two executors.
 type testRig struct {
 	*testing.T
 	client *Client
@@ -88,7 +88,7 @@
 	}
 }
 
-// beat asks all executors once.
+// sendHeartbeats sends one heartbeat to each executor.
 func (r *testRig) sendHeartbeats() {
 	for _, executor := range r.client.dueHeartbeats() {
 		r.client.sendHeartbeat(context.Background(), executor)
@@ -99,11 +99,11 @@
 	return r.client.Execute(context.Background(), terms, &forward.Request{ID: "x", ClientTimeout: time.Second})
 }
 
-// wantExecutor expects an answer by a node; empty for none.
+// wantExecutor checks that the named executor answers a request, or none if the name is empty.
 func (r *testRig) wantExecutor(name string) {
 	r.Helper()
 	answer, done := r.execute()
 	if done != (name != "") || string(answer.Body) != name || answer.Executor != name {
-		r.Errorf("executed by %q (%v), want %q", answer.Executor, done, name)
+		r.Errorf("executed by %q (done %v), want %q", answer.Executor, done, name)
 	}
 }
--- a/internal/edge/delegate/message.go
+++ b/internal/edge/delegate/message.go
@@ -8,7 +8,7 @@
 	"github.com/micaplank/micaplank/internal/edge/forward"
 )
 
-// The methods of the calls between nodes.
+// The method names of the calls between nodes.
 const (
 	methodExecute = "relay.execute"
 	methodStatus  = "relay.status"
@@ -17,8 +17,8 @@
 // statusRequest asks an executor for its executors.Status.
 type statusRequest struct{ From string }
 
-// executeRequest delegates a request. Like executeResponse, it is exchanged by nodes of
-// several versions: the fields keep their names.
+// executeRequest hands a request to an executor. Nodes of several versions exchange executeRequest
+// and executeResponse, so the fields keep their names.
 type executeRequest struct {
 	From       string
 	Terms      executors.Terms
@@ -26,15 +26,17 @@
 	Method     string
 	Host, Path string
 	Head, Body []byte
-	Patience   time.Duration
-	Away       time.Duration
+	// Patience is how long the client still waits; zero if the client did not say.
+	Patience time.Duration
+	// Away is the forward.Request.RelayTime of the request.
+	Away time.Duration
 }
 
-// executeResponse is the answer to a request, or its refusal.
+// executeResponse is the answer to a request, or the refusal of the request.
 type executeResponse struct {
-	// Refusal says why the request did not run here; empty if it did.
+	// Refusal is the reason why the request did not run; empty if it ran.
 	Refusal Refusal
-	// Status is the executor's, so that no further request meets the same refusal.
+	// Status is the executor's status, so that the caller does not run into the same refusal again.
 	Status executors.Status
 
 	Fate       forward.Fate
@@ -48,14 +50,14 @@
 	Total      int
 }
 
-// Refusal is why an executor did not run a request.
+// Refusal is the reason why an executor did not run a request.
 type Refusal string
 
 // The refusals of an executor.
 const (
-	// refusedTerms means that the executor cannot keep the terms now.
+	// refusedTerms means that the executor cannot satisfy the terms now.
 	refusedTerms Refusal = "terms"
-	// refusedVersion means that its configuration changed just then.
+	// refusedVersion means that the executor's configuration changed after the terms were checked.
 	refusedVersion Refusal = "version"
 )
 
--- a/internal/edge/delegate/server.go
+++ b/internal/edge/delegate/server.go
@@ -11,16 +11,15 @@
 
 // Runner runs requests of other nodes.
 type Runner interface {
-	// Status says whether requests are taken now, and under which version.
+	// Status returns whether requests are accepted now, and under which configuration version.
 	Status() executors.Status
-	// Run runs a request of another node under a version of the configuration
-	// and blocks until its fate is known. It returns false, and has run nothing,
-	// if another version is in force.
+	// Run runs a request of another node under a version of the configuration and blocks until its
+	// fate is known. If another version is in force, it runs nothing and returns false.
 	Run(ctx context.Context, from string, version uint64, request *forward.Request) (forward.Answer, bool)
 }
 
-// Serve registers the calls by which other nodes delegate requests to a Runner. It is
-// called before the server serves.
+// Serve registers the calls by which other nodes hand requests to a Runner. It must be called
+// before the server serves.
 func Serve(server *peer.Server, runner Runner) {
 	peer.Register(server, methodStatus, func(context.Context, netip.AddrPort, *statusRequest) (*executors.Status, error) {
 		status := runner.Status()
--- a/internal/edge/delegate/wire_test.go
+++ b/internal/edge/delegate/wire_test.go
@@ -7,7 +7,8 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions.
+// TestRecordedMessagesDecode checks that recorded messages decode, because a fleet may run two
+// versions.
 func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.Gob[statusRequest](t, "relay.status.request")
 	wiretest.Gob[executors.Status](t, "relay.status.response")
