--- a/internal/decide/recordfloor/recordfloor.go
+++ b/internal/decide/recordfloor/recordfloor.go
@@ -19,7 +19,7 @@
 const (
 	// Samples is how many answers of a kind a floor rests on. Not measured by itself:
 	// with it and the margin below, 1 of 100 answers at most misses records
-	// (TestFloorLeavesOutMuchAndMissesLittle of package forward).
+	// (TestFloorEstimateAccuracy of package forward).
 	Samples = 8
 	// factor and margin say how many records are expected not to be below a floor:
 	// factor times those of an answer, and the margin. Not measured by themselves, as
--- a/internal/edge/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -36,15 +36,15 @@
 	default:
 		answer.Fate = fateWithoutAnswer(result)
 	}
-	if answer.Fate == FateNotRun && isNoLeaf(answer.Reason) {
+	if answer.Fate == FateNotRun && isNoLeafReason(answer.Reason) {
 		answer.RetryAfter = retryafter.WithoutLeaf(answer.RetryAfter, f.storeOutage.Load())
 	}
 	return answer
 }
 
-// isNoLeaf reports whether a request was refused because no leaf was available. If no service has a
-// leaf, the Dispatcher has no snapshot.
-func isNoLeaf(reason dispatch.Reason) bool {
+// isNoLeafReason reports whether a request was refused because no leaf was available. If no service
+// has a leaf, the Dispatcher has no snapshot.
+func isNoLeafReason(reason dispatch.Reason) bool {
 	return reason == dispatch.ReasonNoLeaf || reason == dispatch.ReasonNoSnapshot
 }
 
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -11,7 +11,7 @@
 // Request is a client's request. Leaves receive it unchanged. The time fields are named as in
 // package timeleft.
 type Request struct {
-	// ID is the id that the client gave to this attempt of its own.
+	// ID identifies the request; a client that retries sends another id.
 	ID     string
 	Method string
 	Host   string
