--- a/internal/edge/mirror/fleet_start_test.go
+++ b/internal/edge/mirror/fleet_start_test.go
@@ -17,14 +17,14 @@
 type serialStore struct {
 	*memoryStore
 	link          chan struct{}
-	rangeDuration time.Duration // of one range read
+	rangeDuration time.Duration
 }
 
-func (l *serialStore) Range(ctx context.Context, prefix string) ([]Item, uint64, error) {
-	l.link <- struct{}{}
-	time.Sleep(l.rangeDuration)
-	<-l.link
-	return l.memoryStore.Range(ctx, prefix)
+func (s *serialStore) Range(ctx context.Context, prefix string) ([]Item, uint64, error) {
+	s.link <- struct{}{}
+	time.Sleep(s.rangeDuration)
+	<-s.link
+	return s.memoryStore.Range(ctx, prefix)
 }
 
 // TestFleetStartReadsStoreOnlyFromSources starts all nodes at once, the sources after the others.
--- a/internal/edge/mirror/helpers_test.go
+++ b/internal/edge/mirror/helpers_test.go
@@ -105,52 +105,52 @@
 }
 
 // set places a node at an address. A request of an earlier start may still be in flight.
-func (l *localPeers) set(address netip.AddrPort, watcher *Shared) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.watchers[address] = watcher
+func (p *localPeers) set(address netip.AddrPort, watcher *Shared) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.watchers[address] = watcher
 }
 
 // at returns the node at an address.
-func (l *localPeers) at(address netip.AddrPort) *Shared {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.watchers[address]
+func (p *localPeers) at(address netip.AddrPort) *Shared {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.watchers[address]
 }
 
-func (l *localPeers) setUnreachable(address netip.AddrPort, cut bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.unreachable[address] = cut
+func (p *localPeers) setUnreachable(address netip.AddrPort, unreachable bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.unreachable[address] = unreachable
 }
 
-func (l *localPeers) isUnreachable(address netip.AddrPort) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.unreachable[address]
+func (p *localPeers) isUnreachable(address netip.AddrPort) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.unreachable[address]
 }
 
 var errUnreachable = errors.New("node is unreachable")
 
-func (l *localPeers) Watch(ctx context.Context, to netip.AddrPort, after uint64, _ time.Duration) (Watched, error) {
-	if l.isUnreachable(to) {
+func (p *localPeers) Watch(ctx context.Context, to netip.AddrPort, after uint64, _ time.Duration) (Watched, error) {
+	if p.isUnreachable(to) {
 		return Watched{}, errUnreachable
 	}
-	return l.at(to).Serve(ctx, after, 0)
+	return p.at(to).Serve(ctx, after, 0)
 }
 
-func (l *localPeers) Offer(ctx context.Context, source netip.AddrPort, wait time.Duration) (Offer, error) {
-	if l.isUnreachable(source) {
+func (p *localPeers) Offer(ctx context.Context, source netip.AddrPort, wait time.Duration) (Offer, error) {
+	if p.isUnreachable(source) {
 		return Offer{}, errUnreachable
 	}
-	return l.at(source).Offer(ctx, wait), nil
+	return p.at(source).Offer(ctx, wait), nil
 }
 
-func (l *localPeers) Snapshot(_ context.Context, source netip.AddrPort) (Snapshot, error) {
-	if l.isUnreachable(source) {
+func (p *localPeers) Snapshot(_ context.Context, source netip.AddrPort) (Snapshot, error) {
+	if p.isUnreachable(source) {
 		return Snapshot{}, errUnreachable
 	}
-	return l.at(source).Snapshot()
+	return p.at(source).Snapshot()
 }
 
 // watcherPair is a watcher and a follower that asks it.
--- a/internal/edge/mirror/sources_test.go
+++ b/internal/edge/mirror/sources_test.go
@@ -130,9 +130,9 @@
 	f.wantRanges(2)
 }
 
-// TestSimultaneousSourcesDoNotDeadlock checks that sources that start at the same time do not wait
-// for each other.
-func TestSimultaneousSourcesDoNotDeadlock(t *testing.T) {
+// TestSimultaneousSourcesDoNotAwaitEachOther checks that sources that start at the same time do not
+// wait for each other.
+func TestSimultaneousSourcesDoNotAwaitEachOther(t *testing.T) {
 	f := newTestFleet(t, 3)
 	f.store.put("a")
 	for index := range f.seeds {
