--- a/internal/edge/combine/combine_test.go
+++ b/internal/edge/combine/combine_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestDirectAttempts(t *testing.T) {
-	r := newTestRig(t, leavesAnswering(1))
+	h := newTestHarness(t, leavesAnswering(1))
 	singleLeaf := newQuery()
 	singleLeaf.TopK = 0
 	for name, attempt := range map[string]scatter.Attempt[*forward.Request]{
@@ -21,9 +21,9 @@
 		"a zone without combiners": newAttempt("c", newQuery()),
 		"a request of one leaf":    newAttempt("b", singleLeaf),
 	} {
-		before := r.direct.count()
-		if _, err := r.execute(attempt); err != nil || r.direct.count() != before+1 || r.combined.count() != 0 {
-			t.Errorf("%s: error %v, %d sent directly, want 1 and none by the combiner", name, err, r.direct.count()-before)
+		before := h.direct.count()
+		if _, err := h.execute(attempt); err != nil || h.direct.count() != before+1 || h.combined.count() != 0 {
+			t.Errorf("%s: error %v, %d sent directly, want 1 and none by the combiner", name, err, h.direct.count()-before)
 		}
 	}
 }
@@ -32,27 +32,27 @@
 // attempt may have run, and the failure is not attributed to the leaf. Later attempts go directly.
 func TestCombinerLoss(t *testing.T) {
 	taken := make(chan struct{})
-	r := newTestRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		close(taken)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}})
 	ended := make(chan error)
 	go func() {
-		_, err := r.execute(newAttempt("b", newQuery()))
+		_, err := h.execute(newAttempt("b", newQuery()))
 		ended <- err
 	}()
 	<-taken
-	r.closeServer()
+	h.closeServer()
 	var transport *leaf.TransportError
 	if err := <-ended; !errors.As(err, &transport) || !transport.Sent || !transport.OnTheWay {
 		t.Fatalf("attempt ended with %v, want a TransportError with Sent and OnTheWay", err)
 	}
-	if r.direct.count() != 0 {
+	if h.direct.count() != 0 {
 		t.Error("the attempt was also sent directly, want it sent once")
 	}
-	if _, err := r.execute(newAttempt("b", newQuery())); err != nil || r.direct.count() != 1 {
-		t.Errorf("next attempt: error %v, %d sent directly, want 1", err, r.direct.count())
+	if _, err := h.execute(newAttempt("b", newQuery())); err != nil || h.direct.count() != 1 {
+		t.Errorf("next attempt: error %v, %d sent directly, want 1", err, h.direct.count())
 	}
 }
 
@@ -61,7 +61,7 @@
 func TestStoppingCombinerFinishesInFlightAttempt(t *testing.T) {
 	taken, release := make(chan struct{}), make(chan struct{})
 	var held atomic.Bool
-	r := newTestRig(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		if held.CompareAndSwap(false, true) {
 			close(taken)
 			<-release
@@ -70,17 +70,17 @@
 	}})
 	ended := make(chan error)
 	go func() {
-		_, err := r.execute(newAttempt("b", newQuery()))
+		_, err := h.execute(newAttempt("b", newQuery()))
 		ended <- err
 	}()
 	<-taken
 	stopped := make(chan struct{})
 	go func() {
-		_ = r.server.Close(context.Background())
+		_ = h.server.Close(context.Background())
 		close(stopped)
 	}()
-	for r.direct.count() == 0 {
-		if _, err := r.execute(newAttempt("b", newQuery())); err != nil {
+	for h.direct.count() == 0 {
+		if _, err := h.execute(newAttempt("b", newQuery())); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
@@ -96,7 +96,7 @@
 // that the combiner is not marked as lost.
 func TestCancellationReachesLeaf(t *testing.T) {
 	taken, freed := make(chan struct{}), make(chan struct{})
-	r := newTestRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		close(taken)
 		<-ctx.Done()
 		close(freed)
@@ -107,7 +107,7 @@
 		<-taken
 		cancel()
 	}()
-	_, err := r.client.Execute(ctx, newAttempt("b", newQuery()))
+	_, err := h.client.Execute(ctx, newAttempt("b", newQuery()))
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || transport.OnTheWay {
 		t.Errorf("attempt ended with %v, want a TransportError without OnTheWay", err)
@@ -117,33 +117,33 @@
 	case <-time.After(testTimeout):
 		t.Fatal("the attempt at the leaf was not cancelled")
 	}
-	r.await("a connected combiner", func() bool { return r.client.combiners.Choose("b") != nil })
+	h.await("a connected combiner", func() bool { return h.client.combiners.Choose("b") != nil })
 }
 
 // TestUnknownSessionFallsBackToDirect checks that an attempt is sent directly, once, if the
 // combiner does not know its query.
 func TestUnknownSessionFallsBackToDirect(t *testing.T) {
-	r := newTestRig(t, leavesAnswering(1))
+	h := newTestHarness(t, leavesAnswering(1))
 	query := newQuery()
-	r.client.mutex.Lock()
-	combiner := r.client.combiners.Choose("b")
-	r.client.sessions[sessionKey{query, "b"}] = &clientSession{number: 77, combiner: combiner, inFlight: 1}
-	r.client.mutex.Unlock()
-	if _, err := r.execute(newAttempt("b", query)); err != nil {
+	h.client.mutex.Lock()
+	combiner := h.client.combiners.Choose("b")
+	h.client.sessions[sessionKey{query, "b"}] = &clientSession{number: 77, combiner: combiner, inFlight: 1}
+	h.client.mutex.Unlock()
+	if _, err := h.execute(newAttempt("b", query)); err != nil {
 		t.Fatal(err)
 	}
-	if r.direct.count() != 1 || r.combined.count() != 0 {
-		t.Errorf("%d sent directly, %d by the combiner, want 1 and 0", r.direct.count(), r.combined.count())
+	if h.direct.count() != 1 || h.combined.count() != 0 {
+		t.Errorf("%d sent directly, %d by the combiner, want 1 and 0", h.direct.count(), h.combined.count())
 	}
 }
 
 // TestCombinerRefusesLeavingLeaf checks that a combiner does not send an attempt to a leaf that it
 // knows to be leaving.
 func TestCombinerRefusesLeavingLeaf(t *testing.T) {
-	r := newTestRig(t, leavesAnswering(1))
-	r.leaving.Store(true)
-	if _, err := r.execute(newAttempt("b", newQuery())); err != nil || r.direct.count() != 1 || r.combined.count() != 0 {
-		t.Errorf("error %v, %d sent directly, %d by the combiner, want 1 and 0", err, r.direct.count(), r.combined.count())
+	h := newTestHarness(t, leavesAnswering(1))
+	h.leaving.Store(true)
+	if _, err := h.execute(newAttempt("b", newQuery())); err != nil || h.direct.count() != 1 || h.combined.count() != 0 {
+		t.Errorf("error %v, %d sent directly, %d by the combiner, want 1 and 0", err, h.direct.count(), h.combined.count())
 	}
 }
 
--- a/internal/edge/combine/helpers_test.go
+++ b/internal/edge/combine/helpers_test.go
@@ -63,8 +63,8 @@
 	}}
 }
 
-// testRig is a Client in zone a, with a combiner in zone b over loopback.
-type testRig struct {
+// testHarness is a Client in zone a, with a combiner in zone b over loopback.
+type testHarness struct {
 	*testing.T
 	client   *Client
 	direct   *fakeLeaves // the leaves as the client reaches them
@@ -73,57 +73,57 @@
 	leaving  atomic.Bool // the combiner gives no work to the leaf
 }
 
-func newTestRig(t *testing.T, combined *fakeLeaves) *testRig {
+func newTestHarness(t *testing.T, combined *fakeLeaves) *testHarness {
 	t.Helper()
-	r := &testRig{T: t, direct: leavesAnswering(9, 8, 7), combined: combined}
+	h := &testHarness{T: t, direct: leavesAnswering(9, 8, 7), combined: combined}
 	var err error
-	r.server, err = peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), prometheus.NewRegistry())
+	h.server, err = peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
-	Serve(r.server, combined, func(netip.AddrPort) bool { return !r.leaving.Load() })
-	r.server.Serve()
+	Serve(h.server, combined, func(netip.AddrPort) bool { return !h.leaving.Load() })
+	h.server.Serve()
 	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
 	config := combiners.DefaultConfig()
 	config.MaxRoundTrip = testTimeout
 	config.HeartbeatTimeout = testTimeout
-	r.client = New(config, roster.Member{Name: "here", Zone: "a"}, r.direct, caller, clock.NewMonotonic(),
+	h.client = New(config, roster.Member{Name: "here", Zone: "a"}, h.direct, caller, clock.NewMonotonic(),
 		prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
-	r.client.SetMembers([]roster.Member{{Name: "there", Zone: "b", Peer: r.server.Address()}})
+	h.client.SetMembers([]roster.Member{{Name: "there", Zone: "b", Peer: h.server.Address()}})
 	ctx, stop := context.WithCancel(context.Background())
 	running := make(chan struct{})
 	go func() {
-		r.client.Run(ctx)
+		h.client.Run(ctx)
 		close(running)
 	}()
 	t.Cleanup(func() {
 		stop()
 		<-running
 		_ = caller.Close()
-		r.closeServer()
+		h.closeServer()
 	})
-	r.await("a connected combiner", func() bool { return r.client.combiners.Choose("b") != nil })
-	return r
+	h.await("a connected combiner", func() bool { return h.client.combiners.Choose("b") != nil })
+	return h
 }
 
-func (r *testRig) closeServer() {
+func (h *testHarness) closeServer() {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = r.server.Close(canceled) // cancels the calls in progress
+	_ = h.server.Close(canceled) // cancels the calls in progress
 }
 
 // await polls a condition under the client's mutex until it holds.
-func (r *testRig) await(what string, condition func() bool) {
-	r.Helper()
+func (h *testHarness) await(what string, condition func() bool) {
+	h.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		r.client.mutex.Lock()
+		h.client.mutex.Lock()
 		satisfied := condition()
-		r.client.mutex.Unlock()
+		h.client.mutex.Unlock()
 		if satisfied {
 			return
 		}
 	}
-	r.Fatalf("timed out waiting for %s", what)
+	h.Fatalf("timed out waiting for %s", what)
 }
 
 func newQuery() *forward.Request {
@@ -137,8 +137,8 @@
 	}
 }
 
-func (r *testRig) execute(attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+func (h *testHarness) execute(attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return r.client.Execute(ctx, attempt)
+	return h.client.Execute(ctx, attempt)
 }
--- a/internal/edge/combine/thinning_test.go
+++ b/internal/edge/combine/thinning_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestRemoteZonePartIsThinned(t *testing.T) {
-	r := newTestRig(t, leavesAnswering(5, 1, 4, 3))
-	response, err := r.execute(newAttempt("b", newQuery()))
+	h := newTestHarness(t, leavesAnswering(5, 1, 4, 3))
+	response, err := h.execute(newAttempt("b", newQuery()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,12 +34,12 @@
 	if response.Shard != 3 || !response.Executed {
 		t.Errorf("response %+v, want shard 3 and Executed", response)
 	}
-	sent := r.combined.attempts[0]
+	sent := h.combined.attempts[0]
 	if sent.BootID != "i-1" || string(sent.Payload.Head) != "GET /x HTTP/1.1\r\n" || sent.Remaining > testTimeout {
 		t.Errorf("attempt at the leaf %+v, want boot id i-1, the head of the query and at most %v remaining", sent, testTimeout)
 	}
-	if r.direct.count() != 0 || r.combined.count() != 1 {
-		t.Errorf("%d attempts sent directly, %d by the combiner, want 0 and 1", r.direct.count(), r.combined.count())
+	if h.direct.count() != 0 || h.combined.count() != 1 {
+		t.Errorf("%d attempts sent directly, %d by the combiner, want 0 and 1", h.direct.count(), h.combined.count())
 	}
 }
 
@@ -47,12 +47,12 @@
 // other.
 func TestQueriesDoNotThinEachOther(t *testing.T) {
 	value := byte(8)
-	r := newTestRig(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		value--
 		return newPart(value, value), nil
 	}})
 	for range 3 {
-		response, err := r.execute(newAttempt("b", newQuery()))
+		response, err := h.execute(newAttempt("b", newQuery()))
 		if err != nil || len(response.Part.Body) != 2*records.Size || response.Part.Dropped != nil {
 			t.Fatalf("response %+v, error %v, want two records and none dropped", response, err)
 		}
@@ -64,7 +64,7 @@
 func TestPartsOfOneQueryThinEachOther(t *testing.T) {
 	hung, release := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	r := newTestRig(t, &fakeLeaves{run: func(_ context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(_ context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		first := false
 		once.Do(func() { first = true })
 		if first {
@@ -77,11 +77,11 @@
 	query := newQuery()
 	firstResponse := make(chan *scatter.Response[forward.Part])
 	go func() {
-		response, _ := r.execute(newAttempt("b", query))
+		response, _ := h.execute(newAttempt("b", query))
 		firstResponse <- response
 	}()
 	<-hung
-	if response, err := r.execute(newAttempt("b", query)); err != nil || len(response.Part.Body) != 2*records.Size {
+	if response, err := h.execute(newAttempt("b", query)); err != nil || len(response.Part.Body) != 2*records.Size {
 		t.Fatalf("response %+v, error %v, want two records", response, err)
 	}
 	close(release)
@@ -93,14 +93,14 @@
 // TestRecordsBelowFloorAreDropped checks that the combiner drops the records below the floor of the
 // query, and that fetching them fails when the combiner is lost.
 func TestRecordsBelowFloorAreDropped(t *testing.T) {
-	r := newTestRig(t, leavesAnswering(5, 1))
+	h := newTestHarness(t, leavesAnswering(5, 1))
 	query := newQuery()
 	query.Floor = newPart(4).Part.Body
-	response, err := r.execute(newAttempt("b", query))
+	response, err := h.execute(newAttempt("b", query))
 	if err != nil || !bytes.Equal(response.Part.Body, newPart(5).Part.Body) || !bytes.Equal(response.Part.Dropped, newPart(1).Part.Body) {
 		t.Fatalf("response %+v, error %v, want one record and one dropped record", response, err)
 	}
-	r.closeServer()
+	h.closeServer()
 	if _, err := response.Part.FetchDropped(t.Context(), nil); err == nil {
 		t.Error("fetch from a lost combiner: got no error")
 	}
