--- a/internal/edge/delegate/helpers_test.go
+++ b/internal/edge/delegate/helpers_test.go
@@ -53,8 +53,8 @@
 
 var terms = executors.Terms{Version: version, Fresh: true}
 
-// testRig is a Client that is connected to two executors.
-type testRig struct {
+// testHarness is a Client that is connected to two executors.
+type testHarness struct {
 	*testing.T
 	client *Client
 	clock  *fakeClock
@@ -63,9 +63,9 @@
 	far    roster.Member
 }
 
-func newTestRig(t *testing.T) *testRig {
+func newTestHarness(t *testing.T) *testHarness {
 	t.Helper()
-	r := &testRig{
+	h := &testHarness{
 		T: t, clock: &fakeClock{now: time.Second}, near: newMember("large-1", "a", 0.8), far: newMember("large-2", "b", 0.8),
 		peers: &fakePeers{
 			status:  executors.Status{Version: version, Accepting: true, Fresh: true},
@@ -73,13 +73,13 @@
 		},
 	}
 	self := newMember("small-1", "a", 0.2)
-	r.client = New(executors.DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
-	r.client.SetRoles(executors.Assign(self, []roster.Member{r.near, r.far, self}), terms)
-	for _, member := range []roster.Member{r.near, r.far} {
-		r.peers.execute[member.Peer] = executedBy(member.Name)
+	h.client = New(executors.DefaultConfig(), self, h.peers, h.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
+	h.client.SetRoles(executors.Assign(self, []roster.Member{h.near, h.far, self}), terms)
+	for _, member := range []roster.Member{h.near, h.far} {
+		h.peers.execute[member.Peer] = executedBy(member.Name)
 	}
-	r.sendHeartbeats()
-	return r
+	h.sendHeartbeats()
+	return h
 }
 
 func executedBy(executor string) func(context.Context, *executeRequest) (executeResponse, error) {
@@ -89,21 +89,21 @@
 }
 
 // sendHeartbeats sends one heartbeat to each executor.
-func (r *testRig) sendHeartbeats() {
-	for _, executor := range r.client.dueHeartbeats() {
-		r.client.sendHeartbeat(context.Background(), executor)
+func (h *testHarness) sendHeartbeats() {
+	for _, executor := range h.client.dueHeartbeats() {
+		h.client.sendHeartbeat(context.Background(), executor)
 	}
 }
 
-func (r *testRig) execute() (forward.Answer, bool) {
-	return r.client.Execute(context.Background(), terms, &forward.Request{ID: "x", ClientTimeout: time.Second})
+func (h *testHarness) execute() (forward.Answer, bool) {
+	return h.client.Execute(context.Background(), terms, &forward.Request{ID: "x", ClientTimeout: time.Second})
 }
 
 // wantExecutor checks that the named executor answers a request, or none if the name is empty.
-func (r *testRig) wantExecutor(name string) {
-	r.Helper()
-	answer, done := r.execute()
+func (h *testHarness) wantExecutor(name string) {
+	h.Helper()
+	answer, done := h.execute()
 	if done != (name != "") || string(answer.Body) != name || answer.Executor != name {
-		r.Errorf("executed by %q (done %v), want %q", answer.Executor, done, name)
+		h.Errorf("executed by %q (done %v), want %q", answer.Executor, done, name)
 	}
 }
