--- a/internal/edge/combine/metrics.go
+++ b/internal/edge/combine/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// metrics holds the metrics of a Client.
+// metrics holds the Prometheus metrics of a Client.
 type metrics struct {
 	attempts       *prometheus.CounterVec
 	droppedFetches prometheus.Counter
--- a/internal/edge/delegate/client.go
+++ b/internal/edge/delegate/client.go
@@ -46,7 +46,7 @@
 	terms     executors.Terms // the terms that a request gets now
 }
 
-// metrics holds the metrics of a Client.
+// metrics holds the Prometheus metrics of a Client.
 type metrics struct {
 	requests *prometheus.CounterVec
 	usable   prometheus.Gauge
--- a/internal/edge/mirror/sources_test.go
+++ b/internal/edge/mirror/sources_test.go
@@ -54,7 +54,7 @@
 	return config
 }
 
-// startSeed starts a seed.
+// startSeed makes the seed at an index reachable. Its plan names the other seeds as sources.
 func (f *testFleet) startSeed(index int) *Shared {
 	node := NewShared(f.config(), f.store, f.peers, clock.NewMonotonic(), slog.New(slog.DiscardHandler))
 	var others []netip.AddrPort
