--- a/internal/edge/combine/client.go
+++ b/internal/edge/combine/client.go
@@ -163,8 +163,8 @@
 	if opened {
 		request.Query = newQueryHead(attempt.Payload, attempt.Remaining)
 	}
-	var answer fetchResponse
-	err = c.caller.Call(callCtx, session.combiner.Peer, methodFetch, &request, &answer)
+	var fetched fetchResponse
+	err = c.caller.Call(callCtx, session.combiner.Peer, methodFetch, &request, &fetched)
 	switch {
 	case peer.NotExecuted(err):
 		return nil, false, err
@@ -174,18 +174,18 @@
 	case err != nil:
 		c.metrics.attempts.WithLabelValues("lost").Inc()
 		return nil, true, &leaf.TransportError{Step: stepCombiner, Peer: session.combiner.Peer, Sent: true, OnTheWay: true, Err: err}
-	case answer.NotTaken:
+	case fetched.NotTaken:
 		return nil, false, nil
 	}
 	c.metrics.attempts.WithLabelValues("combined").Inc()
-	if failure := answer.Failure; failure != nil {
+	if failure := fetched.Failure; failure != nil {
 		return nil, true, &leaf.TransportError{
 			Step: failure.Step, Peer: attempt.Leaf, Sent: failure.Sent, Closed: failure.Closed, Refused: failure.Refused, Err: errors.New(failure.Text),
 		}
 	}
-	response = answer.toResponse(attempt)
-	if len(answer.Dropped) > 0 {
-		response.Part.FetchDropped = c.fetchDroppedFunc(session, answer.Number)
+	response = fetched.toResponse(attempt)
+	if len(fetched.Dropped) > 0 {
+		response.Part.FetchDropped = c.fetchDroppedFunc(session, fetched.Number)
 	}
 	return response, true, nil
 }
