--- a/internal/decide/recordfloor/recordfloor.go
+++ b/internal/decide/recordfloor/recordfloor.go
@@ -18,7 +18,7 @@
 const (
 	// Samples is the number of answers of a kind that a floor is based on. With Samples,
 	// rankFactor and rankMargin, at most 1 % of the answers miss records
-	// (TestFloorLeavesOutMuchAndMissesLittle of package forward).
+	// (TestFloorEstimateAccuracy of package forward).
 	Samples = 8
 	// rankFactor and rankMargin determine how many records are expected to reach the floor:
 	// rankFactor times the records of an answer, plus rankMargin.
--- a/internal/edge/combine/rig_test.go
+++ b/internal/edge/combine/helpers_test.go
@@ -22,12 +22,12 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// patient bounds the waits of these tests; none of them measures a time.
-const patient = 20 * time.Second
+// testTimeout bounds the waits of these tests. No test depends on its value.
+const testTimeout = 20 * time.Second
 
 const topK = 2
 
-// fakeLeaves runs attempts by a function and keeps them.
+// fakeLeaves runs attempts by a function and records them.
 type fakeLeaves struct {
 	run func(ctx context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error)
 
@@ -48,8 +48,8 @@
 	return len(f.attempts)
 }
 
-// part returns a part of records that are one value each.
-func part(values ...byte) *scatter.Response[forward.Part] {
+// newPart returns a response whose records repeat one byte value each.
+func newPart(values ...byte) *scatter.Response[forward.Part] {
 	response := &scatter.Response[forward.Part]{Executed: true, Part: forward.Part{Status: 200, Signature: "signed"}}
 	for _, value := range values {
 		response.Part.Body = append(response.Part.Body, bytes.Repeat([]byte{value}, records.Size)...)
@@ -57,88 +57,88 @@
 	return response
 }
 
-func answers(values ...byte) *fakeLeaves {
+func leavesAnswering(values ...byte) *fakeLeaves {
 	return &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
-		return part(values...), nil
+		return newPart(values...), nil
 	}}
 }
 
-// rig is a Client in zone a, with a combiner in zone b over loopback.
-type rig struct {
+// testHarness is a Client in zone a, with a combiner in zone b over loopback.
+type testHarness struct {
 	*testing.T
 	client   *Client
-	direct   *fakeLeaves // as the client reaches them
-	combined *fakeLeaves // as the combiner reaches them
+	direct   *fakeLeaves // the leaves as the client reaches them
+	combined *fakeLeaves // the leaves as the combiner reaches them
 	server   *peer.Server
-	leaving  atomic.Bool // whether the combiner gives the leaf no work
+	leaving  atomic.Bool // the combiner gives no work to the leaf
 }
 
-func newRig(t *testing.T, combined *fakeLeaves) *rig {
+func newTestHarness(t *testing.T, combined *fakeLeaves) *testHarness {
 	t.Helper()
-	r := &rig{T: t, direct: answers(9, 8, 7), combined: combined}
+	h := &testHarness{T: t, direct: leavesAnswering(9, 8, 7), combined: combined}
 	var err error
-	r.server, err = peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), prometheus.NewRegistry())
+	h.server, err = peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
-	Serve(r.server, combined, func(netip.AddrPort) bool { return !r.leaving.Load() })
-	r.server.Serve()
+	Serve(h.server, combined, func(netip.AddrPort) bool { return !h.leaving.Load() })
+	h.server.Serve()
 	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
 	config := combiners.DefaultConfig()
-	config.MaxRoundTrip = patient
-	config.HeartbeatTimeout = patient
-	r.client = New(config, roster.Member{Name: "here", Zone: "a"}, r.direct, caller, clock.NewMonotonic(),
+	config.MaxRoundTrip = testTimeout
+	config.HeartbeatTimeout = testTimeout
+	h.client = New(config, roster.Member{Name: "here", Zone: "a"}, h.direct, caller, clock.NewMonotonic(),
 		prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
-	r.client.SetMembers([]roster.Member{{Name: "there", Zone: "b", Peer: r.server.Address()}})
+	h.client.SetMembers([]roster.Member{{Name: "there", Zone: "b", Peer: h.server.Address()}})
 	ctx, stop := context.WithCancel(context.Background())
 	running := make(chan struct{})
 	go func() {
-		r.client.Run(ctx)
+		h.client.Run(ctx)
 		close(running)
 	}()
 	t.Cleanup(func() {
 		stop()
 		<-running
 		_ = caller.Close()
-		r.closeServer()
+		h.closeServer()
 	})
-	r.await("a combiner in touch", func() bool { return r.client.combiners.Choose("b") != nil })
-	return r
+	h.await("a connected combiner", func() bool { return h.client.combiners.Choose("b") != nil })
+	return h
 }
 
-func (r *rig) closeServer() {
-	ended, cancel := context.WithCancel(context.Background())
+func (h *testHarness) closeServer() {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = r.server.Close(ended) // what runs is cut off
+	_ = h.server.Close(canceled) // cancels the calls in progress
 }
 
-// await waits for a condition under the client's mutex.
-func (r *rig) await(what string, holds func() bool) {
-	r.Helper()
-	for deadline := time.Now().Add(patient); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		r.client.mutex.Lock()
-		held := holds()
-		r.client.mutex.Unlock()
-		if held {
+// await polls a condition under the client's mutex until it holds.
+func (h *testHarness) await(what string, condition func() bool) {
+	h.Helper()
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		h.client.mutex.Lock()
+		satisfied := condition()
+		h.client.mutex.Unlock()
+		if satisfied {
 			return
 		}
 	}
-	r.Fatalf("never: %s", what)
+	h.Fatalf("timed out waiting for %s", what)
 }
 
-func query() *forward.Request {
+func newQuery() *forward.Request {
 	return &forward.Request{ID: "q", Method: "GET", Head: []byte("GET /x HTTP/1.1\r\n"), TopK: topK}
 }
 
-func attemptAt(zone string, asked *forward.Request) scatter.Attempt[*forward.Request] {
+func newAttempt(zone string, query *forward.Request) scatter.Attempt[*forward.Request] {
 	return scatter.Attempt[*forward.Request]{
 		Send:      dispatch.Send{Zone: zone, BootID: "i-1", Leaf: netip.MustParseAddrPort("127.0.0.1:9"), Shard: 3},
-		RequestID: asked.ID, Remaining: patient, Payload: asked,
+		RequestID: query.ID, Remaining: testTimeout, Payload: query,
 	}
 }
 
-func (r *rig) execute(attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patient)
+func (h *testHarness) execute(attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return r.client.Execute(ctx, attempt)
+	return h.client.Execute(ctx, attempt)
 }
--- a/internal/edge/forward/quarantine.go
+++ b/internal/edge/forward/quarantine.go
@@ -11,73 +11,74 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Why a Quarantine refuses a request.
+// The reasons why a Quarantine refuses a request.
 const (
-	// ReasonQuarantined means that leaves crash under the request.
+	// ReasonQuarantined means that the request crashes leaves.
 	ReasonQuarantined dispatch.Reason = "quarantined"
-	// ReasonTrial means that leaves crashed under it, and that a trial of it is running
-	// or was a moment ago.
+	// ReasonTrial means that the request has crashed leaves, and that its trial is running or ended
+	// a moment ago.
 	ReasonTrial dispatch.Reason = "trial"
 )
 
 // Admission is a Quarantine's decision on a request.
 type Admission struct {
 	Verdict quarantine.Verdict
-	// Reason and RetryAfter go with quarantine.Refuse.
+	// Reason and RetryAfter are set if the verdict is quarantine.Refuse.
 	Reason     dispatch.Reason
 	RetryAfter time.Duration
 }
 
-// Quarantine keeps requests under which leaves crash from the leaves; package
-// quarantine has its rules.
+// Quarantine keeps requests that crash leaves away from the leaves. Package quarantine has its
+// rules.
 type Quarantine interface {
-	// Admit decides whether a request may run. It may block while a trial of the
-	// request runs elsewhere, until ctx ends.
+	// Admit decides whether a request may run. While a trial of the request runs elsewhere, it may
+	// block until ctx ends.
 	Admit(ctx context.Context, content quarantine.Content) Admission
-	// Finished receives the end of each request that was admitted.
+	// Finished receives the execution record of each admitted request.
 	Finished(content quarantine.Content, ended Execution)
 }
 
-// Execution is the trace of a request that a Quarantine admitted.
+// Execution is the record of a request that a Quarantine admitted.
 type Execution struct {
 	RequestID string
 	Route     string
-	// Began is when it was submitted, on the clock of the Forwarder.
+	// Began is when the request was submitted, on the Forwarder's clock.
 	Began    time.Duration
 	Attempts []scatter.AttemptTrace
-	// Trial says that it ran on one leaf alone.
+	// Trial is set if the request ran on one leaf only, as a trial.
 	Trial bool
 }
 
-// admit admits a request, after its trial if it needs one. Otherwise it returns false,
-// and the answer.
+// admit admits a request, after its trial if it needs one. If the request is refused, or its trial
+// already gave the answer, admit returns that answer and false.
 func (f *Forwarder) admit(ctx context.Context, matched *route.Route, request *Request, content quarantine.Content) (Answer, bool) {
 	admission := f.quarantine.Admit(ctx, content)
 	switch admission.Verdict {
 	case quarantine.Refuse:
 		return Answer{Fate: FateNotRun, Reason: admission.Reason, RetryAfter: admission.RetryAfter}, false
 	case quarantine.Trial:
-		return f.try(ctx, matched, request, content)
+		return f.runTrial(ctx, matched, request, content)
 	default:
 		return Answer{}, true
 	}
 }
 
-// try runs the trial of a request. It returns false, and the answer, unless the trial
-// was of one shard out of many and was answered: then the request may run as a whole.
-func (f *Forwarder) try(ctx context.Context, matched *route.Route, request *Request, content quarantine.Content) (Answer, bool) {
-	planned := f.plan(matched, request)
+// runTrial runs the trial of a request. It returns true if the trial covered one shard of several
+// and got a result: the request may then run on all shards. Otherwise it returns the answer and
+// false.
+func (f *Forwarder) runTrial(ctx context.Context, matched *route.Route, request *Request, content quarantine.Content) (Answer, bool) {
+	planned := f.planQuery(matched, request)
 	trial := quarantine.PlanTrial(planned.Shards, planned.Timeout, rand.IntN)
 	planned.Shards, planned.Timeout, planned.MaximumSends = trial.Shards, trial.Timeout, trial.Attempts
-	began := f.config.Clock.Now()
+	startedAt := f.config.Clock.Now()
 	result := f.scatterer.Execute(ctx, planned)
-	f.quarantine.Finished(content, Execution{RequestID: request.ID, Route: matched.Name, Began: began, Attempts: result.Attempts, Trial: true})
+	f.quarantine.Finished(content, Execution{RequestID: request.ID, Route: matched.Name, Began: startedAt, Attempts: result.Attempts, Trial: true})
 	if trial.Whole {
-		return f.answerOf(ctx, matched, planned.Class.Name, result), false
+		return f.buildAnswer(ctx, matched, planned.Class.Name, result), false
 	}
 	if len(result.Parts) == 0 {
 		return Answer{
-			Fate: failureOf(result), Reason: result.Reason, RetryAfter: result.RetryAfter,
+			Fate: fateWithoutAnswer(result), Reason: result.Reason, RetryAfter: result.RetryAfter,
 			Total: result.Total, Attempts: result.Attempts,
 		}, false
 	}
