--- a/internal/decide/quarantine/doc.go
+++ b/internal/decide/quarantine/doc.go
@@ -15,7 +15,7 @@
 // Reason: a request whose content meets a fault of the leaves' software crashes each leaf
 // that begins to run it, and returns with each retry, at any node. Without the rule 28 to
 // 31 and 111 to 121 leaves crashed in the two plays of
-// TestRequestUnderWhichLeavesEndIsKeptFromThem, with it 6 and 10 (five runs).
+// TestCrashingRequestIsQuarantined, with it 6 and 10 (five runs).
 //
 // Which losses are crashes, and which leaves survived theirs, decides Starts.
 //
