--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -24,87 +24,87 @@
 var errNotUsable = errors.New("the leaf takes no new work any more")
 
 // attempt is one send in progress.
-type attempt struct {
+type runningAttempt struct {
 	send   dispatch.Send
 	cancel context.CancelFunc
 	// aborted is set before cancel is called, under the Conn's mutex.
 	aborted bool
 	// trace is its place in the trace of its query.
-	trace int
+	traceIndex int
 	// linger cancels an aborted attempt later; nil without one.
-	linger *time.Timer
+	lingerTimer *time.Timer
 }
 
 // start sends an attempt in the background.
-func (c *Conn[Q, P]) start(send dispatch.Send) {
-	running := c.queries[send.Query]
-	ctx, cancel := context.WithCancel(running.ctx)
-	running.open++
-	started := &attempt{send: send, cancel: cancel, trace: len(running.trace)}
+func (c *Conn[Q, P]) startAttempt(send dispatch.Send) {
+	query := c.queries[send.Query]
+	ctx, cancel := context.WithCancel(query.ctx)
+	query.references++
+	attempt := &runningAttempt{send: send, cancel: cancel, traceIndex: len(query.trace)}
 	if c.config.Trace {
-		running.trace = append(running.trace, AttemptTrace{Send: send, At: c.config.Clock.Now() - running.begun, End: EndOpen})
+		query.trace = append(query.trace, AttemptTrace{Send: send, At: c.config.Clock.Now() - query.submittedAt, End: EndOpen})
 	}
-	c.attempts[send.Attempt] = started
-	c.running.Add(1)
-	go c.run(ctx, started, running)
+	c.attempts[send.Attempt] = attempt
+	c.goroutines.Add(1)
+	go c.runAttempt(ctx, attempt, query)
 }
 
 // abort gives up an attempt, at once or after a while (package linger).
-func (c *Conn[Q, P]) abort(given dispatch.Abort) {
-	started := c.attempts[given.Attempt]
-	if started == nil {
+func (c *Conn[Q, P]) abortAttempt(given dispatch.Abort) {
+	attempt := c.attempts[given.Attempt]
+	if attempt == nil {
 		return
 	}
-	started.aborted = true
+	attempt.aborted = true
 	wait := linger.Time(c.config.Linger, given.Overdue)
 	if wait == 0 {
-		started.cancel()
+		attempt.cancel()
 		return
 	}
-	started.linger = time.AfterFunc(wait, started.cancel)
+	attempt.lingerTimer = time.AfterFunc(wait, attempt.cancel)
 }
 
 // run performs one attempt and reports its end, exactly once.
-func (c *Conn[Q, P]) run(ctx context.Context, started *attempt, running *query[Q, P]) {
-	defer c.running.Done()
-	defer started.cancel()
-	response, err := c.execute(ctx, started.send, running)
-	c.step(func(now dispatch.Time) []dispatch.Action {
-		delete(c.attempts, started.send.Attempt)
-		running.release()
-		if started.linger != nil {
-			started.linger.Stop()
+func (c *Conn[Q, P]) runAttempt(ctx context.Context, attempt *runningAttempt, query *runningQuery[Q, P]) {
+	defer c.goroutines.Done()
+	defer attempt.cancel()
+	response, err := c.executeAttempt(ctx, attempt.send, query)
+	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
+		delete(c.attempts, attempt.send.Attempt)
+		query.release()
+		if attempt.lingerTimer != nil {
+			attempt.lingerTimer.Stop()
 		}
-		return c.report(now, started, running, response, err)
+		return c.reportEnd(now, attempt, query, response, err)
 	})
-	c.noteDraining(started.send.Leaf, response)
+	c.reportDraining(attempt.send.Leaf, response)
 }
 
 // execute sends one attempt, unless package presend forbids it.
-func (c *Conn[Q, P]) execute(ctx context.Context, send dispatch.Send, running *query[Q, P]) (*Response[P], error) {
+func (c *Conn[Q, P]) executeAttempt(ctx context.Context, send dispatch.Send, query *runningQuery[Q, P]) (*Response[P], error) {
 	state := presend.State{Guard: c.config.Guard()} // first: it may bring in a newer topology
 	state.Usable = c.MayGetWork(send.Leaf)
-	state.Remaining = running.deadline - c.config.Clock.Now()
+	state.Remaining = query.deadline - c.config.Clock.Now()
 	switch presend.Decide(state) {
 	case presend.NotFresh:
-		return nil, notSent(stepGuard, send.Leaf, state.Guard)
+		return nil, unsentError(stepGuard, send.Leaf, state.Guard)
 	case presend.NotUsable:
-		return nil, notSent(stepTopology, send.Leaf, errNotUsable)
+		return nil, unsentError(stepTopology, send.Leaf, errNotUsable)
 	case presend.Expired:
-		return nil, notSent(stepDeadline, send.Leaf, context.DeadlineExceeded)
+		return nil, unsentError(stepDeadline, send.Leaf, context.DeadlineExceeded)
 	}
 	return c.config.Leaves.Execute(ctx, Attempt[Q]{
 		Send:       send,
 		ID:         c.config.AttemptPrefix + "/" + strconv.FormatUint(uint64(send.Attempt), 10),
-		RequestID:  running.request.RequestID,
+		RequestID:  query.request.RequestID,
 		Service:    c.config.Service,
-		Repeatable: running.request.Class.Repeatable,
+		Repeatable: query.request.Class.Repeatable,
 		Remaining:  state.Remaining,
-		Payload:    running.request.Payload,
+		Payload:    query.request.Payload,
 	})
 }
 
 // notSent returns the error of an attempt of which no byte left.
-func notSent(step leaf.Step, peer netip.AddrPort, err error) error {
+func unsentError(step leaf.Step, peer netip.AddrPort, err error) error {
 	return &leaf.TransportError{Step: step, Peer: peer, Sent: false, Err: err}
 }
--- a/internal/scatter/ends.go
+++ b/internal/scatter/attempt_end.go
@@ -10,30 +10,30 @@
 )
 
 // report passes the end of an attempt to the Dispatcher.
-func (c *Conn[Q, P]) report(now dispatch.Time, started *attempt, running *query[Q, P], response *Response[P], err error) []dispatch.Action {
-	_, active := c.queries[started.send.Query]
+func (c *Conn[Q, P]) reportEnd(now dispatch.Time, attempt *runningAttempt, query *runningQuery[Q, P], response *Response[P], err error) []dispatch.Action {
+	_, active := c.queries[attempt.send.Query]
 	if active && c.config.Trace {
-		traceEnd(&running.trace[started.trace], now-running.begun, started.aborted, response, err)
-		if running.trace[started.trace].Closed && c.config.OnClosed != nil {
+		completeTrace(&query.trace[attempt.traceIndex], now-query.submittedAt, attempt.aborted, response, err)
+		if query.trace[attempt.traceIndex].Closed && c.config.OnClosed != nil {
 			c.config.OnClosed(Unfinished[Q]{
-				RequestID: running.request.RequestID, Payload: running.request.Payload, Began: running.begun, Attempts: running.trace,
+				RequestID: query.request.RequestID, Payload: query.request.Payload, Began: query.submittedAt, Attempts: query.trace,
 			})
 		}
 	}
-	id := started.send.Attempt
+	id := attempt.send.Attempt
 	switch {
 	case err != nil:
-		failure := failureOf(err)
-		failure.Aborted = started.aborted
-		return c.fail(now, id, failure)
+		failure := classifyFailure(err)
+		failure.Aborted = attempt.aborted
+		return c.reportFailure(now, id, failure)
 	case !response.Executed:
-		return c.refuse(now, id, running, response)
+		return c.reportRefusal(now, id, query, response)
 	case response.Failed:
-		running.failure = &response.Part
-		return c.fail(now, id, dispatch.Failure{Sent: true, Aborted: started.aborted})
+		query.failure = &response.Part
+		return c.reportFailure(now, id, dispatch.Failure{Sent: true, Aborted: attempt.aborted})
 	}
 	if active {
-		running.parts[id] = response.Part
+		query.parts[id] = response.Part
 	}
 	return c.dispatcher.Reply(now, id, dispatch.Reply{
 		Shard:    response.Shard,
@@ -43,15 +43,15 @@
 	})
 }
 
-func (c *Conn[Q, P]) fail(now dispatch.Time, id dispatch.AttemptID, failure dispatch.Failure) []dispatch.Action {
+func (c *Conn[Q, P]) reportFailure(now dispatch.Time, id dispatch.AttemptID, failure dispatch.Failure) []dispatch.Action {
 	c.config.Metrics.countFailure(failure)
 	return c.dispatcher.Fail(now, id, failure)
 }
 
-func (c *Conn[Q, P]) refuse(now dispatch.Time, id dispatch.AttemptID, running *query[Q, P], response *Response[P]) []dispatch.Action {
+func (c *Conn[Q, P]) reportRefusal(now dispatch.Time, id dispatch.AttemptID, query *runningQuery[Q, P], response *Response[P]) []dispatch.Action {
 	c.config.Metrics.countRefusal(response.Refusal)
 	if response.Refusal == leaf.RefusedInvalid {
-		running.detail = response.Detail
+		query.detail = response.Detail
 	}
 	return c.dispatcher.Refuse(now, id, dispatch.Refusal{
 		Reason:     response.Refusal,
@@ -63,17 +63,17 @@
 
 // traceEnd completes the trace of an attempt that ended at a time since its query was
 // submitted.
-func traceEnd[P any](entry *AttemptTrace, at time.Duration, aborted bool, response *Response[P], err error) {
-	entry.End, entry.Detail = endOf(response, err)
+func completeTrace[P any](entry *AttemptTrace, at time.Duration, aborted bool, response *Response[P], err error) {
+	entry.End, entry.Detail = classifyEnd(response, err)
 	entry.Took = at - entry.At
 	entry.Aborted = aborted
-	entry.Closed = err != nil && failureOf(err).Closed
+	entry.Closed = err != nil && classifyFailure(err).Closed
 }
 
 // endOf says how an attempt ended, and why.
-func endOf[P any](response *Response[P], err error) (AttemptEnd, string) {
+func classifyEnd[P any](response *Response[P], err error) (AttemptEnd, string) {
 	switch {
-	case err != nil && failureOf(err).Sent:
+	case err != nil && classifyFailure(err).Sent:
 		return EndLost, err.Error()
 	case err != nil:
 		return EndUnsent, err.Error()
@@ -88,7 +88,7 @@
 
 // failureOf says what an error proves of an attempt. Only a transport error that proves
 // that no byte was sent counts as not sent: after any other one the leaf may have run it.
-func failureOf(err error) dispatch.Failure {
+func classifyFailure(err error) dispatch.Failure {
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) {
 		return dispatch.Failure{Sent: true}
@@ -97,7 +97,7 @@
 }
 
 // noteDraining reports a leaf whose answer says that it takes no new work.
-func (c *Conn[Q, P]) noteDraining(address netip.AddrPort, response *Response[P]) {
+func (c *Conn[Q, P]) reportDraining(address netip.AddrPort, response *Response[P]) {
 	if response == nil || c.config.OnDraining == nil {
 		return
 	}
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -34,7 +34,7 @@
 	b.Cleanup(client.Close)
 	conn := NewConn(Config[string, rows.Table]{
 		Service: "rate-desk", AttemptPrefix: "benchmark", Leaves: Statements{client}, Clock: clock.NewMonotonic(),
-		Guard: always, Metrics: NewMetrics(prometheus.NewRegistry()),
+		Guard: allowAlways, Metrics: NewMetrics(prometheus.NewRegistry()),
 	}, dispatch.New(dispatch.DefaultConfig(), rand.New(rand.NewPCG(1, 2))))
 	conn.SetTopology(dispatch.Topology{
 		Revision: 1, Partitions: []catalog.Partition{{Epoch: 1, Shards: 8}},
--- a/internal/scatter/conn.go
+++ b/internal/scatter/conn.go
@@ -13,16 +13,16 @@
 type Conn[Q, P any] struct {
 	config Config[Q, P]
 
-	mutex      sync.Mutex
-	dispatcher *dispatch.Dispatcher
-	topology   dispatch.Topology
-	usable     map[netip.AddrPort]bool
-	lastQuery  dispatch.QueryID
-	queries    map[dispatch.QueryID]*query[Q, P]
-	attempts   map[dispatch.AttemptID]*attempt
-	timer      *time.Timer
-	closed     bool
-	running    sync.WaitGroup
+	mutex       sync.Mutex
+	dispatcher  *dispatch.Dispatcher
+	topology    dispatch.Topology
+	usable      map[netip.AddrPort]bool
+	lastQueryID dispatch.QueryID
+	queries     map[dispatch.QueryID]*runningQuery[Q, P]
+	attempts    map[dispatch.AttemptID]*runningAttempt
+	timer       *time.Timer
+	closed      bool
+	goroutines  sync.WaitGroup
 }
 
 // NewConn returns a Conn that owns the dispatcher from now on.
@@ -30,8 +30,8 @@
 	conn := &Conn[Q, P]{
 		config:     config,
 		dispatcher: dispatcher,
-		queries:    make(map[dispatch.QueryID]*query[Q, P]),
-		attempts:   make(map[dispatch.AttemptID]*attempt),
+		queries:    make(map[dispatch.QueryID]*runningQuery[Q, P]),
+		attempts:   make(map[dispatch.AttemptID]*runningAttempt),
 	}
 	conn.timer = time.AfterFunc(time.Hour, conn.tick)
 	conn.timer.Stop()
@@ -41,21 +41,21 @@
 // Execute runs a query and blocks until it ends. When ctx ends, because the
 // caller went away, the attempts in flight are cancelled.
 func (c *Conn[Q, P]) Execute(ctx context.Context, request Request[Q]) Result[P] {
-	running := c.submit(request)
+	query := c.submit(request)
 	select {
-	case result := <-running.done:
+	case result := <-query.result:
 		return result
 	case <-ctx.Done():
 	}
-	c.step(func(now dispatch.Time) []dispatch.Action {
+	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		for id, candidate := range c.queries {
-			if candidate == running {
+			if candidate == query {
 				return c.dispatcher.Cancel(now, id)
 			}
 		}
 		return nil
 	})
-	return <-running.done
+	return <-query.result
 }
 
 // Close refuses new queries and blocks until the running ones have ended and
@@ -64,34 +64,34 @@
 	c.mutex.Lock()
 	c.closed = true
 	c.mutex.Unlock()
-	c.running.Wait()
+	c.goroutines.Wait()
 	c.timer.Stop()
 }
 
 // step runs one call to the dispatcher and performs what it decided.
-func (c *Conn[Q, P]) step(decide func(now dispatch.Time) []dispatch.Action) {
+func (c *Conn[Q, P]) applyDecision(decide func(now dispatch.Time) []dispatch.Action) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	actions := decide(c.config.Clock.Now())
 	for _, action := range actions {
 		c.perform(action)
 	}
-	c.schedule()
+	c.resetTimer()
 }
 
 func (c *Conn[Q, P]) perform(action dispatch.Action) {
 	switch action := action.(type) {
 	case dispatch.Send:
-		c.start(action)
+		c.startAttempt(action)
 	case dispatch.Abort:
-		c.abort(action)
+		c.abortAttempt(action)
 	case dispatch.Finish:
-		c.finish(action)
+		c.finishQuery(action)
 	}
 }
 
 // schedule sets the timer to the dispatcher's next deadline.
-func (c *Conn[Q, P]) schedule() {
+func (c *Conn[Q, P]) resetTimer() {
 	next, wanted := c.dispatcher.NextTick()
 	if !wanted {
 		c.timer.Stop()
@@ -101,7 +101,7 @@
 }
 
 func (c *Conn[Q, P]) tick() {
-	c.step(c.dispatcher.Tick)
+	c.applyDecision(c.dispatcher.Tick)
 }
 
 // Wake ends what has expired. After a suspension of the machine the timer fires too
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -59,7 +59,7 @@
 
 // Observe hands the dispatcher what a leaf reports of its load.
 func (c *Conn[Q, P]) Observe(address netip.AddrPort, load leaf.LoadSummary) {
-	c.step(func(now dispatch.Time) []dispatch.Action {
+	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		return c.dispatcher.Observe(now, address, load)
 	})
 }
--- a/internal/scatter/query.go
+++ b/internal/scatter/running_query.go
@@ -7,45 +7,45 @@
 )
 
 // query is one query in progress.
-type query[Q, P any] struct {
-	request  Request[Q]
-	deadline dispatch.Time
-	parts    map[dispatch.AttemptID]P
-	failure  *P
-	detail   string
-	begun    dispatch.Time
-	trace    []AttemptTrace
-	done     chan Result[P]
+type runningQuery[Q, P any] struct {
+	request     Request[Q]
+	deadline    dispatch.Time
+	parts       map[dispatch.AttemptID]P
+	failure     *P
+	detail      string
+	submittedAt dispatch.Time
+	trace       []AttemptTrace
+	result      chan Result[P]
 	// ctx ends at the deadline, and all attempts with it.
 	ctx    context.Context
-	expire context.CancelFunc
+	cancel context.CancelFunc
 	// open counts what keeps ctx: the query and its attempts.
-	open int
+	references int
 }
 
-func (c *Conn[Q, P]) submit(request Request[Q]) *query[Q, P] {
-	running := &query[Q, P]{
+func (c *Conn[Q, P]) submit(request Request[Q]) *runningQuery[Q, P] {
+	query := &runningQuery[Q, P]{
 		request: request,
 		parts:   make(map[dispatch.AttemptID]P),
-		done:    make(chan Result[P], 1),
+		result:  make(chan Result[P], 1),
 	}
-	c.step(func(now dispatch.Time) []dispatch.Action {
+	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		if c.closed {
-			running.done <- Result[P]{Finish: closedFinish()}
+			query.result <- Result[P]{Finish: stoppedFinish()}
 			return nil
 		}
-		c.lastQuery++
-		running.begun, running.deadline = now, now+request.Timeout
-		running.ctx, running.expire = context.WithTimeout(context.Background(), request.Timeout)
-		running.open = 1
-		c.queries[c.lastQuery] = running
-		return c.dispatcher.Submit(now, request.query(c.lastQuery, now))
+		c.lastQueryID++
+		query.submittedAt, query.deadline = now, now+request.Timeout
+		query.ctx, query.cancel = context.WithTimeout(context.Background(), request.Timeout)
+		query.references = 1
+		c.queries[c.lastQueryID] = query
+		return c.dispatcher.Submit(now, request.dispatchQuery(c.lastQueryID, now))
 	})
-	return running
+	return query
 }
 
 // query returns a request as the Dispatcher takes it.
-func (r *Request[Q]) query(id dispatch.QueryID, now dispatch.Time) dispatch.Query {
+func (r *Request[Q]) dispatchQuery(id dispatch.QueryID, now dispatch.Time) dispatch.Query {
 	submitted := dispatch.Query{
 		ID:              id,
 		Class:           r.Class,
@@ -64,12 +64,12 @@
 }
 
 // closedFinish ends a query that came after Close.
-func closedFinish() dispatch.Finish {
+func stoppedFinish() dispatch.Finish {
 	return dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: dispatch.ReasonStopped}
 }
 
 // finish hands a query its result.
-func (c *Conn[Q, P]) finish(finish dispatch.Finish) {
+func (c *Conn[Q, P]) finishQuery(finish dispatch.Finish) {
 	ended := c.queries[finish.Query]
 	if ended == nil {
 		return
@@ -83,13 +83,13 @@
 	for _, answer := range finish.Answered {
 		result.Parts = append(result.Parts, ShardPart[P]{Shard: answer.Shard, Part: ended.parts[answer.Attempt]})
 	}
-	ended.done <- result
+	ended.result <- result
 }
 
 // release frees the context once neither the query nor an attempt of it is open.
-func (q *query[Q, P]) release() {
-	q.open--
-	if q.open == 0 {
-		q.expire()
+func (q *runningQuery[Q, P]) release() {
+	q.references--
+	if q.references == 0 {
+		q.cancel()
 	}
 }
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -28,10 +28,10 @@
 )
 
 var (
-	errRefusedDial = errors.New("connection refused")
+	errDialRefused = errors.New("connection refused")
 	errLost        = errors.New("connection lost")
 	repeatable     = catalog.Class{Name: "check", Priority: 1, Deadline: time.Second, Coverage: 1, Repeatable: true, HedgePercentile: 0.9, ExtraLoad: 0.5}
-	onlyOnce       = catalog.Class{Name: "file", Priority: 1, Deadline: time.Second, Coverage: 1}
+	nonRepeatable  = catalog.Class{Name: "file", Priority: 1, Deadline: time.Second, Coverage: 1}
 )
 
 // faultyLeaves is a LeafClient that keeps a log of executions and fails in
@@ -46,7 +46,7 @@
 	return &faultyLeaves{random: rand.New(rand.NewPCG(seed, 1)), executed: make(map[string][]int)}
 }
 
-func (f *faultyLeaves) draw() (kind int, delay time.Duration) {
+func (f *faultyLeaves) drawFault() (kind int, delay time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.random.IntN(20), time.Duration(f.random.IntN(8)) * time.Millisecond
@@ -59,7 +59,7 @@
 }
 
 func (f *faultyLeaves) Execute(ctx context.Context, address netip.AddrPort, request leaf.ExecuteRequest) (*leaf.ExecuteResponse, error) {
-	kind, delay := f.draw()
+	kind, delay := f.drawFault()
 	response := &leaf.ExecuteResponse{
 		RequestID: request.RequestID, AttemptID: request.AttemptID,
 		Shard: request.Shard, Snapshot: request.Snapshot, BootID: address.String(),
@@ -67,7 +67,7 @@
 	}
 	switch kind {
 	case 0:
-		return nil, &leaf.TransportError{Step: leaf.StepConnect, Peer: address, Sent: false, Err: errRefusedDial}
+		return nil, &leaf.TransportError{Step: leaf.StepConnect, Peer: address, Sent: false, Err: errDialRefused}
 	case 1:
 		response.Refusal = leaf.RefusedShed
 		return response, nil
@@ -109,13 +109,13 @@
 	return conn
 }
 
-func always() error { return nil }
+func allowAlways() error { return nil }
 
 // TestFatesAreTrue runs many queries at once through faulty leaves and checks
 // each caller's answer against the log of executions.
-func TestFatesAreTrue(t *testing.T) {
+func TestOutcomesMatchExecutions(t *testing.T) {
 	leaves := newFaultyLeaves(7)
-	conn := newTestConn(leaves, always)
+	conn := newTestConn(leaves, allowAlways)
 	const queries = 2000
 	results := make([]Result[rows.Table], queries)
 	var running sync.WaitGroup
@@ -145,7 +145,7 @@
 		Timeout: 200 * time.Millisecond, MinimumCoverage: 1,
 	}
 	if i%3 == 0 {
-		request.Class, request.HasKey, request.KeyHash = onlyOnce, true, uint64(i)
+		request.Class, request.HasKey, request.KeyHash = nonRepeatable, true, uint64(i)
 	}
 	return request
 }
@@ -171,7 +171,7 @@
 
 // TestGuardMayBringANewerTopology covers a node that slept between the decision
 // and the send, while the leaves were retired: none gets work.
-func TestGuardMayBringANewerTopology(t *testing.T) {
+func TestGuardUpdatesTopologyBeforeSend(t *testing.T) {
 	leaves := newFaultyLeaves(1)
 	var conn *Conn[string, rows.Table]
 	conn = newTestConn(leaves, func() error {
@@ -191,7 +191,7 @@
 
 // TestGuardForbidsSends covers a node that was frozen between the decision and
 // the send: nothing leaves, and "not run" is true.
-func TestGuardForbidsSends(t *testing.T) {
+func TestGuardErrorPreventsSend(t *testing.T) {
 	leaves := newFaultyLeaves(1)
 	conn := newTestConn(leaves, func() error { return errors.New("not fresh") })
 	request := testRequest(0)
@@ -212,9 +212,9 @@
 	return nil, &leaf.TransportError{Step: leaf.StepReceive, Peer: address, Sent: true, Err: ctx.Err()}
 }
 
-func TestCallerWhoLeavesCancelsEveryAttempt(t *testing.T) {
+func TestContextCancelStopsAttempts(t *testing.T) {
 	leaves := &stuckLeaves{cancelled: make(chan struct{}, testShards*testReplicas)}
-	conn := newTestConn(leaves, always)
+	conn := newTestConn(leaves, allowAlways)
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(10*time.Millisecond, cancel)
 	result := conn.Execute(ctx, testRequest(1))
@@ -224,8 +224,8 @@
 	}
 }
 
-func TestClosedConnRefuses(t *testing.T) {
-	conn := newTestConn(newFaultyLeaves(1), always)
+func TestExecuteAfterClose(t *testing.T) {
+	conn := newTestConn(newFaultyLeaves(1), allowAlways)
 	conn.Close()
 	if result := conn.Execute(context.Background(), testRequest(1)); result.Outcome != dispatch.OutcomeNotRun {
 		t.Fatalf("outcome %s", result.Outcome)
--- a/internal/scatter/wake_test.go
+++ b/internal/scatter/suspension_test.go
@@ -16,20 +16,22 @@
 
 // jumping is a Clock that runs and counts a suspension that the timers of the process
 // do not see.
-type jumping struct {
+type suspendableClock struct {
 	clock.Clock
 	suspended atomic.Int64
 }
 
-func newJumping() *jumping { return &jumping{Clock: clock.NewMonotonic()} }
+func newSuspendableClock() *suspendableClock { return &suspendableClock{Clock: clock.NewMonotonic()} }
 
-func (j *jumping) Now() time.Duration { return j.Clock.Now() + time.Duration(j.suspended.Load()) }
+func (c *suspendableClock) Now() time.Duration {
+	return c.Clock.Now() + time.Duration(c.suspended.Load())
+}
 
-func (j *jumping) suspend(length time.Duration) { j.suspended.Add(int64(length)) }
+func (c *suspendableClock) suspend(length time.Duration) { c.suspended.Add(int64(length)) }
 
-func newJumpingConn(leaves StatementExecutor, time *jumping, guard Guard) *Conn[string, rows.Table] {
+func newTestConnWithClock(leaves StatementExecutor, clock *suspendableClock, guard Guard) *Conn[string, rows.Table] {
 	conn := NewConn(Config[string, rows.Table]{
-		Service: "rate-desk", AttemptPrefix: "test", Leaves: Statements{leaves}, Clock: time,
+		Service: "rate-desk", AttemptPrefix: "test", Leaves: Statements{leaves}, Clock: clock,
 		Guard: guard, Metrics: NewMetrics(prometheus.NewRegistry()),
 	}, dispatch.New(dispatch.DefaultConfig(), rand.New(rand.NewPCG(1, 2))))
 	conn.SetTopology(testTopology())
@@ -38,10 +40,10 @@
 
 // TestSuspensionBeforeASend: what was decided on before, and whose time is over since,
 // is not sent, though no timer has gone off.
-func TestSuspensionBeforeASend(t *testing.T) {
-	leaves, time := newFaultyLeaves(1), newJumping()
+func TestSuspensionBeforeSend(t *testing.T) {
+	leaves, time := newFaultyLeaves(1), newSuspendableClock()
 	request := testRequest(0)
-	conn := newJumpingConn(leaves, time, func() error {
+	conn := newTestConnWithClock(leaves, time, func() error {
 		time.suspend(request.Timeout)
 		return nil
 	})
@@ -53,9 +55,9 @@
 }
 
 // TestWakeEndsWhatHasExpired, at once: the timers are late by the suspension.
-func TestWakeEndsWhatHasExpired(t *testing.T) {
-	leaves, suspended := &stuckLeaves{cancelled: make(chan struct{}, 2*testShards*testReplicas)}, newJumping()
-	conn := newJumpingConn(leaves, suspended, always)
+func TestWakeExpiresQueries(t *testing.T) {
+	leaves, suspended := &stuckLeaves{cancelled: make(chan struct{}, 2*testShards*testReplicas)}, newSuspendableClock()
+	conn := newTestConnWithClock(leaves, suspended, allowAlways)
 	request := testRequest(1)
 	request.Timeout = time.Hour
 	ended := make(chan Result[rows.Table], 1)
--- a/internal/scatter/topology.go
+++ b/internal/scatter/topology.go
@@ -11,7 +11,7 @@
 
 // SetTopology hands the dispatcher a new view of the leaves.
 func (c *Conn[Q, P]) SetTopology(topology dispatch.Topology) {
-	c.step(func(now dispatch.Time) []dispatch.Action {
+	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		c.topology = topology
 		c.usable = usableLeaves(topology)
 		return c.dispatcher.SetTopology(now, topology)
