--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -13,29 +13,30 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// The steps of an attempt before the leaf client takes over.
+// The steps that can fail an attempt before it reaches the leaf client.
 const (
 	stepGuard    leaf.Step = "scatter_guard"
 	stepTopology leaf.Step = "scatter_topology"
 	stepDeadline leaf.Step = "scatter_deadline"
 )
 
-// errNotUsable says that a leaf was given up between the decision and the send.
-var errNotUsable = errors.New("the leaf takes no new work any more")
+// errNotUsable is the error of an attempt whose leaf became unusable between the decision to send
+// and the send.
+var errNotUsable = errors.New("leaf no longer accepts new work")
 
-// attempt is one send in progress.
+// runningAttempt is an attempt that has not reported its end.
 type runningAttempt struct {
 	send   dispatch.Send
 	cancel context.CancelFunc
-	// aborted is set before cancel is called, under the Conn's mutex.
+	// aborted is set before cancel is called. Conn.mutex guards it.
 	aborted bool
-	// trace is its place in the trace of its query.
+	// traceIndex is the index of the attempt in the trace of its query.
 	traceIndex int
-	// linger cancels an aborted attempt later; nil without one.
+	// lingerTimer cancels an aborted attempt after Config.Linger; nil if none is set.
 	lingerTimer *time.Timer
 }
 
-// start sends an attempt in the background.
+// startAttempt runs an attempt in a new goroutine.
 func (c *Conn[Q, P]) startAttempt(send dispatch.Send) {
 	query := c.queries[send.Query]
 	ctx, cancel := context.WithCancel(query.ctx)
@@ -49,14 +50,14 @@
 	go c.runAttempt(ctx, attempt, query)
 }
 
-// abort gives up an attempt, at once or after a while (package linger).
-func (c *Conn[Q, P]) abortAttempt(given dispatch.Abort) {
-	attempt := c.attempts[given.Attempt]
+// abortAttempt cancels an attempt, immediately or after the delay that linger.Time returns.
+func (c *Conn[Q, P]) abortAttempt(abort dispatch.Abort) {
+	attempt := c.attempts[abort.Attempt]
 	if attempt == nil {
 		return
 	}
 	attempt.aborted = true
-	wait := linger.Time(c.config.Linger, given.Overdue)
+	wait := linger.Time(c.config.Linger, abort.Overdue)
 	if wait == 0 {
 		attempt.cancel()
 		return
@@ -64,7 +65,7 @@
 	attempt.lingerTimer = time.AfterFunc(wait, attempt.cancel)
 }
 
-// run performs one attempt and reports its end, exactly once.
+// runAttempt executes one attempt and reports its end to the dispatcher exactly once.
 func (c *Conn[Q, P]) runAttempt(ctx context.Context, attempt *runningAttempt, query *runningQuery[Q, P]) {
 	defer c.goroutines.Done()
 	defer attempt.cancel()
@@ -80,9 +81,10 @@
 	c.reportDraining(attempt.send.Leaf, response)
 }
 
-// execute sends one attempt, unless package presend forbids it.
+// executeAttempt sends an attempt to its leaf if presend.Decide allows it.
 func (c *Conn[Q, P]) executeAttempt(ctx context.Context, send dispatch.Send, query *runningQuery[Q, P]) (*Response[P], error) {
-	state := presend.State{Guard: c.config.Guard()} // first: it may bring in a newer topology
+	// Guard may install a newer topology, so it is called before the topology is read.
+	state := presend.State{Guard: c.config.Guard()}
 	state.Usable = c.MayGetWork(send.Leaf)
 	state.Remaining = query.deadline - c.config.Clock.Now()
 	switch presend.Decide(state) {
@@ -104,7 +106,7 @@
 	})
 }
 
-// notSent returns the error of an attempt of which no byte left.
+// unsentError returns the error of an attempt that failed before any byte was sent.
 func unsentError(step leaf.Step, peer netip.AddrPort, err error) error {
 	return &leaf.TransportError{Step: step, Peer: peer, Sent: false, Err: err}
 }
--- a/internal/scatter/attempt_end.go
+++ b/internal/scatter/attempt_end.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// report passes the end of an attempt to the Dispatcher.
+// reportEnd records the end of an attempt and passes it to the dispatcher.
 func (c *Conn[Q, P]) reportEnd(now dispatch.Time, attempt *runningAttempt, query *runningQuery[Q, P], response *Response[P], err error) []dispatch.Action {
 	_, active := c.queries[attempt.send.Query]
 	if active && c.config.Trace {
@@ -61,16 +61,16 @@
 	})
 }
 
-// traceEnd completes the trace of an attempt that ended at a time since its query was
-// submitted.
-func completeTrace[P any](entry *AttemptTrace, at time.Duration, aborted bool, response *Response[P], err error) {
+// completeTrace fills in the end of an attempt's trace. endedAt is the time since the submission of
+// the query.
+func completeTrace[P any](entry *AttemptTrace, endedAt time.Duration, aborted bool, response *Response[P], err error) {
 	entry.End, entry.Detail = classifyEnd(response, err)
-	entry.Took = at - entry.At
+	entry.Took = endedAt - entry.At
 	entry.Aborted = aborted
 	entry.Closed = err != nil && classifyFailure(err).Closed
 }
 
-// endOf says how an attempt ended, and why.
+// classifyEnd returns how an attempt ended, and the error text or the reason of the refusal.
 func classifyEnd[P any](response *Response[P], err error) (AttemptEnd, string) {
 	switch {
 	case err != nil && classifyFailure(err).Sent:
@@ -86,8 +86,8 @@
 	}
 }
 
-// failureOf says what an error proves of an attempt. Only a transport error that proves
-// that no byte was sent counts as not sent: after any other one the leaf may have run it.
+// classifyFailure converts the error of an attempt to a dispatch.Failure. The attempt counts as not
+// sent only if a *leaf.TransportError proves it; after any other error the leaf may have run it.
 func classifyFailure(err error) dispatch.Failure {
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) {
@@ -96,7 +96,7 @@
 	return dispatch.Failure{Sent: transport.Sent, OnTheWay: transport.OnTheWay, Closed: transport.Closed, Refused: transport.Refused}
 }
 
-// noteDraining reports a leaf whose answer says that it takes no new work.
+// reportDraining calls Config.OnDraining if the response shows that the leaf is draining.
 func (c *Conn[Q, P]) reportDraining(address netip.AddrPort, response *Response[P]) {
 	if response == nil || c.config.OnDraining == nil {
 		return
--- a/internal/scatter/attempt_test.go
+++ b/internal/scatter/attempt_test.go
@@ -8,8 +8,8 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// TestOverdueAttemptsDoNotLinger gives up an attempt that may still end soon,
-// and one that is overdue.
+// TestAbortLingersUnlessOverdue checks that abortAttempt cancels an overdue attempt immediately and
+// lets any other attempt continue for Config.Linger.
 func TestAbortLingersUnlessOverdue(t *testing.T) {
 	for _, overdue := range []bool{false, true} {
 		conn := newTestConn(newFaultyLeaves(1), allowAlways)
@@ -18,8 +18,8 @@
 		attempt := &runningAttempt{cancel: cancel}
 		conn.attempts[1] = attempt
 		conn.abortAttempt(dispatch.Abort{Attempt: 1, Overdue: overdue})
-		if ended := ctx.Err() != nil; ended != overdue {
-			t.Errorf("overdue %v: ended %v", overdue, ended)
+		if cancelled := ctx.Err() != nil; cancelled != overdue {
+			t.Errorf("overdue %v: got cancelled %v, want %v", overdue, cancelled, overdue)
 		}
 		if attempt.lingerTimer != nil {
 			attempt.lingerTimer.Stop()
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -17,8 +17,8 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// BenchmarkExecute runs queries of eight shards on one leaf without service
-// time, over a real connection, from several callers at once.
+// BenchmarkExecute runs concurrent queries over eight shards of one leaf with zero service time,
+// over a real connection.
 func BenchmarkExecute(b *testing.B) {
 	config := standin.DefaultConfig()
 	config.Service, config.Versions = "rate-desk", []uint64{1}
@@ -51,7 +51,7 @@
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			if result := conn.Execute(context.Background(), request); result.Outcome == dispatch.OutcomeFailed {
-				b.Error(result.Outcome, result.Reason)
+				b.Errorf("got outcome %s with reason %s, want no failure", result.Outcome, result.Reason)
 			}
 		}
 	})
--- a/internal/scatter/conn.go
+++ b/internal/scatter/conn.go
@@ -9,10 +9,11 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// Conn runs the queries of one service. It is safe for concurrent use.
+// Conn runs the queries of one service on its leaves. It is safe for concurrent use.
 type Conn[Q, P any] struct {
 	config Config[Q, P]
 
+	// mutex guards the fields below, except goroutines.
 	mutex       sync.Mutex
 	dispatcher  *dispatch.Dispatcher
 	topology    dispatch.Topology
@@ -22,10 +23,11 @@
 	attempts    map[dispatch.AttemptID]*runningAttempt
 	timer       *time.Timer
 	closed      bool
-	goroutines  sync.WaitGroup
+	// goroutines counts the goroutines of running attempts.
+	goroutines sync.WaitGroup
 }
 
-// NewConn returns a Conn that owns the dispatcher from now on.
+// NewConn returns a Conn that takes ownership of the dispatcher.
 func NewConn[Q, P any](config Config[Q, P], dispatcher *dispatch.Dispatcher) *Conn[Q, P] {
 	conn := &Conn[Q, P]{
 		config:     config,
@@ -38,8 +40,8 @@
 	return conn
 }
 
-// Execute runs a query and blocks until it ends. When ctx ends, because the
-// caller went away, the attempts in flight are cancelled.
+// Execute runs a query and blocks until it ends. If ctx ends first, the query is cancelled together
+// with its attempts in flight.
 func (c *Conn[Q, P]) Execute(ctx context.Context, request Request[Q]) Result[P] {
 	query := c.submit(request)
 	select {
@@ -58,8 +60,7 @@
 	return <-query.result
 }
 
-// Close refuses new queries and blocks until the running ones have ended and
-// every attempt has reported.
+// Close rejects new queries and blocks until every running attempt has ended.
 func (c *Conn[Q, P]) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -68,7 +69,8 @@
 	c.timer.Stop()
 }
 
-// step runs one call to the dispatcher and performs what it decided.
+// applyDecision calls the dispatcher under the mutex, performs the actions that it returns and
+// resets the timer.
 func (c *Conn[Q, P]) applyDecision(decide func(now dispatch.Time) []dispatch.Action) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -90,10 +92,10 @@
 	}
 }
 
-// schedule sets the timer to the dispatcher's next deadline.
+// resetTimer sets the timer to the dispatcher's next tick, or stops it if there is none.
 func (c *Conn[Q, P]) resetTimer() {
-	next, wanted := c.dispatcher.NextTick()
-	if !wanted {
+	next, ok := c.dispatcher.NextTick()
+	if !ok {
 		c.timer.Stop()
 		return
 	}
@@ -104,6 +106,6 @@
 	c.applyDecision(c.dispatcher.Tick)
 }
 
-// Wake ends what has expired. After a suspension of the machine the timer fires too
-// late for it.
+// Wake ends the queries that have expired. It is needed after the machine was suspended, because
+// process timers do not advance during a suspension and fire late.
 func (c *Conn[Q, P]) Wake() { c.tick() }
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -10,75 +10,74 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// These methods pass one question or change on to the Dispatcher, which is not safe for
-// concurrent use.
+// The methods in this file forward a call to the Dispatcher under the mutex of the Conn, because
+// the Dispatcher is not safe for concurrent use.
 
-// ResizeBudgets changes the bounds of the extra load that the dispatcher causes at each
-// shard. It keeps the function, which must be pure.
+// ResizeBudgets sets the bounds of the extra load that the dispatcher may cause at each shard. The
+// dispatcher keeps the function, which must be pure.
 func (c *Conn[Q, P]) ResizeBudgets(bounds func(shard int) hedge.Bounds) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.ResizeBudgets(bounds)
 }
 
-// SetProbeInterval changes the time between two probes of a slow leaf.
+// SetProbeInterval sets the interval between probes of a slow leaf.
 func (c *Conn[Q, P]) SetProbeInterval(interval time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.SetProbeInterval(interval)
 }
 
-// SetAllowance says what the canaries of a shard may get; nil for nothing.
+// SetAllowance sets the allowance of the canaries of a shard. With nil they receive no attempts.
 func (c *Conn[Q, P]) SetAllowance(shard int, allowance *rollout.Allowance) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.SetAllowance(shard, allowance)
 }
 
-// Grant lets the allowance of a shard be spent until a time.
+// Grant permits the dispatcher to spend the allowance of a shard until the given time.
 func (c *Conn[Q, P]) Grant(shard int, until dispatch.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.Grant(shard, until)
 }
 
-// Burst lets the allowance of a shard be spent without keeping any back.
+// Burst permits the dispatcher to spend the whole allowance of a shard without a reserve.
 func (c *Conn[Q, P]) Burst(shard int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.Burst(shard)
 }
 
-// InFlightAt returns how many attempts run at the leaves that a function selects by
-// their boot id.
-func (c *Conn[Q, P]) InFlightAt(selects func(boot string) bool) int {
+// InFlightAt returns the number of attempts in flight at the leaves whose boot ID match selects.
+func (c *Conn[Q, P]) InFlightAt(match func(bootID string) bool) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.dispatcher.InFlightAt(selects)
+	return c.dispatcher.InFlightAt(match)
 }
 
-// Observe hands the dispatcher what a leaf reports of its load.
+// Observe passes a load report of a leaf to the dispatcher.
 func (c *Conn[Q, P]) Observe(address netip.AddrPort, load leaf.LoadSummary) {
 	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		return c.dispatcher.Observe(now, address, load)
 	})
 }
 
-// LeafStates describes the leaves as the dispatcher sees them.
+// LeafStates returns the dispatcher's state of each leaf.
 func (c *Conn[Q, P]) LeafStates() []dispatch.LeafState {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dispatcher.LeafStates()
 }
 
-// Counters returns the dispatcher's counts.
+// Counters returns the dispatcher's counters.
 func (c *Conn[Q, P]) Counters() dispatch.Counters {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dispatcher.Counters()
 }
 
-// Load returns what the dispatcher holds now.
+// Load returns the dispatcher's current load.
 func (c *Conn[Q, P]) Load() dispatch.Load {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/scatter/metrics.go
+++ b/internal/scatter/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// Metrics counts the ends of attempts. One value serves all Conns of a node.
+// Metrics counts refused and failed attempts. All Conns of a node share one Metrics.
 type Metrics struct {
 	refusals *prometheus.CounterVec
 	failures *prometheus.CounterVec
@@ -24,7 +24,7 @@
 		failures: factory.Counters("micaplank_scatter_failures_total",
 			"Attempts that ended without a reply, by kind: aborted, not_sent or lost.", "kind"),
 		closed: factory.Counter("micaplank_scatter_closed_total",
-			"Attempts whose leaf closed or reset the connection before a byte of its answer, as when its process ends. They count among the failures, too."),
+			"Attempts whose leaf closed or reset the connection before the first byte of its answer, as when its process ends. They are included in the failures."),
 	}
 }
 
--- a/internal/scatter/running_query.go
+++ b/internal/scatter/running_query.go
@@ -6,20 +6,23 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// query is one query in progress.
+// runningQuery is a query that has been submitted and has unfinished work.
 type runningQuery[Q, P any] struct {
-	request     Request[Q]
-	deadline    dispatch.Time
-	parts       map[dispatch.AttemptID]P
-	failure     *P
+	request  Request[Q]
+	deadline dispatch.Time
+	// parts holds the replies by attempt until the query finishes.
+	parts map[dispatch.AttemptID]P
+	// failure is the last answer with which a leaf itself failed; nil if none did.
+	failure *P
+	// detail is the leaf's explanation of a RefusedInvalid refusal.
 	detail      string
 	submittedAt dispatch.Time
 	trace       []AttemptTrace
 	result      chan Result[P]
-	// ctx ends at the deadline, and all attempts with it.
+	// ctx is the parent context of all attempts. It ends at the deadline.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// open counts what keeps ctx: the query and its attempts.
+	// references counts the holders of ctx: the query itself and its running attempts.
 	references int
 }
 
@@ -44,9 +47,9 @@
 	return query
 }
 
-// query returns a request as the Dispatcher takes it.
+// dispatchQuery converts the request to a query of the dispatcher.
 func (r *Request[Q]) dispatchQuery(id dispatch.QueryID, now dispatch.Time) dispatch.Query {
-	submitted := dispatch.Query{
+	query := dispatch.Query{
 		ID:              id,
 		Class:           r.Class,
 		KeyHash:         r.KeyHash,
@@ -58,35 +61,36 @@
 		MinimumCoverage: r.MinimumCoverage,
 	}
 	if r.Objective > 0 {
-		submitted.Objective = now + r.Objective
+		query.Objective = now + r.Objective
 	}
-	return submitted
+	return query
 }
 
-// closedFinish ends a query that came after Close.
+// stoppedFinish returns the result of a query that was submitted after Close.
 func stoppedFinish() dispatch.Finish {
 	return dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: dispatch.ReasonStopped}
 }
 
-// finish hands a query its result.
+// finishQuery delivers the result of a query to its caller.
 func (c *Conn[Q, P]) finishQuery(finish dispatch.Finish) {
-	ended := c.queries[finish.Query]
-	if ended == nil {
+	query := c.queries[finish.Query]
+	if query == nil {
 		return
 	}
 	delete(c.queries, finish.Query)
-	ended.release()
-	result := Result[P]{Finish: finish, Detail: ended.detail, Attempts: ended.trace}
-	if ended.failure != nil {
-		result.Failure, result.HasFailure = *ended.failure, true
+	query.release()
+	result := Result[P]{Finish: finish, Detail: query.detail, Attempts: query.trace}
+	if query.failure != nil {
+		result.Failure, result.HasFailure = *query.failure, true
 	}
 	for _, answer := range finish.Answered {
-		result.Parts = append(result.Parts, ShardPart[P]{Shard: answer.Shard, Part: ended.parts[answer.Attempt]})
+		result.Parts = append(result.Parts, ShardPart[P]{Shard: answer.Shard, Part: query.parts[answer.Attempt]})
 	}
-	ended.result <- result
+	query.result <- result
 }
 
-// release frees the context once neither the query nor an attempt of it is open.
+// release drops one reference, and cancels ctx when the last one is gone. The caller holds
+// Conn.mutex.
 func (q *runningQuery[Q, P]) release() {
 	q.references--
 	if q.references == 0 {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -1,13 +1,14 @@
-// Package scatter drives queries over the shards of a service: it performs what
-// the dispatch package decides, over real leaves and real time.
+// Package scatter runs queries over the shards of a service. It performs the actions that package
+// dispatch decides on, using real leaf connections and timers.
 //
-// A Conn belongs to one service. It serialises the calls to the Dispatcher,
-// sends attempts, collects the tables of replies and hands the ones that count
-// to the caller. It repeats nothing on its own: a second attempt happens only
-// if the Dispatcher returns another Send. It owns the attempts in flight and the
-// timer of one service. It relies on internal/decide/dispatch for what is sent and when
-// a query ends, on internal/decide/presend for the last check before a send, and on
-// internal/decide/linger for when an attempt is cancelled that is not wanted any more.
+// A Conn belongs to one service and owns its attempts in flight and its timer. It serialises the
+// calls to the Dispatcher, sends attempts, collects the replies and returns the parts that the
+// Dispatcher selects to the caller. It does not retry or hedge by itself: it starts an attempt only
+// for a dispatch.Send.
+//
+// The decisions are made in internal/decide/dispatch (sends, and the end of a query),
+// internal/decide/presend (the last check before a send) and internal/decide/linger (how long an
+// aborted attempt may continue).
 package scatter
 
 import (
@@ -21,39 +22,37 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// LeafClient runs one attempt on one leaf. An error that proves that the
-// attempt did not reach the leaf is a *leaf.TransportError with Sent false.
-// Execute does not keep the attempt.
+// LeafClient runs one attempt on one leaf. If the attempt provably did not reach the leaf, Execute
+// returns a *leaf.TransportError with Sent false. Execute must not retain the attempt.
 type LeafClient[Q, P any] interface {
 	Execute(ctx context.Context, attempt Attempt[Q]) (*Response[P], error)
 }
 
-// Attempt is one send, with all that a leaf needs to run it.
+// Attempt is a dispatch.Send with the data that the leaf needs to run it.
 type Attempt[Q any] struct {
 	dispatch.Send
-	// ID is unique among the nodes and their restarts.
+	// ID is unique across all nodes and their restarts.
 	ID         string
 	RequestID  string
 	Service    string
 	Repeatable bool
-	// Remaining is the time left at the moment of the send.
+	// Remaining is the time until the deadline of the query when the attempt is sent.
 	Remaining time.Duration
 	Payload   Q
 }
 
-// Response is what a leaf said of an attempt. The zero value of each field
-// means that the leaf did not say.
+// Response is a leaf's reply to an attempt. A field has its zero value if the leaf did not report
+// it.
 type Response[P any] struct {
-	// Executed is false if the leaf proved that it did not run the attempt;
-	// Refusal, RetryAfter and Detail say why.
+	// Executed is false if the leaf refused the attempt without running it. Refusal, RetryAfter and
+	// Detail then describe the refusal.
 	Executed   bool
 	Refusal    leaf.Refusal
 	RetryAfter time.Duration
 	Detail     string
-	// Failed is set if the leaf ran the attempt and answered with a failure of
-	// its own, which is the Part.
+	// Failed is set if the leaf ran the attempt and it failed there. Part then holds the failure.
 	Failed bool
-	// Shard and Snapshot are those that the part comes from.
+	// Shard and Snapshot identify the source of Part.
 	Shard    int
 	Snapshot catalog.Snapshot
 	BootID   string
@@ -61,111 +60,111 @@
 	Part     P
 }
 
-// Guard says directly before a send whether the node may still act. A node
-// that was frozen, or cut off from the majority of voters, may not.
+// Guard is called immediately before each send and returns an error if the node must not send. This
+// is the case if the process was frozen or is partitioned from the majority of voters.
 type Guard func() error
 
-// DrainingFunc is called with a leaf whose reply says that it is leaving.
+// DrainingFunc is called with a leaf whose reply shows that it is draining.
 type DrainingFunc func(address netip.AddrPort, bootID string)
 
-// Config is what a Conn needs besides its Dispatcher.
+// Config configures a Conn.
 type Config[Q, P any] struct {
 	Service string
-	// AttemptPrefix makes attempt ids unique among nodes and their restarts.
+	// AttemptPrefix makes attempt IDs unique across all nodes and their restarts.
 	AttemptPrefix string
 	Leaves        LeafClient[Q, P]
 	Clock         clock.Clock
 	Guard         Guard
 	OnDraining    DrainingFunc
 	Metrics       *Metrics
-	// Trace collects the attempts of each query for its Result.
+	// Trace enables the recording of all attempts in Result.Attempts.
 	Trace bool
-	// OnClosed, if set, and Trace, is called with each attempt of a query that runs whose
-	// leaf closed the connection before a byte of its answer. It is called with the Conn
-	// locked, and must not block or call it.
+	// OnClosed, if not nil, is called when the leaf of an attempt closes the connection before the
+	// first byte of its answer while the query runs. It requires Trace. It is called with the mutex
+	// of the Conn held, so it must not block or call the Conn.
 	OnClosed func(Unfinished[Q])
-	// Linger is how long an attempt that is not wanted any more may go on; zero
-	// cancels it at once. The rule is package linger.
+	// Linger is how long an aborted attempt may continue before it is cancelled. Zero cancels it
+	// immediately. Package linger decides when it applies.
 	Linger time.Duration
 }
 
-// Request is one query as the executor planned it.
+// Request is one planned query.
 type Request[Q any] struct {
 	RequestID string
 	Class     catalog.Class
-	// Payload is what each shard runs.
+	// Payload is sent to each shard.
 	Payload Q
 	KeyHash uint64
 	HasKey  bool
-	// Shards, if not empty, lists the shards needed, in place of all.
+	// Shards lists the shards to query. If it is empty, all shards are queried.
 	Shards  []int
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most; zero for
+	// Objective is the target latency: an answer is worth most before it has passed. Zero means
 	// none.
 	Objective time.Duration
-	// HedgeDelay bounds the age at which an attempt counts as late; zero for
-	// no bound.
+	// HedgeDelay is the upper bound of the delay after which an attempt counts as late; zero for no
+	// bound.
 	HedgeDelay time.Duration
-	// MaximumSends is how many attempts each shard may cause; zero for the
-	// Dispatcher's own bound.
+	// MaximumSends is the maximum number of attempts per shard; zero for the Dispatcher's default.
 	MaximumSends    int
 	MinimumCoverage float64
 }
 
-// Unfinished is a query that runs. Its attempts are those up to now, and must not be kept.
+// Unfinished describes a running query. Attempts lists the attempts so far and must not be
+// retained.
 type Unfinished[Q any] struct {
 	RequestID string
 	Payload   Q
-	// Began is when it was submitted, on the clock of the Conn.
+	// Began is the time of submission on the clock of the Conn.
 	Began    time.Duration
 	Attempts []AttemptTrace
 }
 
-// ShardPart is the part of one shard that counts for the answer.
+// ShardPart is the part of the answer that came from one shard.
 type ShardPart[P any] struct {
 	Shard int
 	Part  P
 }
 
-// AttemptTrace records one attempt, up to the end of its query.
+// AttemptTrace records one attempt. An attempt that outlives its query is recorded as open.
 type AttemptTrace struct {
 	dispatch.Send
-	// At is when it was sent, and Took how long it took, since the query was
-	// submitted and since it was sent. Took is zero if it has not ended.
+	// At is the time from the submission of the query to the send. Took is the time from the send
+	// to the end of the attempt; it is zero while the attempt is open.
 	At, Took time.Duration
 	End      AttemptEnd
-	// Aborted says that it was given up before it ended, for another attempt or
-	// with its query.
+	// Aborted is set if the attempt was aborted before it ended, in favour of another attempt or
+	// because its query ended.
 	Aborted bool
-	// Closed says that the leaf's end of the connection was closed or reset before
-	// a byte of its answer.
+	// Closed is set if the leaf closed or reset the connection before the first byte of its answer.
 	Closed bool
-	// Detail is the error of an attempt that failed, or the reason of a refusal.
+	// Detail is the error text of a failed attempt or the reason of a refusal.
 	Detail string
 }
 
-// AttemptEnd says how an attempt ended.
+// AttemptEnd is how an attempt ended.
 type AttemptEnd string
 
-// The ends of attempts.
+// The values of AttemptEnd.
 const (
-	EndOpen     AttemptEnd = "open"     // not before its query
-	EndAnswered AttemptEnd = "answered" // with a whole answer
-	EndRefused  AttemptEnd = "refused"  // the leaf proved that it did not run it
-	EndFailed   AttemptEnd = "failed"   // the leaf answered with a failure
-	EndUnsent   AttemptEnd = "unsent"   // no byte left
-	EndLost     AttemptEnd = "lost"     // sent, and no whole answer came
+	EndOpen     AttemptEnd = "open"     // still running when its query ended
+	EndAnswered AttemptEnd = "answered" // complete answer received
+	EndRefused  AttemptEnd = "refused"  // refused by the leaf without being run
+	EndFailed   AttemptEnd = "failed"   // run by the leaf and answered with a failure
+	EndUnsent   AttemptEnd = "unsent"   // failed before any byte was sent
+	EndLost     AttemptEnd = "lost"     // sent, but no complete answer received
 )
 
-// Result is the outcome of a query, with the parts that count.
+// Result is the outcome of a query with the parts of its answer.
 type Result[P any] struct {
 	dispatch.Finish
 	Parts []ShardPart[P]
-	// Attempts lists the attempts in the order of their sends, if Config.Trace.
+	// Attempts lists the attempts in the order in which they were sent. It is empty unless
+	// Config.Trace is set.
 	Attempts []AttemptTrace
-	// Failure is the last answer with which a leaf itself failed, if HasFailure.
+	// Failure is the last answer with which a leaf failed. It is valid only if HasFailure is set.
 	Failure    P
 	HasFailure bool
-	// Detail is the reason that a leaf gave why a statement cannot run, if one did.
+	// Detail is a leaf's explanation of why it cannot run the statement; empty if no leaf gave one.
 	Detail string
 }
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -34,12 +34,12 @@
 	nonRepeatable  = catalog.Class{Name: "file", Priority: 1, Deadline: time.Second, Coverage: 1}
 )
 
-// faultyLeaves is a LeafClient that keeps a log of executions and fails in
-// every way that a leaf or the way to it can.
+// faultyLeaves is a StatementExecutor that logs executions and injects refused dials, refusals by
+// the leaf and lost replies.
 type faultyLeaves struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
-	executed map[string][]int // shards by request id, one entry an execution
+	executed map[string][]int // by request ID: the shard of each execution
 }
 
 func newFaultyLeaves(seed uint64) *faultyLeaves {
@@ -111,8 +111,8 @@
 
 func allowAlways() error { return nil }
 
-// TestFatesAreTrue runs many queries at once through faulty leaves and checks
-// each caller's answer against the log of executions.
+// TestOutcomesMatchExecutions runs concurrent queries on faulty leaves and checks each result
+// against the log of executions.
 func TestOutcomesMatchExecutions(t *testing.T) {
 	leaves := newFaultyLeaves(7)
 	conn := newTestConn(leaves, allowAlways)
@@ -135,7 +135,7 @@
 		checkResult(t, testRequest(i), result, leaves.executed[testRequest(i).RequestID])
 	}
 	if counts[dispatch.OutcomeAnswered] == 0 {
-		t.Fatalf("no query was answered: %v", counts)
+		t.Fatalf("got no answered query, want some; outcomes: %v", counts)
 	}
 }
 
@@ -153,24 +153,26 @@
 func checkResult(t *testing.T, request Request[string], result Result[rows.Table], executions []int) {
 	t.Helper()
 	if result.Outcome == dispatch.OutcomeNotRun && len(executions) > 0 {
-		t.Errorf("%s: not run, but executed on shards %v", request.RequestID, executions)
+		t.Errorf("%s: got executions on shards %v, want none for outcome %s", request.RequestID, executions, result.Outcome)
 	}
 	if !request.Class.Repeatable && len(executions) > 1 {
-		t.Errorf("%s: executed %d times", request.RequestID, len(executions))
+		t.Errorf("%s: got %d executions of a non-repeatable request, want at most 1", request.RequestID, len(executions))
 	}
 	if len(result.Answered)+len(result.Missing) != result.Total {
-		t.Errorf("%s: %d answered and %d missing of %d", request.RequestID, len(result.Answered), len(result.Missing), result.Total)
+		t.Errorf("%s: got %d answered and %d missing shards, want a sum of %d",
+			request.RequestID, len(result.Answered), len(result.Missing), result.Total)
 	}
-	for _, table := range result.Parts {
-		row := table.Part.Rows[0]
-		if row[0].Text != request.RequestID || int(row[1].Number) != table.Shard {
-			t.Errorf("%s shard %d: got the row of %s shard %v", request.RequestID, table.Shard, row[0].Text, row[1].Number)
+	for _, part := range result.Parts {
+		row := part.Part.Rows[0]
+		if row[0].Text != request.RequestID || int(row[1].Number) != part.Shard {
+			t.Errorf("got the row of %s shard %v, want %s shard %d", row[0].Text, row[1].Number, request.RequestID, part.Shard)
 		}
 	}
 }
 
-// TestGuardMayBringANewerTopology covers a node that slept between the decision
-// and the send, while the leaves were retired: none gets work.
+// TestGuardUpdatesTopologyBeforeSend simulates a process that was frozen between the decision and
+// the send while its leaves were retired: the guard installs the newer topology, and no leaf
+// receives the attempt.
 func TestGuardUpdatesTopologyBeforeSend(t *testing.T) {
 	leaves := newFaultyLeaves(1)
 	var conn *Conn[string, rows.Table]
@@ -185,12 +187,12 @@
 	defer conn.Close()
 	result := conn.Execute(context.Background(), Request[string]{RequestID: "r", Class: repeatable, Timeout: time.Second, MinimumCoverage: 1})
 	if result.Outcome != dispatch.OutcomeNotRun || len(leaves.executed) > 0 {
-		t.Errorf("%s, executed %v", result.Outcome, leaves.executed)
+		t.Errorf("got outcome %s and executions %v, want %s and none", result.Outcome, leaves.executed, dispatch.OutcomeNotRun)
 	}
 }
 
-// TestGuardForbidsSends covers a node that was frozen between the decision and
-// the send: nothing leaves, and "not run" is true.
+// TestGuardErrorPreventsSend simulates a process that was frozen between the decision and the send:
+// nothing is sent, and the query is reported as not run.
 func TestGuardErrorPreventsSend(t *testing.T) {
 	leaves := newFaultyLeaves(1)
 	conn := newTestConn(leaves, func() error { return errors.New("not fresh") })
@@ -199,11 +201,11 @@
 	result := conn.Execute(context.Background(), request)
 	conn.Close()
 	if result.Outcome != dispatch.OutcomeNotRun || len(leaves.executed) != 0 {
-		t.Fatalf("outcome %s, executions %v", result.Outcome, leaves.executed)
+		t.Fatalf("got outcome %s and executions %v, want %s and none", result.Outcome, leaves.executed, dispatch.OutcomeNotRun)
 	}
 }
 
-// stuckLeaves answers only when the attempt is cancelled.
+// stuckLeaves is a StatementExecutor that blocks until the attempt is cancelled.
 type stuckLeaves struct{ cancelled chan struct{} }
 
 func (s *stuckLeaves) Execute(ctx context.Context, address netip.AddrPort, _ leaf.ExecuteRequest) (*leaf.ExecuteResponse, error) {
@@ -220,7 +222,8 @@
 	result := conn.Execute(ctx, testRequest(1))
 	conn.Close()
 	if result.Reason != dispatch.ReasonCancelled || len(leaves.cancelled) < testShards {
-		t.Fatalf("reason %s, %d attempts cancelled", result.Reason, len(leaves.cancelled))
+		t.Fatalf("got reason %s and %d cancelled attempts, want %s and at least %d",
+			result.Reason, len(leaves.cancelled), dispatch.ReasonCancelled, testShards)
 	}
 }
 
@@ -228,6 +231,6 @@
 	conn := newTestConn(newFaultyLeaves(1), allowAlways)
 	conn.Close()
 	if result := conn.Execute(context.Background(), testRequest(1)); result.Outcome != dispatch.OutcomeNotRun {
-		t.Fatalf("outcome %s", result.Outcome)
+		t.Fatalf("got outcome %s, want %s", result.Outcome, dispatch.OutcomeNotRun)
 	}
 }
--- a/internal/scatter/statement.go
+++ b/internal/scatter/statement.go
@@ -8,13 +8,13 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// StatementExecutor is the client of the leaf protocol of statements and rows.
+// StatementExecutor sends statements to leaves over the leaf protocol. *leaf.Client implements it.
 type StatementExecutor interface {
 	Execute(ctx context.Context, address netip.AddrPort, request leaf.ExecuteRequest) (*leaf.ExecuteResponse, error)
 }
 
-// Statements is the LeafClient whose payload is the canonical text of a
-// statement and whose part is a table of rows.
+// Statements adapts a StatementExecutor to LeafClient. The payload is the canonical text of a
+// statement, and the part is a table of rows.
 type Statements struct {
 	Executor StatementExecutor
 }
--- a/internal/scatter/suspension_test.go
+++ b/internal/scatter/suspension_test.go
@@ -14,8 +14,8 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// jumping is a Clock that runs and counts a suspension that the timers of the process
-// do not see.
+// suspendableClock is a Clock that can jump forward, as after a suspension of the machine. The
+// timers of the process do not follow the jump.
 type suspendableClock struct {
 	clock.Clock
 	suspended atomic.Int64
@@ -38,26 +38,27 @@
 	return conn
 }
 
-// TestSuspensionBeforeASend: what was decided on before, and whose time is over since,
-// is not sent, though no timer has gone off.
+// TestSuspensionBeforeSend suspends the machine between the decision and the send, until after the
+// deadline of the query: the attempt is not sent, although no timer has fired.
 func TestSuspensionBeforeSend(t *testing.T) {
-	leaves, time := newFaultyLeaves(1), newSuspendableClock()
+	leaves, clock := newFaultyLeaves(1), newSuspendableClock()
 	request := testRequest(0)
-	conn := newTestConnWithClock(leaves, time, func() error {
-		time.suspend(request.Timeout)
+	conn := newTestConnWithClock(leaves, clock, func() error {
+		clock.suspend(request.Timeout)
 		return nil
 	})
 	result := conn.Execute(context.Background(), request)
 	conn.Close()
 	if result.Outcome != dispatch.OutcomeNotRun || len(leaves.executed) != 0 {
-		t.Errorf("outcome %s, executions %v", result.Outcome, leaves.executed)
+		t.Errorf("got outcome %s and executions %v, want %s and none", result.Outcome, leaves.executed, dispatch.OutcomeNotRun)
 	}
 }
 
-// TestWakeEndsWhatHasExpired, at once: the timers are late by the suspension.
+// TestWakeExpiresQueries checks that Wake ends a query that expired during a suspension, without
+// waiting for the timers, which are late by the length of the suspension.
 func TestWakeExpiresQueries(t *testing.T) {
-	leaves, suspended := &stuckLeaves{cancelled: make(chan struct{}, 2*testShards*testReplicas)}, newSuspendableClock()
-	conn := newTestConnWithClock(leaves, suspended, allowAlways)
+	leaves, clock := &stuckLeaves{cancelled: make(chan struct{}, 2*testShards*testReplicas)}, newSuspendableClock()
+	conn := newTestConnWithClock(leaves, clock, allowAlways)
 	request := testRequest(1)
 	request.Timeout = time.Hour
 	ended := make(chan Result[rows.Table], 1)
@@ -65,10 +66,10 @@
 	for conn.InFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	suspended.suspend(time.Hour)
+	clock.suspend(time.Hour)
 	conn.Wake()
 	if result := <-ended; result.Reason != dispatch.ReasonDeadline {
-		t.Errorf("reason %s", result.Reason)
+		t.Errorf("got reason %s, want %s", result.Reason, dispatch.ReasonDeadline)
 	}
 	conn.Close()
 }
--- a/internal/scatter/topology.go
+++ b/internal/scatter/topology.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// SetTopology hands the dispatcher a new view of the leaves.
+// SetTopology installs a new topology in the Conn and in its dispatcher.
 func (c *Conn[Q, P]) SetTopology(topology dispatch.Topology) {
 	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		c.topology = topology
@@ -26,16 +26,16 @@
 	return usable
 }
 
-// MayGetWork reports whether a leaf is usable now: the guard may have brought
-// in a newer topology than the one that a send was decided on.
+// MayGetWork reports whether a leaf is usable in the current topology, which may be newer than the
+// one on which the dispatcher decided a send.
 func (c *Conn[Q, P]) MayGetWork(address netip.AddrPort) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.usable[address]
 }
 
-// Snapshot returns the snapshot that a query of every shard would be pinned to
-// now; zero if none is known.
+// Snapshot returns the snapshot to which a query over all shards would be pinned now. It is zero if
+// no usable leaf holds one.
 func (c *Conn[Q, P]) Snapshot() catalog.Snapshot {
 	c.mutex.Lock()
 	topology := c.topology
@@ -47,9 +47,9 @@
 		}
 	}
 	views := snapshot.Build(topology.Partitions, holdings)
-	newest, known := snapshot.Pick(views, snapshot.Need{})
-	if !known {
+	index, ok := snapshot.Pick(views, snapshot.Need{})
+	if !ok {
 		return catalog.Snapshot{}
 	}
-	return views[newest].Snapshot
+	return views[index].Snapshot
 }
