--- a/internal/leaf/call.go
+++ b/internal/leaf/call.go
@@ -16,43 +16,43 @@
 )
 
 // buffers recycles the buffers that replies are read into.
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var replyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // largestRecycled is the largest buffer kept for the next reply, in bytes. Not measured:
 // chosen so that one large reply does not stay in memory.
-const largestRecycled = 1 << 20
+const maxPooledBuffer = 1 << 20
 
 // call sends one request and decodes the reply into out. It reports whether
 // the leaf has announced that it is going away. Errors are of type
 // *TransportError.
 func (c *Client) call(ctx context.Context, address netip.AddrPort, method, path string, content []byte, out any) (goingAway bool, err error) {
-	p := c.pool(address)
+	p := c.poolFor(address)
 	if p == nil {
 		return false, newTransportError(StepConnect, address, false, ErrClosed)
 	}
-	conn, err := p.pick(ctx)
+	conn, err := p.acquire(ctx)
 	if err != nil {
 		return false, newTransportError(StepConnect, address, false, err)
 	}
 	defer conn.release()
-	body := &requestBody{content: content, admit: func() error { return c.admit(ctx) }}
-	if err := onTime(ctx); err != nil {
+	body := &requestBody{content: content, check: func() error { return c.checkSend(ctx) }}
+	if err := checkDeadline(ctx); err != nil {
 		return false, newTransportError(StepSend, address, false, err)
 	}
 	response, err := conn.client.RoundTrip(newRequest(ctx, address, method, path, body))
 	if err != nil {
-		return false, sendError(address, body, err)
+		return false, classifySendError(address, body, err)
 	}
-	if err := c.receive(response, out); err != nil {
+	if err := c.readReply(response, out); err != nil {
 		err.Peer = address
 		return false, newTransportError(err.Step, address, true, err.Err)
 	}
-	return conn.watched.goingAway.Load(), nil
+	return conn.netConn.goingAway.Load(), nil
 }
 
 // admit reports why a request with a body must not be sent now.
-func (c *Client) admit(ctx context.Context) error {
-	if err := onTime(ctx); err != nil {
+func (c *Client) checkSend(ctx context.Context) error {
+	if err := checkDeadline(ctx); err != nil {
 		return err
 	}
 	return c.config.Guard()
@@ -60,7 +60,7 @@
 
 // onTime compares the deadline with the clock, because the context's timer
 // runs late after a freeze.
-func onTime(ctx context.Context) error {
+func checkDeadline(ctx context.Context) error {
 	if deadline, limited := ctx.Deadline(); limited && !time.Now().Before(deadline) {
 		return context.DeadlineExceeded
 	}
@@ -86,24 +86,24 @@
 	return request.WithContext(ctx)
 }
 
-func sendError(address netip.AddrPort, body *requestBody, err error) *TransportError {
+func classifySendError(address netip.AddrPort, body *requestBody, err error) *TransportError {
 	if body.abandon() {
 		return newTransportError(StepSend, address, false, err)
 	}
-	if proof := unprocessed(err); proof != nil {
+	if proof := unprocessedError(err); proof != nil {
 		return newTransportError(StepSend, address, false, proof)
 	}
 	return newTransportError(StepReceive, address, true, err)
 }
 
 // receive reads and decodes a reply.
-func (c *Client) receive(response *http.Response, out any) *TransportError {
+func (c *Client) readReply(response *http.Response, out any) *TransportError {
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		return &TransportError{Step: StepReceive, Err: &StatusError{Status: response.StatusCode}}
 	}
-	buffer := buffers.Get().(*bytes.Buffer)
-	defer recycle(buffer)
+	buffer := replyBuffers.Get().(*bytes.Buffer)
+	defer releaseBuffer(buffer)
 	size, err := buffer.ReadFrom(io.LimitReader(response.Body, c.config.ReplyLimit+1))
 	c.metrics.replyBytes.Add(float64(size))
 	switch {
@@ -133,9 +133,9 @@
 	return err
 }
 
-func recycle(buffer *bytes.Buffer) {
-	if buffer.Cap() <= largestRecycled {
+func releaseBuffer(buffer *bytes.Buffer) {
+	if buffer.Cap() <= maxPooledBuffer {
 		buffer.Reset()
-		buffers.Put(buffer)
+		replyBuffers.Put(buffer)
 	}
 }
--- a/internal/leaf/client.go
+++ b/internal/leaf/client.go
@@ -19,11 +19,11 @@
 	config    Config
 	transport *http.Transport
 	metrics   *metrics
-	closing   context.Context
-	cut       context.CancelFunc
+	ctx       context.Context
+	cancel    context.CancelFunc
 
 	// running counts the goroutines of all pools.
-	running sync.WaitGroup
+	goroutines sync.WaitGroup
 
 	mutex sync.Mutex
 	pools map[netip.AddrPort]*pool
@@ -38,8 +38,8 @@
 		config:    config,
 		transport: newTransport(config),
 		metrics:   newMetrics(registerer),
-		closing:   closing,
-		cut:       cut,
+		ctx:       closing,
+		cancel:    cut,
 		pools:     make(map[netip.AddrPort]*pool),
 	}
 }
@@ -50,7 +50,7 @@
 // is going away, the Load.State of the response is StateDraining.
 func (c *Client) Execute(ctx context.Context, address netip.AddrPort, request ExecuteRequest) (*ExecuteResponse, error) {
 	response, err := c.execute(ctx, address, &request)
-	c.metrics.attempted(response, err, ctx.Err() != nil)
+	c.metrics.recordAttempt(response, err, ctx.Err() != nil)
 	return response, err
 }
 
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := verify(request, response); err != nil {
+	if err := verifyReply(request, response); err != nil {
 		return nil, newTransportError(StepVerify, address, true, err)
 	}
 	if goingAway {
@@ -102,22 +102,22 @@
 // ended. Calls in progress fail.
 func (c *Client) Close() {
 	c.mutex.Lock()
-	c.cut()
+	c.cancel()
 	c.pools = make(map[netip.AddrPort]*pool)
 	c.mutex.Unlock()
-	c.running.Wait()
+	c.goroutines.Wait()
 }
 
 // pool returns nil if the client is closed.
-func (c *Client) pool(address netip.AddrPort) *pool {
+func (c *Client) poolFor(address netip.AddrPort) *pool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.closing.Err() != nil {
+	if c.ctx.Err() != nil {
 		return nil
 	}
 	p, ok := c.pools[address]
 	if !ok {
-		p = newPool(c.closing, address, c)
+		p = newPool(c.ctx, address, c)
 		c.pools[address] = p
 	}
 	return p
--- a/internal/leaf/config.go
+++ b/internal/leaf/config.go
@@ -22,8 +22,8 @@
 	// PingAfter is the silence after which a connection is checked with a
 	// ping, and PingTimeout how long the answer may take; 5 s and 2 s by
 	// default.
-	PingAfter   time.Duration
-	PingTimeout time.Duration
+	PingIdleTime time.Duration
+	PingTimeout  time.Duration
 	// Guard is asked directly before the first byte of a request's body goes
 	// out; if it returns an error the request is not sent. By default nothing
 	// is held back. It is called concurrently and must not block.
@@ -49,8 +49,8 @@
 	DefaultReplyLimit = 16 << 20
 	// DefaultPingAfter and DefaultPingTimeout find a connection that is silent for good.
 	// Not measured: chosen because calls end by their deadlines before.
-	DefaultPingAfter   = 5 * time.Second
-	DefaultPingTimeout = 2 * time.Second
+	DefaultPingIdleTime = 5 * time.Second
+	DefaultPingTimeout  = 2 * time.Second
 )
 
 // withDefaults returns the Config with a value in each field.
@@ -61,7 +61,7 @@
 	setDefault(&c.RedialMinimum, DefaultRedialMinimum)
 	setDefault(&c.RedialMaximum, DefaultRedialMaximum)
 	setDefault(&c.ReplyLimit, DefaultReplyLimit)
-	setDefault(&c.PingAfter, DefaultPingAfter)
+	setDefault(&c.PingIdleTime, DefaultPingIdleTime)
 	setDefault(&c.PingTimeout, DefaultPingTimeout)
 	if c.Guard == nil {
 		c.Guard = func() error { return nil }
--- a/internal/leaf/connection.go
+++ b/internal/leaf/connection.go
@@ -11,14 +11,14 @@
 // connection is one HTTP/2 connection to a leaf.
 type connection struct {
 	client  *http.ClientConn
-	watched *watchedConn
+	netConn *goAwayConn
 	// changed receives a token when the connection's state may have changed.
 	changed chan struct{}
 	// claims counts the calls that have picked it and have not ended. They are more than
 	// those in flight: a call counts there only once its stream is open. A connection that
 	// was closed when none was in flight cut off 1 to 3 of 100,000 calls beside 36 busy
 	// processes on 8 cores.
-	claims atomic.Int64
+	activeCalls atomic.Int64
 }
 
 // newTransport returns a transport that only speaks HTTP/2 without TLS. Its
@@ -31,24 +31,24 @@
 		Protocols:          protocols,
 		DisableCompression: true,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: config.PingAfter,
+			SendPingTimeout: config.PingIdleTime,
 			PingTimeout:     config.PingTimeout,
 		},
-		DialContext: dialWatched,
+		DialContext: dialConn,
 	}
 }
 
 type connectionKey struct{}
 
 // dialWatched dials on behalf of dial, and leaves the connection there.
-func dialWatched(ctx context.Context, network, address string) (net.Conn, error) {
+func dialConn(ctx context.Context, network, address string) (net.Conn, error) {
 	dialed := ctx.Value(connectionKey{}).(*connection)
 	plain, err := new(net.Dialer).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	dialed.watched = &watchedConn{Conn: plain, onGoAway: dialed.signal}
-	return dialed.watched, nil
+	dialed.netConn = &goAwayConn{Conn: plain, onGoAway: dialed.notify}
+	return dialed.netConn, nil
 }
 
 // dial opens a connection. The context bounds the dial only.
@@ -60,12 +60,12 @@
 		return nil, err
 	}
 	c.client = client
-	client.SetStateHook(func(*http.ClientConn) { c.signal() })
+	client.SetStateHook(func(*http.ClientConn) { c.notify() })
 	return c, nil
 }
 
 // signal never blocks.
-func (c *connection) signal() {
+func (c *connection) notify() {
 	select {
 	case c.changed <- struct{}{}:
 	default:
@@ -74,11 +74,11 @@
 
 // usable reports whether the connection takes new requests.
 func (c *connection) usable() bool {
-	return !c.watched.goingAway.Load() && c.client.Err() == nil
+	return !c.netConn.goingAway.Load() && c.client.Err() == nil
 }
 
 // awaitUnusable blocks until the connection is unusable or ctx is done.
-func (c *connection) awaitUnusable(ctx context.Context) {
+func (c *connection) waitUnusable(ctx context.Context) {
 	for c.usable() {
 		select {
 		case <-c.changed:
@@ -90,19 +90,19 @@
 
 // claim takes the connection into use by one call. The caller holds the mutex of the pool
 // and has found the connection in it.
-func (c *connection) claim() { c.claims.Add(1) }
+func (c *connection) acquire() { c.activeCalls.Add(1) }
 
 // release ends the use by one call.
 func (c *connection) release() {
-	c.claims.Add(-1)
-	c.signal()
+	c.activeCalls.Add(-1)
+	c.notify()
 }
 
 // finish closes the connection as soon as its calls have ended, or at once if ctx is
 // done. The pool does not have it any more, so that none begins.
-func (c *connection) finish(ctx context.Context) {
+func (c *connection) closeWhenIdle(ctx context.Context) {
 	defer c.client.Close()
-	for c.client.Err() == nil && c.claims.Load() > 0 {
+	for c.client.Err() == nil && c.activeCalls.Load() > 0 {
 		select {
 		case <-c.changed:
 		case <-ctx.Done():
--- a/internal/leaf/errors.go
+++ b/internal/leaf/errors.go
@@ -94,7 +94,7 @@
 // unprocessed returns a typed error if err proves that the leaf did not
 // process the request, and nil otherwise. It judges errors that came before
 // the head of a reply.
-func unprocessed(err error) error {
+func unprocessedError(err error) error {
 	var streamError http2.StreamError
 	if errors.As(err, &streamError) && streamError.Code == http2.ErrCodeRefusedStream {
 		return fmt.Errorf("%w: %w", ErrRefusedStream, err)
--- a/internal/leaf/once_test.go
+++ b/internal/leaf/execute_test.go
@@ -47,7 +47,7 @@
 
 // TestOneArrivalPerCall proves that a failure after the request has arrived
 // never makes net/http send it again, and that Sent tells whether it may run.
-func TestOneArrivalPerCall(t *testing.T) {
+func TestRequestIsSentOnce(t *testing.T) {
 	cases := map[string]struct {
 		onRequest func(conn *rawConn, stream uint32, body []byte) bool
 		sent      bool
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestGoAwayTextIsThatOfNetHTTP(t *testing.T) {
+func TestGoAwayTextMatchesNetHTTP(t *testing.T) {
 	server := startRawServer(t, func(conn *rawConn, _ uint32, _ []byte) bool {
 		conn.framer.WriteGoAway(0, http2.ErrCodeNo, nil)
 		return true
@@ -158,7 +158,7 @@
 // before it is used again.
 func TestClosedIdleConnection(t *testing.T) {
 	server := startRawServer(t, func(conn *rawConn, stream uint32, body []byte) bool {
-		conn.reply(stream, answer(body))
+		conn.reply(stream, successReply(body))
 		return conn.number > 1 // the first connection is closed after its first reply
 	})
 	client := newTestClient(t, Config{ConnectionsPerLeaf: 1})
@@ -184,7 +184,7 @@
 	nobody := listener.Addr().(*net.TCPAddr).AddrPort()
 	listener.Close()
 	server := startRawServer(t, func(conn *rawConn, stream uint32, body []byte) bool {
-		conn.reply(stream, answer(body))
+		conn.reply(stream, successReply(body))
 		return true
 	})
 	cancelled, cancel := context.WithCancel(context.Background())
@@ -216,13 +216,13 @@
 	}
 }
 
-func TestConnectionsAreSharedAndDialedAhead(t *testing.T) {
+func TestConnectionsAreSharedAndDialedEagerly(t *testing.T) {
 	server := startRawServer(t, func(conn *rawConn, stream uint32, body []byte) bool {
-		conn.reply(stream, answer(body))
+		conn.reply(stream, successReply(body))
 		return true
 	})
 	client := newTestClient(t, Config{ConnectionsPerLeaf: 3})
-	client.pool(server.address())
+	client.poolFor(server.address())
 	for ctx := testContext(t); server.dials.Load() < 3 && ctx.Err() == nil; {
 		time.Sleep(time.Millisecond)
 	}
@@ -242,16 +242,16 @@
 
 // frozenContext is a context whose deadline has passed in a freeze, so that
 // its timer has not run yet.
-type frozenContext struct{ context.Context }
+type expiredContext struct{ context.Context }
 
-func (frozenContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
+func (expiredContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 
 // TestNothingIsSentAfterAFreeze has the guard refuse, or the deadline pass,
 // between the decision to send and the write.
-func TestNothingIsSentAfterAFreeze(t *testing.T) {
+func TestGuardAndDeadlineAreCheckedBeforeSend(t *testing.T) {
 	errStale := errors.New("stale")
 	server := startRawServer(t, func(conn *rawConn, stream uint32, body []byte) bool {
-		conn.reply(stream, answer(body))
+		conn.reply(stream, successReply(body))
 		return true
 	})
 	guarded := newTestClient(t, Config{Guard: func() error { return errStale }})
@@ -261,7 +261,7 @@
 		t.Errorf("stale: %v", err)
 	}
 	client := newTestClient(t, Config{})
-	_, err = client.Execute(frozenContext{testContext(t)}, server.address(), testRequest(false))
+	_, err = client.Execute(expiredContext{testContext(t)}, server.address(), testRequest(false))
 	if !errors.As(err, &transportError) || transportError.Sent || !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("late: %v", err)
 	}
--- a/internal/leaf/forget_test.go
+++ b/internal/leaf/forget_test.go
@@ -13,15 +13,15 @@
 const (
 	// forgetTime is how long a client calls and forgets a leaf, by forgetCallers side by
 	// side, with a pause of forgetPause.
-	forgetTime    = 2 * time.Second
-	forgetCallers = 16
-	forgetPause   = 200 * time.Microsecond
+	forgetDuration = 2 * time.Second
+	forgetCallers  = 16
+	forgetInterval = 200 * time.Microsecond
 )
 
 // startGoodServer starts a leaf that answers all.
-func startGoodServer(t *testing.T) *rawServer {
+func startSuccessServer(t *testing.T) *rawServer {
 	return startRawServer(t, func(conn *rawConn, stream uint32, body []byte) bool {
-		conn.reply(stream, answer(body))
+		conn.reply(stream, successReply(body))
 		return true
 	})
 }
@@ -41,13 +41,13 @@
 // via ClientConn.Close", and none in three quiet ones. A planned stop of a leaf retires it
 // first, and one of 1,182 requests had an unknown outcome in one play of
 // TestPlannedStopCutsNothingOff beside that load.
-func TestForgottenConnectionIsKeptForWhatPickedIt(t *testing.T) {
-	server := startGoodServer(t)
+func TestForgetWaitsForAcquiredConnection(t *testing.T) {
+	server := startSuccessServer(t)
 	client := newTestClient(t, Config{ConnectionsPerLeaf: 1})
 	if _, err := client.Execute(testContext(t), server.address(), testRequest(false)); err != nil {
 		t.Fatal(err)
 	}
-	picked, err := client.pool(server.address()).pick(testContext(t))
+	picked, err := client.poolFor(server.address()).acquire(testContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,17 +68,17 @@
 // TestForgetCutsNothing calls a sound leaf while it is forgotten again and again: each call
 // is answered, or proves that it was not sent. Busy goroutines keep callers waiting for a
 // processor at any place.
-func TestForgetCutsNothing(t *testing.T) {
-	server := startGoodServer(t)
+func TestForgetInterruptsNoCall(t *testing.T) {
+	server := startSuccessServer(t)
 	client := newTestClient(t, Config{ConnectionsPerLeaf: 2})
-	end := time.Now().Add(forgetTime)
+	end := time.Now().Add(forgetDuration)
 	var cut atomic.Int64
 	var cause atomic.Value
 	var running sync.WaitGroup
 	for range forgetCallers {
 		running.Go(func() {
 			for time.Now().Before(end) {
-				if err := callOnce(t, client, server.address()); err != nil {
+				if err := executeSentError(t, client, server.address()); err != nil {
 					cut.Add(1)
 					cause.Store(err)
 				}
@@ -88,13 +88,13 @@
 	for range 4 * runtime.GOMAXPROCS(0) {
 		running.Go(func() {
 			for time.Now().Before(end) {
-				busy()
+				spin()
 			}
 		})
 	}
 	for time.Now().Before(end) {
 		client.Forget(server.address())
-		time.Sleep(forgetPause)
+		time.Sleep(forgetInterval)
 	}
 	running.Wait()
 	if cut.Load() > 0 {
@@ -103,7 +103,7 @@
 }
 
 // callOnce returns the error of a call that may have run.
-func callOnce(t *testing.T, client *Client, address netip.AddrPort) error {
+func executeSentError(t *testing.T, client *Client, address netip.AddrPort) error {
 	_, err := client.Execute(testContext(t), address, testRequest(false))
 	var failed *TransportError
 	if errors.As(err, &failed) && failed.Sent {
@@ -113,7 +113,7 @@
 }
 
 // busy takes some processor time.
-func busy() {
+func spin() {
 	sum := 0
 	for number := range 100_000 {
 		sum += number * number
--- a/internal/leaf/metrics.go
+++ b/internal/leaf/metrics.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func (m *metrics) dialed(err error) {
+func (m *metrics) recordDial(err error) {
 	result := "opened"
 	if err != nil {
 		result = "failed"
@@ -54,7 +54,7 @@
 	m.dials.WithLabelValues(result).Inc()
 }
 
-func (m *metrics) attempted(response *ExecuteResponse, err error, cancelled bool) {
+func (m *metrics) recordAttempt(response *ExecuteResponse, err error, cancelled bool) {
 	m.attempts.WithLabelValues(attemptOutcome(response, err, cancelled)).Inc()
 	switch {
 	case errors.Is(err, ErrCrossedReply):
--- a/internal/leaf/pool.go
+++ b/internal/leaf/pool.go
@@ -18,34 +18,34 @@
 	transport *http.Transport
 	metrics   *metrics
 	// closing is done when the client closes: connections are cut.
-	closing context.Context
+	clientCtx context.Context
 	// serving is done when the pool is forgotten: connections finish.
-	serving context.Context
-	stop    context.CancelFunc
-	running *sync.WaitGroup
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines *sync.WaitGroup
 
 	mutex sync.Mutex
 	// open lists the connections that take new requests.
 	open []*connection
 	// failure is the error of the last dial, if it failed.
-	failure error
+	dialErr error
 	// changed is closed and replaced when open or failure changes.
 	changed chan struct{}
 }
 
-func newPool(closing context.Context, address netip.AddrPort, client *Client) *pool {
+func newPool(clientCtx context.Context, address netip.AddrPort, client *Client) *pool {
 	p := &pool{
-		address:   address,
-		config:    client.config,
-		transport: client.transport,
-		metrics:   client.metrics,
-		closing:   closing,
-		running:   &client.running,
-		changed:   make(chan struct{}),
+		address:    address,
+		config:     client.config,
+		transport:  client.transport,
+		metrics:    client.metrics,
+		clientCtx:  clientCtx,
+		goroutines: &client.goroutines,
+		changed:    make(chan struct{}),
 	}
-	p.serving, p.stop = context.WithCancel(closing)
+	p.ctx, p.stop = context.WithCancel(clientCtx)
 	for range client.config.ConnectionsPerLeaf {
-		p.running.Go(p.maintain)
+		p.goroutines.Go(p.maintain)
 	}
 	return p
 }
@@ -53,19 +53,19 @@
 // maintain keeps one connection open until the pool is forgotten.
 func (p *pool) maintain() {
 	pause := p.config.RedialMinimum
-	for p.serving.Err() == nil {
+	for p.ctx.Err() == nil {
 		dialed, err := p.dial()
 		if err != nil {
-			p.update(func() { p.failure = err })
+			p.update(func() { p.dialErr = err })
 			p.sleep(pause)
 			pause = min(2*pause, p.config.RedialMaximum)
 			continue
 		}
 		opened := time.Now()
 		p.add(dialed)
-		dialed.awaitUnusable(p.serving)
+		dialed.waitUnusable(p.ctx)
 		p.remove(dialed)
-		p.running.Go(func() { p.finish(dialed) })
+		p.goroutines.Go(func() { p.closeWhenIdle(dialed) })
 		if time.Since(opened) >= p.config.RedialMaximum {
 			pause = p.config.RedialMinimum
 			continue
@@ -77,10 +77,10 @@
 }
 
 func (p *pool) dial() (*connection, error) {
-	ctx, cancel := context.WithTimeout(p.serving, p.config.ConnectTimeout)
+	ctx, cancel := context.WithTimeout(p.ctx, p.config.ConnectTimeout)
 	defer cancel()
 	dialed, err := dial(ctx, p.transport, p.address)
-	p.metrics.dialed(err)
+	p.metrics.recordDial(err)
 	return dialed, err
 }
 
@@ -88,7 +88,7 @@
 	p.metrics.connections.Inc()
 	p.update(func() {
 		p.open = append(p.open, c)
-		p.failure = nil
+		p.dialErr = nil
 	})
 }
 
@@ -98,9 +98,9 @@
 	})
 }
 
-func (p *pool) finish(c *connection) {
+func (p *pool) closeWhenIdle(c *connection) {
 	defer p.metrics.connections.Dec()
-	c.finish(p.closing)
+	c.closeWhenIdle(p.clientCtx)
 }
 
 func (p *pool) update(change func()) {
@@ -116,20 +116,20 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-p.serving.Done():
+	case <-p.ctx.Done():
 	}
 }
 
 // pick returns the open connection with the fewest calls, claimed for one more, which has
 // to release it. While the first dials are under way it waits, at most Config.ConnectWait.
-func (p *pool) pick(ctx context.Context) (*connection, error) {
-	if c, _, _ := p.look(); c != nil {
+func (p *pool) acquire(ctx context.Context) (*connection, error) {
+	if c, _, _ := p.tryAcquire(); c != nil {
 		return c, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.config.ConnectWait)
 	defer cancel()
 	for {
-		c, changed, failure := p.look()
+		c, changed, failure := p.tryAcquire()
 		switch {
 		case c != nil:
 			return c, nil
@@ -138,7 +138,7 @@
 		}
 		select {
 		case <-changed:
-		case <-p.serving.Done():
+		case <-p.ctx.Done():
 			return nil, ErrClosed
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w: %w", ErrNoConnection, ctx.Err())
@@ -148,7 +148,7 @@
 
 // look claims the open connection with the fewest calls; nil if none is usable. It holds
 // the mutex, so that a connection which was removed is claimed by nobody.
-func (p *pool) look() (best *connection, changed <-chan struct{}, failure error) {
+func (p *pool) tryAcquire() (best *connection, changed <-chan struct{}, failure error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	fewest := int64(0)
@@ -156,12 +156,12 @@
 		if !c.usable() {
 			continue
 		}
-		if claims := c.claims.Load(); best == nil || claims < fewest {
+		if claims := c.activeCalls.Load(); best == nil || claims < fewest {
 			best, fewest = c, claims
 		}
 	}
 	if best != nil {
-		best.claim()
+		best.acquire()
 	}
-	return best, p.changed, p.failure
+	return best, p.changed, p.dialErr
 }
--- a/internal/leaf/raw_server_test.go
+++ b/internal/leaf/raw_server_test.go
@@ -25,8 +25,8 @@
 	// if the connection is to be closed.
 	onRequest func(conn *rawConn, stream uint32, body []byte) bool
 	// onReset, if set, is called when the client resets a stream.
-	onReset func(conn *rawConn, stream uint32)
-	running sync.WaitGroup
+	onReset    func(conn *rawConn, stream uint32)
+	goroutines sync.WaitGroup
 }
 
 type rawConn struct {
@@ -48,10 +48,10 @@
 		t.Fatal(err)
 	}
 	s.listener = listener
-	s.running.Go(s.accept)
+	s.goroutines.Go(s.accept)
 	t.Cleanup(func() {
 		listener.Close()
-		s.running.Wait()
+		s.goroutines.Wait()
 	})
 	return s
 }
@@ -67,7 +67,7 @@
 			return
 		}
 		number := s.dials.Add(1)
-		s.running.Go(func() { s.serve(conn, number) })
+		s.goroutines.Go(func() { s.serve(conn, number) })
 	}
 }
 
@@ -128,7 +128,7 @@
 }
 
 // answer is the reply that a faultless leaf gives to the request.
-func answer(body []byte) []byte {
+func successReply(body []byte) []byte {
 	var request ExecuteRequest
 	json.Unmarshal(body, &request)
 	response := ExecuteResponse{
--- a/internal/leaf/reply_test.go
+++ b/internal/leaf/reply_test.go
@@ -15,7 +15,7 @@
 
 // TestCancellationResetsTheStream also covers a reply that comes too late: the
 // server sends it when it learns of the reset.
-func TestCancellationResetsTheStream(t *testing.T) {
+func TestCancelResetsStream(t *testing.T) {
 	arrived := make(chan struct{})
 	reset := make(chan struct{})
 	server := startServer(t, &rawServer{
@@ -24,12 +24,12 @@
 				close(arrived)
 				return true
 			}
-			conn.reply(stream, answer(body))
+			conn.reply(stream, successReply(body))
 			return true
 		},
 		onReset: func(conn *rawConn, stream uint32) {
 			request, _ := json.Marshal(testRequest(false))
-			conn.reply(stream, answer(request))
+			conn.reply(stream, successReply(request))
 			close(reset)
 		},
 	})
@@ -56,10 +56,10 @@
 	}
 }
 
-func TestGoAwayShowsInTheReply(t *testing.T) {
+func TestGoAwayMarksReplyDraining(t *testing.T) {
 	server := startRawServer(t, func(conn *rawConn, stream uint32, body []byte) bool {
 		conn.framer.WriteGoAway(stream, http2.ErrCodeNo, nil)
-		conn.reply(stream, answer(body))
+		conn.reply(stream, successReply(body))
 		return true
 	})
 	client := newTestClient(t, Config{})
@@ -69,11 +69,11 @@
 	}
 }
 
-func TestBadRepliesAreTyped(t *testing.T) {
+func TestInvalidReplyErrors(t *testing.T) {
 	reply := func(alter func(*ExecuteResponse)) string {
 		request, _ := json.Marshal(testRequest(false))
 		var response ExecuteResponse
-		json.Unmarshal(answer(request), &response)
+		json.Unmarshal(successReply(request), &response)
 		response.Table = rows.Table{Columns: []string{"a"}, Rows: []rows.Row{{rows.NumberOf(1)}}}
 		response.RowCount = 1
 		alter(&response)
--- a/internal/leaf/body.go
+++ b/internal/leaf/request_body.go
@@ -13,7 +13,7 @@
 	content []byte
 	// admit is asked directly before the first byte is handed over: the
 	// process may have been frozen since the request was made.
-	admit func() error
+	check func() error
 	state atomic.Uint32
 }
 
@@ -26,7 +26,7 @@
 
 // Read implements io.Reader. It is called by one goroutine at a time.
 func (b *requestBody) Read(buffer []byte) (int, error) {
-	if err := b.start(); err != nil {
+	if err := b.beginRead(); err != nil {
 		return 0, err
 	}
 	n := copy(buffer, b.content)
@@ -38,9 +38,9 @@
 }
 
 // start makes sure that the body may be read.
-func (b *requestBody) start() error {
+func (b *requestBody) beginRead() error {
 	if b.state.Load() == bodyUnread {
-		if err := b.admit(); err != nil {
+		if err := b.check(); err != nil {
 			b.abandon()
 			return err
 		}
--- a/internal/leaf/verify.go
+++ b/internal/leaf/verify_reply.go
@@ -3,8 +3,8 @@
 import "fmt"
 
 // verify checks that the response is the whole reply to the request.
-func verify(request *ExecuteRequest, response *ExecuteResponse) error {
-	if !echoes(request, response) {
+func verifyReply(request *ExecuteRequest, response *ExecuteResponse) error {
+	if !echoesRequest(request, response) {
 		return fmt.Errorf("%w: sent %s/%s shard %d snapshot %v, got %s/%s shard %d snapshot %v", ErrCrossedReply,
 			request.RequestID, request.AttemptID, request.Shard, request.Snapshot,
 			response.RequestID, response.AttemptID, response.Shard, response.Snapshot)
@@ -23,7 +23,7 @@
 	return nil
 }
 
-func echoes(request *ExecuteRequest, response *ExecuteResponse) bool {
+func echoesRequest(request *ExecuteRequest, response *ExecuteResponse) bool {
 	return response.RequestID == request.RequestID &&
 		response.AttemptID == request.AttemptID &&
 		response.Shard == request.Shard &&
--- a/internal/scatter/running_query.go
+++ b/internal/scatter/running_query.go
@@ -26,6 +26,7 @@
 	references int
 }
 
+// submit passes a request to the dispatcher. A closed Conn answers it immediately.
 func (c *Conn[Q, P]) submit(request Request[Q]) *runningQuery[Q, P] {
 	query := &runningQuery[Q, P]{
 		request: request,
