--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -41,43 +41,43 @@
 }
 
 // slotKey names one of the connections to a peer.
-type slotKey struct {
+type poolKey struct {
 	peer  netip.AddrPort
 	index int
 }
 
 // Client calls peers over pooled connections. It is safe for concurrent use.
 type Client struct {
-	options ClientOptions
-	metrics *callMetrics
-	dialing context.Context
-	stop    context.CancelFunc
-
-	mutex  sync.Mutex
-	slots  map[slotKey]*clientLink
-	turn   int
-	closed bool
-
-	calls sync.WaitGroup // running calls
-	links sync.WaitGroup // goroutines of links
+	options     ClientOptions
+	metrics     *callMetrics
+	dialCtx     context.Context
+	cancelDials context.CancelFunc
+
+	mutex     sync.Mutex
+	pool      map[poolKey]*clientConn
+	nextIndex int
+	closed    bool
+
+	activeCalls    sync.WaitGroup // running calls
+	connGoroutines sync.WaitGroup // goroutines of links
 }
 
 // NewClient returns a client without connections; they are opened by calls.
 func NewClient(options ClientOptions, registerer prometheus.Registerer) *Client {
 	dialing, stop := context.WithCancel(context.Background())
 	return &Client{
-		options: options.withDefaults(),
-		metrics: newCallMetrics(registerer, clientSide),
-		dialing: dialing,
-		stop:    stop,
-		slots:   map[slotKey]*clientLink{},
+		options:     options.withDefaults(),
+		metrics:     newCallMetrics(registerer, clientSide),
+		dialCtx:     dialing,
+		cancelDials: stop,
+		pool:        map[poolKey]*clientConn{},
 	}
 }
 
 // linkRetries is how often a call is tried again on another connection after
 // one that ended before anything was sent on it.
 // Not measured: chosen because each try needs a connection that ends just then.
-const linkRetries = 3
+const maxUnsentRetries = 3
 
 // Call sends request to a method of a peer and waits for its response, which
 // it stores into response, a pointer to a struct. It never sends a request
@@ -88,14 +88,14 @@
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
 	failure := c.call(ctx, to, method, request, response)
-	for range linkRetries {
+	for range maxUnsentRetries {
 		if failure == nil || failure.Sent || !errors.Is(failure.Err, ErrLost) {
 			break
 		}
 		// The pooled connection had just ended; nothing was sent on it.
 		failure = c.call(ctx, to, method, request, response)
 	}
-	c.metrics.calls.WithLabelValues(method, resultOf(failure)).Inc()
+	c.metrics.calls.WithLabelValues(method, resultLabel(failure)).Inc()
 	if failure == nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 	return wrap(failure)
 }
 
-func resultOf(failure *Error) string {
+func resultLabel(failure *Error) string {
 	if failure == nil {
 		return "answered"
 	}
@@ -112,54 +112,54 @@
 }
 
 func (c *Client) call(ctx context.Context, to netip.AddrPort, method string, request, response any) *Error {
-	l, err := c.link(to)
+	conn, err := c.acquire(to)
 	if err != nil {
 		return &Error{Step: StepDial, Err: err}
 	}
-	defer c.calls.Done()
+	defer c.activeCalls.Done()
 	select {
-	case <-l.ready:
+	case <-conn.ready:
 	case <-ctx.Done():
 		return &Error{Step: StepDial, Err: ctx.Err()}
 	}
-	if l.failure != nil {
-		return &Error{Step: l.failure.Step, Err: l.failure.Err}
+	if conn.dialErr != nil {
+		return &Error{Step: conn.dialErr.Step, Err: conn.dialErr.Err}
 	}
-	failure := l.exchange(ctx, method, request, response)
+	failure := conn.call(ctx, method, request, response)
 	if failure != nil && errors.Is(failure.Err, ErrLost) {
-		c.forget(l)
+		c.remove(conn)
 	}
 	return failure
 }
 
 // link returns a usable connection or one that is being opened, and counts a
 // running call.
-func (c *Client) link(to netip.AddrPort) (*clientLink, error) {
+func (c *Client) acquire(to netip.AddrPort) (*clientConn, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed {
 		return nil, ErrClosed
 	}
-	c.calls.Add(1)
-	c.turn = (c.turn + 1) % c.options.ConnectionsPerPeer
-	key := slotKey{peer: to, index: c.turn}
-	if l, ok := c.slots[key]; ok {
-		return l, nil
-	}
-	l := newClientLink(c, key)
-	c.slots[key] = l
-	c.links.Add(1)
-	go l.run()
-	return l, nil
+	c.activeCalls.Add(1)
+	c.nextIndex = (c.nextIndex + 1) % c.options.ConnectionsPerPeer
+	key := poolKey{peer: to, index: c.nextIndex}
+	if conn, ok := c.pool[key]; ok {
+		return conn, nil
+	}
+	conn := newClientConn(c, key)
+	c.pool[key] = conn
+	c.connGoroutines.Add(1)
+	go conn.run()
+	return conn, nil
 }
 
 // forget removes a link that takes no more calls, so that the next call opens
 // a new one.
-func (c *Client) forget(l *clientLink) {
+func (c *Client) remove(conn *clientConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.slots[l.key] == l {
-		delete(c.slots, l.key)
+	if c.pool[conn.key] == conn {
+		delete(c.pool, conn.key)
 	}
 }
 
@@ -169,35 +169,35 @@
 	c.mutex.Lock()
 	c.closed = true
 	c.mutex.Unlock()
-	c.calls.Wait()
-	c.stop()
+	c.activeCalls.Wait()
+	c.cancelDials()
 	c.mutex.Lock()
-	for _, l := range c.slots {
-		l.shut()
+	for _, conn := range c.pool {
+		conn.close()
 	}
 	c.mutex.Unlock()
-	c.links.Wait()
+	c.connGoroutines.Wait()
 	return nil
 }
 
 func (c *Client) dial(to netip.AddrPort) (net.Conn, *Error) {
-	ctx, cancel := context.WithTimeout(c.dialing, c.options.DialTimeout)
+	ctx, cancel := context.WithTimeout(c.dialCtx, c.options.DialTimeout)
 	defer cancel()
 	var dialer net.Dialer
-	connection, err := dialer.DialContext(ctx, "tcp", to.String())
+	netConn, err := dialer.DialContext(ctx, "tcp", to.String())
 	if err != nil {
 		return nil, &Error{Step: StepDial, Err: err}
 	}
 	deadline, _ := ctx.Deadline()
-	_ = connection.SetDeadline(deadline)
-	err = greet(connection)
+	_ = netConn.SetDeadline(deadline)
+	err = writeGreeting(netConn)
 	if err == nil {
-		err = expectGreeting(connection)
+		err = readGreeting(netConn)
 	}
 	if err != nil {
-		_ = connection.Close()
+		_ = netConn.Close()
 		return nil, &Error{Step: StepHandshake, Err: err}
 	}
-	_ = connection.SetDeadline(time.Time{})
-	return connection, nil
+	_ = netConn.SetDeadline(time.Time{})
+	return netConn, nil
 }
--- a/internal/peer/client_call.go
+++ b/internal/peer/client_call.go
@@ -8,69 +8,69 @@
 )
 
 // reply is what ends a call.
-type reply struct {
+type callResult struct {
 	value   reflect.Value // pointer to the response
 	failure *Error
 }
 
 // waiter is a call that waits for its response.
-type waiter struct {
-	kind  reflect.Type // type that response points to
-	reply chan reply   // holds one
+type pendingCall struct {
+	responseType reflect.Type    // type that response points to
+	result       chan callResult // holds one
 }
 
 // end hands the call its end; only the first one counts.
-func (w *waiter) end(r reply) {
+func (w *pendingCall) complete(r callResult) {
 	select {
-	case w.reply <- r:
+	case w.result <- r:
 	default:
 	}
 }
 
 // exchange runs one call on the established link.
-func (l *clientLink) exchange(ctx context.Context, method string, request, response any) *Error {
+func (c *clientConn) call(ctx context.Context, method string, request, response any) *Error {
 	target := reflect.ValueOf(response)
 	if target.Kind() != reflect.Pointer || target.IsNil() {
 		return &Error{Step: StepEncode, Err: fmt.Errorf("peer: response is %T, expected a pointer to a struct", response)}
 	}
-	waiting := &waiter{kind: target.Type().Elem(), reply: make(chan reply, 1)}
-	call, ok := l.enter(waiting)
+	pending := &pendingCall{responseType: target.Type().Elem(), result: make(chan callResult, 1)}
+	call, ok := c.register(pending)
 	if !ok {
 		return &Error{Step: StepQueue, Err: ErrLost}
 	}
-	defer l.leave(call)
+	defer c.unregister(call)
 	begun := time.Now()
-	frame := requestFrame(ctx, call, method, request, waiting)
+	frame := newRequestFrame(ctx, call, method, request, pending)
 	select {
-	case l.link.queue <- frame:
-	case <-l.link.done:
+	case c.framed.queue <- frame:
+	case <-c.framed.closed:
 		return &Error{Step: StepQueue, Err: ErrLost}
 	case <-ctx.Done():
 		return &Error{Step: StepQueue, Err: ctx.Err()}
 	}
 	select {
-	case got := <-waiting.reply:
-		return accept(got, target, frame)
+	case got := <-pending.result:
+		return storeResult(got, target, frame)
 	case <-ctx.Done():
-		failure := l.giveUp(ctx, call, frame)
-		l.closeIfSilent(begun)
+		failure := c.abandon(ctx, call, frame)
+		c.closeIfSilent(begun)
 		return failure
 	}
 }
 
-func requestFrame(ctx context.Context, call uint64, method string, request any, waiting *waiter) *outgoing {
-	frame := &outgoing{header: frameHeader{Kind: frameRequest, Call: call, Method: method}, body: request}
+func newRequestFrame(ctx context.Context, call uint64, method string, request any, pending *pendingCall) *outgoingFrame {
+	frame := &outgoingFrame{header: frameHeader{Kind: frameRequest, Call: call, Method: method}, body: request}
 	if deadline, ok := ctx.Deadline(); ok {
 		frame.header.Remaining = max(time.Until(deadline), 1)
 	}
-	frame.failed = func(err error) *outgoing {
-		waiting.end(reply{failure: &Error{Step: StepEncode, Err: err}})
+	frame.onEncodeError = func(err error) *outgoingFrame {
+		pending.complete(callResult{failure: &Error{Step: StepEncode, Err: err}})
 		return nil
 	}
 	return frame
 }
 
-func accept(got reply, target reflect.Value, frame *outgoing) *Error {
+func storeResult(got callResult, target reflect.Value, frame *outgoingFrame) *Error {
 	if got.failure == nil {
 		target.Elem().Set(got.value.Elem())
 		return nil
@@ -83,35 +83,35 @@
 }
 
 // giveUp ends a call whose context has ended and cancels it at the peer.
-func (l *clientLink) giveUp(ctx context.Context, call uint64, frame *outgoing) *Error {
+func (c *clientConn) abandon(ctx context.Context, call uint64, frame *outgoingFrame) *Error {
 	if frame.withdraw() {
 		return &Error{Step: StepQueue, Err: ctx.Err()}
 	}
 	select {
-	case l.link.queue <- &outgoing{header: frameHeader{Kind: frameCancel, Call: call}}:
+	case c.framed.queue <- &outgoingFrame{header: frameHeader{Kind: frameCancel, Call: call}}:
 	default: // the peer's deadline ends the call there
 	}
 	return &Error{Step: StepWait, Sent: true, Err: ctx.Err()}
 }
 
-func (l *clientLink) enter(waiting *waiter) (uint64, bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.lost || l.leaving {
+func (c *clientConn) register(pending *pendingCall) (uint64, bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.lost || c.draining {
 		return 0, false
 	}
-	l.last++
-	l.calls++
-	l.waiters[l.last] = waiting
-	l.used = time.Now()
-	return l.last, true
+	c.lastCall++
+	c.activeCalls++
+	c.pending[c.lastCall] = pending
+	c.lastUsed = time.Now()
+	return c.lastCall, true
 }
 
-func (l *clientLink) leave(call uint64) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.waiters, call)
-	l.calls--
-	l.used = time.Now()
-	l.closeIfLeft()
+func (c *clientConn) unregister(call uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.pending, call)
+	c.activeCalls--
+	c.lastUsed = time.Now()
+	c.closeIfDrained()
 }
--- a/internal/peer/client_read.go
+++ b/internal/peer/client_read.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-func (l *clientLink) read() error {
+func (c *clientConn) readFrames() error {
 	for {
 		var header frameHeader
-		if err := l.link.decoder.Decode(&header); err != nil {
+		if err := c.framed.decoder.Decode(&header); err != nil {
 			return err
 		}
 		var err error
 		switch header.Kind {
 		case frameResponse:
-			err = l.response(header)
+			err = c.handleResponse(header)
 		case frameGoAway:
-			l.goAway()
+			c.handleGoAway()
 		default:
-			err = l.link.skip(header)
+			err = c.framed.skipBody(header)
 		}
 		if err != nil {
 			return err
@@ -28,66 +28,66 @@
 	}
 }
 
-func (l *clientLink) goAway() {
-	l.client.forget(l)
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.leaving = true
-	l.closeIfLeft()
+func (c *clientConn) handleGoAway() {
+	c.client.remove(c)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.draining = true
+	c.closeIfDrained()
 }
 
 // response hands a response to its waiter; a late one finds none and is
 // dropped.
-func (l *clientLink) response(header frameHeader) error {
-	waiting := l.take(header.Call)
-	if waiting == nil {
-		return l.link.skip(header)
+func (c *clientConn) handleResponse(header frameHeader) error {
+	pending := c.takePending(header.Call)
+	if pending == nil {
+		return c.framed.skipBody(header)
 	}
 	switch {
 	case header.Refusal != refusedNone:
-		waiting.end(reply{failure: &Error{Step: StepRefused, Sent: true, NotExecuted: true,
+		pending.complete(callResult{failure: &Error{Step: StepRefused, Sent: true, NotExecuted: true,
 			Err: fmt.Errorf("%w: %s", ErrRefused, header.Refusal)}})
 	case header.Failure != "":
-		waiting.end(reply{failure: &Error{Step: StepHandler, Sent: true, Err: errors.New(header.Failure)}})
+		pending.complete(callResult{failure: &Error{Step: StepHandler, Sent: true, Err: errors.New(header.Failure)}})
 	default:
-		return l.deliver(header, waiting)
+		return c.decodeResponse(header, pending)
 	}
-	return l.link.skip(header)
+	return c.framed.skipBody(header)
 }
 
-func (l *clientLink) take(call uint64) *waiter {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.silence.heard(time.Now())
-	found := l.waiters[call]
-	delete(l.waiters, call)
+func (c *clientConn) takePending(call uint64) *pendingCall {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.silence.frameReceived(time.Now())
+	found := c.pending[call]
+	delete(c.pending, call)
 	return found
 }
 
-func (l *clientLink) deliver(header frameHeader, waiting *waiter) error {
-	value := reflect.New(waiting.kind)
+func (c *clientConn) decodeResponse(header frameHeader, pending *pendingCall) error {
+	value := reflect.New(pending.responseType)
 	if !header.HasBody {
-		waiting.end(reply{value: value})
+		pending.complete(callResult{value: value})
 		return nil
 	}
-	err := l.link.decoder.DecodeValue(value)
+	err := c.framed.decoder.DecodeValue(value)
 	if err != nil {
-		waiting.end(reply{failure: &Error{Step: StepDecode, Sent: true, Err: err}})
+		pending.complete(callResult{failure: &Error{Step: StepDecode, Sent: true, Err: err}})
 		return err
 	}
-	waiting.end(reply{value: value})
+	pending.complete(callResult{value: value})
 	return nil
 }
 
 // failAll ends all calls after the connection is lost. The writer has ended
 // before, so that the state of each frame is final.
-func (l *clientLink) failAll(err error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.lost = true
-	l.idle.Stop()
-	for call, waiting := range l.waiters {
-		delete(l.waiters, call)
-		waiting.end(reply{failure: &Error{Step: StepWait, Sent: true, Err: errors.Join(ErrLost, err)}})
+func (c *clientConn) failAll(err error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.lost = true
+	c.idleTimer.Stop()
+	for call, pending := range c.pending {
+		delete(c.pending, call)
+		pending.complete(callResult{failure: &Error{Step: StepWait, Sent: true, Err: errors.Join(ErrLost, err)}})
 	}
 }
--- a/internal/peer/datagrams.go
+++ b/internal/peer/datagrams.go
@@ -38,7 +38,7 @@
 // UnfragmentedDatagram bytes fits into one Ethernet frame; a larger one is
 // split by IP, and is lost if any part is.
 const (
-	MaximumDatagram      = 8 << 10
+	MaxDatagramSize      = 8 << 10
 	UnfragmentedDatagram = 1400
 )
 
@@ -85,9 +85,9 @@
 // Send writes one datagram. It may be lost, duplicated or reordered without
 // an error. The payload may be reused after Send returns.
 func (d *Datagrams) Send(kind Kind, to netip.AddrPort, payload []byte) error {
-	if len(payload) > MaximumDatagram {
+	if len(payload) > MaxDatagramSize {
 		d.metrics.dropped.WithLabelValues("too_large").Inc()
-		return sendError(to, fmt.Errorf("%w: %d bytes of %s, at most %d", ErrTooLarge, len(payload), kind, MaximumDatagram))
+		return sendError(to, fmt.Errorf("%w: %d bytes of %s, at most %d", ErrTooLarge, len(payload), kind, MaxDatagramSize))
 	}
 	packet := make([]byte, 0, len(payload)+1)
 	packet = append(packet, byte(kind))
@@ -113,7 +113,7 @@
 
 func (d *Datagrams) read() {
 	defer d.reader.Done()
-	buffer := make([]byte, MaximumDatagram+2)
+	buffer := make([]byte, MaxDatagramSize+2)
 	for {
 		size, from, err := d.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -124,12 +124,12 @@
 			d.metrics.dropped.WithLabelValues("read_failed").Inc()
 			continue
 		}
-		d.deliver(unmap(from), buffer[:size])
+		d.deliver(unmapAddress(from), buffer[:size])
 	}
 }
 
 func (d *Datagrams) deliver(from netip.AddrPort, packet []byte) {
-	if len(packet) == 0 || len(packet) > MaximumDatagram+1 {
+	if len(packet) == 0 || len(packet) > MaxDatagramSize+1 {
 		d.metrics.dropped.WithLabelValues("bad_size").Inc()
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 func (d *Datagrams) count(kind Kind, direction string, size int) {
-	d.metrics.packets.WithLabelValues(kind.String(), direction).Inc()
+	d.metrics.datagrams.WithLabelValues(kind.String(), direction).Inc()
 	d.metrics.bytes.WithLabelValues(kind.String(), direction).Add(float64(size))
 }
 
@@ -155,11 +155,11 @@
 
 func localAddress(address net.Addr) netip.AddrPort {
 	parsed, _ := netip.ParseAddrPort(address.String())
-	return unmap(parsed)
+	return unmapAddress(parsed)
 }
 
 // unmap turns an IPv4 address in IPv6 form into its plain form, so that
 // addresses compare equal.
-func unmap(address netip.AddrPort) netip.AddrPort {
+func unmapAddress(address netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -16,10 +16,10 @@
 	// MaximumMessage bounds one request or response, in bytes of gob.
 	// Not measured: chosen because it bounds what a peer can make this process
 	// hold for one frame.
-	MaximumMessage = 8 << 20
+	MaxMessageSize = 8 << 20
 
 	// maximumGreeting is the longest first line that is read, in bytes.
-	maximumGreeting = 64
+	maxGreetingSize = 64
 	// frameLengthSize is the size in bytes of the length before each frame.
 	frameLengthSize = 4
 	// handshakeTimeout bounds the greeting of a connection that is accepted.
@@ -96,15 +96,15 @@
 // are too long. It is an io.ByteReader, so that gob reads no further than it
 // has to.
 type frameReader struct {
-	source    io.Reader
-	remaining int
-	total     func(bytes int)
-	single    [1]byte
+	source     io.Reader
+	remaining  int
+	countFrame func(bytes int)
+	oneByte    [1]byte
 }
 
 func (r *frameReader) Read(p []byte) (int, error) {
 	if r.remaining == 0 {
-		if err := r.next(); err != nil {
+		if err := r.readLength(); err != nil {
 			return 0, err
 		}
 	}
@@ -117,37 +117,37 @@
 }
 
 func (r *frameReader) ReadByte() (byte, error) {
-	_, err := io.ReadFull(r, r.single[:])
-	return r.single[0], err
+	_, err := io.ReadFull(r, r.oneByte[:])
+	return r.oneByte[0], err
 }
 
-func (r *frameReader) next() error {
+func (r *frameReader) readLength() error {
 	var prefix [frameLengthSize]byte
 	if _, err := io.ReadFull(r.source, prefix[:]); err != nil {
 		return err
 	}
 	length := binary.BigEndian.Uint32(prefix[:])
-	if length == 0 || length > MaximumMessage {
-		return fmt.Errorf("%w: frame of %d bytes, at most %d", ErrTooLarge, length, MaximumMessage)
+	if length == 0 || length > MaxMessageSize {
+		return fmt.Errorf("%w: frame of %d bytes, at most %d", ErrTooLarge, length, MaxMessageSize)
 	}
 	r.remaining = int(length)
-	r.total(int(length) + frameLengthSize)
+	r.countFrame(int(length) + frameLengthSize)
 	return nil
 }
 
 // greet writes this side's greeting.
-func greet(connection net.Conn) error {
-	_, err := io.WriteString(connection, Greeting)
+func writeGreeting(netConn net.Conn) error {
+	_, err := io.WriteString(netConn, Greeting)
 	return err
 }
 
 // expectGreeting reads the other side's greeting, byte by byte so that nothing
 // behind it is consumed.
-func expectGreeting(connection net.Conn) error {
-	line := make([]byte, 0, maximumGreeting)
+func readGreeting(netConn net.Conn) error {
+	line := make([]byte, 0, maxGreetingSize)
 	var single [1]byte
-	for len(line) < maximumGreeting {
-		if _, err := io.ReadFull(connection, single[:]); err != nil {
+	for len(line) < maxGreetingSize {
+		if _, err := io.ReadFull(netConn, single[:]); err != nil {
 			return fmt.Errorf("%w: greeting %q ended early: %w", ErrHandshake, line, err)
 		}
 		line = append(line, single[0])
--- a/internal/peer/gobvalue/gobvalue.go
+++ b/internal/peer/gobvalue/gobvalue.go
@@ -19,12 +19,12 @@
 type Type[T any] struct {
 	// number is the encoded number that this process gave to T. It differs
 	// between processes, so it is taken off by Encode and put back by Decode.
-	number []byte
+	typeID []byte
 	states sync.Pool
 }
 
 // state is an encoder and a decoder that have seen the type.
-type state struct {
+type codecState struct {
 	output  bytes.Buffer
 	encoder *gob.Encoder
 	input   bytes.Buffer
@@ -40,12 +40,12 @@
 		return s
 	}
 	_, stream := newState(prefix, sample)
-	t.number = lastTypeNumber(stream)
+	t.typeID = lastTypeID(stream)
 	return t
 }
 
-func newState[T any](prefix string, sample T) (*state, []byte) {
-	s := &state{}
+func newState[T any](prefix string, sample T) (*codecState, []byte) {
+	s := &codecState{}
 	s.encoder = gob.NewEncoder(&s.output)
 	s.decoder = gob.NewDecoder(&s.input)
 	if err := s.encoder.Encode(&sample); err != nil {
@@ -63,7 +63,7 @@
 // Encode returns a value behind a header of the given size in bytes, which the
 // caller fills. The error is that of gob.
 func (t *Type[T]) Encode(value *T, headerSize int) ([]byte, error) {
-	s := t.states.Get().(*state)
+	s := t.states.Get().(*codecState)
 	s.output.Reset()
 	if err := s.encoder.Encode(value); err != nil {
 		// The encoder is not put back: its state after an error is unknown.
@@ -72,8 +72,8 @@
 	// The stream now holds one message: its length, the type's number, and the
 	// value.
 	message := s.output.Bytes()
-	_, width := gobUint(message)
-	body := message[width+len(t.number):]
+	_, width := readGobUint(message)
+	body := message[width+len(t.typeID):]
 	encoded := make([]byte, headerSize, headerSize+len(body))
 	encoded = append(encoded, body...)
 	t.states.Put(s)
@@ -83,10 +83,10 @@
 // Decode reads into value what Encode returned, without the header. The error
 // is that of gob.
 func (t *Type[T]) Decode(body []byte, value *T) error {
-	s := t.states.Get().(*state)
+	s := t.states.Get().(*codecState)
 	s.input.Reset()
-	s.input.Write(appendGobUint(nil, uint64(len(t.number)+len(body))))
-	s.input.Write(t.number)
+	s.input.Write(appendGobUint(nil, uint64(len(t.typeID)+len(body))))
+	s.input.Write(t.typeID)
 	s.input.Write(body)
 	if err := s.decoder.Decode(value); err != nil {
 		// The decoder is not put back: its state after an error is unknown.
@@ -98,11 +98,11 @@
 
 // lastTypeNumber finds the encoded type number in the last message of a
 // stream, the only one that is not a description.
-func lastTypeNumber(stream []byte) []byte {
+func lastTypeID(stream []byte) []byte {
 	for {
-		length, width := gobUint(stream)
+		length, width := readGobUint(stream)
 		if width+int(length) >= len(stream) {
-			_, numberWidth := gobUint(stream[width:])
+			_, numberWidth := readGobUint(stream[width:])
 			return bytes.Clone(stream[width : width+numberWidth])
 		}
 		stream = stream[width+int(length):]
@@ -111,7 +111,7 @@
 
 // gobUint reads an unsigned integer as gob writes it, and its width in bytes:
 // small ones in one byte, others as the negated count of bytes and the bytes.
-func gobUint(data []byte) (value uint64, width int) {
+func readGobUint(data []byte) (value uint64, width int) {
 	if data[0] < 0x80 {
 		return uint64(data[0]), 1
 	}
--- a/internal/peer/pair.go
+++ b/internal/peer/listen_pair.go
@@ -7,14 +7,14 @@
 )
 
 // pairAttempts bounds the search for a port number free on both protocols.
-const pairAttempts = 32
+const maxPortAttempts = 32
 
 // ListenPair opens a Server and Datagrams on the same address. With port 0 it
 // looks for a number that is free for both.
 func ListenPair(address netip.AddrPort, registerer prometheus.Registerer) (*Server, *Datagrams, error) {
 	attempts := 1
 	if address.Port() == 0 {
-		attempts = pairAttempts
+		attempts = maxPortAttempts
 	}
 	serverMetrics := newCallMetrics(registerer, "server")
 	datagramMetrics := newDatagramMetrics(registerer)
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -7,15 +7,15 @@
 )
 
 type datagramMetrics struct {
-	packets *prometheus.CounterVec
-	bytes   *prometheus.CounterVec
-	dropped *prometheus.CounterVec
+	datagrams *prometheus.CounterVec
+	bytes     *prometheus.CounterVec
+	dropped   *prometheus.CounterVec
 }
 
 func newDatagramMetrics(registerer prometheus.Registerer) *datagramMetrics {
 	factory := telemetry.NewFactory(registerer)
 	return &datagramMetrics{
-		packets: factory.Counters("micaplank_peer_datagrams_total",
+		datagrams: factory.Counters("micaplank_peer_datagrams_total",
 			"Datagrams, by kind and direction.", "kind", "direction"),
 		bytes: factory.Counters("micaplank_peer_datagram_bytes_total",
 			"Payload bytes of datagrams, by kind and direction.", "kind", "direction"),
@@ -32,7 +32,7 @@
 	bytes       *prometheus.CounterVec
 	connections prometheus.Gauge
 	// silent is nil on the server side: only the client can tell.
-	silent prometheus.Counter
+	silentConnections prometheus.Counter
 }
 
 func newCallMetrics(registerer prometheus.Registerer, side string) *callMetrics {
@@ -46,7 +46,7 @@
 			"Open connections on the "+side+" side."),
 	}
 	if side == clientSide {
-		m.silent = factory.Counter("micaplank_peer_client_silent_connections_total",
+		m.silentConnections = factory.Counter("micaplank_peer_client_silent_connections_total",
 			"Connections that were closed on the client side since they had gone silent.")
 	}
 	return m
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -57,14 +57,14 @@
 		}
 	})
 	peer.Register(server, "grow", func(context.Context, netip.AddrPort, *echoRequest) (*echoResponse, error) {
-		return &echoResponse{Data: make([]byte, peer.MaximumMessage+1)}, nil
+		return &echoResponse{Data: make([]byte, peer.MaxMessageSize+1)}, nil
 	})
 	server.Serve()
-	t.Cleanup(func() { _ = server.Close(endedContext()) })
+	t.Cleanup(func() { _ = server.Close(cancelledContext()) })
 	return server, started, release
 }
 
-func endedContext() context.Context {
+func cancelledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
@@ -77,7 +77,7 @@
 	return client
 }
 
-func wantError(t *testing.T, err error, step peer.Step, sent, notExecuted bool) {
+func checkError(t *testing.T, err error, step peer.Step, sent, notExecuted bool) {
 	t.Helper()
 	var failure *peer.Error
 	if !errors.As(err, &failure) {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestCallsShareConnectionsAndGetTheirOwnResponses(t *testing.T) {
+func TestConcurrentCallsGetTheirResponses(t *testing.T) {
 	server, _, _ := startServer(t)
 	client := newClient(t, peer.ClientOptions{ConnectionsPerPeer: 2})
 	var calls sync.WaitGroup
@@ -106,27 +106,27 @@
 	calls.Wait()
 }
 
-func TestErrorsSayWhetherThePeerCanHaveExecuted(t *testing.T) {
+func TestCallErrors(t *testing.T) {
 	server, started, release := startServer(t)
 	client := newClient(t, peer.ClientOptions{})
 	ctx := context.Background()
 	var response echoResponse
 
-	wantError(t, client.Call(ctx, netip.MustParseAddrPort("127.0.0.1:1"), "echo", &echoRequest{}, &response),
+	checkError(t, client.Call(ctx, netip.MustParseAddrPort("127.0.0.1:1"), "echo", &echoRequest{}, &response),
 		peer.StepDial, false, true)
-	wantError(t, client.Call(ctx, server.Address(), "nothing", &echoRequest{}, &response), peer.StepRefused, true, true)
-	wantError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Number: -1}, &response),
+	checkError(t, client.Call(ctx, server.Address(), "nothing", &echoRequest{}, &response), peer.StepRefused, true, true)
+	checkError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Number: -1}, &response),
 		peer.StepHandler, true, false)
-	wantError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Data: make([]byte, peer.MaximumMessage+1)}, &response),
+	checkError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Data: make([]byte, peer.MaxMessageSize+1)}, &response),
 		peer.StepEncode, false, true)
-	wantError(t, client.Call(ctx, server.Address(), "grow", &echoRequest{}, &response), peer.StepHandler, true, false)
+	checkError(t, client.Call(ctx, server.Address(), "grow", &echoRequest{}, &response), peer.StepHandler, true, false)
 
 	limited, cancel := context.WithCancel(ctx)
 	go func() {
 		<-started
 		cancel()
 	}()
-	wantError(t, client.Call(limited, server.Address(), "hold", &echoRequest{Number: 7}, &response), peer.StepWait, true, false)
+	checkError(t, client.Call(limited, server.Address(), "hold", &echoRequest{Number: 7}, &response), peer.StepWait, true, false)
 	if stopped := <-started; stopped != -7 {
 		t.Fatalf("the handler ended with %d, want its context cancelled", stopped)
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestCloseOfTheServerLetsCallsFinish(t *testing.T) {
+func TestServerCloseFinishesRunningCalls(t *testing.T) {
 	server, started, release := startServer(t)
 	client := newClient(t, peer.ClientOptions{})
 	var calls sync.WaitGroup
@@ -172,12 +172,12 @@
 	calls.Wait()
 }
 
-func TestLostConnectionEndsCallsAtOnce(t *testing.T) {
+func TestLostConnectionFailsCalls(t *testing.T) {
 	server, started, _ := startServer(t)
 	client := newClient(t, peer.ClientOptions{})
 	go func() {
 		<-started
-		_ = server.Close(endedContext())
+		_ = server.Close(cancelledContext())
 	}()
 	err := client.Call(context.Background(), server.Address(), "hold", &echoRequest{}, &echoResponse{})
 	var failure *peer.Error
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestIdleConnectionsAreClosedAndReopened(t *testing.T) {
+func TestCallsAfterIdleTimeout(t *testing.T) {
 	server, _, _ := startServer(t)
 	client := newClient(t, peer.ClientOptions{IdleTimeout: time.Millisecond})
 	for range 20 {
@@ -197,13 +197,13 @@
 	}
 }
 
-func TestWrongPeerIsToldClearly(t *testing.T) {
+func TestHandshakeMismatch(t *testing.T) {
 	web := httptest.NewServer(http.NotFoundHandler())
 	defer web.Close()
 	address := netip.MustParseAddrPort(web.Listener.Addr().String())
 	client := newClient(t, peer.ClientOptions{})
 	err := client.Call(context.Background(), address, "echo", &echoRequest{}, &echoResponse{})
-	wantError(t, err, peer.StepHandshake, false, true)
+	checkError(t, err, peer.StepHandshake, false, true)
 	if !errors.Is(err, peer.ErrHandshake) || !bytes.Contains([]byte(err.Error()), []byte("HTTP/1.1 400")) {
 		t.Fatalf("got %v, want the greeting of the wrong peer", err)
 	}
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestDatagramsReachTheHandlerOfTheirKind(t *testing.T) {
+func TestDatagramDispatchByKind(t *testing.T) {
 	server, left, err := peer.ListenPair(loopback, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -253,7 +253,7 @@
 	if got := <-arrivals; got.from != left.Address() || got.payload != "hello" {
 		t.Fatalf("got %v", got)
 	}
-	err = left.Send(peer.KindExchange, right.Address(), make([]byte, peer.MaximumDatagram+1))
+	err = left.Send(peer.KindExchange, right.Address(), make([]byte, peer.MaxDatagramSize+1))
 	if !errors.Is(err, peer.ErrTooLarge) {
 		t.Fatalf("got %v, want ErrTooLarge", err)
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,12 +15,12 @@
 // maximumCalls bounds the calls that run at once for one connection; more are
 // refused.
 // Not measured: chosen because it bounds the goroutines that a peer can start.
-const maximumCalls = 4096
+const maxConcurrentCalls = 4096
 
 // method is a registered handler with the type of its request.
-type method struct {
+type registeredMethod struct {
 	newRequest func() any
-	run        func(ctx context.Context, from netip.AddrPort, request any) (any, error)
+	handle     func(ctx context.Context, from netip.AddrPort, request any) (any, error)
 }
 
 // Server takes calls from peers.
@@ -28,14 +28,14 @@
 	listener net.Listener
 	metrics  *callMetrics
 
-	mutex    sync.Mutex
-	methods  map[string]method
-	links    map[*serverLink]struct{}
-	greeting map[net.Conn]struct{} // connections that have not greeted yet
-	draining bool
-	closed   bool
+	mutex       sync.Mutex
+	methods     map[string]registeredMethod
+	conns       map[*serverConn]struct{}
+	handshaking map[net.Conn]struct{} // connections that have not greeted yet
+	draining    bool
+	closed      bool
 
-	running sync.WaitGroup
+	goroutines sync.WaitGroup
 }
 
 // Listen opens a TCP listener at address (port 0 picks a free one). Calls are
@@ -50,11 +50,11 @@
 		return nil, oops.In("peer").With("step", "listen").With("peer", address.String()).Wrap(err)
 	}
 	return &Server{
-		listener: listener,
-		metrics:  metrics,
-		methods:  map[string]method{},
-		links:    map[*serverLink]struct{}{},
-		greeting: map[net.Conn]struct{}{},
+		listener:    listener,
+		metrics:     metrics,
+		methods:     map[string]registeredMethod{},
+		conns:       map[*serverConn]struct{}{},
+		handshaking: map[net.Conn]struct{}{},
 	}, nil
 }
 
@@ -68,9 +68,9 @@
 ) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.methods[name] = method{
+	server.methods[name] = registeredMethod{
 		newRequest: func() any { return new(Request) },
-		run: func(ctx context.Context, from netip.AddrPort, request any) (any, error) {
+		handle: func(ctx context.Context, from netip.AddrPort, request any) (any, error) {
 			response, err := handler(ctx, from, request.(*Request))
 			if err != nil {
 				return nil, err
@@ -85,14 +85,14 @@
 
 // Serve starts to accept connections and returns at once.
 func (s *Server) Serve() {
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	go s.accept()
 }
 
 func (s *Server) accept() {
-	defer s.running.Done()
+	defer s.goroutines.Done()
 	for {
-		connection, err := s.listener.Accept()
+		netConn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -101,108 +101,108 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.running.Add(1)
-		go s.greet(connection)
+		s.goroutines.Add(1)
+		go s.handshake(netConn)
 	}
 }
 
-func (s *Server) greet(connection net.Conn) {
-	defer s.running.Done()
-	if !s.beginGreeting(connection) {
-		_ = connection.Close()
+func (s *Server) handshake(netConn net.Conn) {
+	defer s.goroutines.Done()
+	if !s.addHandshaking(netConn) {
+		_ = netConn.Close()
 		return
 	}
-	_ = connection.SetDeadline(time.Now().Add(handshakeTimeout))
+	_ = netConn.SetDeadline(time.Now().Add(handshakeTimeout))
 	// The greeting is answered also if the other side's is wrong: it then
 	// sees whom it has reached.
-	wrong := expectGreeting(connection)
-	unsent := greet(connection)
-	s.endGreeting(connection)
+	wrong := readGreeting(netConn)
+	unsent := writeGreeting(netConn)
+	s.removeHandshaking(netConn)
 	if unsent != nil || wrong != nil {
 		s.metrics.calls.WithLabelValues("", "handshake_failed").Inc()
-		_ = connection.Close()
+		_ = netConn.Close()
 		return
 	}
-	_ = connection.SetDeadline(time.Time{})
-	s.serve(connection)
+	_ = netConn.SetDeadline(time.Time{})
+	s.serve(netConn)
 }
 
-func (s *Server) beginGreeting(connection net.Conn) bool {
+func (s *Server) addHandshaking(netConn net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.greeting[connection] = struct{}{}
+	s.handshaking[netConn] = struct{}{}
 	return true
 }
 
-func (s *Server) endGreeting(connection net.Conn) {
+func (s *Server) removeHandshaking(netConn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.greeting, connection)
+	delete(s.handshaking, netConn)
 }
 
-func (s *Server) serve(connection net.Conn) {
+func (s *Server) serve(netConn net.Conn) {
 	sent := s.metrics.bytes.WithLabelValues("sent")
 	received := s.metrics.bytes.WithLabelValues("received")
-	l := &serverLink{
-		server: s,
-		from:   localAddress(connection.RemoteAddr()),
-		calls:  map[uint64]context.CancelFunc{},
-		link: newLink(connection,
+	conn := &serverConn{
+		server:  s,
+		remote:  localAddress(netConn.RemoteAddr()),
+		cancels: map[uint64]context.CancelFunc{},
+		framed: newFramedConn(netConn,
 			func(bytes int) { sent.Add(float64(bytes)) },
 			func(bytes int) { received.Add(float64(bytes)) }),
 	}
-	if !s.add(l) {
-		l.link.close()
-		l.link.writer.Wait()
+	if !s.addConn(conn) {
+		conn.framed.close()
+		conn.framed.writerDone.Wait()
 		return
 	}
-	l.read()
-	l.link.close()
-	l.cancelAll()
-	l.link.writer.Wait()
-	s.remove(l)
+	conn.readFrames()
+	conn.framed.close()
+	conn.cancelAll()
+	conn.framed.writerDone.Wait()
+	s.removeConn(conn)
 }
 
-func (s *Server) add(l *serverLink) bool {
+func (s *Server) addConn(conn *serverConn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.links[l] = struct{}{}
+	s.conns[conn] = struct{}{}
 	s.metrics.connections.Inc()
 	if s.draining {
-		s.running.Go(l.end)
+		s.goroutines.Go(conn.drain)
 	}
 	return true
 }
 
-func (s *Server) remove(l *serverLink) {
+func (s *Server) removeConn(conn *serverConn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.links, l)
+	delete(s.conns, conn)
 	s.metrics.connections.Dec()
 }
 
-// admit finds the method of a request and counts the request as running on l,
+// admit finds the method of a request and counts the request as running on conn,
 // unless it is refused.
-func (s *Server) admit(header frameHeader, l *serverLink) (method, refusal) {
+func (s *Server) admit(header frameHeader, conn *serverConn) (registeredMethod, refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	found, ok := s.methods[header.Method]
 	switch {
 	case !ok:
-		return method{}, refusedUnknownMethod
+		return registeredMethod{}, refusedUnknownMethod
 	case s.draining:
-		return method{}, refusedDraining
-	case l.inFlight() >= maximumCalls:
-		return method{}, refusedBusy
+		return registeredMethod{}, refusedDraining
+	case conn.inFlight() >= maxConcurrentCalls:
+		return registeredMethod{}, refusedBusy
 	case header.Remaining < 0:
-		return method{}, refusedLate
+		return registeredMethod{}, refusedLate
 	}
-	l.handlers.Add(1)
+	conn.handlers.Add(1)
 	return found, refusedNone
 }
--- a/internal/peer/drain.go
+++ b/internal/peer/shutdown.go
@@ -9,7 +9,7 @@
 // calls, for a peer that was asked to leave it: until then its calls on the way are
 // refused, not cut off. A peer in touch leaves within a round trip; the bound
 // counts for one that is frozen or cut off, and is what that adds to a stop.
-const leaveTimeout = time.Second
+const drainTimeout = time.Second
 
 // Close stops to accept, refuses new calls and waits until the running ones
 // have been answered and the peers have left, or ctx ends; then it closes all
@@ -18,7 +18,7 @@
 	s.drain()
 	ended := make(chan struct{})
 	go func() {
-		s.running.Wait()
+		s.goroutines.Wait()
 		close(ended)
 	}()
 	var err error
@@ -42,11 +42,11 @@
 		return
 	}
 	s.draining = true
-	for l := range s.links {
-		s.running.Go(l.end)
+	for conn := range s.conns {
+		s.goroutines.Go(conn.drain)
 	}
-	for connection := range s.greeting {
-		_ = connection.SetDeadline(time.Now().Add(leaveTimeout))
+	for netConn := range s.handshaking {
+		_ = netConn.SetDeadline(time.Now().Add(drainTimeout))
 	}
 }
 
@@ -55,30 +55,30 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
-	for l := range s.links {
-		l.link.close()
+	for conn := range s.conns {
+		conn.framed.close()
 	}
-	for connection := range s.greeting {
-		_ = connection.Close()
+	for netConn := range s.handshaking {
+		_ = netConn.Close()
 	}
 }
 
 // end asks the peer to leave, waits until the running handlers have been
 // answered and the peer has closed the connection, and closes it if it has not.
-func (l *serverLink) end() {
-	l.goAway()
-	l.handlers.Wait()
+func (c *serverConn) drain() {
+	c.sendGoAway()
+	c.handlers.Wait()
 	select {
-	case <-l.link.done:
-	case <-time.After(leaveTimeout):
-		l.link.send(&outgoing{last: true})
+	case <-c.framed.closed:
+	case <-time.After(drainTimeout):
+		c.framed.send(&outgoingFrame{closeAfterFlush: true})
 	}
 }
 
-func (l *serverLink) goAway() {
-	frame := &outgoing{header: frameHeader{Kind: frameGoAway}}
+func (c *serverConn) sendGoAway() {
+	frame := &outgoingFrame{header: frameHeader{Kind: frameGoAway}}
 	select {
-	case l.link.queue <- frame:
+	case c.framed.queue <- frame:
 	default: // the peer is refused instead
 	}
 }
--- a/internal/peer/drain_test.go
+++ b/internal/peer/shutdown_test.go
@@ -14,7 +14,7 @@
 // TestPlannedStopLosesNoCall stops servers that are called all the time. Each call
 // is answered, or proves that it was not executed: one that comes to the server
 // after its last answer is refused, and not cut off.
-func TestPlannedStopLosesNoCall(t *testing.T) {
+func TestServerCloseInterruptsNoCall(t *testing.T) {
 	const rounds, callers = 40, 4
 	for round := range rounds {
 		server, _, _ := startServer(t)
@@ -47,7 +47,7 @@
 
 // TestPlannedStopDoesNotWaitForCallersThatAreSilent: a connection on which nothing
 // is read any more, and one that never greets, hold a stop only for a while.
-func TestPlannedStopDoesNotWaitForCallersThatAreSilent(t *testing.T) {
+func TestServerCloseDoesNotWaitForUnresponsivePeers(t *testing.T) {
 	server, _, _ := startServer(t)
 	mute, err := net.Dial("tcp", server.Address().String())
 	if err != nil {
--- a/internal/peer/silence_test.go
+++ b/internal/peer/silence_test.go
@@ -8,7 +8,7 @@
 // TestSilence covers which waits in vain make a connection silent. Each case lists
 // calls that were given up, as begin and end in milliseconds, or a frame as one
 // moment twice.
-func TestSilence(t *testing.T) {
+func TestSilenceDetector(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		events [][2]int
@@ -23,16 +23,16 @@
 		{"silent after a frame", [][2]int{{10, 10}, {20, 400}, {420, 800}}, true},
 		{"waits that overlap", [][2]int{{0, 400}, {100, 500}, {200, 750}}, true},
 	} {
-		var s silence
+		var s silenceDetector
 		origin := time.Now()
 		at := func(ms int) time.Time { return origin.Add(time.Duration(ms) * time.Millisecond) }
 		got := false
 		for _, one := range test.events {
 			if one[0] == one[1] {
-				s.heard(at(one[0]))
+				s.frameReceived(at(one[0]))
 				continue
 			}
-			got = s.waited(at(one[0]), at(one[1])) || got
+			got = s.callAbandoned(at(one[0]), at(one[1])) || got
 		}
 		if got != test.want {
 			t.Errorf("%s: silent %v, want %v", test.name, got, test.want)
