--- a/internal/peer/benchmark_test.go
+++ b/internal/peer/benchmark_test.go
@@ -8,8 +8,7 @@
 	"github.com/micaplank/micaplank/internal/peer"
 )
 
-// BenchmarkCall is a call with 1 KiB each way over loopback, many at once on
-// one connection.
+// BenchmarkCall measures concurrent calls with 1 KiB in each direction on one loopback connection.
 func BenchmarkCall(b *testing.B) {
 	server, err := peer.Listen(loopback, nil)
 	if err != nil {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -11,16 +11,17 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// ClientOptions are the limits of a Client. Zero fields take the defaults.
+// ClientOptions configures a Client. A field that is zero or negative takes its default.
 type ClientOptions struct {
-	// ConnectionsPerPeer is how many connections calls to one peer share.
-	// Default 1.
+	// ConnectionsPerPeer is the number of connections that the calls to one peer share; 1 by
+	// default.
 	ConnectionsPerPeer int
-	// DialTimeout bounds the connect and the handshake together. Default 1 s.
+	// DialTimeout is the timeout of a dial, including the handshake; 1 s by default.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection without calls is kept. Default 60 s.
+	// IdleTimeout is how long a connection without calls is kept open; 60 s by default.
 	IdleTimeout time.Duration
-	// CallTimeout bounds calls whose context has no deadline. Default 30 s.
+	// CallTimeout is the timeout of a call, also if the deadline of its context is later; 30 s by
+	// default.
 	CallTimeout time.Duration
 }
 
@@ -40,13 +41,13 @@
 	return o
 }
 
-// slotKey names one of the connections to a peer.
+// poolKey identifies one of the connections to a peer.
 type poolKey struct {
 	peer  netip.AddrPort
 	index int
 }
 
-// Client calls peers over pooled connections. It is safe for concurrent use.
+// Client calls peers over a connection pool. It is safe for concurrent use.
 type Client struct {
 	options     ClientOptions
 	metrics     *callMetrics
@@ -58,32 +59,31 @@
 	nextIndex int
 	closed    bool
 
-	activeCalls    sync.WaitGroup // running calls
-	connGoroutines sync.WaitGroup // goroutines of links
+	activeCalls    sync.WaitGroup
+	connGoroutines sync.WaitGroup
 }
 
-// NewClient returns a client without connections; they are opened by calls.
+// NewClient returns a client without connections. Calls open connections when they need them.
 func NewClient(options ClientOptions, registerer prometheus.Registerer) *Client {
-	dialing, stop := context.WithCancel(context.Background())
+	dialCtx, cancelDials := context.WithCancel(context.Background())
 	return &Client{
 		options:     options.withDefaults(),
 		metrics:     newCallMetrics(registerer, clientSide),
-		dialCtx:     dialing,
-		cancelDials: stop,
+		dialCtx:     dialCtx,
+		cancelDials: cancelDials,
 		pool:        map[poolKey]*clientConn{},
 	}
 }
 
-// linkRetries is how often a call is tried again on another connection after
-// one that ended before anything was sent on it.
-// Not measured: chosen because each try needs a connection that ends just then.
+// maxUnsentRetries is how often a call is retried on another connection if its connection is lost
+// before any byte of the request is sent. It is small because each retry requires another
+// connection that is lost at that moment.
 const maxUnsentRetries = 3
 
-// Call sends request to a method of a peer and waits for its response, which
-// it stores into response, a pointer to a struct. It never sends a request
-// twice: it tries again only if no byte of it was sent. It blocks until the
-// response, the end of ctx or the loss of the connection. Its errors are of type
-// *Error (use errors.As).
+// Call sends request to a method of a peer and stores the reply in response, a pointer to a struct.
+// It blocks until the response arrives, ctx ends or the connection is lost. It sends a request at
+// most once: it retries only if no byte of the request was sent. Errors wrap an *Error; use
+// errors.As.
 func (c *Client) Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
@@ -92,7 +92,7 @@
 		if failure == nil || failure.Sent || !errors.Is(failure.Err, ErrLost) {
 			break
 		}
-		// The pooled connection had just ended; nothing was sent on it.
+		// The pooled connection was lost before anything was sent on it.
 		failure = c.call(ctx, to, method, request, response)
 	}
 	c.metrics.calls.WithLabelValues(method, resultLabel(failure)).Inc()
@@ -104,6 +104,7 @@
 	return wrap(failure)
 }
 
+// resultLabel returns the value of the label "result" of the metric of calls.
 func resultLabel(failure *Error) string {
 	if failure == nil {
 		return "answered"
@@ -132,8 +133,7 @@
 	return failure
 }
 
-// link returns a usable connection or one that is being opened, and counts a
-// running call.
+// acquire returns a pooled connection, which may still be dialing, and counts one more active call.
 func (c *Client) acquire(to netip.AddrPort) (*clientConn, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -153,7 +153,7 @@
 	return conn, nil
 }
 
-// forget removes a link that takes no more calls, so that the next call opens
+// remove removes a connection that accepts no more calls from the pool, so that the next call opens
 // a new one.
 func (c *Client) remove(conn *clientConn) {
 	c.mutex.Lock()
@@ -163,8 +163,7 @@
 	}
 }
 
-// Close refuses new calls, waits until the running ones have ended, and closes
-// all connections.
+// Close rejects new calls, waits until the active calls have ended, and closes all connections.
 func (c *Client) Close() error {
 	c.mutex.Lock()
 	c.closed = true
@@ -180,6 +179,7 @@
 	return nil
 }
 
+// dial opens a connection to a peer and performs the handshake.
 func (c *Client) dial(to netip.AddrPort) (net.Conn, *Error) {
 	ctx, cancel := context.WithTimeout(c.dialCtx, c.options.DialTimeout)
 	defer cancel()
--- a/internal/peer/client_call.go
+++ b/internal/peer/client_call.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// reply is what ends a call.
+// callResult is the result of a call.
 type callResult struct {
 	value   reflect.Value // pointer to the response
 	failure *Error
 }
 
-// waiter is a call that waits for its response.
+// pendingCall is a call without a response.
 type pendingCall struct {
-	responseType reflect.Type    // type that response points to
-	result       chan callResult // holds one
+	responseType reflect.Type    // type to which the caller's response points
+	result       chan callResult // buffered for one result
 }
 
-// end hands the call its end; only the first one counts.
-func (w *pendingCall) complete(r callResult) {
+// complete delivers the result of the call. Any later result is dropped.
+func (p *pendingCall) complete(r callResult) {
 	select {
-	case w.result <- r:
+	case p.result <- r:
 	default:
 	}
 }
 
-// exchange runs one call on the established link.
+// call performs one call on the established connection.
 func (c *clientConn) call(ctx context.Context, method string, request, response any) *Error {
 	target := reflect.ValueOf(response)
 	if target.Kind() != reflect.Pointer || target.IsNil() {
-		return &Error{Step: StepEncode, Err: fmt.Errorf("peer: response is %T, expected a pointer to a struct", response)}
+		return &Error{Step: StepEncode, Err: fmt.Errorf("peer: response is %T, want a non-nil pointer to a struct", response)}
 	}
 	pending := &pendingCall{responseType: target.Type().Elem(), result: make(chan callResult, 1)}
-	call, ok := c.register(pending)
+	callID, ok := c.register(pending)
 	if !ok {
 		return &Error{Step: StepQueue, Err: ErrLost}
 	}
-	defer c.unregister(call)
-	begun := time.Now()
-	frame := newRequestFrame(ctx, call, method, request, pending)
+	defer c.unregister(callID)
+	startedAt := time.Now()
+	frame := newRequestFrame(ctx, callID, method, request, pending)
 	select {
 	case c.framed.queue <- frame:
 	case <-c.framed.closed:
@@ -49,17 +49,19 @@
 		return &Error{Step: StepQueue, Err: ctx.Err()}
 	}
 	select {
-	case got := <-pending.result:
-		return storeResult(got, target, frame)
+	case result := <-pending.result:
+		return storeResult(result, target, frame)
 	case <-ctx.Done():
-		failure := c.abandon(ctx, call, frame)
-		c.closeIfSilent(begun)
+		failure := c.abandon(ctx, callID, frame)
+		c.closeIfSilent(startedAt)
 		return failure
 	}
 }
 
-func newRequestFrame(ctx context.Context, call uint64, method string, request any, pending *pendingCall) *outgoingFrame {
-	frame := &outgoingFrame{header: frameHeader{Kind: frameRequest, Call: call, Method: method}, body: request}
+// newRequestFrame returns the request frame of a call. If the frame cannot be encoded, the call
+// ends with that error.
+func newRequestFrame(ctx context.Context, callID uint64, method string, request any, pending *pendingCall) *outgoingFrame {
+	frame := &outgoingFrame{header: frameHeader{Kind: frameRequest, Call: callID, Method: method}, body: request}
 	if deadline, ok := ctx.Deadline(); ok {
 		frame.header.Remaining = max(time.Until(deadline), 1)
 	}
@@ -70,30 +72,35 @@
 	return frame
 }
 
-func storeResult(got callResult, target reflect.Value, frame *outgoingFrame) *Error {
-	if got.failure == nil {
-		target.Elem().Set(got.value.Elem())
+// storeResult stores the response of a successful call in target, and returns the error of a failed
+// one.
+func storeResult(result callResult, target reflect.Value, frame *outgoingFrame) *Error {
+	if result.failure == nil {
+		target.Elem().Set(result.value.Elem())
 		return nil
 	}
-	if got.failure.Step == StepWait {
-		// The connection was lost; the frame may not have reached the writer.
-		got.failure.Sent = !frame.withdraw()
+	if result.failure.Step == StepWait {
+		// The connection was lost, possibly before the writer took the frame from the queue.
+		result.failure.Sent = !frame.withdraw()
 	}
-	return got.failure
+	return result.failure
 }
 
-// giveUp ends a call whose context has ended and cancels it at the peer.
-func (c *clientConn) abandon(ctx context.Context, call uint64, frame *outgoingFrame) *Error {
+// abandon ends a call whose context has ended. If the request may have been sent, abandon cancels
+// it at the peer.
+func (c *clientConn) abandon(ctx context.Context, callID uint64, frame *outgoingFrame) *Error {
 	if frame.withdraw() {
 		return &Error{Step: StepQueue, Err: ctx.Err()}
 	}
 	select {
-	case c.framed.queue <- &outgoingFrame{header: frameHeader{Kind: frameCancel, Call: call}}:
-	default: // the peer's deadline ends the call there
+	case c.framed.queue <- &outgoingFrame{header: frameHeader{Kind: frameCancel, Call: callID}}:
+	default: // the queue is full; the deadline that the peer received ends the call there
 	}
 	return &Error{Step: StepWait, Sent: true, Err: ctx.Err()}
 }
 
+// register adds a pending call and returns its ID. It returns false if the connection accepts no
+// new calls.
 func (c *clientConn) register(pending *pendingCall) (uint64, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -107,10 +114,11 @@
 	return c.lastCall, true
 }
 
-func (c *clientConn) unregister(call uint64) {
+// unregister removes a call that has ended.
+func (c *clientConn) unregister(callID uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.pending, call)
+	delete(c.pending, callID)
 	c.activeCalls--
 	c.lastUsed = time.Now()
 	c.closeIfDrained()
--- a/internal/peer/client_conn.go
+++ b/internal/peer/client_conn.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// clientLink is one connection to a peer with the calls that run on it.
+// clientConn is one connection to a peer with its calls.
 type clientConn struct {
 	client *Client
 	key    poolKey
-	// ready is closed once the connection stands or has failed; link and
-	// failure are set before and constant afterwards.
+	// ready is closed when the dial has ended. framed and dialErr are set before and do not change
+	// afterwards.
 	ready   chan struct{}
 	framed  *framedConn
 	dialErr *Error
 
 	mutex       sync.Mutex
-	pending     map[uint64]*pendingCall // of calls without a response yet
-	activeCalls int                     // that have not ended; some have their response
+	pending     map[uint64]*pendingCall // by call ID
+	activeCalls int                     // calls that have not returned; some may have their response
 	lastCall    uint64
 	lost        bool
-	draining    bool // the peer is draining, or the link is idle: no new calls
+	draining    bool // accepts no new calls because the peer is draining or the connection is idle
 	lastUsed    time.Time
 	idleTimer   *time.Timer
 	silence     silenceDetector
@@ -36,7 +36,7 @@
 	}
 }
 
-// run opens the connection and reads from it until it ends.
+// run opens the connection and reads from it until it is closed or lost.
 func (c *clientConn) run() {
 	defer c.client.connGoroutines.Done()
 	netConn, failure := c.client.dial(c.key.peer)
@@ -63,7 +63,8 @@
 	metrics.connections.Dec()
 }
 
-// shut closes an established link. The client's dial context ends the others.
+// close closes the connection if it is established. A dial in progress ends with Client.dialCtx
+// instead.
 func (c *clientConn) close() {
 	select {
 	case <-c.ready:
@@ -74,12 +75,13 @@
 	}
 }
 
-// closeIfIdle closes the link if it has had no call for the idle timeout.
+// closeIfIdle closes the connection if it had no call for the idle timeout, and otherwise restarts
+// the idle timer.
 func (c *clientConn) closeIfIdle() {
 	timeout := c.client.options.IdleTimeout
 	c.mutex.Lock()
-	rest := timeout - time.Since(c.lastUsed)
-	idle := c.activeCalls == 0 && rest <= 0
+	remaining := timeout - time.Since(c.lastUsed)
+	idle := c.activeCalls == 0 && remaining <= 0
 	if idle {
 		c.draining = true
 	}
@@ -88,9 +90,10 @@
 		c.framed.close()
 		return
 	}
-	c.startIdleTimer(max(rest, timeout/4))
+	c.startIdleTimer(max(remaining, timeout/4))
 }
 
+// startIdleTimer schedules closeIfIdle unless the connection is lost.
 func (c *clientConn) startIdleTimer(after time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -99,11 +102,11 @@
 	}
 }
 
-// closeIfSilent ends the connection if it has gone silent, by the wait of a call
-// that has been given up: no other call on it would get an answer.
-func (c *clientConn) closeIfSilent(begun time.Time) {
+// closeIfSilent records that a call was abandoned, and closes the connection if it counts as dead:
+// other calls on it would receive no response either.
+func (c *clientConn) closeIfSilent(startedAt time.Time) {
 	c.mutex.Lock()
-	silent := c.silence.callAbandoned(begun, time.Now())
+	silent := c.silence.callAbandoned(startedAt, time.Now())
 	c.mutex.Unlock()
 	if !silent {
 		return
@@ -113,8 +116,8 @@
 	c.framed.close()
 }
 
-// closeIfLeft closes the link once its last call has ended, if it takes no new
-// ones: a peer that drains waits for that.
+// closeIfDrained closes the connection if it accepts no new calls and its last call has ended. A
+// draining server waits for this. The caller holds the mutex.
 func (c *clientConn) closeIfDrained() {
 	if c.draining && c.activeCalls == 0 {
 		c.framed.close()
--- a/internal/peer/client_read.go
+++ b/internal/peer/client_read.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// readFrames handles incoming frames until the connection fails, and returns the error.
 func (c *clientConn) readFrames() error {
 	for {
 		var header frameHeader
@@ -28,6 +29,7 @@
 	}
 }
 
+// handleGoAway stops new calls on the connection because the peer is draining.
 func (c *clientConn) handleGoAway() {
 	c.client.remove(c)
 	c.mutex.Lock()
@@ -36,7 +38,7 @@
 	c.closeIfDrained()
 }
 
-// response hands a response to its waiter; a late one finds none and is
+// handleResponse completes the call of a response. If the call has already ended, the response is
 // dropped.
 func (c *clientConn) handleResponse(header frameHeader) error {
 	pending := c.takePending(header.Call)
@@ -55,15 +57,17 @@
 	return c.framed.skipBody(header)
 }
 
-func (c *clientConn) takePending(call uint64) *pendingCall {
+// takePending removes a pending call and returns it, or nil if the call has ended.
+func (c *clientConn) takePending(callID uint64) *pendingCall {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.silence.frameReceived(time.Now())
-	found := c.pending[call]
-	delete(c.pending, call)
-	return found
+	pending := c.pending[callID]
+	delete(c.pending, callID)
+	return pending
 }
 
+// decodeResponse decodes the body of a response and completes its call.
 func (c *clientConn) decodeResponse(header frameHeader, pending *pendingCall) error {
 	value := reflect.New(pending.responseType)
 	if !header.HasBody {
@@ -79,15 +83,15 @@
 	return nil
 }
 
-// failAll ends all calls after the connection is lost. The writer has ended
-// before, so that the state of each frame is final.
+// failAll fails all pending calls after the connection is lost. It must be called after the writer
+// has ended, so that the state of each frame is final.
 func (c *clientConn) failAll(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lost = true
 	c.idleTimer.Stop()
-	for call, pending := range c.pending {
-		delete(c.pending, call)
+	for callID, pending := range c.pending {
+		delete(c.pending, callID)
 		pending.complete(callResult{failure: &Error{Step: StepWait, Sent: true, Err: errors.Join(ErrLost, err)}})
 	}
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -7,28 +7,28 @@
 	"github.com/micaplank/micaplank/internal/peer/gobvalue"
 )
 
-// ErrFormat is returned for a datagram that is no whole message of the codec's
-// format version.
+// ErrFormat is the error for a datagram that is not a complete message in the codec's format
+// version.
 var ErrFormat = errors.New("peer: not a message of this format version")
 
-// Codec encodes values of one struct type as messages: a byte with the version
-// of the format, and the value. The version must be raised whenever the type
-// changes, because its description is not sent. It is safe for concurrent use.
+// Codec encodes values of one struct type as messages. A message consists of one byte with the
+// version of the format, and the value. The version must be incremented whenever the type changes,
+// because messages do not contain a description of the type. A Codec is safe for concurrent use.
 type Codec[T any] struct {
 	version byte
 	values  *gobvalue.Type[T]
 }
 
-// NewCodec returns the codec of a type; sample is any value that gob can
-// encode. It panics if gob cannot encode the type.
+// NewCodec returns the codec of a type. sample is any value of the type. It panics if gob cannot
+// encode it.
 func NewCodec[T any](version byte, sample T) *Codec[T] {
 	return &Codec[T]{version: version, values: gobvalue.New("peer", sample)}
 }
 
-// versionSize is the size of a message's header in bytes: the version.
+// versionSize is the size in bytes of the header of a message, which consists of the version.
 const versionSize = 1
 
-// Encode returns a value as one message. Its error is that of gob.
+// Encode encodes a value as one message. Errors wrap those of gob.
 func (c *Codec[T]) Encode(value *T) ([]byte, error) {
 	message, err := c.values.Encode(value, versionSize)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return message, nil
 }
 
-// Decode reads what Encode returned. Its error is ErrFormat or wraps it.
+// Decode decodes a message that Encode returned. Errors wrap ErrFormat.
 func (c *Codec[T]) Decode(message []byte) (*T, error) {
 	if len(message) <= versionSize || message[0] != c.version {
 		return nil, ErrFormat
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -43,11 +43,12 @@
 			t.Fatalf("got %+v, error %v, want %+v", got, err, want)
 		}
 		if _, err := other.Decode(encoded); !errors.Is(err, peer.ErrFormat) {
-			t.Fatalf("a message of another version was taken: %v", err)
+			t.Fatalf("message of another version: got error %v, want %v", err, peer.ErrFormat)
 		}
 		var described bytes.Buffer
 		if err := gob.NewEncoder(&described).Encode(&want); err != nil || described.Len() < len(encoded)+50 {
-			t.Fatalf("encoded to %d bytes, self-described to %d", len(encoded), described.Len())
+			t.Fatalf("got %d encoded bytes and %d with the type description (error %v), want at least 50 fewer",
+				len(encoded), described.Len(), err)
 		}
 	})
 }
@@ -61,7 +62,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		value, err := codec.Decode(data)
 		if err == nil && value == nil {
-			t.Fatal("neither a value nor an error")
+			t.Fatal("got neither a value nor an error, want one of them")
 		}
 	})
 }
--- a/internal/peer/datagrams.go
+++ b/internal/peer/datagrams.go
@@ -11,7 +11,7 @@
 	"github.com/samber/oops"
 )
 
-// Kind is the first byte of a datagram; it names the handler.
+// Kind is the first byte of a datagram. It selects the handler.
 type Kind byte
 
 // The kinds of datagrams.
@@ -21,7 +21,7 @@
 	KindTopology   Kind = 3
 )
 
-// String returns the name used in metrics.
+// String returns the value of the label "kind" in metrics.
 func (k Kind) String() string {
 	switch k {
 	case KindMembership:
@@ -34,19 +34,19 @@
 	return fmt.Sprintf("kind_%d", byte(k))
 }
 
-// Limits of datagrams, in bytes of payload. A payload of up to
-// UnfragmentedDatagram bytes fits into one Ethernet frame; a larger one is
-// split by IP, and is lost if any part is.
 const (
-	MaxDatagramSize      = 8 << 10
+	// MaxDatagramSize is the maximum payload of a datagram in bytes.
+	MaxDatagramSize = 8 << 10
+	// UnfragmentedDatagram is the maximum payload in bytes that fits into one Ethernet frame. IP
+	// splits a larger datagram into fragments, and the datagram is lost if any fragment is.
 	UnfragmentedDatagram = 1400
 )
 
-// DatagramHandler takes a datagram. It runs on the socket's only reading
-// goroutine and must not block. The payload is the handler's to keep.
+// DatagramHandler handles a datagram. It runs on the only reading goroutine of the socket and must
+// not block. It may retain the payload.
 type DatagramHandler func(from netip.AddrPort, payload []byte)
 
-// Datagrams is one UDP socket that is shared by several protocols.
+// Datagrams is a UDP socket that several protocols share.
 type Datagrams struct {
 	socket   *net.UDPConn
 	metrics  *datagramMetrics
@@ -55,8 +55,8 @@
 	reader   sync.WaitGroup
 }
 
-// listenDatagrams opens a UDP socket at address (port 0 picks a free one) and
-// starts to read from it.
+// listenDatagrams opens a UDP socket at address and starts to read from it. With port 0 the system
+// selects a free port.
 func listenDatagrams(address netip.AddrPort, metrics *datagramMetrics) (*Datagrams, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -68,12 +68,12 @@
 	return d, nil
 }
 
-// Address returns the local address, with the port that was picked.
+// Address returns the local address with the actual port.
 func (d *Datagrams) Address() netip.AddrPort {
 	return localAddress(d.socket.LocalAddr())
 }
 
-// Handle sets the handler of a kind; nil removes it.
+// Handle sets the handler of a kind. A nil handler removes it.
 func (d *Datagrams) Handle(kind Kind, handler DatagramHandler) {
 	if handler == nil {
 		d.handlers[kind].Store(nil)
@@ -82,12 +82,12 @@
 	d.handlers[kind].Store(&handler)
 }
 
-// Send writes one datagram. It may be lost, duplicated or reordered without
-// an error. The payload may be reused after Send returns.
+// Send writes one datagram. The network may lose, duplicate or reorder it without an error. The
+// payload may be reused after Send returns.
 func (d *Datagrams) Send(kind Kind, to netip.AddrPort, payload []byte) error {
 	if len(payload) > MaxDatagramSize {
 		d.metrics.dropped.WithLabelValues("too_large").Inc()
-		return sendError(to, fmt.Errorf("%w: %d bytes of %s, at most %d", ErrTooLarge, len(payload), kind, MaxDatagramSize))
+		return sendError(to, fmt.Errorf("%w: %d bytes of %s, limit %d", ErrTooLarge, len(payload), kind, MaxDatagramSize))
 	}
 	packet := make([]byte, 0, len(payload)+1)
 	packet = append(packet, byte(kind))
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// Close closes the socket and waits until the running handler has returned.
-// It must not be called from a handler.
+// Close closes the socket and waits until the running handler has returned. It must not be called
+// from a handler.
 func (d *Datagrams) Close() error {
 	if d.closed.Swap(true) {
 		return nil
@@ -111,6 +111,7 @@
 	return err
 }
 
+// read delivers datagrams until the socket is closed.
 func (d *Datagrams) read() {
 	defer d.reader.Done()
 	buffer := make([]byte, MaxDatagramSize+2)
@@ -120,7 +121,7 @@
 			return
 		}
 		if err != nil {
-			// A refused earlier datagram is reported here by some systems.
+			// Some systems report here that an earlier datagram was refused.
 			d.metrics.dropped.WithLabelValues("read_failed").Inc()
 			continue
 		}
@@ -128,6 +129,7 @@
 	}
 }
 
+// deliver passes a datagram to the handler of its kind.
 func (d *Datagrams) deliver(from netip.AddrPort, packet []byte) {
 	if len(packet) == 0 || len(packet) > MaxDatagramSize+1 {
 		d.metrics.dropped.WithLabelValues("bad_size").Inc()
@@ -158,8 +160,7 @@
 	return unmapAddress(parsed)
 }
 
-// unmap turns an IPv4 address in IPv6 form into its plain form, so that
-// addresses compare equal.
+// unmapAddress converts an IPv4-mapped IPv6 address to IPv4, so that equal addresses compare equal.
 func unmapAddress(address netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -8,40 +8,37 @@
 	"time"
 )
 
-// Greeting is the first line that each side of a call connection writes. A
-// peer that writes anything else speaks another protocol or version.
+// Greeting is the first line that each side of a connection writes. A peer that writes anything
+// else uses another protocol or version.
 const Greeting = "micaplank-peer 1\n"
 
 const (
-	// MaximumMessage bounds one request or response, in bytes of gob.
-	// Not measured: chosen because it bounds what a peer can make this process
-	// hold for one frame.
+	// MaxMessageSize is the maximum size of a request or response in bytes of gob. It limits the
+	// memory that a peer can make this process allocate for one frame.
 	MaxMessageSize = 8 << 20
 
-	// maximumGreeting is the longest first line that is read, in bytes.
+	// maxGreetingSize is the maximum number of bytes that are read as a greeting.
 	maxGreetingSize = 64
-	// frameLengthSize is the size in bytes of the length before each frame.
+	// frameLengthSize is the size in bytes of the length prefix of a frame.
 	frameLengthSize = 4
-	// handshakeTimeout bounds the greeting of a connection that is accepted.
-	// Not measured: chosen because a client gives up its dial sooner, after
-	// ClientOptions.DialTimeout.
+	// handshakeTimeout is the timeout of the handshake of an accepted connection. It is longer than
+	// the default of ClientOptions.DialTimeout, so a client gives up first.
 	handshakeTimeout = 3 * time.Second
-	// flushTimeout bounds the writing of all frames that wait for a connection.
-	// Not measured: chosen because a peer that reads nothing for so long does not
-	// count as up.
+	// flushTimeout is the timeout for writing the queued frames of a connection. A peer that reads
+	// nothing for this time is considered down.
 	flushTimeout = 10 * time.Second
-	// outgoingQueueSize is how many frames of a connection wait to be written;
-	// callers block beyond it.
-	// Not measured: chosen because it bounds the memory of a connection.
+	// outgoingQueueSize is the number of frames that can wait to be written to a connection.
+	// Callers block while the queue is full. It limits the memory of a connection.
 	outgoingQueueSize = 256
 )
 
+// frameKind is the type of a frame.
 type frameKind byte
 
 const (
-	// frameTypes carries a zero value, so that gob sends the type's
-	// description by itself: a message that turns out too large can then be
-	// dropped without leaving the stream half described.
+	// frameTypes carries a zero value, so that gob sends the description of its type separately
+	// from the first message of that type. Otherwise the description would be lost with a first
+	// message that is dropped because it is too large.
 	frameTypes frameKind = iota + 1
 	frameRequest
 	frameResponse
@@ -49,7 +46,7 @@
 	frameGoAway
 )
 
-// refusal says why a peer did not run the handler of a request.
+// refusal is the reason why a server did not run the handler of a request.
 type refusal byte
 
 const (
@@ -84,17 +81,16 @@
 	Kind   frameKind
 	Call   uint64
 	Method string
-	// Remaining is the time left to the caller; zero means no deadline.
+	// Remaining is the time until the deadline of the caller; zero means no deadline.
 	Remaining time.Duration
 	Refusal   refusal
-	// Failure is the text of the handler's error.
+	// Failure is the text of the error that the handler returned.
 	Failure string
 	HasBody bool
 }
 
-// frameReader strips the length prefixes off a stream and refuses frames that
-// are too long. It is an io.ByteReader, so that gob reads no further than it
-// has to.
+// frameReader removes the length prefixes from a stream and rejects frames that are too large. It
+// implements io.ByteReader because gob otherwise adds a buffer and reads ahead.
 type frameReader struct {
 	source     io.Reader
 	remaining  int
@@ -102,6 +98,7 @@
 	oneByte    [1]byte
 }
 
+// Read implements io.Reader.
 func (r *frameReader) Read(p []byte) (int, error) {
 	if r.remaining == 0 {
 		if err := r.readLength(); err != nil {
@@ -116,11 +113,13 @@
 	return n, err
 }
 
+// ReadByte implements io.ByteReader.
 func (r *frameReader) ReadByte() (byte, error) {
 	_, err := io.ReadFull(r, r.oneByte[:])
 	return r.oneByte[0], err
 }
 
+// readLength reads the length prefix of the next frame.
 func (r *frameReader) readLength() error {
 	var prefix [frameLengthSize]byte
 	if _, err := io.ReadFull(r.source, prefix[:]); err != nil {
@@ -128,35 +127,35 @@
 	}
 	length := binary.BigEndian.Uint32(prefix[:])
 	if length == 0 || length > MaxMessageSize {
-		return fmt.Errorf("%w: frame of %d bytes, at most %d", ErrTooLarge, length, MaxMessageSize)
+		return fmt.Errorf("%w: frame of %d bytes, limit %d", ErrTooLarge, length, MaxMessageSize)
 	}
 	r.remaining = int(length)
 	r.countFrame(int(length) + frameLengthSize)
 	return nil
 }
 
-// greet writes this side's greeting.
+// writeGreeting writes the greeting.
 func writeGreeting(netConn net.Conn) error {
 	_, err := io.WriteString(netConn, Greeting)
 	return err
 }
 
-// expectGreeting reads the other side's greeting, byte by byte so that nothing
-// behind it is consumed.
+// readGreeting reads and checks the greeting of the other side. It reads byte by byte, so that it
+// does not consume the frames that follow.
 func readGreeting(netConn net.Conn) error {
 	line := make([]byte, 0, maxGreetingSize)
-	var single [1]byte
+	var oneByte [1]byte
 	for len(line) < maxGreetingSize {
-		if _, err := io.ReadFull(netConn, single[:]); err != nil {
+		if _, err := io.ReadFull(netConn, oneByte[:]); err != nil {
 			return fmt.Errorf("%w: greeting %q ended early: %w", ErrHandshake, line, err)
 		}
-		line = append(line, single[0])
-		if single[0] == '\n' {
+		line = append(line, oneByte[0])
+		if oneByte[0] == '\n' {
 			break
 		}
 	}
 	if string(line) != Greeting {
-		return fmt.Errorf("%w: got greeting %q, expected %q", ErrHandshake, line, Greeting)
+		return fmt.Errorf("%w: got greeting %q, want %q", ErrHandshake, line, Greeting)
 	}
 	return nil
 }
--- a/internal/peer/framed_conn.go
+++ b/internal/peer/framed_conn.go
@@ -13,33 +13,34 @@
 	"time"
 )
 
-// The states of an outgoing frame. Only a queued frame can be withdrawn.
+// The states of an outgoingFrame. Only a queued frame can be withdrawn.
 const (
 	frameQueued int32 = iota
 	frameWriting
 	frameWithdrawn
 )
 
-// outgoing is one frame on its way to a link's writer.
+// outgoingFrame is a frame to be written.
 type outgoingFrame struct {
 	header frameHeader
 	body   any
 	state  atomic.Int32
-	// failed is called by the writer if the frame was dropped before any byte
-	// of it was written; it may return a frame to be written instead.
+	// onEncodeError is called by the writer if the frame cannot be encoded. No byte of the frame is
+	// written then. It may return a frame to write instead.
 	onEncodeError func(error) *outgoingFrame
-	// last makes the writer flush and close the link instead of writing.
+	// closeAfterFlush makes the writer flush its buffer and close the connection. The frame itself
+	// is not written.
 	closeAfterFlush bool
 }
 
-// withdraw takes the frame back; it reports whether the writer has not begun
-// with it, so that no byte of it can leave any more.
+// withdraw prevents the frame from being written if the writer has not started with it. It reports
+// whether no byte of the frame was or will be written.
 func (o *outgoingFrame) withdraw() bool {
 	return o.state.CompareAndSwap(frameQueued, frameWithdrawn)
 }
 
-// link is one established connection. Its writer goroutine owns the gob
-// encoder; the owner of the link reads with decoder.
+// framedConn is an established connection that transfers frames. Its writer goroutine owns the gob
+// encoder. The owner of the framedConn reads with decoder.
 type framedConn struct {
 	netConn    net.Conn
 	decoder    *gob.Decoder
@@ -55,8 +56,8 @@
 	describedTypes map[reflect.Type]bool
 }
 
-// bufferSize is that of each of a connection's two buffers, in bytes.
-// Not measured: chosen because many frames share a system call then.
+// bufferSize is the size in bytes of the read buffer and of the write buffer of a connection. It is
+// large enough for many frames to share a system call.
 const bufferSize = 32 << 10
 
 func newFramedConn(netConn net.Conn, countSent, countReceived func(bytes int)) *framedConn {
@@ -76,7 +77,7 @@
 	return conn
 }
 
-// close ends the connection at once; frames still queued are dropped.
+// close closes the connection immediately and drops the queued frames.
 func (c *framedConn) close() {
 	c.closeOnce.Do(func() {
 		close(c.closed)
@@ -84,12 +85,12 @@
 	})
 }
 
-// write sends queued frames and flushes when the queue is empty, so that
-// frames queued together share a system call.
+// writeFrames writes queued frames until the connection is closed. It flushes the buffer when the
+// queue is empty, so that frames that are queued together share a system call.
 func (c *framedConn) writeFrames() {
 	defer c.writerDone.Done()
 	defer c.close()
-	// The header's type is described in a frame of its own as well.
+	// The description of the header's type is sent in a separate frame, too.
 	if c.encode(frameHeader{Kind: frameTypes}, nil) != nil || c.writeEncoded() != nil {
 		return
 	}
@@ -105,8 +106,9 @@
 	}
 }
 
+// writeBatch writes a frame and all frames that are queued behind it, and flushes the buffer.
 func (c *framedConn) writeBatch(frame *outgoingFrame) error {
-	// Without a deadline, a peer that stops reading would hold the writer.
+	// Without a deadline, a peer that stops reading would block the writer.
 	if err := c.netConn.SetWriteDeadline(time.Now().Add(flushTimeout)); err != nil {
 		return err
 	}
@@ -126,6 +128,7 @@
 	}
 }
 
+// writeFrame writes a frame to the buffer unless the frame was withdrawn.
 func (c *framedConn) writeFrame(frame *outgoingFrame) error {
 	if !frame.state.CompareAndSwap(frameQueued, frameWriting) {
 		return nil
@@ -137,21 +140,22 @@
 		return c.dropFrame(frame, err)
 	}
 	if size := c.encoded.Len() - frameLengthSize; size > MaxMessageSize {
-		return c.dropFrame(frame, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, size, MaxMessageSize))
+		return c.dropFrame(frame, fmt.Errorf("%w: %d bytes, limit %d", ErrTooLarge, size, MaxMessageSize))
 	}
 	return c.writeEncoded()
 }
 
-// describe sends the description of the body's type before its first value.
+// writeTypeDescription writes the description of the body's type before the first value of the
+// type.
 func (c *framedConn) writeTypeDescription(body any) error {
 	if body == nil {
 		return nil
 	}
-	kind := reflect.TypeOf(body)
-	if c.describedTypes[kind] {
+	bodyType := reflect.TypeOf(body)
+	if c.describedTypes[bodyType] {
 		return nil
 	}
-	element := kind
+	element := bodyType
 	for element.Kind() == reflect.Pointer {
 		element = element.Elem()
 	}
@@ -159,10 +163,11 @@
 	if err := c.encode(frameHeader{Kind: frameTypes, HasBody: true}, zero); err != nil {
 		return err
 	}
-	c.describedTypes[kind] = true
+	c.describedTypes[bodyType] = true
 	return c.writeEncoded()
 }
 
+// encode encodes a header and its body into the buffer encoded, behind space for the length prefix.
 func (c *framedConn) encode(header frameHeader, body any) error {
 	c.encoded.Reset()
 	c.encoded.Write(make([]byte, frameLengthSize))
@@ -176,6 +181,7 @@
 	return c.encoder.Encode(body)
 }
 
+// writeEncoded sets the length prefix of the encoded frame and writes it to the buffer.
 func (c *framedConn) writeEncoded() error {
 	frame := c.encoded.Bytes()
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameLengthSize))
@@ -184,8 +190,8 @@
 	return err
 }
 
-// drop reports a frame that cannot be encoded; the link stays usable, because
-// its type was described before.
+// dropFrame reports a frame that cannot be encoded, and writes its replacement if there is one. The
+// connection stays usable because the description of the type was written before.
 func (c *framedConn) dropFrame(frame *outgoingFrame, err error) error {
 	if frame.onEncodeError == nil {
 		return nil
@@ -196,8 +202,8 @@
 	return nil
 }
 
-// send queues a frame; it blocks while the queue is full and drops the frame
-// if the link is closed.
+// send queues a frame. It blocks while the queue is full, and drops the frame if the connection is
+// closed.
 func (c *framedConn) send(frame *outgoingFrame) {
 	select {
 	case c.queue <- frame:
@@ -205,7 +211,7 @@
 	}
 }
 
-// skip discards the body of a frame.
+// skipBody reads and discards the body of a frame.
 func (c *framedConn) skipBody(header frameHeader) error {
 	if !header.HasBody {
 		return nil
--- a/internal/peer/listen_pair.go
+++ b/internal/peer/listen_pair.go
@@ -6,11 +6,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// pairAttempts bounds the search for a port number free on both protocols.
+// maxPortAttempts is the maximum number of ports that ListenPair tries with port 0.
 const maxPortAttempts = 32
 
-// ListenPair opens a Server and Datagrams on the same address. With port 0 it
-// looks for a number that is free for both.
+// ListenPair opens a Server and a Datagrams on the same address. With port 0 it searches for a port
+// that is free for both TCP and UDP.
 func ListenPair(address netip.AddrPort, registerer prometheus.Registerer) (*Server, *Datagrams, error) {
 	attempts := 1
 	if address.Port() == 0 {
@@ -20,11 +20,11 @@
 	datagramMetrics := newDatagramMetrics(registerer)
 	var err error
 	for range attempts {
-		server, datagrams, attemptErr := listenPair(address, serverMetrics, datagramMetrics)
-		if attemptErr == nil {
+		server, datagrams, listenErr := listenPair(address, serverMetrics, datagramMetrics)
+		if listenErr == nil {
 			return server, datagrams, nil
 		}
-		err = attemptErr
+		err = listenErr
 	}
 	return nil, nil, err
 }
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -6,6 +6,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
+// datagramMetrics holds the metrics of Datagrams.
 type datagramMetrics struct {
 	datagrams *prometheus.CounterVec
 	bytes     *prometheus.CounterVec
@@ -24,14 +25,16 @@
 	}
 }
 
-// clientSide names the side of callers in metrics.
+// clientSide is the name of the client side in the names of metrics.
 const clientSide = "client"
 
+// callMetrics holds the metrics of a Client or a Server.
 type callMetrics struct {
 	calls       *prometheus.CounterVec
 	bytes       *prometheus.CounterVec
 	connections prometheus.Gauge
-	// silent is nil on the server side: only the client can tell.
+	// silentConnections is nil on the server side, because only the client detects silent
+	// connections.
 	silentConnections prometheus.Counter
 }
 
@@ -47,7 +50,7 @@
 	}
 	if side == clientSide {
 		m.silentConnections = factory.Counter("micaplank_peer_client_silent_connections_total",
-			"Connections that were closed on the client side since they had gone silent.")
+			"Connections that the client side closed because the peer sent nothing while calls timed out.")
 	}
 	return m
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,10 +1,9 @@
-// Package peer is the transport between nodes: Datagrams carries small
-// messages over one UDP socket, Server and Client carry calls in encoding/gob
-// over TCP connections that many calls share.
+// Package peer is the transport between nodes. Datagrams sends small messages over one UDP socket.
+// Client and Server perform calls, encoded with encoding/gob and multiplexed over TCP connections.
 //
-// The package knows nothing of what the messages mean. It bounds their size,
-// counts them, and says of a call that failed whether the peer can have seen
-// it. It owns the sockets between nodes and relies on no package that decides.
+// The package owns the sockets between nodes. It does not interpret messages: it limits their size,
+// counts them, and reports for each failed call whether the peer can have executed it. It imports
+// no package of internal/decide.
 package peer
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/samber/oops"
 )
 
-// Step names the part of a call at which an error arose.
+// Step is the stage of a call at which an error occurred.
 type Step string
 
 // The steps of a call.
@@ -30,7 +29,7 @@
 	StepHandler   Step = "handler"
 )
 
-// Errors that an Error can wrap.
+// The causes of an Error that callers can test with errors.Is.
 var (
 	ErrClosed    = errors.New("peer: closed")
 	ErrLost      = errors.New("peer: connection lost")
@@ -39,21 +38,20 @@
 	ErrRefused   = errors.New("peer: refused")
 )
 
-// Error is the failure of a call.
+// Error is the error of a failed call.
 type Error struct {
 	Step   Step
 	Peer   netip.AddrPort
 	Method string
-	// Sent is false only if no byte of the request can have left this
-	// process.
+	// Sent is false only if no byte of the request was or will be sent.
 	Sent bool
-	// NotExecuted is true only if the handler cannot have run and never will:
-	// nothing was sent, or the peer refused before it started the handler.
+	// NotExecuted is true only if the handler did not run and never will: nothing was sent, or the
+	// peer refused the request before it started the handler.
 	NotExecuted bool
 	Err         error
 }
 
-// Error describes the failure with its step, method and peer.
+// Error implements error.
 func (e *Error) Error() string {
 	return fmt.Sprintf("peer: %s %s to %s: %v", e.Step, e.Method, e.Peer, e.Err)
 }
@@ -61,13 +59,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotExecuted says whether err proves that the handler of a call did not run
-// and never will.
+// NotExecuted reports whether err proves that the handler of a call did not run and never will.
 func NotExecuted(err error) bool {
 	var failure *Error
 	return errors.As(err, &failure) && failure.NotExecuted
 }
 
+// wrap adds the attributes step and peer to the error.
 func wrap(failure *Error) error {
 	return oops.In("peer").
 		With("step", string(failure.Step)).
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -31,7 +31,8 @@
 	Data   []byte
 }
 
-// startServer serves echo (answers at once) and hold (answers on release).
+// startServer starts a server with the methods echo (responds immediately), hold (reports its start
+// and responds after release is closed) and grow (returns a response that is too large).
 func startServer(t *testing.T) (server *peer.Server, started chan int, release chan struct{}) {
 	t.Helper()
 	server, err := peer.Listen(loopback, nil)
@@ -99,7 +100,8 @@
 			var response echoResponse
 			err := client.Call(context.Background(), server.Address(), "echo", &echoRequest{number, data}, &response)
 			if err != nil || response.Number != number || !bytes.Equal(response.Data, data) {
-				t.Errorf("call %d got %d with %d bytes, error %v", number, response.Number, len(response.Data), err)
+				t.Errorf("call %d: got number %d with %d bytes and error %v, want %d with %d bytes",
+					number, response.Number, len(response.Data), err, number, len(data))
 			}
 		})
 	}
@@ -128,11 +130,11 @@
 	}()
 	checkError(t, client.Call(limited, server.Address(), "hold", &echoRequest{Number: 7}, &response), peer.StepWait, true, false)
 	if stopped := <-started; stopped != -7 {
-		t.Fatalf("the handler ended with %d, want its context cancelled", stopped)
+		t.Fatalf("got %d from the handler, want -7 because its context was cancelled", stopped)
 	}
 	close(release)
 	if err := client.Call(ctx, server.Address(), "echo", &echoRequest{Number: 3}, &response); err != nil || response.Number != 3 {
-		t.Fatalf("the connection is unusable after failures: %v", err)
+		t.Fatalf("call after failed calls: got number %d and error %v, want 3", response.Number, err)
 	}
 }
 
@@ -145,7 +147,7 @@
 			var response echoResponse
 			err := client.Call(context.Background(), server.Address(), "hold", &echoRequest{Number: number}, &response)
 			if err != nil || response.Number != number {
-				t.Errorf("call %d was cut off: %v", number, err)
+				t.Errorf("call %d: got number %d and error %v, want %d", number, response.Number, err, number)
 			}
 		})
 	}
@@ -154,20 +156,20 @@
 	}
 	closed := make(chan error)
 	go func() { closed <- server.Close(context.Background()) }()
-	// Once the peer drains, new calls fail and provably do not execute.
+	// When the server drains, new calls must fail with NotExecuted.
 	for {
 		err := client.Call(context.Background(), server.Address(), "echo", &echoRequest{}, &echoResponse{})
 		if err == nil {
 			continue
 		}
 		if !peer.NotExecuted(err) {
-			t.Errorf("a call to a draining server: %v", err)
+			t.Errorf("call to a draining server: got error %v, want one with NotExecuted", err)
 		}
 		break
 	}
 	close(release)
 	if err := <-closed; err != nil {
-		t.Errorf("close: %v", err)
+		t.Errorf("got error %v from Close, want none", err)
 	}
 	calls.Wait()
 }
@@ -182,7 +184,7 @@
 	err := client.Call(context.Background(), server.Address(), "hold", &echoRequest{}, &echoResponse{})
 	var failure *peer.Error
 	if !errors.As(err, &failure) || !failure.Sent || failure.NotExecuted {
-		t.Fatalf("got %v, want an error that leaves execution open", err)
+		t.Fatalf("got error %v, want one with Sent true and NotExecuted false", err)
 	}
 }
 
@@ -205,20 +207,20 @@
 	err := client.Call(context.Background(), address, "echo", &echoRequest{}, &echoResponse{})
 	checkError(t, err, peer.StepHandshake, false, true)
 	if !errors.Is(err, peer.ErrHandshake) || !bytes.Contains([]byte(err.Error()), []byte("HTTP/1.1 400")) {
-		t.Fatalf("got %v, want the greeting of the wrong peer", err)
+		t.Fatalf("got error %v, want %v with the greeting of the wrong peer", err, peer.ErrHandshake)
 	}
 
 	server, _, _ := startServer(t)
-	connection, dialErr := net.Dial("tcp", server.Address().String())
+	conn, dialErr := net.Dial("tcp", server.Address().String())
 	if dialErr != nil {
 		t.Fatal(dialErr)
 	}
-	defer connection.Close()
-	_, _ = connection.Write([]byte("micaplank-peer 999\n"))
+	defer conn.Close()
+	_, _ = conn.Write([]byte("micaplank-peer 999\n"))
 	got := make([]byte, 64)
-	n, _ := connection.Read(got)
+	n, _ := conn.Read(got)
 	if string(got[:n]) != peer.Greeting {
-		t.Fatalf("a peer of another version was told %q", got[:n])
+		t.Fatalf("peer of another version: got greeting %q, want %q", got[:n], peer.Greeting)
 	}
 }
 
@@ -230,7 +232,7 @@
 	defer func() { _ = server.Close(context.Background()) }()
 	defer left.Close()
 	if server.Address() != left.Address() {
-		t.Fatalf("pair listens on %s and %s", server.Address(), left.Address())
+		t.Fatalf("got addresses %s and %s, want equal ones", server.Address(), left.Address())
 	}
 	right, err := peer.ListenDatagrams(loopback)
 	if err != nil {
@@ -243,7 +245,7 @@
 	}
 	arrivals := make(chan arrival, 1)
 	right.Handle(peer.KindExchange, func(from netip.AddrPort, payload []byte) { arrivals <- arrival{from, string(payload)} })
-	right.Handle(peer.KindMembership, func(netip.AddrPort, []byte) { t.Error("wrong handler") })
+	right.Handle(peer.KindMembership, func(netip.AddrPort, []byte) { t.Error("got a call of the handler of another kind, want none") })
 	if err := left.Send(peer.KindTopology, right.Address(), []byte("nobody listens")); err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +253,7 @@
 		t.Fatal(err)
 	}
 	if got := <-arrivals; got.from != left.Address() || got.payload != "hello" {
-		t.Fatalf("got %v", got)
+		t.Fatalf("got %q from %s, want %q from %s", got.payload, got.from, "hello", left.Address())
 	}
 	err = left.Send(peer.KindExchange, right.Address(), make([]byte, peer.MaxDatagramSize+1))
 	if !errors.Is(err, peer.ErrTooLarge) {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,18 +12,17 @@
 	"github.com/samber/oops"
 )
 
-// maximumCalls bounds the calls that run at once for one connection; more are
-// refused.
-// Not measured: chosen because it bounds the goroutines that a peer can start.
+// maxConcurrentCalls is the maximum number of concurrent calls of one connection. Further calls are
+// refused. It limits the number of goroutines that a peer can start.
 const maxConcurrentCalls = 4096
 
-// method is a registered handler with the type of its request.
+// registeredMethod is a handler with a constructor of its request.
 type registeredMethod struct {
 	newRequest func() any
 	handle     func(ctx context.Context, from netip.AddrPort, request any) (any, error)
 }
 
-// Server takes calls from peers.
+// Server handles calls of peers.
 type Server struct {
 	listener net.Listener
 	metrics  *callMetrics
@@ -31,15 +30,15 @@
 	mutex       sync.Mutex
 	methods     map[string]registeredMethod
 	conns       map[*serverConn]struct{}
-	handshaking map[net.Conn]struct{} // connections that have not greeted yet
+	handshaking map[net.Conn]struct{} // accepted connections before the end of the handshake
 	draining    bool
 	closed      bool
 
 	goroutines sync.WaitGroup
 }
 
-// Listen opens a TCP listener at address (port 0 picks a free one). Calls are
-// taken once Serve is called, so that methods can be registered first.
+// Listen opens a TCP listener at address. With port 0 the system selects a free port. The server
+// accepts connections after Serve is called, so that methods can be registered before.
 func Listen(address netip.AddrPort, registerer prometheus.Registerer) (*Server, error) {
 	return listen(address, newCallMetrics(registerer, "server"))
 }
@@ -58,10 +57,10 @@
 	}, nil
 }
 
-// Register sets the handler of a method. Request and Response are structs that
-// gob can encode: at least one exported field each. The handler's context ends
-// with the caller's deadline, when the caller gives up and when the connection
-// is lost. An error from the handler reaches the caller as text.
+// Register sets the handler of a method. Request and Response are structs that gob can encode, so
+// each has at least one exported field. The context of the handler ends at the caller's deadline,
+// when the caller cancels the call, and when the connection is lost. The caller receives the text
+// of an error that the handler returns.
 func Register[Request, Response any](
 	server *Server, name string,
 	handler func(ctx context.Context, from netip.AddrPort, request *Request) (*Response, error),
@@ -80,15 +79,16 @@
 	}
 }
 
-// Address returns the local address, with the port that was picked.
+// Address returns the local address with the actual port.
 func (s *Server) Address() netip.AddrPort { return localAddress(s.listener.Addr()) }
 
-// Serve starts to accept connections and returns at once.
+// Serve starts to accept connections in the background and returns immediately.
 func (s *Server) Serve() {
 	s.goroutines.Add(1)
 	go s.accept()
 }
 
+// accept accepts connections until the listener is closed.
 func (s *Server) accept() {
 	defer s.goroutines.Done()
 	for {
@@ -97,7 +97,8 @@
 			return
 		}
 		if err != nil {
-			// The process is out of descriptors, most likely.
+			// The most likely cause is that the process has no free file descriptors. The pause
+			// avoids a busy loop.
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -106,6 +107,7 @@
 	}
 }
 
+// handshake exchanges greetings on an accepted connection and then serves it.
 func (s *Server) handshake(netConn net.Conn) {
 	defer s.goroutines.Done()
 	if !s.addHandshaking(netConn) {
@@ -113,12 +115,12 @@
 		return
 	}
 	_ = netConn.SetDeadline(time.Now().Add(handshakeTimeout))
-	// The greeting is answered also if the other side's is wrong: it then
-	// sees whom it has reached.
-	wrong := readGreeting(netConn)
-	unsent := writeGreeting(netConn)
+	// The greeting is written even if the other side's greeting is wrong, so that the other side
+	// can report which protocol it has reached.
+	readErr := readGreeting(netConn)
+	writeErr := writeGreeting(netConn)
 	s.removeHandshaking(netConn)
-	if unsent != nil || wrong != nil {
+	if writeErr != nil || readErr != nil {
 		s.metrics.calls.WithLabelValues("", "handshake_failed").Inc()
 		_ = netConn.Close()
 		return
@@ -127,6 +129,7 @@
 	s.serve(netConn)
 }
 
+// addHandshaking returns false if the server is closed.
 func (s *Server) addHandshaking(netConn net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -143,6 +146,7 @@
 	delete(s.handshaking, netConn)
 }
 
+// serve handles the calls of a connection until it is closed.
 func (s *Server) serve(netConn net.Conn) {
 	sent := s.metrics.bytes.WithLabelValues("sent")
 	received := s.metrics.bytes.WithLabelValues("received")
@@ -166,6 +170,8 @@
 	s.removeConn(conn)
 }
 
+// addConn adds a connection, and drains it if the server is draining. It returns false if the
+// server is closed.
 func (s *Server) addConn(conn *serverConn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -187,12 +193,12 @@
 	s.metrics.connections.Dec()
 }
 
-// admit finds the method of a request and counts the request as running on conn,
-// unless it is refused.
+// admit returns the method of a request and adds it to the running handlers of conn, or returns the
+// reason of a refusal.
 func (s *Server) admit(header frameHeader, conn *serverConn) (registeredMethod, refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	found, ok := s.methods[header.Method]
+	method, ok := s.methods[header.Method]
 	switch {
 	case !ok:
 		return registeredMethod{}, refusedUnknownMethod
@@ -204,5 +210,5 @@
 		return registeredMethod{}, refusedLate
 	}
 	conn.handlers.Add(1)
-	return found, refusedNone
+	return method, refusedNone
 }
--- a/internal/peer/server_conn.go
+++ b/internal/peer/server_conn.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// serverLink is one connection that a peer opened.
+// serverConn is one connection that a peer opened.
 type serverConn struct {
 	server *Server
 	remote netip.AddrPort
@@ -15,11 +15,12 @@
 
 	mutex   sync.Mutex
 	cancels map[uint64]context.CancelFunc
-	// handlers counts the handlers that run; it grows only under the server's
-	// mutex while the server is not draining.
+	// handlers counts the running handlers. It is incremented only under Server.mutex and only
+	// while the server is not draining, so that drain can wait for it.
 	handlers sync.WaitGroup
 }
 
+// readFrames handles incoming frames until the connection fails.
 func (c *serverConn) readFrames() {
 	for {
 		var header frameHeader
@@ -42,13 +43,14 @@
 	}
 }
 
+// handleRequest starts the handler of a request in a new goroutine, or refuses the request.
 func (c *serverConn) handleRequest(header frameHeader) error {
-	found, refused := c.server.admit(header, c)
-	if refused != refusedNone {
-		c.refuse(header, refused)
+	method, reason := c.server.admit(header, c)
+	if reason != refusedNone {
+		c.refuse(header, reason)
 		return c.framed.skipBody(header)
 	}
-	request := found.newRequest()
+	request := method.newRequest()
 	if err := c.framed.decoder.Decode(request); err != nil {
 		c.handlers.Done()
 		c.refuse(header, refusedMalformed)
@@ -59,10 +61,11 @@
 	c.cancels[header.Call] = cancel
 	c.mutex.Unlock()
 	c.server.goroutines.Add(1)
-	go c.run(ctx, header, found, request)
+	go c.run(ctx, header, method, request)
 	return nil
 }
 
+// callContext returns the context of a handler. Zero remaining time means no deadline.
 func callContext(remaining time.Duration) (context.Context, context.CancelFunc) {
 	if remaining == 0 {
 		return context.WithCancel(context.Background())
@@ -70,29 +73,32 @@
 	return context.WithTimeout(context.Background(), remaining)
 }
 
-func (c *serverConn) run(ctx context.Context, header frameHeader, found registeredMethod, request any) {
+// run runs a handler and sends its response.
+func (c *serverConn) run(ctx context.Context, header frameHeader, method registeredMethod, request any) {
 	defer c.server.goroutines.Done()
 	defer c.handlers.Done()
-	response, err := found.handle(ctx, c.remote, request)
-	answer := frameHeader{Kind: frameResponse, Call: header.Call}
+	response, err := method.handle(ctx, c.remote, request)
+	responseHeader := frameHeader{Kind: frameResponse, Call: header.Call}
 	result := "answered"
 	if err != nil {
-		answer.Failure, response, result = err.Error(), nil, "failed"
+		responseHeader.Failure, response, result = err.Error(), nil, "failed"
 	}
 	c.server.metrics.calls.WithLabelValues(header.Method, result).Inc()
-	c.respond(answer, response)
+	c.respond(responseHeader, response)
 	c.cancel(header.Call)
 }
 
-func (c *serverConn) refuse(header frameHeader, why refusal) {
+// refuse answers a request whose handler is not run.
+func (c *serverConn) refuse(header frameHeader, reason refusal) {
 	name := header.Method
-	if why == refusedUnknownMethod {
-		name = "" // a peer must not be able to make up label values
+	if reason == refusedUnknownMethod {
+		name = "" // a peer must not be able to create arbitrary label values
 	}
 	c.server.metrics.calls.WithLabelValues(name, "refused").Inc()
-	c.respond(frameHeader{Kind: frameResponse, Call: header.Call, Refusal: why}, nil)
+	c.respond(frameHeader{Kind: frameResponse, Call: header.Call, Refusal: reason}, nil)
 }
 
+// respond queues a response. If the response cannot be encoded, the error is sent instead.
 func (c *serverConn) respond(header frameHeader, body any) {
 	frame := &outgoingFrame{header: header, body: body}
 	frame.onEncodeError = func(err error) *outgoingFrame {
@@ -102,16 +108,18 @@
 	c.framed.send(frame)
 }
 
+// inFlight returns the number of running calls.
 func (c *serverConn) inFlight() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.cancels)
 }
 
-func (c *serverConn) cancel(call uint64) {
+// cancel cancels the context of a call if the call is running.
+func (c *serverConn) cancel(callID uint64) {
 	c.mutex.Lock()
-	cancel := c.cancels[call]
-	delete(c.cancels, call)
+	cancel := c.cancels[callID]
+	delete(c.cancels, callID)
 	c.mutex.Unlock()
 	if cancel != nil {
 		cancel()
--- a/internal/peer/shutdown.go
+++ b/internal/peer/shutdown.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// leaveTimeout is how long a connection is kept open, after the answers to its
-// calls, for a peer that was asked to leave it: until then its calls on the way are
-// refused, not cut off. A peer in touch leaves within a round trip; the bound
-// counts for one that is frozen or cut off, and is what that adds to a stop.
+// drainTimeout is how long a draining server waits, after the responses to the calls of a
+// connection, until the peer closes it. Requests that arrive in this time are refused, so the peer
+// learns that they did not run. A reachable peer closes the connection within a round trip. A peer
+// that is frozen or unreachable delays the shutdown by this timeout.
 const drainTimeout = time.Second
 
-// Close stops to accept, refuses new calls and waits until the running ones
-// have been answered and the peers have left, or ctx ends; then it closes all
-// connections. It returns the context's error if calls were cut off.
+// Close stops accepting connections, refuses new calls, and waits until the running calls have been
+// answered and the peers have closed their connections. If ctx ends first, Close closes all
+// connections immediately and returns the error of ctx.
 func (s *Server) Close(ctx context.Context) error {
 	s.drain()
 	ended := make(chan struct{})
@@ -32,8 +32,8 @@
 	return err
 }
 
-// drain asks the peers to leave. Connections still in the handshake are asked once
-// it is done; they get no longer for it than the others.
+// drain closes the listener and starts to drain all connections. A connection in the handshake is
+// drained when its handshake is done, for which it has at most drainTimeout.
 func (s *Server) drain() {
 	_ = s.listener.Close()
 	s.mutex.Lock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// closeAll cuts all connections off.
+// closeAll closes all connections immediately.
 func (s *Server) closeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// end asks the peer to leave, waits until the running handlers have been
-// answered and the peer has closed the connection, and closes it if it has not.
+// drain sends a GOAWAY frame and waits until the running handlers have ended and the peer has
+// closed the connection. If the peer has not closed it within drainTimeout, drain closes it.
 func (c *serverConn) drain() {
 	c.sendGoAway()
 	c.handlers.Wait()
@@ -75,10 +75,11 @@
 	}
 }
 
+// sendGoAway queues a GOAWAY frame, which asks the peer to send no more requests on the connection.
 func (c *serverConn) sendGoAway() {
 	frame := &outgoingFrame{header: frameHeader{Kind: frameGoAway}}
 	select {
 	case c.framed.queue <- frame:
-	default: // the peer is refused instead
+	default: // the queue is full; the requests of the peer are refused instead
 	}
 }
--- a/internal/peer/shutdown_test.go
+++ b/internal/peer/shutdown_test.go
@@ -11,17 +11,17 @@
 	"github.com/micaplank/micaplank/internal/peer"
 )
 
-// TestPlannedStopLosesNoCall stops servers that are called all the time. Each call
-// is answered, or proves that it was not executed: one that comes to the server
-// after its last answer is refused, and not cut off.
+// TestServerCloseInterruptsNoCall closes servers that receive calls continuously. Each call must be
+// answered or fail with NotExecuted. It guards against closing a connection after the last response
+// while a request is in transit: such a request must be refused instead.
 func TestServerCloseInterruptsNoCall(t *testing.T) {
 	const rounds, callers = 40, 4
 	for round := range rounds {
 		server, _, _ := startServer(t)
 		client := newClient(t, peer.ClientOptions{})
-		var calling sync.WaitGroup
+		var goroutines sync.WaitGroup
 		for range callers {
-			calling.Go(func() {
+			goroutines.Go(func() {
 				for {
 					var answer echoResponse
 					err := client.Call(context.Background(), server.Address(), "echo", &echoRequest{Number: 1}, &answer)
@@ -29,7 +29,7 @@
 						continue
 					}
 					if !peer.NotExecuted(err) {
-						t.Errorf("round %d: %v", round, err)
+						t.Errorf("round %d: got error %v, want one with NotExecuted", round, err)
 					}
 					if !errors.Is(err, peer.ErrRefused) {
 						return // the server has stopped
@@ -39,24 +39,24 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 		if err := server.Close(context.Background()); err != nil {
-			t.Error(err)
+			t.Errorf("round %d: got error %v from Close, want none", round, err)
 		}
-		calling.Wait()
+		goroutines.Wait()
 	}
 }
 
-// TestPlannedStopDoesNotWaitForCallersThatAreSilent: a connection on which nothing
-// is read any more, and one that never greets, hold a stop only for a while.
+// TestServerCloseDoesNotWaitForUnresponsivePeers checks that a connection whose peer never sends
+// its greeting delays Close only for a limited time.
 func TestServerCloseDoesNotWaitForUnresponsivePeers(t *testing.T) {
 	server, _, _ := startServer(t)
-	mute, err := net.Dial("tcp", server.Address().String())
+	silentConn, err := net.Dial("tcp", server.Address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
+	defer silentConn.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if err := server.Close(ctx); err != nil {
-		t.Error(err)
+		t.Errorf("got error %v from Close, want none", err)
 	}
 }
