--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -36,50 +36,50 @@
 }
 
 // entry is one announcement.
-type entry struct {
+type announcement struct {
 	Member
 	// removedAt is when the announcement vanished, on the node's clock; zero while it
 	// is there.
 	removedAt time.Duration
 	// order rises with each announcement.
-	order uint64
+	sequence uint64
 }
 
 // Roster holds the announcements by key: each incarnation of a node has one of
 // its own. It is not safe for concurrent use.
 type Roster struct {
 	// memory is for how long an announcement counts after it vanished.
-	memory    time.Duration
-	announced map[string]entry
+	retention     time.Duration
+	announcements map[string]announcement
 	// assumed is the count that holds until the first announcements were known
 	// for as long as memory.
-	assumed int
+	assumedCount int
 	// since is when the first announcement came; below zero before.
-	since time.Duration
+	firstAddedAt time.Duration
 	// orders counts the announcements.
-	orders uint64
+	lastSequence uint64
 }
 
 // New returns a Roster that remembers an announcement for some time after it vanished, and
 // assumes a number of nodes until it has known some for that time.
 func New(memory time.Duration, assumed int) *Roster {
-	return &Roster{memory: memory, announced: make(map[string]entry), assumed: assumed, since: -1}
+	return &Roster{retention: memory, announcements: make(map[string]announcement), assumedCount: assumed, firstAddedAt: -1}
 }
 
 // Add takes in an announcement.
 func (r *Roster) Add(now time.Duration, key string, member Member) {
-	if r.since < 0 {
-		r.since = now
+	if r.firstAddedAt < 0 {
+		r.firstAddedAt = now
 	}
-	r.orders++
-	r.announced[key] = entry{Member: member, order: r.orders}
+	r.lastSequence++
+	r.announcements[key] = announcement{Member: member, sequence: r.lastSequence}
 }
 
 // Remove takes in that an announcement is gone.
 func (r *Roster) Remove(now time.Duration, key string) {
-	if known, found := r.announced[key]; found && known.removedAt == 0 {
+	if known, found := r.announcements[key]; found && known.removedAt == 0 {
 		known.removedAt = max(now, 1)
-		r.announced[key] = known
+		r.announcements[key] = known
 	}
 }
 
@@ -88,7 +88,7 @@
 	for key, member := range members {
 		r.Add(now, key, member)
 	}
-	for key := range r.announced {
+	for key := range r.announcements {
 		if _, present := members[key]; !present {
 			r.Remove(now, key)
 		}
@@ -98,8 +98,8 @@
 // Count returns how many nodes there are, or were lately.
 func (r *Roster) Count(now time.Duration) int {
 	count := len(r.Members(now))
-	if r.since < 0 || now-r.since < r.memory {
-		return max(count, r.assumed)
+	if r.firstAddedAt < 0 || now-r.firstAddedAt < r.retention {
+		return max(count, r.assumedCount)
 	}
 	return max(count, 1)
 }
@@ -107,13 +107,13 @@
 // Members returns the nodes that there are, or were lately, by name. Of two
 // incarnations of a node, the one announced last is given.
 func (r *Roster) Members(now time.Duration) []Member {
-	latest := make(map[string]entry, len(r.announced))
-	for key, known := range r.announced {
-		if known.removedAt > 0 && now-known.removedAt > r.memory {
-			delete(r.announced, key)
+	latest := make(map[string]announcement, len(r.announcements))
+	for key, known := range r.announcements {
+		if known.removedAt > 0 && now-known.removedAt > r.retention {
+			delete(r.announcements, key)
 			continue
 		}
-		if former, found := latest[known.Name]; !found || former.order < known.order {
+		if former, found := latest[known.Name]; !found || former.sequence < known.sequence {
 			latest[known.Name] = known
 		}
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-const memory = 20 * time.Second
+const testRetention = 20 * time.Second
 
-func member(key string) Member {
+func testMember(key string) Member {
 	return Member{Name: strings.Split(key, "/")[0], Zone: "zone of " + key}
 }
 
-func members(keys ...string) map[string]Member {
+func testMembers(keys ...string) map[string]Member {
 	made := make(map[string]Member)
 	for _, key := range keys {
-		made[key] = member(key)
+		made[key] = testMember(key)
 	}
 	return made
 }
 
 func TestCount(t *testing.T) {
-	r := New(memory, 12)
+	r := New(testRetention, 12)
 	check := func(now time.Duration, want int, why string) {
 		t.Helper()
 		if got := r.Count(now); got != want {
@@ -30,37 +30,37 @@
 		}
 	}
 	check(time.Hour, 12, "nothing is known")
-	r.Replace(0, members("a/1", "b/1", "c/1"))
-	check(memory-1, 12, "known for a short time")
-	check(memory, 3, "known for long")
-	r.Add(memory, "a/2", member("a/2"))
-	check(memory, 3, "a node that restarted counts once")
-	r.Remove(memory, "a/1")
-	check(10*memory, 3, "its former incarnation lapsed")
-	r.Remove(10*memory, "b/1")
-	check(11*memory, 3, "gone lately")
-	check(11*memory+1, 2, "gone for long")
-	r.Replace(20*memory, nil)
-	check(20*memory, 2, "all leases lapsed in an outage")
-	r.Replace(20*memory+1, members("a/3", "c/3", "d/1"))
-	check(30*memory, 3, "and were taken again")
-	r.Replace(30*memory, nil)
-	check(40*memory, 1, "never less than this node")
+	r.Replace(0, testMembers("a/1", "b/1", "c/1"))
+	check(testRetention-1, 12, "known for a short time")
+	check(testRetention, 3, "known for long")
+	r.Add(testRetention, "a/2", testMember("a/2"))
+	check(testRetention, 3, "a node that restarted counts once")
+	r.Remove(testRetention, "a/1")
+	check(10*testRetention, 3, "its former incarnation lapsed")
+	r.Remove(10*testRetention, "b/1")
+	check(11*testRetention, 3, "gone lately")
+	check(11*testRetention+1, 2, "gone for long")
+	r.Replace(20*testRetention, nil)
+	check(20*testRetention, 2, "all leases lapsed in an outage")
+	r.Replace(20*testRetention+1, testMembers("a/3", "c/3", "d/1"))
+	check(30*testRetention, 3, "and were taken again")
+	r.Replace(30*testRetention, nil)
+	check(40*testRetention, 1, "never less than this node")
 }
 
-func TestMembersAreThoseAnnouncedLast(t *testing.T) {
-	r := New(memory, 1)
-	r.Add(0, "b/1", member("b/1"))
-	r.Add(0, "a/1", member("a/1"))
-	r.Add(1, "a/2", member("a/2"))
+func TestMembersReturnsLatestIncarnation(t *testing.T) {
+	r := New(testRetention, 1)
+	r.Add(0, "b/1", testMember("b/1"))
+	r.Add(0, "a/1", testMember("a/1"))
+	r.Add(1, "a/2", testMember("a/2"))
 	r.Remove(2, "a/1")
 	found := r.Members(3)
-	if len(found) != 2 || found[0] != member("a/2") || found[1] != member("b/1") {
+	if len(found) != 2 || found[0] != testMember("a/2") || found[1] != testMember("b/1") {
 		t.Errorf("%+v", found)
 	}
 }
 
-func TestAnnouncementIsReadAsWritten(t *testing.T) {
+func TestMemberRoundTrip(t *testing.T) {
 	written := Member{Name: "a", Zone: "z", Peer: netip.MustParseAddrPort("10.0.0.1:7380"), Cores: 0.4}
 	value, err := written.Encode()
 	if err != nil {
--- a/internal/roster/watchers.go
+++ b/internal/roster/watchers.go
@@ -11,23 +11,23 @@
 const (
 	// fewestForWatchers is the number of nodes from which some watch the store for the
 	// others. Not measured by itself: with fewer the calls of all are few.
-	fewestForWatchers = 16
+	minMembersForWatchers = 16
 	// leastWatchers is how many there are at least. Not measured: chosen because a change
 	// has to reach all nodes also behind one that fails.
-	leastWatchers = 3
+	minWatchers = 3
 	// membersPerWatcher is how many nodes share a watcher at most. It bounds what
 	// a watcher sends when many leaves change at once: at 75 followers and 782
 	// leaves it was 1.3 MB a second.
-	membersPerWatcher = 50
+	maxMembersPerWatcher = 50
 )
 
 // Watchers returns the members that watch the store for the others: see Spread.
 // There are none among few nodes.
 func Watchers(members []Member, preferred ...netip.AddrPort) []Member {
-	if len(members) < fewestForWatchers {
+	if len(members) < minMembersForWatchers {
 		return nil
 	}
-	return Spread(members, max(leastWatchers, (len(members)+membersPerWatcher-1)/membersPerWatcher), preferred...)
+	return Spread(members, max(minWatchers, (len(members)+maxMembersPerWatcher-1)/maxMembersPerWatcher), preferred...)
 }
 
 // Spread returns about the wanted number of members: those at the preferred
@@ -87,11 +87,11 @@
 			}
 			return 1
 		}
-		return cmp.Compare(rendezvous(self, a), rendezvous(self, b))
+		return cmp.Compare(rendezvousHash(self, a), rendezvousHash(self, b))
 	})
 	return order
 }
 
-func rendezvous(self, other Member) uint64 {
+func rendezvousHash(self, other Member) uint64 {
 	return xxhash.Sum64String(self.Name + "\x00" + other.Name)
 }
--- a/internal/roster/watchers_test.go
+++ b/internal/roster/watchers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func spread(count int) []Member {
+func membersInFourZones(count int) []Member {
 	members := make([]Member, count)
 	for index := range members {
 		members[index] = Member{Name: fmt.Sprintf("node-%d", index), Zone: fmt.Sprintf("zone-%d", index%4)}
@@ -15,7 +15,7 @@
 
 func TestWatchers(t *testing.T) {
 	for _, test := range []struct{ members, watchers int }{{0, 0}, {8, 0}, {15, 0}, {16, 4}, {64, 4}, {300, 6}, {1000, 20}, {3900, 78}} {
-		watchers := Watchers(spread(test.members))
+		watchers := Watchers(membersInFourZones(test.members))
 		if len(watchers) < test.watchers || len(watchers) > test.watchers+3 {
 			t.Errorf("%d watchers of %d nodes, want %d", len(watchers), test.members, test.watchers)
 		}
@@ -30,8 +30,8 @@
 }
 
 // TestWatchersStayWhenOthersLeave moves no follower without need.
-func TestWatchersStayWhenOthersLeave(t *testing.T) {
-	members := spread(64)
+func TestWatchersAreStableWhenOneLeaves(t *testing.T) {
+	members := membersInFourZones(64)
 	before := Watchers(members)
 	left := members[:0:0]
 	for _, member := range members {
@@ -52,8 +52,8 @@
 	}
 }
 
-func TestPreferredPutsTheOwnZoneFirst(t *testing.T) {
-	members := spread(12)
+func TestPreferredPutsOwnZoneFirst(t *testing.T) {
+	members := membersInFourZones(12)
 	order := Preferred(members[1], members)
 	for index, member := range order {
 		if near := member.Zone == members[1].Zone; near != (index < 3) {
--- a/internal/roster/wire_test.go
+++ b/internal/roster/wire_test.go
@@ -7,4 +7,4 @@
 )
 
 // TestMemberReadsAsRecorded: nodes of other versions announce themselves in the store.
-func TestMemberReadsAsRecorded(t *testing.T) { wiretest.JSON[Member](t, "member") }
+func TestMemberWireFormat(t *testing.T) { wiretest.JSON[Member](t, "member") }
