--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,10 +1,11 @@
-// Package roster holds the nodes that are announced, and remembers those that were
-// announced lately. It chooses the nodes that watch the store for the others (Watchers) and
-// those that are asked first (Preferred, Spread, FirstOfZones).
+// Package roster tracks the nodes that announce themselves in the store, and retains announcements
+// for some time after their removal. It selects the nodes that watch the store for the others
+// (Watchers) and the order or subset in which nodes contact each other (Preferred, Spread,
+// FirstOfZones).
 //
-// It owns the announcements as the store had them. It relies on nothing but their keys and
-// values; every node chooses the same from the same announcements. It is pure: time comes
-// in as an argument, a duration on the node's clock.
+// The package depends only on the keys and values of the announcements. Watchers, Spread and
+// FirstOfZones return the same nodes on every node that has the same announcements. The package is
+// pure: the current time is an argument, a duration on the node's clock.
 package roster
 
 import (
@@ -15,58 +16,57 @@
 	"time"
 )
 
-// Member is what a node announces of itself.
+// Member is the announcement of a node.
 type Member struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Peer is where other nodes reach it.
+	// Peer is the address at which other nodes reach the node.
 	Peer netip.AddrPort `json:"peer"`
-	// Cores is the processor time that it has, in cores (seconds a second).
+	// Cores is the processor time available to the node, in cores (seconds per second).
 	Cores float64 `json:"cores"`
 }
 
-// Encode returns the value of the announcement.
+// Encode returns the value of the announcement in the store.
 func (m Member) Encode() ([]byte, error) { return json.Marshal(m) }
 
-// Decode reads the value of an announcement. An error is that of its JSON.
+// Decode decodes the value of an announcement. The error is that of encoding/json.
 func Decode(value []byte) (Member, error) {
 	var member Member
 	err := json.Unmarshal(value, &member)
 	return member, err
 }
 
-// entry is one announcement.
+// announcement is a Member with its state in the Roster.
 type announcement struct {
 	Member
-	// removedAt is when the announcement vanished, on the node's clock; zero while it
-	// is there.
+	// removedAt is the time of the removal on the node's clock; zero while the announcement is in
+	// the store.
 	removedAt time.Duration
-	// order rises with each announcement.
+	// sequence increases with each added announcement.
 	sequence uint64
 }
 
-// Roster holds the announcements by key: each incarnation of a node has one of
-// its own. It is not safe for concurrent use.
+// Roster holds the announcements of nodes. Each incarnation of a node has its own key. A Roster is
+// not safe for concurrent use.
 type Roster struct {
-	// memory is for how long an announcement counts after it vanished.
+	// retention is how long an announcement counts after its removal.
 	retention     time.Duration
-	announcements map[string]announcement
-	// assumed is the count that holds until the first announcements were known
-	// for as long as memory.
+	announcements map[string]announcement // by key
+	// assumedCount is the minimum of Count until retention has passed since firstAddedAt.
 	assumedCount int
-	// since is when the first announcement came; below zero before.
+	// firstAddedAt is the time of the first announcement; negative before it.
 	firstAddedAt time.Duration
-	// orders counts the announcements.
+	// lastSequence is the sequence of the announcement that was added last.
 	lastSequence uint64
 }
 
-// New returns a Roster that remembers an announcement for some time after it vanished, and
-// assumes a number of nodes until it has known some for that time.
-func New(memory time.Duration, assumed int) *Roster {
-	return &Roster{retention: memory, announcements: make(map[string]announcement), assumedCount: assumed, firstAddedAt: -1}
+// New returns a Roster that retains announcements for the given time after their removal. Count
+// returns at least assumedCount until that time has passed since the first announcement.
+func New(retention time.Duration, assumedCount int) *Roster {
+	return &Roster{retention: retention, announcements: make(map[string]announcement), assumedCount: assumedCount, firstAddedAt: -1}
 }
 
-// Add takes in an announcement.
+// Add adds or replaces an announcement.
 func (r *Roster) Add(now time.Duration, key string, member Member) {
 	if r.firstAddedAt < 0 {
 		r.firstAddedAt = now
@@ -75,15 +75,15 @@
 	r.announcements[key] = announcement{Member: member, sequence: r.lastSequence}
 }
 
-// Remove takes in that an announcement is gone.
+// Remove records that an announcement was removed from the store.
 func (r *Roster) Remove(now time.Duration, key string) {
-	if known, found := r.announcements[key]; found && known.removedAt == 0 {
-		known.removedAt = max(now, 1)
-		r.announcements[key] = known
+	if removed, ok := r.announcements[key]; ok && removed.removedAt == 0 {
+		removed.removedAt = max(now, 1)
+		r.announcements[key] = removed
 	}
 }
 
-// Replace takes in all announcements there are.
+// Replace adds the given announcements and removes all others.
 func (r *Roster) Replace(now time.Duration, members map[string]Member) {
 	for key, member := range members {
 		r.Add(now, key, member)
@@ -95,7 +95,8 @@
 	}
 }
 
-// Count returns how many nodes there are, or were lately.
+// Count returns the number of nodes that are announced or whose announcement is retained. It is at
+// least 1, for the node itself.
 func (r *Roster) Count(now time.Duration) int {
 	count := len(r.Members(now))
 	if r.firstAddedAt < 0 || now-r.firstAddedAt < r.retention {
@@ -104,22 +105,22 @@
 	return max(count, 1)
 }
 
-// Members returns the nodes that there are, or were lately, by name. Of two
-// incarnations of a node, the one announced last is given.
+// Members returns the nodes that are announced or whose announcement is retained, sorted by name.
+// If a node has several incarnations, Members returns the one that was announced last.
 func (r *Roster) Members(now time.Duration) []Member {
 	latest := make(map[string]announcement, len(r.announcements))
-	for key, known := range r.announcements {
-		if known.removedAt > 0 && now-known.removedAt > r.retention {
+	for key, current := range r.announcements {
+		if current.removedAt > 0 && now-current.removedAt > r.retention {
 			delete(r.announcements, key)
 			continue
 		}
-		if former, found := latest[known.Name]; !found || former.sequence < known.sequence {
-			latest[known.Name] = known
+		if previous, ok := latest[current.Name]; !ok || previous.sequence < current.sequence {
+			latest[current.Name] = current
 		}
 	}
 	members := make([]Member, 0, len(latest))
-	for _, known := range latest {
-		members = append(members, known.Member)
+	for _, current := range latest {
+		members = append(members, current.Member)
 	}
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return members
--- a/internal/roster/watchers.go
+++ b/internal/roster/watchers.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// fewestForWatchers is the number of nodes from which some watch the store for the
-	// others. Not measured by itself: with fewer the calls of all are few.
+	// minMembersForWatchers is the minimum number of nodes for which watchers are used. With fewer
+	// nodes every node can watch the store itself, because that causes few calls.
 	minMembersForWatchers = 16
-	// leastWatchers is how many there are at least. Not measured: chosen because a change
-	// has to reach all nodes also behind one that fails.
+	// minWatchers is the minimum number of watchers. With several watchers a change reaches all
+	// nodes even if one watcher fails.
 	minWatchers = 3
-	// membersPerWatcher is how many nodes share a watcher at most. It bounds what
-	// a watcher sends when many leaves change at once: at 75 followers and 782
-	// leaves it was 1.3 MB a second.
+	// maxMembersPerWatcher is the maximum number of nodes per watcher. It limits the traffic of a
+	// watcher when many leaves change at once: with 75 nodes per watcher and 782 leaves a watcher
+	// sends 1.3 MB per second.
 	maxMembersPerWatcher = 50
 )
 
-// Watchers returns the members that watch the store for the others: see Spread.
-// There are none among few nodes.
+// Watchers returns the members that watch the store for the others, selected by Spread. It returns
+// none for fewer than 16 members.
 func Watchers(members []Member, preferred ...netip.AddrPort) []Member {
 	if len(members) < minMembersForWatchers {
 		return nil
@@ -30,15 +30,14 @@
 	return Spread(members, max(minWatchers, (len(members)+maxMembersPerWatcher-1)/maxMembersPerWatcher), preferred...)
 }
 
-// Spread returns about the wanted number of members: those at the preferred
-// addresses first, then those first by a hash of their names, with one of each
-// zone at least. Every node computes the same from the same members and
-// preferences.
-func Spread(members []Member, wanted int, preferred ...netip.AddrPort) []Member {
-	order := slices.Clone(members)
-	slices.SortFunc(order, func(a, b Member) int {
-		if first := slices.Contains(preferred, a.Peer); first != slices.Contains(preferred, b.Peer) {
-			if first {
+// Spread returns count members, or more if that is necessary to include one of each zone. Members
+// at the preferred addresses come first, the others are ordered by a hash of their names. The
+// result is the same on every node with the same arguments.
+func Spread(members []Member, count int, preferred ...netip.AddrPort) []Member {
+	sorted := slices.Clone(members)
+	slices.SortFunc(sorted, func(a, b Member) int {
+		if aPreferred := slices.Contains(preferred, a.Peer); aPreferred != slices.Contains(preferred, b.Peer) {
+			if aPreferred {
 				return -1
 			}
 			return 1
@@ -46,41 +45,42 @@
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
 	})
 	zones := make(map[string]bool)
-	var chosen []Member
-	for _, member := range order {
-		if !zones[member.Zone] || len(chosen) < wanted {
+	var selected []Member
+	for _, member := range sorted {
+		if !zones[member.Zone] || len(selected) < count {
 			zones[member.Zone] = true
-			chosen = append(chosen, member)
+			selected = append(selected, member)
 		}
 	}
-	return chosen
+	return selected
 }
 
-// FirstOfZones returns some members of each zone, those first by a hash of their
-// names, sorted by name. A member that is lost is followed by the next of its zone;
-// the others stay.
+// FirstOfZones returns up to perZone members of each zone, sorted by name. It selects them by a
+// hash of their names, so that the loss of a member replaces only that member, by another one of
+// its zone.
 func FirstOfZones(members []Member, perZone int) []Member {
-	order := slices.Clone(members)
-	slices.SortFunc(order, func(a, b Member) int {
+	sorted := slices.Clone(members)
+	slices.SortFunc(sorted, func(a, b Member) int {
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
 	})
-	taken := make(map[string]int)
-	var chosen []Member
-	for _, member := range order {
-		if taken[member.Zone] < perZone {
-			taken[member.Zone]++
-			chosen = append(chosen, member)
+	selectedPerZone := make(map[string]int)
+	var selected []Member
+	for _, member := range sorted {
+		if selectedPerZone[member.Zone] < perZone {
+			selectedPerZone[member.Zone]++
+			selected = append(selected, member)
 		}
 	}
-	slices.SortFunc(chosen, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return chosen
+	slices.SortFunc(selected, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return selected
 }
 
-// Preferred sorts members as a node asks them: those of its zone first, and
-// otherwise in an order of its own, so that the nodes spread over them.
+// Preferred sorts members in the order in which the node self contacts them: first those of its own
+// zone, and within and outside of the zone in an order that differs between nodes, so that the load
+// is spread over the members.
 func Preferred(self Member, members []Member) []Member {
-	order := slices.Clone(members)
-	slices.SortFunc(order, func(a, b Member) int {
+	sorted := slices.Clone(members)
+	slices.SortFunc(sorted, func(a, b Member) int {
 		if (a.Zone == self.Zone) != (b.Zone == self.Zone) {
 			if a.Zone == self.Zone {
 				return -1
@@ -89,9 +89,10 @@
 		}
 		return cmp.Compare(rendezvousHash(self, a), rendezvousHash(self, b))
 	})
-	return order
+	return sorted
 }
 
+// rendezvousHash returns the position of other in the order of self.
 func rendezvousHash(self, other Member) uint64 {
 	return xxhash.Sum64String(self.Name + "\x00" + other.Name)
 }
--- a/internal/roster/wire_test.go
+++ b/internal/roster/wire_test.go
@@ -6,5 +6,6 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMemberReadsAsRecorded: nodes of other versions announce themselves in the store.
+// TestMemberWireFormat checks the recorded encoding of Member, because nodes of other versions read
+// and write announcements in the same store.
 func TestMemberWireFormat(t *testing.T) { wiretest.JSON[Member](t, "member") }
