--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -50,7 +50,7 @@
 	}
 	if side == clientSide {
 		m.silentConnections = factory.Counter("micaplank_peer_client_silent_connections_total",
-			"Connections that the client side closed because the peer sent nothing while calls timed out.")
+			"Connections that the client side closed because the peer sent nothing while calls waited.")
 	}
 	return m
 }
