--- a/internal/leaf/execute_test.go
+++ b/internal/leaf/execute_test.go
@@ -64,14 +64,14 @@
 			},
 			sent: true,
 		},
-		"go away that covers the stream, then closed": {
+		"GOAWAY that includes the stream, then connection closed": {
 			onRequest: func(conn *rawConn, stream uint32, _ []byte) bool {
 				conn.framer.WriteGoAway(stream, http2.ErrCodeNo, nil)
 				return false
 			},
 			sent: true,
 		},
-		"go away below the stream, then closed": {
+		"GOAWAY below the stream, then connection closed": {
 			onRequest: func(conn *rawConn, _ uint32, _ []byte) bool {
 				conn.framer.WriteGoAway(0, http2.ErrCodeNo, nil)
 				return false
@@ -101,16 +101,16 @@
 			},
 			sent: true,
 		},
-		"closed after the head of the reply": {
+		"connection closed after the reply headers": {
 			onRequest: func(conn *rawConn, stream uint32, _ []byte) bool {
-				conn.replyHead(stream)
+				conn.writeReplyHeaders(stream)
 				return false
 			},
 			sent: true,
 		},
-		"stream refused after the head of the reply": {
+		"stream refused after the reply headers": {
 			onRequest: func(conn *rawConn, stream uint32, _ []byte) bool {
-				conn.replyHead(stream)
+				conn.writeReplyHeaders(stream)
 				conn.framer.WriteRSTStream(stream, http2.ErrCodeRefusedStream)
 				return true
 			},
--- a/internal/leaf/raw_server_test.go
+++ b/internal/leaf/raw_server_test.go
@@ -117,11 +117,12 @@
 
 // reply sends a complete response with the given body.
 func (c *rawConn) reply(stream uint32, body []byte) {
-	c.replyHead(stream)
+	c.writeReplyHeaders(stream)
 	c.framer.WriteData(stream, true, body)
 }
 
-func (c *rawConn) replyHead(stream uint32) {
+// writeReplyHeaders sends the headers of a response with status 200.
+func (c *rawConn) writeReplyHeaders(stream uint32) {
 	var block bytes.Buffer
 	hpack.NewEncoder(&block).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
 	c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: block.Bytes(), EndHeaders: true})
--- a/internal/peer/framed_conn.go
+++ b/internal/peer/framed_conn.go
@@ -167,7 +167,7 @@
 	return c.writeEncoded()
 }
 
-// encode encodes a header and its body into the buffer encoded, behind space for the length prefix.
+// encode encodes a header and its body into c.encoded, behind space for the length prefix.
 func (c *framedConn) encode(header frameHeader, body any) error {
 	c.encoded.Reset()
 	c.encoded.Write(make([]byte, frameLengthSize))
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -225,38 +225,38 @@
 }
 
 func TestDatagramDispatchByKind(t *testing.T) {
-	server, left, err := peer.ListenPair(loopback, nil)
+	server, sender, err := peer.ListenPair(loopback, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close(context.Background()) }()
-	defer left.Close()
-	if server.Address() != left.Address() {
-		t.Fatalf("got addresses %s and %s, want equal ones", server.Address(), left.Address())
+	defer sender.Close()
+	if server.Address() != sender.Address() {
+		t.Fatalf("got addresses %s and %s, want equal ones", server.Address(), sender.Address())
 	}
-	right, err := peer.ListenDatagrams(loopback)
+	receiver, err := peer.ListenDatagrams(loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer right.Close()
+	defer receiver.Close()
 	type arrival struct {
 		from    netip.AddrPort
 		payload string
 	}
 	arrivals := make(chan arrival, 1)
-	right.Handle(peer.KindExchange, func(from netip.AddrPort, payload []byte) { arrivals <- arrival{from, string(payload)} })
-	right.Handle(peer.KindMembership, func(netip.AddrPort, []byte) { t.Error("got a call of the handler of another kind, want none") })
-	if err := left.Send(peer.KindTopology, right.Address(), []byte("nobody listens")); err != nil {
+	receiver.Handle(peer.KindExchange, func(from netip.AddrPort, payload []byte) { arrivals <- arrival{from, string(payload)} })
+	receiver.Handle(peer.KindMembership, func(netip.AddrPort, []byte) { t.Error("got a call of the handler of another kind, want none") })
+	if err := sender.Send(peer.KindTopology, receiver.Address(), []byte("no handler")); err != nil {
 		t.Fatal(err)
 	}
-	if err := left.Send(peer.KindExchange, right.Address(), []byte("hello")); err != nil {
+	if err := sender.Send(peer.KindExchange, receiver.Address(), []byte("hello")); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-arrivals; got.from != left.Address() || got.payload != "hello" {
-		t.Fatalf("got %q from %s, want %q from %s", got.payload, got.from, "hello", left.Address())
+	if got := <-arrivals; got.from != sender.Address() || got.payload != "hello" {
+		t.Fatalf("got %q from %s, want %q from %s", got.payload, got.from, "hello", sender.Address())
 	}
-	err = left.Send(peer.KindExchange, right.Address(), make([]byte, peer.MaxDatagramSize+1))
+	err = sender.Send(peer.KindExchange, receiver.Address(), make([]byte, peer.MaxDatagramSize+1))
 	if !errors.Is(err, peer.ErrTooLarge) {
-		t.Fatalf("got %v, want ErrTooLarge", err)
+		t.Fatalf("got error %v, want %v", err, peer.ErrTooLarge)
 	}
 }
