--- a/internal/peer/client_call.go
+++ b/internal/peer/client_call.go
@@ -7,111 +7,119 @@
 	"time"
 )
 
-// reply is what ends a call.
-type reply struct {
+// callResult is the result of a call.
+type callResult struct {
 	value   reflect.Value // pointer to the response
 	failure *Error
 }
 
-// waiter is a call that waits for its response.
-type waiter struct {
-	kind  reflect.Type // type that response points to
-	reply chan reply   // holds one
+// pendingCall is a call without a response.
+type pendingCall struct {
+	responseType reflect.Type    // type to which the caller's response points
+	result       chan callResult // buffered for one result
 }
 
-// end hands the call its end; only the first one counts.
-func (w *waiter) end(r reply) {
+// complete delivers the result of the call. Any later result is dropped.
+func (p *pendingCall) complete(r callResult) {
 	select {
-	case w.reply <- r:
+	case p.result <- r:
 	default:
 	}
 }
 
-// exchange runs one call on the established link.
-func (l *clientLink) exchange(ctx context.Context, method string, request, response any) *Error {
+// call performs one call on the established connection.
+func (c *clientConn) call(ctx context.Context, method string, request, response any) *Error {
 	target := reflect.ValueOf(response)
 	if target.Kind() != reflect.Pointer || target.IsNil() {
-		return &Error{Step: StepEncode, Err: fmt.Errorf("peer: response is %T, expected a pointer to a struct", response)}
+		return &Error{Step: StepEncode, Err: fmt.Errorf("peer: response is %T, want a non-nil pointer to a struct", response)}
 	}
-	waiting := &waiter{kind: target.Type().Elem(), reply: make(chan reply, 1)}
-	call, ok := l.enter(waiting)
+	pending := &pendingCall{responseType: target.Type().Elem(), result: make(chan callResult, 1)}
+	callID, ok := c.register(pending)
 	if !ok {
 		return &Error{Step: StepQueue, Err: ErrLost}
 	}
-	defer l.leave(call)
-	begun := time.Now()
-	frame := requestFrame(ctx, call, method, request, waiting)
+	defer c.unregister(callID)
+	startedAt := time.Now()
+	frame := newRequestFrame(ctx, callID, method, request, pending)
 	select {
-	case l.link.queue <- frame:
-	case <-l.link.done:
+	case c.framed.queue <- frame:
+	case <-c.framed.closed:
 		return &Error{Step: StepQueue, Err: ErrLost}
 	case <-ctx.Done():
 		return &Error{Step: StepQueue, Err: ctx.Err()}
 	}
 	select {
-	case got := <-waiting.reply:
-		return accept(got, target, frame)
+	case result := <-pending.result:
+		return storeResult(result, target, frame)
 	case <-ctx.Done():
-		failure := l.giveUp(ctx, call, frame)
-		l.closeIfSilent(begun)
+		failure := c.abandon(ctx, callID, frame)
+		c.closeIfSilent(startedAt)
 		return failure
 	}
 }
 
-func requestFrame(ctx context.Context, call uint64, method string, request any, waiting *waiter) *outgoing {
-	frame := &outgoing{header: frameHeader{Kind: frameRequest, Call: call, Method: method}, body: request}
+// newRequestFrame returns the request frame of a call. If the frame cannot be encoded, the call
+// ends with that error.
+func newRequestFrame(ctx context.Context, callID uint64, method string, request any, pending *pendingCall) *outgoingFrame {
+	frame := &outgoingFrame{header: frameHeader{Kind: frameRequest, Call: callID, Method: method}, body: request}
 	if deadline, ok := ctx.Deadline(); ok {
 		frame.header.Remaining = max(time.Until(deadline), 1)
 	}
-	frame.failed = func(err error) *outgoing {
-		waiting.end(reply{failure: &Error{Step: StepEncode, Err: err}})
+	frame.onEncodeError = func(err error) *outgoingFrame {
+		pending.complete(callResult{failure: &Error{Step: StepEncode, Err: err}})
 		return nil
 	}
 	return frame
 }
 
-func accept(got reply, target reflect.Value, frame *outgoing) *Error {
-	if got.failure == nil {
-		target.Elem().Set(got.value.Elem())
+// storeResult stores the response of a successful call in target, and returns the error of a failed
+// one.
+func storeResult(result callResult, target reflect.Value, frame *outgoingFrame) *Error {
+	if result.failure == nil {
+		target.Elem().Set(result.value.Elem())
 		return nil
 	}
-	if got.failure.Step == StepWait {
-		// The connection was lost; the frame may not have reached the writer.
-		got.failure.Sent = !frame.withdraw()
+	if result.failure.Step == StepWait {
+		// The connection was lost, possibly before the writer took the frame from the queue.
+		result.failure.Sent = !frame.withdraw()
 	}
-	return got.failure
+	return result.failure
 }
 
-// giveUp ends a call whose context has ended and cancels it at the peer.
-func (l *clientLink) giveUp(ctx context.Context, call uint64, frame *outgoing) *Error {
+// abandon ends a call whose context has ended. If the request may have been sent, abandon cancels
+// it at the peer.
+func (c *clientConn) abandon(ctx context.Context, callID uint64, frame *outgoingFrame) *Error {
 	if frame.withdraw() {
 		return &Error{Step: StepQueue, Err: ctx.Err()}
 	}
 	select {
-	case l.link.queue <- &outgoing{header: frameHeader{Kind: frameCancel, Call: call}}:
-	default: // the peer's deadline ends the call there
+	case c.framed.queue <- &outgoingFrame{header: frameHeader{Kind: frameCancel, Call: callID}}:
+	default: // the queue is full; the deadline that the peer received ends the call there
 	}
 	return &Error{Step: StepWait, Sent: true, Err: ctx.Err()}
 }
 
-func (l *clientLink) enter(waiting *waiter) (uint64, bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.lost || l.leaving {
+// register adds a pending call and returns its ID. It returns false if the connection accepts no
+// new calls.
+func (c *clientConn) register(pending *pendingCall) (uint64, bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.lost || c.draining {
 		return 0, false
 	}
-	l.last++
-	l.calls++
-	l.waiters[l.last] = waiting
-	l.used = time.Now()
-	return l.last, true
+	c.lastCall++
+	c.activeCalls++
+	c.pending[c.lastCall] = pending
+	c.lastUsed = time.Now()
+	return c.lastCall, true
 }
 
-func (l *clientLink) leave(call uint64) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.waiters, call)
-	l.calls--
-	l.used = time.Now()
-	l.closeIfLeft()
+// unregister removes a call that has ended.
+func (c *clientConn) unregister(callID uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.pending, callID)
+	c.activeCalls--
+	c.lastUsed = time.Now()
+	c.closeIfDrained()
 }
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -6,16 +6,17 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
+// datagramMetrics holds the metrics of Datagrams.
 type datagramMetrics struct {
-	packets *prometheus.CounterVec
-	bytes   *prometheus.CounterVec
-	dropped *prometheus.CounterVec
+	datagrams *prometheus.CounterVec
+	bytes     *prometheus.CounterVec
+	dropped   *prometheus.CounterVec
 }
 
 func newDatagramMetrics(registerer prometheus.Registerer) *datagramMetrics {
 	factory := telemetry.NewFactory(registerer)
 	return &datagramMetrics{
-		packets: factory.Counters("micaplank_peer_datagrams_total",
+		datagrams: factory.Counters("micaplank_peer_datagrams_total",
 			"Datagrams, by kind and direction.", "kind", "direction"),
 		bytes: factory.Counters("micaplank_peer_datagram_bytes_total",
 			"Payload bytes of datagrams, by kind and direction.", "kind", "direction"),
@@ -24,15 +25,17 @@
 	}
 }
 
-// clientSide names the side of callers in metrics.
+// clientSide is the name of the client side in the names of metrics.
 const clientSide = "client"
 
+// callMetrics holds the metrics of a Client or a Server.
 type callMetrics struct {
 	calls       *prometheus.CounterVec
 	bytes       *prometheus.CounterVec
 	connections prometheus.Gauge
-	// silent is nil on the server side: only the client can tell.
-	silent prometheus.Counter
+	// silentConnections is nil on the server side, because only the client detects silent
+	// connections.
+	silentConnections prometheus.Counter
 }
 
 func newCallMetrics(registerer prometheus.Registerer, side string) *callMetrics {
@@ -46,8 +49,8 @@
 			"Open connections on the "+side+" side."),
 	}
 	if side == clientSide {
-		m.silent = factory.Counter("micaplank_peer_client_silent_connections_total",
-			"Connections that were closed on the client side since they had gone silent.")
+		m.silentConnections = factory.Counter("micaplank_peer_client_silent_connections_total",
+			"Connections that the client side closed because the peer sent nothing while calls waited.")
 	}
 	return m
 }
