--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -40,24 +40,24 @@
 	}
 	value := reflect.ValueOf(event)
 	attributes := make([]slog.Attr, 0, value.NumField())
-	for _, field := range fieldsOf(value.Type()) {
-		attributes = append(attributes, attribute(field.Name, value.Field(field.index)))
+	for _, field := range loggedFields(value.Type()) {
+		attributes = append(attributes, newAttribute(field.Name, value.Field(field.index)))
 	}
 	logger.LogAttrs(ctx, kind.Level, kind.Message, attributes...)
 }
 
 // attribute returns a field as it is logged. An error brings its step and peer
 // with it.
-func attribute(name string, value reflect.Value) slog.Attr {
-	switch content := value.Interface().(type) {
+func newAttribute(name string, value reflect.Value) slog.Attr {
+	switch field := value.Interface().(type) {
 	case nil:
 		return slog.Attr{}
 	case error:
-		return telemetry.Error(content)
+		return telemetry.Error(field)
 	case fmt.Stringer:
-		return slog.String(name, content.String())
+		return slog.String(name, field.String())
 	default:
-		return slog.Any(name, content)
+		return slog.Any(name, field)
 	}
 }
 
@@ -69,19 +69,19 @@
 }
 
 // known holds the fields of each type that was logged.
-var known sync.Map
+var fieldCache sync.Map
 
-func fieldsOf(of reflect.Type) []Field {
-	if found, ok := known.Load(of); ok {
-		return found.([]Field)
+func loggedFields(eventType reflect.Type) []Field {
+	if cached, ok := fieldCache.Load(eventType); ok {
+		return cached.([]Field)
 	}
 	var fields []Field
-	for index := range of.NumField() {
-		tag := of.Field(index).Tag
+	for index := range eventType.NumField() {
+		tag := eventType.Field(index).Tag
 		if name := tag.Get("event"); name != "" {
 			fields = append(fields, Field{Name: name, Doc: tag.Get("doc"), index: index})
 		}
 	}
-	known.Store(of, fields)
+	fieldCache.Store(eventType, fields)
 	return fields
 }
--- a/internal/event/page_test.go
+++ b/internal/event/page_test.go
@@ -7,7 +7,7 @@
 )
 
 // all returns one event of each type, in the order of the page.
-func all() []Event {
+func allEvents() []Event {
 	return []Event{
 		Request{}, RequestLost{},
 		StoreRead{}, SourceUsed{}, SourceFailed{}, StoreLost{}, StoreRegained{}, WatcherFailed{},
@@ -25,17 +25,17 @@
 func writePage(head string, events []Event) string {
 	var page strings.Builder
 	page.WriteString(head)
-	for _, one := range events {
-		kind := one.Kind()
+	for _, event := range events {
+		kind := event.Kind()
 		fmt.Fprintf(&page, "\n## %s\n\n%s Level: %s.\n", kind.Message, kind.Meaning, strings.ToLower(kind.Level.String()))
-		writeFields(&page, fieldsOf(reflect.TypeOf(one)))
+		writeFieldTable(&page, loggedFields(reflect.TypeOf(event)))
 	}
 	page.WriteString("\n## An attempt, in the field `attempts`\n")
-	writeFields(&page, fieldsOf(reflect.TypeFor[Attempt]()))
+	writeFieldTable(&page, loggedFields(reflect.TypeFor[Attempt]()))
 	return page.String()
 }
 
-func writeFields(page *strings.Builder, fields []Field) {
+func writeFieldTable(page *strings.Builder, fields []Field) {
 	if len(fields) == 0 {
 		return
 	}
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -20,17 +20,17 @@
 	Executor     string    `event:"executor" doc:"node that ran it; empty if that is the node of the line, whose attempts then follow"`
 	Attempts     []Attempt `event:"attempts" doc:"attempts at leaves that explain the end: all of a request to one leaf; of many shards the extra ones and those that brought no part, 24 at most"`
 
-	urgency slog.Level
+	level slog.Level
 }
 
 // Kind implements Event.
 func (r Request) Kind() Kind {
-	return Kind{"request", r.urgency, "Level warn if the client got no answer, info otherwise. A request that was handed to another node has a line at both."}
+	return Kind{"request", r.level, "Level warn if the client got no answer, info otherwise. A request that was handed to another node has a line at both."}
 }
 
 // WithLevel returns the event with a level.
 func (r Request) WithLevel(level slog.Level) Request {
-	r.urgency = level
+	r.level = level
 	return r
 }
 
