--- a/internal/telemetry/order.go
+++ b/internal/telemetry/attribute_order.go
@@ -24,10 +24,10 @@
 func (h orderingHandler) Handle(ctx context.Context, record slog.Record) error {
 	attributes := make([]slog.Attr, 0, record.NumAttrs())
 	record.Attrs(func(attribute slog.Attr) bool {
-		attributes = append(attributes, inlined(attribute)...)
+		attributes = append(attributes, flattenAttribute(attribute)...)
 		return true
 	})
-	slices.SortStableFunc(attributes, func(left, right slog.Attr) int { return rank(left.Key) - rank(right.Key) })
+	slices.SortStableFunc(attributes, func(left, right slog.Attr) int { return attributeRank(left.Key) - attributeRank(right.Key) })
 	ordered := slog.NewRecord(record.Time, record.Level, record.Message, record.PC)
 	ordered.AddAttrs(attributes...)
 	return h.next.Handle(ctx, ordered)
@@ -45,7 +45,7 @@
 
 // inlined opens a group without a name, and turns an error given as a value
 // into its attributes, so that no stack trace gets into a line.
-func inlined(attribute slog.Attr) []slog.Attr {
+func flattenAttribute(attribute slog.Attr) []slog.Attr {
 	if err, isError := attribute.Value.Any().(error); isError && attribute.Key == AttributeError {
 		attribute = Error(err)
 	}
@@ -55,9 +55,9 @@
 	return []slog.Attr{attribute}
 }
 
-func rank(key string) int {
-	if place := slices.Index(attributeOrder, key); place >= 0 {
-		return place
+func attributeRank(key string) int {
+	if index := slices.Index(attributeOrder, key); index >= 0 {
+		return index
 	}
 	if key == AttributeError {
 		return len(attributeOrder) + 1
--- a/internal/telemetry/factory.go
+++ b/internal/telemetry/factory.go
@@ -6,36 +6,36 @@
 )
 
 // Factory makes metrics and registers each. It panics if a name is taken.
-type Factory struct{ auto promauto.Factory }
+type Factory struct{ promauto promauto.Factory }
 
 // NewFactory returns a Factory that registers with registerer; with nil its
 // metrics are registered nowhere.
 func NewFactory(registerer prometheus.Registerer) Factory {
-	return Factory{auto: promauto.With(registerer)}
+	return Factory{promauto: promauto.With(registerer)}
 }
 
 // Counter makes a counter without labels.
 func (f Factory) Counter(name, help string) prometheus.Counter {
-	return f.auto.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
+	return f.promauto.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 }
 
 // Counters makes one counter for each combination of the labels' values.
 func (f Factory) Counters(name, help string, labels ...string) *prometheus.CounterVec {
-	return f.auto.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
+	return f.promauto.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 }
 
 // Gauge makes a gauge without labels.
 func (f Factory) Gauge(name, help string) prometheus.Gauge {
-	return f.auto.NewGauge(prometheus.GaugeOpts{Name: name, Help: help})
+	return f.promauto.NewGauge(prometheus.GaugeOpts{Name: name, Help: help})
 }
 
 // GaugeFunc makes a gauge that is read by a call of value.
 func (f Factory) GaugeFunc(name, help string, value func() float64) {
-	f.auto.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
+	f.promauto.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 }
 
 // Histograms makes one histogram for each combination of the labels' values;
 // buckets are upper bounds.
 func (f Factory) Histograms(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
-	return f.auto.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets}, labels)
+	return f.promauto.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets}, labels)
 }
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -40,7 +40,7 @@
 // NewLogger returns a logger whose lines carry the node's name, if there is
 // one, before their own attributes. The writer must take whole lines.
 func NewLogger(writer io.Writer, config LogConfig, node string) *slog.Logger {
-	options := &slog.HandlerOptions{Level: levelOf(config.Level)}
+	options := &slog.HandlerOptions{Level: parseLevel(config.Level)}
 	var handler slog.Handler = slog.NewTextHandler(writer, options)
 	if config.Format == FormatJSON {
 		handler = slog.NewJSONHandler(writer, options)
@@ -52,7 +52,7 @@
 	return logger.With(AttributeNode, node)
 }
 
-func levelOf(name string) slog.Level {
+func parseLevel(name string) slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(strings.ToUpper(name))); err != nil {
 		return slog.LevelInfo
@@ -67,10 +67,10 @@
 		return slog.Attr{}
 	}
 	attributes := make([]any, 0, 3)
-	if detailed, ok := oops.AsOops(err); ok {
-		values := detailed.Context()
+	if oopsError, ok := oops.AsOops(err); ok {
+		values := oopsError.Context()
 		for _, name := range []string{AttributeStep, AttributePeer} {
-			if value, found := values[name]; found {
+			if value, exists := values[name]; exists {
 				attributes = append(attributes, slog.Any(name, value))
 			}
 		}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -33,7 +33,7 @@
 	registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
-		buildInformation(version),
+		newBuildInfoGauge(version),
 	)
 	return registry
 }
@@ -43,12 +43,12 @@
 	if err := r.Registry.Register(collector); err != nil {
 		return err
 	}
-	if described, ok := collector.(TypedCollector); ok {
-		maps.Copy(r.types, described.MetricTypes())
+	if typed, ok := collector.(TypedCollector); ok {
+		maps.Copy(r.types, typed.MetricTypes())
 	}
-	if kind := typeOfVector(collector); kind != "" {
-		for _, metric := range describe(collector) {
-			r.types[metric.Name] = kind
+	if metricType := vectorType(collector); metricType != "" {
+		for _, metric := range describeMetrics(collector) {
+			r.types[metric.Name] = metricType
 		}
 	}
 	return nil
@@ -69,7 +69,7 @@
 	return promhttp.HandlerFor(r.Registry, promhttp.HandlerOpts{Registry: r.Registry})
 }
 
-func buildInformation(version string) prometheus.Collector {
+func newBuildInfoGauge(version string) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name:        "micaplank_build_info",
 		Help:        "Always 1; the label names the version of this process.",
@@ -77,7 +77,7 @@
 	}, func() float64 { return 1 })
 }
 
-func typeOfVector(collector prometheus.Collector) MetricType {
+func vectorType(collector prometheus.Collector) MetricType {
 	switch collector.(type) {
 	case *prometheus.CounterVec:
 		return TypeCounter
--- a/internal/telemetry/list.go
+++ b/internal/telemetry/metrics_list.go
@@ -44,9 +44,9 @@
 		gathered[family.GetName()] = MetricType(strings.ToLower(family.GetType().String()))
 	}
 	var metrics []Metric
-	for _, metric := range describe(r.Registry) {
+	for _, metric := range describeMetrics(r.Registry) {
 		if strings.HasPrefix(metric.Name, prefix) {
-			metric.Type = r.typeOf(metric.Name, gathered)
+			metric.Type = r.metricType(metric.Name, gathered)
 			metrics = append(metrics, metric)
 		}
 	}
@@ -54,12 +54,12 @@
 	return slices.CompactFunc(metrics, func(left, right Metric) bool { return left.Name == right.Name }), nil
 }
 
-func (r *Registry) typeOf(name string, gathered map[string]MetricType) MetricType {
-	if kind, found := r.types[name]; found {
-		return kind
+func (r *Registry) metricType(name string, gathered map[string]MetricType) MetricType {
+	if metricType, exists := r.types[name]; exists {
+		return metricType
 	}
-	if kind, found := gathered[name]; found {
-		return kind
+	if metricType, exists := gathered[name]; exists {
+		return metricType
 	}
 	return TypeUnknown
 }
@@ -84,7 +84,7 @@
 var descriptionPattern = regexp.MustCompile(
 	`^Desc\{fqName: ("(?:[^"\\]|\\.)*"), help: ("(?:[^"\\]|\\.)*"),.* variableLabels: \{([^}]*)\}\}$`)
 
-func describe(collector prometheus.Collector) []Metric {
+func describeMetrics(collector prometheus.Collector) []Metric {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		defer close(descriptions)
@@ -92,13 +92,13 @@
 	}()
 	var metrics []Metric
 	for description := range descriptions {
-		parts := descriptionPattern.FindStringSubmatch(description.String())
-		if parts == nil {
+		match := descriptionPattern.FindStringSubmatch(description.String())
+		if match == nil {
 			continue
 		}
-		metric := Metric{Name: unquote(parts[1]), Help: unquote(parts[2])}
-		if parts[3] != "" {
-			metric.Labels = strings.Split(parts[3], ",")
+		metric := Metric{Name: unquote(match[1]), Help: unquote(match[2])}
+		if match[3] != "" {
+			metric.Labels = strings.Split(match[3], ",")
 		}
 		metrics = append(metrics, metric)
 	}
@@ -106,9 +106,9 @@
 }
 
 func unquote(text string) string {
-	plain, err := strconv.Unquote(text)
+	unquoted, err := strconv.Unquote(text)
 	if err != nil {
 		return text
 	}
-	return plain
+	return unquoted
 }
--- a/internal/telemetry/capped.go
+++ b/internal/telemetry/rate_limit.go
@@ -21,32 +21,32 @@
 // message, counts them, and says with the next line of the message how many
 // were dropped before it.
 type CappedHandler struct {
-	next  slog.Handler
-	state *capState
+	next    slog.Handler
+	limiter *rateLimiter
 }
 
 // capState is shared by a handler and those made from it.
-type capState struct {
-	config  CapConfig
-	now     func() time.Time
-	counter *prometheus.CounterVec
+type rateLimiter struct {
+	limits       CapConfig
+	now          func() time.Time
+	droppedTotal *prometheus.CounterVec
 
 	mutex   sync.Mutex
-	buckets map[capKey]*capBucket
+	buckets map[bucketKey]*tokenBucket
 }
 
 // capKey names a bucket. Urgent lines of a message have one of their own, so
 // that many others do not displace them.
-type capKey struct {
+type bucketKey struct {
 	message string
 	urgent  bool
 }
 
 // capBucket is the token bucket of one message.
-type capBucket struct {
-	tokens  float64   // lines that may be written now
-	at      time.Time // when tokens was computed
-	dropped int       // lines since the last one that was written
+type tokenBucket struct {
+	tokens     float64   // lines that may be written now
+	refilledAt time.Time // when tokens was computed
+	dropped    int       // lines since the last one that was written
 }
 
 // NewCappedHandler returns a handler in front of another, and registers its
@@ -55,8 +55,8 @@
 	counter := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "micaplank_log_lines_capped_total", Help: "Log lines that were dropped beyond the rate of their message."}, []string{"message"})
 	registerer.MustRegister(counter)
-	return &CappedHandler{next: next, state: &capState{
-		config: config, now: time.Now, counter: counter, buckets: make(map[capKey]*capBucket),
+	return &CappedHandler{next: next, limiter: &rateLimiter{
+		limits: config, now: time.Now, droppedTotal: counter, buckets: make(map[bucketKey]*tokenBucket),
 	}}
 }
 
@@ -67,8 +67,8 @@
 
 // Handle implements slog.Handler.
 func (h *CappedHandler) Handle(ctx context.Context, record slog.Record) error {
-	dropped, taken := h.state.take(record)
-	if !taken {
+	dropped, allowed := h.limiter.allow(record)
+	if !allowed {
 		return nil
 	}
 	if dropped > 0 {
@@ -79,35 +79,35 @@
 
 // WithAttrs implements slog.Handler.
 func (h *CappedHandler) WithAttrs(attributes []slog.Attr) slog.Handler {
-	return &CappedHandler{next: h.next.WithAttrs(attributes), state: h.state}
+	return &CappedHandler{next: h.next.WithAttrs(attributes), limiter: h.limiter}
 }
 
 // WithGroup implements slog.Handler.
 func (h *CappedHandler) WithGroup(name string) slog.Handler {
-	return &CappedHandler{next: h.next.WithGroup(name), state: h.state}
+	return &CappedHandler{next: h.next.WithGroup(name), limiter: h.limiter}
 }
 
 // take reports whether a line may be written, and how many of its message were
 // dropped since the last one.
-func (s *capState) take(record slog.Record) (dropped int, taken bool) {
-	key := capKey{message: record.Message, urgent: record.Level >= slog.LevelWarn}
-	rate := s.config.Info
+func (l *rateLimiter) allow(record slog.Record) (dropped int, allowed bool) {
+	key := bucketKey{message: record.Message, urgent: record.Level >= slog.LevelWarn}
+	rate := l.limits.Info
 	if key.urgent {
-		rate = s.config.Warn
+		rate = l.limits.Warn
 	}
-	now := s.now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	bucket, known := s.buckets[key]
-	if !known {
-		bucket = &capBucket{tokens: rate, at: now}
-		s.buckets[key] = bucket
+	now := l.now()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	bucket, exists := l.buckets[key]
+	if !exists {
+		bucket = &tokenBucket{tokens: rate, refilledAt: now}
+		l.buckets[key] = bucket
 	}
-	bucket.tokens = min(bucket.tokens+max(now.Sub(bucket.at).Seconds(), 0)*rate, rate)
-	bucket.at = now
+	bucket.tokens = min(bucket.tokens+max(now.Sub(bucket.refilledAt).Seconds(), 0)*rate, rate)
+	bucket.refilledAt = now
 	if bucket.tokens < 1 {
 		bucket.dropped++
-		s.counter.WithLabelValues(record.Message).Inc()
+		l.droppedTotal.WithLabelValues(record.Message).Inc()
 		return 0, false
 	}
 	bucket.tokens--
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -16,7 +16,7 @@
 
 var timePattern = regexp.MustCompile(`time"?[=:]"?[^ ",]+"?`)
 
-func TestLogLinesAreGolden(t *testing.T) {
+func TestLogLineFormat(t *testing.T) {
 	failure := oops.With("peer", "127.0.0.1:7001", "step", "store.txn", "other", 1).Wrap(errors.New("timeout"))
 	for _, format := range []telemetry.Format{telemetry.FormatText, telemetry.FormatJSON} {
 		var lines bytes.Buffer
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestMetricsListNamesEveryMetric(t *testing.T) {
+func TestMetricsListsEveryRegisteredMetric(t *testing.T) {
 	registry := telemetry.NewRegistry("test")
 	counter := prometheus.CounterOpts{Name: "micaplank_a_calls_total", Help: "Calls, by \"result\" | step."}
 	registry.MustRegister(
@@ -59,12 +59,12 @@
 }
 
 func BenchmarkLogger(b *testing.B) {
-	logger := telemetry.NewLogger(discard{}, telemetry.LogConfig{}, "node-a1")
+	logger := telemetry.NewLogger(discardWriter{}, telemetry.LogConfig{}, "node-a1")
 	for b.Loop() {
 		logger.Info("catalog installed", slog.Int("revision", 17), slog.String("peer", "127.0.0.1:7301"))
 	}
 }
 
-type discard struct{}
+type discardWriter struct{}
 
-func (discard) Write(line []byte) (int, error) { return len(line), nil }
+func (discardWriter) Write(line []byte) (int, error) { return len(line), nil }
