--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -26,31 +26,31 @@
 	// tolerance is how far the time of day may move against the steady time before the
 	// machine's own account of suspensions is read. The time of day is slewed by 500
 	// parts in a million at most, which makes one more call of the system in 10 s.
-	tolerance = 5 * time.Millisecond
+	maxWallDrift = 5 * time.Millisecond
 	// leastSuspension is the shortest suspension that counts: two clocks that are read
 	// one after the other differ by less.
-	leastSuspension = time.Millisecond
+	minSuspension = time.Millisecond
 )
 
 // readings are those of the machine's clocks. Steady is the time since the start of
 // the process without suspensions, wall the time of day, and boot the time since the
 // start of the machine with them.
-type readings struct {
+type clockSource struct {
 	now  func() (steady, wall time.Duration)
 	boot func() (time.Duration, error)
 }
 
-func machine() readings {
+func systemClocks() clockSource {
 	origin := time.Now()
-	return readings{
+	return clockSource{
 		now: func() (steady, wall time.Duration) {
 			now := time.Now()
 			return now.Sub(origin), time.Duration(now.UnixNano())
 		},
 		boot: func() (time.Duration, error) {
-			var read unix.Timespec
-			err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read)
-			return time.Duration(read.Nano()), err
+			var timespec unix.Timespec
+			err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &timespec)
+			return time.Duration(timespec.Nano()), err
 		},
 	}
 }
@@ -61,34 +61,34 @@
 // against the steady time, as it does by a suspension: that account costs a call of
 // the system, where the other two are read in the process.
 type Monotonic struct {
-	machine readings
+	source clockSource
 	// bootOrigin is the machine's account at the origin, if it has one.
-	bootOrigin time.Duration
-	accounted  bool
+	bootOrigin   time.Duration
+	hasBootClock bool
 	// apart is by how much wall was ahead of steady when the account was read last.
-	apart atomic.Int64
+	wallOffset atomic.Int64
 	// suspended is the time that steady lacks.
-	suspended atomic.Int64
-	failures  atomic.Int64
+	suspended      atomic.Int64
+	bootReadErrors atomic.Int64
 }
 
 // NewMonotonic returns a clock whose origin is the moment of the call.
-func NewMonotonic() *Monotonic { return newMonotonic(machine()) }
+func NewMonotonic() *Monotonic { return newMonotonic(systemClocks()) }
 
-func newMonotonic(from readings) *Monotonic {
-	m := &Monotonic{machine: from}
-	boot, accounted := m.account()
-	steady, wall := from.now()
-	m.bootOrigin, m.accounted = boot-steady, accounted
-	m.apart.Store(int64(wall - steady))
+func newMonotonic(source clockSource) *Monotonic {
+	m := &Monotonic{source: source}
+	boot, ok := m.readBootClock()
+	steady, wall := source.now()
+	m.bootOrigin, m.hasBootClock = boot-steady, ok
+	m.wallOffset.Store(int64(wall - steady))
 	return m
 }
 
 // Now implements Clock.
 func (m *Monotonic) Now() time.Duration {
-	steady, wall := m.machine.now()
-	moved := wall - steady - time.Duration(m.apart.Load())
-	if moved > tolerance || moved < -tolerance {
+	steady, wall := m.source.now()
+	drift := wall - steady - time.Duration(m.wallOffset.Load())
+	if drift > maxWallDrift || drift < -maxWallDrift {
 		m.Check()
 	}
 	return steady + time.Duration(m.suspended.Load())
@@ -96,26 +96,26 @@
 
 // Check reads the machine's account of suspensions.
 func (m *Monotonic) Check() {
-	boot, accounted := m.account()
-	steady, wall := m.machine.now()
-	m.apart.Store(int64(wall - steady))
-	if !accounted || !m.accounted {
+	boot, ok := m.readBootClock()
+	steady, wall := m.source.now()
+	m.wallOffset.Store(int64(wall - steady))
+	if !ok || !m.hasBootClock {
 		return
 	}
-	lacking := int64(boot - m.bootOrigin - steady)
+	missing := int64(boot - m.bootOrigin - steady)
 	for {
-		known := m.suspended.Load()
-		if lacking < known+int64(leastSuspension) || m.suspended.CompareAndSwap(known, lacking) {
+		recorded := m.suspended.Load()
+		if missing < recorded+int64(minSuspension) || m.suspended.CompareAndSwap(recorded, missing) {
 			return
 		}
 	}
 }
 
 // account returns the machine's account; false, and it is counted, if there is none.
-func (m *Monotonic) account() (time.Duration, bool) {
-	boot, err := m.machine.boot()
+func (m *Monotonic) readBootClock() (time.Duration, bool) {
+	boot, err := m.source.boot()
 	if err != nil {
-		m.failures.Add(1)
+		m.bootReadErrors.Add(1)
 	}
 	return boot, err == nil
 }
@@ -125,15 +125,15 @@
 
 // Failures counts the readings of the machine's account that failed: suspensions are
 // not seen then.
-func (m *Monotonic) Failures() int64 { return m.failures.Load() }
+func (m *Monotonic) Failures() int64 { return m.bootReadErrors.Load() }
 
 // Watch calls resumed after each suspension, with its length, until ctx ends. It checks
 // once in each interval of steady time: timers stand still with the machine, and go
 // off too late after it.
-func (m *Monotonic) Watch(ctx context.Context, interval time.Duration, resumed func(length time.Duration)) {
+func (m *Monotonic) Watch(ctx context.Context, interval time.Duration, onResume func(length time.Duration)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	known := m.Suspended()
+	recorded := m.Suspended()
 	for {
 		select {
 		case <-ctx.Done():
@@ -141,9 +141,9 @@
 		case <-ticker.C:
 		}
 		m.Now()
-		if now := m.Suspended(); now > known {
-			resumed(now - known)
-			known = now
+		if now := m.Suspended(); now > recorded {
+			onResume(now - recorded)
+			recorded = now
 		}
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,18 +10,18 @@
 )
 
 // fake is a machine whose clocks a test moves.
-type fake struct {
+type fakeMachine struct {
 	steady, wall, boot time.Duration
-	broken             bool
-	accounts           int
+	bootReadFails      bool
+	bootReads          int
 }
 
-func (f *fake) readings() readings {
-	return readings{
+func (f *fakeMachine) clockSource() clockSource {
+	return clockSource{
 		now: func() (steady, wall time.Duration) { return f.steady, f.wall },
 		boot: func() (time.Duration, error) {
-			f.accounts++
-			if f.broken {
+			f.bootReads++
+			if f.bootReadFails {
 				return 0, errors.New("refused")
 			}
 			return f.boot, nil
@@ -30,30 +30,30 @@
 }
 
 // run lets time pass.
-func (f *fake) run(length time.Duration) {
+func (f *fakeMachine) advance(length time.Duration) {
 	f.steady += length
 	f.wall += length
 	f.boot += length
 }
 
 // suspend lets time pass while the machine is suspended.
-func (f *fake) suspend(length time.Duration) {
+func (f *fakeMachine) suspend(length time.Duration) {
 	f.wall += length
 	f.boot += length
 }
 
 // TestClockCountsSuspensions, at its first reading after each, and nothing else: not
 // the jumps of the time of day.
-func TestClockCountsSuspensions(t *testing.T) {
+func TestNowCountsSuspensionsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		machine := &fake{boot: time.Hour, wall: 100 * time.Hour}
-		clock := newMonotonic(machine.readings())
+		machine := &fakeMachine{boot: time.Hour, wall: 100 * time.Hour}
+		clock := newMonotonic(machine.clockSource())
 		want := clock.Now()
 		for _, step := range rapid.SliceOf(rapid.IntRange(0, 3)).Draw(t, "steps") {
-			length := time.Duration(rapid.Int64Range(int64(2*tolerance), int64(time.Minute)).Draw(t, "length"))
+			length := time.Duration(rapid.Int64Range(int64(2*maxWallDrift), int64(time.Minute)).Draw(t, "length"))
 			switch step {
 			case 0:
-				machine.run(length)
+				machine.advance(length)
 				want += length
 			case 1:
 				machine.suspend(length)
@@ -71,13 +71,13 @@
 }
 
 // TestClockWithoutAnAccount goes on without suspensions, and counts that.
-func TestClockWithoutAnAccount(t *testing.T) {
-	machine := &fake{broken: true}
-	clock := newMonotonic(machine.readings())
+func TestNowWithoutBootClock(t *testing.T) {
+	machine := &fakeMachine{bootReadFails: true}
+	clock := newMonotonic(machine.clockSource())
 	machine.suspend(time.Minute)
 	clock.Now()
-	machine.broken = false
-	machine.run(time.Second)
+	machine.bootReadFails = false
+	machine.advance(time.Second)
 	machine.suspend(time.Minute)
 	if now := clock.Now(); now != time.Second || clock.Failures() == 0 {
 		t.Errorf("%v, %d failures", now, clock.Failures())
@@ -85,21 +85,21 @@
 }
 
 // TestAccountIsReadSeldom: it costs a call of the system.
-func TestAccountIsReadSeldom(t *testing.T) {
-	machine := &fake{boot: time.Hour}
-	clock := newMonotonic(machine.readings())
+func TestBootClockIsReadRarely(t *testing.T) {
+	machine := &fakeMachine{boot: time.Hour}
+	clock := newMonotonic(machine.clockSource())
 	for range 10_000 {
-		machine.run(time.Millisecond)
+		machine.advance(time.Millisecond)
 		machine.wall += 500 * time.Nanosecond // slewed
 		clock.Now()
 	}
-	if machine.accounts > 3 {
-		t.Errorf("%d readings in 10 s", machine.accounts)
+	if machine.bootReads > 3 {
+		t.Errorf("%d readings in 10 s", machine.bootReads)
 	}
 }
 
 // TestClockOfThisMachine has an account, and runs.
-func TestClockOfThisMachine(t *testing.T) {
+func TestSystemClocks(t *testing.T) {
 	clock := NewMonotonic()
 	before := clock.Now()
 	clock.Check()
@@ -109,26 +109,26 @@
 }
 
 // TestWatchTellsOfSuspensions once for each.
-func TestWatchTellsOfSuspensions(t *testing.T) {
-	machine := &fake{boot: time.Hour}
-	clock := newMonotonic(machine.readings())
+func TestWatchReportsEachSuspensionOnce(t *testing.T) {
+	machine := &fakeMachine{boot: time.Hour}
+	clock := newMonotonic(machine.clockSource())
 	machine.suspend(time.Minute)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	told := make(chan time.Duration, 10)
+	reported := make(chan time.Duration, 10)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		clock.Watch(ctx, time.Millisecond, func(length time.Duration) {
-			told <- length
+			reported <- length
 			cancel()
 		})
 	}()
-	if length := <-told; length != time.Minute {
+	if length := <-reported; length != time.Minute {
 		t.Errorf("%v", length)
 	}
 	<-done
-	if len(told) != 0 {
+	if len(reported) != 0 {
 		t.Error("told twice")
 	}
 }
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSleep(t *testing.T) {
+func TestSleepEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if !Sleep(ctx, time.Microsecond) || !Sleep(ctx, 0) {
 		t.Error("ended early")
