--- a/cmd/micactl/commands.go
+++ b/cmd/micactl/commands.go
@@ -18,18 +18,18 @@
 const defaultWatchInterval = 2 * time.Second
 
 // standardInput is the file name that stands for the standard input.
-const standardInput = "-"
+const stdinName = "-"
 
-func newCommand(name, description string) *flaggy.Subcommand {
+func newSubcommand(name, description string) *flaggy.Subcommand {
 	subcommand := flaggy.NewSubcommand(name)
 	subcommand.Description = description
 	return subcommand
 }
 
 // readText reads a file or the standard input.
-func readText(name string) (string, error) {
+func readStatements(name string) (string, error) {
 	var reader io.Reader = os.Stdin
-	if name != standardInput {
+	if name != stdinName {
 		file, err := os.Open(name)
 		if err != nil {
 			return "", err
@@ -43,7 +43,7 @@
 
 // sourceName names a text in errors.
 func sourceName(file string) string {
-	if file == standardInput {
+	if file == stdinName {
 		return "standard input"
 	}
 	return file
@@ -56,8 +56,8 @@
 	changeID  string
 }
 
-func (c *execCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("exec", "Run statements and wait until each change is in force.")
+func (c *execCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("exec", "Run statements and wait until each change is in force.")
 	subcommand.AddPositionalValue(&c.statement, "STATEMENT", 1, false, "The statements, separated by semicolons. Default: standard input.")
 	subcommand.String(&c.file, "f", "file", "Read the statements from this file; - is standard input.")
 	subcommand.Bool(&c.dryRun, "d", "dry-run", "Ask only whether the changes would be valid.")
@@ -74,9 +74,9 @@
 		return session.Exec(ctx, c.statement, options)
 	}
 	if c.file == "" {
-		c.file = standardInput
+		c.file = stdinName
 	}
-	text, err := readText(c.file)
+	text, err := readStatements(c.file)
 	if err != nil {
 		return err
 	}
@@ -89,15 +89,15 @@
 	dryRun bool
 }
 
-func (c *applyCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("apply", "Show what a file of changes would change, and make the changes that are not yet so.")
+func (c *applyCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("apply", "Show what a file of changes would change, and make the changes that are not yet so.")
 	subcommand.AddPositionalValue(&c.file, "FILE", 1, true, "The file; - is standard input.")
 	subcommand.Bool(&c.dryRun, "d", "dry-run", "Only show the difference.")
 	return subcommand
 }
 
 func (c *applyCommand) run(ctx context.Context, session *operator.Session) error {
-	text, err := readText(c.file)
+	text, err := readStatements(c.file)
 	if err != nil {
 		return err
 	}
@@ -108,8 +108,8 @@
 	words [3]string
 }
 
-func (c *showCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("show", "Show services, leaves [of SERVICE], classes [of SERVICE], changes, voters or nodes.")
+func (c *showCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("show", "Show services, leaves [of SERVICE], classes [of SERVICE], changes, voters or nodes.")
 	subcommand.AddPositionalValue(&c.words[0], "SUBJECT", 1, true, "What to show.")
 	subcommand.AddPositionalValue(&c.words[1], "of", 2, false, "The word \"of\".")
 	subcommand.AddPositionalValue(&c.words[2], "SERVICE", 3, false, "Of which service.")
@@ -123,8 +123,8 @@
 
 type statusCommand struct{}
 
-func (c *statusCommand) attach() *flaggy.Subcommand {
-	return newCommand("status", "Show nodes, services and leaves, and where the newest revision is in force.")
+func (c *statusCommand) declare() *flaggy.Subcommand {
+	return newSubcommand("status", "Show nodes, services and leaves, and where the newest revision is in force.")
 }
 
 func (c *statusCommand) run(ctx context.Context, session *operator.Session) error {
@@ -136,8 +136,8 @@
 	count    int
 }
 
-func (c *watchCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("watch", "Show the status again and again.")
+func (c *watchCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("watch", "Show the status again and again.")
 	subcommand.Duration(&c.interval, "i", "interval", "Time between two.")
 	subcommand.Int(&c.count, "c", "count", "How many times; 0 until interrupted.")
 	return subcommand
@@ -151,8 +151,8 @@
 	id string
 }
 
-func (c *changeCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("change", "Ask for the fate of an earlier change.")
+func (c *changeCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("change", "Ask for the fate of an earlier change.")
 	subcommand.AddPositionalValue(&c.id, "ID", 1, true, "The id of the change.")
 	return subcommand
 }
@@ -165,8 +165,8 @@
 	node string
 }
 
-func (c *drainCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("drain", "Stop a node as planned: it takes no new work and finishes what is in flight.")
+func (c *drainCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("drain", "Stop a node as planned: it takes no new work and finishes what is in flight.")
 	subcommand.AddPositionalValue(&c.node, "NODE", 1, true, "The name of the node.")
 	return subcommand
 }
@@ -176,23 +176,23 @@
 }
 
 type queryCommand struct {
-	service  string
-	request  api.QueryRequest
-	deadline time.Duration
-	coverage float64
+	service         string
+	request         api.QueryRequest
+	deadline        time.Duration
+	minimumCoverage float64
 }
 
 // classCoverage stands for the coverage of the class.
-const classCoverage = -1
+const classDefaultCoverage = -1
 
-func (c *queryCommand) attach() *flaggy.Subcommand {
-	c.coverage = classCoverage
-	subcommand := newCommand("query", "Run a select or insert on a service.")
+func (c *queryCommand) declare() *flaggy.Subcommand {
+	c.minimumCoverage = classDefaultCoverage
+	subcommand := newSubcommand("query", "Run a select or insert on a service.")
 	subcommand.AddPositionalValue(&c.service, "SERVICE", 1, true, "The service.")
 	subcommand.AddPositionalValue(&c.request.Statement, "STATEMENT", 2, true, "The select or insert.")
 	subcommand.String(&c.request.Class, "c", "class", "The class of the request.")
 	subcommand.Duration(&c.deadline, "", "deadline", "How long the caller waits; 0s is the deadline of the class.")
-	subcommand.Float64(&c.coverage, "", "minimum-coverage", "Least share of shards, from 0 to 1; -1 is that of the class.")
+	subcommand.Float64(&c.minimumCoverage, "", "minimum-coverage", "Least share of shards, from 0 to 1; -1 is that of the class.")
 	subcommand.String(&c.request.RequestID, "", "request-id", "The id of the request. Default: a new one.")
 	return subcommand
 }
@@ -202,8 +202,8 @@
 		return &operator.UsageError{Message: "name the class with --class"}
 	}
 	c.request.DeadlineMilliseconds = c.deadline.Milliseconds()
-	if c.coverage != classCoverage {
-		c.request.MinimumCoverage = &c.coverage
+	if c.minimumCoverage != classDefaultCoverage {
+		c.request.MinimumCoverage = &c.minimumCoverage
 	}
 	return session.Query(ctx, c.service, c.request)
 }
--- a/cmd/micactl/completion.go
+++ b/cmd/micactl/completion.go
@@ -20,8 +20,8 @@
 	root  *flaggy.Subcommand
 }
 
-func (c *completionCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("completion", "Write a completion script for bash or zsh: source <(micactl completion bash).")
+func (c *completionCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("completion", "Write a completion script for bash or zsh: source <(micactl completion bash).")
 	subcommand.AddPositionalValue(&c.shell, "SHELL", 1, true, "bash or zsh.")
 	return subcommand
 }
@@ -41,18 +41,18 @@
 // valueWords says how the values of flags, and the arguments of commands, are
 // completed: by words of the shell. A flag that takes a value and is not listed
 // offers nothing.
-var valueWords = map[string]string{
+var completionWords = map[string]string{
 	"--output":   `$(compgen -W "text json" -- "$cur")`,
 	"--file":     `$(compgen -f -- "$cur")`,
 	"--class":    `$(compgen -W "$(_micactl_column 2 classes)" -- "$cur")`,
 	"apply":      `$(compgen -f -- "$cur")`,
-	"show":       `$(compgen -W "` + strings.Join(showWords(), " ") + `" -- "$cur")`,
+	"show":       `$(compgen -W "` + strings.Join(showSubjects(), " ") + `" -- "$cur")`,
 	"drain":      `$(compgen -W "$(_micactl_column 1 nodes)" -- "$cur")`,
 	"query":      `$(compgen -W "$(_micactl_column 1 services)" -- "$cur")`,
 	"completion": `$(compgen -W "bash zsh" -- "$cur")`,
 }
 
-func showWords() []string {
+func showSubjects() []string {
 	subjects := []language.ShowSubject{
 		language.ShowServices, language.ShowLeaves, language.ShowClasses,
 		language.ShowChanges, language.ShowVoters, language.ShowNodes,
@@ -89,7 +89,7 @@
     esac
 }
 complete -F _micactl micactl
-`, strings.Join(names, "|"), valueCases(root), commandCases(root), strings.Join(append(names, flagNames(root)...), " "))
+`, strings.Join(names, "|"), flagValueCases(root), commandCases(root), strings.Join(append(names, flagNames(root)...), " "))
 	return script.String()
 }
 
@@ -115,7 +115,7 @@
 // valueCases lists the flags that take a value. A short name stands for
 // different flags in different commands, so only long ones are completed by
 // what they mean.
-func valueCases(root *flaggy.Subcommand) string {
+func flagValueCases(root *flaggy.Subcommand) string {
 	flags := slices.Clone(root.Flags)
 	for _, subcommand := range root.Subcommands {
 		flags = append(flags, subcommand.Flags...)
@@ -126,7 +126,7 @@
 			continue
 		}
 		long := "--" + flag.LongName
-		fmt.Fprintf(&cases, "        %s) COMPREPLY=( %s ); return ;;\n", long, valueWords[long])
+		fmt.Fprintf(&cases, "        %s) COMPREPLY=( %s ); return ;;\n", long, completionWords[long])
 	}
 	return cases.String()
 }
@@ -136,7 +136,7 @@
 	for _, subcommand := range root.Subcommands {
 		flags := strings.Join(append(flagNames(subcommand), flagNames(root)...), " ")
 		fmt.Fprintf(&cases, "        %s)\n            if [[ \"$cur\" == -* ]]; then COMPREPLY=( $(compgen -W \"%s\" -- \"$cur\") )\n            else COMPREPLY=( %s ); fi ;;\n",
-			subcommand.Name, flags, valueWords[subcommand.Name])
+			subcommand.Name, flags, completionWords[subcommand.Name])
 	}
 	return cases.String()
 }
--- a/cmd/micactl/explain.go
+++ b/cmd/micactl/explain.go
@@ -24,24 +24,24 @@
 	since string
 }
 
-func (f *logFlags) attach(subcommand *flaggy.Subcommand) {
+func (f *logFlags) declare(subcommand *flaggy.Subcommand) {
 	subcommand.StringSlice(&f.files, "l", "log", "A log in JSON; may be repeated; - is standard input, and the default.")
 	subcommand.String(&f.since, "s", "since", "Leave out what is older: a time such as 2026-12-02T10:00:00Z, or a duration before the newest line, such as 10m.")
 }
 
-func (c *explainCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("explain", "Tell the story of a request from the nodes' logs: what was decided, when, and on which belief.")
+func (c *explainCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("explain", "Tell the story of a request from the nodes' logs: what was decided, when, and on which belief.")
 	subcommand.AddPositionalValue(&c.id, "ID", 1, true, "The id of the request.")
-	c.logFlags.attach(subcommand)
+	c.logFlags.declare(subcommand)
 	return subcommand
 }
 
 func (c *explainCommand) run(_ context.Context, session *operator.Session) error {
-	lines, since, err := c.read()
+	lines, since, err := c.readLogs()
 	if err != nil {
 		return err
 	}
-	timeline := explain.Request(lines, c.id, since)
+	timeline := explain.RequestTimeline(lines, c.id, since)
 	if len(timeline.Steps) == 0 {
 		return fmt.Errorf("none of the %d lines names request %q", len(lines), c.id)
 	}
@@ -52,45 +52,45 @@
 }
 
 // read returns the lines of the logs, and the time from which they count.
-func (f *logFlags) read() ([]explain.Line, time.Time, error) {
+func (f *logFlags) readLogs() ([]explain.Line, time.Time, error) {
 	files := f.files
 	if len(files) == 0 {
-		files = []string{standardInput}
+		files = []string{stdinName}
 	}
 	var lines []explain.Line
 	for _, name := range files {
-		read, err := readLog(name)
+		logLines, err := readLog(name)
 		if err != nil {
 			return nil, time.Time{}, err
 		}
-		lines = append(lines, read...)
+		lines = append(lines, logLines...)
 	}
-	since, err := sinceTime(f.since, lines)
+	since, err := parseSince(f.since, lines)
 	return lines, since, err
 }
 
 func readLog(name string) ([]explain.Line, error) {
-	if name == standardInput {
-		return explain.Read(os.Stdin)
+	if name == stdinName {
+		return explain.ReadLog(os.Stdin)
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }() // it was read
-	return explain.Read(file)
+	return explain.ReadLog(file)
 }
 
 // sinceTime reads the value of --since.
-func sinceTime(text string, lines []explain.Line) (time.Time, error) {
+func parseSince(text string, lines []explain.Line) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
 	if at, err := time.Parse(time.RFC3339, text); err == nil {
 		return at, nil
 	}
-	before, err := time.ParseDuration(text)
-	if err != nil || before < 0 {
+	age, err := time.ParseDuration(text)
+	if err != nil || age < 0 {
 		return time.Time{}, &operator.UsageError{Message: fmt.Sprintf("--since: expected a time such as 2026-12-02T10:00:00Z or a duration such as 10m, found %q", text)}
 	}
 	newest := time.Time{}
@@ -99,5 +99,5 @@
 			newest = line.Time
 		}
 	}
-	return newest.Add(-before), nil
+	return newest.Add(-age), nil
 }
--- a/cmd/micactl/losses.go
+++ b/cmd/micactl/losses.go
@@ -12,18 +12,18 @@
 // lossesCommand adds up from logs what requests lost; it asks no node.
 type lossesCommand struct{ logFlags }
 
-func (c *lossesCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("losses", "Add up from the nodes' logs what requests lost: by cause, route, second and node, with the worst ids for explain.")
-	c.logFlags.attach(subcommand)
+func (c *lossesCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("losses", "Add up from the nodes' logs what requests lost: by cause, route, second and node, with the worst ids for explain.")
+	c.logFlags.declare(subcommand)
 	return subcommand
 }
 
 func (c *lossesCommand) run(_ context.Context, session *operator.Session) error {
-	lines, since, err := c.read()
+	lines, since, err := c.readLogs()
 	if err != nil {
 		return err
 	}
-	report := losses.Add(lines, since)
+	report := losses.NewReport(lines, since)
 	if session.Format == operator.FormatJSON {
 		return losses.WriteJSON(session.Output, report)
 	}
--- a/cmd/micactl/main.go
+++ b/cmd/micactl/main.go
@@ -29,7 +29,7 @@
 )
 
 // globals are the flags of every command.
-type globals struct {
+type globalFlags struct {
 	nodes    []string
 	output   string
 	timeout  time.Duration
@@ -38,8 +38,8 @@
 
 // command is one subcommand.
 type command interface {
-	// attach declares the subcommand with its flags and arguments.
-	attach() *flaggy.Subcommand
+	// declare returns the subcommand with its flags and arguments.
+	declare() *flaggy.Subcommand
 	// run carries it out.
 	run(ctx context.Context, session *operator.Session) error
 }
@@ -74,21 +74,21 @@
 // run parses the arguments and runs the chosen command. The library ends the
 // process by itself for help, version and unknown arguments.
 func run(ctx context.Context, arguments []string) error {
-	flags := globals{output: string(operator.FormatText), timeout: defaultTimeout, operator: os.Getenv("USER")}
+	flags := globalFlags{output: string(operator.FormatText), timeout: defaultTimeout, operator: os.Getenv("USER")}
 	parser := newParser(&flags)
-	all := commands()
-	subcommands := make([]*flaggy.Subcommand, len(all))
-	for i, candidate := range all {
-		subcommands[i] = candidate.attach()
+	list := commands()
+	subcommands := make([]*flaggy.Subcommand, len(list))
+	for i, command := range list {
+		subcommands[i] = command.declare()
 		parser.AttachSubcommand(subcommands[i], 1)
-		if completion, ok := candidate.(*completionCommand); ok {
+		if completion, ok := command.(*completionCommand); ok {
 			completion.root = &parser.Subcommand
 		}
 	}
 	if err := parser.ParseArgs(arguments); err != nil {
 		return &operator.UsageError{Message: "wrong value of a flag: " + err.Error()}
 	}
-	for i, candidate := range all {
+	for i, command := range list {
 		if !subcommands[i].Used {
 			continue
 		}
@@ -96,13 +96,13 @@
 		if err != nil {
 			return err
 		}
-		return session.Finish(candidate.run(ctx, session))
+		return session.Finish(command.run(ctx, session))
 	}
 	parser.ShowHelp()
 	return &operator.UsageError{Message: "name a command"}
 }
 
-func newParser(flags *globals) *flaggy.Parser {
+func newParser(flags *globalFlags) *flaggy.Parser {
 	parser := flaggy.NewParser("micactl")
 	parser.Description = "Operates micaplank: runs statements, shows state, runs queries."
 	parser.Version = version.Version
@@ -115,15 +115,15 @@
 	return parser
 }
 
-func newSession(flags globals) (*operator.Session, error) {
-	texts := flags.nodes
-	if len(texts) == 0 {
-		texts = []string{os.Getenv(nodesVariable)}
+func newSession(flags globalFlags) (*operator.Session, error) {
+	addresses := flags.nodes
+	if len(addresses) == 0 {
+		addresses = []string{os.Getenv(nodesVariable)}
 	}
-	if len(texts) == 1 && texts[0] == "" {
-		texts = []string{defaultNode}
+	if len(addresses) == 1 && addresses[0] == "" {
+		addresses = []string{defaultNode}
 	}
-	nodes, err := operator.ParseNodes(texts)
+	nodes, err := operator.ParseNodes(addresses)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/micactl/main_test.go
+++ b/cmd/micactl/main_test.go
@@ -29,19 +29,19 @@
 	command.Env = []string{runVariable + "=1", "USER=mori", "GORACE=atexit_sleep_ms=0"}
 	command.Stdin = strings.NewReader(input)
 	output, err := command.CombinedOutput()
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	var exitError *exec.ExitError
+	if err != nil && !errors.As(err, &exitError) {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf("$ micactl %s\n%sexit %d\n\n", strings.Join(arguments, " "), output, command.ProcessState.ExitCode())
 }
 
 func TestHelpGolden(t *testing.T) {
-	report := runProgram(t, "", "--help")
-	for _, candidate := range commands() {
-		report += runProgram(t, "", candidate.attach().Name, "--help")
+	transcript := runProgram(t, "", "--help")
+	for _, command := range commands() {
+		transcript += runProgram(t, "", command.declare().Name, "--help")
 	}
-	goldie.New(t).Assert(t, "help", []byte(report))
+	goldie.New(t).Assert(t, "help", []byte(transcript))
 }
 
 func TestUsageGolden(t *testing.T) {
@@ -64,23 +64,23 @@
 		{"completion"},
 		{"completion", "fish"},
 	}
-	var report strings.Builder
+	var transcript strings.Builder
 	for _, arguments := range cases {
-		report.WriteString(runProgram(t, "stop servce x\n", arguments...))
+		transcript.WriteString(runProgram(t, "stop servce x\n", arguments...))
 	}
-	goldie.New(t).Assert(t, "usage", []byte(report.String()))
+	goldie.New(t).Assert(t, "usage", []byte(transcript.String()))
 }
 
 // TestCompletionGolden asks the script in a real shell what it offers. The word
 // to complete is the last.
 func TestCompletionGolden(t *testing.T) {
-	script := completionOf(t, "bash")
+	script := runCompletion(t, "bash")
 	lines := []string{
 		"", "st", "--ti", "--output ", "--output json st", "exec --", "exec --file main_t", "exec -f x --dry",
 		"apply main_", "apply --", "show ", "show l", "show leaves ", "status --ou", "watch --", "watch --interval ",
 		"query rate-desk --", "drain --no", "completion ",
 	}
-	var report strings.Builder
+	var transcript strings.Builder
 	for _, line := range lines {
 		words := strings.Split(line, " ")
 		quoted := "micactl"
@@ -89,29 +89,29 @@
 		}
 		shell := exec.Command("bash", "--norc", "-c", fmt.Sprintf("%s\nCOMP_WORDS=(%s); COMP_CWORD=%d; _micactl; echo ${COMPREPLY[@]}", script, quoted, len(words)))
 		shell.Env = []string{"PATH=" + os.Getenv("PATH")}
-		offered, err := shell.CombinedOutput()
+		output, err := shell.CombinedOutput()
 		if err != nil {
-			t.Fatalf("%s: %v\n%s", line, err, offered)
+			t.Fatalf("%s: %v\n%s", line, err, output)
 		}
-		fmt.Fprintf(&report, "> micactl %s\n%s", line, offered)
+		fmt.Fprintf(&transcript, "> micactl %s\n%s", line, output)
 	}
-	goldie.New(t).Assert(t, "completion", []byte(report.String()))
+	goldie.New(t).Assert(t, "completion", []byte(transcript.String()))
 }
 
-func TestCompletionForZshLoadsThatOfBash(t *testing.T) {
-	script, found := strings.CutPrefix(completionOf(t, "zsh"), "autoload -U +X bashcompinit && bashcompinit\n")
-	if !found || script != completionOf(t, "bash") {
+func TestZshCompletionWrapsBashScript(t *testing.T) {
+	script, found := strings.CutPrefix(runCompletion(t, "zsh"), "autoload -U +X bashcompinit && bashcompinit\n")
+	if !found || script != runCompletion(t, "bash") {
 		t.Errorf("got %s", script)
 	}
 }
 
-func completionOf(t *testing.T, shell string) string {
+func runCompletion(t *testing.T, shell string) string {
 	t.Helper()
-	report := runProgram(t, "", "completion", shell)
-	_, script, _ := strings.Cut(report, "\n")
+	transcript := runProgram(t, "", "completion", shell)
+	_, script, _ := strings.Cut(transcript, "\n")
 	script, found := strings.CutSuffix(script, "exit 0\n\n")
 	if !found {
-		t.Fatal(report)
+		t.Fatal(transcript)
 	}
 	return script
 }
--- a/cmd/micactl/rollouts.go
+++ b/cmd/micactl/rollouts.go
@@ -16,19 +16,19 @@
 	logFlags
 }
 
-func (c *rolloutsCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("rollouts", "Tell the history of roll-outs from the nodes' logs: orders, what was decided and why, and how soon the nodes followed.")
+func (c *rolloutsCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("rollouts", "Tell the history of roll-outs from the nodes' logs: orders, what was decided and why, and how soon the nodes followed.")
 	subcommand.AddPositionalValue(&c.service, "SERVICE", 1, false, "Only those of one service.")
-	c.logFlags.attach(subcommand)
+	c.logFlags.declare(subcommand)
 	return subcommand
 }
 
 func (c *rolloutsCommand) run(_ context.Context, session *operator.Session) error {
-	lines, since, err := c.read()
+	lines, since, err := c.readLogs()
 	if err != nil {
 		return err
 	}
-	timeline := explain.Rollouts(lines, c.service, since)
+	timeline := explain.RolloutTimeline(lines, c.service, since)
 	if len(timeline.Steps) == 0 {
 		return fmt.Errorf("none of the %d lines tells of a roll-out", len(lines))
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -22,11 +22,11 @@
 
 // The kinds of steps.
 const (
-	KindBelief  = "belief"
-	KindTaken   = "taken"
-	KindAttempt = "attempt"
-	KindEnd     = "end"
-	KindLost    = "lost"
+	KindNodeState = "belief"
+	KindReceived  = "taken"
+	KindAttempt   = "attempt"
+	KindEnd       = "end"
+	KindLost      = "lost"
 )
 
 // Timeline is what the logs contain about a request, or about roll-outs.
@@ -35,31 +35,31 @@
 	Steps     []Step `json:"steps"`
 	// Dropped counts lines of requests that the nodes of the timeline dropped for
 	// their rate: they may be missing here.
-	Dropped int `json:"dropped_lines"`
+	DroppedLines int `json:"dropped_lines"`
 }
 
 // Request returns the timeline of a request. Lines before since are left out, but
 // for what they say of beliefs. It has no steps if no line names the request.
-func Request(lines []Line, requestID string, since time.Time) Timeline {
-	sorted := byTime(lines)
+func RequestTimeline(lines []Line, requestID string, since time.Time) Timeline {
+	sorted := sortByTime(lines)
 	timeline := Timeline{RequestID: requestID}
-	beliefs := make(map[string]*beliefs)
+	states := make(map[string]*nodeState)
 	nodes := make(map[string]bool)
 	for index := range sorted {
 		line := &sorted[index]
-		if beliefs[line.Node] == nil {
-			beliefs[line.Node] = newBeliefs()
+		if states[line.Node] == nil {
+			states[line.Node] = newNodeState()
 		}
-		beliefs[line.Node].learn(line)
+		states[line.Node].apply(line)
 		if line.RequestID == requestID && !line.Time.Before(since) {
 			nodes[line.Node] = true
-			timeline.Steps = append(timeline.Steps, stepsOf(line, beliefs[line.Node])...)
+			timeline.Steps = append(timeline.Steps, requestSteps(line, states[line.Node])...)
 		}
 	}
 	slices.SortStableFunc(timeline.Steps, func(a, b Step) int { return a.Time.Compare(b.Time) })
 	for index := range sorted {
 		if line := &sorted[index]; nodes[line.Node] && line.Message == (event.Request{}).Kind().Message {
-			timeline.Dropped += line.Dropped
+			timeline.DroppedLines += line.DroppedBefore
 		}
 	}
 	return timeline
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,14 +15,14 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-func read(t testing.TB) []Line {
+func readDayLog(t testing.TB) []Line {
 	t.Helper()
 	file, err := os.Open("testdata/day.log")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = file.Close() }() // it was read
-	lines, err := Read(file)
+	lines, err := ReadLog(file)
 	if err != nil || len(lines) == 0 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
@@ -32,64 +32,64 @@
 // TestStories tells three requests of a played day: one that met a node which
 // had just started, one that an executor refused, and one that a leaf did not
 // answer in time.
-func TestStories(t *testing.T) {
-	lines := read(t)
+func TestRequestTimelines(t *testing.T) {
+	lines := readDayLog(t)
 	for name, id := range map[string]string{
 		"started": "18bea8a1172d3c6d", "refused": "6b6ffc4791fe821e", "late": "886af99c970498dc",
 	} {
 		var text bytes.Buffer
-		if err := WriteText(&text, Request(lines, id, time.Time{})); err != nil {
+		if err := WriteText(&text, RequestTimeline(lines, id, time.Time{})); err != nil {
 			t.Fatal(err)
 		}
 		goldie.New(t).Assert(t, name, text.Bytes())
 	}
 	var document bytes.Buffer
-	if err := WriteJSON(&document, Request(lines, "886af99c970498dc", time.Time{})); err != nil {
+	if err := WriteJSON(&document, RequestTimeline(lines, "886af99c970498dc", time.Time{})); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "late_json", document.Bytes())
 }
 
-func TestUnknownRequestHasNoSteps(t *testing.T) {
-	if timeline := Request(read(t), "nobody", time.Time{}); len(timeline.Steps) != 0 {
+func TestTimelineOfUnknownRequestIsEmpty(t *testing.T) {
+	if timeline := RequestTimeline(readDayLog(t), "nobody", time.Time{}); len(timeline.Steps) != 0 {
 		t.Errorf("%+v", timeline)
 	}
 }
 
 // TestSinceKeepsBeliefs leaves out older requests, not what was believed.
-func TestSinceKeepsBeliefs(t *testing.T) {
-	lines := read(t)
+func TestSinceDropsRequestsButKeepsNodeState(t *testing.T) {
+	lines := readDayLog(t)
 	var at time.Time
 	for _, line := range lines {
 		if line.RequestID == "6b6ffc4791fe821e" {
 			at = line.Time
 		}
 	}
-	if timeline := Request(lines, "886af99c970498dc", at.Add(-time.Second)); len(timeline.Steps) != 0 {
+	if timeline := RequestTimeline(lines, "886af99c970498dc", at.Add(-time.Second)); len(timeline.Steps) != 0 {
 		t.Errorf("older: %+v", timeline)
 	}
-	timeline := Request(lines, "6b6ffc4791fe821e", at.Add(-time.Second))
-	if len(timeline.Steps) == 0 || timeline.Steps[0].Kind != KindBelief {
+	timeline := RequestTimeline(lines, "6b6ffc4791fe821e", at.Add(-time.Second))
+	if len(timeline.Steps) == 0 || timeline.Steps[0].Kind != KindNodeState {
 		t.Errorf("%+v", timeline)
 	}
 }
 
 // TestOrderOfFilesDoesNotMatter: logs come from many nodes.
-func TestOrderOfFilesDoesNotMatter(t *testing.T) {
-	lines := read(t)
+func TestTimelineDoesNotDependOnFileOrder(t *testing.T) {
+	lines := readDayLog(t)
 	var forward, backward bytes.Buffer
-	if err := WriteText(&forward, Request(lines, "6b6ffc4791fe821e", time.Time{})); err != nil {
+	if err := WriteText(&forward, RequestTimeline(lines, "6b6ffc4791fe821e", time.Time{})); err != nil {
 		t.Fatal(err)
 	}
 	byNode := make(map[string][]Line)
 	for _, line := range lines {
 		byNode[line.Node] = append(byNode[line.Node], line)
 	}
-	var turned []Line
+	var reordered []Line
 	for _, name := range []string{"edge-ben-thanh-7", "edge-ben-thanh-1", "edge-go-vap-9", "edge-go-vap-12"} {
-		turned = append(turned, byNode[name]...)
+		reordered = append(reordered, byNode[name]...)
 	}
-	if err := WriteText(&backward, Request(turned, "6b6ffc4791fe821e", time.Time{})); err != nil {
+	if err := WriteText(&backward, RequestTimeline(reordered, "6b6ffc4791fe821e", time.Time{})); err != nil {
 		t.Fatal(err)
 	}
 	if len(strings.Split(forward.String(), "\n")) != len(strings.Split(backward.String(), "\n")) {
@@ -98,8 +98,8 @@
 }
 
 // TestDroppedLinesAreTold, since the timeline may lack them.
-func TestDroppedLinesAreTold(t *testing.T) {
-	lines, err := Read(strings.NewReader(`
+func TestTimelineCountsDroppedLines(t *testing.T) {
+	lines, err := ReadLog(strings.NewReader(`
 text of a collector 1.5 {"time":"2026-01-01T00:00:00Z","msg":"request","node":"a","request_id":"x","fate":"merged"}
 {"time":"2026-01-01T00:00:01Z","msg":"request","node":"a","request_id":"y","fate":"merged","dropped_before":7}
 {"time":"2026-01-01T00:00:01Z","msg":"request","node":"b","request_id":"z","fate":"merged","dropped_before":5}
@@ -108,43 +108,43 @@
 	if err != nil || len(lines) != 3 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
-	if timeline := Request(lines, "x", time.Time{}); timeline.Dropped != 7 {
+	if timeline := RequestTimeline(lines, "x", time.Time{}); timeline.DroppedLines != 7 {
 		t.Errorf("%+v", timeline)
 	}
 }
 
 // FuzzRead feeds any bytes: they are lines of a log, or are skipped.
-func FuzzRead(f *testing.F) {
+func FuzzReadLog(f *testing.F) {
 	f.Add([]byte(`{"time":"2026-01-01T00:00:00Z","msg":"request","node":"a","request_id":"x","attempts":[{"leaf":"l"}]}`))
 	f.Add([]byte("a { b\n{}\n{\"msg\":1}\n"))
 	f.Fuzz(func(t *testing.T, content []byte) {
-		lines, err := Read(bytes.NewReader(content))
+		lines, err := ReadLog(bytes.NewReader(content))
 		if err != nil {
 			return
 		}
-		if err := WriteText(&bytes.Buffer{}, Request(lines, "x", time.Time{})); err != nil {
+		if err := WriteText(&bytes.Buffer{}, RequestTimeline(lines, "x", time.Time{})); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
 // TestBeliefsTellWhichZonesAreOutOfService at the time of a request.
-func TestBeliefsTellWhichZonesAreOutOfService(t *testing.T) {
-	known := newBeliefs()
-	begin := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+func TestNodeStateListsCordonedZones(t *testing.T) {
+	state := newNodeState()
+	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	message := event.ZoneCordoned{}.Kind().Message
-	known.learn(&Line{Message: message, Time: begin, NodeFields: NodeFields{Zone: "north", Cordoned: true}})
-	known.learn(&Line{Message: message, Time: begin.Add(time.Second), NodeFields: NodeFields{Zone: "south", Cordoned: true}})
-	known.learn(&Line{Message: message, Time: begin.Add(2 * time.Second), NodeFields: NodeFields{Zone: "south"}})
-	told := known.at(&Line{Time: begin.Add(3 * time.Second)})
-	if want := []string{"zone north out of service for 3s"}; !reflect.DeepEqual(told, want) {
-		t.Errorf("%q, want %q", told, want)
+	state.apply(&Line{Message: message, Time: start, NodeFields: NodeFields{Zone: "north", Cordoned: true}})
+	state.apply(&Line{Message: message, Time: start.Add(time.Second), NodeFields: NodeFields{Zone: "south", Cordoned: true}})
+	state.apply(&Line{Message: message, Time: start.Add(2 * time.Second), NodeFields: NodeFields{Zone: "south"}})
+	got := state.describe(&Line{Time: start.Add(3 * time.Second)})
+	if want := []string{"zone north out of service for 3s"}; !reflect.DeepEqual(got, want) {
+		t.Errorf("%q, want %q", got, want)
 	}
 }
 
 // TestLinesAreReadAsTheyAreWritten logs events and reads them back: the names
 // in the log and here are the same.
-func TestLinesAreReadAsTheyAreWritten(t *testing.T) {
+func TestReadLogReadsLoggedEvents(t *testing.T) {
 	var output bytes.Buffer
 	logger := slog.New(slog.NewJSONHandler(&output, nil))
 	attempt := event.Attempt{Shard: 3, Leaf: "i-1", Address: "10.0.0.1:80", Cause: "hedge", AtMS: 5, TookMS: 6, End: "lost",
@@ -159,7 +159,7 @@
 	event.Log(logger, event.ExecutorsLost{Left: 2})
 	event.Log(logger, event.ExecutorInTouch{Peer: "p"})
 	event.Log(logger, event.ZoneCordoned{Zone: "z", Cordoned: true})
-	lines, err := Read(&output)
+	lines, err := ReadLog(&output)
 	if err != nil || len(lines) != 7 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -51,7 +51,7 @@
 	Attempts     []event.Attempt `json:"attempts"`
 	// Dropped counts the lines of requests that the node dropped for their rate
 	// since the last one that it wrote.
-	Dropped int `json:"dropped_before"`
+	DroppedBefore int `json:"dropped_before"`
 }
 
 // NodeFields are those of what a node learns: leaves, zones, the store and executors.
@@ -78,26 +78,26 @@
 
 // maxLine bounds one line of a log, in bytes. Not measured: chosen far above a line with
 // the most attempts that a node writes.
-const maxLine = 1 << 20
+const maxLineSize = 1 << 20
 
 // readBuffer is the size of the buffer to begin with, in bytes. Not measured: chosen
 // because it holds most lines.
-const readBuffer = 1 << 16
+const initialBufferSize = 1 << 16
 
 // Read reads the lines of a log. What is no line of a log in JSON is skipped;
 // text before the brace, such as a collector's own time, too.
-func Read(from io.Reader) ([]Line, error) {
-	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, readBuffer), maxLine)
+func ReadLog(reader io.Reader) ([]Line, error) {
+	scanner := bufio.NewScanner(reader)
+	scanner.Buffer(make([]byte, 0, initialBufferSize), maxLineSize)
 	var lines []Line
 	for scanner.Scan() {
 		text := scanner.Bytes()
-		begin := bytes.IndexByte(text, '{')
-		if begin < 0 {
+		start := bytes.IndexByte(text, '{')
+		if start < 0 {
 			continue
 		}
 		var line Line
-		if err := json.Unmarshal(text[begin:], &line); err == nil && line.Message != "" {
+		if err := json.Unmarshal(text[start:], &line); err == nil && line.Message != "" {
 			lines = append(lines, line)
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 // byTime returns the lines in the order of their times; those of one time keep theirs.
-func byTime(lines []Line) []Line {
+func sortByTime(lines []Line) []Line {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	return sorted
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -10,27 +10,27 @@
 
 // stepsOf returns the steps of one line of a request: what the node believed, the request, its
 // attempts and its end.
-func stepsOf(line *Line, known *beliefs) []Step {
+func requestSteps(line *Line, state *nodeState) []Step {
 	if line.Message == (event.RequestLost{}).Kind().Message {
 		return []Step{{line.Time, line.Node, KindLost, fmt.Sprintf("lost with %s, which ran it: %s", line.Executor, line.Error)}}
 	}
-	begun := line.Time.Add(-milliseconds(line.TookMS))
+	startedAt := line.Time.Add(-milliseconds(line.TookMS))
 	var steps []Step
-	for _, text := range known.at(line) {
-		steps = append(steps, Step{begun, line.Node, KindBelief, text})
+	for _, text := range state.describe(line) {
+		steps = append(steps, Step{startedAt, line.Node, KindNodeState, text})
 	}
-	steps = append(steps, Step{begun, line.Node, KindTaken, taken(line)})
+	steps = append(steps, Step{startedAt, line.Node, KindReceived, receivedText(line)})
 	for index := range line.Attempts {
-		one := &line.Attempts[index]
-		steps = append(steps, Step{begun.Add(milliseconds(one.AtMS)), line.Node, KindAttempt, attempted(one, known)})
+		attempt := &line.Attempts[index]
+		steps = append(steps, Step{startedAt.Add(milliseconds(attempt.AtMS)), line.Node, KindAttempt, attemptText(attempt, state)})
 	}
-	return append(steps, Step{line.Time, line.Node, KindEnd, ended(line)})
+	return append(steps, Step{line.Time, line.Node, KindEnd, endText(line)})
 }
 
 func milliseconds(number int64) time.Duration { return time.Duration(number) * time.Millisecond }
 
 // taken says from whom a request came, and how it was planned.
-func taken(line *Line) string {
+func receivedText(line *Line) string {
 	text := "taken from its client"
 	if line.From != "" && line.From != line.Node {
 		text = "taken over from " + line.From
@@ -47,26 +47,26 @@
 }
 
 // attempted says how an attempt went, and what the node knew of the leaf before it.
-func attempted(one *event.Attempt, known *beliefs) string {
-	text := fmt.Sprintf("shard %d: %s attempt to %s (%s): ", one.Shard, one.Cause, one.Leaf, one.Address)
-	if one.End == string(scatter.EndOpen) {
+func attemptText(attempt *event.Attempt, state *nodeState) string {
+	text := fmt.Sprintf("shard %d: %s attempt to %s (%s): ", attempt.Shard, attempt.Cause, attempt.Leaf, attempt.Address)
+	if attempt.End == string(scatter.EndOpen) {
 		text += "no answer until the end"
 	} else {
-		text += fmt.Sprintf("%s after %d ms", one.End, one.TookMS)
+		text += fmt.Sprintf("%s after %d ms", attempt.End, attempt.TookMS)
 	}
-	if one.Detail != "" {
-		text += " (" + one.Detail + ")"
+	if attempt.Detail != "" {
+		text += " (" + attempt.Detail + ")"
 	}
 	text += fmt.Sprintf("; believed: %d of %d in flight, %.1f of others (%d ms old), slowness %.2f, budget %.2f",
-		one.InFlight, one.Limit, one.Others, one.AgeMS, one.Slowness, one.Budget)
-	if announcement := known.leaves[one.Leaf]; announcement != "" {
+		attempt.InFlight, attempt.Limit, attempt.Others, attempt.AgeMS, attempt.Slowness, attempt.Budget)
+	if announcement := state.announcements[attempt.Leaf]; announcement != "" {
 		text += "; announced: " + announcement
 	}
 	return text
 }
 
 // ended says how a request ended for its client.
-func ended(line *Line) string {
+func endText(line *Line) string {
 	text := line.Fate
 	if line.Total > 0 {
 		text += fmt.Sprintf(", %d of %d shards", line.Answered, line.Total)
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -11,10 +11,10 @@
 
 // The kinds of steps of a roll-out.
 const (
-	KindOrdered  = "ordered"
-	KindDecided  = "decided"
-	KindFollowed = "followed"
-	KindDecider  = "decider"
+	KindOrdered = "ordered"
+	KindDecided = "decided"
+	KindAdopted = "followed"
+	KindDecider = "decider"
 )
 
 // phaseKey names one phase of one roll-out.
@@ -24,41 +24,41 @@
 }
 
 // followers are the nodes that have gone by a phase.
-type followers struct {
+type phaseAdoption struct {
 	first, last time.Time
 	lastNode    string
-	count       int
+	nodes       int
 }
 
 // Rollouts returns the history of roll-outs since a time: orders, what was decided and
 // why, and how soon the nodes followed. With a service, only its own.
-func Rollouts(lines []Line, service string, since time.Time) Timeline {
+func RolloutTimeline(lines []Line, service string, since time.Time) Timeline {
 	var steps []Step
-	ordered := make(map[string]bool) // texts: each node logs an order
-	followed := make(map[phaseKey]*followers)
-	for _, line := range byTime(lines) {
-		if line.Time.Before(since) || !concerns(&line, service) {
+	seenOrders := make(map[string]bool) // texts: each node logs an order
+	adoptions := make(map[phaseKey]*phaseAdoption)
+	for _, line := range sortByTime(lines) {
+		if line.Time.Before(since) || !matchesService(&line, service) {
 			continue
 		}
 		switch line.Message {
 		case event.RolloutOrdered{}.Kind().Message:
 			text := orderText(&line)
-			if !ordered[text] {
-				ordered[text] = true
+			if !seenOrders[text] {
+				seenOrders[text] = true
 				steps = append(steps, Step{line.Time, line.Node, KindOrdered, text})
 			}
 		case event.RolloutDecided{}.Kind().Message:
-			steps = append(steps, Step{line.Time, line.Node, KindDecided, decidedText(&line)})
+			steps = append(steps, Step{line.Time, line.Node, KindDecided, decisionText(&line)})
 		case event.RolloutDecider{}.Kind().Message:
 			if line.Former != "" {
 				steps = append(steps, Step{line.Time, line.Node, KindDecider, deciderText(&line)})
 			}
 		case event.RolloutChanged{}.Kind().Message:
-			follow(followed, &line)
+			recordAdoption(adoptions, &line)
 		}
 	}
-	for phase, nodes := range followed {
-		steps = append(steps, Step{nodes.last, nodes.lastNode, KindFollowed, followedText(phase, nodes)})
+	for phase, adoption := range adoptions {
+		steps = append(steps, Step{adoption.last, adoption.lastNode, KindAdopted, adoptionText(phase, adoption)})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Text, b.Text)) })
 	return Timeline{Steps: steps}
@@ -66,25 +66,25 @@
 
 // concerns reports whether a line may be of a roll-out of a service; empty for any one.
 // The decider is that of all services.
-func concerns(line *Line, service string) bool {
+func matchesService(line *Line, service string) bool {
 	return service == "" || line.Service == service || line.Message == (event.RolloutDecider{}).Kind().Message
 }
 
 // follow takes in that a node goes by a phase.
-func follow(followed map[phaseKey]*followers, line *Line) {
+func recordAdoption(adoptions map[phaseKey]*phaseAdoption, line *Line) {
 	key := phaseKey{line.Service, line.Target, line.Phase, line.Order}
-	known, found := followed[key]
-	if !found {
-		known = &followers{first: line.Time}
-		followed[key] = known
+	adoption, exists := adoptions[key]
+	if !exists {
+		adoption = &phaseAdoption{first: line.Time}
+		adoptions[key] = adoption
 	}
-	known.last, known.lastNode = line.Time, line.Node
-	known.count++
+	adoption.last, adoption.lastNode = line.Time, line.Node
+	adoption.nodes++
 }
 
-func followedText(phase phaseKey, nodes *followers) string {
+func adoptionText(phase phaseKey, adoption *phaseAdoption) string {
 	return fmt.Sprintf("%s to %s: %d nodes go by %s, the last one (%s) after %v",
-		phase.service, phase.target, nodes.count, phase.phase, nodes.lastNode, nodes.last.Sub(nodes.first).Round(time.Millisecond))
+		phase.service, phase.target, adoption.nodes, phase.phase, adoption.lastNode, adoption.last.Sub(adoption.first).Round(time.Millisecond))
 }
 
 func orderText(line *Line) string {
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("%s to %s within %s", line.Service, line.Target, line.Duration)
 }
 
-func decidedText(line *Line) string {
+func decisionText(line *Line) string {
 	text := fmt.Sprintf("%s to %s: %s, since %s; counts of %d nodes", line.Service, line.Target, line.Phase, line.Reason, line.Nodes)
 	if line.Error != "" {
 		text += "; not written: " + line.Error
@@ -103,9 +103,9 @@
 }
 
 func deciderText(line *Line) string {
-	why := "it cannot write to the store"
+	reason := "it cannot write to the store"
 	if line.Error != "" {
-		why = line.Error
+		reason = line.Error
 	}
-	return fmt.Sprintf("reports to %s in place of %s: %s", line.Peer, line.Former, why)
+	return fmt.Sprintf("reports to %s in place of %s: %s", line.Peer, line.Former, reason)
 }
--- a/internal/explain/rollout_test.go
+++ b/internal/explain/rollout_test.go
@@ -13,7 +13,7 @@
 )
 
 // rolledOut returns the lines of two nodes on a roll-out that fails, and on another.
-func rolledOut(t *testing.T) []Line {
+func rolloutLines(t *testing.T) []Line {
 	t.Helper()
 	var output bytes.Buffer
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -23,40 +23,40 @@
 		}
 		return attribute
 	}}))
-	write := func(node string, one event.Event) {
+	logAt := func(node string, logged event.Event) {
 		now = now.Add(100 * time.Millisecond)
-		event.Log(logger.With("node", node), one)
+		event.Log(logger.With("node", node), logged)
 	}
-	const why = "on route lookup the target failed 5 of 21 attempts, the other version 0 of 300"
+	const reason = "on route lookup the target failed 5 of 21 attempts, the other version 0 of 300"
 	for _, node := range []string{"edge-1", "edge-2"} {
-		write(node, event.RolloutOrdered{Service: "vault", Version: "v2", Duration: 6 * time.Second, Revision: 7})
+		logAt(node, event.RolloutOrdered{Service: "vault", Version: "v2", Duration: 6 * time.Second, Revision: 7})
 	}
-	write("edge-1", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "trial", Reason: "the order was heard", Nodes: 2, Revision: 8})
-	write("edge-2", event.RolloutDecider{Peer: "edge-1"})
+	logAt("edge-1", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "trial", Reason: "the order was heard", Nodes: 2, Revision: 8})
+	logAt("edge-2", event.RolloutDecider{Peer: "edge-1"})
 	for _, node := range []string{"edge-1", "edge-2"} {
-		write(node, event.RolloutChanged{Service: "vault", Version: "v2", Phase: "trial", Reason: "the order was heard", Order: 7})
+		logAt(node, event.RolloutChanged{Service: "vault", Version: "v2", Phase: "trial", Reason: "the order was heard", Order: 7})
 	}
-	write("edge-2", event.RolloutDecider{Peer: "edge-2", Former: "edge-1", Error: errors.New("connection refused")})
-	write("edge-2", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: why, Nodes: 2, Error: errors.New("status 503")})
-	write("edge-2", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: why, Nodes: 2, Revision: 9})
+	logAt("edge-2", event.RolloutDecider{Peer: "edge-2", Former: "edge-1", Error: errors.New("connection refused")})
+	logAt("edge-2", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: reason, Nodes: 2, Error: errors.New("status 503")})
+	logAt("edge-2", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: reason, Nodes: 2, Revision: 9})
 	for _, node := range []string{"edge-2", "edge-1"} {
-		write(node, event.RolloutChanged{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: why, Order: 7})
+		logAt(node, event.RolloutChanged{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: reason, Order: 7})
 	}
-	write("edge-1", event.RolloutOrdered{Service: "desk", Withdrawn: true, Revision: 10})
-	lines, err := Read(&output)
+	logAt("edge-1", event.RolloutOrdered{Service: "desk", Withdrawn: true, Revision: 10})
+	lines, err := ReadLog(&output)
 	if err != nil || len(lines) != 12 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
 	return lines
 }
 
-func TestRollouts(t *testing.T) {
+func TestRolloutTimeline(t *testing.T) {
 	var text bytes.Buffer
-	if err := WriteText(&text, Rollouts(rolledOut(t), "", time.Time{})); err != nil {
+	if err := WriteText(&text, RolloutTimeline(rolloutLines(t), "", time.Time{})); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "rollouts", text.Bytes())
-	for _, step := range Rollouts(rolledOut(t), "desk", time.Time{}).Steps {
+	for _, step := range RolloutTimeline(rolloutLines(t), "desk", time.Time{}).Steps {
 		if step.Kind != KindOrdered && step.Kind != KindDecider {
 			t.Errorf("of another service: %+v", step)
 		}
--- a/internal/explain/write.go
+++ b/internal/explain/write.go
@@ -10,22 +10,22 @@
 const timeOfDay = "15:04:05.000"
 
 // WriteText writes a timeline for people.
-func WriteText(to io.Writer, timeline Timeline) error {
+func WriteText(writer io.Writer, timeline Timeline) error {
 	for _, step := range timeline.Steps {
-		if _, err := fmt.Fprintf(to, "%s  %-20s %-8s %s\n", step.Time.Format(timeOfDay), step.Node, step.Kind, step.Text); err != nil {
+		if _, err := fmt.Fprintf(writer, "%s  %-20s %-8s %s\n", step.Time.Format(timeOfDay), step.Node, step.Kind, step.Text); err != nil {
 			return err
 		}
 	}
-	if timeline.Dropped == 0 {
+	if timeline.DroppedLines == 0 {
 		return nil
 	}
-	_, err := fmt.Fprintf(to, "These nodes dropped %d lines of requests for their rate.\n", timeline.Dropped)
+	_, err := fmt.Fprintf(writer, "These nodes dropped %d lines of requests for their rate.\n", timeline.DroppedLines)
 	return err
 }
 
 // WriteJSON writes a timeline as one JSON document.
-func WriteJSON(to io.Writer, timeline Timeline) error {
-	encoder := json.NewEncoder(to)
+func WriteJSON(writer io.Writer, timeline Timeline) error {
+	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(timeline)
 }
--- a/internal/losses/causes.go
+++ b/internal/losses/causes.go
@@ -14,17 +14,17 @@
 const (
 	CauseNoConfiguration Cause = "no configuration, or a route unknown while the store is away"
 	CauseOverload        Cause = "refused for load"
-	CauseQuarantined     Cause = "refused since leaves ended under it"
+	CauseQuarantined     Cause = "refused since leaves shard under it"
 	CauseRefused         Cause = "refused for another reason"
 	CauseExecutorLost    Cause = "lost with the node that ran it"
 	CauseLeafFailed      Cause = "the leaf's own failure"
-	CauseNotReached      Cause = "leaf not reached"
+	CauseLeafUnreachable Cause = "leaf not reached"
 	CauseLeafRefused     Cause = "leaf refused"
-	CauseAnswerLost      Cause = "answer of the leaf lost"
+	CauseResponseLost    Cause = "answer of the leaf lost"
 	CauseSlowLeaf        Cause = "leaf known to be slow"
 	CauseNoBudget        Cause = "leaf silent, no budget for a second attempt"
 	CauseNoHedge         Cause = "leaf silent, no second attempt was sent"
-	CauseBothSilent      Cause = "two leaves silent"
+	CauseHedgeUnanswered Cause = "two leaves silent"
 	CauseUnknown         Cause = "unknown"
 )
 
@@ -38,8 +38,8 @@
 	"trial":                           CauseQuarantined,
 }
 
-func refusal(reason string) Cause {
-	if cause, known := refusalCauses[reason]; known {
+func refusalCause(reason string) Cause {
+	if cause, listed := refusalCauses[reason]; listed {
 		return cause
 	}
 	return CauseRefused
@@ -48,47 +48,47 @@
 const (
 	// slowLeaf is the slowness, the ratio to an ordinary leaf, from which a leaf counts
 	// as slow. Not measured: chosen to tell a slow leaf from the usual spread.
-	slowLeaf = 2
+	minSlowLeafRatio = 2
 	// hedgePrice is the budget that a second attempt wants, in extra attempts: one, and
 	// one that is kept for retries (hedge.Bounds.Reserve, 1 at most in a node).
-	hedgePrice = 2
+	minHedgeBudget = 2
 )
 
 // shardEnd is how the attempts for a shard ended that brought no part.
-type shardEnd struct {
-	open int // attempts without an answer at the end of the request
-	last event.Attempt
+type shardAttempts struct {
+	unanswered int // attempts without an answer at the end of the request
+	last       event.Attempt
 }
 
-func (s shardEnd) lastEnd(end scatter.AttemptEnd) bool { return s.last.End == string(end) }
+func (s shardAttempts) lastEndedAs(end scatter.AttemptEnd) bool { return s.last.End == string(end) }
 
 // shardCauses has the causes of a shard that brought no part; the first that applies
 // counts.
-var shardCauses = []struct {
+var shardCauseRules = []struct {
 	cause   Cause
-	applies func(shardEnd) bool
+	applies func(shardAttempts) bool
 }{
-	{CauseBothSilent, func(s shardEnd) bool { return s.open > 1 }},
-	{CauseSlowLeaf, func(s shardEnd) bool { return s.open == 1 && s.last.Slowness >= slowLeaf }},
-	{CauseNoBudget, func(s shardEnd) bool { return s.open == 1 && s.last.Budget < hedgePrice }},
-	{CauseNoHedge, func(s shardEnd) bool { return s.open == 1 }},
-	{CauseNotReached, func(s shardEnd) bool { return s.lastEnd(scatter.EndUnsent) }},
-	{CauseLeafRefused, func(s shardEnd) bool { return s.lastEnd(scatter.EndRefused) }},
-	{CauseAnswerLost, func(s shardEnd) bool { return s.lastEnd(scatter.EndLost) }},
-	{CauseLeafFailed, func(s shardEnd) bool { return s.lastEnd(scatter.EndFailed) }},
+	{CauseHedgeUnanswered, func(s shardAttempts) bool { return s.unanswered > 1 }},
+	{CauseSlowLeaf, func(s shardAttempts) bool { return s.unanswered == 1 && s.last.Slowness >= minSlowLeafRatio }},
+	{CauseNoBudget, func(s shardAttempts) bool { return s.unanswered == 1 && s.last.Budget < minHedgeBudget }},
+	{CauseNoHedge, func(s shardAttempts) bool { return s.unanswered == 1 }},
+	{CauseLeafUnreachable, func(s shardAttempts) bool { return s.lastEndedAs(scatter.EndUnsent) }},
+	{CauseLeafRefused, func(s shardAttempts) bool { return s.lastEndedAs(scatter.EndRefused) }},
+	{CauseResponseLost, func(s shardAttempts) bool { return s.lastEndedAs(scatter.EndLost) }},
+	{CauseLeafFailed, func(s shardAttempts) bool { return s.lastEndedAs(scatter.EndFailed) }},
 }
 
 // causeOf returns why a shard brought no part. There is one attempt at least.
-func causeOf(attempts []event.Attempt) Cause {
-	end := shardEnd{last: attempts[len(attempts)-1]}
-	for _, one := range attempts {
-		if one.End == string(scatter.EndOpen) {
-			end.open++
+func shardCause(attempts []event.Attempt) Cause {
+	shard := shardAttempts{last: attempts[len(attempts)-1]}
+	for _, attempt := range attempts {
+		if attempt.End == string(scatter.EndOpen) {
+			shard.unanswered++
 		}
 	}
-	for _, candidate := range shardCauses {
-		if candidate.applies(end) {
-			return candidate.cause
+	for _, rule := range shardCauseRules {
+		if rule.applies(shard) {
+			return rule.cause
 		}
 	}
 	return CauseUnknown
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -26,19 +26,19 @@
 
 // worstRequests is how many requests are named. Not measured: chosen to keep the
 // report short.
-const worstRequests = 10
+const maxWorstRequests = 10
 
 // Part is what was lost in one group of requests. Lost is in whole requests: one
 // without an answer counts 1, one that lacks shards 1 less the square of the share
 // that is in, by which users value it.
-type Part struct {
+type Group struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
 	Lost     float64 `json:"lost"`
 }
 
 // Worst names a request that lost much.
-type Worst struct {
+type WorstRequest struct {
 	RequestID string  `json:"request_id"`
 	Node      string  `json:"node"`
 	Cause     Cause   `json:"cause"`
@@ -54,82 +54,82 @@
 	Lost     float64 `json:"lost"`
 	// Dropped counts lines that the nodes did not write for their rate. The figures
 	// lack these requests.
-	Dropped  int     `json:"dropped_lines"`
-	ByCause  []Part  `json:"by_cause"`
-	ByRoute  []Part  `json:"by_route"`
-	BySecond []Part  `json:"by_second"`
-	ByNode   []Part  `json:"by_node"`
-	Worst    []Worst `json:"worst"`
+	DroppedLines int            `json:"dropped_lines"`
+	ByCause      []Group        `json:"by_cause"`
+	ByRoute      []Group        `json:"by_route"`
+	BySecond     []Group        `json:"by_second"`
+	ByNode       []Group        `json:"by_node"`
+	Worst        []WorstRequest `json:"worst"`
 }
 
 // request is what the lines of one request tell: that of the node that took it, and
 // that of the node that ran it.
-type request struct {
-	taken, ran *explain.Line
+type loggedRequest struct {
+	received, executed *explain.Line
 }
 
 // Add adds up the lines that are not older than since.
-func Add(lines []explain.Line, since time.Time) Report {
+func NewReport(lines []explain.Line, since time.Time) Report {
 	var report Report
-	requests := make(map[string]request)
+	requests := make(map[string]loggedRequest)
 	for index := range lines {
 		line := &lines[index]
 		if line.Message != (event.Request{}).Kind().Message || line.Time.Before(since) {
 			continue
 		}
-		report.Dropped += line.Dropped
-		found := requests[line.RequestID]
+		report.DroppedLines += line.DroppedBefore
+		logged := requests[line.RequestID]
 		if line.Node == line.From {
-			found.taken = line
+			logged.received = line
 		}
 		if line.Executor == "" {
-			found.ran = line
+			logged.executed = line
 		}
-		requests[line.RequestID] = found
+		requests[line.RequestID] = logged
 	}
-	groups := newGroups()
+	tallies := newTallies()
 	for _, id := range slices.Sorted(maps.Keys(requests)) {
-		if one := requests[id]; one.taken != nil {
-			report.add(one, groups)
+		if request := requests[id]; request.received != nil {
+			report.addRequest(request, tallies)
 		}
 	}
-	report.ByCause, report.ByRoute = groups.cause.parts(byLoss), groups.route.parts(byLoss)
-	report.BySecond, report.ByNode = groups.second.parts(byName), groups.node.parts(byLoss)
-	slices.SortStableFunc(report.Worst, func(a, b Worst) int { return cmp.Compare(b.Lost, a.Lost) })
-	report.Worst = report.Worst[:min(len(report.Worst), worstRequests)]
+	report.ByCause, report.ByRoute = tallies.cause.sorted(compareLoss), tallies.route.sorted(compareLoss)
+	report.BySecond, report.ByNode = tallies.second.sorted(compareName), tallies.node.sorted(compareLoss)
+	slices.SortStableFunc(report.Worst, func(a, b WorstRequest) int { return cmp.Compare(b.Lost, a.Lost) })
+	report.Worst = report.Worst[:min(len(report.Worst), maxWorstRequests)]
 	return report
 }
 
 // add adds one request.
-func (r *Report) add(one request, groups *groups) {
+func (r *Report) addRequest(request loggedRequest, tallies *tallies) {
 	r.Requests++
-	if one.taken.Fate == fateNoRoute {
+	if request.received.Fate == fateNoRoute {
 		r.NoRoute++
 		return
 	}
-	shares := sharesOf(one)
+	shares := lossByCause(request)
 	lost := 0.0
-	worst, most := CauseUnknown, 0.0
+	worstCause, worstLoss := CauseUnknown, 0.0
 	for _, cause := range slices.Sorted(maps.Keys(shares)) {
 		share := shares[cause]
 		lost += share
-		groups.cause.add(string(cause), share)
-		if share > most {
-			worst, most = cause, share
+		tallies.cause.add(string(cause), share)
+		if share > worstLoss {
+			worstCause, worstLoss = cause, share
 		}
 	}
-	groups.route.add(one.taken.Route, lost)
-	groups.second.add(one.taken.Time.Truncate(time.Second).Format(time.RFC3339), lost)
-	groups.node.add(one.taken.Node, lost)
+	tallies.route.add(request.received.Route, lost)
+	tallies.second.add(request.received.Time.Truncate(time.Second).Format(time.RFC3339), lost)
+	tallies.node.add(request.received.Node, lost)
 	if lost > 0 {
 		r.Lost += lost
-		r.Worst = append(r.Worst, Worst{RequestID: one.taken.RequestID, Node: one.taken.Node, Cause: worst, Lost: lost})
+		r.Worst = append(r.Worst, WorstRequest{RequestID: request.received.RequestID, Node: request.received.Node, Cause: worstCause, Lost: lost})
 	}
 }
 
 // sharesOf returns what a request lost, by cause.
-func sharesOf(one request) map[Cause]float64 {
-	line := one.taken
+func lossByCause(request loggedRequest) map[Cause]float64 {
+	line := request.received
 	switch {
 	case line.Fate == fateAnswered && line.Status < http.StatusInternalServerError:
 		return nil
@@ -139,32 +139,32 @@
 		return nil
 	case line.Fate == fateMerged:
 		share := float64(line.Answered) / float64(max(line.Total, 1))
-		return divided(one.ran, 1-share*share)
+		return divideByShard(request.executed, 1-share*share)
 	case line.Fate == fateNotRun:
-		return map[Cause]float64{refusal(line.Reason): 1}
-	case one.ran == nil && line.Executor != "":
+		return map[Cause]float64{refusalCause(line.Reason): 1}
+	case request.executed == nil && line.Executor != "":
 		return map[Cause]float64{CauseExecutorLost: 1}
 	default:
-		return divided(one.ran, 1)
+		return divideByShard(request.executed, 1)
 	}
 }
 
 // divided divides a loss among the causes of the shards that brought no part.
-func divided(ran *explain.Line, lost float64) map[Cause]float64 {
-	if ran == nil {
+func divideByShard(executed *explain.Line, lost float64) map[Cause]float64 {
+	if executed == nil {
 		return map[Cause]float64{CauseUnknown: lost}
 	}
 	shards := make(map[int][]event.Attempt)
-	for _, attempt := range ran.Attempts {
+	for _, attempt := range executed.Attempts {
 		shards[attempt.Shard] = append(shards[attempt.Shard], attempt)
 	}
 	counts := make(map[Cause]float64)
 	total := 0.0
 	for _, attempts := range shards {
-		if slices.ContainsFunc(attempts, func(one event.Attempt) bool { return one.End == string(scatter.EndAnswered) }) {
+		if slices.ContainsFunc(attempts, func(attempt event.Attempt) bool { return attempt.End == string(scatter.EndAnswered) }) {
 			continue
 		}
-		counts[causeOf(attempts)]++
+		counts[shardCause(attempts)]++
 		total++
 	}
 	if total == 0 {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -13,7 +13,7 @@
 	"github.com/micaplank/micaplank/internal/explain"
 )
 
-const logOfTwoNodes = `
+const twoNodeLog = `
 {"time":"2026-12-02T10:00:00.1Z","node":"a","msg":"started"}
 {"time":"2026-12-02T10:00:01.1Z","node":"a","msg":"request","request_id":"whole","route":"sweep","fate":"merged","answered":4,"total":4,"from":"a"}
 {"time":"2026-12-02T10:00:01.2Z","node":"b","msg":"request","request_id":"lacks","route":"sweep","fate":"merged","reason":"deadline","answered":2,"total":4,"from":"a","attempts":[{"shard":1,"end":"open","slowness":5},{"shard":2,"end":"unsent"},{"shard":3,"end":"open"},{"shard":3,"end":"answered"}]}
@@ -25,22 +25,22 @@
 {"time":"2026-12-02T10:00:02.5Z","node":"b","msg":"request","request_id":"late","route":"lookup","fate":"late","reason":"deadline","from":"b","attempts":[{"shard":9,"end":"open","budget":0.5}]}
 `
 
-func report(t *testing.T, since time.Time) Report {
+func newTestReport(t *testing.T, since time.Time) Report {
 	t.Helper()
-	lines, err := explain.Read(strings.NewReader(logOfTwoNodes))
+	lines, err := explain.ReadLog(strings.NewReader(twoNodeLog))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Add(lines, since)
+	return NewReport(lines, since)
 }
 
-func TestReport(t *testing.T) {
+func TestReportFormats(t *testing.T) {
 	var text, document bytes.Buffer
-	all := report(t, time.Time{})
-	if err := WriteText(&text, all); err != nil {
+	report := newTestReport(t, time.Time{})
+	if err := WriteText(&text, report); err != nil {
 		t.Fatal(err)
 	}
-	if err := WriteJSON(&document, all); err != nil {
+	if err := WriteJSON(&document, report); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "report.text", text.Bytes())
@@ -48,38 +48,38 @@
 }
 
 // TestLossesAddUpAlike by cause, route, second and node.
-func TestLossesAddUpAlike(t *testing.T) {
-	all := report(t, time.Time{})
-	for _, parts := range [][]Part{all.ByCause, all.ByRoute, all.BySecond, all.ByNode} {
+func TestGroupsAddUpToTotalLoss(t *testing.T) {
+	report := newTestReport(t, time.Time{})
+	for _, groups := range [][]Group{report.ByCause, report.ByRoute, report.BySecond, report.ByNode} {
 		sum := 0.0
-		for _, part := range parts {
-			sum += part.Lost
+		for _, group := range groups {
+			sum += group.Lost
 		}
-		if fmt.Sprintf("%.6f", sum) != fmt.Sprintf("%.6f", all.Lost) {
-			t.Errorf("%+v adds up to %f of %f", parts, sum, all.Lost)
+		if fmt.Sprintf("%.6f", sum) != fmt.Sprintf("%.6f", report.Lost) {
+			t.Errorf("%+v adds up to %f of %f", groups, sum, report.Lost)
 		}
 	}
 }
 
-func TestSince(t *testing.T) {
-	if got := report(t, time.Date(2026, 12, 2, 10, 0, 2, 0, time.UTC)); got.Requests != 5 || got.Dropped != 7 {
-		t.Errorf("%d requests, %d lines dropped", got.Requests, got.Dropped)
+func TestSinceDropsOlderRequests(t *testing.T) {
+	if got := newTestReport(t, time.Date(2026, 12, 2, 10, 0, 2, 0, time.UTC)); got.Requests != 5 || got.DroppedLines != 7 {
+		t.Errorf("%d requests, %d lines dropped", got.Requests, got.DroppedLines)
 	}
 }
 
-func TestCauseOfAShard(t *testing.T) {
+func TestShardCause(t *testing.T) {
 	for want, attempts := range map[Cause][]event.Attempt{
-		CauseBothSilent:  {{End: "open"}, {End: "open"}},
-		CauseSlowLeaf:    {{End: "open", Slowness: slowLeaf}},
-		CauseNoBudget:    {{End: "open", Budget: hedgePrice - 0.1}},
-		CauseNoHedge:     {{End: "open", Budget: hedgePrice}},
-		CauseNotReached:  {{End: "unsent"}},
-		CauseLeafRefused: {{End: "lost"}, {End: "refused"}},
-		CauseAnswerLost:  {{End: "lost"}},
-		CauseLeafFailed:  {{End: "failed"}},
-		CauseUnknown:     {{End: "new"}},
+		CauseHedgeUnanswered: {{End: "open"}, {End: "open"}},
+		CauseSlowLeaf:        {{End: "open", Slowness: minSlowLeafRatio}},
+		CauseNoBudget:        {{End: "open", Budget: minHedgeBudget - 0.1}},
+		CauseNoHedge:         {{End: "open", Budget: minHedgeBudget}},
+		CauseLeafUnreachable: {{End: "unsent"}},
+		CauseLeafRefused:     {{End: "lost"}, {End: "refused"}},
+		CauseResponseLost:    {{End: "lost"}},
+		CauseLeafFailed:      {{End: "failed"}},
+		CauseUnknown:         {{End: "new"}},
 	} {
-		if got := causeOf(attempts); got != want {
+		if got := shardCause(attempts); got != want {
 			t.Errorf("%+v: %s, want %s", attempts, got, want)
 		}
 	}
