--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -29,28 +29,28 @@
 )
 
 // folder is where the recordings lie, beside the test.
-const folder = "testdata/wire"
+const fixtureDir = "testdata/wire"
 
 // Gob checks a type that nodes exchange in encoding/gob: a recorded message is read
 // whole, and the fields that are sent have the names and kinds that they had.
 func Gob[T any](t *testing.T, name string) {
 	t.Helper()
-	want := filled[T](t, goName)
-	if recording() {
+	want := newFilled[T](t, goFieldName)
+	if updating() {
 		var encoded bytes.Buffer
 		if err := gob.NewEncoder(&encoded).Encode(&want); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		record(t, name+".gob", []byte(hex.EncodeToString(encoded.Bytes())))
+		writeRecording(t, name+".gob", []byte(hex.EncodeToString(encoded.Bytes())))
 	}
 	var got T
-	if err := gob.NewDecoder(bytes.NewReader(recorded(t, name+".gob"))).Decode(&got); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(readRecording(t, name+".gob"))).Decode(&got); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: the recorded message reads as\n%+v\nand not as\n%+v", name, got, want)
 	}
-	compare(t, name+".fields", []byte(fieldsOf(reflect.TypeFor[T]())))
+	assertRecording(t, name+".fields", []byte(gobFields(reflect.TypeFor[T]())))
 }
 
 // FormerGob reads a message as a former version recorded it: fields that were added since
@@ -58,7 +58,7 @@
 func FormerGob[T any](t *testing.T, name string) T {
 	t.Helper()
 	var got T
-	if err := gob.NewDecoder(bytes.NewReader(recorded(t, name+".former.gob"))).Decode(&got); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(readRecording(t, name+".former.gob"))).Decode(&got); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	return got
@@ -68,18 +68,18 @@
 // the same value is written byte for byte.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
-	want := filled[T](t, jsonName)
+	want := newFilled[T](t, jsonFieldName)
 	encoded, err := json.Marshal(want)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	compare(t, name+".json", encoded)
+	assertRecording(t, name+".json", encoded)
 	var got T
 	if err := json.Unmarshal(encoded, &got); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if again, err := json.Marshal(got); err != nil || !bytes.Equal(again, encoded) {
-		t.Errorf("%s: read and written again as %s (%v), at first %s", name, again, err, encoded)
+	if reencoded, err := json.Marshal(got); err != nil || !bytes.Equal(reencoded, encoded) {
+		t.Errorf("%s: read and written again as %s (%v), at first %s", name, reencoded, err, encoded)
 	}
 }
 
@@ -87,19 +87,19 @@
 // and decode reads the recorded ones as that value.
 func Encoded[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Helper()
-	want := filled[T](t, goName)
+	want := newFilled[T](t, goFieldName)
 	encoded, err := encode(want)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if recording() {
-		record(t, name+".bytes", []byte(hex.EncodeToString(encoded)))
+	if updating() {
+		writeRecording(t, name+".bytes", []byte(hex.EncodeToString(encoded)))
 	}
-	former := recorded(t, name+".bytes")
-	if !bytes.Equal(former, encoded) {
-		t.Errorf("%s: written as\n%x\nand not as\n%x", name, encoded, former)
+	previous := readRecording(t, name+".bytes")
+	if !bytes.Equal(previous, encoded) {
+		t.Errorf("%s: written as\n%x\nand not as\n%x", name, encoded, previous)
 	}
-	got, err := decode(former)
+	got, err := decode(previous)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
@@ -109,31 +109,31 @@
 }
 
 // recording reports whether the test was started with -update.
-func recording() bool {
+func updating() bool {
 	update := flag.Lookup("update")
 	return update != nil && update.Value.String() == "true"
 }
 
-func golden(t *testing.T) *goldie.Goldie {
-	return goldie.New(t, goldie.WithFixtureDir(folder), goldie.WithNameSuffix(""))
+func newGoldie(t *testing.T) *goldie.Goldie {
+	return goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(""))
 }
 
-func record(t *testing.T, file string, content []byte) {
+func writeRecording(t *testing.T, file string, content []byte) {
 	t.Helper()
-	if err := golden(t).Update(t, file, content); err != nil {
+	if err := newGoldie(t).Update(t, file, content); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func compare(t *testing.T, file string, content []byte) {
+func assertRecording(t *testing.T, file string, content []byte) {
 	t.Helper()
-	golden(t).Assert(t, file, content)
+	newGoldie(t).Assert(t, file, content)
 }
 
 // recorded returns the bytes of a recording in hexadecimal digits.
-func recorded(t *testing.T, file string) []byte {
+func readRecording(t *testing.T, file string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(folder, file))
+	text, err := os.ReadFile(filepath.Join(fixtureDir, file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,21 +145,21 @@
 }
 
 // filled returns a value whose exported fields are all set, each by its path of names.
-func filled[T any](t *testing.T, nameOf naming) T {
+func newFilled[T any](t *testing.T, namer fieldNamer) T {
 	t.Helper()
 	var value T
-	if err := nameOf.fill(reflect.ValueOf(&value).Elem(), "", 0); err != nil {
+	if err := namer.fill(reflect.ValueOf(&value).Elem(), "", 0); err != nil {
 		t.Fatal(err)
 	}
 	return value
 }
 
 // naming returns the name that a field has in a form.
-type naming func(field reflect.StructField) string
+type fieldNamer func(field reflect.StructField) string
 
-func goName(field reflect.StructField) string { return field.Name }
+func goFieldName(field reflect.StructField) string { return field.Name }
 
-func jsonName(field reflect.StructField) string {
+func jsonFieldName(field reflect.StructField) string {
 	if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
 		return name
 	}
@@ -170,38 +170,38 @@
 const maxDepth = 8
 
 // number returns a number from 1 to 100 that follows from a path.
-func number(path string) uint64 {
+func hashNumber(path string) uint64 {
 	hash := fnv.New32a()
 	hash.Write([]byte(path))
 	return 1 + uint64(hash.Sum32())%100
 }
 
-func (n naming) fill(value reflect.Value, path string, depth int) error {
+func (n fieldNamer) fill(value reflect.Value, path string, depth int) error {
 	if depth > maxDepth {
 		return nil
 	}
 	switch value.Interface().(type) {
 	case netip.Addr:
-		value.Set(reflect.ValueOf(netip.AddrFrom4([4]byte{10, 0, 0, byte(number(path))})))
+		value.Set(reflect.ValueOf(netip.AddrFrom4([4]byte{10, 0, 0, byte(hashNumber(path))})))
 		return nil
 	case netip.AddrPort:
-		value.Set(reflect.ValueOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(number(path)))))
+		value.Set(reflect.ValueOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(hashNumber(path)))))
 		return nil
 	case time.Time:
-		value.Set(reflect.ValueOf(time.Unix(int64(number(path)), 0).UTC()))
+		value.Set(reflect.ValueOf(time.Unix(int64(hashNumber(path)), 0).UTC()))
 		return nil
 	}
 	switch value.Kind() {
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(int64(number(path)))
+		value.SetInt(int64(hashNumber(path)))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(number(path))
+		value.SetUint(hashNumber(path))
 	case reflect.Float32, reflect.Float64:
-		value.SetFloat(float64(number(path)) + 0.5)
+		value.SetFloat(float64(hashNumber(path)) + 0.5)
 	case reflect.String:
-		value.SetString(fmt.Sprintf("s%d", number(path)))
+		value.SetString(fmt.Sprintf("s%d", hashNumber(path)))
 	case reflect.Func, reflect.Chan, reflect.Interface:
 		// not sent
 	case reflect.Pointer:
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func (n naming) fillElements(value reflect.Value, path string, depth int) error {
+func (n fieldNamer) fillElements(value reflect.Value, path string, depth int) error {
 	for index := range value.Len() {
 		if err := n.fill(value.Index(index), fmt.Sprintf("%s[%d]", path, index), depth+1); err != nil {
 			return err
@@ -231,7 +231,7 @@
 	return nil
 }
 
-func (n naming) fillMap(value reflect.Value, path string, depth int) error {
+func (n fieldNamer) fillMap(value reflect.Value, path string, depth int) error {
 	key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 	if err := n.fill(key, path+".key", depth+1); err != nil {
 		return err
@@ -244,7 +244,7 @@
 	return nil
 }
 
-func (n naming) fillFields(value reflect.Value, path string, depth int) error {
+func (n fieldNamer) fillFields(value reflect.Value, path string, depth int) error {
 	for index := range value.NumField() {
 		field := value.Type().Field(index)
 		if !field.IsExported() {
@@ -259,54 +259,54 @@
 
 // fieldsOf lists the fields of a type as gob sends them: a line each with its path and
 // the class of its kind.
-func fieldsOf(of reflect.Type) string {
+func gobFields(goType reflect.Type) string {
 	var text strings.Builder
-	writeFields(&text, of, "value", nil)
+	writeGobFields(&text, goType, "value", nil)
 	return text.String()
 }
 
-func writeFields(text *strings.Builder, of reflect.Type, path string, within []reflect.Type) {
-	for of.Kind() == reflect.Pointer {
-		of = of.Elem()
+func writeGobFields(text *strings.Builder, goType reflect.Type, path string, enclosing []reflect.Type) {
+	for goType.Kind() == reflect.Pointer {
+		goType = goType.Elem()
 	}
-	for _, outer := range within {
-		if outer == of {
+	for _, outer := range enclosing {
+		if outer == goType {
 			fmt.Fprintf(text, "%s as above\n", path)
 			return
 		}
 	}
-	if class, plain := classOf(of); plain {
+	if class, isLeaf := gobClass(goType); isLeaf {
 		fmt.Fprintf(text, "%s %s\n", path, class)
 		return
 	}
-	within = append(within, of)
-	switch of.Kind() {
+	enclosing = append(enclosing, goType)
+	switch goType.Kind() {
 	case reflect.Slice, reflect.Array:
-		writeFields(text, of.Elem(), path+"[]", within)
+		writeGobFields(text, goType.Elem(), path+"[]", enclosing)
 	case reflect.Map:
-		writeFields(text, of.Key(), path+".key", within)
-		writeFields(text, of.Elem(), path+".element", within)
+		writeGobFields(text, goType.Key(), path+".key", enclosing)
+		writeGobFields(text, goType.Elem(), path+".element", enclosing)
 	case reflect.Struct:
-		for index := range of.NumField() {
-			field := of.Field(index)
+		for index := range goType.NumField() {
+			field := goType.Field(index)
 			kind := field.Type.Kind()
 			if field.IsExported() && kind != reflect.Func && kind != reflect.Chan {
-				writeFields(text, field.Type, path+"."+field.Name, within)
+				writeGobFields(text, field.Type, path+"."+field.Name, enclosing)
 			}
 		}
 	default:
-		fmt.Fprintf(text, "%s %s\n", path, of.Kind())
+		fmt.Fprintf(text, "%s %s\n", path, goType.Kind())
 	}
 }
 
 // classOf returns what gob calls a type that has no parts.
-func classOf(of reflect.Type) (string, bool) {
+func gobClass(goType reflect.Type) (string, bool) {
 	marshaler := reflect.TypeFor[encoding.BinaryMarshaler]()
 	encoder := reflect.TypeFor[gob.GobEncoder]()
-	if of.Implements(encoder) || of.Implements(marshaler) {
+	if goType.Implements(encoder) || goType.Implements(marshaler) {
 		return "binary", true
 	}
-	switch of.Kind() {
+	switch goType.Kind() {
 	case reflect.Bool:
 		return "bool", true
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
@@ -318,7 +318,7 @@
 	case reflect.String:
 		return "string", true
 	case reflect.Slice:
-		return "bytes", of.Elem().Kind() == reflect.Uint8
+		return "bytes", goType.Elem().Kind() == reflect.Uint8
 	default:
 		return "", false
 	}
