--- a/cmd/micaplank/main.go
+++ b/cmd/micaplank/main.go
@@ -28,12 +28,12 @@
 )
 
 // options are the flags that are not settings.
-type options struct {
-	file  string
-	check bool
-	print bool
+type programFlags struct {
+	settingsFile  string
+	checkSettings bool
+	printSettings bool
 	// profile is a file for a processor profile of the whole run.
-	profile string
+	cpuProfile string
 }
 
 func main() {
@@ -41,27 +41,27 @@
 }
 
 func run() int {
-	chosen, overrides := parse()
-	configured, err := settings.Load(chosen.file, overrides...)
-	if chosen.print && chosen.file == "" && len(overrides) == 0 {
-		configured, err = settings.Defaults(), nil
+	flags, overrides := parseArguments()
+	config, err := settings.Load(flags.settingsFile, overrides...)
+	if flags.printSettings && flags.settingsFile == "" && len(overrides) == 0 {
+		config, err = settings.Defaults(), nil
 	}
 	if err != nil {
-		return report(err, exitUsage)
+		return exitCode(err, exitUsage)
 	}
-	if chosen.print {
-		return report(settings.Print(os.Stdout, configured), exitFailed)
+	if flags.printSettings {
+		return exitCode(settings.Print(os.Stdout, config), exitFailed)
 	}
-	if chosen.check {
+	if flags.checkSettings {
 		fmt.Println("The settings are valid.")
 		return 0
 	}
-	stopProfile, err := startProfile(chosen.profile)
+	stopProfile, err := startProfile(flags.cpuProfile)
 	if err != nil {
-		return report(err, exitFailed)
+		return exitCode(err, exitFailed)
 	}
 	defer stopProfile()
-	return report(serve(configured), exitFailed)
+	return exitCode(serve(config), exitFailed)
 }
 
 // startProfile writes a processor profile to a file until the function that it
@@ -84,22 +84,22 @@
 }
 
 // parse reads the command line. Wrong flags end the process with exitUsage.
-func parse() (options, []settings.Override) {
-	var chosen options
+func parseArguments() (programFlags, []settings.Override) {
+	var flags programFlags
 	flaggy.SetName("micaplank")
 	flaggy.SetDescription("Query node: scatters requests over the leaves of a service and gathers the answers.")
 	flaggy.SetVersion(version.Version)
-	flaggy.String(&chosen.file, "", "settings", "Settings file (TOML). Flags override it.")
-	flaggy.Bool(&chosen.check, "", "check-settings", "Check the settings and exit.")
-	flaggy.Bool(&chosen.print, "", "print-settings", "Print the settings with defaults and exit.")
-	flaggy.String(&chosen.profile, "", "cpu-profile", "File for a processor profile of the whole run (pprof).")
-	flags := settings.Flags{}
-	flags.Register(&flaggy.DefaultParser.Subcommand)
+	flaggy.String(&flags.settingsFile, "", "settings", "Settings file (TOML). Flags override it.")
+	flaggy.Bool(&flags.checkSettings, "", "check-settings", "Check the settings and exit.")
+	flaggy.Bool(&flags.printSettings, "", "print-settings", "Print the settings with defaults and exit.")
+	flaggy.String(&flags.cpuProfile, "", "cpu-profile", "File for a processor profile of the whole run (pprof).")
+	settingsFlags := settings.Flags{}
+	settingsFlags.Register(&flaggy.DefaultParser.Subcommand)
 	flaggy.Parse()
-	return chosen, flags.Overrides()
+	return flags, settingsFlags.Overrides()
 }
 
-func report(err error, code int) int {
+func exitCode(err error, code int) int {
 	if err == nil {
 		return 0
 	}
@@ -108,16 +108,16 @@
 }
 
 // serve runs the node until a signal asks for a planned stop.
-func serve(configured settings.Settings) error {
+func serve(config settings.Settings) error {
 	logger := telemetry.NewLogger(os.Stderr, telemetry.LogConfig{
-		Format: telemetry.Format(configured.Log.Format),
-		Level:  configured.Log.Level,
-	}, configured.Name)
-	started, err := node.New(configured, telemetry.NewRegistry(version.Version), logger)
+		Format: telemetry.Format(config.Log.Format),
+		Level:  config.Log.Level,
+	}, config.Name)
+	server, err := node.New(config, telemetry.NewRegistry(version.Version), logger)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return started.Run(ctx)
+	return server.Run(ctx)
 }
--- a/cmd/micaplank/main_test.go
+++ b/cmd/micaplank/main_test.go
@@ -29,8 +29,8 @@
 	// The race detector would sleep a second at the end of each process.
 	command.Env = []string{runVariable + "=1", "GORACE=atexit_sleep_ms=0"}
 	output, err := command.CombinedOutput()
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	var exitError *exec.ExitError
+	if err != nil && !errors.As(err, &exitError) {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf("$ micaplank %s\n%sexit %d\n\n", strings.Join(arguments, " "), output, command.ProcessState.ExitCode())
@@ -38,11 +38,11 @@
 
 func assertGolden(t *testing.T, name string, commands [][]string) {
 	t.Helper()
-	var report strings.Builder
+	var transcript strings.Builder
 	for _, arguments := range commands {
-		report.WriteString(runProgram(t, arguments...))
+		transcript.WriteString(runProgram(t, arguments...))
 	}
-	goldie.New(t).Assert(t, name, []byte(report.String()))
+	goldie.New(t).Assert(t, name, []byte(transcript.String()))
 }
 
 func TestHelpGolden(t *testing.T) {
@@ -59,7 +59,7 @@
 }
 
 // TestSettingsThatAreWrong ends with exit code 2 and starts nothing.
-func TestSettingsThatAreWrong(t *testing.T) {
+func TestInvalidSettingsExitWithUsageError(t *testing.T) {
 	files, err := filepath.Glob("testdata/wrong_*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no test data: %v", err)
