--- a/cmd/micarehearse/deploy.go
+++ b/cmd/micarehearse/cluster.go
@@ -18,7 +18,7 @@
 	profiles string
 }
 
-func (c *clusterCommand) attach() *flaggy.Subcommand {
+func (c *clusterCommand) declare() *flaggy.Subcommand {
 	c.binaries, c.duration = "bin", time.Minute
 	sub := flaggy.NewSubcommand("cluster")
 	sub.Description = "Run the deployment of the demo on loopback for a while, to try commands and load."
--- a/cmd/micarehearse/demo.go
+++ b/cmd/micarehearse/demo.go
@@ -27,7 +27,7 @@
 	binaries string
 }
 
-func (d *demoCommand) attach() *flaggy.Subcommand {
+func (d *demoCommand) declare() *flaggy.Subcommand {
 	d.binaries = "bin"
 	sub := flaggy.NewSubcommand("demo")
 	sub.Description = "Run a deployment on loopback, ask it some queries and stop it."
--- a/cmd/micarehearse/measure.go
+++ b/cmd/micarehearse/load.go
@@ -13,7 +13,7 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-const outputMode = 0o644
+const outputFileMode = 0o644
 
 // writeJSON writes a result to a file, or to standard output if the path is
 // empty.
@@ -27,31 +27,31 @@
 		_, err = os.Stdout.Write(encoded)
 		return err
 	}
-	return os.WriteFile(path, encoded, outputMode)
+	return os.WriteFile(path, encoded, outputFileMode)
 }
 
 // loadCommand sends queries to running nodes.
 type loadCommand struct {
-	file     string
-	targets  []string
-	rate     float64
-	duration time.Duration
-	output   string
+	loadFile   string
+	targets    []string
+	rate       float64
+	duration   time.Duration
+	resultFile string
 }
 
-func (l *loadCommand) attach() *flaggy.Subcommand {
+func (l *loadCommand) declare() *flaggy.Subcommand {
 	sub := flaggy.NewSubcommand("load")
 	sub.Description = "Send queries to running nodes at a fixed rate; the result is JSON."
-	sub.AddPositionalValue(&l.file, "FILE", 1, true, "Load (TOML), such as experiments/load/demo.toml.")
+	sub.AddPositionalValue(&l.loadFile, "FILE", 1, true, "Load (TOML), such as experiments/load/demo.toml.")
 	sub.StringSlice(&l.targets, "", "target", "Node, such as http://127.0.0.1:7201; may be repeated.")
 	sub.Float64(&l.rate, "", "rate", "Requests a second.")
 	sub.Duration(&l.duration, "", "duration", "How long requests are sent.")
-	sub.String(&l.output, "o", "output", "File for the result; standard output unless given.")
+	sub.String(&l.resultFile, "o", "output", "File for the result; standard output unless given.")
 	return sub
 }
 
 func (l *loadCommand) run(ctx context.Context, _ *slog.Logger) error {
-	config, err := load.Load(l.file)
+	config, err := load.Load(l.loadFile)
 	if err != nil {
 		return err
 	}
@@ -68,5 +68,5 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(l.output, result)
+	return writeJSON(l.resultFile, result)
 }
--- a/cmd/micarehearse/main.go
+++ b/cmd/micarehearse/main.go
@@ -26,8 +26,8 @@
 
 // command is one subcommand: its flags and what it does.
 type command interface {
-	// attach declares the subcommand and its flags.
-	attach() *flaggy.Subcommand
+	// declare returns the subcommand and its flags.
+	declare() *flaggy.Subcommand
 	// run does the work; it ends when ctx ends.
 	run(ctx context.Context, logger *slog.Logger) error
 }
@@ -50,20 +50,20 @@
 }
 
 // execute parses the arguments and runs the chosen subcommand.
-func execute(ctx context.Context, all []command) int {
+func execute(ctx context.Context, list []command) int {
 	flaggy.SetName("micarehearse")
 	flaggy.SetDescription("Stand-ins, deployments on loopback and load for micaplank.")
 	flaggy.SetVersion(version.Version)
-	subcommands := make([]*flaggy.Subcommand, len(all))
-	for i, candidate := range all {
-		subcommands[i] = candidate.attach()
+	subcommands := make([]*flaggy.Subcommand, len(list))
+	for i, command := range list {
+		subcommands[i] = command.declare()
 		flaggy.AttachSubcommand(subcommands[i], 1)
 	}
 	flaggy.Parse()
 	logger := slog.New(slog.NewJSONHandler(os.Stderr, nil))
-	for i, candidate := range all {
+	for i, command := range list {
 		if subcommands[i].Used {
-			return exitCode(candidate.run(ctx, logger))
+			return exitCode(command.run(ctx, logger))
 		}
 	}
 	flaggy.ShowHelp("Name a subcommand.")
--- a/cmd/micarehearse/main_test.go
+++ b/cmd/micarehearse/main_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-func TestSubcommandsAreNamedAndDescribed(t *testing.T) {
+func TestSubcommandsHaveUniqueNamesAndDescriptions(t *testing.T) {
 	seen := make(map[string]bool)
-	for _, candidate := range commands() {
-		sub := candidate.attach()
+	for _, command := range commands() {
+		sub := command.declare()
 		if sub.Name == "" || sub.Description == "" || seen[sub.Name] {
 			t.Errorf("subcommand %q, %q", sub.Name, sub.Description)
 		}
@@ -23,23 +23,23 @@
 	if got, err := parseShards("0, 3,1"); err != nil || !slices.Equal(got, []int{0, 3, 1}) {
 		t.Errorf("got %v, %v", got, err)
 	}
-	for _, wrong := range []string{"", "1,,2", "a"} {
-		if _, err := parseShards(wrong); err == nil || !strings.Contains(err.Error(), "--shards") {
-			t.Errorf("%q: got %v", wrong, err)
+	for _, invalid := range []string{"", "1,,2", "a"} {
+		if _, err := parseShards(invalid); err == nil || !strings.Contains(err.Error(), "--shards") {
+			t.Errorf("%q: got %v", invalid, err)
 		}
 	}
 }
 
-func TestLeafCommandRefusesWhatIsNoAddress(t *testing.T) {
+func TestLeafCommandRejectsInvalidListenAddress(t *testing.T) {
 	command := &leafCommand{}
-	command.attach()
+	command.declare()
 	command.listen, command.shards = "localhost:7101", "0"
 	if _, err := command.config(); err == nil || !strings.Contains(err.Error(), "IP address") {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestReadSettingsIsStrict(t *testing.T) {
+func TestReadSettingsRejectsUnknownKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "wrong.toml")
 	if err := os.WriteFile(path, []byte("adress = \"127.0.0.1:1\"\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/micarehearse/standins.go
+++ b/cmd/micarehearse/stand_ins.go
@@ -19,7 +19,7 @@
 )
 
 // closeTimeout bounds the end of a stand-in.
-const closeTimeout = 30 * time.Second
+const leafDrainTimeout = 30 * time.Second
 
 // readSettings reads a TOML file strictly over the defaults in target. An
 // empty path leaves the defaults.
@@ -39,31 +39,31 @@
 }
 
 // announce logs the address that a stand-in serves on.
-func announce(logger *slog.Logger, address any) {
+func logAddress(logger *slog.Logger, address any) {
 	logger.Info("listening", "http", address)
 }
 
 // leafCommand runs a stand-in leaf.
 type leafCommand struct {
-	settings string
-	listen   string
-	service  string
-	zone     string
-	shards   string
-	total    int
-	slots    int
-	queue    int
-	version  int
-	seed     int
-	median   time.Duration
-	log      string
+	settings         string
+	listen           string
+	service          string
+	zone             string
+	shards           string
+	shardCount       int
+	slots            int
+	queue            int
+	version          int
+	seed             int
+	medianSelectTime time.Duration
+	executionLog     string
 }
 
-func (l *leafCommand) attach() *flaggy.Subcommand {
+func (l *leafCommand) declare() *flaggy.Subcommand {
 	defaults := leaf.DefaultConfig()
 	l.listen = defaults.Listen.String()
 	l.slots, l.queue, l.version, l.seed = defaults.Slots, defaults.Queue, 1, 1
-	l.median = time.Duration(defaults.Select.Median)
+	l.medianSelectTime = time.Duration(defaults.Select.Median)
 	sub := flaggy.NewSubcommand("leaf")
 	sub.Description = "Run a stand-in leaf."
 	sub.String(&l.settings, "", "settings", "Settings file (TOML); flags add to it.")
@@ -71,13 +71,13 @@
 	sub.String(&l.service, "", "service", "Service whose data the leaf holds.")
 	sub.String(&l.zone, "", "zone", "Zone of the leaf.")
 	sub.String(&l.shards, "", "shards", "Shards held, such as 0,1.")
-	sub.Int(&l.total, "", "shard-count", "Number of shards of the service.")
+	sub.Int(&l.shardCount, "", "shard-count", "Number of shards of the service.")
 	sub.Int(&l.slots, "", "slots", "Requests that run at once.")
 	sub.Int(&l.queue, "", "queue", "Requests that may wait.")
 	sub.Int(&l.version, "", "version-held", "Index version held at the start.")
 	sub.Int(&l.seed, "", "seed", "Seed of the service times.")
-	sub.Duration(&l.median, "", "median", "Median service time of a select.")
-	sub.String(&l.log, "", "execution-log", "File that gets a line of JSON for each attempt, appended.")
+	sub.Duration(&l.medianSelectTime, "", "median", "Median service time of a select.")
+	sub.String(&l.executionLog, "", "execution-log", "File that gets a line of JSON for each attempt, appended.")
 	return sub
 }
 
@@ -93,7 +93,7 @@
 	if err != nil {
 		return config, fmt.Errorf("--listen: expected an IP address with a port, found %q", l.listen)
 	}
-	held, err := parseShards(l.shards)
+	shards, err := parseShards(l.shards)
 	if err != nil {
 		return config, err
 	}
@@ -103,9 +103,9 @@
 	config.Slots = l.slots
 	config.Queue = l.queue
 	config.Seed = uint64(l.seed)
-	config.Select.Median = leaf.Duration(l.median)
+	config.Select.Median = leaf.Duration(l.medianSelectTime)
 	config.Versions = []uint64{uint64(l.version)}
-	config.Partitions = []leaf.Partition{{Epoch: 1, Shards: l.total, Hold: held}}
+	config.Partitions = []leaf.Partition{{Epoch: 1, Shards: l.shardCount, Hold: shards}}
 	return config, nil
 }
 
@@ -130,24 +130,24 @@
 	if err != nil {
 		return err
 	}
-	if l.log != "" {
-		file, err := os.OpenFile(l.log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	if l.executionLog != "" {
+		file, err := os.OpenFile(l.executionLog, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
 		defer file.Close()
 		server.LogExecutions(file)
 	}
-	announce(logger, server.Address())
+	logAddress(logger, server.Address())
 	<-ctx.Done()
 	// The planned stop of a leaf: what is in flight ends first.
-	ending, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	drainCtx, cancel := context.WithTimeout(context.Background(), leafDrainTimeout)
 	defer cancel()
-	return server.Drain(ending)
+	return server.Drain(drainCtx)
 }
 
 // platformServer is a running stand-in of one part of the platform.
-type platformServer interface {
+type platformStandIn interface {
 	Address() string
 	Close()
 }
@@ -157,7 +157,7 @@
 	name        string
 	description string
 	// start reads the settings file over its defaults and starts the server.
-	start func(listen, settings string, logger *slog.Logger) (platformServer, error)
+	start func(listen, settings string, logger *slog.Logger) (platformStandIn, error)
 
 	settings string
 	listen   string
@@ -167,7 +167,7 @@
 	return &platformCommand{
 		name:        "store",
 		description: "Run a stand-in of the platform's key-value service.",
-		start: func(listen, settings string, logger *slog.Logger) (platformServer, error) {
+		start: func(listen, settings string, logger *slog.Logger) (platformStandIn, error) {
 			config := store.Config{Address: listen}
 			if err := readSettings(settings, &config); err != nil {
 				return nil, err
@@ -181,7 +181,7 @@
 	return &platformCommand{
 		name:        "machines",
 		description: "Run a stand-in of the platform's machine list.",
-		start: func(listen, settings string, logger *slog.Logger) (platformServer, error) {
+		start: func(listen, settings string, logger *slog.Logger) (platformStandIn, error) {
 			config := machines.Config{Address: listen}
 			if err := readSettings(settings, &config); err != nil {
 				return nil, err
@@ -191,7 +191,7 @@
 	}
 }
 
-func (p *platformCommand) attach() *flaggy.Subcommand {
+func (p *platformCommand) declare() *flaggy.Subcommand {
 	p.listen = "127.0.0.1:0"
 	sub := flaggy.NewSubcommand(p.name)
 	sub.Description = p.description
@@ -206,7 +206,7 @@
 		return err
 	}
 	defer server.Close()
-	announce(logger, server.Address())
+	logAddress(logger, server.Address())
 	<-ctx.Done()
 	return nil
 }
