--- a/internal/telemetry/bounded_writer.go
+++ b/internal/telemetry/bounded_writer.go
@@ -17,10 +17,10 @@
 // never blocks: a line that finds the queue full is dropped and counted, and
 // the number dropped is written once there is room again.
 type BoundedWriter struct {
-	lines              chan []byte
-	droppedSinceReport atomic.Int64
-	droppedTotal       prometheus.Counter
-	done               chan struct{}
+	lines        chan []byte
+	dropped      atomic.Int64
+	droppedTotal prometheus.Counter
+	done         chan struct{}
 }
 
 // NewBoundedWriter returns a BoundedWriter in front of a writer, and registers
@@ -42,7 +42,7 @@
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
-		b.droppedSinceReport.Add(1)
+		b.dropped.Add(1)
 		b.droppedTotal.Inc()
 	}
 	return len(line), nil
@@ -63,7 +63,7 @@
 func (b *BoundedWriter) run(writer io.Writer) {
 	defer close(b.done)
 	for line := range b.lines {
-		if dropped := b.droppedSinceReport.Swap(0); dropped > 0 {
+		if dropped := b.dropped.Swap(0); dropped > 0 {
 			_, _ = fmt.Fprintf(writer, `{"level":"WARN","msg":"log lines unwritten","lines":%d}`+"\n", dropped)
 		}
 		_, _ = writer.Write(line) // there is nobody to tell
--- a/internal/telemetry/metrics_list.go
+++ b/internal/telemetry/metrics_list.go
@@ -46,7 +46,7 @@
 	var metrics []Metric
 	for _, metric := range describeMetrics(r.Registry) {
 		if strings.HasPrefix(metric.Name, prefix) {
-			metric.Type = r.metricType(metric.Name, gathered)
+			metric.Type = r.lookupType(metric.Name, gathered)
 			metrics = append(metrics, metric)
 		}
 	}
@@ -54,7 +54,7 @@
 	return slices.CompactFunc(metrics, func(left, right Metric) bool { return left.Name == right.Name }), nil
 }
 
-func (r *Registry) metricType(name string, gathered map[string]MetricType) MetricType {
+func (r *Registry) lookupType(name string, gathered map[string]MetricType) MetricType {
 	if metricType, exists := r.types[name]; exists {
 		return metricType
 	}
