--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -59,7 +59,7 @@
 	ByRoute      []Group        `json:"by_route"`
 	BySecond     []Group        `json:"by_second"`
 	ByNode       []Group        `json:"by_node"`
-	Worst        []WorstRequest `json:"worst"`
+	WorstRequests        []WorstRequest `json:"worst"`
 }
 
 // request is what the lines of one request tell: that of the node that took it, and
@@ -95,8 +95,8 @@
 	}
 	report.ByCause, report.ByRoute = tallies.cause.sorted(compareLoss), tallies.route.sorted(compareLoss)
 	report.BySecond, report.ByNode = tallies.second.sorted(compareName), tallies.node.sorted(compareLoss)
-	slices.SortStableFunc(report.Worst, func(a, b WorstRequest) int { return cmp.Compare(b.Lost, a.Lost) })
-	report.Worst = report.Worst[:min(len(report.Worst), maxWorstRequests)]
+	slices.SortStableFunc(report.WorstRequests, func(a, b WorstRequest) int { return cmp.Compare(b.Lost, a.Lost) })
+	report.WorstRequests = report.WorstRequests[:min(len(report.WorstRequests), maxWorstRequests)]
 	return report
 }
 
@@ -123,7 +123,7 @@
 	tallies.node.add(request.received.Node, lost)
 	if lost > 0 {
 		r.Lost += lost
-		r.Worst = append(r.Worst, WorstRequest{RequestID: request.received.RequestID, Node: request.received.Node, Cause: worstCause, Lost: lost})
+		r.WorstRequests = append(r.WorstRequests, WorstRequest{RequestID: request.received.RequestID, Node: request.received.Node, Cause: worstCause, Lost: lost})
 	}
 }
 
@@ -161,7 +161,7 @@
 	counts := make(map[Cause]float64)
 	total := 0.0
 	for _, attempts := range shards {
-		if slices.ContainsFunc(attempts, func(attempt event.Attempt) bool { return attempt.End == string(scatter.EndAnswered) }) {
+		if slices.ContainsFunc(attempts, func(candidate event.Attempt) bool { return candidate.End == string(scatter.EndAnswered) }) {
 			continue
 		}
 		counts[shardCause(attempts)]++
--- a/internal/losses/write.go
+++ b/internal/losses/write.go
@@ -41,7 +41,7 @@
 		}
 	}
 	fmt.Fprintf(table, "\nworst request\tnode\tlost\tcause\t\n")
-	for _, worst := range report.Worst {
+	for _, worst := range report.WorstRequests {
 		fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\t\n", worst.RequestID, worst.Node, worst.Lost, worst.Cause)
 	}
 	return table.Flush()
--- a/internal/telemetry/rate_limit.go
+++ b/internal/telemetry/rate_limit.go
@@ -51,12 +51,12 @@
 
 // NewCappedHandler returns a handler in front of another, and registers its
 // counter. The messages logged must be a fixed set of texts.
-func NewCappedHandler(next slog.Handler, config CapConfig, registerer prometheus.Registerer) *CappedHandler {
+func NewCappedHandler(next slog.Handler, limits CapConfig, registerer prometheus.Registerer) *CappedHandler {
 	droppedTotal := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "micaplank_log_lines_capped_total", Help: "Log lines that were dropped beyond the rate of their message."}, []string{"message"})
 	registerer.MustRegister(droppedTotal)
 	return &CappedHandler{next: next, limiter: &rateLimiter{
-		limits: config, now: time.Now, droppedTotal: droppedTotal, buckets: make(map[bucketKey]*tokenBucket),
+		limits: limits, now: time.Now, droppedTotal: droppedTotal, buckets: make(map[bucketKey]*tokenBucket),
 	}}
 }
 
