--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,10 +1,10 @@
-// Package event has a type for each line of a node's log that reports a decision
-// or a change of what the node believes. It owns the messages, levels and fields
-// of these lines; a test writes docs/EVENTS.md from them. It relies on
-// internal/telemetry for the attributes of errors.
+// Package event defines one type for each structured log line that reports a decision of a
+// node or a change of its state. The types define the messages, levels and fields of these
+// lines; docs/EVENTS.md is generated from them by a test. Errors are logged with the attributes
+// of internal/telemetry.
 //
-// A field is logged under the name in its tag "event"; its tag "doc" says what
-// it means, with its unit.
+// The struct tag "event" is the name under which a field is logged. The struct tag "doc"
+// describes the field, with its unit.
 package event
 
 import (
@@ -17,21 +17,22 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// Event is one line of the log. It is a struct whose fields have tags.
+// Event is a log line: a struct whose fields have the tags "event" and "doc".
 type Event interface {
 	Kind() Kind
 }
 
-// Kind is what a line has beside its fields.
+// Kind holds the message, level and description of an event. All events of a type share the
+// message; the level may depend on the fields of the event.
 type Kind struct {
-	// Message is the text of the line, the same for all events of a type.
+	// Message is the log message. It is unique to the type.
 	Message string
 	Level   slog.Level
-	// Meaning says what the line means, in a sentence.
+	// Meaning describes the event for operators, in whole sentences.
 	Meaning string
 }
 
-// Log writes an event, if its level is logged.
+// Log writes an event if the logger is enabled for its level.
 func Log(logger *slog.Logger, event Event) {
 	ctx := context.Background()
 	kind := event.Kind()
@@ -46,8 +47,8 @@
 	logger.LogAttrs(ctx, kind.Level, kind.Message, attributes...)
 }
 
-// attribute returns a field as it is logged. An error brings its step and peer
-// with it.
+// newAttribute returns the log attribute for the value of a field. The attribute of an error
+// also holds the step and the peer of the error.
 func newAttribute(name string, value reflect.Value) slog.Attr {
 	switch field := value.Interface().(type) {
 	case nil:
@@ -61,16 +62,17 @@
 	}
 }
 
-// Field describes one field of an event.
+// Field describes a logged field of an event type.
 type Field struct {
 	Name  string
 	Doc   string
 	index int
 }
 
-// known holds the fields of each type that was logged.
+// fieldCache maps a reflect.Type to its []Field, so that reflection reads the tags of a type once.
 var fieldCache sync.Map
 
+// loggedFields returns the fields of an event type that have the tag "event".
 func loggedFields(eventType reflect.Type) []Field {
 	if cached, ok := fieldCache.Load(eventType); ok {
 		return cached.([]Field)
--- a/internal/event/page_test.go
+++ b/internal/event/page_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// all returns one event of each type, in the order of the page.
+// allEvents returns a zero event of each type, in the order of the page.
 func allEvents() []Event {
 	return []Event{
 		Request{}, RequestLost{},
@@ -21,7 +21,7 @@
 	}
 }
 
-// writePage returns the page that describes events, below its head.
+// writePage returns the page: the introduction, then a section for each event.
 func writePage(head string, events []Event) string {
 	var page strings.Builder
 	page.WriteString(head)
--- a/internal/event/process.go
+++ b/internal/event/process.go
@@ -5,74 +5,74 @@
 	"time"
 )
 
-// Started is the first line of a process that serves.
+// Started reports that the process serves requests.
 type Started struct {
-	HTTP  string  `event:"http" doc:"address for callers"`
+	HTTP  string  `event:"http" doc:"address on which clients connect"`
 	Zone  string  `event:"zone" doc:"zone of the node"`
-	Cores float64 `event:"cores" doc:"processor that the node announces, in cores"`
-	// SeesSuspensions is false where the machine does not tell of them.
-	SeesSuspensions bool `event:"sees_suspensions" doc:"whether the machine tells how long it was suspended; if not, terms are late by that after it"`
+	Cores float64 `event:"cores" doc:"CPU capacity that the node announces, in cores"`
+	// SeesSuspensions is false if the system clock that counts suspensions cannot be read.
+	SeesSuspensions bool `event:"sees_suspensions" doc:"whether the node can measure how long the machine was suspended; if not, validity periods end late by the length of the suspension"`
 }
 
 // Kind implements Event.
 func (Started) Kind() Kind {
-	return Kind{"started", slog.LevelInfo, "A process serves from now on."}
+	return Kind{"started", slog.LevelInfo, "The process serves requests from now on."}
 }
 
-// Draining begins a planned stop.
+// Draining reports the start of a planned stop.
 type Draining struct {
-	InFlight int `event:"in_flight" doc:"queries that run here"`
+	InFlight int `event:"in_flight" doc:"queries that run on this node"`
 }
 
 // Kind implements Event.
 func (Draining) Kind() Kind {
-	return Kind{"draining", slog.LevelInfo, "A planned stop has begun: the node is not ready any more, and serves on until callers have moved."}
+	return Kind{"draining", slog.LevelInfo, "A planned stop has begun. The node reports that it is not ready, and keeps serving until clients have moved to other nodes."}
 }
 
-// Stopped is the last line of a process that stopped as planned.
+// Stopped reports the end of a planned stop.
 type Stopped struct{}
 
 // Kind implements Event.
 func (Stopped) Kind() Kind {
-	return Kind{"stopped", slog.LevelInfo, "A planned stop has ended; nothing runs any more."}
+	return Kind{"stopped", slog.LevelInfo, "A planned stop has completed; no request is in flight."}
 }
 
-// SettingsRead reports that the settings were read again.
+// SettingsRead reports that the settings were read again after SIGHUP.
 type SettingsRead struct {
-	Changed bool `event:"changed" doc:"whether they differ from those in use; a restart takes them"`
+	Changed bool `event:"changed" doc:"whether they differ from the settings in use; new settings take effect with a restart"`
 }
 
 // Kind implements Event.
 func (SettingsRead) Kind() Kind {
-	return Kind{"settings read again", slog.LevelInfo, "The settings were read again after a hangup signal."}
+	return Kind{"settings read again", slog.LevelInfo, "The settings were read again after the signal SIGHUP."}
 }
 
-// SettingsRejected reports that settings could not be read again.
+// SettingsRejected reports that the settings read after SIGHUP are invalid.
 type SettingsRejected struct {
-	Error error `event:"error" doc:"what is wrong; the settings in use stay"`
+	Error error `event:"error" doc:"why they are invalid; the settings in use stay"`
 }
 
 // Kind implements Event.
 func (SettingsRejected) Kind() Kind {
-	return Kind{"settings rejected", slog.LevelError, "The settings were to be read again and could not be used."}
+	return Kind{"settings rejected", slog.LevelError, "The settings were read again and are invalid."}
 }
 
-// Failed is the last line of a process that ends by an error.
+// Failed reports the error that ends the process.
 type Failed struct {
-	Error error `event:"error" doc:"why it ends"`
+	Error error `event:"error" doc:"error that ended the process"`
 }
 
 // Kind implements Event.
 func (Failed) Kind() Kind {
-	return Kind{"failed", slog.LevelError, "The process ends with an error."}
+	return Kind{"failed", slog.LevelError, "The process exits with an error."}
 }
 
-// Woke reports that the machine was suspended.
+// Woke reports that the machine was resumed after a suspension.
 type Woke struct {
-	Suspended time.Duration `event:"suspended" doc:"for how long; the steady clock does not count it, deadlines and terms do"`
+	Suspended time.Duration `event:"suspended" doc:"length of the suspension; deadlines and validity periods include it, the monotonic clock of the process does not"`
 }
 
 // Kind implements Event.
 func (Woke) Kind() Kind {
-	return Kind{"woke", slog.LevelWarn, "Requests whose time is over have ended; leaves, configuration and other nodes are as they were known before, until the store is heard."}
+	return Kind{"woke", slog.LevelWarn, "Requests past their deadline have ended. The node keeps its view of leaves, configuration and other nodes until it hears from the store."}
 }
--- a/internal/event/rollouts.go
+++ b/internal/event/rollouts.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// RolloutOrdered reports that an operator ordered a roll-out, or withdrew the order.
+// RolloutOrdered reports that an operator ordered a roll-out or withdrew the order.
 type RolloutOrdered struct {
-	Service   string        `event:"service" doc:"service that it is of"`
-	Version   string        `event:"target" doc:"version that the traffic shall move to"`
+	Service   string        `event:"service" doc:"service that is rolled out"`
+	Version   string        `event:"target" doc:"version to which the traffic moves"`
 	Duration  time.Duration `event:"duration" doc:"time from the order to its deadline"`
-	Withdrawn bool          `event:"withdrawn" doc:"whether the order is gone"`
+	Withdrawn bool          `event:"withdrawn" doc:"whether the order was withdrawn"`
 	Revision  uint64        `event:"revision" doc:"revision of the store"`
 }
 
 // Kind implements Event.
 func (RolloutOrdered) Kind() Kind {
-	return Kind{"roll-out ordered", slog.LevelInfo, "Leaves of the version get only what the exposure allows, until the roll-out shifts the traffic. If the order is gone, what was begun is rolled back."}
+	return Kind{"roll-out ordered", slog.LevelInfo, "Leaves of the version get only the traffic that the exposure limit allows, until the roll-out shifts the traffic. If the order was withdrawn, a roll-out in progress is rolled back."}
 }
 
-// RolloutRejected reports that an order, or a record, of a roll-out cannot be read.
+// RolloutRejected reports that the order or the record of a roll-out is invalid.
 type RolloutRejected struct {
-	Key      string `event:"key" doc:"where it lies"`
-	Revision uint64 `event:"revision" doc:"revision of the store that wrote it"`
-	Error    error  `event:"error" doc:"what is wrong with it"`
+	Key      string `event:"key" doc:"key in the store"`
+	Revision uint64 `event:"revision" doc:"revision of the store at which it was written"`
+	Error    error  `event:"error" doc:"why it is invalid"`
 }
 
 // Kind implements Event.
 func (RolloutRejected) Kind() Kind {
-	return Kind{"roll-out rejected", slog.LevelError, "What was known of the roll-out stays."}
+	return Kind{"roll-out rejected", slog.LevelError, "The last valid state of the roll-out stays in force."}
 }
 
-// RolloutChanged reports that a roll-out has entered another phase.
+// RolloutChanged reports that this node applies another phase of a roll-out.
 type RolloutChanged struct {
-	Service string        `event:"service" doc:"service that it is of"`
+	Service string        `event:"service" doc:"service that is rolled out"`
 	Version string        `event:"target" doc:"version that is rolled out"`
-	Phase   string        `event:"phase" doc:"trial (few attempts go to the version), burst (all of them, for a moment), shift (other leaves get no new ones), completed or rolled_back"`
-	Reason  string        `event:"reason" doc:"what decided it, with the counts"`
+	Phase   string        `event:"phase" doc:"trial (few attempts go to the version), burst (all attempts go to it for a short time), shift (leaves of other versions get no new attempts), completed or rolled_back"`
+	Reason  string        `event:"reason" doc:"reason for the decision, with the counts"`
 	Age     time.Duration `event:"age" doc:"time since the order"`
 	Order   uint64        `event:"order" doc:"revision of the store at which it was ordered"`
 }
 
 // Kind implements Event.
 func (RolloutChanged) Kind() Kind {
-	return Kind{"roll-out changed", slog.LevelInfo, "The node goes by this phase from now on. Each node writes the line when it hears of the phase, from the store or from the node that decides."}
+	return Kind{"roll-out changed", slog.LevelInfo, "The node applies this phase from now on. Each node logs the event when it learns the phase, from the store or from the decider."}
 }
 
-// RolloutDecided reports that this node has written a phase of a roll-out.
+// RolloutDecided reports that this node, the decider, wrote a phase of a roll-out or failed to.
 type RolloutDecided struct {
-	Service  string `event:"service" doc:"service that it is of"`
+	Service  string `event:"service" doc:"service that is rolled out"`
 	Version  string `event:"target" doc:"version that is rolled out"`
-	Phase    string `event:"phase" doc:"the phase, as in the line on its change"`
-	Reason   string `event:"reason" doc:"what decided it, with the counts"`
-	Nodes    int    `event:"nodes" doc:"nodes whose counts it rests on"`
-	Revision uint64 `event:"revision" doc:"revision of the store that has it; 0 if it was not written"`
-	Error    error  `event:"error" doc:"why it was not written, or is not known to be; it is tried again"`
+	Phase    string `event:"phase" doc:"phase, as in the event \"roll-out changed\""`
+	Reason   string `event:"reason" doc:"reason for the decision, with the counts"`
+	Nodes    int    `event:"nodes" doc:"number of nodes whose counts the decision is based on"`
+	Revision uint64 `event:"revision" doc:"revision of the store at which the phase was written; 0 if the write failed"`
+	Error    error  `event:"error" doc:"why the write failed or its result is unknown; the write is retried"`
 }
 
 // Kind implements Event.
@@ -63,17 +63,17 @@
 	if e.Error != nil {
 		level = slog.LevelWarn
 	}
-	return Kind{"roll-out decided", level, "This node decides on roll-outs, and has written a step, or tried to."}
+	return Kind{"roll-out decided", level, "This node is the decider of roll-outs and has written a phase or tried to write it."}
 }
 
-// RolloutDecider reports that this node reports to another decider.
+// RolloutDecider reports that this node sends its counts to another decider.
 type RolloutDecider struct {
-	Peer   string `event:"peer" doc:"name of the node that decides from now on"`
-	Former string `event:"former" doc:"name of the one before; empty without one"`
-	Error  error  `event:"error" doc:"how the call to the former one failed; empty if it cannot write to the store"`
+	Peer   string `event:"peer" doc:"name of the new decider"`
+	Former string `event:"former" doc:"name of the previous decider; empty if there was none"`
+	Error  error  `event:"error" doc:"error of the call to the previous decider; empty if the previous decider cannot write to the store"`
 }
 
 // Kind implements Event.
 func (RolloutDecider) Kind() Kind {
-	return Kind{"decider changed", slog.LevelInfo, "The node that gathers the counts of all nodes, while there are roll-outs."}
+	return Kind{"decider changed", slog.LevelInfo, "The decider collects the counts of all nodes while roll-outs are in progress."}
 }
--- a/internal/event/store.go
+++ b/internal/event/store.go
@@ -6,72 +6,72 @@
 	"time"
 )
 
-// StoreRead reports that the whole of the store was read.
+// StoreRead reports that a snapshot of the store was read.
 type StoreRead struct {
-	Leaves   int  `event:"leaves" doc:"leaves announced"`
-	Nodes    int  `event:"nodes" doc:"nodes announced"`
-	AfterGap bool `event:"after_gap" doc:"whether changes may have been missed before"`
-	Stale    bool `event:"stale" doc:"whether they are the copy of a node that has lost the store"`
+	Leaves   int  `event:"leaves" doc:"number of announced leaves"`
+	Nodes    int  `event:"nodes" doc:"number of announced nodes"`
+	AfterGap bool `event:"after_gap" doc:"whether changes before the snapshot may have been missed"`
+	Stale    bool `event:"stale" doc:"whether the snapshot comes from a node that has lost the store"`
 }
 
 // Kind implements Event.
 func (StoreRead) Kind() Kind {
-	return Kind{"store read", slog.LevelInfo, "Configuration and announcements were read as a whole: at the start, or because the history after the last revision was gone."}
+	return Kind{"store read", slog.LevelInfo, "Configuration and announcements were read as a snapshot, at startup or because the changes after the last known revision were compacted."}
 }
 
-// SourceUsed reports that a node that starts took over the copy of another one.
+// SourceUsed reports that a starting node loaded its snapshot from another node.
 type SourceUsed struct {
-	Source   netip.AddrPort `event:"source" doc:"the other node"`
-	Revision uint64         `event:"revision" doc:"revision of the store that the copy is of"`
+	Source   netip.AddrPort `event:"source" doc:"address of the other node"`
+	Revision uint64         `event:"revision" doc:"revision of the snapshot"`
 	Age      time.Duration  `event:"age" doc:"time since the store last answered the other node"`
 	Stale    bool           `event:"stale" doc:"whether the other node has lost the store"`
 }
 
 // Kind implements Event.
 func (SourceUsed) Kind() Kind {
-	return Kind{"copied from node", slog.LevelInfo, "The node took configuration and announcements from another node in place of the store, and follows the changes from there on."}
+	return Kind{"copied from node", slog.LevelInfo, "The node loaded configuration and announcements from another node instead of the store, and watches the changes after that revision."}
 }
 
-// SourceFailed reports that the copy of another node could not be taken over.
+// SourceFailed reports that loading the snapshot of another node failed.
 type SourceFailed struct {
-	Source netip.AddrPort `event:"source" doc:"the other node"`
-	Error  error          `event:"error" doc:"why"`
+	Source netip.AddrPort `event:"source" doc:"address of the other node"`
+	Error  error          `event:"error" doc:"reason for the failure"`
 }
 
 // Kind implements Event.
 func (SourceFailed) Kind() Kind {
-	return Kind{"copy from node failed", slog.LevelInfo, "The node asks a further source, or reads the store itself."}
+	return Kind{"copy from node failed", slog.LevelInfo, "The node tries another source or reads the store itself."}
 }
 
-// StoreLost reports that the store does not answer.
+// StoreLost reports that the store no longer responds.
 type StoreLost struct {
-	Error error `event:"error" doc:"how it shows; \"the watcher has lost the store\" if another node told so"`
+	Error error `event:"error" doc:"error of the call; \"the watcher has lost the store\" if another node reported the loss"`
 }
 
 // Kind implements Event.
 func (StoreLost) Kind() Kind {
-	return Kind{"store lost", slog.LevelWarn, "The node serves on with the configuration and the leaves that it knows."}
+	return Kind{"store lost", slog.LevelWarn, "The node keeps serving with the last known configuration and leaves."}
 }
 
-// StoreRegained reports that the store answers again.
+// StoreRegained reports that the store responds again.
 type StoreRegained struct {
-	Away time.Duration `event:"away" doc:"how long it did not answer"`
+	Away time.Duration `event:"away" doc:"how long the store did not respond"`
 }
 
 // Kind implements Event.
 func (StoreRegained) Kind() Kind {
-	return Kind{"store regained", slog.LevelInfo, "For some seconds, leaves whose announcement is gone are doubted, not dropped."}
+	return Kind{"store regained", slog.LevelInfo, "For some seconds, leaves whose announcement is missing are treated as doubtful and kept."}
 }
 
-// WatcherFailed reports that a node that watches the store for others did not
-// answer well.
+// WatcherFailed reports that a node that watches the store on behalf of others gave no usable
+// answer.
 type WatcherFailed struct {
-	Watcher netip.AddrPort `event:"watcher" doc:"the node that was asked"`
-	State   string         `event:"state" doc:"its answer: lost or refused; empty if there was none"`
-	Error   error          `event:"error" doc:"why there was no answer"`
+	Watcher netip.AddrPort `event:"watcher" doc:"address of the watcher"`
+	State   string         `event:"state" doc:"answer of the watcher: lost or refused; empty if there was no answer"`
+	Error   error          `event:"error" doc:"why the watcher did not answer"`
 }
 
 // Kind implements Event.
 func (WatcherFailed) Kind() Kind {
-	return Kind{"watcher failed", slog.LevelInfo, "This node asks another watcher, or the store itself."}
+	return Kind{"watcher failed", slog.LevelInfo, "This node asks another watcher or the store itself."}
 }
