--- a/internal/telemetry/attribute_order.go
+++ b/internal/telemetry/attribute_order.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// attributeOrder is the order of the shared attributes on a line; others
-// follow in the order in which they were given.
+// attributeOrder lists the attributes that come first on a line. Other attributes follow in the
+// order in which they were added, and the error comes last.
 var attributeOrder = []string{AttributeStep, AttributePeer, AttributeRequestID}
 
-// orderingHandler puts the shared attributes of a record first.
+// orderingHandler is a slog.Handler that sorts the attributes of a record by attributeRank.
 type orderingHandler struct{ next slog.Handler }
 
 func newOrderingHandler(next slog.Handler) slog.Handler { return orderingHandler{next: next} }
@@ -43,8 +43,8 @@
 	return orderingHandler{next: h.next.WithGroup(name)}
 }
 
-// inlined opens a group without a name, and turns an error given as a value
-// into its attributes, so that no stack trace gets into a line.
+// flattenAttribute expands a group without a name, and replaces an error value by its log
+// attributes, so that stack traces are not logged.
 func flattenAttribute(attribute slog.Attr) []slog.Attr {
 	if err, isError := attribute.Value.Any().(error); isError && attribute.Key == AttributeError {
 		attribute = Error(err)
@@ -55,6 +55,7 @@
 	return []slog.Attr{attribute}
 }
 
+// attributeRank returns the sort position of an attribute.
 func attributeRank(key string) int {
 	if index := slices.Index(attributeOrder, key); index >= 0 {
 		return index
--- a/internal/telemetry/bounded_writer.go
+++ b/internal/telemetry/bounded_writer.go
@@ -9,13 +9,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// queuedLines is how many lines wait for a slow reader before lines are
-// dropped. Not measured: chosen to bound the memory that a stuck reader costs.
+// maxQueuedLines bounds the memory that lines take while the output is blocked. Further lines
+// are dropped.
 const maxQueuedLines = 2048
 
-// BoundedWriter hands lines over to a writer that may be slow or stuck. Write
-// never blocks: a line that finds the queue full is dropped and counted, and
-// the number dropped is written once there is room again.
+// BoundedWriter queues lines for a writer that may be slow or blocked. Write never blocks: if
+// the queue is full, the line is dropped and counted. The number of dropped lines is logged
+// before the next line that is written.
 type BoundedWriter struct {
 	lines        chan []byte
 	dropped      atomic.Int64
@@ -23,8 +23,8 @@
 	done         chan struct{}
 }
 
-// NewBoundedWriter returns a BoundedWriter in front of a writer, and registers
-// its counter. Close ends it.
+// NewBoundedWriter returns a BoundedWriter that forwards lines to writer, and registers its
+// counter of dropped lines. Close stops it.
 func NewBoundedWriter(writer io.Writer, registerer prometheus.Registerer) *BoundedWriter {
 	b := &BoundedWriter{
 		lines: make(chan []byte, maxQueuedLines),
@@ -37,7 +37,8 @@
 	return b
 }
 
-// Write queues one line, which it copies. It always succeeds.
+// Write queues a copy of one line, or drops the line if the queue is full. It always reports
+// success.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
@@ -48,8 +49,8 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, for a limited time. Nothing may be written
-// after it.
+// Close waits up to timeout until the queued lines are written. Write must not be called after
+// Close.
 func (b *BoundedWriter) Close(timeout time.Duration) {
 	close(b.lines)
 	timer := time.NewTimer(timeout)
@@ -60,12 +61,13 @@
 	}
 }
 
+// run forwards queued lines to the writer until the queue is closed.
 func (b *BoundedWriter) run(writer io.Writer) {
 	defer close(b.done)
 	for line := range b.lines {
 		if dropped := b.dropped.Swap(0); dropped > 0 {
 			_, _ = fmt.Fprintf(writer, `{"level":"WARN","msg":"log lines unwritten","lines":%d}`+"\n", dropped)
 		}
-		_, _ = writer.Write(line) // there is nobody to tell
+		_, _ = writer.Write(line) // a failure of the log output cannot be logged
 	}
 }
--- a/internal/telemetry/bounded_writer_test.go
+++ b/internal/telemetry/bounded_writer_test.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestStuckReaderHoldsNobodyUp logs to a pipe that nobody reads. Once it is
-// read, the log says how many lines are lost.
+// TestBoundedWriterDropsLinesWhenOutputIsBlocked logs to a pipe without a reader. Logging must
+// not block; once the pipe is read, the log reports the dropped lines.
 func TestBoundedWriterDropsLinesWhenOutputIsBlocked(t *testing.T) {
 	reader, writer := io.Pipe()
 	bounded := NewBoundedWriter(writer, prometheus.NewRegistry())
@@ -32,11 +32,11 @@
 	_ = writer.Close()
 	text := <-read
 	if !strings.Contains(text, `"msg":"log lines unwritten"`) || !strings.Contains(text, `"msg":"last"`) {
-		t.Errorf("%d bytes without the lines", len(text))
+		t.Errorf("got %d bytes of log, want the last line and a line that reports dropped lines", len(text))
 	}
 }
 
-// TestCloseDoesNotWaitForAStuckReader beyond its limit.
+// TestBoundedWriterCloseTimesOut guards against a Close that waits for a blocked output.
 func TestBoundedWriterCloseTimesOut(t *testing.T) {
 	_, writer := io.Pipe()
 	bounded := NewBoundedWriter(writer, prometheus.NewRegistry())
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,7 +1,7 @@
-// Package telemetry sets up logs and metrics for every program: slog with a
-// fixed order of attributes, bounds on the rate of lines and on a slow reader,
-// the attributes of errors, and a Prometheus registry that can list its metrics.
-// It relies on no other package of this module.
+// Package telemetry sets up logging and metrics for all programs of this module: slog handlers
+// that order attributes, limit the rate of each message and tolerate a slow reader of the
+// output, the log attributes of errors, and a Prometheus registry that can list its metrics.
+// It imports no other package of this module.
 package telemetry
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/samber/oops"
 )
 
-// Format is how log lines are written.
+// Format is the encoding of log lines.
 type Format string
 
-// The formats.
+// Supported formats.
 const (
 	FormatText Format = "text"
 	FormatJSON Format = "json"
 )
 
-// Names of the attributes that log lines and errors share.
+// Keys of the attributes that are common to log lines and errors.
 const (
 	AttributeNode      = "node"
 	AttributePeer      = "peer"
@@ -30,15 +30,15 @@
 	AttributeError     = "error"
 )
 
-// LogConfig says how the log is written. The zero value is text at level info.
+// LogConfig configures a logger. The zero value selects text at level info.
 type LogConfig struct {
 	Format Format
-	// Level is debug, info, warn or error; info if it is none of them.
+	// Level is debug, info, warn or error. Any other value selects info.
 	Level string
 }
 
-// NewLogger returns a logger whose lines carry the node's name, if there is
-// one, before their own attributes. The writer must take whole lines.
+// NewLogger returns a logger that adds the name of the node to each line, unless the name is
+// empty. Each call of Write gets one whole line.
 func NewLogger(writer io.Writer, config LogConfig, node string) *slog.Logger {
 	options := &slog.HandlerOptions{Level: parseLevel(config.Level)}
 	var handler slog.Handler = slog.NewTextHandler(writer, options)
@@ -52,6 +52,7 @@
 	return logger.With(AttributeNode, node)
 }
 
+// parseLevel returns the level with the given name, or info if there is no such level.
 func parseLevel(name string) slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(strings.ToUpper(name))); err != nil {
@@ -60,8 +61,8 @@
 	return level
 }
 
-// Error returns the attributes of an error: step and peer, as far as it
-// carries them, and its text last. Stack traces are left out.
+// Error returns the log attributes of an error: the step and the peer, if the error has them,
+// followed by its message. Stack traces are omitted.
 func Error(err error) slog.Attr {
 	if err == nil {
 		return slog.Attr{}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -9,16 +9,17 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Registry is a Prometheus registry that can list its metrics, also those
-// without a sample yet. Hand it to the parts as a prometheus.Registerer.
+// Registry is a Prometheus registry that can list its metrics, including metrics without
+// samples. Pass it to components as a prometheus.Registerer.
 type Registry struct {
 	*prometheus.Registry
-	// types holds the type of each metric registered as a vector, by name.
+	// types holds the type of each metric that was registered by a vector or a TypedCollector,
+	// keyed by name.
 	types map[string]MetricType
 }
 
-// TypedCollector is a collector that gives the types of its metrics by name,
-// so that they are known before there is a sample.
+// TypedCollector is a collector that provides the types of its metrics, keyed by name, so that
+// the types can be listed before the first sample.
 type TypedCollector interface {
 	prometheus.Collector
 	MetricTypes() map[string]MetricType
@@ -26,8 +27,8 @@
 
 var _ prometheus.Registerer = (*Registry)(nil)
 
-// NewRegistry returns a registry with the metrics of the Go runtime, of the
-// process, and of the build. Register everything before it is served.
+// NewRegistry returns a registry with the metrics of the Go runtime, the process and the build.
+// All metrics must be registered before the registry is served.
 func NewRegistry(version string) *Registry {
 	registry := &Registry{Registry: prometheus.NewRegistry(), types: map[string]MetricType{}}
 	registry.MustRegister(
@@ -54,8 +55,7 @@
 	return nil
 }
 
-// MustRegister implements prometheus.Registerer: it panics if a collector
-// cannot be registered.
+// MustRegister implements prometheus.Registerer. It panics if a registration fails.
 func (r *Registry) MustRegister(collectors ...prometheus.Collector) {
 	for _, collector := range collectors {
 		if err := r.Register(collector); err != nil {
@@ -64,11 +64,12 @@
 	}
 }
 
-// Handler serves the metrics over HTTP.
+// Handler returns an HTTP handler that serves the metrics.
 func (r *Registry) Handler() http.Handler {
 	return promhttp.HandlerFor(r.Registry, promhttp.HandlerOpts{Registry: r.Registry})
 }
 
+// newBuildInfoGauge returns the metric that exposes the version of the build as a label.
 func newBuildInfoGauge(version string) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name:        "micaplank_build_info",
@@ -77,6 +78,7 @@
 	}, func() float64 { return 1 })
 }
 
+// vectorType returns the metric type of a vector, or "" if the collector is not a vector.
 func vectorType(collector prometheus.Collector) MetricType {
 	switch collector.(type) {
 	case *prometheus.CounterVec:
--- a/internal/telemetry/metrics_list.go
+++ b/internal/telemetry/metrics_list.go
@@ -12,10 +12,10 @@
 	"github.com/samber/oops"
 )
 
-// MetricType is the type of a metric, as Prometheus names it.
+// MetricType is a metric type of the Prometheus exposition format.
 type MetricType string
 
-// The types.
+// Metric types.
 const (
 	TypeCounter   MetricType = "counter"
 	TypeGauge     MetricType = "gauge"
@@ -24,7 +24,7 @@
 	TypeUnknown   MetricType = "untyped"
 )
 
-// Metric describes one metric of a registry.
+// Metric describes a registered metric.
 type Metric struct {
 	Name   string
 	Type   MetricType
@@ -32,8 +32,7 @@
 	Labels []string
 }
 
-// Metrics lists the registered metrics whose name starts with prefix, in the
-// order of their names.
+// Metrics returns the registered metrics whose name starts with prefix, sorted by name.
 func (r *Registry) Metrics(prefix string) ([]Metric, error) {
 	families, err := r.Gather()
 	if err != nil {
@@ -54,6 +53,8 @@
 	return slices.CompactFunc(metrics, func(left, right Metric) bool { return left.Name == right.Name }), nil
 }
 
+// lookupType returns the type of a metric. A vector without samples is not among the gathered
+// metrics; its type was recorded when it was registered.
 func (r *Registry) lookupType(name string, gathered map[string]MetricType) MetricType {
 	if metricType, exists := r.types[name]; exists {
 		return metricType
@@ -64,7 +65,7 @@
 	return TypeUnknown
 }
 
-// WriteMetrics writes metrics as a Markdown table.
+// WriteMetrics writes a Markdown table that lists metrics.
 func WriteMetrics(writer io.Writer, metrics []Metric) error {
 	var text strings.Builder
 	text.WriteString("| Metric | Type | Labels | Meaning |\n| --- | --- | --- | --- |\n")
@@ -80,10 +81,12 @@
 	return err
 }
 
-// A description has no accessors; its text is the only way to its fields.
+// descriptionPattern parses the text of a prometheus.Desc, which has no accessors for its
+// fields.
 var descriptionPattern = regexp.MustCompile(
 	`^Desc\{fqName: ("(?:[^"\\]|\\.)*"), help: ("(?:[^"\\]|\\.)*"),.* variableLabels: \{([^}]*)\}\}$`)
 
+// describeMetrics returns the name, help and labels of the metrics that a collector describes.
 func describeMetrics(collector prometheus.Collector) []Metric {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
@@ -105,6 +108,7 @@
 	return metrics
 }
 
+// unquote returns the value of a Go string literal, or text itself if it is no literal.
 func unquote(text string) string {
 	unquoted, err := strconv.Unquote(text)
 	if err != nil {
--- a/internal/telemetry/rate_limit.go
+++ b/internal/telemetry/rate_limit.go
@@ -9,23 +9,23 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// CapConfig bounds how many lines a second are logged of each message. A
-// message may come in bursts of one second's lines.
+// CapConfig limits the rate at which each message is logged. A message may be logged in a burst
+// as large as the lines of one second.
 type CapConfig struct {
-	// Info is for lines below the level warn, Warn for the others; both in lines a
-	// second.
+	// Info limits lines below the level warn, Warn limits lines at warn and above, both in lines
+	// per second.
 	Info, Warn float64
 }
 
-// CappedHandler is a slog.Handler that drops lines beyond a rate for each
-// message, counts them, and says with the next line of the message how many
-// were dropped before it.
+// CappedHandler is a slog.Handler that drops lines beyond the rate limit of their message. It
+// counts the dropped lines, and adds their number to the next line of the message.
 type CappedHandler struct {
 	next    slog.Handler
 	limiter *rateLimiter
 }
 
-// capState is shared by a handler and those made from it.
+// rateLimiter holds the buckets of all messages. A handler shares it with the handlers that are
+// derived from it by WithAttrs and WithGroup.
 type rateLimiter struct {
 	limits       CapConfig
 	now          func() time.Time
@@ -35,22 +35,22 @@
 	buckets map[bucketKey]*tokenBucket
 }
 
-// capKey names a bucket. Urgent lines of a message have one of their own, so
-// that many others do not displace them.
+// bucketKey identifies a bucket. Lines at warn and above have a bucket of their own, so that a
+// flood of other lines with the same message does not displace them.
 type bucketKey struct {
 	message string
 	urgent  bool
 }
 
-// capBucket is the token bucket of one message.
+// tokenBucket is a token bucket that counts the lines it drops.
 type tokenBucket struct {
 	tokens     float64   // lines that may be written now
-	refilledAt time.Time // when tokens was computed
-	dropped    int       // lines since the last one that was written
+	refilledAt time.Time // time at which tokens was computed
+	dropped    int       // lines dropped since the last one that was written
 }
 
-// NewCappedHandler returns a handler in front of another, and registers its
-// counter. The messages logged must be a fixed set of texts.
+// NewCappedHandler returns a handler that limits the lines passed to next, and registers its
+// counter. Messages must come from a fixed set, as each one gets a bucket and a label value.
 func NewCappedHandler(next slog.Handler, limits CapConfig, registerer prometheus.Registerer) *CappedHandler {
 	droppedTotal := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "micaplank_log_lines_capped_total", Help: "Log lines that were dropped beyond the rate of their message."}, []string{"message"})
@@ -87,8 +87,8 @@
 	return &CappedHandler{next: h.next.WithGroup(name), limiter: h.limiter}
 }
 
-// take reports whether a line may be written, and how many of its message were
-// dropped since the last one.
+// allow takes a token from the bucket of a line. It reports whether the line may be written, and
+// how many lines of the bucket were dropped before it.
 func (l *rateLimiter) allow(record slog.Record) (dropped int, allowed bool) {
 	key := bucketKey{message: record.Message, urgent: record.Level >= slog.LevelWarn}
 	rate := l.limits.Info
--- a/internal/telemetry/rate_limit_test.go
+++ b/internal/telemetry/rate_limit_test.go
@@ -10,7 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestEachMessageHasItsRate logs two messages, one of them far too often.
+// TestRateLimitIsPerMessage checks that a message beyond its rate does not use up the rate of
+// another message, and that the log reports the dropped lines.
 func TestRateLimitIsPerMessage(t *testing.T) {
 	var text bytes.Buffer
 	handler := NewCappedHandler(slog.NewTextHandler(&text, nil), CapConfig{Info: 5, Warn: 10}, prometheus.NewRegistry())
@@ -24,17 +25,18 @@
 	logger.Info("seldom")
 	for message, want := range map[string]int{"often": 5, "trouble": 10, "seldom": 1} {
 		if got := strings.Count(text.String(), "msg="+message); got != want {
-			t.Errorf("%s: %d lines, want %d", message, got, want)
+			t.Errorf("%s: got %d lines, want %d", message, got, want)
 		}
 	}
 	now = now.Add(time.Second)
 	logger.Info("often")
 	if !strings.Contains(text.String(), "dropped_before=95") {
-		t.Error("the log does not say what it lacks")
+		t.Errorf("got log %q, want dropped_before=95", text.String())
 	}
 }
 
-// TestManyLinesDoNotDisplaceUrgentOnes of the same message.
+// TestRateLimitOfWarningsIsSeparate checks that lines at level info do not use up the rate of
+// warnings with the same message.
 func TestRateLimitOfWarningsIsSeparate(t *testing.T) {
 	var text strings.Builder
 	handler := NewCappedHandler(slog.NewTextHandler(&text, nil), CapConfig{Info: 5, Warn: 10}, prometheus.NewRegistry())
@@ -47,6 +49,6 @@
 		logger.Warn("request")
 	}
 	if got := strings.Count(text.String(), "level=WARN"); got != 10 {
-		t.Errorf("%d urgent lines", got)
+		t.Errorf("got %d lines at level warn, want 10", got)
 	}
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -51,10 +51,10 @@
 	goldie.New(t).Assert(t, "metrics", table.Bytes())
 	all, err := registry.Metrics("")
 	if err != nil || len(all) <= len(metrics) {
-		t.Fatalf("the runtime's metrics are missing: %d, %v", len(all), err)
+		t.Fatalf("got %d metrics and error %v, want more than the %d of this module", len(all), err, len(metrics))
 	}
 	if err := registry.Register(prometheus.NewCounterVec(counter, []string{"step", "result"})); err == nil {
-		t.Fatal("a second metric of the same name was taken")
+		t.Fatal("registered a second metric of the same name, want an error")
 	}
 }
 
