--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads the time since an arbitrary origin, the form in which the pure
-// decision packages take time, with the time for which the machine was suspended
-// counted. It relies on the system's clocks only.
+// Package clock provides a monotonic clock that counts the time for which the machine was
+// suspended. Times are durations since an arbitrary origin, which is the form in which the
+// decision packages take time.
 package clock
 
 import (
@@ -11,35 +11,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock reads the time since an arbitrary origin. It never goes back, is not moved by
-// changes of the time of day, and counts the time for which the machine was
-// suspended: whatever is valid for some time is over when that time is.
+// Clock returns the time since an arbitrary origin. The time never decreases and is independent
+// of changes to the wall clock. It includes suspensions of the machine, so that leases,
+// deadlines and other validity periods expire on time after a resume.
 //
-// What only paces calls, or measures how long a peer is silent, reads the steady time
-// of package time instead, which stands still while the machine does: a resume must
-// not look as if all others had been silent.
+// Code that paces calls, or that measures for how long a peer has not responded, must use the
+// monotonic time of package time instead, which stops during a suspension. Otherwise all peers
+// would appear unresponsive after a resume.
 type Clock interface {
 	Now() time.Duration
 }
 
 const (
-	// tolerance is how far the time of day may move against the steady time before the
-	// machine's own account of suspensions is read. The time of day is slewed by 500
-	// parts in a million at most, which makes one more call of the system in 10 s.
+	// maxWallDrift is how far the wall clock may drift from the steady clock before the boot
+	// clock is read. NTP slews the wall clock by at most 500 ppm, which causes one additional
+	// system call every 10 s.
 	maxWallDrift = 5 * time.Millisecond
-	// leastSuspension is the shortest suspension that counts: two clocks that are read
-	// one after the other differ by less.
+	// minSuspension is the shortest suspension that is counted. It exceeds the difference that
+	// results from reading two clocks one after the other.
 	minSuspension = time.Millisecond
 )
 
-// readings are those of the machine's clocks. Steady is the time since the start of
-// the process without suspensions, wall the time of day, and boot the time since the
-// start of the machine with them.
+// clockSource reads the clocks of the machine.
 type clockSource struct {
-	now  func() (steady, wall time.Duration)
+	// now returns the steady time, which is the time since the start of the process without
+	// suspensions, and the wall-clock time.
+	now func() (steady, wall time.Duration)
+	// boot returns the time since the boot of the machine, including suspensions.
 	boot func() (time.Duration, error)
 }
 
+// systemClocks returns the clocks of the operating system.
 func systemClocks() clockSource {
 	origin := time.Now()
 	return clockSource{
@@ -57,22 +59,22 @@
 
 // Monotonic is the Clock of a running process. It is safe for concurrent use.
 //
-// It asks for the machine's account of suspensions only when the time of day has moved
-// against the steady time, as it does by a suspension: that account costs a call of
-// the system, where the other two are read in the process.
+// A suspension makes the wall clock advance against the steady clock. Monotonic reads the boot
+// clock only after such a shift, because reading the boot clock takes a system call and reading
+// the other two does not.
 type Monotonic struct {
 	source clockSource
-	// bootOrigin is the machine's account at the origin, if it has one.
+	// bootOrigin is the boot time at the origin. It is valid if hasBootClock is true.
 	bootOrigin   time.Duration
 	hasBootClock bool
-	// apart is by how much wall was ahead of steady when the account was read last.
+	// wallOffset is the difference of wall time and steady time when the boot clock was last read.
 	wallOffset atomic.Int64
-	// suspended is the time that steady lacks.
+	// suspended is the total length of the suspensions, which the steady time does not include.
 	suspended      atomic.Int64
 	bootReadErrors atomic.Int64
 }
 
-// NewMonotonic returns a clock whose origin is the moment of the call.
+// NewMonotonic returns a clock whose origin is the time of the call.
 func NewMonotonic() *Monotonic { return newMonotonic(systemClocks()) }
 
 func newMonotonic(source clockSource) *Monotonic {
@@ -94,7 +96,7 @@
 	return steady + time.Duration(m.suspended.Load())
 }
 
-// Check reads the machine's account of suspensions.
+// Check reads the boot clock and updates the total length of suspensions.
 func (m *Monotonic) Check() {
 	boot, ok := m.readBootClock()
 	steady, wall := m.source.now()
@@ -111,7 +113,8 @@
 	}
 }
 
-// account returns the machine's account; false, and it is counted, if there is none.
+// readBootClock returns the boot time. If the clock cannot be read, it counts the failure and
+// returns false.
 func (m *Monotonic) readBootClock() (time.Duration, bool) {
 	boot, err := m.source.boot()
 	if err != nil {
@@ -120,16 +123,15 @@
 	return boot, err == nil
 }
 
-// Suspended returns for how long the machine was suspended since the origin.
+// Suspended returns the total length of the suspensions since the origin.
 func (m *Monotonic) Suspended() time.Duration { return time.Duration(m.suspended.Load()) }
 
-// Failures counts the readings of the machine's account that failed: suspensions are
-// not seen then.
+// Failures returns how often the boot clock could not be read. Suspensions are not detected
+// while it cannot be read.
 func (m *Monotonic) Failures() int64 { return m.bootReadErrors.Load() }
 
-// Watch calls resumed after each suspension, with its length, until ctx ends. It checks
-// once in each interval of steady time: timers stand still with the machine, and go
-// off too late after it.
+// Watch calls onResume with the length of each suspension until ctx ends. It checks once per
+// interval of steady time, because timers stop during a suspension and cannot fire at its end.
 func (m *Monotonic) Watch(ctx context.Context, interval time.Duration, onResume func(length time.Duration)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// fake is a machine whose clocks a test moves.
+// fakeMachine simulates the clocks of a machine.
 type fakeMachine struct {
 	steady, wall, boot time.Duration
 	bootReadFails      bool
@@ -29,21 +29,21 @@
 	}
 }
 
-// run lets time pass.
+// advance moves all clocks forward.
 func (f *fakeMachine) advance(length time.Duration) {
 	f.steady += length
 	f.wall += length
 	f.boot += length
 }
 
-// suspend lets time pass while the machine is suspended.
+// suspend simulates a suspension, during which the steady clock stops.
 func (f *fakeMachine) suspend(length time.Duration) {
 	f.wall += length
 	f.boot += length
 }
 
-// TestClockCountsSuspensions, at its first reading after each, and nothing else: not
-// the jumps of the time of day.
+// TestNowCountsSuspensionsOnly checks that the first reading after a suspension includes it, and
+// that steps of the wall clock have no effect.
 func TestNowCountsSuspensionsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &fakeMachine{boot: time.Hour, wall: 100 * time.Hour}
@@ -64,13 +64,14 @@
 				machine.wall -= length
 			}
 			if now := clock.Now(); now != want {
-				t.Fatalf("%v after step %d of %v, want %v", now, step, length, want)
+				t.Fatalf("got %v after step %d of %v, want %v", now, step, length, want)
 			}
 		}
 	})
 }
 
-// TestClockWithoutAnAccount goes on without suspensions, and counts that.
+// TestNowWithoutBootClock checks that a clock whose first reading of the boot clock failed runs
+// without suspensions, and counts the failure.
 func TestNowWithoutBootClock(t *testing.T) {
 	machine := &fakeMachine{bootReadFails: true}
 	clock := newMonotonic(machine.clockSource())
@@ -80,35 +81,36 @@
 	machine.advance(time.Second)
 	machine.suspend(time.Minute)
 	if now := clock.Now(); now != time.Second || clock.Failures() == 0 {
-		t.Errorf("%v, %d failures", now, clock.Failures())
+		t.Errorf("got %v and %d failures, want 1s and at least one failure", now, clock.Failures())
 	}
 }
 
-// TestAccountIsReadSeldom: it costs a call of the system.
+// TestBootClockIsReadRarely guards against a system call per reading: a wall clock that is
+// slew of 500 ppm at the maximum rate of 500 ppm causes few readings of the boot clock.
 func TestBootClockIsReadRarely(t *testing.T) {
 	machine := &fakeMachine{boot: time.Hour}
 	clock := newMonotonic(machine.clockSource())
 	for range 10_000 {
 		machine.advance(time.Millisecond)
-		machine.wall += 500 * time.Nanosecond // slewed
+		machine.wall += 500 * time.Nanosecond // slew of 500 ppm
 		clock.Now()
 	}
 	if machine.bootReads > 3 {
-		t.Errorf("%d readings in 10 s", machine.bootReads)
+		t.Errorf("got %d readings of the boot clock in 10 s, want at most 3", machine.bootReads)
 	}
 }
 
-// TestClockOfThisMachine has an account, and runs.
+// TestSystemClocks checks that the boot clock of the operating system can be read and that the
+// clock advances.
 func TestSystemClocks(t *testing.T) {
 	clock := NewMonotonic()
 	before := clock.Now()
 	clock.Check()
 	if after := clock.Now(); after <= before || clock.Failures() != 0 {
-		t.Errorf("%v then %v, %d failures", before, after, clock.Failures())
+		t.Errorf("got %v, then %v with %d failures, want a later time and no failures", before, after, clock.Failures())
 	}
 }
 
-// TestWatchTellsOfSuspensions once for each.
 func TestWatchReportsEachSuspensionOnce(t *testing.T) {
 	machine := &fakeMachine{boot: time.Hour}
 	clock := newMonotonic(machine.clockSource())
@@ -125,11 +127,11 @@
 		})
 	}()
 	if length := <-reported; length != time.Minute {
-		t.Errorf("%v", length)
+		t.Errorf("got a suspension of %v, want %v", length, time.Minute)
 	}
 	<-done
 	if len(reported) != 0 {
-		t.Error("told twice")
+		t.Errorf("got %d further reports of the same suspension, want 0", len(reported))
 	}
 }
 
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -9,10 +9,10 @@
 func TestSleepEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if !Sleep(ctx, time.Microsecond) || !Sleep(ctx, 0) {
-		t.Error("ended early")
+		t.Error("Sleep with a running context: got false, want true")
 	}
 	cancel()
 	if Sleep(ctx, time.Hour) || Sleep(ctx, 0) {
-		t.Error("slept though the context has ended")
+		t.Error("Sleep with an ended context: got true, want false")
 	}
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,5 +1,5 @@
-// Package version names the build.
+// Package version holds the version of the build.
 package version
 
-// Version is set by the linker; see the Makefile.
+// Version is the version of the build. The Makefile sets it with the linker flag -X.
 var Version = "unversioned"
