--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,7 +1,7 @@
-// Package explain is behind "micactl explain" and "micactl rollouts": from the
-// logs of nodes it puts together the timeline of one request, each decision about
-// it with what the node believed at that time, and the timeline of roll-outs.
-// It owns nothing, is pure, and relies on the lines that internal/event writes.
+// Package explain builds timelines from the logs of nodes for "micactl explain" and
+// "micactl rollouts". The timeline of a request shows each decision about the request, and what
+// the node knew at that time. The timeline of roll-outs shows orders, decisions and their
+// adoption. The package reads the lines that internal/event writes, and has no side effects.
 package explain
 
 import (
@@ -11,35 +11,35 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// Step is one step of a timeline.
+// Step is an entry of a timeline.
 type Step struct {
 	Time time.Time `json:"time"`
 	Node string    `json:"node"`
-	// Kind is belief, taken, attempt, end or lost.
+	// Kind is one of the constants Kind*.
 	Kind string `json:"kind"`
 	Text string `json:"text"`
 }
 
-// The kinds of steps.
+// Kinds of steps in the timeline of a request.
 const (
-	KindNodeState = "belief"
-	KindReceived  = "taken"
-	KindAttempt   = "attempt"
-	KindEnd       = "end"
-	KindLost      = "lost"
+	KindNodeState = "belief"  // what the node knew when the request started
+	KindReceived  = "taken"   // the node received the request, or took it over from another node
+	KindAttempt   = "attempt" // the node sent an attempt to a leaf
+	KindEnd       = "end"     // the request ended on the node
+	KindLost      = "lost"    // the executor was lost
 )
 
-// Timeline is what the logs contain about a request, or about roll-outs.
+// Timeline holds the steps of a request or of roll-outs in order of time.
 type Timeline struct {
 	RequestID string `json:"request_id"`
 	Steps     []Step `json:"steps"`
-	// Dropped counts lines of requests that the nodes of the timeline dropped for
-	// their rate: they may be missing here.
+	// DroppedLines counts the lines of requests that the nodes of the timeline dropped because
+	// of the rate limit. Steps of the request may be missing for this reason.
 	DroppedLines int `json:"dropped_lines"`
 }
 
-// Request returns the timeline of a request. Lines before since are left out, but
-// for what they say of beliefs. It has no steps if no line names the request.
+// RequestTimeline returns the timeline of a request. Lines before since add no steps, but they
+// contribute to the state of the nodes. The timeline is empty if no line names the request.
 func RequestTimeline(lines []Line, requestID string, since time.Time) Timeline {
 	sorted := sortByTime(lines)
 	timeline := Timeline{RequestID: requestID}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -21,17 +21,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = file.Close() }() // it was read
+	defer func() { _ = file.Close() }() // opened for reading only
 	lines, err := ReadLog(file)
 	if err != nil || len(lines) == 0 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+		t.Fatalf("read %d lines with error %v", len(lines), err)
 	}
 	return lines
 }
 
-// TestStories tells three requests of a played day: one that met a node which
-// had just started, one that an executor refused, and one that a leaf did not
-// answer in time.
+// TestRequestTimelines covers three requests of a recorded log: one that reached a node which had
+// just started, one that an executor refused, and one that a leaf did not answer in time.
 func TestRequestTimelines(t *testing.T) {
 	lines := readDayLog(t)
 	for name, id := range map[string]string{
@@ -52,11 +51,12 @@
 
 func TestTimelineOfUnknownRequestIsEmpty(t *testing.T) {
 	if timeline := RequestTimeline(readDayLog(t), "nobody", time.Time{}); len(timeline.Steps) != 0 {
-		t.Errorf("%+v", timeline)
+		t.Errorf("got timeline %+v, want no steps", timeline)
 	}
 }
 
-// TestSinceKeepsBeliefs leaves out older requests, not what was believed.
+// TestSinceDropsRequestsButKeepsNodeState checks that requests before the time are omitted, and
+// that older lines still contribute to the state of the node.
 func TestSinceDropsRequestsButKeepsNodeState(t *testing.T) {
 	lines := readDayLog(t)
 	var at time.Time
@@ -66,15 +66,16 @@
 		}
 	}
 	if timeline := RequestTimeline(lines, "886af99c970498dc", at.Add(-time.Second)); len(timeline.Steps) != 0 {
-		t.Errorf("older: %+v", timeline)
+		t.Errorf("got timeline %+v for an older request, want no steps", timeline)
 	}
 	timeline := RequestTimeline(lines, "6b6ffc4791fe821e", at.Add(-time.Second))
 	if len(timeline.Steps) == 0 || timeline.Steps[0].Kind != KindNodeState {
-		t.Errorf("%+v", timeline)
+		t.Errorf("got timeline %+v, want a first step of kind %s", timeline, KindNodeState)
 	}
 }
 
-// TestOrderOfFilesDoesNotMatter: logs come from many nodes.
+// TestTimelineDoesNotDependOnFileOrder checks that the number of steps is the same if the logs of
+// the nodes are read in another order.
 func TestTimelineDoesNotDependOnFileOrder(t *testing.T) {
 	lines := readDayLog(t)
 	var forward, backward bytes.Buffer
@@ -93,11 +94,12 @@
 		t.Fatal(err)
 	}
 	if len(strings.Split(forward.String(), "\n")) != len(strings.Split(backward.String(), "\n")) {
-		t.Errorf("%s\n%s", forward.String(), backward.String())
+		t.Errorf("got timeline\n%s\nwant as many lines as\n%s", backward.String(), forward.String())
 	}
 }
 
-// TestDroppedLinesAreTold, since the timeline may lack them.
+// TestTimelineCountsDroppedLines checks that only the dropped lines of nodes in the timeline are
+// counted, and that lines without a JSON object are skipped.
 func TestTimelineCountsDroppedLines(t *testing.T) {
 	lines, err := ReadLog(strings.NewReader(`
 text of a collector 1.5 {"time":"2026-01-01T00:00:00Z","msg":"request","node":"a","request_id":"x","fate":"merged"}
@@ -106,14 +108,14 @@
 not json {"time":
 `))
 	if err != nil || len(lines) != 3 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+		t.Fatalf("read %d lines with error %v", len(lines), err)
 	}
 	if timeline := RequestTimeline(lines, "x", time.Time{}); timeline.DroppedLines != 7 {
-		t.Errorf("%+v", timeline)
+		t.Errorf("got timeline %+v, want 7 dropped lines", timeline)
 	}
 }
 
-// FuzzRead feeds any bytes: they are lines of a log, or are skipped.
+// FuzzReadLog checks that the timeline of any lines that were read can be written.
 func FuzzReadLog(f *testing.F) {
 	f.Add([]byte(`{"time":"2026-01-01T00:00:00Z","msg":"request","node":"a","request_id":"x","attempts":[{"leaf":"l"}]}`))
 	f.Add([]byte("a { b\n{}\n{\"msg\":1}\n"))
@@ -128,7 +130,8 @@
 	})
 }
 
-// TestBeliefsTellWhichZonesAreOutOfService at the time of a request.
+// TestNodeStateListsCordonedZones checks that the state lists the zones that are cordoned at the
+// time of a request, without zones that were uncordoned.
 func TestNodeStateListsCordonedZones(t *testing.T) {
 	state := newNodeState()
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -138,12 +141,12 @@
 	state.apply(&Line{Message: message, Time: start.Add(2 * time.Second), NodeFields: NodeFields{Zone: "south"}})
 	got := state.describe(&Line{Time: start.Add(3 * time.Second)})
 	if want := []string{"zone north out of service for 3s"}; !reflect.DeepEqual(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// TestLinesAreReadAsTheyAreWritten logs events and reads them back: the names
-// in the log and here are the same.
+// TestReadLogReadsLoggedEvents guards against JSON names that differ from the field names that
+// internal/event writes.
 func TestReadLogReadsLoggedEvents(t *testing.T) {
 	var output bytes.Buffer
 	logger := slog.New(slog.NewJSONHandler(&output, nil))
@@ -161,7 +164,7 @@
 	event.Log(logger, event.ZoneCordoned{Zone: "z", Cordoned: true})
 	lines, err := ReadLog(&output)
 	if err != nil || len(lines) != 7 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+		t.Fatalf("read %d lines with error %v", len(lines), err)
 	}
 	request := lines[0]
 	want := Line{
@@ -170,12 +173,12 @@
 			TookMS: 10, PatienceMS: 11, RetryAfterMS: 12, From: "a", Executor: "b", Attempts: []event.Attempt{attempt}},
 	}
 	if !reflect.DeepEqual(request, want) {
-		t.Errorf("%+v, want %+v", request, want)
+		t.Errorf("got %+v, want %+v", request, want)
 	}
 	if leaf := lines[1]; leaf.Leaf != "i-1" || leaf.Service != "s" || !leaf.Draining || !leaf.Removed {
-		t.Errorf("%+v", leaf)
+		t.Errorf("got %+v, want leaf i-1 of service s, draining and removed", leaf)
 	}
 	if lines[2].Executor != "b" || lines[2].Error != "gone" || lines[3].Away != "1s" || lines[4].Left != 2 || lines[5].Peer != "p" || lines[6].Zone != "z" || !lines[6].Cordoned {
-		t.Errorf("%+v", lines[2:])
+		t.Errorf("got %+v, want the fields of the logged events", lines[2:])
 	}
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -12,13 +12,12 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// Line is one line of a log, with the fields that this package and its users read. Their
-// names in JSON are those that internal/event writes; a field is empty in lines of events
-// that do not have it.
+// Line is a parsed log line with the fields that this package and its users read. The JSON names
+// are the field names that internal/event writes. Fields that the event does not have are zero.
 type Line struct {
 	Time    time.Time `json:"time"`
-	Node    string    `json:"node"` // that wrote the line
-	Message string    `json:"msg"`  // says which event it is
+	Node    string    `json:"node"` // node that wrote the line
+	Message string    `json:"msg"`  // message, which identifies the event
 
 	SharedFields
 	RequestFields
@@ -26,66 +25,65 @@
 	RolloutFields
 }
 
-// SharedFields are those that several groups of events have.
+// SharedFields are fields that occur in several groups of events.
 type SharedFields struct {
-	Service string `json:"service"` // of a leaf, or of a roll-out
-	Version uint64 `json:"version"` // of the configuration
-	Reason  string `json:"reason"`  // why a request ended so, or a roll-out was decided so
-	Peer    string `json:"peer"`    // another node
+	Service string `json:"service"` // service of a leaf or of a roll-out
+	Version uint64 `json:"version"` // version of the configuration
+	Reason  string `json:"reason"`  // reason for the fate of a request, or for a decision on a roll-out
+	Peer    string `json:"peer"`    // name of another node
 	Error   string `json:"error"`
 }
 
-// RequestFields are those of the end of a request; event.Request describes them.
+// RequestFields are the fields of event.Request, which describes them.
 type RequestFields struct {
 	RequestID    string          `json:"request_id"`
 	Route        string          `json:"route"`
 	Fate         string          `json:"fate"`
-	Answered     int             `json:"answered"` // shards
-	Total        int             `json:"total"`    // shards
-	Status       int             `json:"status"`   // of the leaf's answer
+	Answered     int             `json:"answered"` // shards that answered
+	Total        int             `json:"total"`    // shards of the request
+	Status       int             `json:"status"`   // HTTP status of the leaf's answer
 	TookMS       int64           `json:"took_ms"`
-	PatienceMS   int64           `json:"patience_ms"` // how long the client still waited
+	PatienceMS   int64           `json:"patience_ms"` // remaining time of the client
 	RetryAfterMS int64           `json:"retry_after_ms"`
-	From         string          `json:"from"`     // node that took it from its client
-	Executor     string          `json:"executor"` // node that ran it, if that is another one
+	From         string          `json:"from"`     // node that received the request from the client
+	Executor     string          `json:"executor"` // node that ran the request, if it is another node
 	Attempts     []event.Attempt `json:"attempts"`
-	// Dropped counts the lines of requests that the node dropped for their rate
-	// since the last one that it wrote.
+	// DroppedBefore counts the lines of requests that the node dropped because of the rate limit
+	// since the previous line that it wrote.
 	DroppedBefore int `json:"dropped_before"`
 }
 
-// NodeFields are those of what a node learns: leaves, zones, the store and executors.
+// NodeFields are the fields of events about leaves, zones, the store and executors.
 type NodeFields struct {
-	Leaf     string `json:"leaf"`     // id of its incarnation
-	Draining bool   `json:"draining"` // the leaf
-	Removed  bool   `json:"removed"`  // the leaf's announcement
+	Leaf     string `json:"leaf"`     // id of the incarnation of the leaf
+	Draining bool   `json:"draining"` // whether the leaf is draining
+	Removed  bool   `json:"removed"`  // whether the leaf's announcement was removed
 	Zone     string `json:"zone"`
-	Cordoned bool   `json:"cordoned"` // the zone is out of service
-	Away     string `json:"away"`     // how long the store was away, as a duration
-	Left     int    `json:"left"`     // executors that the node is still in touch with
+	Cordoned bool   `json:"cordoned"` // whether the zone is out of service
+	Away     string `json:"away"`     // duration for which the store did not respond
+	Left     int    `json:"left"`     // number of executors that still respond
 }
 
-// RolloutFields are those of roll-outs.
+// RolloutFields are the fields of events about roll-outs.
 type RolloutFields struct {
 	Target    string `json:"target"` // version that is rolled out
 	Phase     string `json:"phase"`
-	Withdrawn bool   `json:"withdrawn"` // the order
-	Nodes     int    `json:"nodes"`     // whose counts the decision rests on
-	Duration  string `json:"duration"`  // from the order to its deadline
-	Former    string `json:"former"`    // node that decided before
-	Order     uint64 `json:"order"`     // revision of the order
+	Withdrawn bool   `json:"withdrawn"` // whether the order was withdrawn
+	Nodes     int    `json:"nodes"`     // number of nodes whose counts the decision is based on
+	Duration  string `json:"duration"`  // duration from the order to its deadline
+	Former    string `json:"former"`    // name of the previous decider
+	Order     uint64 `json:"order"`     // revision of the store at which the order was written
 }
 
-// maxLine bounds one line of a log, in bytes. Not measured: chosen far above a line with
-// the most attempts that a node writes.
+// maxLineSize is the maximum length of a log line in bytes. It is far above the length of a line
+// with the maximum number of attempts.
 const maxLineSize = 1 << 20
 
-// readBuffer is the size of the buffer to begin with, in bytes. Not measured: chosen
-// because it holds most lines.
+// initialBufferSize is the initial size of the read buffer in bytes. It holds most lines.
 const initialBufferSize = 1 << 16
 
-// Read reads the lines of a log. What is no line of a log in JSON is skipped;
-// text before the brace, such as a collector's own time, too.
+// ReadLog parses a log with one JSON object per line. It skips lines that are not log lines, and
+// ignores text before the opening brace, such as a timestamp that a log collector added.
 func ReadLog(reader io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(make([]byte, 0, initialBufferSize), maxLineSize)
@@ -102,12 +100,12 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, fmt.Errorf("reading a log: %w", err)
+		return nil, fmt.Errorf("read log: %w", err)
 	}
 	return lines, nil
 }
 
-// byTime returns the lines in the order of their times; those of one time keep theirs.
+// sortByTime returns the lines sorted by time. Lines with equal times keep their order.
 func sortByTime(lines []Line) []Line {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
--- a/internal/explain/node_state.go
+++ b/internal/explain/node_state.go
@@ -9,17 +9,17 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// beliefs is what one node believed, as its log shows.
+// nodeState is what a node knew at a certain time, reconstructed from its log.
 type nodeState struct {
-	startedAt    time.Time // zero if the log begins later
+	startedAt    time.Time // zero if the log does not contain the start
 	configText   string
 	configAt     time.Time
 	storeText    string
 	storeAt      time.Time
 	executorText string
-	// cordoned holds since when zones are out of service.
+	// cordonedSince maps each cordoned zone to the time at which it was cordoned.
 	cordonedSince map[string]time.Time
-	// leaves holds the last announcement of each leaf.
+	// announcements maps the incarnation of a leaf to the description of its last announcement.
 	announcements map[string]string
 }
 
@@ -27,11 +27,11 @@
 	return &nodeState{announcements: make(map[string]string), cordonedSince: make(map[string]time.Time)}
 }
 
-// learn takes in a line of the node.
+// apply updates the state with a log line of the node.
 func (n *nodeState) apply(line *Line) {
 	switch line.Message {
 	case event.Started{}.Kind().Message:
-		*n = *newNodeState() // what was read before "started" is read again after it
+		*n = *newNodeState() // a restarted process knows nothing of its previous run
 		n.startedAt = line.Time
 	case event.ConfigInstalled{}.Kind().Message:
 		n.configText, n.configAt = fmt.Sprintf("configuration %d in force", line.Version), line.Time
@@ -67,7 +67,8 @@
 	}
 }
 
-// at returns what was believed at the time of a line, with its age.
+// describe returns descriptions of the state, with ages relative to the time of the line. The
+// executors are described only for a request with more than one shard.
 func (n *nodeState) describe(line *Line) []string {
 	var texts []string
 	if !n.startedAt.IsZero() {
--- a/internal/explain/request.go
+++ b/internal/explain/request.go
@@ -8,8 +8,8 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// stepsOf returns the steps of one line of a request: what the node believed, the request, its
-// attempts and its end.
+// requestSteps returns the steps for a line about a request: the state of the node, the receipt of
+// the request, its attempts and its end. A line about a lost executor gives a single step.
 func requestSteps(line *Line, state *nodeState) []Step {
 	if line.Message == (event.RequestLost{}).Kind().Message {
 		return []Step{{line.Time, line.Node, KindLost, fmt.Sprintf("lost with %s, which ran it: %s", line.Executor, line.Error)}}
@@ -29,7 +29,7 @@
 
 func milliseconds(number int64) time.Duration { return time.Duration(number) * time.Millisecond }
 
-// taken says from whom a request came, and how it was planned.
+// receivedText describes where a request came from, and which route it took.
 func receivedText(line *Line) string {
 	text := "taken from its client"
 	if line.From != "" && line.From != line.Node {
@@ -46,7 +46,8 @@
 	return text
 }
 
-// attempted says how an attempt went, and what the node knew of the leaf before it.
+// attemptText describes the outcome of an attempt, and what the node knew about the leaf before
+// the attempt.
 func attemptText(attempt *event.Attempt, state *nodeState) string {
 	text := fmt.Sprintf("shard %d: %s attempt to %s (%s): ", attempt.Shard, attempt.Cause, attempt.Leaf, attempt.Address)
 	if attempt.End == string(scatter.EndOpen) {
@@ -65,7 +66,7 @@
 	return text
 }
 
-// ended says how a request ended for its client.
+// endText describes the result of a request for its client.
 func endText(line *Line) string {
 	text := line.Fate
 	if line.Total > 0 {
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -9,32 +9,33 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// The kinds of steps of a roll-out.
+// Kinds of steps in the timeline of roll-outs.
 const (
-	KindOrdered = "ordered"
-	KindDecided = "decided"
-	KindAdopted = "followed"
-	KindDecider = "decider"
+	KindOrdered = "ordered"  // an operator ordered a roll-out or withdrew the order
+	KindDecided = "decided"  // the decider wrote a phase or failed to
+	KindAdopted = "followed" // nodes applied a phase
+	KindDecider = "decider"  // a node reports to another decider
 )
 
-// phaseKey names one phase of one roll-out.
+// phaseKey identifies a phase of a roll-out.
 type phaseKey struct {
 	service, target, phase string
 	order                  uint64
 }
 
-// followers are the nodes that have gone by a phase.
+// phaseAdoption records when nodes applied a phase.
 type phaseAdoption struct {
 	first, last time.Time
 	lastNode    string
 	nodes       int
 }
 
-// Rollouts returns the history of roll-outs since a time: orders, what was decided and
-// why, and how soon the nodes followed. With a service, only its own.
+// RolloutTimeline returns the timeline of roll-outs since a time: orders, decisions with their
+// reasons, and how soon the nodes applied them. If service is not empty, only roll-outs of that
+// service are included.
 func RolloutTimeline(lines []Line, service string, since time.Time) Timeline {
 	var steps []Step
-	seenOrders := make(map[string]bool) // texts: each node logs an order
+	seenOrders := make(map[string]bool) // keyed by text, because each node logs the order
 	adoptions := make(map[phaseKey]*phaseAdoption)
 	for _, line := range sortByTime(lines) {
 		if line.Time.Before(since) || !matchesService(&line, service) {
@@ -64,13 +65,13 @@
 	return Timeline{Steps: steps}
 }
 
-// concerns reports whether a line may be of a roll-out of a service; empty for any one.
-// The decider is that of all services.
+// matchesService reports whether a line concerns roll-outs of the service; an empty service
+// matches every line. Changes of the decider concern all services.
 func matchesService(line *Line, service string) bool {
 	return service == "" || line.Service == service || line.Message == (event.RolloutDecider{}).Kind().Message
 }
 
-// follow takes in that a node goes by a phase.
+// recordAdoption records that a node applied a phase.
 func recordAdoption(adoptions map[phaseKey]*phaseAdoption, line *Line) {
 	key := phaseKey{line.Service, line.Target, line.Phase, line.Order}
 	adoption, exists := adoptions[key]
--- a/internal/explain/rollout_test.go
+++ b/internal/explain/rollout_test.go
@@ -12,7 +12,8 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// rolledOut returns the lines of two nodes on a roll-out that fails, and on another.
+// rolloutLines returns log lines of two nodes about a roll-out that is rolled back, and about a
+// withdrawn order of another service.
 func rolloutLines(t *testing.T) []Line {
 	t.Helper()
 	var output bytes.Buffer
@@ -45,7 +46,7 @@
 	logAt("edge-1", event.RolloutOrdered{Service: "desk", Withdrawn: true, Revision: 10})
 	lines, err := ReadLog(&output)
 	if err != nil || len(lines) != 12 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+		t.Fatalf("read %d lines with error %v, want 12", len(lines), err)
 	}
 	return lines
 }
@@ -58,7 +59,7 @@
 	goldie.New(t).Assert(t, "rollouts", text.Bytes())
 	for _, step := range RolloutTimeline(rolloutLines(t), "desk", time.Time{}).Steps {
 		if step.Kind != KindOrdered && step.Kind != KindDecider {
-			t.Errorf("of another service: %+v", step)
+			t.Errorf("got step %+v of another service, want kinds %s and %s only", step, KindOrdered, KindDecider)
 		}
 	}
 }
--- a/internal/explain/write.go
+++ b/internal/explain/write.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-// timeOfDay is how the time of a step is written.
+// timeOfDay is the layout for the time of a step.
 const timeOfDay = "15:04:05.000"
 
-// WriteText writes a timeline for people.
+// WriteText writes a timeline as text with one line per step.
 func WriteText(writer io.Writer, timeline Timeline) error {
 	for _, step := range timeline.Steps {
 		if _, err := fmt.Fprintf(writer, "%s  %-20s %-8s %s\n", step.Time.Format(timeOfDay), step.Node, step.Kind, step.Text); err != nil {
@@ -23,7 +23,7 @@
 	return err
 }
 
-// WriteJSON writes a timeline as one JSON document.
+// WriteJSON writes a timeline as a JSON document.
 func WriteJSON(writer io.Writer, timeline Timeline) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
