--- a/internal/losses/causes.go
+++ b/internal/losses/causes.go
@@ -6,11 +6,11 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Cause is why something was lost.
+// Cause is the reason for a loss.
 type Cause string
 
-// The causes. Those of shards that an answer lacks go by the last attempt at each
-// such shard.
+// Causes of losses. The cause of a missing shard is derived from the last attempt to it, and from
+// the number of its attempts that were still open at the end of the request.
 const (
 	CauseNoConfiguration Cause = "no configuration, or a route unknown while the store is away"
 	CauseOverload        Cause = "refused for load"
@@ -28,9 +28,9 @@
 	CauseUnknown         Cause = "unknown"
 )
 
-// refusalCauses has the cause of a request that was not run, by its reason; any other
-// reason is CauseRefused. The two without a constant are those of package forward, which runs
-// only in micaplank-edge.
+// refusalCauses maps the reason of a request that was not run to its cause. Other reasons map to
+// CauseRefused. "quarantined" and "trial" are reasons of package forward, which is part of
+// micaplank-edge only, so they are spelled out here.
 var refusalCauses = map[string]Cause{
 	string(dispatch.ReasonNoSnapshot): CauseNoConfiguration,
 	string(dispatch.ReasonOverload):   CauseOverload,
@@ -38,6 +38,7 @@
 	"trial":                           CauseQuarantined,
 }
 
+// refusalCause returns the cause for the reason of a request that was not run.
 func refusalCause(reason string) Cause {
 	if cause, listed := refusalCauses[reason]; listed {
 		return cause
@@ -46,24 +47,25 @@
 }
 
 const (
-	// slowLeaf is the slowness, the ratio to an ordinary leaf, from which a leaf counts
-	// as slow. Not measured: chosen to tell a slow leaf from the usual spread.
+	// minSlowLeafRatio is the slowness, relative to an ordinary leaf, from which a leaf is
+	// considered slow. It separates slow leaves from the normal variation.
 	minSlowLeafRatio = 2
-	// hedgePrice is the budget that a second attempt wants, in extra attempts: one, and
-	// one that is kept for retries (hedge.Bounds.Reserve, 1 at most in a node).
+	// minHedgeBudget is the budget, in extra attempts, that a hedge requires: one for the hedge,
+	// and one that is reserved for retries (hedge.Bounds.Reserve, which is at most 1 in a node).
 	minHedgeBudget = 2
 )
 
-// shardEnd is how the attempts for a shard ended that brought no part.
+// shardAttempts summarizes the attempts to a shard that returned no part.
 type shardAttempts struct {
-	unanswered int // attempts without an answer at the end of the request
+	unanswered int // attempts that were open at the end of the request
 	last       event.Attempt
 }
 
+// lastEndedAs reports whether the last attempt ended in the given way.
 func (s shardAttempts) lastEndedAs(end scatter.AttemptEnd) bool { return s.last.End == string(end) }
 
-// shardCauses has the causes of a shard that brought no part; the first that applies
-// counts.
+// shardCauseRules lists the causes for a shard that returned no part. The first rule that applies
+// determines the cause.
 var shardCauseRules = []struct {
 	cause   Cause
 	applies func(shardAttempts) bool
@@ -78,7 +80,7 @@
 	{CauseLeafFailed, func(s shardAttempts) bool { return s.lastEndedAs(scatter.EndFailed) }},
 }
 
-// causeOf returns why a shard brought no part. There is one attempt at least.
+// shardCause returns why a shard returned no part. attempts must not be empty.
 func shardCause(attempts []event.Attempt) Cause {
 	shard := shardAttempts{last: attempts[len(attempts)-1]}
 	for _, attempt := range attempts {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,7 +1,8 @@
-// Package losses is behind "micactl losses": it adds up, from the logs of nodes,
-// the requests without an answer and the shards that answers lack, by cause. It is
-// pure, owns the causes (causes.go), and relies on internal/explain to read the
-// lines, and on scatter and dispatch for the names of ends and reasons.
+// Package losses computes the report of "micactl losses". From the logs of nodes it sums up
+// requests without an answer and shards that are missing in answers, grouped by cause, route,
+// second and node. The package defines the causes and has no side effects. internal/explain
+// reads the lines; the outcomes of attempts and the reasons are those of packages scatter and
+// dispatch.
 package losses
 
 import (
@@ -16,28 +17,27 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// The fates of requests as event.Request writes them.
+// Fates of requests, as written by event.Request.
 const (
-	fateAnswered = "answered" // by one leaf
-	fateMerged   = "merged"   // from parts
+	fateAnswered = "answered" // answered by one leaf
+	fateMerged   = "merged"   // merged from the parts of shards
 	fateNoRoute  = "no_route"
 	fateNotRun   = "not_run"
 )
 
-// worstRequests is how many requests are named. Not measured: chosen to keep the
-// report short.
+// maxWorstRequests limits the list of requests with the greatest loss, to keep the report short.
 const maxWorstRequests = 10
 
-// Part is what was lost in one group of requests. Lost is in whole requests: one
-// without an answer counts 1, one that lacks shards 1 less the square of the share
-// that is in, by which users value it.
+// Group is the total loss of a group of requests. The unit of Lost is one request: a request
+// without an answer counts as 1. An answer with a share s of its shards counts as 1 - s*s, because
+// the value of an answer to users is the square of the share.
 type Group struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
 	Lost     float64 `json:"lost"`
 }
 
-// Worst names a request that lost much.
+// WorstRequest identifies a request with a great loss, and its main cause.
 type WorstRequest struct {
 	RequestID string  `json:"request_id"`
 	Node      string  `json:"node"`
@@ -45,30 +45,31 @@
 	Lost      float64 `json:"lost"`
 }
 
-// Report is what the logs tell.
+// Report summarizes the losses in the logs.
 type Report struct {
-	// Requests is how many were taken from clients, of those logged; NoRoute of them
-	// had no route, and are not counted further.
-	Requests int     `json:"requests"`
-	NoRoute  int     `json:"no_route"`
-	Lost     float64 `json:"lost"`
-	// Dropped counts lines that the nodes did not write for their rate. The figures
-	// lack these requests.
-	DroppedLines int            `json:"dropped_lines"`
-	ByCause      []Group        `json:"by_cause"`
-	ByRoute      []Group        `json:"by_route"`
-	BySecond     []Group        `json:"by_second"`
-	ByNode       []Group        `json:"by_node"`
-	WorstRequests        []WorstRequest `json:"worst"`
+	// Requests counts the logged requests that were received from clients.
+	Requests int `json:"requests"`
+	// NoRoute counts the requests among them that matched no route. They count as no loss and
+	// belong to no group.
+	NoRoute int     `json:"no_route"`
+	Lost    float64 `json:"lost"`
+	// DroppedLines counts the lines that the nodes dropped because of the rate limit. The
+	// requests of these lines are missing in the report.
+	DroppedLines  int            `json:"dropped_lines"`
+	ByCause       []Group        `json:"by_cause"`
+	ByRoute       []Group        `json:"by_route"`
+	BySecond      []Group        `json:"by_second"`
+	ByNode        []Group        `json:"by_node"`
+	WorstRequests []WorstRequest `json:"worst"`
 }
 
-// request is what the lines of one request tell: that of the node that took it, and
-// that of the node that ran it.
+// loggedRequest holds the log lines of a request. A line is nil if it is missing.
 type loggedRequest struct {
-	received, executed *explain.Line
+	received *explain.Line // line of the node that received the request from the client
+	executed *explain.Line // line of the node that ran the request
 }
 
-// Add adds up the lines that are not older than since.
+// NewReport sums up the lines that are not older than since.
 func NewReport(lines []explain.Line, since time.Time) Report {
 	var report Report
 	requests := make(map[string]loggedRequest)
@@ -100,7 +101,7 @@
 	return report
 }
 
-// add adds one request.
+// addRequest adds a request to the report and to the tallies.
 func (r *Report) addRequest(request loggedRequest, tallies *tallies) {
 	r.Requests++
 	if request.received.Fate == fateNoRoute {
@@ -127,7 +128,7 @@
 	}
 }
 
-// sharesOf returns what a request lost, by cause.
+// lossByCause returns the loss of a request for each of its causes.
 func lossByCause(request loggedRequest) map[Cause]float64 {
 	line := request.received
 	switch {
@@ -149,7 +150,8 @@
 	}
 }
 
-// divided divides a loss among the causes of the shards that brought no part.
+// divideByShard divides a loss evenly among the shards that returned no part, and sums it up by
+// their causes.
 func divideByShard(executed *explain.Line, lost float64) map[Cause]float64 {
 	if executed == nil {
 		return map[Cause]float64{CauseUnknown: lost}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -47,7 +47,7 @@
 	goldie.New(t).Assert(t, "report.json", document.Bytes())
 }
 
-// TestLossesAddUpAlike by cause, route, second and node.
+// TestGroupsAddUpToTotalLoss checks that the groups of each dimension add up to the total loss.
 func TestGroupsAddUpToTotalLoss(t *testing.T) {
 	report := newTestReport(t, time.Time{})
 	for _, groups := range [][]Group{report.ByCause, report.ByRoute, report.BySecond, report.ByNode} {
@@ -56,14 +56,14 @@
 			sum += group.Lost
 		}
 		if fmt.Sprintf("%.6f", sum) != fmt.Sprintf("%.6f", report.Lost) {
-			t.Errorf("%+v adds up to %f of %f", groups, sum, report.Lost)
+			t.Errorf("%+v: got a sum of %f, want %f", groups, sum, report.Lost)
 		}
 	}
 }
 
 func TestSinceDropsOlderRequests(t *testing.T) {
 	if got := newTestReport(t, time.Date(2026, 12, 2, 10, 0, 2, 0, time.UTC)); got.Requests != 5 || got.DroppedLines != 7 {
-		t.Errorf("%d requests, %d lines dropped", got.Requests, got.DroppedLines)
+		t.Errorf("got %d requests and %d dropped lines, want 5 and 7", got.Requests, got.DroppedLines)
 	}
 }
 
@@ -80,7 +80,7 @@
 		CauseUnknown:         {{End: "new"}},
 	} {
 		if got := shardCause(attempts); got != want {
-			t.Errorf("%+v: %s, want %s", attempts, got, want)
+			t.Errorf("%+v: got cause %q, want %q", attempts, got, want)
 		}
 	}
 }
--- a/internal/losses/tally.go
+++ b/internal/losses/tally.go
@@ -6,9 +6,10 @@
 	"slices"
 )
 
-// group adds up parts by name.
+// tally sums up losses by the name of the group.
 type tally map[string]*Group
 
+// add adds the loss of a request to a group. A request without a loss counts as a request only.
 func (t tally) add(name string, lost float64) {
 	group := t[name]
 	if group == nil {
@@ -19,17 +20,17 @@
 	group.Lost += lost
 }
 
-// order sorts parts.
+// compareFunc compares two groups for sorting.
 type compareFunc func(a, b Group) int
 
-// byLoss puts the greatest loss first.
+// compareLoss sorts by descending loss, then by name.
 func compareLoss(a, b Group) int {
 	return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Name, b.Name))
 }
 
 func compareName(a, b Group) int { return cmp.Compare(a.Name, b.Name) }
 
-// parts returns those that lost anything.
+// sorted returns the groups with a loss, sorted by compare.
 func (t tally) sorted(compare compareFunc) []Group {
 	groups := []Group{}
 	for _, group := range slices.Collect(maps.Values(t)) {
@@ -41,7 +42,7 @@
 	return groups
 }
 
-// groups are the ways in which losses are added up.
+// tallies holds one tally for each dimension of the report.
 type tallies struct{ cause, route, second, node tally }
 
 func newTallies() *tallies {
--- a/internal/losses/write.go
+++ b/internal/losses/write.go
@@ -7,14 +7,15 @@
 	"text/tabwriter"
 )
 
-// WriteJSON writes the report as one JSON document.
+// WriteJSON writes the report as a JSON document.
 func WriteJSON(writer io.Writer, report Report) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(report)
 }
 
-// mostRows bounds the rows of a table, but for the seconds.
+// maxRows limits the rows of each table. The table of seconds is not limited, as it is a time
+// series.
 const maxRows = 12
 
 // WriteText writes the report as tables.
