--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -1,11 +1,10 @@
-// Package wiretest is test support: it holds messages between nodes and values of
-// the store against recorded ones, so that nodes of two versions understand each
-// other.
+// Package wiretest is a test helper that compares messages between nodes, and values in the
+// store, with recorded ones. It ensures that nodes of different versions can communicate.
 //
-// A renamed or retyped field breaks neither the build nor a node of one version
-// alone: gob drops what it does not know, without an error. So a type of the wire is
-// recorded with every field set to a value that follows from the field's name, and
-// today's type must read exactly that.
+// Renaming a field or changing its type breaks neither the build nor a deployment of a single
+// version, because gob ignores unknown fields without an error. Therefore each type on the wire
+// is recorded with all fields set to values that are derived from the names of the fields. The
+// current type must decode the recording to exactly these values.
 package wiretest
 
 import (
@@ -28,11 +27,11 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// folder is where the recordings lie, beside the test.
+// fixtureDir is the directory of the recordings, relative to the package under test.
 const fixtureDir = "testdata/wire"
 
-// Gob checks a type that nodes exchange in encoding/gob: a recorded message is read
-// whole, and the fields that are sent have the names and kinds that they had.
+// Gob checks a type that nodes exchange in encoding/gob. The recorded message must decode without
+// loss, and the names and kinds of the encoded fields must match the recording.
 func Gob[T any](t *testing.T, name string) {
 	t.Helper()
 	want := newFilled[T](t, goFieldName)
@@ -48,13 +47,13 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the recorded message reads as\n%+v\nand not as\n%+v", name, got, want)
+		t.Errorf("%s: recorded message: got\n%+v\nwant\n%+v", name, got, want)
 	}
 	assertRecording(t, name+".fields", []byte(gobFields(reflect.TypeFor[T]())))
 }
 
-// FormerGob reads a message as a former version recorded it: fields that were added since
-// are zero.
+// FormerGob decodes a message that a previous version recorded. Fields that were added later are
+// zero.
 func FormerGob[T any](t *testing.T, name string) T {
 	t.Helper()
 	var got T
@@ -64,8 +63,8 @@
 	return got
 }
 
-// JSON checks a type that the store holds as JSON: a recorded value is read whole, and
-// the same value is written byte for byte.
+// JSON checks a type that is stored as JSON. A filled value must encode to the recorded bytes, and
+// decoding and encoding these bytes must reproduce them.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	want := newFilled[T](t, jsonFieldName)
@@ -79,12 +78,12 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if reencoded, err := json.Marshal(got); err != nil || !bytes.Equal(reencoded, encoded) {
-		t.Errorf("%s: read and written again as %s (%v), at first %s", name, reencoded, err, encoded)
+		t.Errorf("%s: decoded and encoded again: got %s (error %v), want %s", name, reencoded, err, encoded)
 	}
 }
 
-// Encoded checks a form of our own: the bytes of a filled value are the recorded ones,
-// and decode reads the recorded ones as that value.
+// Encoded checks a custom encoding. A filled value must encode to the recorded bytes, and the
+// recorded bytes must decode to that value.
 func Encoded[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Helper()
 	want := newFilled[T](t, goFieldName)
@@ -97,18 +96,18 @@
 	}
 	previous := readRecording(t, name+".bytes")
 	if !bytes.Equal(previous, encoded) {
-		t.Errorf("%s: written as\n%x\nand not as\n%x", name, encoded, previous)
+		t.Errorf("%s: encoded value: got\n%x\nwant\n%x", name, encoded, previous)
 	}
 	got, err := decode(previous)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the recorded message reads as\n%+v\nand not as\n%+v", name, got, want)
+		t.Errorf("%s: recorded message: got\n%+v\nwant\n%+v", name, got, want)
 	}
 }
 
-// recording reports whether the test was started with -update.
+// updating reports whether the test was started with -update.
 func updating() bool {
 	update := flag.Lookup("update")
 	return update != nil && update.Value.String() == "true"
@@ -130,7 +129,7 @@
 	newGoldie(t).Assert(t, file, content)
 }
 
-// recorded returns the bytes of a recording in hexadecimal digits.
+// readRecording decodes a recording, which is stored as hexadecimal digits.
 func readRecording(t *testing.T, file string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(fixtureDir, file))
@@ -144,7 +143,7 @@
 	return content
 }
 
-// filled returns a value whose exported fields are all set, each by its path of names.
+// newFilled returns a value whose exported fields are set to values derived from their paths.
 func newFilled[T any](t *testing.T, namer fieldNamer) T {
 	t.Helper()
 	var value T
@@ -154,7 +153,7 @@
 	return value
 }
 
-// naming returns the name that a field has in a form.
+// fieldNamer returns the name of a field in an encoding.
 type fieldNamer func(field reflect.StructField) string
 
 func goFieldName(field reflect.StructField) string { return field.Name }
@@ -166,16 +165,17 @@
 	return field.Name
 }
 
-// maxDepth bounds types that hold themselves.
+// maxDepth limits the nesting of recursive types.
 const maxDepth = 8
 
-// number returns a number from 1 to 100 that follows from a path.
+// hashNumber returns a number from 1 to 100 that depends only on the path.
 func hashNumber(path string) uint64 {
 	hash := fnv.New32a()
 	hash.Write([]byte(path))
 	return 1 + uint64(hash.Sum32())%100
 }
 
+// fill sets a value, and recursively its elements and fields, to values derived from the path.
 func (n fieldNamer) fill(value reflect.Value, path string, depth int) error {
 	if depth > maxDepth {
 		return nil
@@ -203,7 +203,7 @@
 	case reflect.String:
 		value.SetString(fmt.Sprintf("s%d", hashNumber(path)))
 	case reflect.Func, reflect.Chan, reflect.Interface:
-		// not sent
+		// These kinds are not encoded.
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
 		return n.fill(value.Elem(), path, depth+1)
@@ -217,7 +217,7 @@
 	case reflect.Struct:
 		return n.fillFields(value, path, depth)
 	default:
-		return fmt.Errorf("%s: kind %s is not known", path, value.Kind())
+		return fmt.Errorf("fill %s: unsupported kind %s", path, value.Kind())
 	}
 	return nil
 }
@@ -257,14 +257,16 @@
 	return nil
 }
 
-// fieldsOf lists the fields of a type as gob sends them: a line each with its path and
-// the class of its kind.
+// gobFields lists the fields of a type that gob encodes. Each line has the path of a field and its
+// class, as returned by gobClass.
 func gobFields(goType reflect.Type) string {
 	var text strings.Builder
 	writeGobFields(&text, goType, "value", nil)
 	return text.String()
 }
 
+// writeGobFields writes the fields of a type below path. A type that occurs within itself is
+// written as a reference to the line of the outer occurrence.
 func writeGobFields(text *strings.Builder, goType reflect.Type, path string, enclosing []reflect.Type) {
 	for goType.Kind() == reflect.Pointer {
 		goType = goType.Elem()
@@ -299,7 +301,8 @@
 	}
 }
 
-// classOf returns what gob calls a type that has no parts.
+// gobClass returns the gob class of a type without elements or fields. It returns false for other
+// types.
 func gobClass(goType reflect.Type) (string, bool) {
 	marshaler := reflect.TypeFor[encoding.BinaryMarshaler]()
 	encoder := reflect.TypeFor[gob.GobEncoder]()
