--- a/cmd/micactl/commands.go
+++ b/cmd/micactl/commands.go
@@ -14,10 +14,10 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// defaultWatchInterval is the time between two states of watch.
+// defaultWatchInterval is the default interval at which the watch command shows the status.
 const defaultWatchInterval = 2 * time.Second
 
-// standardInput is the file name that stands for the standard input.
+// stdinName is the file name that selects standard input.
 const stdinName = "-"
 
 func newSubcommand(name, description string) *flaggy.Subcommand {
@@ -26,7 +26,8 @@
 	return subcommand
 }
 
-// readText reads a file or the standard input.
+// readStatements reads a file or standard input. It reads at most one byte more than the language
+// allows, so that a file that is too long is detected when it is parsed.
 func readStatements(name string) (string, error) {
 	var reader io.Reader = os.Stdin
 	if name != stdinName {
@@ -41,7 +42,7 @@
 	return string(text), err
 }
 
-// sourceName names a text in errors.
+// sourceName returns the name of a file for error messages.
 func sourceName(file string) string {
 	if file == stdinName {
 		return "standard input"
@@ -182,7 +183,7 @@
 	minimumCoverage float64
 }
 
-// classCoverage stands for the coverage of the class.
+// classDefaultCoverage is the flag value that selects the minimum coverage of the class.
 const classDefaultCoverage = -1
 
 func (c *queryCommand) declare() *flaggy.Subcommand {
--- a/cmd/micactl/completion.go
+++ b/cmd/micactl/completion.go
@@ -12,9 +12,9 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// completionCommand writes a completion script. The one of the flag library
-// knows the flags of a command only directly after its name, and offers the
-// names of arguments as if they were values.
+// completionCommand writes a shell completion script. It replaces the script of the flag library,
+// which completes the flags of a command only directly after the name of the command, and offers
+// the names of arguments as values.
 type completionCommand struct {
 	shell string
 	root  *flaggy.Subcommand
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// valueWords says how the values of flags, and the arguments of commands, are
-// completed: by words of the shell. A flag that takes a value and is not listed
-// offers nothing.
+// completionWords maps flags and commands to the shell expression that lists the completions of
+// the flag value or of the command arguments. Flags and commands that are not listed have no
+// completions.
 var completionWords = map[string]string{
 	"--output":   `$(compgen -W "text json" -- "$cur")`,
 	"--file":     `$(compgen -f -- "$cur")`,
@@ -52,6 +52,7 @@
 	"completion": `$(compgen -W "bash zsh" -- "$cur")`,
 }
 
+// showSubjects returns the words that may follow "show".
 func showSubjects() []string {
 	subjects := []language.ShowSubject{
 		language.ShowServices, language.ShowLeaves, language.ShowClasses,
@@ -64,8 +65,8 @@
 	return append(words, "of")
 }
 
-// completionScript returns the script. Names of nodes, services and classes
-// are asked of the node that the environment names, for a second at most.
+// completionScript returns the completion script for bash. The script queries the names of nodes,
+// services and classes from the default nodes, with a timeout of one second.
 func completionScript(root *flaggy.Subcommand) string {
 	names := commandNames(root)
 	var script strings.Builder
@@ -112,9 +113,8 @@
 	return names
 }
 
-// valueCases lists the flags that take a value. A short name stands for
-// different flags in different commands, so only long ones are completed by
-// what they mean.
+// flagValueCases returns the cases that complete the values of flags. Only long names are
+// completed, because a short name may have different meanings in different commands.
 func flagValueCases(root *flaggy.Subcommand) string {
 	flags := slices.Clone(root.Flags)
 	for _, subcommand := range root.Subcommands {
@@ -131,6 +131,7 @@
 	return cases.String()
 }
 
+// commandCases returns the cases that complete the flags and arguments of each command.
 func commandCases(root *flaggy.Subcommand) string {
 	var cases strings.Builder
 	for _, subcommand := range root.Subcommands {
--- a/cmd/micactl/explain.go
+++ b/cmd/micactl/explain.go
@@ -12,18 +12,19 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// explainCommand shows the timeline of a request from logs; it asks no node.
+// explainCommand shows the timeline of a request from log files. It contacts no node.
 type explainCommand struct {
 	id string
 	logFlags
 }
 
-// logFlags say which logs a command reads.
+// logFlags are the flags that select the logs and the lines that a command reads.
 type logFlags struct {
 	files []string
 	since string
 }
 
+// declare adds the flags to a subcommand.
 func (f *logFlags) declare(subcommand *flaggy.Subcommand) {
 	subcommand.StringSlice(&f.files, "l", "log", "A log in JSON; may be repeated; - is standard input, and the default.")
 	subcommand.String(&f.since, "s", "since", "Leave out what is older: a time such as 2026-12-02T10:00:00Z, or a duration before the newest line, such as 10m.")
@@ -43,7 +44,7 @@
 	}
 	timeline := explain.RequestTimeline(lines, c.id, since)
 	if len(timeline.Steps) == 0 {
-		return fmt.Errorf("none of the %d lines names request %q", len(lines), c.id)
+		return fmt.Errorf("explain request %q: no matching line among %d log lines", c.id, len(lines))
 	}
 	if session.Format == operator.FormatJSON {
 		return explain.WriteJSON(session.Output, timeline)
@@ -51,7 +52,7 @@
 	return explain.WriteText(session.Output, timeline)
 }
 
-// read returns the lines of the logs, and the time from which they count.
+// readLogs returns the lines of all logs, and the time from which lines are included.
 func (f *logFlags) readLogs() ([]explain.Line, time.Time, error) {
 	files := f.files
 	if len(files) == 0 {
@@ -77,11 +78,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was read
+	defer func() { _ = file.Close() }() // opened for reading only
 	return explain.ReadLog(file)
 }
 
-// sinceTime reads the value of --since.
+// parseSince parses the value of --since. A duration is relative to the newest line.
 func parseSince(text string, lines []explain.Line) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
--- a/cmd/micactl/losses.go
+++ b/cmd/micactl/losses.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// lossesCommand adds up from logs what requests lost; it asks no node.
+// lossesCommand reports the losses of requests from log files. It contacts no node.
 type lossesCommand struct{ logFlags }
 
 func (c *lossesCommand) declare() *flaggy.Subcommand {
--- a/cmd/micactl/main.go
+++ b/cmd/micactl/main.go
@@ -1,8 +1,9 @@
-// Command micactl is the operators' command line: it sends statements of the
-// command language to a node, waits until a change is in force, and shows the
-// state of the deployment.
+// Command micactl is the command-line client for operators. It sends statements of the command
+// language to a node, waits until changes are in force, runs queries, shows the state of the
+// deployment, and evaluates the logs of nodes.
 //
-// Exit codes: 0 done, 1 failed or not accepted or not known, 2 wrong usage.
+// The exit code is 0 on success, 1 if the command failed, was not accepted or has an unknown
+// result, and 2 for wrong usage.
 package main
 
 import (
@@ -20,15 +21,15 @@
 )
 
 const (
-	// nodesVariable names the nodes if --node does not.
+	// nodesVariable is the environment variable that lists the nodes if --node is not given.
 	nodesVariable = "MICAPLANK_NODES"
-	// defaultNode is the node of last resort.
+	// defaultNode is used if neither --node nor nodesVariable is set.
 	defaultNode = "127.0.0.1:7201"
-	// defaultTimeout is how long a command waits unless it says otherwise.
+	// defaultTimeout is the default of --timeout.
 	defaultTimeout = 10 * time.Second
 )
 
-// globals are the flags of every command.
+// globalFlags are the flags that all commands share.
 type globalFlags struct {
 	nodes    []string
 	output   string
@@ -36,11 +37,11 @@
 	operator string
 }
 
-// command is one subcommand.
+// command is a subcommand of micactl.
 type command interface {
 	// declare returns the subcommand with its flags and arguments.
 	declare() *flaggy.Subcommand
-	// run carries it out.
+	// run executes the subcommand after its flags and arguments were parsed.
 	run(ctx context.Context, session *operator.Session) error
 }
 
@@ -71,8 +72,8 @@
 	os.Exit(operator.ExitCode(err))
 }
 
-// run parses the arguments and runs the chosen command. The library ends the
-// process by itself for help, version and unknown arguments.
+// run parses the arguments and runs the selected command. For --help, --version and unknown
+// arguments, the flag library exits the process itself.
 func run(ctx context.Context, arguments []string) error {
 	flags := globalFlags{output: string(operator.FormatText), timeout: defaultTimeout, operator: os.Getenv("USER")}
 	parser := newParser(&flags)
@@ -106,7 +107,7 @@
 	parser := flaggy.NewParser("micactl")
 	parser.Description = "Operates micaplank: runs statements, shows state, runs queries."
 	parser.Version = version.Version
-	parser.ShowCompletion = false // completionCommand takes its place
+	parser.ShowCompletion = false // replaced by completionCommand
 	parser.AdditionalHelpAppend = "Exit codes: 0 done, 1 failed, not accepted or not known, 2 wrong usage."
 	parser.StringSlice(&flags.nodes, "n", "node", "Address of a node; may be repeated or a comma list; the next is tried if one cannot be reached. Default: $"+nodesVariable+" or "+defaultNode+".")
 	parser.String(&flags.output, "o", "output", "Output format: text or json.")
@@ -115,6 +116,7 @@
 	return parser
 }
 
+// newSession returns a session for the nodes from --node, the environment or the default.
 func newSession(flags globalFlags) (*operator.Session, error) {
 	addresses := flags.nodes
 	if len(addresses) == 0 {
--- a/cmd/micactl/main_test.go
+++ b/cmd/micactl/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// runVariable makes the test binary run as the program.
+// runVariable is the environment variable that makes the test binary run as micactl.
 const runVariable = "MICACTL_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -21,11 +21,11 @@
 	os.Exit(m.Run())
 }
 
-// runProgram runs the program and returns its output and exit code.
+// runProgram runs micactl and returns a transcript with its output and exit code.
 func runProgram(t *testing.T, input string, arguments ...string) string {
 	t.Helper()
 	command := exec.Command(os.Args[0], arguments...)
-	// The race detector would sleep a second at the end of each process.
+	// By default, the race detector sleeps for a second at the exit of each process.
 	command.Env = []string{runVariable + "=1", "USER=mori", "GORACE=atexit_sleep_ms=0"}
 	command.Stdin = strings.NewReader(input)
 	output, err := command.CombinedOutput()
@@ -45,7 +45,7 @@
 }
 
 func TestUsageGolden(t *testing.T) {
-	// Port 1 of this machine refuses connections.
+	// No process listens on port 1 of the loopback address, so connections are refused.
 	cases := [][]string{
 		{"--version"},
 		{"bogus"},
@@ -71,8 +71,8 @@
 	goldie.New(t).Assert(t, "usage", []byte(transcript.String()))
 }
 
-// TestCompletionGolden asks the script in a real shell what it offers. The word
-// to complete is the last.
+// TestCompletionGolden runs the completion script in bash, and records the completions of the last
+// word of each line.
 func TestCompletionGolden(t *testing.T) {
 	script := runCompletion(t, "bash")
 	lines := []string{
@@ -101,7 +101,7 @@
 func TestZshCompletionWrapsBashScript(t *testing.T) {
 	script, found := strings.CutPrefix(runCompletion(t, "zsh"), "autoload -U +X bashcompinit && bashcompinit\n")
 	if !found || script != runCompletion(t, "bash") {
-		t.Errorf("got %s", script)
+		t.Errorf("got script %q, want the header of zsh followed by the script of bash", script)
 	}
 }
 
@@ -111,7 +111,7 @@
 	_, script, _ := strings.Cut(transcript, "\n")
 	script, found := strings.CutSuffix(script, "exit 0\n\n")
 	if !found {
-		t.Fatal(transcript)
+		t.Fatalf("got transcript %q, want exit code 0", transcript)
 	}
 	return script
 }
--- a/cmd/micactl/rollouts.go
+++ b/cmd/micactl/rollouts.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// rolloutsCommand shows the timeline of roll-outs from logs; it asks no node.
+// rolloutsCommand shows the timeline of roll-outs from log files. It contacts no node.
 type rolloutsCommand struct {
 	service string
 	logFlags
@@ -30,7 +30,7 @@
 	}
 	timeline := explain.RolloutTimeline(lines, c.service, since)
 	if len(timeline.Steps) == 0 {
-		return fmt.Errorf("none of the %d lines tells of a roll-out", len(lines))
+		return fmt.Errorf("show roll-outs: no matching line among %d log lines", len(lines))
 	}
 	if session.Format == operator.FormatJSON {
 		return explain.WriteJSON(session.Output, timeline)
