--- a/cmd/micaplank/main.go
+++ b/cmd/micaplank/main.go
@@ -1,7 +1,8 @@
-// Command micaplank is the query node. It takes callers' queries and
-// operators' commands; all nodes of a deployment are alike.
+// Command micaplank runs a query node. A node serves the queries of clients and the commands of
+// operators. All nodes of a deployment have the same role.
 //
-// Exit codes: 0 stopped as planned, 1 failed, 2 wrong usage or settings.
+// The exit code is 0 after a planned stop, 1 after a failure, and 2 for wrong usage or invalid
+// settings.
 package main
 
 import (
@@ -21,18 +22,18 @@
 	"github.com/micaplank/micaplank/internal/version"
 )
 
-// Exit codes.
+// Exit codes of failures.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// options are the flags that are not settings.
+// programFlags are the command-line flags that are not settings.
 type programFlags struct {
 	settingsFile  string
 	checkSettings bool
 	printSettings bool
-	// profile is a file for a processor profile of the whole run.
+	// cpuProfile is the path of the file for a CPU profile of the whole run.
 	cpuProfile string
 }
 
@@ -64,8 +65,8 @@
 	return exitCode(serve(config), exitFailed)
 }
 
-// startProfile writes a processor profile to a file until the function that it
-// returns is called. An empty path profiles nothing.
+// startProfile starts a CPU profile that is written to path, and returns the function that stops
+// it. If path is empty, nothing is profiled.
 func startProfile(path string) (func(), error) {
 	if path == "" {
 		return func() {}, nil
@@ -79,11 +80,11 @@
 	}
 	return func() {
 		pprof.StopCPUProfile()
-		_ = file.Close() // the profile is only an aid
+		_ = file.Close() // a lost profile must not change the exit code
 	}, nil
 }
 
-// parse reads the command line. Wrong flags end the process with exitUsage.
+// parseArguments parses the command line. For invalid flags it exits the process with exitUsage.
 func parseArguments() (programFlags, []settings.Override) {
 	var flags programFlags
 	flaggy.SetName("micaplank")
@@ -99,6 +100,7 @@
 	return flags, settingsFlags.Overrides()
 }
 
+// exitCode prints an error to standard error and returns code, or returns 0 if err is nil.
 func exitCode(err error, code int) int {
 	if err == nil {
 		return 0
@@ -107,7 +109,7 @@
 	return code
 }
 
-// serve runs the node until a signal asks for a planned stop.
+// serve runs the node until SIGINT or SIGTERM requests a planned stop.
 func serve(config settings.Settings) error {
 	logger := telemetry.NewLogger(os.Stderr, telemetry.LogConfig{
 		Format: telemetry.Format(config.Log.Format),
--- a/cmd/micaplank/main_test.go
+++ b/cmd/micaplank/main_test.go
@@ -12,7 +12,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// runVariable makes the test binary run as the program.
+// runVariable is the environment variable that makes the test binary run as micaplank.
 const runVariable = "MICAPLANK_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -22,11 +22,11 @@
 	os.Exit(m.Run())
 }
 
-// runProgram runs the program and returns its output and exit code.
+// runProgram runs micaplank and returns a transcript with its output and exit code.
 func runProgram(t *testing.T, arguments ...string) string {
 	t.Helper()
 	command := exec.Command(os.Args[0], arguments...)
-	// The race detector would sleep a second at the end of each process.
+	// By default, the race detector sleeps for a second at the exit of each process.
 	command.Env = []string{runVariable + "=1", "GORACE=atexit_sleep_ms=0"}
 	output, err := command.CombinedOutput()
 	var exitError *exec.ExitError
@@ -36,6 +36,7 @@
 	return fmt.Sprintf("$ micaplank %s\n%sexit %d\n\n", strings.Join(arguments, " "), output, command.ProcessState.ExitCode())
 }
 
+// assertGolden compares the transcript of several commands with a golden file.
 func assertGolden(t *testing.T, name string, commands [][]string) {
 	t.Helper()
 	var transcript strings.Builder
@@ -49,8 +50,8 @@
 	assertGolden(t, "help", [][]string{{"--help"}, {"--version"}})
 }
 
-// TestPrintSettingsGolden prints the defaults, also without the name and zone
-// that have none, and what a file and flags make of them.
+// TestPrintSettingsGolden covers the defaults, which are printed although name and zone have none,
+// and settings from a file that are overridden by flags.
 func TestPrintSettingsGolden(t *testing.T) {
 	assertGolden(t, "print_settings", [][]string{
 		{"--print-settings"},
@@ -58,11 +59,12 @@
 	})
 }
 
-// TestSettingsThatAreWrong ends with exit code 2 and starts nothing.
+// TestInvalidSettingsExitWithUsageError checks that invalid settings are reported with exit code 2
+// and that no node is started.
 func TestInvalidSettingsExitWithUsageError(t *testing.T) {
 	files, err := filepath.Glob("testdata/wrong_*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no test data: %v", err)
+		t.Fatalf("list testdata/wrong_*.toml: got %d files and error %v, want at least one file", len(files), err)
 	}
 	commands := [][]string{
 		{"--check-settings", "--settings", "testdata/valid.toml"},
