--- a/cmd/micarehearse/cluster.go
+++ b/cmd/micarehearse/cluster.go
@@ -11,7 +11,7 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 )
 
-// clusterCommand keeps the deployment of the demo running for a while.
+// clusterCommand runs the deployment of the demo for a given duration.
 type clusterCommand struct {
 	binaries string
 	duration time.Duration
--- a/cmd/micarehearse/demo.go
+++ b/cmd/micarehearse/demo.go
@@ -16,13 +16,13 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 )
 
-// demoTimeout bounds the whole demo.
+// demoTimeout limits the duration of the whole demo.
 const demoTimeout = 2 * time.Minute
 
-// stopTimeout bounds the planned stop of one node at the end of the demo.
+// stopTimeout limits the planned stop of all nodes at the end of the demo.
 const stopTimeout = 20 * time.Second
 
-// demoCommand runs a whole deployment on loopback for a moment.
+// demoCommand starts a deployment on loopback, runs some queries on it and stops it.
 type demoCommand struct {
 	binaries string
 }
@@ -54,7 +54,7 @@
 	return stopNodes(ctx, deployment)
 }
 
-// showStatus runs micactl as an operator would.
+// showStatus runs "micactl status" on the first node.
 func (d *demoCommand) showStatus(ctx context.Context, deployment *cluster.Cluster) error {
 	arguments := []string{"--node", deployment.Nodes[0].HTTP.String(), "status"}
 	fmt.Println("\n$ micactl", strings.Join(arguments, " "))
@@ -64,7 +64,8 @@
 	return status.Run()
 }
 
-// stopNodes asks each node for a planned stop and expects exit code 0.
+// stopNodes requests a planned stop of each node, and returns an error for each exit code other
+// than 0.
 func stopNodes(ctx context.Context, deployment *cluster.Cluster) error {
 	fmt.Println("\nStopping the nodes.")
 	var failures []error
--- a/cmd/micarehearse/load.go
+++ b/cmd/micarehearse/load.go
@@ -13,10 +13,10 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
+// outputFileMode is the mode of a new result file.
 const outputFileMode = 0o644
 
-// writeJSON writes a result to a file, or to standard output if the path is
-// empty.
+// writeJSON writes a result to a file, or to standard output if path is empty.
 func writeJSON(path string, result any) error {
 	encoded, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return os.WriteFile(path, encoded, outputFileMode)
 }
 
-// loadCommand sends queries to running nodes.
+// loadCommand generates load on running nodes.
 type loadCommand struct {
 	loadFile   string
 	targets    []string
--- a/cmd/micarehearse/main.go
+++ b/cmd/micarehearse/main.go
@@ -1,8 +1,8 @@
-// Command micarehearse is the rehearsal kit of the self-hosted deployment:
-// stand-ins of the store, the machine list and the leaves, whole deployments on
-// loopback, and a load tool. It is never run beside callers.
+// Command micarehearse provides tools for testing self-hosted deployments: stand-ins for the
+// store, the machine list and the leaves, whole deployments on loopback, and a load generator. It
+// must not be used in production.
 //
-// Exit codes: 0 done, 1 failed, 2 wrong usage.
+// The exit code is 0 on success, 1 after a failure, and 2 for wrong usage.
 package main
 
 import (
@@ -18,17 +18,17 @@
 	"github.com/micaplank/micaplank/internal/version"
 )
 
-// Exit codes.
+// Exit codes of failures.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// command is one subcommand: its flags and what it does.
+// command is a subcommand of micarehearse.
 type command interface {
 	// declare returns the subcommand and its flags.
 	declare() *flaggy.Subcommand
-	// run does the work; it ends when ctx ends.
+	// run executes the subcommand until it is done or ctx ends.
 	run(ctx context.Context, logger *slog.Logger) error
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// execute parses the arguments and runs the chosen subcommand.
+// execute parses the arguments, runs the selected subcommand and returns the exit code.
 func execute(ctx context.Context, list []command) int {
 	flaggy.SetName("micarehearse")
 	flaggy.SetDescription("Stand-ins, deployments on loopback and load for micaplank.")
@@ -70,6 +70,7 @@
 	return exitUsage
 }
 
+// exitCode prints an error to standard error and returns the exit code for it.
 func exitCode(err error) int {
 	if err == nil {
 		return 0
--- a/cmd/micarehearse/main_test.go
+++ b/cmd/micarehearse/main_test.go
@@ -13,7 +13,7 @@
 	for _, command := range commands() {
 		sub := command.declare()
 		if sub.Name == "" || sub.Description == "" || seen[sub.Name] {
-			t.Errorf("subcommand %q, %q", sub.Name, sub.Description)
+			t.Errorf("subcommand %q has description %q, want a unique name and a description", sub.Name, sub.Description)
 		}
 		seen[sub.Name] = true
 	}
@@ -21,11 +21,11 @@
 
 func TestParseShards(t *testing.T) {
 	if got, err := parseShards("0, 3,1"); err != nil || !slices.Equal(got, []int{0, 3, 1}) {
-		t.Errorf("got %v, %v", got, err)
+		t.Errorf("got %v with error %v, want [0 3 1]", got, err)
 	}
 	for _, invalid := range []string{"", "1,,2", "a"} {
 		if _, err := parseShards(invalid); err == nil || !strings.Contains(err.Error(), "--shards") {
-			t.Errorf("%q: got %v", invalid, err)
+			t.Errorf("%q: got error %v, want one that names --shards", invalid, err)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	command.declare()
 	command.listen, command.shards = "localhost:7101", "0"
 	if _, err := command.config(); err == nil || !strings.Contains(err.Error(), "IP address") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that asks for an IP address", err)
 	}
 }
 
@@ -48,6 +48,6 @@
 		Address string `toml:"address"`
 	}
 	if err := readSettings(path, &target); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that names %s", err, path)
 	}
 }
--- a/cmd/micarehearse/stand_ins.go
+++ b/cmd/micarehearse/stand_ins.go
@@ -18,11 +18,11 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/store"
 )
 
-// closeTimeout bounds the end of a stand-in.
+// leafDrainTimeout limits how long a stopping leaf waits for its requests in flight.
 const leafDrainTimeout = 30 * time.Second
 
-// readSettings reads a TOML file strictly over the defaults in target. An
-// empty path leaves the defaults.
+// readSettings decodes a TOML file into target, which holds the defaults. Unknown keys are errors.
+// An empty path leaves target unchanged.
 func readSettings(path string, target any) error {
 	if path == "" {
 		return nil
@@ -33,17 +33,17 @@
 	}
 	defer file.Close()
 	if err := toml.NewDecoder(file).DisallowUnknownFields().Decode(target); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("read settings %s: %w", path, err)
 	}
 	return nil
 }
 
-// announce logs the address that a stand-in serves on.
+// logAddress logs the address on which a stand-in listens.
 func logAddress(logger *slog.Logger, address any) {
 	logger.Info("listening", "http", address)
 }
 
-// leafCommand runs a stand-in leaf.
+// leafCommand runs a stand-in for a leaf.
 type leafCommand struct {
 	settings         string
 	listen           string
@@ -81,6 +81,8 @@
 	return sub
 }
 
+// config returns the configuration of the leaf. If there is a settings file, the flags for the values
+// that it covers are ignored.
 func (l *leafCommand) config() (leaf.Config, error) {
 	config := leaf.DefaultConfig()
 	if err := readSettings(l.settings, &config); err != nil {
@@ -109,6 +111,7 @@
 	return config, nil
 }
 
+// parseShards parses a comma-separated list of shard numbers.
 func parseShards(text string) ([]int, error) {
 	var shards []int
 	for _, part := range strings.Split(text, ",") {
@@ -140,23 +143,24 @@
 	}
 	logAddress(logger, server.Address())
 	<-ctx.Done()
-	// The planned stop of a leaf: what is in flight ends first.
+	// Requests in flight complete before a planned stop. ctx has ended, so draining needs its own
+	// context.
 	drainCtx, cancel := context.WithTimeout(context.Background(), leafDrainTimeout)
 	defer cancel()
 	return server.Drain(drainCtx)
 }
 
-// platformServer is a running stand-in of one part of the platform.
+// platformStandIn is a running stand-in for a service of the platform.
 type platformStandIn interface {
 	Address() string
 	Close()
 }
 
-// platformCommand runs a stand-in of one part of the platform.
+// platformCommand runs a stand-in for a service of the platform.
 type platformCommand struct {
 	name        string
 	description string
-	// start reads the settings file over its defaults and starts the server.
+	// start starts the server with the settings file, whose values override the defaults.
 	start func(listen, settings string, logger *slog.Logger) (platformStandIn, error)
 
 	settings string
