--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -91,13 +91,13 @@
 	steady, wall := m.source.now()
 	drift := wall - steady - time.Duration(m.wallOffset.Load())
 	if drift > maxWallDrift || drift < -maxWallDrift {
-		m.Check()
+		m.detectSuspension()
 	}
 	return steady + time.Duration(m.suspended.Load())
 }
 
-// Check reads the boot clock and updates the total length of suspensions.
-func (m *Monotonic) Check() {
+// detectSuspension reads the boot clock and updates the total length of suspensions.
+func (m *Monotonic) detectSuspension() {
 	boot, ok := m.readBootClock()
 	steady, wall := m.source.now()
 	m.wallOffset.Store(int64(wall - steady))
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -105,7 +105,7 @@
 func TestSystemClocks(t *testing.T) {
 	clock := NewMonotonic()
 	before := clock.Now()
-	clock.Check()
+	clock.detectSuspension()
 	if after := clock.Now(); after <= before || clock.Failures() != 0 {
 		t.Errorf("got %v, then %v with %d failures, want a later time and no failures", before, after, clock.Failures())
 	}
