--- a/cmd/micactl/completion.go
+++ b/cmd/micactl/completion.go
@@ -66,7 +66,7 @@
 }
 
 // completionScript returns the completion script for bash. The script queries the names of nodes,
-// services and classes from the default nodes, with a timeout of one second.
+// services and classes from the nodes in MICAPLANK_NODES, with a timeout of one second.
 func completionScript(root *flaggy.Subcommand) string {
 	names := commandNames(root)
 	var script strings.Builder
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -50,7 +50,7 @@
 	Others   float64 `json:"others" event:"others" doc:"estimated attempts from other nodes in flight to the leaf"`
 	AgeMS    int64   `json:"age_ms" event:"age_ms" doc:"age of the leaf's load report behind that estimate, in ms"`
 	Pace     int     `json:"pace,omitempty" event:"pace" doc:"how long work takes on the leaf's machine according to that report, in percent of the usual time; omitted if the report has no pace"`
-	Slowness float64 `json:"slowness" event:"slowness" doc:"response time of the leaf relative to the expected one; 1 is as expected"`
+	Slowness float64 `json:"slowness" event:"slowness" doc:"slowness of the leaf relative to an ordinary leaf; 1 is as expected"`
 	Budget   float64 `json:"budget" event:"budget" doc:"extra attempts that were left in the shard's budget before this attempt"`
 }
 
