--- a/cmd/micactl/main.go
+++ b/cmd/micactl/main.go
@@ -79,17 +79,17 @@
 	parser := newParser(&flags)
 	list := commands()
 	subcommands := make([]*flaggy.Subcommand, len(list))
-	for i, command := range list {
-		subcommands[i] = command.declare()
+	for i, cmd := range list {
+		subcommands[i] = cmd.declare()
 		parser.AttachSubcommand(subcommands[i], 1)
-		if completion, ok := command.(*completionCommand); ok {
+		if completion, ok := cmd.(*completionCommand); ok {
 			completion.root = &parser.Subcommand
 		}
 	}
 	if err := parser.ParseArgs(arguments); err != nil {
 		return &operator.UsageError{Message: "wrong value of a flag: " + err.Error()}
 	}
-	for i, command := range list {
+	for i, cmd := range list {
 		if !subcommands[i].Used {
 			continue
 		}
@@ -97,7 +97,7 @@
 		if err != nil {
 			return err
 		}
-		return session.Finish(command.run(ctx, session))
+		return session.Finish(cmd.run(ctx, session))
 	}
 	parser.ShowHelp()
 	return &operator.UsageError{Message: "name a command"}
--- a/cmd/micactl/main_test.go
+++ b/cmd/micactl/main_test.go
@@ -38,8 +38,8 @@
 
 func TestHelpGolden(t *testing.T) {
 	transcript := runProgram(t, "", "--help")
-	for _, command := range commands() {
-		transcript += runProgram(t, "", command.declare().Name, "--help")
+	for _, cmd := range commands() {
+		transcript += runProgram(t, "", cmd.declare().Name, "--help")
 	}
 	goldie.New(t).Assert(t, "help", []byte(transcript))
 }
--- a/cmd/micarehearse/main.go
+++ b/cmd/micarehearse/main.go
@@ -55,15 +55,15 @@
 	flaggy.SetDescription("Stand-ins, deployments on loopback and load for micaplank.")
 	flaggy.SetVersion(version.Version)
 	subcommands := make([]*flaggy.Subcommand, len(list))
-	for i, command := range list {
-		subcommands[i] = command.declare()
+	for i, cmd := range list {
+		subcommands[i] = cmd.declare()
 		flaggy.AttachSubcommand(subcommands[i], 1)
 	}
 	flaggy.Parse()
 	logger := slog.New(slog.NewJSONHandler(os.Stderr, nil))
-	for i, command := range list {
+	for i, cmd := range list {
 		if subcommands[i].Used {
-			return exitCode(command.run(ctx, logger))
+			return exitCode(cmd.run(ctx, logger))
 		}
 	}
 	flaggy.ShowHelp("Name a subcommand.")
--- a/cmd/micarehearse/main_test.go
+++ b/cmd/micarehearse/main_test.go
@@ -10,8 +10,8 @@
 
 func TestSubcommandsHaveUniqueNamesAndDescriptions(t *testing.T) {
 	seen := make(map[string]bool)
-	for _, command := range commands() {
-		sub := command.declare()
+	for _, cmd := range commands() {
+		sub := cmd.declare()
 		if sub.Name == "" || sub.Description == "" || seen[sub.Name] {
 			t.Errorf("subcommand %q has description %q, want a unique name and a description", sub.Name, sub.Description)
 		}
