--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -15,7 +15,7 @@
 type Step struct {
 	Time time.Time `json:"time"`
 	Node string    `json:"node"`
-	// Kind is one of the constants Kind*.
+	// Kind is one of the Kind constants, such as KindAttempt.
 	Kind string `json:"kind"`
 	Text string `json:"text"`
 }
