--- a/cmd/micactl/completion.go
+++ b/cmd/micactl/completion.go
@@ -12,16 +12,16 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// completionCommand writes a completion script. The one of the flag library
-// knows the flags of a command only directly after its name, and offers the
-// names of arguments as if they were values.
+// completionCommand writes a shell completion script. It replaces the script of the flag library,
+// which completes the flags of a command only directly after the name of the command, and offers
+// the names of arguments as values.
 type completionCommand struct {
 	shell string
 	root  *flaggy.Subcommand
 }
 
-func (c *completionCommand) attach() *flaggy.Subcommand {
-	subcommand := newCommand("completion", "Write a completion script for bash or zsh: source <(micactl completion bash).")
+func (c *completionCommand) declare() *flaggy.Subcommand {
+	subcommand := newSubcommand("completion", "Write a completion script for bash or zsh: source <(micactl completion bash).")
 	subcommand.AddPositionalValue(&c.shell, "SHELL", 1, true, "bash or zsh.")
 	return subcommand
 }
@@ -38,21 +38,22 @@
 	return nil
 }
 
-// valueWords says how the values of flags, and the arguments of commands, are
-// completed: by words of the shell. A flag that takes a value and is not listed
-// offers nothing.
-var valueWords = map[string]string{
+// completionWords maps flags and commands to the shell expression that lists the completions of
+// the flag value or of the command arguments. Flags and commands that are not listed have no
+// completions.
+var completionWords = map[string]string{
 	"--output":   `$(compgen -W "text json" -- "$cur")`,
 	"--file":     `$(compgen -f -- "$cur")`,
 	"--class":    `$(compgen -W "$(_micactl_column 2 classes)" -- "$cur")`,
 	"apply":      `$(compgen -f -- "$cur")`,
-	"show":       `$(compgen -W "` + strings.Join(showWords(), " ") + `" -- "$cur")`,
+	"show":       `$(compgen -W "` + strings.Join(showSubjects(), " ") + `" -- "$cur")`,
 	"drain":      `$(compgen -W "$(_micactl_column 1 nodes)" -- "$cur")`,
 	"query":      `$(compgen -W "$(_micactl_column 1 services)" -- "$cur")`,
 	"completion": `$(compgen -W "bash zsh" -- "$cur")`,
 }
 
-func showWords() []string {
+// showSubjects returns the words that may follow "show".
+func showSubjects() []string {
 	subjects := []language.ShowSubject{
 		language.ShowServices, language.ShowLeaves, language.ShowClasses,
 		language.ShowChanges, language.ShowVoters, language.ShowNodes,
@@ -64,8 +65,8 @@
 	return append(words, "of")
 }
 
-// completionScript returns the script. Names of nodes, services and classes
-// are asked of the node that the environment names, for a second at most.
+// completionScript returns the completion script for bash. The script queries the names of nodes,
+// services and classes from the nodes in MICAPLANK_NODES, with a timeout of one second.
 func completionScript(root *flaggy.Subcommand) string {
 	names := commandNames(root)
 	var script strings.Builder
@@ -89,7 +90,7 @@
     esac
 }
 complete -F _micactl micactl
-`, strings.Join(names, "|"), valueCases(root), commandCases(root), strings.Join(append(names, flagNames(root)...), " "))
+`, strings.Join(names, "|"), flagValueCases(root), commandCases(root), strings.Join(append(names, flagNames(root)...), " "))
 	return script.String()
 }
 
@@ -112,10 +113,9 @@
 	return names
 }
 
-// valueCases lists the flags that take a value. A short name stands for
-// different flags in different commands, so only long ones are completed by
-// what they mean.
-func valueCases(root *flaggy.Subcommand) string {
+// flagValueCases returns the cases that complete the values of flags. Only long names are
+// completed, because a short name may have different meanings in different commands.
+func flagValueCases(root *flaggy.Subcommand) string {
 	flags := slices.Clone(root.Flags)
 	for _, subcommand := range root.Subcommands {
 		flags = append(flags, subcommand.Flags...)
@@ -126,17 +126,18 @@
 			continue
 		}
 		long := "--" + flag.LongName
-		fmt.Fprintf(&cases, "        %s) COMPREPLY=( %s ); return ;;\n", long, valueWords[long])
+		fmt.Fprintf(&cases, "        %s) COMPREPLY=( %s ); return ;;\n", long, completionWords[long])
 	}
 	return cases.String()
 }
 
+// commandCases returns the cases that complete the flags and arguments of each command.
 func commandCases(root *flaggy.Subcommand) string {
 	var cases strings.Builder
 	for _, subcommand := range root.Subcommands {
 		flags := strings.Join(append(flagNames(subcommand), flagNames(root)...), " ")
 		fmt.Fprintf(&cases, "        %s)\n            if [[ \"$cur\" == -* ]]; then COMPREPLY=( $(compgen -W \"%s\" -- \"$cur\") )\n            else COMPREPLY=( %s ); fi ;;\n",
-			subcommand.Name, flags, valueWords[subcommand.Name])
+			subcommand.Name, flags, completionWords[subcommand.Name])
 	}
 	return cases.String()
 }
--- a/cmd/micactl/main_test.go
+++ b/cmd/micactl/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// runVariable makes the test binary run as the program.
+// runVariable is the environment variable that makes the test binary run as micactl.
 const runVariable = "MICACTL_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -21,31 +21,31 @@
 	os.Exit(m.Run())
 }
 
-// runProgram runs the program and returns its output and exit code.
+// runProgram runs micactl and returns a transcript with its output and exit code.
 func runProgram(t *testing.T, input string, arguments ...string) string {
 	t.Helper()
 	command := exec.Command(os.Args[0], arguments...)
-	// The race detector would sleep a second at the end of each process.
+	// By default, the race detector sleeps for a second at the exit of each process.
 	command.Env = []string{runVariable + "=1", "USER=mori", "GORACE=atexit_sleep_ms=0"}
 	command.Stdin = strings.NewReader(input)
 	output, err := command.CombinedOutput()
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	var exitError *exec.ExitError
+	if err != nil && !errors.As(err, &exitError) {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf("$ micactl %s\n%sexit %d\n\n", strings.Join(arguments, " "), output, command.ProcessState.ExitCode())
 }
 
 func TestHelpGolden(t *testing.T) {
-	report := runProgram(t, "", "--help")
-	for _, candidate := range commands() {
-		report += runProgram(t, "", candidate.attach().Name, "--help")
+	transcript := runProgram(t, "", "--help")
+	for _, cmd := range commands() {
+		transcript += runProgram(t, "", cmd.declare().Name, "--help")
 	}
-	goldie.New(t).Assert(t, "help", []byte(report))
+	goldie.New(t).Assert(t, "help", []byte(transcript))
 }
 
 func TestUsageGolden(t *testing.T) {
-	// Port 1 of this machine refuses connections.
+	// No process listens on port 1 of the loopback address, so connections are refused.
 	cases := [][]string{
 		{"--version"},
 		{"bogus"},
@@ -64,23 +64,23 @@
 		{"completion"},
 		{"completion", "fish"},
 	}
-	var report strings.Builder
+	var transcript strings.Builder
 	for _, arguments := range cases {
-		report.WriteString(runProgram(t, "stop servce x\n", arguments...))
+		transcript.WriteString(runProgram(t, "stop servce x\n", arguments...))
 	}
-	goldie.New(t).Assert(t, "usage", []byte(report.String()))
+	goldie.New(t).Assert(t, "usage", []byte(transcript.String()))
 }
 
-// TestCompletionGolden asks the script in a real shell what it offers. The word
-// to complete is the last.
+// TestCompletionGolden runs the completion script in bash, and records the completions of the last
+// word of each line.
 func TestCompletionGolden(t *testing.T) {
-	script := completionOf(t, "bash")
+	script := runCompletion(t, "bash")
 	lines := []string{
 		"", "st", "--ti", "--output ", "--output json st", "exec --", "exec --file main_t", "exec -f x --dry",
 		"apply main_", "apply --", "show ", "show l", "show leaves ", "status --ou", "watch --", "watch --interval ",
 		"query rate-desk --", "drain --no", "completion ",
 	}
-	var report strings.Builder
+	var transcript strings.Builder
 	for _, line := range lines {
 		words := strings.Split(line, " ")
 		quoted := "micactl"
@@ -89,29 +89,29 @@
 		}
 		shell := exec.Command("bash", "--norc", "-c", fmt.Sprintf("%s\nCOMP_WORDS=(%s); COMP_CWORD=%d; _micactl; echo ${COMPREPLY[@]}", script, quoted, len(words)))
 		shell.Env = []string{"PATH=" + os.Getenv("PATH")}
-		offered, err := shell.CombinedOutput()
+		output, err := shell.CombinedOutput()
 		if err != nil {
-			t.Fatalf("%s: %v\n%s", line, err, offered)
+			t.Fatalf("%s: %v\n%s", line, err, output)
 		}
-		fmt.Fprintf(&report, "> micactl %s\n%s", line, offered)
+		fmt.Fprintf(&transcript, "> micactl %s\n%s", line, output)
 	}
-	goldie.New(t).Assert(t, "completion", []byte(report.String()))
+	goldie.New(t).Assert(t, "completion", []byte(transcript.String()))
 }
 
-func TestCompletionForZshLoadsThatOfBash(t *testing.T) {
-	script, found := strings.CutPrefix(completionOf(t, "zsh"), "autoload -U +X bashcompinit && bashcompinit\n")
-	if !found || script != completionOf(t, "bash") {
-		t.Errorf("got %s", script)
+func TestZshCompletionWrapsBashScript(t *testing.T) {
+	script, found := strings.CutPrefix(runCompletion(t, "zsh"), "autoload -U +X bashcompinit && bashcompinit\n")
+	if !found || script != runCompletion(t, "bash") {
+		t.Errorf("got script %q, want the header of zsh followed by the script of bash", script)
 	}
 }
 
-func completionOf(t *testing.T, shell string) string {
+func runCompletion(t *testing.T, shell string) string {
 	t.Helper()
-	report := runProgram(t, "", "completion", shell)
-	_, script, _ := strings.Cut(report, "\n")
+	transcript := runProgram(t, "", "completion", shell)
+	_, script, _ := strings.Cut(transcript, "\n")
 	script, found := strings.CutSuffix(script, "exit 0\n\n")
 	if !found {
-		t.Fatal(report)
+		t.Fatalf("got transcript %q, want exit code 0", transcript)
 	}
 	return script
 }
--- a/internal/telemetry/list.go
+++ b/internal/telemetry/metrics_list.go
@@ -12,10 +12,10 @@
 	"github.com/samber/oops"
 )
 
-// MetricType is the type of a metric, as Prometheus names it.
+// MetricType is a metric type of the Prometheus exposition format.
 type MetricType string
 
-// The types.
+// Metric types.
 const (
 	TypeCounter   MetricType = "counter"
 	TypeGauge     MetricType = "gauge"
@@ -24,7 +24,7 @@
 	TypeUnknown   MetricType = "untyped"
 )
 
-// Metric describes one metric of a registry.
+// Metric describes a registered metric.
 type Metric struct {
 	Name   string
 	Type   MetricType
@@ -32,8 +32,7 @@
 	Labels []string
 }
 
-// Metrics lists the registered metrics whose name starts with prefix, in the
-// order of their names.
+// Metrics returns the registered metrics whose name starts with prefix, sorted by name.
 func (r *Registry) Metrics(prefix string) ([]Metric, error) {
 	families, err := r.Gather()
 	if err != nil {
@@ -44,9 +43,9 @@
 		gathered[family.GetName()] = MetricType(strings.ToLower(family.GetType().String()))
 	}
 	var metrics []Metric
-	for _, metric := range describe(r.Registry) {
+	for _, metric := range describeMetrics(r.Registry) {
 		if strings.HasPrefix(metric.Name, prefix) {
-			metric.Type = r.typeOf(metric.Name, gathered)
+			metric.Type = r.lookupType(metric.Name, gathered)
 			metrics = append(metrics, metric)
 		}
 	}
@@ -54,17 +53,19 @@
 	return slices.CompactFunc(metrics, func(left, right Metric) bool { return left.Name == right.Name }), nil
 }
 
-func (r *Registry) typeOf(name string, gathered map[string]MetricType) MetricType {
-	if kind, found := r.types[name]; found {
-		return kind
+// lookupType returns the type of a metric. A vector without samples is not among the gathered
+// metrics; its type was recorded when it was registered.
+func (r *Registry) lookupType(name string, gathered map[string]MetricType) MetricType {
+	if metricType, exists := r.types[name]; exists {
+		return metricType
 	}
-	if kind, found := gathered[name]; found {
-		return kind
+	if metricType, exists := gathered[name]; exists {
+		return metricType
 	}
 	return TypeUnknown
 }
 
-// WriteMetrics writes metrics as a Markdown table.
+// WriteMetrics writes a Markdown table that lists metrics.
 func WriteMetrics(writer io.Writer, metrics []Metric) error {
 	var text strings.Builder
 	text.WriteString("| Metric | Type | Labels | Meaning |\n| --- | --- | --- | --- |\n")
@@ -80,11 +81,13 @@
 	return err
 }
 
-// A description has no accessors; its text is the only way to its fields.
+// descriptionPattern parses the text of a prometheus.Desc, which has no accessors for its
+// fields.
 var descriptionPattern = regexp.MustCompile(
 	`^Desc\{fqName: ("(?:[^"\\]|\\.)*"), help: ("(?:[^"\\]|\\.)*"),.* variableLabels: \{([^}]*)\}\}$`)
 
-func describe(collector prometheus.Collector) []Metric {
+// describeMetrics returns the name, help and labels of the metrics that a collector describes.
+func describeMetrics(collector prometheus.Collector) []Metric {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		defer close(descriptions)
@@ -92,23 +95,24 @@
 	}()
 	var metrics []Metric
 	for description := range descriptions {
-		parts := descriptionPattern.FindStringSubmatch(description.String())
-		if parts == nil {
+		match := descriptionPattern.FindStringSubmatch(description.String())
+		if match == nil {
 			continue
 		}
-		metric := Metric{Name: unquote(parts[1]), Help: unquote(parts[2])}
-		if parts[3] != "" {
-			metric.Labels = strings.Split(parts[3], ",")
+		metric := Metric{Name: unquote(match[1]), Help: unquote(match[2])}
+		if match[3] != "" {
+			metric.Labels = strings.Split(match[3], ",")
 		}
 		metrics = append(metrics, metric)
 	}
 	return metrics
 }
 
+// unquote returns the value of a Go string literal, or text itself if it is no literal.
 func unquote(text string) string {
-	plain, err := strconv.Unquote(text)
+	unquoted, err := strconv.Unquote(text)
 	if err != nil {
 		return text
 	}
-	return plain
+	return unquoted
 }
