--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,34 +12,33 @@
 	"github.com/samber/oops"
 )
 
-// maximumCalls bounds the calls that run at once for one connection; more are
-// refused.
-// Not measured: chosen because it bounds the goroutines that a peer can start.
-const maximumCalls = 4096
+// maxConcurrentCalls is the maximum number of concurrent calls of one connection. Further calls are
+// refused. It limits the number of goroutines that a peer can start.
+const maxConcurrentCalls = 4096
 
-// method is a registered handler with the type of its request.
-type method struct {
+// registeredMethod is a handler with a constructor of its request.
+type registeredMethod struct {
 	newRequest func() any
-	run        func(ctx context.Context, from netip.AddrPort, request any) (any, error)
+	handle     func(ctx context.Context, from netip.AddrPort, request any) (any, error)
 }
 
-// Server takes calls from peers.
+// Server handles calls of peers.
 type Server struct {
 	listener net.Listener
 	metrics  *callMetrics
 
-	mutex    sync.Mutex
-	methods  map[string]method
-	links    map[*serverLink]struct{}
-	greeting map[net.Conn]struct{} // connections that have not greeted yet
-	draining bool
-	closed   bool
+	mutex       sync.Mutex
+	methods     map[string]registeredMethod
+	conns       map[*serverConn]struct{}
+	handshaking map[net.Conn]struct{} // accepted connections before the end of the handshake
+	draining    bool
+	closed      bool
 
-	running sync.WaitGroup
+	goroutines sync.WaitGroup
 }
 
-// Listen opens a TCP listener at address (port 0 picks a free one). Calls are
-// taken once Serve is called, so that methods can be registered first.
+// Listen opens a TCP listener at address. With port 0 the system selects a free port. The server
+// accepts connections after Serve is called, so that methods can be registered before.
 func Listen(address netip.AddrPort, registerer prometheus.Registerer) (*Server, error) {
 	return listen(address, newCallMetrics(registerer, "server"))
 }
@@ -50,27 +49,27 @@
 		return nil, oops.In("peer").With("step", "listen").With("peer", address.String()).Wrap(err)
 	}
 	return &Server{
-		listener: listener,
-		metrics:  metrics,
-		methods:  map[string]method{},
-		links:    map[*serverLink]struct{}{},
-		greeting: map[net.Conn]struct{}{},
+		listener:    listener,
+		metrics:     metrics,
+		methods:     map[string]registeredMethod{},
+		conns:       map[*serverConn]struct{}{},
+		handshaking: map[net.Conn]struct{}{},
 	}, nil
 }
 
-// Register sets the handler of a method. Request and Response are structs that
-// gob can encode: at least one exported field each. The handler's context ends
-// with the caller's deadline, when the caller gives up and when the connection
-// is lost. An error from the handler reaches the caller as text.
+// Register sets the handler of a method. Request and Response are structs that gob can encode, so
+// each has at least one exported field. The context of the handler ends at the caller's deadline,
+// when the caller cancels the call, and when the connection is lost. The caller receives the text
+// of an error that the handler returns.
 func Register[Request, Response any](
 	server *Server, name string,
 	handler func(ctx context.Context, from netip.AddrPort, request *Request) (*Response, error),
 ) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.methods[name] = method{
+	server.methods[name] = registeredMethod{
 		newRequest: func() any { return new(Request) },
-		run: func(ctx context.Context, from netip.AddrPort, request any) (any, error) {
+		handle: func(ctx context.Context, from netip.AddrPort, request any) (any, error) {
 			response, err := handler(ctx, from, request.(*Request))
 			if err != nil {
 				return nil, err
@@ -80,129 +79,136 @@
 	}
 }
 
-// Address returns the local address, with the port that was picked.
+// Address returns the local address with the actual port.
 func (s *Server) Address() netip.AddrPort { return localAddress(s.listener.Addr()) }
 
-// Serve starts to accept connections and returns at once.
+// Serve starts to accept connections in the background and returns immediately.
 func (s *Server) Serve() {
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	go s.accept()
 }
 
+// accept accepts connections until the listener is closed.
 func (s *Server) accept() {
-	defer s.running.Done()
+	defer s.goroutines.Done()
 	for {
-		connection, err := s.listener.Accept()
+		netConn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// The process is out of descriptors, most likely.
+			// The most likely cause is that the process has no free file descriptors. The pause
+			// avoids a busy loop.
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.running.Add(1)
-		go s.greet(connection)
+		s.goroutines.Add(1)
+		go s.handshake(netConn)
 	}
 }
 
-func (s *Server) greet(connection net.Conn) {
-	defer s.running.Done()
-	if !s.beginGreeting(connection) {
-		_ = connection.Close()
+// handshake exchanges greetings on an accepted connection and then serves it.
+func (s *Server) handshake(netConn net.Conn) {
+	defer s.goroutines.Done()
+	if !s.addHandshaking(netConn) {
+		_ = netConn.Close()
 		return
 	}
-	_ = connection.SetDeadline(time.Now().Add(handshakeTimeout))
-	// The greeting is answered also if the other side's is wrong: it then
-	// sees whom it has reached.
-	wrong := expectGreeting(connection)
-	unsent := greet(connection)
-	s.endGreeting(connection)
-	if unsent != nil || wrong != nil {
+	_ = netConn.SetDeadline(time.Now().Add(handshakeTimeout))
+	// The greeting is written even if the other side's greeting is wrong, so that the other side
+	// can report which protocol it has reached.
+	readErr := readGreeting(netConn)
+	writeErr := writeGreeting(netConn)
+	s.removeHandshaking(netConn)
+	if writeErr != nil || readErr != nil {
 		s.metrics.calls.WithLabelValues("", "handshake_failed").Inc()
-		_ = connection.Close()
+		_ = netConn.Close()
 		return
 	}
-	_ = connection.SetDeadline(time.Time{})
-	s.serve(connection)
+	_ = netConn.SetDeadline(time.Time{})
+	s.serve(netConn)
 }
 
-func (s *Server) beginGreeting(connection net.Conn) bool {
+// addHandshaking returns false if the server is closed.
+func (s *Server) addHandshaking(netConn net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.greeting[connection] = struct{}{}
+	s.handshaking[netConn] = struct{}{}
 	return true
 }
 
-func (s *Server) endGreeting(connection net.Conn) {
+func (s *Server) removeHandshaking(netConn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.greeting, connection)
+	delete(s.handshaking, netConn)
 }
 
-func (s *Server) serve(connection net.Conn) {
+// serve handles the calls of a connection until it is closed.
+func (s *Server) serve(netConn net.Conn) {
 	sent := s.metrics.bytes.WithLabelValues("sent")
 	received := s.metrics.bytes.WithLabelValues("received")
-	l := &serverLink{
-		server: s,
-		from:   localAddress(connection.RemoteAddr()),
-		calls:  map[uint64]context.CancelFunc{},
-		link: newLink(connection,
+	conn := &serverConn{
+		server:  s,
+		remote:  localAddress(netConn.RemoteAddr()),
+		cancels: map[uint64]context.CancelFunc{},
+		framed: newFramedConn(netConn,
 			func(bytes int) { sent.Add(float64(bytes)) },
 			func(bytes int) { received.Add(float64(bytes)) }),
 	}
-	if !s.add(l) {
-		l.link.close()
-		l.link.writer.Wait()
+	if !s.addConn(conn) {
+		conn.framed.close()
+		conn.framed.writerDone.Wait()
 		return
 	}
-	l.read()
-	l.link.close()
-	l.cancelAll()
-	l.link.writer.Wait()
-	s.remove(l)
+	conn.readFrames()
+	conn.framed.close()
+	conn.cancelAll()
+	conn.framed.writerDone.Wait()
+	s.removeConn(conn)
 }
 
-func (s *Server) add(l *serverLink) bool {
+// addConn adds a connection, and drains it if the server is draining. It returns false if the
+// server is closed.
+func (s *Server) addConn(conn *serverConn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.links[l] = struct{}{}
+	s.conns[conn] = struct{}{}
 	s.metrics.connections.Inc()
 	if s.draining {
-		s.running.Go(l.end)
+		s.goroutines.Go(conn.drain)
 	}
 	return true
 }
 
-func (s *Server) remove(l *serverLink) {
+func (s *Server) removeConn(conn *serverConn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.links, l)
+	delete(s.conns, conn)
 	s.metrics.connections.Dec()
 }
 
-// admit finds the method of a request and counts the request as running on l,
-// unless it is refused.
-func (s *Server) admit(header frameHeader, l *serverLink) (method, refusal) {
+// admit returns the method of a request and adds it to the running handlers of conn, or returns the
+// reason of a refusal.
+func (s *Server) admit(header frameHeader, conn *serverConn) (registeredMethod, refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	found, ok := s.methods[header.Method]
+	method, ok := s.methods[header.Method]
 	switch {
 	case !ok:
-		return method{}, refusedUnknownMethod
+		return registeredMethod{}, refusedUnknownMethod
 	case s.draining:
-		return method{}, refusedDraining
-	case l.inFlight() >= maximumCalls:
-		return method{}, refusedBusy
+		return registeredMethod{}, refusedDraining
+	case conn.inFlight() >= maxConcurrentCalls:
+		return registeredMethod{}, refusedBusy
 	case header.Remaining < 0:
-		return method{}, refusedLate
+		return registeredMethod{}, refusedLate
 	}
-	l.handlers.Add(1)
-	return found, refusedNone
+	conn.handlers.Add(1)
+	return method, refusedNone
 }
--- a/internal/scatter/conn.go
+++ b/internal/scatter/conn.go
@@ -9,91 +9,93 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// Conn runs the queries of one service. It is safe for concurrent use.
+// Conn runs the queries of one service on its leaves. It is safe for concurrent use.
 type Conn[Q, P any] struct {
 	config Config[Q, P]
 
-	mutex      sync.Mutex
-	dispatcher *dispatch.Dispatcher
-	topology   dispatch.Topology
-	usable     map[netip.AddrPort]bool
-	lastQuery  dispatch.QueryID
-	queries    map[dispatch.QueryID]*query[Q, P]
-	attempts   map[dispatch.AttemptID]*attempt
-	timer      *time.Timer
-	closed     bool
-	running    sync.WaitGroup
+	// mutex guards the fields below, except goroutines.
+	mutex       sync.Mutex
+	dispatcher  *dispatch.Dispatcher
+	topology    dispatch.Topology
+	usable      map[netip.AddrPort]bool
+	lastQueryID dispatch.QueryID
+	queries     map[dispatch.QueryID]*runningQuery[Q, P]
+	attempts    map[dispatch.AttemptID]*runningAttempt
+	timer       *time.Timer
+	closed      bool
+	// goroutines counts the goroutines of running attempts.
+	goroutines sync.WaitGroup
 }
 
-// NewConn returns a Conn that owns the dispatcher from now on.
+// NewConn returns a Conn that takes ownership of the dispatcher.
 func NewConn[Q, P any](config Config[Q, P], dispatcher *dispatch.Dispatcher) *Conn[Q, P] {
 	conn := &Conn[Q, P]{
 		config:     config,
 		dispatcher: dispatcher,
-		queries:    make(map[dispatch.QueryID]*query[Q, P]),
-		attempts:   make(map[dispatch.AttemptID]*attempt),
+		queries:    make(map[dispatch.QueryID]*runningQuery[Q, P]),
+		attempts:   make(map[dispatch.AttemptID]*runningAttempt),
 	}
 	conn.timer = time.AfterFunc(time.Hour, conn.tick)
 	conn.timer.Stop()
 	return conn
 }
 
-// Execute runs a query and blocks until it ends. When ctx ends, because the
-// caller went away, the attempts in flight are cancelled.
+// Execute runs a query and blocks until it ends. If ctx ends first, the query is cancelled together
+// with its attempts in flight.
 func (c *Conn[Q, P]) Execute(ctx context.Context, request Request[Q]) Result[P] {
-	running := c.submit(request)
+	query := c.submit(request)
 	select {
-	case result := <-running.done:
+	case result := <-query.result:
 		return result
 	case <-ctx.Done():
 	}
-	c.step(func(now dispatch.Time) []dispatch.Action {
+	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		for id, candidate := range c.queries {
-			if candidate == running {
+			if candidate == query {
 				return c.dispatcher.Cancel(now, id)
 			}
 		}
 		return nil
 	})
-	return <-running.done
+	return <-query.result
 }
 
-// Close refuses new queries and blocks until the running ones have ended and
-// every attempt has reported.
+// Close rejects new queries and blocks until every running attempt has ended.
 func (c *Conn[Q, P]) Close() {
 	c.mutex.Lock()
 	c.closed = true
 	c.mutex.Unlock()
-	c.running.Wait()
+	c.goroutines.Wait()
 	c.timer.Stop()
 }
 
-// step runs one call to the dispatcher and performs what it decided.
-func (c *Conn[Q, P]) step(decide func(now dispatch.Time) []dispatch.Action) {
+// applyDecision calls the dispatcher under the mutex, performs the actions that it returns and
+// resets the timer.
+func (c *Conn[Q, P]) applyDecision(decide func(now dispatch.Time) []dispatch.Action) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	actions := decide(c.config.Clock.Now())
 	for _, action := range actions {
 		c.perform(action)
 	}
-	c.schedule()
+	c.resetTimer()
 }
 
 func (c *Conn[Q, P]) perform(action dispatch.Action) {
 	switch action := action.(type) {
 	case dispatch.Send:
-		c.start(action)
+		c.startAttempt(action)
 	case dispatch.Abort:
-		c.abort(action)
+		c.abortAttempt(action)
 	case dispatch.Finish:
-		c.finish(action)
+		c.finishQuery(action)
 	}
 }
 
-// schedule sets the timer to the dispatcher's next deadline.
-func (c *Conn[Q, P]) schedule() {
-	next, wanted := c.dispatcher.NextTick()
-	if !wanted {
+// resetTimer sets the timer to the dispatcher's next tick, or stops it if there is none.
+func (c *Conn[Q, P]) resetTimer() {
+	next, ok := c.dispatcher.NextTick()
+	if !ok {
 		c.timer.Stop()
 		return
 	}
@@ -101,9 +103,9 @@
 }
 
 func (c *Conn[Q, P]) tick() {
-	c.step(c.dispatcher.Tick)
+	c.applyDecision(c.dispatcher.Tick)
 }
 
-// Wake ends what has expired. After a suspension of the machine the timer fires too
-// late for it.
+// Wake ends the queries that have expired. It is needed after the machine was suspended, because
+// process timers do not advance during a suspension and fire late.
 func (c *Conn[Q, P]) Wake() { c.tick() }
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -28,25 +28,25 @@
 )
 
 var (
-	errRefusedDial = errors.New("connection refused")
+	errDialRefused = errors.New("connection refused")
 	errLost        = errors.New("connection lost")
 	repeatable     = catalog.Class{Name: "check", Priority: 1, Deadline: time.Second, Coverage: 1, Repeatable: true, HedgePercentile: 0.9, ExtraLoad: 0.5}
-	onlyOnce       = catalog.Class{Name: "file", Priority: 1, Deadline: time.Second, Coverage: 1}
+	nonRepeatable  = catalog.Class{Name: "file", Priority: 1, Deadline: time.Second, Coverage: 1}
 )
 
-// faultyLeaves is a LeafClient that keeps a log of executions and fails in
-// every way that a leaf or the way to it can.
+// faultyLeaves is a StatementExecutor that logs executions and injects refused dials, refusals by
+// the leaf and lost replies.
 type faultyLeaves struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
-	executed map[string][]int // shards by request id, one entry an execution
+	executed map[string][]int // by request ID: the shard of each execution
 }
 
 func newFaultyLeaves(seed uint64) *faultyLeaves {
 	return &faultyLeaves{random: rand.New(rand.NewPCG(seed, 1)), executed: make(map[string][]int)}
 }
 
-func (f *faultyLeaves) draw() (kind int, delay time.Duration) {
+func (f *faultyLeaves) drawFault() (kind int, delay time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.random.IntN(20), time.Duration(f.random.IntN(8)) * time.Millisecond
@@ -59,7 +59,7 @@
 }
 
 func (f *faultyLeaves) Execute(ctx context.Context, address netip.AddrPort, request leaf.ExecuteRequest) (*leaf.ExecuteResponse, error) {
-	kind, delay := f.draw()
+	kind, delay := f.drawFault()
 	response := &leaf.ExecuteResponse{
 		RequestID: request.RequestID, AttemptID: request.AttemptID,
 		Shard: request.Shard, Snapshot: request.Snapshot, BootID: address.String(),
@@ -67,7 +67,7 @@
 	}
 	switch kind {
 	case 0:
-		return nil, &leaf.TransportError{Step: leaf.StepConnect, Peer: address, Sent: false, Err: errRefusedDial}
+		return nil, &leaf.TransportError{Step: leaf.StepConnect, Peer: address, Sent: false, Err: errDialRefused}
 	case 1:
 		response.Refusal = leaf.RefusedShed
 		return response, nil
@@ -109,13 +109,13 @@
 	return conn
 }
 
-func always() error { return nil }
+func allowAlways() error { return nil }
 
-// TestFatesAreTrue runs many queries at once through faulty leaves and checks
-// each caller's answer against the log of executions.
-func TestFatesAreTrue(t *testing.T) {
+// TestOutcomesMatchExecutions runs concurrent queries on faulty leaves and checks each result
+// against the log of executions.
+func TestOutcomesMatchExecutions(t *testing.T) {
 	leaves := newFaultyLeaves(7)
-	conn := newTestConn(leaves, always)
+	conn := newTestConn(leaves, allowAlways)
 	const queries = 2000
 	results := make([]Result[rows.Table], queries)
 	var running sync.WaitGroup
@@ -135,7 +135,7 @@
 		checkResult(t, testRequest(i), result, leaves.executed[testRequest(i).RequestID])
 	}
 	if counts[dispatch.OutcomeAnswered] == 0 {
-		t.Fatalf("no query was answered: %v", counts)
+		t.Fatalf("got no answered query, want some; outcomes: %v", counts)
 	}
 }
 
@@ -145,7 +145,7 @@
 		Timeout: 200 * time.Millisecond, MinimumCoverage: 1,
 	}
 	if i%3 == 0 {
-		request.Class, request.HasKey, request.KeyHash = onlyOnce, true, uint64(i)
+		request.Class, request.HasKey, request.KeyHash = nonRepeatable, true, uint64(i)
 	}
 	return request
 }
@@ -153,25 +153,27 @@
 func checkResult(t *testing.T, request Request[string], result Result[rows.Table], executions []int) {
 	t.Helper()
 	if result.Outcome == dispatch.OutcomeNotRun && len(executions) > 0 {
-		t.Errorf("%s: not run, but executed on shards %v", request.RequestID, executions)
+		t.Errorf("%s: got executions on shards %v, want none for outcome %s", request.RequestID, executions, result.Outcome)
 	}
 	if !request.Class.Repeatable && len(executions) > 1 {
-		t.Errorf("%s: executed %d times", request.RequestID, len(executions))
+		t.Errorf("%s: got %d executions of a non-repeatable request, want at most 1", request.RequestID, len(executions))
 	}
 	if len(result.Answered)+len(result.Missing) != result.Total {
-		t.Errorf("%s: %d answered and %d missing of %d", request.RequestID, len(result.Answered), len(result.Missing), result.Total)
+		t.Errorf("%s: got %d answered and %d missing shards, want a sum of %d",
+			request.RequestID, len(result.Answered), len(result.Missing), result.Total)
 	}
-	for _, table := range result.Parts {
-		row := table.Part.Rows[0]
-		if row[0].Text != request.RequestID || int(row[1].Number) != table.Shard {
-			t.Errorf("%s shard %d: got the row of %s shard %v", request.RequestID, table.Shard, row[0].Text, row[1].Number)
+	for _, part := range result.Parts {
+		row := part.Part.Rows[0]
+		if row[0].Text != request.RequestID || int(row[1].Number) != part.Shard {
+			t.Errorf("got the row of %s shard %v, want %s shard %d", row[0].Text, row[1].Number, request.RequestID, part.Shard)
 		}
 	}
 }
 
-// TestGuardMayBringANewerTopology covers a node that slept between the decision
-// and the send, while the leaves were retired: none gets work.
-func TestGuardMayBringANewerTopology(t *testing.T) {
+// TestGuardUpdatesTopologyBeforeSend simulates a process that was frozen between the decision and
+// the send while its leaves were retired: the guard installs the newer topology, and no leaf
+// receives the attempt.
+func TestGuardUpdatesTopologyBeforeSend(t *testing.T) {
 	leaves := newFaultyLeaves(1)
 	var conn *Conn[string, rows.Table]
 	conn = newTestConn(leaves, func() error {
@@ -185,13 +187,13 @@
 	defer conn.Close()
 	result := conn.Execute(context.Background(), Request[string]{RequestID: "r", Class: repeatable, Timeout: time.Second, MinimumCoverage: 1})
 	if result.Outcome != dispatch.OutcomeNotRun || len(leaves.executed) > 0 {
-		t.Errorf("%s, executed %v", result.Outcome, leaves.executed)
+		t.Errorf("got outcome %s and executions %v, want %s and none", result.Outcome, leaves.executed, dispatch.OutcomeNotRun)
 	}
 }
 
-// TestGuardForbidsSends covers a node that was frozen between the decision and
-// the send: nothing leaves, and "not run" is true.
-func TestGuardForbidsSends(t *testing.T) {
+// TestGuardErrorPreventsSend simulates a process that was frozen between the decision and the send:
+// nothing is sent, and the query is reported as not run.
+func TestGuardErrorPreventsSend(t *testing.T) {
 	leaves := newFaultyLeaves(1)
 	conn := newTestConn(leaves, func() error { return errors.New("not fresh") })
 	request := testRequest(0)
@@ -199,11 +201,11 @@
 	result := conn.Execute(context.Background(), request)
 	conn.Close()
 	if result.Outcome != dispatch.OutcomeNotRun || len(leaves.executed) != 0 {
-		t.Fatalf("outcome %s, executions %v", result.Outcome, leaves.executed)
+		t.Fatalf("got outcome %s and executions %v, want %s and none", result.Outcome, leaves.executed, dispatch.OutcomeNotRun)
 	}
 }
 
-// stuckLeaves answers only when the attempt is cancelled.
+// stuckLeaves is a StatementExecutor that blocks until the attempt is cancelled.
 type stuckLeaves struct{ cancelled chan struct{} }
 
 func (s *stuckLeaves) Execute(ctx context.Context, address netip.AddrPort, _ leaf.ExecuteRequest) (*leaf.ExecuteResponse, error) {
@@ -212,22 +214,23 @@
 	return nil, &leaf.TransportError{Step: leaf.StepReceive, Peer: address, Sent: true, Err: ctx.Err()}
 }
 
-func TestCallerWhoLeavesCancelsEveryAttempt(t *testing.T) {
+func TestContextCancelStopsAttempts(t *testing.T) {
 	leaves := &stuckLeaves{cancelled: make(chan struct{}, testShards*testReplicas)}
-	conn := newTestConn(leaves, always)
+	conn := newTestConn(leaves, allowAlways)
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(10*time.Millisecond, cancel)
 	result := conn.Execute(ctx, testRequest(1))
 	conn.Close()
 	if result.Reason != dispatch.ReasonCancelled || len(leaves.cancelled) < testShards {
-		t.Fatalf("reason %s, %d attempts cancelled", result.Reason, len(leaves.cancelled))
+		t.Fatalf("got reason %s and %d cancelled attempts, want %s and at least %d",
+			result.Reason, len(leaves.cancelled), dispatch.ReasonCancelled, testShards)
 	}
 }
 
-func TestClosedConnRefuses(t *testing.T) {
-	conn := newTestConn(newFaultyLeaves(1), always)
+func TestExecuteAfterClose(t *testing.T) {
+	conn := newTestConn(newFaultyLeaves(1), allowAlways)
 	conn.Close()
 	if result := conn.Execute(context.Background(), testRequest(1)); result.Outcome != dispatch.OutcomeNotRun {
-		t.Fatalf("outcome %s", result.Outcome)
+		t.Fatalf("got outcome %s, want %s", result.Outcome, dispatch.OutcomeNotRun)
 	}
 }
