--- a/internal/selfhosted/dissemination/wire_test.go
+++ b/internal/selfhosted/dissemination/wire_test.go
@@ -10,10 +10,10 @@
 // the recorded ones. A change would break clusters with two versions and existing data in the
 // store.
 func TestMessagesReadAsRecorded(t *testing.T) {
-	wiretest.Gob[FetchCall](t, "dissemination.fetch.request")
-	wiretest.Gob[FetchReply](t, "dissemination.fetch.response")
-	wiretest.JSON[chunk](t, "checkpoint.chunk")
-	wiretest.Encoded(t, "dissemination.packet",
+	wiretest.CheckGob[FetchCall](t, "dissemination.fetch.request")
+	wiretest.CheckGob[FetchReply](t, "dissemination.fetch.response")
+	wiretest.CheckJSON[chunk](t, "checkpoint.chunk")
+	wiretest.CheckEncoding(t, "dissemination.packet",
 		func(packet wirePacket) ([]byte, error) { return packetCodec.Encode(&packet) },
 		func(encoded []byte) (wirePacket, error) {
 			packet, err := packetCodec.Decode(encoded)
