--- a/internal/selfhosted/dissemination/acceptance.go
+++ b/internal/selfhosted/dissemination/acceptance.go
@@ -6,42 +6,40 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// acceptance finds out whether a majority of the voters held a revision at one
-// moment.
+// acceptance determines whether a majority of the voters held a revision at the same moment.
 //
-// One round of answers does not show that: a voter may have been restarted, and
-// have recovered without the revision, between its answer and the last one. So
-// once a majority has answered, at firstAt, the same processes are asked again.
-// A second answer shows that the process ran, and so held the revision, at
-// firstAt.
+// One round of responses is not sufficient: a voter may restart after its response and recover
+// without the revision before the last response arrives. Therefore the same processes are asked
+// again after a majority has responded at firstRoundAt. A second response proves that the process
+// was running, and so held the revision, at firstRoundAt.
 type acceptance struct {
 	revision uint64
 	voters   map[string]catalog.Voter
-	// firstRound holds the incarnations of the first round's majority.
-	firstRound map[string]uint64
-	firstAt    Time
-	nextPoll   Time
+	// firstRound holds the incarnations of the voters that form the majority of the first round.
+	firstRound   map[string]uint64
+	firstRoundAt Time
+	nextPoll     Time
 }
 
-// roundTimeout is after how many retry intervals the first round is repeated.
-const roundTimeout = 5
+// roundTimeoutRetries is the number of retry intervals after which the first round is repeated.
+const roundTimeoutRetries = 5
 
-// pollAcceptance advances a by what is known now, asks the voters if that is
-// due, and says whether the revision is accepted.
+// pollAcceptance evaluates the received responses, sends requests to the voters if they are due,
+// and reports whether the revision is accepted.
 func (c *Core) pollAcceptance(now Time, a *acceptance) bool {
 	voters := c.log.catalog.Voters
 	if len(voters) == 0 {
-		return true // the store alone decides
+		return true // without voters, a stored change is accepted
 	}
-	if !maps.Equal(a.voters, voters) || (a.firstRound != nil && now-a.firstAt > roundTimeout*c.config.RetryInterval) {
+	if !maps.Equal(a.voters, voters) || (a.firstRound != nil && now-a.firstRoundAt > roundTimeoutRetries*c.config.RetryInterval) {
 		a.voters, a.firstRound, a.nextPoll = voters, nil, now
 	}
 	if a.firstRound == nil {
 		if holders := c.holders(a.revision); len(holders) >= c.quorum() {
-			a.firstRound, a.firstAt, a.nextPoll = holders, now, now
+			a.firstRound, a.firstRoundAt, a.nextPoll = holders, now, now
 		}
 	}
-	if a.firstRound != nil && (c.omit.secondRound || c.stillHolding(a) >= c.quorum()) {
+	if a.firstRound != nil && (c.disabled.secondRound || c.countSecondRound(a) >= c.quorum()) {
 		return true
 	}
 	if now >= a.nextPoll {
@@ -51,36 +49,39 @@
 	return false
 }
 
-// holders returns the voters known to hold a revision, with their incarnations.
+// holders returns the voters that are known to hold a revision, with their incarnations.
 func (c *Core) holders(revision uint64) map[string]uint64 {
-	found := map[string]uint64{}
-	for name, s := range c.slots {
-		if c.counts(name, s, revision) {
-			found[name] = s.latest.incarnation
+	incarnations := map[string]uint64{}
+	for name, state := range c.voterStates {
+		if c.holdsCountably(name, state, revision) {
+			incarnations[name] = state.latest.incarnation
 		}
 	}
-	if c.votes() && c.log.revision() >= revision {
-		found[c.self.Name] = c.self.Incarnation
+	if c.canVote() && c.log.revision() >= revision {
+		incarnations[c.self.Name] = c.self.Incarnation
 	}
-	return found
+	return incarnations
 }
 
-func (c *Core) counts(name string, s *slot, revision uint64) bool {
-	return s.latest.valid && s.latest.voter && s.latest.revision >= revision && c.current(name, s.latest.incarnation)
+// holdsCountably reports whether the latest response of a voter counts toward a quorum for a
+// revision.
+func (c *Core) holdsCountably(name string, state *voterState, revision uint64) bool {
+	return state.latest.valid && state.latest.voter && state.latest.revision >= revision && c.isCurrentIncarnation(name, state.latest.incarnation)
 }
 
-// stillHolding counts the first round's voters that were asked again since.
-func (c *Core) stillHolding(a *acceptance) int {
+// countSecondRound returns the number of first-round voters that have responded again, to a request
+// sent at firstRoundAt or later.
+func (c *Core) countSecondRound(a *acceptance) int {
 	count := 0
 	for name, incarnation := range a.firstRound {
 		if name == c.self.Name {
-			if c.votes() && c.self.Incarnation == incarnation {
+			if c.canVote() && c.self.Incarnation == incarnation {
 				count++
 			}
 			continue
 		}
-		s := c.slots[name]
-		if s != nil && c.counts(name, s, a.revision) && s.latest.incarnation == incarnation && s.latest.sentAt >= a.firstAt {
+		state := c.voterStates[name]
+		if state != nil && c.holdsCountably(name, state, a.revision) && state.latest.incarnation == incarnation && state.latest.sentAt >= a.firstRoundAt {
 			count++
 		}
 	}
@@ -90,7 +91,7 @@
 func (c *Core) requestVoters(now Time) {
 	for _, name := range c.voters {
 		if member, ok := c.members.byName[name]; ok {
-			c.request(now, member.Address)
+			c.sendRequest(now, member.Address)
 		}
 	}
 }
--- a/internal/selfhosted/dissemination/benchmark_test.go
+++ b/internal/selfhosted/dissemination/benchmark_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// BenchmarkFault measures in simulation, for each kind of fault in 20 runs of
-// 60 s, the share of the checks before acting that found the node fresh, and
-// the time from a proposal to its end as in force.
+// BenchmarkFault simulates each kind of fault in 20 runs of 60 s. It reports the share of freshness
+// checks that passed, the share of proposals that ended in force, and the mean time that these
+// took.
 func BenchmarkFault(b *testing.B) {
 	for _, kind := range append([]string{"none"}, faultKinds...) {
 		b.Run(kind, func(b *testing.B) {
@@ -22,36 +22,36 @@
 }
 
 func measureFault(b *testing.B, kind string) {
-	var asked, fresh, proposed, inForce int
+	var freshnessChecks, freshChecks, proposed, inForce int
 	var waited Time
 	for seed := range uint64(20) {
-		w := newWorld(seed, 5, false)
-		w.asked, w.fresh = 0, 0
-		first := len(w.operations)
-		w.begin(fault{kind: kind, duration: 30 * time.Second, target: int(seed) % nodeCount})
+		sim := newSimulation(seed, 5, false)
+		sim.freshnessChecks, sim.freshChecks = 0, 0
+		first := len(sim.operations)
+		sim.startFault(fault{kind: kind, duration: 30 * time.Second, target: int(seed) % nodeCount})
 		for at := Time(0); at < 50*time.Second; at += 2 * time.Second {
-			w.after(at, func() {
-				w.propose(w.newest(nodeName(w.random.IntN(nodeCount))), serviceProposal(fmt.Sprintf("s%d", w.now)), 12*time.Second)
+			sim.scheduleAfter(at, func() {
+				sim.propose(sim.newestProcess(nodeName(sim.random.IntN(nodeCount))), serviceProposal(fmt.Sprintf("s%d", sim.now)), 12*time.Second)
 			})
 		}
-		w.run(w.now + time.Minute)
-		asked, fresh = asked+w.asked, fresh+w.fresh
-		for _, op := range w.operations[first:] {
+		sim.run(sim.now + time.Minute)
+		freshnessChecks, freshChecks = freshnessChecks+sim.freshnessChecks, freshChecks+sim.freshChecks
+		for _, op := range sim.operations[first:] {
 			proposed++
 			if op.done && op.result.Fate == FateInForce {
 				inForce++
-				waited += op.end - op.call
+				waited += op.endedAt - op.calledAt
 			}
 		}
 	}
-	b.ReportMetric(float64(fresh)/float64(asked), "fresh/check")
+	b.ReportMetric(float64(freshChecks)/float64(freshnessChecks), "fresh/check")
 	b.ReportMetric(float64(inForce)/float64(proposed), "in_force/proposal")
 	b.ReportMetric((waited/Time(max(inForce, 1))).Seconds()*1000, "ms/in_force")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkExchange is the processor time of one request and its answer on both
-// sides, with encoding.
+// BenchmarkExchange reports the CPU time of one request and its response on both sides, including
+// encoding and decoding.
 func BenchmarkExchange(b *testing.B) {
 	address := netip.MustParseAddrPort("127.0.0.1:1000")
 	var cores []*Core
@@ -61,11 +61,11 @@
 		cores[index].Tick(0)
 		cores[index].Ready()
 	}
-	cores[1].advance(time.Second)
+	cores[1].advanceConfirmation(time.Second)
 	b.ReportAllocs()
 	size := 0
 	for range b.N {
-		cores[0].request(time.Second, address)
+		cores[0].sendRequest(time.Second, address)
 		for _, from := range []int{0, 1} {
 			encoded, err := EncodePacket(cores[from].Ready().Packets[0].Packet)
 			if err != nil {
--- a/internal/selfhosted/dissemination/properties_test.go
+++ b/internal/selfhosted/dissemination/properties_test.go
@@ -12,8 +12,9 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// TestLogGrowsOnlyInOrder installs changes and checkpoints in any order.
-func TestLogGrowsOnlyInOrder(t *testing.T) {
+// TestChangeLogInstallsOnlyHigherRevisions installs changes and checkpoints in random order. The
+// revision must never decrease, and the catalog must equal the reference catalog at its revision.
+func TestChangeLogInstallsOnlyHigherRevisions(t *testing.T) {
 	t.Parallel()
 	reference := []*catalog.Catalog{catalog.Empty()}
 	var changes []catalog.Change
@@ -32,24 +33,24 @@
 			from := rapid.IntRange(0, 39).Draw(t, "from")
 			to := rapid.IntRange(from, 40).Draw(t, "to")
 			if rapid.Bool().Draw(t, "checkpoint") {
-				log.replace(reference[to])
+				log.installCheckpoint(reference[to])
 			} else {
 				log.append(changes[from:to])
 			}
 			if log.revision() < before || log.catalog.Digest() != reference[log.revision()].Digest() {
-				t.Fatalf("at revision %d after %d", log.revision(), before)
+				t.Fatalf("got revision %d after revision %d, want no decrease and the reference catalog", log.revision(), before)
 			}
-			asked := uint64(rapid.IntRange(0, 40).Draw(t, "asked"))
-			if tail, ok := log.after(asked); ok && len(tail) > 0 && tail[0].Revision != asked+1 {
-				t.Fatalf("after %d comes %d", asked, tail[0].Revision)
+			requested := uint64(rapid.IntRange(0, 40).Draw(t, "asked"))
+			if tail, ok := log.changesAfter(requested); ok && len(tail) > 0 && tail[0].Revision != requested+1 {
+				t.Fatalf("changes after revision %d: got first revision %d, want the next one", requested, tail[0].Revision)
 			}
 		}
 	})
 }
 
-// TestRelayTree checks that each member of a zone takes confirmations from
-// members nearer to the roots, and that none has too many children.
-func TestRelayTree(t *testing.T) {
+// TestRelayTreeParents checks that the parents of each member of a zone are nearer to the roots
+// than the member, and that no member has more than twice the fanout of children.
+func TestRelayTreeParents(t *testing.T) {
 	t.Parallel()
 	const roots, fanout = 2, 8
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,26 +66,26 @@
 			index.rebuild(self, members, roots)
 			parents := index.parents(roots, fanout)
 			if len(parents) == 0 && index.position >= roots {
-				t.Fatalf("member at %d has no parent", index.position)
+				t.Fatalf("member at position %d: got no parent, want at least one", index.position)
 			}
 			for _, parent := range parents {
 				children[parent.Name]++
-				for position, member := range index.zone {
+				for position, member := range index.zoneMembers {
 					if member.Name == parent.Name && position >= index.position {
-						t.Fatalf("the parent of %d is at %d", index.position, position)
+						t.Fatalf("member at position %d: got a parent at position %d, want a lower position", index.position, position)
 					}
 				}
 			}
 		}
 		for name, count := range children {
 			if count > 2*fanout {
-				t.Fatalf("%s has %d children", name, count)
+				t.Fatalf("member %s: got %d children, want at most %d", name, count, 2*fanout)
 			}
 		}
 	})
 }
 
-func TestPacketsRoundTrip(t *testing.T) {
+func TestPacketEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		revision := rapid.Uint64Range(1, 1<<40).Draw(t, "revision")
 		name := rapid.StringN(1, 20, 40).Draw(t, "name")
@@ -101,7 +102,7 @@
 		}
 		decoded, err := DecodePacket(encoded)
 		if err != nil || !reflect.DeepEqual(decoded, packet) {
-			t.Fatalf("got %+v, %v", decoded, err)
+			t.Fatalf("decoded packet: got %+v, error %v, want %+v", decoded, err, packet)
 		}
 	})
 }
--- a/internal/selfhosted/dissemination/simulated_store_test.go
+++ b/internal/selfhosted/dissemination/simulated_store_test.go
@@ -7,65 +7,67 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
+// simulatedStore is a store in virtual time with configurable faults.
 type simulatedStore struct {
-	changes []catalog.Change
-	deleted int // how many of the first are deleted
-	// stray holds what was written under deleted keys.
-	stray       map[uint64]catalog.Change
-	checkpoint  *catalog.Catalog
-	down        bool
-	slow        Time
-	loseReplies float64
-	watchLag    Time
-	side        int
+	changes      []catalog.Change
+	deletedCount int // number of oldest changes that are deleted
+	// strayChanges holds changes that were written under deleted keys.
+	strayChanges map[uint64]catalog.Change
+	checkpoint   *catalog.Catalog
+	down         bool
+	maxDelay     Time
+	replyLoss    float64
+	watchLag     Time
+	side         int
 }
 
-var errStore = errors.New("the store did not answer")
+var errNoReply = errors.New("store operation: no reply")
 
-// operate runs a store operation. A write may take effect long after its
-// caller received an error.
-func (w *world) operate(p *process, operation StoreOperation) {
+// operate runs a store operation. A write may take effect long after its caller has received an
+// error.
+func (sim *simulation) runStoreOperation(p *process, operation StoreOperation) {
 	finish := func(delay Time, result StoreResult) {
 		result.ID = operation.ID
-		w.after(delay, func() { p.do(func() { p.core.StepStore(p.local(), result) }) })
+		sim.scheduleAfter(delay, func() { p.runStep(func() { p.core.StepStore(p.localTime(), result) }) })
 	}
-	if w.store.down || !w.reach(p.side, w.store.side) {
-		applied := operation.Create != nil && w.reach(p.side, w.store.side) && w.chance(0.2)
+	if sim.store.down || !sim.reachable(p.side, sim.store.side) {
+		applied := operation.Create != nil && sim.reachable(p.side, sim.store.side) && sim.randomBool(0.2)
 		if applied {
-			w.after(w.between(0, 8*time.Second), func() { w.store.apply(operation) })
+			sim.scheduleAfter(sim.randomDuration(0, 8*time.Second), func() { sim.store.apply(operation) })
 		}
-		finish(w.between(0, 3*time.Second), StoreResult{Err: errStore, MaybeApplied: applied || w.chance(0.5)})
+		finish(sim.randomDuration(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: applied || sim.randomBool(0.5)})
 		return
 	}
-	w.after(w.between(0, 2*time.Millisecond)+w.between(0, w.store.slow), func() {
-		result := w.store.apply(operation)
-		if w.chance(w.store.loseReplies) {
-			finish(w.between(0, 3*time.Second), StoreResult{Err: errStore, MaybeApplied: true})
+	sim.scheduleAfter(sim.randomDuration(0, 2*time.Millisecond)+sim.randomDuration(0, sim.store.maxDelay), func() {
+		result := sim.store.apply(operation)
+		if sim.randomBool(sim.store.replyLoss) {
+			finish(sim.randomDuration(0, 3*time.Second), StoreResult{Err: errNoReply, MaybeApplied: true})
 			return
 		}
-		finish(w.between(0, 2*time.Millisecond)+w.between(0, w.store.slow), result)
+		finish(sim.randomDuration(0, 2*time.Millisecond)+sim.randomDuration(0, sim.store.maxDelay), result)
 		if result.Created {
-			w.notify(*operation.Create)
+			sim.notify(*operation.Create)
 		}
 	})
 }
 
-// notify delivers a change to the watchers, after the lag.
-func (w *world) notify(change catalog.Change) {
-	for _, p := range w.processes {
-		if p.core.watcher() && w.reach(p.side, w.store.side) && !w.store.down {
-			w.after(w.between(0, time.Millisecond)+w.store.watchLag, func() {
-				p.do(func() { p.core.StepWatched(p.local(), []catalog.Change{change}) })
+// notify delivers a change to the watchers after watchLag.
+func (sim *simulation) notify(change catalog.Change) {
+	for _, p := range sim.processes {
+		if p.core.isWatcher() && sim.reachable(p.side, sim.store.side) && !sim.store.down {
+			sim.scheduleAfter(sim.randomDuration(0, time.Millisecond)+sim.store.watchLag, func() {
+				p.runStep(func() { p.core.StepWatched(p.localTime(), []catalog.Change{change}) })
 			})
 		}
 	}
 }
 
+// apply performs an operation on the store's data.
 func (s *simulatedStore) apply(operation StoreOperation) StoreResult {
 	switch {
 	case operation.Create != nil:
 		change := *operation.Create
-		if change.Revision <= uint64(s.deleted) {
+		if change.Revision <= uint64(s.deletedCount) {
 			return s.createStray(change)
 		}
 		if change.Revision <= uint64(len(s.changes)) {
@@ -77,10 +79,10 @@
 	case operation.Read != nil:
 		var changes []catalog.Change
 		for revision := operation.Read.From; revision <= uint64(len(s.changes)); revision++ {
-			stray, found := s.stray[revision]
-			if found {
+			stray, ok := s.strayChanges[revision]
+			if ok {
 				changes = append(changes, stray)
-			} else if revision > uint64(s.deleted) {
+			} else if revision > uint64(s.deletedCount) {
 				changes = append(changes, s.changes[revision-1])
 			}
 			if len(changes) == operation.Read.Limit {
@@ -92,9 +94,9 @@
 		if s.checkpoint == nil || s.checkpoint.Revision < operation.SaveCheckpoint.Catalog.Revision {
 			s.checkpoint = operation.SaveCheckpoint.Catalog
 		}
-		for s.deleted < int(operation.SaveCheckpoint.Keep)-1 {
-			s.deleted++
-			delete(s.stray, uint64(s.deleted))
+		for s.deletedCount < int(operation.SaveCheckpoint.Keep)-1 {
+			s.deletedCount++
+			delete(s.strayChanges, uint64(s.deletedCount))
 		}
 		return StoreResult{}
 	default:
@@ -102,15 +104,15 @@
 	}
 }
 
-// createStray writes under a key that was deleted, as a store does that
-// compares only whether the key exists.
+// createStray writes a change under a deleted key, like a store that only checks whether the key
+// exists.
 func (s *simulatedStore) createStray(change catalog.Change) StoreResult {
-	if existing, found := s.stray[change.Revision]; found {
+	if existing, ok := s.strayChanges[change.Revision]; ok {
 		return StoreResult{Existing: &existing}
 	}
-	if s.stray == nil {
-		s.stray = map[uint64]catalog.Change{}
+	if s.strayChanges == nil {
+		s.strayChanges = map[uint64]catalog.Change{}
 	}
-	s.stray[change.Revision] = change
+	s.strayChanges[change.Revision] = change
 	return StoreResult{Created: true}
 }
