--- a/internal/selfhosted/membership/measure_test.go
+++ b/internal/selfhosted/membership/benchmark_test.go
@@ -10,12 +10,12 @@
 // These benchmarks report virtual times and encoded bytes rather than the time
 // they take; run them with -benchtime 1x.
 
-var measuredSizes = []int{10, 100, 400}
+var benchmarkSizes = []int{10, 100, 400}
 
-func formed(b *testing.B, size int, seed uint64) *cluster {
+func newFormedCluster(b *testing.B, size int, seed uint64) *simulatedCluster {
 	b.Helper()
 	c := newCluster(DefaultConfig(), size, 4, seed)
-	c.encode = true
+	c.encodePackets = true
 	if _, ok := c.converge(2 * time.Minute); !ok {
 		b.Fatal("the cluster does not form")
 	}
@@ -24,15 +24,15 @@
 }
 
 // BenchmarkTraffic measures the bytes that a node sends at rest.
-func BenchmarkTraffic(b *testing.B) {
-	for _, size := range measuredSizes {
+func BenchmarkIdleTraffic(b *testing.B) {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				c := formed(b, size, 1)
+				c := newFormedCluster(b, size, 1)
 				const seconds = 60
-				before := c.bytes
+				before := c.sentBytes
 				c.run(seconds * time.Second)
-				b.ReportMetric(float64(c.bytes-before)/seconds/float64(size), "bytes/s/node")
+				b.ReportMetric(float64(c.sentBytes-before)/seconds/float64(size), "bytes/s/node")
 			}
 		})
 	}
@@ -40,29 +40,29 @@
 
 // BenchmarkDetection crashes single nodes and measures when the first view and
 // when all views hold them for suspect and for gone.
-func BenchmarkDetection(b *testing.B) {
-	for _, size := range measuredSizes {
+func BenchmarkFailureDetection(b *testing.B) {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				measureDetection(b, size)
+				benchmarkFailureDetection(b, size)
 			}
 		})
 	}
 }
 
-func measureDetection(b *testing.B, size int) {
+func benchmarkFailureDetection(b *testing.B, size int) {
 	const crashes = 20
 	var suspectedFirst, suspectedByAll, goneByAll []time.Duration
-	c := formed(b, size, 2)
+	c := newFormedCluster(b, size, 2)
 	for i := range crashes {
 		victim := c.nodes[(i*7)%size]
 		if victim.dead {
 			continue
 		}
 		begun := c.now
-		suspected := make(map[*simulated]bool)
+		suspected := make(map[*simulatedNode]bool)
 		var first, all, gone time.Duration
-		c.onEvent = func(observer *simulated, event Event) {
+		c.onEvent = func(observer *simulatedNode, event Event) {
 			if event.Kind != EventChanged || event.Member.Name != victim.core.Self().Name {
 				return
 			}
@@ -98,22 +98,22 @@
 
 // BenchmarkLoss counts suspicions and deaths of live members while a fifth of
 // all packets is lost.
-func BenchmarkLoss(b *testing.B) {
-	for _, size := range measuredSizes {
+func BenchmarkPacketLoss(b *testing.B) {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				c := formed(b, size, 3)
-				deaths := watchFalseDeaths(c)
-				before, bytes := totals(c), c.bytes
-				c.loss = 0.2
+				c := newFormedCluster(b, size, 3)
+				deaths := trackFalseGone(c)
+				before, bytes := sumStatistics(c), c.sentBytes
+				c.lossRate = 0.2
 				const minutes = 10
 				c.run(minutes * time.Minute)
-				sum := totals(c)
+				sum := sumStatistics(c)
 				hours := float64(size) * minutes / 60
 				b.ReportMetric(float64(sum.SuspicionsRaised-before.SuspicionsRaised)/hours, "false-suspicions/node-hour")
 				b.ReportMetric(float64(sum.ProbesFailed-before.ProbesFailed)/float64(sum.Probes-before.Probes), "failed-probes/probe")
 				b.ReportMetric(float64(deaths.count), "false-deaths")
-				b.ReportMetric(float64(c.bytes-bytes)/minutes/60/float64(size), "bytes/s/node")
+				b.ReportMetric(float64(c.sentBytes-bytes)/minutes/60/float64(size), "bytes/s/node")
 			}
 		})
 	}
--- a/internal/selfhosted/membership/broadcast.go
+++ b/internal/selfhosted/membership/broadcast.go
@@ -1,54 +1,54 @@
 package membership
 
 // broadcast is an update that waits to be passed on.
-type broadcast struct {
+type queuedUpdate struct {
 	update        Update
 	transmissions int
-	stale         bool
+	replaced         bool
 }
 
 // broadcastQueue holds the updates to pass on, those sent least often first.
 // At most one update for each member is current.
 type broadcastQueue struct {
 	// levels[i] holds the updates that were sent i times, oldest first.
-	levels  [][]*broadcast
-	current map[string]*broadcast
+	byTransmissions  [][]*queuedUpdate
+	byName map[string]*queuedUpdate
 }
 
 func newBroadcastQueue() broadcastQueue {
-	return broadcastQueue{current: make(map[string]*broadcast)}
+	return broadcastQueue{byName: make(map[string]*queuedUpdate)}
 }
 
 // add puts an update in, in place of an earlier one of the same member.
 func (q *broadcastQueue) add(update Update) {
-	if old := q.current[update.Name]; old != nil {
-		old.stale = true
+	if old := q.byName[update.Name]; old != nil {
+		old.replaced = true
 	}
-	entry := &broadcast{update: update}
-	q.current[update.Name] = entry
+	entry := &queuedUpdate{update: update}
+	q.byName[update.Name] = entry
 	q.insert(entry)
 }
 
-func (q *broadcastQueue) insert(entry *broadcast) {
-	for len(q.levels) <= entry.transmissions {
-		q.levels = append(q.levels, nil)
+func (q *broadcastQueue) insert(entry *queuedUpdate) {
+	for len(q.byTransmissions) <= entry.transmissions {
+		q.byTransmissions = append(q.byTransmissions, nil)
 	}
-	q.levels[entry.transmissions] = append(q.levels[entry.transmissions], entry)
+	q.byTransmissions[entry.transmissions] = append(q.byTransmissions[entry.transmissions], entry)
 }
 
 // empty reports whether nothing waits.
-func (q *broadcastQueue) empty() bool { return len(q.current) == 0 }
+func (q *broadcastQueue) empty() bool { return len(q.byName) == 0 }
 
 // take returns updates that fit into room bytes and counts them as sent.
 // Those that reach the limit of transmissions are dropped.
-func (q *broadcastQueue) take(room, limit int) []Update {
+func (q *broadcastQueue) take(available, transmitLimit int) []Update {
 	if q.empty() {
 		return nil
 	}
-	var taken []*broadcast
-	for level := range q.levels {
-		room = q.takeLevel(level, room, &taken)
-		if room < updateOverhead {
+	var taken []*queuedUpdate
+	for level := range q.byTransmissions {
+		available = q.takeAtLevel(level, available, &taken)
+		if available < updateOverhead {
 			break
 		}
 	}
@@ -56,8 +56,8 @@
 	for _, entry := range taken {
 		updates = append(updates, entry.update)
 		entry.transmissions++
-		if entry.transmissions >= limit {
-			delete(q.current, entry.update.Name)
+		if entry.transmissions >= transmitLimit {
+			delete(q.byName, entry.update.Name)
 			continue
 		}
 		q.insert(entry)
@@ -65,26 +65,26 @@
 	return updates
 }
 
-func (q *broadcastQueue) takeLevel(level, room int, taken *[]*broadcast) int {
-	entries := q.levels[level]
-	used := 0
+func (q *broadcastQueue) takeAtLevel(level, available int, taken *[]*queuedUpdate) int {
+	entries := q.byTransmissions[level]
+	consumed := 0
 	for _, entry := range entries {
-		if entry.stale {
-			used++
+		if entry.replaced {
+			consumed++
 			continue
 		}
-		size := entry.update.size()
-		if size > room {
+		size := entry.update.maximumSize()
+		if size > available {
 			break
 		}
-		room -= size
+		available -= size
 		*taken = append(*taken, entry)
-		used++
+		consumed++
 	}
-	if used == len(entries) {
-		q.levels[level] = entries[:0]
+	if consumed == len(entries) {
+		q.byTransmissions[level] = entries[:0]
 	} else {
-		q.levels[level] = entries[used:]
+		q.byTransmissions[level] = entries[consumed:]
 	}
-	return room
+	return available
 }
--- a/internal/selfhosted/membership/wire_test.go
+++ b/internal/selfhosted/membership/codec_compatibility_test.go
@@ -7,6 +7,6 @@
 )
 
 // TestPacketReadsAsRecorded guards a fleet of two versions.
-func TestPacketReadsAsRecorded(t *testing.T) {
+func TestPacketDecodesRecordedBytes(t *testing.T) {
 	wiretest.Encoded(t, "packet", EncodePacket, DecodePacket)
 }
--- a/internal/selfhosted/membership/codec_test.go
+++ b/internal/selfhosted/membership/codec_test.go
@@ -44,15 +44,15 @@
 	return packet
 }
 
-func TestPacketsSurviveTheCodecWithinTheirSize(t *testing.T) {
+func TestPacketRoundTripStaysWithinMaximumSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		packet := drawPacket(t)
 		payload, err := EncodePacket(packet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(payload) > packet.size() {
-			t.Fatalf("%d bytes, estimated %d", len(payload), packet.size())
+		if len(payload) > packet.maximumSize() {
+			t.Fatalf("%d bytes, estimated %d", len(payload), packet.maximumSize())
 		}
 		decoded, err := DecodePacket(payload)
 		if err != nil || !reflect.DeepEqual(decoded, packet) {
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestMalformedPayloadsAreRefused(t *testing.T) {
+func TestTruncatedPayloadsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
 		_, _ = DecodePacket(payload)
@@ -74,7 +74,7 @@
 }
 
 // The golden bytes hold the format: if they change, raise FormatVersion.
-func TestFormatIsStable(t *testing.T) {
+func TestPacketEncodingMatchesGoldenFile(t *testing.T) {
 	payload, err := EncodePacket(samplePing())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/selfhosted/membership/config.go
+++ b/internal/selfhosted/membership/config.go
@@ -58,20 +58,20 @@
 	// PacketLimit bounds the size of a packet in bytes.
 	PacketLimit int
 
-	disabled mechanisms
+	disabled disabledMechanisms
 }
 
 // mechanisms names parts of the protocol that tests switch off, to see the
 // proof of each fail.
-type mechanisms struct {
+type disabledMechanisms struct {
 	refutation       bool
 	incarnations     bool
 	pauseDetection   bool
 	zoneHold         bool
 	indirectProbes   bool
-	lastCheck        bool
-	suspicionReprobe bool
-	synchronisation  bool
+	finalCheck        bool
+	suspectReprobes bool
+	digestExchange  bool
 }
 
 // DefaultConfig returns the values for a network with round trips below
@@ -104,18 +104,18 @@
 
 // scale is the logarithm by which retransmissions and suspicion times grow
 // with the number of members; it is at least 1.
-func scale(members int) float64 {
+func logScale(members int) float64 {
 	return math.Max(1, math.Log10(float64(members)))
 }
 
 func (c Config) retransmissions(members int) int {
-	return int(math.Ceil(c.RetransmitMultiplier * scale(members+1)))
+	return int(math.Ceil(c.RetransmitMultiplier * logScale(members+1)))
 }
 
 // suspicionTime is the time from suspicion to gone with the given number of
 // confirmations.
 func (c Config) suspicionTime(members, confirmations int) time.Duration {
-	shortest := c.SuspicionMultiplier * scale(members) * float64(c.ProbeInterval)
+	shortest := c.SuspicionMultiplier * logScale(members) * float64(c.ProbeInterval)
 	needed := min(c.SuspicionConfirmations, members-2)
 	if needed <= 0 || confirmations >= needed {
 		return time.Duration(shortest)
--- a/internal/selfhosted/membership/core.go
+++ b/internal/selfhosted/membership/core.go
@@ -26,24 +26,24 @@
 	superseded bool
 	departed   bool
 	revision   uint64
-	heard      uint64
+	highestRevision      uint64
 
 	view       view
 	broadcasts broadcastQueue
-	probing    probing
-	syncing    syncing
-	health     int
-	heardAt    time.Duration
+	probes    probeState
+	sync    syncState
+	healthScore     int
+	lastPacketAt    time.Duration
 	// quietUntil is when this node may accuse others again after a pause.
-	quietUntil time.Duration
+	noAccusationsUntil time.Duration
 	nextGossip time.Duration
-	nextZones  time.Duration
+	nextZoneCheck  time.Duration
 
 	// listed is the last list of members, made at listedVersion of the view,
 	// and listedSelf the place of this node in it.
-	listed        []Member
-	listedVersion uint64
-	listedSelf    int
+	memberList        []Member
+	memberListVersion uint64
+	memberListSelf    int
 
 	ready      Ready
 	statistics Statistics
@@ -52,7 +52,7 @@
 // New returns the core of one node. The incarnation of self must be higher
 // than that of any process that had the name before; its state is ignored.
 // Seeds are peer addresses to join through; those of self are skipped.
-func New(config Config, self Member, seeds []netip.AddrPort, random *rand.Rand) *Core {
+func NewCore(config Config, self Member, seeds []netip.AddrPort, random *rand.Rand) *Core {
 	self.State, self.Refutation = StateAlive, 0
 	c := &Core{
 		config: config, self: self, random: random,
@@ -63,7 +63,7 @@
 			c.seeds = append(c.seeds, seed)
 		}
 	}
-	c.view.zone(self.Zone)
+	c.view.ensureZone(self.Zone)
 	c.broadcasts.add(fullUpdate(self))
 	return c
 }
@@ -71,7 +71,7 @@
 // SetRevision sets the catalog revision that packets announce.
 func (c *Core) SetRevision(revision uint64) {
 	c.revision = revision
-	c.heard = max(c.heard, revision)
+	c.highestRevision = max(c.highestRevision, revision)
 }
 
 // Ready returns the packets to send and the events since the last call.
@@ -83,18 +83,18 @@
 
 // Step processes one packet.
 func (c *Core) Step(now time.Duration, from netip.AddrPort, packet Packet) {
-	if c.silent() {
+	if c.inactive() {
 		return
 	}
 	c.advance(now)
-	c.hearRevision(packet.Revision)
-	c.syncing.receiving = packet.Kind == PacketRecords
+	c.observeRevision(packet.Revision)
+	c.sync.mergingRecords = packet.Kind == PacketRecords
 	for _, update := range packet.Updates {
 		c.merge(update)
 	}
-	c.syncing.receiving = false
-	c.observeSender(from, packet)
-	if c.silent() {
+	c.sync.mergingRecords = false
+	c.processSender(from, packet)
+	if c.inactive() {
 		return
 	}
 	switch packet.Kind {
@@ -120,7 +120,7 @@
 
 // Tick lets time pass. It should be called every Config.TickInterval.
 func (c *Core) Tick(now time.Duration) {
-	if c.silent() {
+	if c.inactive() {
 		return
 	}
 	c.advance(now)
@@ -129,13 +129,13 @@
 	c.tickProbe()
 	c.tickSync()
 	c.tickGossip()
-	c.tickGone()
+	c.tickRetention()
 }
 
 // quietPeriods is for how many probe periods after a pause of this process it
 // accuses nobody.
 // Not measured: chosen because a probe that begins after the pause ends in them.
-const quietPeriods = 2
+const pauseGracePeriods = 2
 
 // advance moves the clock. If the process did not run for a while, the silence
 // of the others in that time proves nothing: the running probe is dropped,
@@ -151,9 +151,9 @@
 		return
 	}
 	c.statistics.Pauses++
-	c.event(Event{Kind: EventPaused, Pause: pause})
-	c.probing.abandon()
-	c.quietUntil = now + quietPeriods*c.config.ProbeInterval
+	c.emit(Event{Kind: EventPaused, Pause: pause})
+	c.probes.cancel()
+	c.noAccusationsUntil = now + pauseGracePeriods*c.config.ProbeInterval
 	for _, p := range c.view.suspects {
 		p.suspicion.deadline += pause
 	}
@@ -162,22 +162,22 @@
 func (c *Core) start(now time.Duration) {
 	c.started = true
 	c.now = now
-	c.probing.next = now + c.fraction(c.config.ProbeInterval)
-	c.nextGossip = now + c.fraction(c.config.GossipInterval)
-	c.syncing.next = now + c.fraction(c.config.SyncInterval>>hurriedSyncs)
-	c.syncing.nextSeed = now
-	c.syncing.seed = c.random.IntN(len(c.seeds) + 1)
-	c.syncing.nextReconnect = now + c.fraction(c.config.ReconnectInterval)
+	c.probes.nextProbeAt = now + c.randomFraction(c.config.ProbeInterval)
+	c.nextGossip = now + c.randomFraction(c.config.GossipInterval)
+	c.sync.nextSync = now + c.randomFraction(c.config.SyncInterval>>startupSyncs)
+	c.sync.nextSeedSync = now
+	c.sync.seedIndex = c.random.IntN(len(c.seeds) + 1)
+	c.sync.nextReconnect = now + c.randomFraction(c.config.ReconnectInterval)
 }
 
 // fraction returns a random part of an interval, to spread the nodes out.
-func (c *Core) fraction(interval time.Duration) time.Duration {
+func (c *Core) randomFraction(interval time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(interval) + 1))
 }
 
-func (c *Core) hearRevision(revision uint64) {
-	if revision > c.heard {
-		c.heard = revision
-		c.event(Event{Kind: EventRevision, Revision: revision})
+func (c *Core) observeRevision(revision uint64) {
+	if revision > c.highestRevision {
+		c.highestRevision = revision
+		c.emit(Event{Kind: EventRevision, Revision: revision})
 	}
 }
--- a/internal/selfhosted/membership/core_test.go
+++ b/internal/selfhosted/membership/core_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func mustConverge(t *testing.T, c *cluster, limit time.Duration) time.Duration {
+func mustConverge(t *testing.T, c *simulatedCluster, limit time.Duration) time.Duration {
 	t.Helper()
 	took, ok := c.converge(limit)
 	if !ok {
@@ -14,20 +14,20 @@
 	return took
 }
 
-func TestClusterForms(t *testing.T) {
+func TestClusterConvergesAfterStart(t *testing.T) {
 	c := newCluster(DefaultConfig(), 60, 3, 1)
-	c.encode = true
+	c.encodePackets = true
 	t.Logf("60 nodes agree after %v", mustConverge(t, c, time.Minute))
 }
 
-func TestCrashIsDetected(t *testing.T) {
+func TestClusterConvergesAfterCrash(t *testing.T) {
 	c := newCluster(DefaultConfig(), 60, 3, 2)
 	mustConverge(t, c, time.Minute)
 	c.nodes[7].dead = true
 	t.Logf("crash known to all after %v", mustConverge(t, c, 2*time.Minute))
 }
 
-func TestReplacementWins(t *testing.T) {
+func TestFrozenProcessIsSupersededByReplacement(t *testing.T) {
 	c := newCluster(DefaultConfig(), 30, 3, 3)
 	mustConverge(t, c, time.Minute)
 	old := c.nodes[7]
@@ -35,7 +35,7 @@
 	c.run(2 * time.Second)
 	c.start(7, 3, 2000)
 	c.run(30 * time.Second)
-	c.wake(old)
+	c.unfreeze(old)
 	c.run(5 * time.Second)
 	if !old.core.Superseded() {
 		t.Fatal("the replaced process does not know that it was replaced")
@@ -43,7 +43,7 @@
 	mustConverge(t, c, time.Minute)
 }
 
-func TestLeaveAndDepart(t *testing.T) {
+func TestLeaveAndDepartReachOtherNodes(t *testing.T) {
 	c := newCluster(DefaultConfig(), 30, 3, 4)
 	mustConverge(t, c, time.Minute)
 	node := c.nodes[9]
@@ -53,9 +53,9 @@
 		t.Fatalf("state is %v, want leaving", seen.State)
 	}
 	node.core.Depart()
-	c.drain(node)
+	c.processReady(node)
 	c.run(5 * time.Second)
-	for _, other := range c.live() {
+	for _, other := range c.liveNodes() {
 		if seen, _ := other.core.Lookup(nodeName(9)); seen.State != StateGone {
 			t.Fatalf("state is %v, want gone", seen.State)
 		}
@@ -63,12 +63,12 @@
 }
 
 // TestSeedsCarryNoMoreThanOthers counts the digests that arrive at each node.
-func TestSeedsCarryNoMoreThanOthers(t *testing.T) {
+func TestSeedsReceiveBoundedShareOfDigests(t *testing.T) {
 	c := newCluster(DefaultConfig(), 150, 3, 5)
 	mustConverge(t, c, time.Minute)
-	digests := make(map[*simulated]int)
+	digests := make(map[*simulatedNode]int)
 	total := 0
-	c.onPacket = func(to *simulated, packet Packet) {
+	c.onPacket = func(to *simulatedNode, packet Packet) {
 		if packet.Kind == PacketDigest {
 			digests[to]++
 			total++
--- a/internal/selfhosted/membership/core_view.go
+++ b/internal/selfhosted/membership/core_view.go
@@ -18,18 +18,18 @@
 // ordered by name. The list is rebuilt only after a change; it must not be
 // modified.
 func (c *Core) Members() []Member {
-	if c.listed == nil || c.listedVersion != c.view.version || c.listed[c.listedSelf] != c.self {
-		c.listed = make([]Member, 0, c.members())
+	if c.memberList == nil || c.memberListVersion != c.view.version || c.memberList[c.memberListSelf] != c.self {
+		c.memberList = make([]Member, 0, c.memberCount())
 		for _, p := range c.view.ordered {
-			c.listed = append(c.listed, p.Member)
+			c.memberList = append(c.memberList, p.Member)
 		}
-		c.listedSelf, _ = slices.BinarySearchFunc(c.listed, c.self.Name, func(m Member, name string) int {
+		c.memberListSelf, _ = slices.BinarySearchFunc(c.memberList, c.self.Name, func(m Member, name string) int {
 			return strings.Compare(m.Name, name)
 		})
-		c.listed = slices.Insert(c.listed, c.listedSelf, c.self)
-		c.listedVersion = c.view.version
+		c.memberList = slices.Insert(c.memberList, c.memberListSelf, c.self)
+		c.memberListVersion = c.view.version
 	}
-	return c.listed
+	return c.memberList
 }
 
 // Lookup returns what is known of a member, gone ones included.
@@ -67,4 +67,4 @@
 }
 
 // members is the number of members that are not gone, this node included.
-func (c *Core) members() int { return len(c.view.live) + 1 }
+func (c *Core) memberCount() int { return len(c.view.live) + 1 }
--- a/internal/selfhosted/membership/digest.go
+++ b/internal/selfhosted/membership/digest.go
@@ -9,7 +9,7 @@
 const (
 	// digestBuckets is the largest number of buckets, and minimumBuckets the
 	// smallest; both are powers of two.
-	digestBuckets  = 256
+	maximumBuckets  = 256
 	minimumBuckets = 8
 	// membersPerBucket is how many members a bucket has on average before the
 	// number of buckets doubles.
@@ -21,17 +21,17 @@
 
 // digest is the exclusive or of the fingerprints of all members that are not
 // gone, by bucket of the name.
-type digest [digestBuckets]uint32
+type digest [maximumBuckets]uint32
 
 // bucketOf returns the bucket of a name out of a power of two of buckets. The
 // bucket out of fewer is the remainder of the bucket out of more.
-func bucketOf(name string, buckets int) int {
+func nameBucket(name string, buckets int) int {
 	return int(xxhash.Sum64String(name) % uint64(buckets))
 }
 
 // toggle adds a fingerprint, or takes it out again.
 func (d *digest) toggle(name string, fingerprint uint32) {
-	d[bucketOf(name, digestBuckets)] ^= fingerprint
+	d[nameBucket(name, maximumBuckets)] ^= fingerprint
 }
 
 // fold returns the digest with fewer buckets.
@@ -47,7 +47,7 @@
 // members.
 func (d *digest) encode(members int) []byte {
 	buckets := minimumBuckets
-	for buckets < digestBuckets && buckets*membersPerBucket < members {
+	for buckets < maximumBuckets && buckets*membersPerBucket < members {
 		buckets *= 2
 	}
 	encoded := make([]byte, 0, buckets*bytesPerBucket)
@@ -59,10 +59,10 @@
 
 // differing returns the number of buckets of an encoded digest and those in
 // which d differs from it; zero buckets if it is malformed.
-func (d *digest) differing(encoded []byte) (buckets int, differ []int) {
+func (d *digest) differingBuckets(encoded []byte) (buckets int, differ []int) {
 	buckets = len(encoded) / bytesPerBucket
 	valid := len(encoded)%bytesPerBucket == 0 && buckets > 0 &&
-		buckets <= digestBuckets && buckets&(buckets-1) == 0
+		buckets <= maximumBuckets && buckets&(buckets-1) == 0
 	if !valid {
 		return 0, nil
 	}
--- a/internal/selfhosted/membership/event.go
+++ b/internal/selfhosted/membership/event.go
@@ -36,4 +36,4 @@
 	Revision uint64
 }
 
-func (c *Core) event(event Event) { c.ready.Events = append(c.ready.Events, event) }
+func (c *Core) emit(event Event) { c.ready.Events = append(c.ready.Events, event) }
--- a/internal/selfhosted/membership/health.go
+++ b/internal/selfhosted/membership/health.go
@@ -9,11 +9,11 @@
 
 // worsen and improve move the local health score: the higher it is, the more
 // time this node gives others before it accuses them.
-func (c *Core) worsen() { c.health = min(c.health+1, maximumHealthScore) }
+func (c *Core) raiseHealthScore() { c.healthScore = min(c.healthScore+1, maximumHealthScore) }
 
-func (c *Core) improve() { c.health = max(c.health-1, 0) }
+func (c *Core) lowerHealthScore() { c.healthScore = max(c.healthScore-1, 0) }
 
 // patience stretches a time while this node's own health is in doubt.
-func (c *Core) patience(interval time.Duration) time.Duration {
-	return interval * time.Duration(c.health+1)
+func (c *Core) scaleByHealth(interval time.Duration) time.Duration {
+	return interval * time.Duration(c.healthScore+1)
 }
--- a/internal/selfhosted/membership/merge.go
+++ b/internal/selfhosted/membership/merge.go
@@ -8,76 +8,76 @@
 		c.mergeSelf(update)
 		return
 	}
-	known := c.view.byName[update.Name]
+	existing := c.view.byName[update.Name]
 	switch {
-	case known == nil:
-		c.mergeUnknown(update)
-	case c.isNewer(update, known):
-		c.mergeNewer(update, known)
-	case update.State == StateSuspect && known.version() == update.version():
-		c.confirmSuspicion(known, update)
+	case existing == nil:
+		c.addMember(update)
+	case c.replaces(update, existing):
+		c.updateMember(update, existing)
+	case update.State == StateSuspect && existing.version() == update.version():
+		c.confirmSuspicion(existing, update)
 	}
 }
 
-func (c *Core) isNewer(update Update, known *peer) bool {
+func (c *Core) replaces(update Update, existing *peer) bool {
 	if c.config.disabled.incarnations {
-		return update.full() || update.version().newerThan(known.version())
+		return update.hasAddresses() || update.version().newerThan(existing.version())
 	}
-	return update.version().newerThan(known.version())
+	return update.version().newerThan(existing.version())
 }
 
 // mergeUnknown adds a member. One that is gone already, or that comes without
 // addresses, is left out: the first does no harm, the second will follow.
-func (c *Core) mergeUnknown(update Update) {
-	if update.State == StateGone || !update.full() {
+func (c *Core) addMember(update Update) {
+	if update.State == StateGone || !update.hasAddresses() {
 		return
 	}
-	c.adopt(update, Member{})
+	c.storeRecord(update, Member{})
 }
 
 // mergeNewer replaces the record of a known member.
-func (c *Core) mergeNewer(update Update, known *peer) {
-	if !update.full() {
-		if update.Incarnation != known.Incarnation {
+func (c *Core) updateMember(update Update, existing *peer) {
+	if !update.hasAddresses() {
+		if update.Incarnation != existing.Incarnation {
 			return
 		}
-		record := known.Member
+		record := existing.Member
 		record.Refutation, record.State = update.Refutation, update.State
 		accuser := update.Accuser
 		update = fullUpdate(record)
 		update.Accuser = accuser
 	}
-	c.adopt(update, known.Member)
+	c.storeRecord(update, existing.Member)
 }
 
 // adopt stores a record, notifies the node and passes the update on. What came in
 // answer to a digest is not passed on: the others have it, or get it by their
 // own digests, and a new node gets all members in this way.
-func (c *Core) adopt(update Update, previous Member) {
+func (c *Core) storeRecord(update Update, previous Member) {
 	record := update.member()
 	if previous.State == StateSuspect && record.State != StateSuspect {
 		if record.State != StateGone {
 			c.statistics.SuspicionsRefuted++
 		}
 	}
-	p := c.view.set(c.now, record)
+	p := c.view.put(c.now, record)
 	p.suspicion = nil
 	if record.State == StateSuspect {
 		c.beginSuspicion(p, update.Accuser)
 	}
 	isNew := previous.Name == "" || previous.State == StateGone
 	if isNew && !p.gone() {
-		c.probing.include(c.random, p)
+		c.probes.insertMember(c.random, p)
 	}
-	if !c.syncing.receiving {
-		c.broadcasts.add(c.forwarded(update, previous))
+	if !c.sync.mergingRecords {
+		c.broadcasts.add(c.trimAddresses(update, previous))
 	}
-	c.event(Event{Kind: EventChanged, Member: record, Previous: previous})
+	c.emit(Event{Kind: EventChanged, Member: record, Previous: previous})
 }
 
 // forwarded drops the addresses from an update that receivers can do without:
 // those that know the incarnation need them no more.
-func (c *Core) forwarded(update Update, previous Member) Update {
+func (c *Core) trimAddresses(update Update, previous Member) Update {
 	if previous.Incarnation == update.Incarnation && previous.Name != "" {
 		short := shortUpdate(update.member())
 		short.Accuser = update.Accuser
@@ -100,9 +100,9 @@
 		return
 	}
 	c.self.Refutation = update.Refutation
-	c.announce(c.self.State)
+	c.announceState(c.self.State)
 	c.statistics.SelfRefutations++
-	c.worsen()
+	c.raiseHealthScore()
 }
 
 // mergeSuccessor handles a higher incarnation of this node's own name. If that
@@ -119,33 +119,33 @@
 	}
 	// The last update of this process makes its successor known.
 	c.broadcasts.add(update)
-	c.notify()
+	c.sendFinalUpdate()
 	c.superseded = true
-	c.event(Event{Kind: EventSuperseded, Member: update.member(), Previous: c.self})
+	c.emit(Event{Kind: EventSuperseded, Member: update.member(), Previous: c.self})
 }
 
 // observeSender processes the sender's own record. A sender that is unknown is
 // asked for its addresses; one that others have judged, or replaced, is notified.
-func (c *Core) observeSender(from netip.AddrPort, packet Packet) {
+func (c *Core) processSender(from netip.AddrPort, packet Packet) {
 	sender := packet.From
 	if sender.Name == "" || sender.Name == c.self.Name {
 		c.mergeSelf(sender)
 		return
 	}
-	known := c.view.byName[sender.Name]
-	if known == nil || sender.Incarnation > known.Incarnation {
+	existing := c.view.byName[sender.Name]
+	if existing == nil || sender.Incarnation > existing.Incarnation {
 		c.send(from, Packet{Kind: PacketIdentify})
 		return
 	}
 	c.merge(sender)
-	if known.version().newerThan(sender.version()) {
-		c.send(from, Packet{Kind: PacketGossip, Updates: []Update{c.describe(known)}})
+	if existing.version().newerThan(sender.version()) {
+		c.send(from, Packet{Kind: PacketGossip, Updates: []Update{c.fullRecord(existing)}})
 	}
-	c.hear(known)
+	c.recordContact(existing)
 }
 
 // describe returns the full record of a peer, with an accuser if suspected.
-func (c *Core) describe(p *peer) Update {
+func (c *Core) fullRecord(p *peer) Update {
 	update := fullUpdate(p.Member)
 	if p.suspicion != nil {
 		update.Accuser = p.suspicion.accusers[0]
@@ -157,16 +157,16 @@
 func (c *Core) send(to netip.AddrPort, packet Packet) {
 	packet.From = shortUpdate(c.self)
 	packet.Revision = c.revision
-	room := c.config.PacketLimit - packet.size()
-	packet.Updates = append(packet.Updates, c.broadcasts.take(room, c.config.retransmissions(c.members()))...)
+	available := c.config.PacketLimit - packet.maximumSize()
+	packet.Updates = append(packet.Updates, c.broadcasts.take(available, c.config.retransmissions(c.memberCount()))...)
 	c.ready.Packets = append(c.ready.Packets, Outgoing{To: to, Packet: packet})
 }
 
 // sendTo sends to a peer. One that is suspected or gone is notified, so that it
 // can refute.
-func (c *Core) sendTo(p *peer, packet Packet) {
+func (c *Core) sendToPeer(p *peer, packet Packet) {
 	if p.State == StateSuspect || p.State == StateGone {
-		packet.Updates = append(packet.Updates, c.describe(p))
+		packet.Updates = append(packet.Updates, c.fullRecord(p))
 	}
 	c.send(p.Address, packet)
 }
@@ -182,26 +182,26 @@
 			return
 		}
 		if p := c.gossipTarget(i); p != nil {
-			c.sendTo(p, Packet{Kind: PacketGossip})
+			c.sendToPeer(p, Packet{Kind: PacketGossip})
 		}
 	}
 }
 
 // gossipTarget picks a member to send updates to: every third one anywhere,
 // the others in this node's own zone.
-func (c *Core) gossipTarget(turn int) *peer {
-	const anywhere = 3
-	any := func(*peer) bool { return true }
-	if turn%anywhere != anywhere-1 {
-		if p := pick(c.random, c.view.zone(c.self.Zone).live, any); p != nil {
+func (c *Core) gossipTarget(index int) *peer {
+	const zoneIndependentEvery = 3
+	acceptAll := func(*peer) bool { return true }
+	if index%zoneIndependentEvery != zoneIndependentEvery-1 {
+		if p := pickRandom(c.random, c.view.ensureZone(c.self.Zone).live, acceptAll); p != nil {
 			return p
 		}
 	}
-	return pick(c.random, c.view.live, any)
+	return pickRandom(c.random, c.view.live, acceptAll)
 }
 
 // tickGone forgets members that have been gone for long.
-func (c *Core) tickGone() {
+func (c *Core) tickRetention() {
 	for len(c.view.gone) > 0 && c.now-c.view.gone[0].goneAt >= c.config.GoneRetention {
 		c.view.forget(c.view.gone[0])
 	}
--- a/internal/selfhosted/membership/metrics.go
+++ b/internal/selfhosted/membership/metrics.go
@@ -32,25 +32,25 @@
 	}
 }
 
-func description(name, help string, labels ...string) *prometheus.Desc {
+func newDescription(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("micaplank_membership_"+name, help, labels, nil)
 }
 
 var (
-	membersDescription = description("members", "Known members by state, this node included.", "state")
-	zonesDescription   = description("held_zones", "Zones held because most of their members do not answer.")
-	healthDescription  = description("health_score", "Doubt in this node's own health; 0 is healthy.")
+	membersDescription = newDescription("members", "Known members by state, this node included.", "state")
+	zonesDescription   = newDescription("held_zones", "Zones held because most of their members do not answer.")
+	healthDescription  = newDescription("health_score", "Doubt in this node's own health; 0 is healthy.")
 	counterReaders     = []counterReader{
-		{description("probes_total", "Probes begun."), func(s Statistics) uint64 { return s.Probes }},
-		{description("probes_indirect_total", "Probes that asked relays."), func(s Statistics) uint64 { return s.ProbesIndirect }},
-		{description("probes_failed_total", "Probes that nobody answered."), func(s Statistics) uint64 { return s.ProbesFailed }},
-		{description("suspicions_raised_total", "Suspicions that this node raised."), func(s Statistics) uint64 { return s.SuspicionsRaised }},
-		{description("suspicions_refuted_total", "Suspicions that the suspected member refuted."), func(s Statistics) uint64 { return s.SuspicionsRefuted }},
-		{description("declared_gone_total", "Members that this node declared gone."), func(s Statistics) uint64 { return s.DeclaredGone }},
-		{description("self_refutations_total", "Suspicions of this node that it refuted."), func(s Statistics) uint64 { return s.SelfRefutations }},
-		{description("synchronisations_total", "Exchanges of digests begun."), func(s Statistics) uint64 { return s.Syncs }},
-		{description("synchronisation_records_total", "Records sent in answer to digests."), func(s Statistics) uint64 { return s.SyncRecords }},
-		{description("pauses_total", "Times that this process did not run for long."), func(s Statistics) uint64 { return s.Pauses }},
+		{newDescription("probes_total", "Probes begun."), func(s Statistics) uint64 { return s.Probes }},
+		{newDescription("probes_indirect_total", "Probes that asked relays."), func(s Statistics) uint64 { return s.ProbesIndirect }},
+		{newDescription("probes_failed_total", "Probes that nobody answered."), func(s Statistics) uint64 { return s.ProbesFailed }},
+		{newDescription("suspicions_raised_total", "Suspicions that this node raised."), func(s Statistics) uint64 { return s.SuspicionsRaised }},
+		{newDescription("suspicions_refuted_total", "Suspicions that the suspected member refuted."), func(s Statistics) uint64 { return s.SuspicionsRefuted }},
+		{newDescription("declared_gone_total", "Members that this node declared gone."), func(s Statistics) uint64 { return s.DeclaredGone }},
+		{newDescription("self_refutations_total", "Suspicions of this node that it refuted."), func(s Statistics) uint64 { return s.SelfRefutations }},
+		{newDescription("synchronisations_total", "Exchanges of digests begun."), func(s Statistics) uint64 { return s.Syncs }},
+		{newDescription("synchronisation_records_total", "Records sent in answer to digests."), func(s Statistics) uint64 { return s.SyncRecords }},
+		{newDescription("pauses_total", "Times that this process did not run for long."), func(s Statistics) uint64 { return s.Pauses }},
 	}
 )
 
@@ -75,9 +75,9 @@
 }
 
 // Collect implements prometheus.Collector.
-func (c *coreCollector) Collect(collected chan<- prometheus.Metric) {
+func (c *coreCollector) Collect(samples chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, value float64, labels ...string) {
-		collected <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
+		samples <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
 	}
 	counts := make(map[State]int)
 	for _, member := range c.service.Members() {
@@ -90,6 +90,6 @@
 	gauge(zonesDescription, float64(len(c.service.HeldZones())))
 	gauge(healthDescription, float64(statistics.HealthScore))
 	for _, reader := range counterReaders {
-		collected <- prometheus.MustNewConstMetric(reader.description, prometheus.CounterValue, float64(reader.read(statistics)))
+		samples <- prometheus.MustNewConstMetric(reader.description, prometheus.CounterValue, float64(reader.read(statistics)))
 	}
 }
--- a/internal/selfhosted/membership/packet.go
+++ b/internal/selfhosted/membership/packet.go
@@ -53,7 +53,7 @@
 }
 
 // full reports whether the update carries zone, region and addresses.
-func (u Update) full() bool { return u.Address.IsValid() }
+func (u Update) hasAddresses() bool { return u.Address.IsValid() }
 
 func (u Update) member() Member {
 	return Member{
@@ -112,25 +112,25 @@
 )
 
 // size is an upper bound of the encoded size of the update.
-func (u Update) size() int {
+func (u Update) maximumSize() int {
 	size := updateOverhead + len(u.Name) + len(u.Zone) + len(u.Region)
-	if u.full() {
+	if u.hasAddresses() {
 		size += 2 * addressSize
 	}
 	return size
 }
 
 // size is an upper bound of the encoded size of the packet.
-func (p Packet) size() int {
-	size := packetOverhead + p.From.size() + len(p.Target) + len(p.Digest)
+func (p Packet) maximumSize() int {
+	size := packetOverhead + p.From.maximumSize() + len(p.Target) + len(p.Digest)
 	if p.TargetAddress.IsValid() {
 		size += addressSize
 	}
 	if p.Subject.Name != "" {
-		size += p.Subject.size()
+		size += p.Subject.maximumSize()
 	}
 	for _, update := range p.Updates {
-		size += update.size()
+		size += update.maximumSize()
 	}
 	return size
 }
--- a/internal/selfhosted/membership/probe.go
+++ b/internal/selfhosted/membership/probe.go
@@ -9,50 +9,50 @@
 
 // probing is the state of this node's own probes, and of those that it makes as a
 // proxy for others.
-type probing struct {
-	next     time.Duration
+type probeState struct {
+	nextProbeAt     time.Duration
 	sequence uint64
 	// order is the members in the order in which they are probed; position is
 	// the next one.
-	order    []*peer
-	position int
+	probeOrder    []*peer
+	nextIndex int
 
 	target      *peer
-	incarnation uint64
-	current     uint64
+	targetIncarnation uint64
+	targetSequence     uint64
 	sentAt      time.Duration
-	indirect    bool
-	nacksDue    int
-	nacks       int
+	proxiesAsked    bool
+	nacksExpected    int
+	nacksReceived       int
 
 	proxied []proxiedProbe
 }
 
 // include puts a new member at a random place of what is left of the order.
-func (p *probing) include(random *rand.Rand, member *peer) {
-	p.order = append(p.order, member)
-	last := len(p.order) - 1
-	place := p.position + random.IntN(last-p.position+1)
-	p.order[place], p.order[last] = p.order[last], p.order[place]
+func (p *probeState) insertMember(random *rand.Rand, member *peer) {
+	p.probeOrder = append(p.probeOrder, member)
+	last := len(p.probeOrder) - 1
+	index := p.nextIndex + random.IntN(last-p.nextIndex+1)
+	p.probeOrder[index], p.probeOrder[last] = p.probeOrder[last], p.probeOrder[index]
 }
 
 // abandon drops the running probe without a verdict.
-func (p *probing) abandon() { p.target = nil }
+func (p *probeState) cancel() { p.target = nil }
 
 // nextTarget returns the next member in the shuffled order, or nil.
 func (c *Core) nextTarget() *peer {
-	p := &c.probing
+	p := &c.probes
 	for range 2 {
-		for p.position < len(p.order) {
-			candidate := p.order[p.position]
-			p.position++
+		for p.nextIndex < len(p.probeOrder) {
+			candidate := p.probeOrder[p.nextIndex]
+			p.nextIndex++
 			if !candidate.gone() && c.view.byName[candidate.Name] == candidate {
 				return candidate
 			}
 		}
-		p.order = append(p.order[:0], c.view.live...)
-		p.position = 0
-		c.random.Shuffle(len(p.order), func(i, j int) { p.order[i], p.order[j] = p.order[j], p.order[i] })
+		p.probeOrder = append(p.probeOrder[:0], c.view.live...)
+		p.nextIndex = 0
+		c.random.Shuffle(len(p.probeOrder), func(i, j int) { p.probeOrder[i], p.probeOrder[j] = p.probeOrder[j], p.probeOrder[i] })
 	}
 	return nil
 }
@@ -60,17 +60,17 @@
 // tickProbe ends the running probe, asks proxies, or begins the next probe.
 func (c *Core) tickProbe() {
 	c.tickProxied()
-	p := &c.probing
-	if p.target != nil && !p.indirect && c.now >= p.sentAt+c.patience(c.config.ProbeTimeout) {
+	p := &c.probes
+	if p.target != nil && !p.proxiesAsked && c.now >= p.sentAt+c.scaleByHealth(c.config.ProbeTimeout) {
 		c.probeIndirectly()
 	}
-	if c.now < p.next {
+	if c.now < p.nextProbeAt {
 		return
 	}
 	if p.target != nil {
 		c.failProbe()
 	}
-	p.next = c.now + c.patience(c.config.ProbeInterval)
+	p.nextProbeAt = c.now + c.scaleByHealth(c.config.ProbeInterval)
 	if target := c.nextTarget(); target != nil {
 		c.beginProbe(target)
 	}
@@ -78,31 +78,31 @@
 }
 
 func (c *Core) beginProbe(target *peer) {
-	p := &c.probing
+	p := &c.probes
 	p.sequence++
-	p.target, p.incarnation, p.current = target, target.Incarnation, p.sequence
-	p.sentAt, p.indirect, p.nacks, p.nacksDue = c.now, false, 0, 0
+	p.target, p.targetIncarnation, p.targetSequence = target, target.Incarnation, p.sequence
+	p.sentAt, p.proxiesAsked, p.nacksReceived, p.nacksExpected = c.now, false, 0, 0
 	c.statistics.Probes++
 	c.ping(target, p.sequence)
 }
 
 func (c *Core) ping(target *peer, sequence uint64) {
-	c.sendTo(target, Packet{Kind: PacketPing, Sequence: sequence, Target: target.Name})
+	c.sendToPeer(target, Packet{Kind: PacketPing, Sequence: sequence, Target: target.Name})
 }
 
 // probeIndirectly pings the target again, and through proxies.
 func (c *Core) probeIndirectly() {
-	p := &c.probing
-	p.indirect = true
+	p := &c.probes
+	p.proxiesAsked = true
 	c.statistics.ProbesIndirect++
-	c.ping(p.target, p.current)
+	c.ping(p.target, p.targetSequence)
 	if c.config.disabled.indirectProbes {
 		return
 	}
 	for _, proxy := range c.chooseProxies(p.target) {
-		p.nacksDue++
-		c.sendTo(proxy, Packet{
-			Kind: PacketIndirectPing, Sequence: p.current,
+		p.nacksExpected++
+		c.sendToPeer(proxy, Packet{
+			Kind: PacketIndirectPing, Sequence: p.targetSequence,
 			Target: p.target.Name, TargetAddress: p.target.Address,
 		})
 	}
@@ -120,12 +120,12 @@
 		if len(proxies) >= c.config.IndirectProbes {
 			return
 		}
-		if p := pick(c.random, candidates, usable); p != nil {
+		if p := pickRandom(c.random, candidates, usable); p != nil {
 			proxies = append(proxies, p)
 		}
 	}
-	add(c.view.zone(target.Zone).live)
-	add(c.view.zone(c.self.Zone).live)
+	add(c.view.ensureZone(target.Zone).live)
+	add(c.view.ensureZone(c.self.Zone).live)
 	for range c.config.IndirectProbes {
 		add(c.view.live)
 	}
@@ -134,18 +134,18 @@
 
 // failProbe ends a probe that nobody answered.
 func (c *Core) failProbe() {
-	p := &c.probing
+	p := &c.probes
 	target := p.target
 	p.target = nil
 	c.statistics.ProbesFailed++
-	inDoubt := p.nacks < p.nacksDue || p.nacksDue == 0
-	if inDoubt && !c.view.zone(target.Zone).held {
-		c.worsen()
+	inDoubt := p.nacksReceived < p.nacksExpected || p.nacksExpected == 0
+	if inDoubt && !c.view.ensureZone(target.Zone).held {
+		c.raiseHealthScore()
 	}
-	if target.gone() || target.Incarnation != p.incarnation || c.now < c.quietUntil {
+	if target.gone() || target.Incarnation != p.targetIncarnation || c.now < c.noAccusationsUntil {
 		return
 	}
-	c.accuse(target)
+	c.raiseSuspicion(target)
 }
 
 // stepPing answers a ping that is meant for this node.
@@ -160,19 +160,19 @@
 	subject := packet.From
 	if packet.Subject.Name != "" {
 		subject = packet.Subject
-		if known := c.view.byName[subject.Name]; known != nil && known.Incarnation == subject.Incarnation {
+		if existing := c.view.byName[subject.Name]; existing != nil && existing.Incarnation == subject.Incarnation {
 			c.merge(subject)
 		}
 	}
-	p := &c.probing
-	if p.target != nil && packet.Sequence == p.current && subject.Name == p.target.Name {
+	p := &c.probes
+	if p.target != nil && packet.Sequence == p.targetSequence && subject.Name == p.target.Name {
 		p.target = nil
-		c.improve()
+		c.lowerHealthScore()
 		return
 	}
 	for i, probe := range p.proxied {
 		if probe.sequence == packet.Sequence && probe.target == subject.Name {
-			c.send(probe.origin, Packet{Kind: PacketAck, Sequence: probe.original, Subject: subject})
+			c.send(probe.origin, Packet{Kind: PacketAck, Sequence: probe.originSequence, Subject: subject})
 			p.proxied = slices.Delete(p.proxied, i, i+1)
 			return
 		}
@@ -180,7 +180,7 @@
 }
 
 func (c *Core) stepNack(packet Packet) {
-	if packet.Sequence == c.probing.current {
-		c.probing.nacks++
+	if packet.Sequence == c.probes.targetSequence {
+		c.probes.nacksReceived++
 	}
 }
--- a/internal/selfhosted/membership/service.go
+++ b/internal/selfhosted/membership/service.go
@@ -38,18 +38,18 @@
 // called by any goroutine.
 type Service struct {
 	options Options
-	origin  time.Time
+	clockOrigin  time.Time
 	metrics *metrics
 	logger  *slog.Logger
 
 	mutex       sync.Mutex
 	core        *Core
 	subscribers map[int]chan Event
-	nextID      int
+	nextSubscriberID      int
 	closed      bool
 
 	stop    chan struct{}
-	stopped sync.WaitGroup
+	running sync.WaitGroup
 }
 
 // NewService returns a service that is not yet started.
@@ -65,9 +65,9 @@
 	}
 	random := rand.New(rand.NewPCG(options.Seed, uint64(nameHash(options.Self.Name))))
 	s := &Service{
-		options: options, origin: time.Now(),
+		options: options, clockOrigin: time.Now(),
 		logger:      options.Logger.With("subsystem", "membership"),
-		core:        New(options.Config, options.Self, options.Seeds, random),
+		core:        NewCore(options.Config, options.Self, options.Seeds, random),
 		subscribers: make(map[int]chan Event),
 		stop:        make(chan struct{}),
 	}
@@ -77,12 +77,12 @@
 
 // Start begins to probe and to send. It does not block.
 func (s *Service) Start() {
-	s.stopped.Add(1)
+	s.running.Add(1)
 	go s.run()
 }
 
 func (s *Service) run() {
-	defer s.stopped.Done()
+	defer s.running.Done()
 	ticker := time.NewTicker(s.options.Config.TickInterval)
 	defer ticker.Stop()
 	for {
@@ -90,7 +90,7 @@
 		case <-s.stop:
 			return
 		case <-ticker.C:
-			s.do(func(now time.Duration) { s.core.Tick(now) })
+			s.runStep(func(now time.Duration) { s.core.Tick(now) })
 		}
 	}
 }
@@ -103,17 +103,17 @@
 		return
 	}
 	s.metrics.received.Add(float64(len(payload)))
-	s.do(func(now time.Duration) { s.core.Step(now, from, packet) })
+	s.runStep(func(now time.Duration) { s.core.Step(now, from, packet) })
 }
 
 // do runs one step of the core and carries out what it asks for.
-func (s *Service) do(step func(now time.Duration)) {
+func (s *Service) runStep(step func(now time.Duration)) {
 	s.mutex.Lock()
 	if s.closed {
 		s.mutex.Unlock()
 		return
 	}
-	step(time.Since(s.origin))
+	step(time.Since(s.clockOrigin))
 	ready := s.core.Ready()
 	s.publish(ready.Events)
 	s.mutex.Unlock()
@@ -144,14 +144,14 @@
 
 // leaveRounds is for how many gossip intervals Leave waits.
 // Not measured: chosen because a few rounds reach members by several ways.
-const leaveRounds = 5
+const leaveGossipIntervals = 5
 
 // Leave announces a planned stop to the others. It blocks until the news has
 // been sent a few times, or until ctx ends. The node goes on answering probes
 // until Close.
 func (s *Service) Leave(ctx context.Context) error {
-	s.do(func(time.Duration) { s.core.Leave() })
-	timer := time.NewTimer(leaveRounds * s.options.Config.GossipInterval)
+	s.runStep(func(time.Duration) { s.core.Leave() })
+	timer := time.NewTimer(leaveGossipIntervals * s.options.Config.GossipInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -166,7 +166,7 @@
 // Close notifies some members that this node is gone and stops. It blocks until
 // the service no longer sends. A second call does nothing.
 func (s *Service) Close() {
-	s.do(func(time.Duration) { s.core.Depart() })
+	s.runStep(func(time.Duration) { s.core.Depart() })
 	s.mutex.Lock()
 	if s.closed {
 		s.mutex.Unlock()
@@ -179,5 +179,5 @@
 	}
 	s.mutex.Unlock()
 	close(s.stop)
-	s.stopped.Wait()
+	s.running.Wait()
 }
--- a/internal/selfhosted/membership/service_events.go
+++ b/internal/selfhosted/membership/service_events.go
@@ -1,13 +1,13 @@
 package membership
 
 // subscriberBuffer is how many events a subscriber may lag behind.
-const subscriberBuffer = 256
+const subscriberBufferSize = 256
 
 // publish hands events to the subscribers. One that does not keep up has its
 // channel closed, so that it cannot miss an event without noticing.
 func (s *Service) publish(events []Event) {
 	for _, event := range events {
-		s.log(event)
+		s.logEvent(event)
 		for id, subscriber := range s.subscribers {
 			select {
 			case subscriber <- event:
@@ -20,7 +20,7 @@
 	}
 }
 
-func (s *Service) log(event Event) {
+func (s *Service) logEvent(event Event) {
 	switch event.Kind {
 	case EventChanged:
 		s.logger.Info("member changed", "peer", event.Member.Name, "zone", event.Member.Zone,
@@ -45,13 +45,13 @@
 func (s *Service) Subscribe() (<-chan Event, func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	events := make(chan Event, subscriberBuffer)
+	events := make(chan Event, subscriberBufferSize)
 	if s.closed {
 		close(events)
 		return events, func() {}
 	}
-	id := s.nextID
-	s.nextID++
+	id := s.nextSubscriberID
+	s.nextSubscriberID++
 	s.subscribers[id] = events
 	return events, func() { s.unsubscribe(id) }
 }
--- a/internal/selfhosted/membership/service_test.go
+++ b/internal/selfhosted/membership/service_test.go
@@ -13,31 +13,31 @@
 )
 
 // hub carries datagrams between services in this process.
-type hub struct {
+type datagramHub struct {
 	mutex    sync.Mutex
 	services map[netip.AddrPort]*Service
-	carriers sync.WaitGroup
+	deliveries sync.WaitGroup
 }
 
-type port struct {
-	hub  *hub
+type hubPort struct {
+	hub  *datagramHub
 	from netip.AddrPort
 }
 
-func (p port) Send(to netip.AddrPort, payload []byte) error {
+func (p hubPort) Send(to netip.AddrPort, payload []byte) error {
 	p.hub.mutex.Lock()
 	defer p.hub.mutex.Unlock()
 	target := p.hub.services[to]
 	if target == nil {
 		return fmt.Errorf("no route to %v", to)
 	}
-	p.hub.carriers.Go(func() { target.Receive(p.from, payload) })
+	p.hub.deliveries.Go(func() { target.Receive(p.from, payload) })
 	return nil
 }
 
-func startServices(t *testing.T, size int) []*Service {
+func startTestServices(t *testing.T, size int) []*Service {
 	t.Helper()
-	network := &hub{services: make(map[netip.AddrPort]*Service)}
+	network := &datagramHub{services: make(map[netip.AddrPort]*Service)}
 	config := DefaultConfig()
 	config.TickInterval, config.ProbeInterval = 5*time.Millisecond, 50*time.Millisecond
 	config.ProbeTimeout, config.GossipInterval = 20*time.Millisecond, 10*time.Millisecond
@@ -46,7 +46,7 @@
 		self := Member{Name: nodeName(i), Zone: "zone-1", Region: "region-1", Address: address(i, 1), HTTPAddress: address(i, 1)}
 		services[i] = NewService(Options{
 			Config: config, Self: self, Seeds: []netip.AddrPort{address(0, 1)},
-			Datagrams: port{network, self.Address}, Registerer: prometheus.NewRegistry(),
+			Datagrams: hubPort{network, self.Address}, Registerer: prometheus.NewRegistry(),
 		})
 		network.mutex.Lock()
 		network.services[self.Address] = services[i]
@@ -59,12 +59,12 @@
 		for _, service := range services {
 			service.Close()
 		}
-		network.carriers.Wait()
+		network.deliveries.Wait()
 	})
 	return services
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 2000 {
 		if condition() {
@@ -75,10 +75,10 @@
 	t.Fatalf("not reached: %s", what)
 }
 
-func TestServicesFormAndLeave(t *testing.T) {
+func TestServicesDiscoverEachOtherAndLeave(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	services := startServices(t, 5)
-	eventually(t, "all see all", func() bool {
+	services := startTestServices(t, 5)
+	waitUntil(t, "all see all", func() bool {
 		for _, service := range services {
 			if len(service.Members()) != len(services) {
 				return false
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestMetricsAreCollected(t *testing.T) {
+func TestServiceRegistersAllMetrics(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	service := NewService(Options{Config: DefaultConfig(), Self: Member{Name: "a", Address: address(1, 1)}, Registerer: registry})
 	defer service.Close()
--- a/internal/selfhosted/membership/simulation_test.go
+++ b/internal/selfhosted/membership/simulation_test.go
@@ -10,31 +10,31 @@
 
 // cluster runs cores in virtual time over a network that loses, delays and
 // cuts. All of it repeats for a seed.
-type cluster struct {
+type simulatedCluster struct {
 	config  Config
 	random  *rand.Rand
 	now     time.Duration
 	queue   arrivals
-	nodes   []*simulated
-	byAddr  map[netip.AddrPort]*simulated
-	loss    float64
+	nodes   []*simulatedNode
+	byAddress  map[netip.AddrPort]*simulatedNode
+	lossRate    float64
 	delay   time.Duration
-	cut     func(from, to *simulated) bool
-	bytes   int
-	encode  bool
-	order   int
-	onEvent func(*simulated, Event)
+	linkDown     func(from, to *simulatedNode) bool
+	sentBytes   int
+	encodePackets  bool
+	lastOrder   int
+	onEvent func(*simulatedNode, Event)
 	// onPacket is called with each packet that arrives.
-	onPacket func(to *simulated, packet Packet)
+	onPacket func(to *simulatedNode, packet Packet)
 }
 
-type simulated struct {
+type simulatedNode struct {
 	core   *Core
 	zone   string
 	index  int
 	frozen bool
 	dead   bool
-	inbox  []arrival
+	heldPackets  []arrival
 	events []Event
 }
 
@@ -42,7 +42,7 @@
 	at    time.Duration
 	order int
 	from  netip.AddrPort
-	to    *simulated
+	to    *simulatedNode
 	// packet is nil for a tick.
 	packet *Packet
 }
@@ -64,10 +64,10 @@
 	return last
 }
 
-func newCluster(config Config, size, zones int, seed uint64) *cluster {
-	c := &cluster{
+func newCluster(config Config, size, zones int, seed uint64) *simulatedCluster {
+	c := &simulatedCluster{
 		config: config, random: rand.New(rand.NewPCG(seed, 1)),
-		byAddr: make(map[netip.AddrPort]*simulated), delay: 2 * time.Millisecond,
+		byAddress: make(map[netip.AddrPort]*simulatedNode), delay: 2 * time.Millisecond,
 	}
 	for i := range size {
 		c.start(i, zones, firstIncarnation)
@@ -84,37 +84,37 @@
 func nodeName(index int) string { return fmt.Sprintf("node-%04d", index) }
 
 // start runs a new process in a slot.
-func (c *cluster) start(index, zones int, incarnation uint64) *simulated {
+func (c *simulatedCluster) start(index, zones int, incarnation uint64) *simulatedNode {
 	zone := fmt.Sprintf("zone-%d", index%zones)
-	place := address(index, incarnation)
+	peerAddress := address(index, incarnation)
 	if index == 0 {
 		// The first slot is always replaced in place, so that one seed works.
-		place = address(index, firstIncarnation)
+		peerAddress = address(index, firstIncarnation)
 	}
 	self := Member{
 		Name: nodeName(index), Zone: zone, Region: "region-1",
-		Address: place, HTTPAddress: place, Incarnation: incarnation,
+		Address: peerAddress, HTTPAddress: peerAddress, Incarnation: incarnation,
 	}
 	var seeds []netip.AddrPort
 	for i := range 3 {
 		seeds = append(seeds, address(i, firstIncarnation))
 	}
 	random := rand.New(rand.NewPCG(c.random.Uint64(), incarnation))
-	node := &simulated{core: New(c.config, self, seeds, random), zone: zone, index: index}
+	node := &simulatedNode{core: NewCore(c.config, self, seeds, random), zone: zone, index: index}
 	c.nodes = append(c.nodes, node)
-	c.byAddr[self.Address] = node
+	c.byAddress[self.Address] = node
 	c.schedule(arrival{at: c.now + time.Duration(c.random.Int64N(int64(c.config.TickInterval))), to: node})
 	return node
 }
 
-func (c *cluster) schedule(a arrival) {
-	c.order++
-	a.order = c.order
+func (c *simulatedCluster) schedule(a arrival) {
+	c.lastOrder++
+	a.order = c.lastOrder
 	heap.Push(&c.queue, a)
 }
 
 // run lets virtual time pass.
-func (c *cluster) run(duration time.Duration) {
+func (c *simulatedCluster) run(duration time.Duration) {
 	end := c.now + duration
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		next := heap.Pop(&c.queue).(arrival)
@@ -124,7 +124,7 @@
 	c.now = end
 }
 
-func (c *cluster) deliver(a arrival) {
+func (c *simulatedCluster) deliver(a arrival) {
 	node := a.to
 	if node.dead {
 		return
@@ -132,8 +132,8 @@
 	if node.frozen {
 		if a.packet == nil {
 			c.schedule(arrival{at: c.now + c.config.TickInterval, to: node})
-		} else if len(node.inbox) < 100 {
-			node.inbox = append(node.inbox, a)
+		} else if len(node.heldPackets) < 100 {
+			node.heldPackets = append(node.heldPackets, a)
 		}
 		return
 	}
@@ -146,10 +146,10 @@
 		}
 		node.core.Step(c.now, a.from, *a.packet)
 	}
-	c.drain(node)
+	c.processReady(node)
 }
 
-func (c *cluster) drain(node *simulated) {
+func (c *simulatedCluster) processReady(node *simulatedNode) {
 	ready := node.core.Ready()
 	for _, event := range ready.Events {
 		node.events = append(node.events, event)
@@ -162,9 +162,9 @@
 	}
 }
 
-func (c *cluster) transmit(from *simulated, outgoing Outgoing) {
+func (c *simulatedCluster) transmit(from *simulatedNode, outgoing Outgoing) {
 	packet := outgoing.Packet
-	if c.encode {
+	if c.encodePackets {
 		payload, err := EncodePacket(packet)
 		if err != nil {
 			panic(err)
@@ -172,14 +172,14 @@
 		if len(payload) > c.config.PacketLimit {
 			panic(fmt.Sprintf("packet of kind %d has %d bytes", packet.Kind, len(payload)))
 		}
-		c.bytes += len(payload)
+		c.sentBytes += len(payload)
 		if packet, err = DecodePacket(payload); err != nil {
 			panic(err)
 		}
 	}
-	to := c.byAddr[outgoing.To]
-	lost := to == nil || to.dead || c.random.Float64() < c.loss
-	if lost || (c.cut != nil && c.cut(from, to)) {
+	to := c.byAddress[outgoing.To]
+	lost := to == nil || to.dead || c.random.Float64() < c.lossRate
+	if lost || (c.linkDown != nil && c.linkDown(from, to)) {
 		return
 	}
 	delay := c.delay/2 + time.Duration(c.random.Int64N(int64(c.delay)))
@@ -187,25 +187,25 @@
 }
 
 // wake lets a frozen node go on, with its timer before what has come in.
-func (c *cluster) wake(node *simulated) {
+func (c *simulatedCluster) unfreeze(node *simulatedNode) {
 	if !node.frozen || node.dead {
 		return
 	}
 	node.frozen = false
 	node.core.Tick(c.now)
-	c.drain(node)
-	for _, a := range node.inbox {
+	c.processReady(node)
+	for _, a := range node.heldPackets {
 		node.core.Step(c.now, a.from, *a.packet)
-		c.drain(node)
+		c.processReady(node)
 	}
-	node.inbox = nil
+	node.heldPackets = nil
 }
 
 // live returns the nodes that run and were not replaced.
-func (c *cluster) live() []*simulated {
-	var live []*simulated
+func (c *simulatedCluster) liveNodes() []*simulatedNode {
+	var live []*simulatedNode
 	for _, node := range c.nodes {
-		if !node.dead && !node.core.silent() {
+		if !node.dead && !node.core.inactive() {
 			live = append(live, node)
 		}
 	}
@@ -214,30 +214,30 @@
 
 // disagreements counts pairs in which a live node does not see another live
 // node's own record, or sees a member that does not run.
-func (c *cluster) disagreements() int {
-	live := c.live()
-	wrong := 0
+func (c *simulatedCluster) disagreements() int {
+	live := c.liveNodes()
+	count := 0
 	for _, observer := range live {
 		if len(observer.core.Members()) != len(live) {
-			wrong++
+			count++
 		}
 		for _, subject := range live {
 			seen, known := observer.core.Lookup(subject.core.Self().Name)
 			if !known || seen != subject.core.Self() {
-				wrong++
+				count++
 			}
 		}
 	}
-	return wrong
+	return count
 }
 
 // converge runs until all live nodes agree; it returns the time that took, or
 // false if they do not within the limit.
-func (c *cluster) converge(limit time.Duration) (time.Duration, bool) {
+func (c *simulatedCluster) converge(limit time.Duration) (time.Duration, bool) {
 	const step = 500 * time.Millisecond
-	for passed := time.Duration(0); passed <= limit; passed += step {
+	for elapsed := time.Duration(0); elapsed <= limit; elapsed += step {
 		if c.disagreements() == 0 {
-			return passed, true
+			return elapsed, true
 		}
 		c.run(step)
 	}
--- a/internal/selfhosted/membership/statistics.go
+++ b/internal/selfhosted/membership/statistics.go
@@ -18,6 +18,6 @@
 // Statistics returns the counts so far.
 func (c *Core) Statistics() Statistics {
 	statistics := c.statistics
-	statistics.HealthScore = c.health
+	statistics.HealthScore = c.healthScore
 	return statistics
 }
--- a/internal/selfhosted/membership/suspicion.go
+++ b/internal/selfhosted/membership/suspicion.go
@@ -14,20 +14,20 @@
 	// one first.
 	accusers []uint32
 	// own is set if this node is one of them.
-	own bool
+	raisedHere bool
 	// patience stretches the time while this node's own health is in doubt.
-	patience time.Duration
+	healthFactor time.Duration
 	// checks counts the rounds of the last check, begun at checkedAt, and
 	// witnessedChecks those at which the zone could be reached.
-	checks          int
-	witnessedChecks int
-	checkedAt       time.Duration
+	checkCount          int
+	reachableChecks int
+	checkStartedAt       time.Duration
 }
 
 // accuse raises a suspicion of this node's own, or confirms a running one.
 // Nobody is accused in a zone that is held.
-func (c *Core) accuse(target *peer) {
-	if c.view.zone(target.Zone).held {
+func (c *Core) raiseSuspicion(target *peer) {
+	if c.view.ensureZone(target.Zone).held {
 		return
 	}
 	update := shortUpdate(target.Member)
@@ -38,7 +38,7 @@
 	}
 	c.merge(update)
 	if target.suspicion != nil {
-		target.suspicion.own = true
+		target.suspicion.raisedHere = true
 	}
 }
 
@@ -46,16 +46,16 @@
 	p.suspicion = &suspicion{
 		raisedAt: c.now,
 		accusers: []uint32{accuser},
-		patience: time.Duration(c.health + 1),
+		healthFactor: time.Duration(c.healthScore + 1),
 	}
 	c.setDeadline(p.suspicion)
 }
 
 // setDeadline sets the end of a suspicion; the last check starts over.
 func (c *Core) setDeadline(s *suspicion) {
-	s.checks, s.witnessedChecks = 0, 0
+	s.checkCount, s.reachableChecks = 0, 0
 	confirmations := len(s.accusers) - 1
-	s.deadline = s.raisedAt + c.config.suspicionTime(c.members(), confirmations)*s.patience
+	s.deadline = s.raisedAt + c.config.suspicionTime(c.memberCount(), confirmations)*s.healthFactor
 }
 
 // confirmSuspicion counts a further accuser and passes its suspicion on.
@@ -73,21 +73,21 @@
 
 // tickSuspicions takes up the suspicions whose time is over.
 func (c *Core) tickSuspicions() {
-	if c.now < c.quietUntil {
+	if c.now < c.noAccusationsUntil {
 		return
 	}
 	var due []*peer
 	for _, p := range c.view.suspects {
-		if c.now >= p.suspicion.deadline && !c.view.zone(p.Zone).held {
+		if c.now >= p.suspicion.deadline && !c.view.ensureZone(p.Zone).held {
 			due = append(due, p)
 		}
 	}
-	if len(due) > maximumChecks {
+	if len(due) > maximumChecksPerTick {
 		c.random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
-		due = due[:maximumChecks]
+		due = due[:maximumChecksPerTick]
 	}
 	for _, p := range due {
-		c.lastCheck(p)
+		c.finalCheck(p)
 	}
 }
 
@@ -97,34 +97,34 @@
 	checkRounds = 3
 	// witnessedRounds is how many of these must come after a sign that the
 	// zone can be reached: those before may have been lost in a cut.
-	witnessedRounds = 2
+	reachableRounds = 2
 	checkInterval   = 500 * time.Millisecond
 	// maximumChecks bounds the suspects that are asked again in one tick.
-	maximumChecks = 16
+	maximumChecksPerTick = 16
 )
 
 // lastCheck asks a suspect a last time before it is declared gone: a view that
 // missed the refutation gets it from the suspect itself or from another member,
 // and a witness shows whether this node still reaches the zone at all.
-func (c *Core) lastCheck(p *peer) {
+func (c *Core) finalCheck(p *peer) {
 	s := p.suspicion
-	z := c.view.zone(p.Zone)
-	if s.checks == 0 {
-		s.checkedAt = c.now
+	z := c.view.ensureZone(p.Zone)
+	if s.checkCount == 0 {
+		s.checkStartedAt = c.now
 	}
-	witnessed := !c.mayHold(z) || c.witnessed(z, s.checkedAt)
-	if witnessed {
-		s.witnessedChecks++
+	reachable := !c.canHold(z) || c.reachable(z, s.checkStartedAt)
+	if reachable {
+		s.reachableChecks++
 	}
-	conclusive := s.checks >= checkRounds && (!witnessed || s.witnessedChecks > witnessedRounds)
-	if !conclusive && !c.config.disabled.lastCheck {
-		s.checks++
+	conclusive := s.checkCount >= checkRounds && (!reachable || s.reachableChecks > reachableRounds)
+	if !conclusive && !c.config.disabled.finalCheck {
+		s.checkCount++
 		s.deadline = c.now + checkInterval
 		c.ping(p, 0)
-		c.query(p)
+		c.querySuspect(p)
 		return
 	}
-	if !witnessed {
+	if !reachable {
 		c.holdZone(z)
 		return
 	}
@@ -136,11 +136,11 @@
 
 // query asks a witness in the zone of the suspect, and any other member, for
 // news of it.
-func (c *Core) query(suspect *peer) {
-	other := func(p *peer) bool { return p != suspect }
-	packet := Packet{Kind: PacketQuery, Updates: []Update{c.describe(suspect)}}
-	for _, candidates := range [][]*peer{c.view.zone(suspect.Zone).live, c.view.live} {
-		if p := pick(c.random, candidates, other); p != nil {
+func (c *Core) querySuspect(suspect *peer) {
+	notSuspect := func(p *peer) bool { return p != suspect }
+	packet := Packet{Kind: PacketQuery, Updates: []Update{c.fullRecord(suspect)}}
+	for _, candidates := range [][]*peer{c.view.ensureZone(suspect.Zone).live, c.view.live} {
+		if p := pickRandom(c.random, candidates, notSuspect); p != nil {
 			c.send(p.Address, packet)
 		}
 	}
@@ -151,9 +151,9 @@
 func (c *Core) stepQuery(from netip.AddrPort, packet Packet) {
 	answer := Packet{Kind: PacketGossip}
 	for _, asked := range packet.Updates[:min(1, len(packet.Updates))] {
-		known := c.view.byName[asked.Name]
-		if known != nil && known.version().newerThan(asked.version()) {
-			answer.Updates = append(answer.Updates, c.describe(known))
+		existing := c.view.byName[asked.Name]
+		if existing != nil && existing.version().newerThan(asked.version()) {
+			answer.Updates = append(answer.Updates, c.fullRecord(existing))
 		}
 	}
 	c.send(from, answer)
@@ -161,17 +161,17 @@
 
 // reprobedAtOnce is how many suspects are pinged again in one period.
 // Not measured: chosen because it bounds the load while many are suspected.
-const reprobedAtOnce = 4
+const maximumReprobes = 4
 
 // reprobeSuspects pings the members that this node itself suspects once more
 // in each period, so that they hear of it and can refute.
 func (c *Core) reprobeSuspects() {
-	if c.config.disabled.suspicionReprobe {
+	if c.config.disabled.suspectReprobes {
 		return
 	}
-	own := func(p *peer) bool { return p.suspicion.own }
-	for range min(reprobedAtOnce, len(c.view.suspects)) {
-		if p := pick(c.random, c.view.suspects, own); p != nil {
+	raisedHere := func(p *peer) bool { return p.suspicion.raisedHere }
+	for range min(maximumReprobes, len(c.view.suspects)) {
+		if p := pickRandom(c.random, c.view.suspects, raisedHere); p != nil {
 			c.ping(p, 0)
 		}
 	}
--- a/internal/selfhosted/membership/sync.go
+++ b/internal/selfhosted/membership/sync.go
@@ -6,30 +6,30 @@
 )
 
 // syncing is the state of the exchange of digests.
-type syncing struct {
-	next     time.Duration
-	nextSeed time.Duration
+type syncState struct {
+	nextSync     time.Duration
+	nextSeedSync time.Duration
 	// count is the number of exchanges with random members so far.
-	count int
+	syncCount int
 	// seed counts the exchanges with seeds, which take turns.
-	seed          int
+	seedIndex          int
 	nextReconnect time.Duration
 	// rounds is how many more digests may follow in the exchange that runs.
-	rounds int
+	roundsLeft int
 	// receiving is set while the answer to a digest is processed.
-	receiving bool
+	mergingRecords bool
 	// replies is how many digests were answered since repliesSince.
-	replies      int
-	repliesSince time.Duration
+	replyCount      int
+	replyWindowStart time.Duration
 }
 
 // maximumRounds bounds how many digests one exchange may take.
 // Not measured: chosen because it ends an exchange of two nodes that never agree.
-const maximumRounds = 128
+const maximumSyncRounds = 128
 
 // hurriedSyncs is how many exchanges of a new node come sooner than the
 // others, each after twice the time of the one before.
-const hurriedSyncs = 4
+const startupSyncs = 4
 
 // joinInterval is the time between attempts to join.
 // Not measured: chosen because it is the default of Config.ProbeInterval.
@@ -38,19 +38,19 @@
 // tickSync begins exchanges: with a seed until this node has joined and now
 // and then after that, with a random member, and with one that is gone.
 func (c *Core) tickSync() {
-	s := &c.syncing
-	if c.now >= s.nextSeed {
-		s.nextSeed = c.now + c.seedInterval()
+	s := &c.sync
+	if c.now >= s.nextSeedSync {
+		s.nextSeedSync = c.now + c.seedInterval()
 		c.syncWithSeed()
 	}
-	if c.config.disabled.synchronisation {
+	if c.config.disabled.digestExchange {
 		return
 	}
-	if c.now >= s.next {
-		interval := c.config.SyncInterval >> max(0, hurriedSyncs-s.count)
-		s.next = c.now + interval/2 + c.fraction(interval)
-		if p := pick(c.random, c.view.live, func(*peer) bool { return true }); p != nil {
-			s.count++
+	if c.now >= s.nextSync {
+		interval := c.config.SyncInterval >> max(0, startupSyncs-s.syncCount)
+		s.nextSync = c.now + interval/2 + c.randomFraction(interval)
+		if p := pickRandom(c.random, c.view.live, func(*peer) bool { return true }); p != nil {
+			s.syncCount++
 			c.beginSync(p.Address)
 		}
 	}
@@ -63,47 +63,47 @@
 // seedSharers is how many nodes together make an exchange with a seed in each
 // Config.SeedInterval; among more nodes each does it more rarely, so that the
 // load of the seeds does not grow with their number.
-const seedSharers = 16
+const nodesPerSeedSync = 16
 
 // seedInterval is the time until this node's next exchange with a seed.
 func (c *Core) seedInterval() time.Duration {
-	if c.alone() {
+	if c.isIsolated() {
 		return joinInterval
 	}
-	sharers := max(1, c.members()/seedSharers)
+	sharers := max(1, c.memberCount()/nodesPerSeedSync)
 	interval := c.config.SeedInterval * time.Duration(sharers)
-	return interval/2 + c.fraction(interval)
+	return interval/2 + c.randomFraction(interval)
 }
 
 // syncWithSeed begins an exchange with the next seed, or with the next two if
 // this node is alone.
 func (c *Core) syncWithSeed() {
 	attempts := 1
-	if c.alone() {
+	if c.isIsolated() {
 		attempts = 2
 	}
 	for range min(attempts, len(c.seeds)) {
-		c.beginSync(c.seeds[c.syncing.seed%len(c.seeds)])
-		c.syncing.seed++
+		c.beginSync(c.seeds[c.sync.seedIndex%len(c.seeds)])
+		c.sync.seedIndex++
 	}
 }
 
 // alone reports whether this node knows of nobody else that may be up.
-func (c *Core) alone() bool { return !c.Joined() || len(c.view.live) == 0 }
+func (c *Core) isIsolated() bool { return !c.Joined() || len(c.view.live) == 0 }
 
 // reconnect tries a member that is gone, with such a chance that all nodes
 // together try each about once an interval.
 func (c *Core) reconnect() {
 	gone := len(c.view.gone)
-	if gone == 0 || c.random.IntN(c.members()) >= gone {
+	if gone == 0 || c.random.IntN(c.memberCount()) >= gone {
 		return
 	}
-	c.sendTo(c.view.gone[c.random.IntN(gone)], c.digestPacket())
+	c.sendToPeer(c.view.gone[c.random.IntN(gone)], c.digestPacket())
 }
 
 func (c *Core) beginSync(to netip.AddrPort) {
 	c.statistics.Syncs++
-	c.syncing.rounds = maximumRounds
+	c.sync.roundsLeft = maximumSyncRounds
 	c.send(to, c.digestPacket())
 }
 
@@ -113,7 +113,7 @@
 	d.toggle(c.self.Name, c.self.fingerprint())
 	return Packet{
 		Kind:    PacketDigest,
-		Digest:  d.encode(c.members()),
+		Digest:  d.encode(c.memberCount()),
 		Updates: []Update{fullUpdate(c.self)},
 	}
 }
@@ -123,38 +123,38 @@
 func (c *Core) stepDigest(from netip.AddrPort, packet Packet) {
 	d := c.view.digest
 	d.toggle(c.self.Name, c.self.fingerprint())
-	buckets, differ := d.differing(packet.Digest)
-	if len(differ) == 0 || !c.mayReply() {
+	buckets, differ := d.differingBuckets(packet.Digest)
+	if len(differ) == 0 || !c.allowReply() {
 		return
 	}
 	wanted := make([]bool, buckets)
 	for _, bucket := range differ {
 		wanted[bucket] = true
 	}
-	c.sendRecords(from, c.recordsOf(wanted, buckets))
+	c.sendRecords(from, c.bucketRecords(wanted, buckets))
 }
 
 // mayReply limits the digests that are answered in one second.
-func (c *Core) mayReply() bool {
-	s := &c.syncing
-	if c.now-s.repliesSince >= time.Second {
-		s.replies, s.repliesSince = 0, c.now
+func (c *Core) allowReply() bool {
+	s := &c.sync
+	if c.now-s.replyWindowStart >= time.Second {
+		s.replyCount, s.replyWindowStart = 0, c.now
 	}
-	s.replies++
-	return s.replies <= c.config.SyncRepliesPerSecond
+	s.replyCount++
+	return s.replyCount <= c.config.SyncRepliesPerSecond
 }
 
 // recordsOf returns the records in the wanted buckets, in an order that begins
 // at a random place.
-func (c *Core) recordsOf(wanted []bool, buckets int) []Update {
+func (c *Core) bucketRecords(wanted []bool, buckets int) []Update {
 	var records []Update
-	if wanted[bucketOf(c.self.Name, buckets)] {
+	if wanted[nameBucket(c.self.Name, buckets)] {
 		records = append(records, fullUpdate(c.self))
 	}
 	for _, peers := range [][]*peer{c.view.live, c.view.gone} {
 		for _, p := range peers {
 			if wanted[p.bucket%buckets] {
-				records = append(records, c.describe(p))
+				records = append(records, c.fullRecord(p))
 			}
 		}
 	}
@@ -169,15 +169,15 @@
 			return
 		}
 		packet := Packet{Kind: PacketRecords, From: shortUpdate(c.self)}
-		room := c.config.PacketLimit - packet.size()
-		used := 0
-		for used < len(records) && records[used].size() <= room {
-			room -= records[used].size()
-			used++
+		available := c.config.PacketLimit - packet.maximumSize()
+		count := 0
+		for count < len(records) && records[count].maximumSize() <= available {
+			available -= records[count].maximumSize()
+			count++
 		}
-		packet.Updates, records = records[:used:used], records[used:]
+		packet.Updates, records = records[:count:count], records[count:]
 		packet.More = len(records) > 0 && i == c.config.SyncPackets-1
-		c.statistics.SyncRecords += uint64(used)
+		c.statistics.SyncRecords += uint64(count)
 		c.send(to, packet)
 	}
 }
@@ -185,12 +185,12 @@
 // stepRecords goes on with the exchange if the answer was not complete. The
 // next digest goes to any member, so that a seed need not serve all who join.
 func (c *Core) stepRecords(packet Packet) {
-	s := &c.syncing
-	if !packet.More || s.rounds == 0 {
+	s := &c.sync
+	if !packet.More || s.roundsLeft == 0 {
 		return
 	}
-	s.rounds--
-	if p := pick(c.random, c.view.live, func(p *peer) bool { return p.State == StateAlive }); p != nil {
+	s.roundsLeft--
+	if p := pickRandom(c.random, c.view.live, func(p *peer) bool { return p.State == StateAlive }); p != nil {
 		c.send(p.Address, c.digestPacket())
 	}
 }
--- a/internal/selfhosted/membership/view.go
+++ b/internal/selfhosted/membership/view.go
@@ -31,10 +31,10 @@
 	// held is set while the zone is held, since heldSince; spent is set once
 	// the hold has lasted its time and the zone has not answered since.
 	held      bool
-	spent     bool
+	holdExpired     bool
 	heldSince time.Duration
 	// heardAt is when this node last received a packet from the zone.
-	heardAt time.Duration
+	lastPacketAt time.Duration
 }
 
 // view indexes the known members other than this node. It holds no map that
@@ -58,7 +58,7 @@
 func newView() view { return view{byName: make(map[string]*peer)} }
 
 // zone returns the zone of that name, made if new. Zones are few.
-func (v *view) zone(name string) *zone {
+func (v *view) ensureZone(name string) *zone {
 	index, found := slices.BinarySearchFunc(v.zones, name, func(z *zone, name string) int {
 		return strings.Compare(z.name, name)
 	})
@@ -69,7 +69,7 @@
 }
 
 // region returns the stored text that is equal to name. Regions are few.
-func (v *view) region(name string) string {
+func (v *view) internRegion(name string) string {
 	index := slices.Index(v.regions, name)
 	if index < 0 {
 		v.regions = append(v.regions, name)
@@ -80,24 +80,24 @@
 
 // set stores a new record of a member, in place of the old one, and keeps the
 // indexes.
-func (v *view) set(now time.Duration, record Member) *peer {
+func (v *view) put(now time.Duration, record Member) *peer {
 	v.version++
 	p := v.byName[record.Name]
 	if p == nil {
-		p = &peer{bucket: bucketOf(record.Name, digestBuckets)}
+		p = &peer{bucket: nameBucket(record.Name, maximumBuckets)}
 		v.byName[record.Name] = p
 	} else {
-		v.unlink(p)
+		v.removeFromIndexes(p)
 	}
 	// Members share the texts of their zone and region.
-	record.Zone = v.zone(record.Zone).name
-	record.Region = v.region(record.Region)
+	record.Zone = v.ensureZone(record.Zone).name
+	record.Region = v.internRegion(record.Region)
 	p.Member = record
-	v.link(now, p)
+	v.addToIndexes(now, p)
 	return p
 }
 
-func (v *view) link(now time.Duration, p *peer) {
+func (v *view) addToIndexes(now time.Duration, p *peer) {
 	if p.gone() {
 		p.goneAt = now
 		v.gone = append(v.gone, p)
@@ -107,8 +107,8 @@
 	v.digest[p.bucket] ^= p.fingerprint
 	p.liveIndex = len(v.live)
 	v.live = append(v.live, p)
-	v.ordered = slices.Insert(v.ordered, v.orderOf(p.Name), p)
-	z := v.zone(p.Zone)
+	v.ordered = slices.Insert(v.ordered, v.orderedIndex(p.Name), p)
+	z := v.ensureZone(p.Zone)
 	p.zoneIndex = len(z.live)
 	z.live = append(z.live, p)
 	if p.State == StateSuspect {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (v *view) unlink(p *peer) {
+func (v *view) removeFromIndexes(p *peer) {
 	if p.gone() {
 		v.gone = slices.DeleteFunc(v.gone, func(other *peer) bool { return other == p })
 		return
@@ -126,9 +126,9 @@
 	last := v.live[len(v.live)-1]
 	v.live[p.liveIndex], last.liveIndex = last, p.liveIndex
 	v.live = v.live[:len(v.live)-1]
-	place := v.orderOf(p.Name)
-	v.ordered = slices.Delete(v.ordered, place, place+1)
-	z := v.zone(p.Zone)
+	index := v.orderedIndex(p.Name)
+	v.ordered = slices.Delete(v.ordered, index, index+1)
+	z := v.ensureZone(p.Zone)
 	lastOfZone := z.live[len(z.live)-1]
 	z.live[p.zoneIndex], lastOfZone.zoneIndex = lastOfZone, p.zoneIndex
 	z.live = z.live[:len(z.live)-1]
@@ -139,22 +139,22 @@
 }
 
 // orderOf returns the place of a name in ordered.
-func (v *view) orderOf(name string) int {
-	place, _ := slices.BinarySearchFunc(v.ordered, name, func(p *peer, name string) int {
+func (v *view) orderedIndex(name string) int {
+	index, _ := slices.BinarySearchFunc(v.ordered, name, func(p *peer, name string) int {
 		return strings.Compare(p.Name, name)
 	})
-	return place
+	return index
 }
 
 // forget drops a member that is gone.
 func (v *view) forget(p *peer) {
-	v.unlink(p)
+	v.removeFromIndexes(p)
 	delete(v.byName, p.Name)
 }
 
 // pick returns a random element of peers that is acceptable, or nil if none
 // was found in a few attempts.
-func pick(random *rand.Rand, peers []*peer, acceptable func(*peer) bool) *peer {
+func pickRandom(random *rand.Rand, peers []*peer, acceptable func(*peer) bool) *peer {
 	if len(peers) == 0 {
 		return nil
 	}
