--- a/internal/selfhosted/membership/benchmark_test.go
+++ b/internal/selfhosted/membership/benchmark_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// These benchmarks report virtual times and encoded bytes rather than the time
-// they take; run them with -benchtime 1x.
+// The benchmarks report virtual times and encoded bytes instead of elapsed time. Run them with
+// -benchtime 1x.
 
 var benchmarkSizes = []int{10, 100, 400}
 
@@ -17,13 +17,13 @@
 	c := newCluster(DefaultConfig(), size, 4, seed)
 	c.encodePackets = true
 	if _, ok := c.converge(2 * time.Minute); !ok {
-		b.Fatal("the cluster does not form")
+		b.Fatal("views do not agree after 2m0s")
 	}
 	c.run(30 * time.Second)
 	return c
 }
 
-// BenchmarkTraffic measures the bytes that a node sends at rest.
+// BenchmarkIdleTraffic reports the bytes that a node sends while nothing changes.
 func BenchmarkIdleTraffic(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// BenchmarkDetection crashes single nodes and measures when the first view and
-// when all views hold them for suspect and for gone.
+// BenchmarkFailureDetection crashes single nodes. It reports the time until the first view suspects
+// the node, until all views suspect it, and until all views declare it gone.
 func BenchmarkFailureDetection(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -59,7 +59,7 @@
 		if victim.dead {
 			continue
 		}
-		begun := c.now
+		crashedAt := c.now
 		suspected := make(map[*simulatedNode]bool)
 		var first, all, gone time.Duration
 		c.onEvent = func(observer *simulatedNode, event Event) {
@@ -67,14 +67,14 @@
 				return
 			}
 			if len(suspected) == 0 {
-				first = c.now - begun
+				first = c.now - crashedAt
 			}
 			if !suspected[observer] {
 				suspected[observer] = true
-				all = c.now - begun
+				all = c.now - crashedAt
 			}
 			if event.Member.State == StateGone {
-				gone = c.now - begun
+				gone = c.now - crashedAt
 			}
 		}
 		victim.dead = true
@@ -96,14 +96,13 @@
 	report(goneByAll, "all-gone")
 }
 
-// BenchmarkLoss counts suspicions and deaths of live members while a fifth of
-// all packets is lost.
+// BenchmarkPacketLoss counts false suspicions and live members declared gone at 20 % packet loss.
 func BenchmarkPacketLoss(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			for b.Loop() {
 				c := newFormedCluster(b, size, 3)
-				deaths := trackFalseGone(c)
+				falsePositives := trackFalsePositives(c)
 				before, bytes := sumStatistics(c), c.sentBytes
 				c.lossRate = 0.2
 				const minutes = 10
@@ -112,7 +111,7 @@
 				hours := float64(size) * minutes / 60
 				b.ReportMetric(float64(sum.SuspicionsRaised-before.SuspicionsRaised)/hours, "false-suspicions/node-hour")
 				b.ReportMetric(float64(sum.ProbesFailed-before.ProbesFailed)/float64(sum.Probes-before.Probes), "failed-probes/probe")
-				b.ReportMetric(float64(deaths.count), "false-deaths")
+				b.ReportMetric(float64(falsePositives.count), "false-deaths")
 				b.ReportMetric(float64(c.sentBytes-bytes)/minutes/60/float64(size), "bytes/s/node")
 			}
 		})
--- a/internal/selfhosted/membership/broadcast.go
+++ b/internal/selfhosted/membership/broadcast.go
@@ -1,25 +1,26 @@
 package membership
 
-// broadcast is an update that waits to be passed on.
+// queuedUpdate is an update that is waiting to be piggybacked on packets.
 type queuedUpdate struct {
 	update        Update
 	transmissions int
-	replaced         bool
+	// replaced is set when a later update of the same member was queued.
+	replaced bool
 }
 
-// broadcastQueue holds the updates to pass on, those sent least often first.
-// At most one update for each member is current.
+// broadcastQueue holds the updates to piggyback, least often transmitted first. It keeps at most
+// one update per member that is not replaced.
 type broadcastQueue struct {
-	// levels[i] holds the updates that were sent i times, oldest first.
-	byTransmissions  [][]*queuedUpdate
-	byName map[string]*queuedUpdate
+	// byTransmissions[i] holds the updates that were transmitted i times, oldest first.
+	byTransmissions [][]*queuedUpdate
+	byName          map[string]*queuedUpdate
 }
 
 func newBroadcastQueue() broadcastQueue {
 	return broadcastQueue{byName: make(map[string]*queuedUpdate)}
 }
 
-// add puts an update in, in place of an earlier one of the same member.
+// add queues an update and marks a queued update of the same member as replaced.
 func (q *broadcastQueue) add(update Update) {
 	if old := q.byName[update.Name]; old != nil {
 		old.replaced = true
@@ -36,11 +37,11 @@
 	q.byTransmissions[entry.transmissions] = append(q.byTransmissions[entry.transmissions], entry)
 }
 
-// empty reports whether nothing waits.
+// empty reports whether no update is waiting.
 func (q *broadcastQueue) empty() bool { return len(q.byName) == 0 }
 
-// take returns updates that fit into room bytes and counts them as sent.
-// Those that reach the limit of transmissions are dropped.
+// take returns updates that fit into the available bytes and counts them as transmitted. It drops
+// updates that have been transmitted transmitLimit times.
 func (q *broadcastQueue) take(available, transmitLimit int) []Update {
 	if q.empty() {
 		return nil
@@ -65,6 +66,8 @@
 	return updates
 }
 
+// takeAtLevel appends updates that were transmitted level times to taken, and returns the bytes
+// that remain available.
 func (q *broadcastQueue) takeAtLevel(level, available int, taken *[]*queuedUpdate) int {
 	entries := q.byTransmissions[level]
 	consumed := 0
--- a/internal/selfhosted/membership/codec.go
+++ b/internal/selfhosted/membership/codec.go
@@ -10,13 +10,12 @@
 	"github.com/micaplank/micaplank/internal/peer/gobvalue"
 )
 
-// FormatVersion is the first byte of every encoded packet. It must be raised
-// whenever Packet or Update change, because the type descriptors are not sent.
+// FormatVersion is the first byte of every encoded packet. It must be raised whenever Packet or
+// Update changes, because the gob type descriptors are not sent.
 const FormatVersion = 1
 
-// The header of a packet is the format version and the checksum of the value,
-// in bytes. The checksum refuses datagrams that were cut short, which gob would
-// decode in part.
+// A packet starts with the format version and the checksum of the gob value. headerSize is their
+// size in bytes. The checksum rejects truncated datagrams, which gob would decode in part.
 const (
 	versionSize = 1
 	headerSize  = versionSize + 4
@@ -24,14 +23,13 @@
 
 func checksum(value []byte) uint32 { return uint32(xxhash.Sum64(value)) }
 
-// ErrFormat is returned for a datagram that is no whole packet of this
-// version.
-var ErrFormat = errors.New("membership: not a packet of this format version")
+// ErrFormat is returned for a datagram that is not a complete packet of FormatVersion.
+var ErrFormat = errors.New("membership: datagram is not a complete packet of the supported format version")
 
 var packets = gobvalue.New("membership", Packet{Kind: PacketPing})
 
-// EncodePacket returns the packet as the payload of one datagram. The error is
-// that of the encoder.
+// EncodePacket returns the payload of the datagram that carries the packet. It fails if gob cannot
+// encode the packet.
 func EncodePacket(packet Packet) ([]byte, error) {
 	payload, err := packets.Encode(&packet, headerSize)
 	if err != nil {
@@ -42,8 +40,8 @@
 	return payload, nil
 }
 
-// DecodePacket reads the payload of one datagram. The error is ErrFormat for
-// another format version, or that of the decoder.
+// DecodePacket decodes the payload of one datagram. It returns ErrFormat for another format version
+// or a wrong checksum, and a wrapped decoding error otherwise.
 func DecodePacket(payload []byte) (Packet, error) {
 	if len(payload) <= headerSize || payload[0] != FormatVersion {
 		return Packet{}, ErrFormat
--- a/internal/selfhosted/membership/codec_compatibility_test.go
+++ b/internal/selfhosted/membership/codec_compatibility_test.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestPacketReadsAsRecorded guards a fleet of two versions.
+// TestPacketDecodesRecordedBytes checks that nodes of two versions understand each other's packets.
 func TestPacketDecodesRecordedBytes(t *testing.T) {
 	wiretest.Encoded(t, "packet", EncodePacket, DecodePacket)
 }
--- a/internal/selfhosted/membership/codec_test.go
+++ b/internal/selfhosted/membership/codec_test.go
@@ -52,11 +52,11 @@
 			t.Fatal(err)
 		}
 		if len(payload) > packet.maximumSize() {
-			t.Fatalf("%d bytes, estimated %d", len(payload), packet.maximumSize())
+			t.Fatalf("encoded size is %d bytes, want at most %d", len(payload), packet.maximumSize())
 		}
 		decoded, err := DecodePacket(payload)
 		if err != nil || !reflect.DeepEqual(decoded, packet) {
-			t.Fatalf("decoded %+v, %v; want %+v", decoded, err, packet)
+			t.Fatalf("DecodePacket returned %+v, %v; want %+v", decoded, err, packet)
 		}
 	})
 }
@@ -68,12 +68,13 @@
 		valid, _ := EncodePacket(drawPacket(t))
 		cut := rapid.IntRange(0, len(valid)-1).Draw(t, "cut")
 		if _, err := DecodePacket(valid[:cut]); err == nil {
-			t.Fatalf("a payload cut at %d of %d bytes was taken", cut, len(valid))
+			t.Fatalf("DecodePacket accepted a payload truncated to %d of %d bytes, want an error", cut, len(valid))
 		}
 	})
 }
 
-// The golden bytes hold the format: if they change, raise FormatVersion.
+// The golden file records the encoding of FormatVersion. A change of the encoding requires a higher
+// FormatVersion.
 func TestPacketEncodingMatchesGoldenFile(t *testing.T) {
 	payload, err := EncodePacket(samplePing())
 	if err != nil {
--- a/internal/selfhosted/membership/config.go
+++ b/internal/selfhosted/membership/config.go
@@ -5,79 +5,78 @@
 	"time"
 )
 
-// Config holds the times and limits of the protocol. Use DefaultConfig and
-// change single fields.
+// Config holds the intervals and limits of the protocol. Start from DefaultConfig and change single
+// fields.
 type Config struct {
-	// TickInterval is how often the driver calls Tick.
+	// TickInterval is the time between two calls of Core.Tick.
 	TickInterval time.Duration
-	// ProbeInterval is the period in which each node probes one other.
+	// ProbeInterval is the period in which each node probes one other node.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take before proxies are
-	// asked. It must be above the largest round trip between regions.
+	// ProbeTimeout is the time after which an unanswered direct probe is repeated through proxies.
+	// It must exceed the largest round trip between regions.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of proxies that are asked to ping a member
-	// that did not answer.
+	// IndirectProbes is the number of proxies that are asked to ping a member that did not answer.
 	IndirectProbes int
-	// GossipInterval and GossipFanout set how often, and to how many members,
-	// waiting updates are sent on packets of their own.
+	// GossipInterval is the time between two rounds of gossip packets, which carry waiting updates
+	// that no other packet has carried, and GossipFanout is the number of receivers per round.
 	GossipInterval time.Duration
 	GossipFanout   int
-	// RetransmitMultiplier times log10 of the number of members is how often
-	// a node passes one update on.
+	// RetransmitMultiplier times log10 of the number of members is how often a node transmits one
+	// update.
 	RetransmitMultiplier float64
-	// SuspicionMultiplier times log10 of the number of members times
-	// ProbeInterval is the shortest time from suspicion to gone.
+	// SuspicionMultiplier times log10 of the number of members times ProbeInterval is the minimum
+	// time from suspicion to gone.
 	SuspicionMultiplier float64
-	// SuspicionMaximumFactor times the shortest time is the time from
-	// suspicion to gone if no other member confirms the suspicion.
+	// SuspicionMaximumFactor times the minimum time is the time from suspicion to gone if no other
+	// member confirms the suspicion.
 	SuspicionMaximumFactor float64
-	// SuspicionConfirmations is the number of other accusers that brings the
-	// time down to the shortest.
+	// SuspicionConfirmations is the number of confirmations by other members that reduces the time
+	// from suspicion to gone to its minimum.
 	SuspicionConfirmations int
-	// SyncInterval is the mean time between digest exchanges of a node.
+	// SyncInterval is the mean time between two digest exchanges that a node starts with random
+	// members.
 	SyncInterval time.Duration
-	// SyncPackets is the largest number of packets in answer to one digest,
-	// and SyncRepliesPerSecond limits the digests answered.
+	// SyncPackets is the maximum number of packets sent in answer to one digest, and
+	// SyncRepliesPerSecond is the maximum number of digests answered per second.
 	SyncPackets          int
 	SyncRepliesPerSecond int
-	// SeedInterval is the time between digest exchanges with a seed address,
-	// which join groups of nodes that do not know of each other. A node among
-	// many makes them more rarely.
+	// SeedInterval is the mean time between two digest exchanges with a seed. These exchanges merge
+	// groups of nodes that do not know of each other. In a large cluster each node performs them
+	// less often; see seedSyncsPerInterval.
 	SeedInterval time.Duration
-	// ReconnectInterval is the time in which each member that is gone is
-	// tried about once, by one of all the nodes.
+	// ReconnectInterval is the mean time between two attempts, by all nodes together, to reach one
+	// member that is gone.
 	ReconnectInterval time.Duration
-	// GoneRetention is how long a member that is gone is remembered, as a
-	// fence against old records of it.
+	// GoneRetention is how long a member that is gone is remembered. Until then, an outdated record
+	// cannot add the member again.
 	GoneRetention time.Duration
-	// ZoneHold is how long a zone may be held; see the package comment.
+	// ZoneHold is the maximum duration of a zone hold; see the package comment.
 	ZoneHold time.Duration
-	// MaximumTickGap is the longest time between two calls of the core that
-	// does not count as a pause of this process.
+	// MaximumTickGap is the longest time between two calls of the core that does not count as a
+	// pause of this process.
 	MaximumTickGap time.Duration
-	// PacketLimit bounds the size of a packet in bytes.
+	// PacketLimit is the maximum size of an encoded packet in bytes.
 	PacketLimit int
 
 	disabled disabledMechanisms
 }
 
-// mechanisms names parts of the protocol that tests switch off, to see the
-// proof of each fail.
+// disabledMechanisms names the mechanisms of the protocol that tests disable, to show that a test
+// fails without the mechanism that it covers.
 type disabledMechanisms struct {
-	refutation       bool
-	incarnations     bool
-	pauseDetection   bool
-	zoneHold         bool
-	indirectProbes   bool
-	finalCheck        bool
+	refutation      bool
+	incarnations    bool
+	pauseDetection  bool
+	zoneHold        bool
+	indirectProbes  bool
+	finalCheck      bool
 	suspectReprobes bool
 	digestExchange  bool
 }
 
-// DefaultConfig returns the values for a network with round trips below
-// 300 ms. They were measured together, by the benchmarks of this package with
-// 100 nodes in virtual time: how soon a crashed node is suspected and gone, what
-// a node sends, and false suspicions at 20 % loss (docs/PROVED.md).
+// DefaultConfig returns the values for a network with round trips below 300 ms. They balance the
+// time to detect a crash, the traffic of a node and the false suspicions at 20 % packet loss; the
+// benchmarks of this package report all three.
 func DefaultConfig() Config {
 	return Config{
 		TickInterval:           100 * time.Millisecond,
@@ -102,18 +101,19 @@
 	}
 }
 
-// scale is the logarithm by which retransmissions and suspicion times grow
-// with the number of members; it is at least 1.
+// logScale returns the factor by which retransmissions and suspicion times grow with the number of
+// members. It is at least 1.
 func logScale(members int) float64 {
 	return math.Max(1, math.Log10(float64(members)))
 }
 
+// retransmissions returns how often one update is transmitted.
 func (c Config) retransmissions(members int) int {
 	return int(math.Ceil(c.RetransmitMultiplier * logScale(members+1)))
 }
 
-// suspicionTime is the time from suspicion to gone with the given number of
-// confirmations.
+// suspicionTime returns the time from suspicion to gone for a number of confirmations. It falls
+// with the logarithm of the confirmations, as Lifeguard defines it.
 func (c Config) suspicionTime(members, confirmations int) time.Duration {
 	shortest := c.SuspicionMultiplier * logScale(members) * float64(c.ProbeInterval)
 	needed := min(c.SuspicionConfirmations, members-2)
--- a/internal/selfhosted/membership/core.go
+++ b/internal/selfhosted/membership/core.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Ready is what the driver has to do after a step or tick.
+// Ready holds the packets that the driver has to send and the events that it has to publish.
 type Ready struct {
 	Packets []Outgoing
 	Events  []Event
 }
 
-// Core is the membership protocol of one node as a state machine. It does no
-// I/O and reads no clock; it must not be used by two goroutines at once.
+// Core is the membership protocol of one node as a state machine. It performs no I/O and reads no
+// clock. It is not safe for concurrent use.
 type Core struct {
 	config Config
 	random *rand.Rand
@@ -25,22 +25,24 @@
 	joined     bool
 	superseded bool
 	departed   bool
-	revision   uint64
-	highestRevision      uint64
-
-	view       view
-	broadcasts broadcastQueue
-	probes    probeState
-	sync    syncState
-	healthScore     int
-	lastPacketAt    time.Duration
-	// quietUntil is when this node may accuse others again after a pause.
+	// revision is the catalog revision that this node announces, and highestRevision the highest
+	// one that it or any peer has announced.
+	revision        uint64
+	highestRevision uint64
+
+	view         view
+	broadcasts   broadcastQueue
+	probes       probeState
+	sync         syncState
+	healthScore  int
+	lastPacketAt time.Duration
+	// noAccusationsUntil is the time until which this node raises no suspicions after a pause.
 	noAccusationsUntil time.Duration
-	nextGossip time.Duration
-	nextZoneCheck  time.Duration
+	nextGossip         time.Duration
+	nextZoneCheck      time.Duration
 
-	// listed is the last list of members, made at listedVersion of the view,
-	// and listedSelf the place of this node in it.
+	// memberList caches the result of Members, built at memberListVersion of the view.
+	// memberListSelf is the index of this node in it.
 	memberList        []Member
 	memberListVersion uint64
 	memberListSelf    int
@@ -49,9 +51,9 @@
 	statistics Statistics
 }
 
-// New returns the core of one node. The incarnation of self must be higher
-// than that of any process that had the name before; its state is ignored.
-// Seeds are peer addresses to join through; those of self are skipped.
+// NewCore returns the core of one node. The incarnation of self must be higher than that of any
+// earlier process with the same name; the state of self is ignored. Seeds are peer addresses to
+// join through; the address of self is skipped.
 func NewCore(config Config, self Member, seeds []netip.AddrPort, random *rand.Rand) *Core {
 	self.State, self.Refutation = StateAlive, 0
 	c := &Core{
@@ -74,14 +76,14 @@
 	c.highestRevision = max(c.highestRevision, revision)
 }
 
-// Ready returns the packets to send and the events since the last call.
+// Ready returns the packets and events that accumulated since the last call.
 func (c *Core) Ready() Ready {
 	ready := c.ready
 	c.ready = Ready{}
 	return ready
 }
 
-// Step processes one packet.
+// Step processes one received packet.
 func (c *Core) Step(now time.Duration, from netip.AddrPort, packet Packet) {
 	if c.inactive() {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// Tick lets time pass. It should be called every Config.TickInterval.
+// Tick advances the protocol to the time now. The driver calls it every Config.TickInterval.
 func (c *Core) Tick(now time.Duration) {
 	if c.inactive() {
 		return
@@ -132,14 +134,13 @@
 	c.tickRetention()
 }
 
-// quietPeriods is for how many probe periods after a pause of this process it
-// accuses nobody.
-// Not measured: chosen because a probe that begins after the pause ends in them.
+// pauseGracePeriods is the number of probe periods after a pause in which this process raises no
+// suspicions. Two periods cover a whole probe that begins after the pause.
 const pauseGracePeriods = 2
 
-// advance moves the clock. If the process did not run for a while, the silence
-// of the others in that time proves nothing: the running probe is dropped,
-// suspicions get the time back, and nobody is accused for two periods.
+// advance sets the clock. After a pause of this process, missing answers of other members are no
+// evidence of failure: advance cancels the running probe, extends the deadline of every suspicion
+// by the pause, and blocks new suspicions for pauseGracePeriods.
 func (c *Core) advance(now time.Duration) {
 	if !c.started {
 		c.start(now)
@@ -162,7 +163,7 @@
 func (c *Core) start(now time.Duration) {
 	c.started = true
 	c.now = now
-	c.probes.nextProbeAt = now + c.randomFraction(c.config.ProbeInterval)
+	c.probes.nextProbe = now + c.randomFraction(c.config.ProbeInterval)
 	c.nextGossip = now + c.randomFraction(c.config.GossipInterval)
 	c.sync.nextSync = now + c.randomFraction(c.config.SyncInterval>>startupSyncs)
 	c.sync.nextSeedSync = now
@@ -170,7 +171,7 @@
 	c.sync.nextReconnect = now + c.randomFraction(c.config.ReconnectInterval)
 }
 
-// fraction returns a random part of an interval, to spread the nodes out.
+// randomFraction returns a random duration up to interval, which spreads the timers of the nodes.
 func (c *Core) randomFraction(interval time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(interval) + 1))
 }
--- a/internal/selfhosted/membership/core_test.go
+++ b/internal/selfhosted/membership/core_test.go
@@ -9,7 +9,7 @@
 	t.Helper()
 	took, ok := c.converge(limit)
 	if !ok {
-		t.Fatalf("%d disagreements after %v", c.disagreements(), limit)
+		t.Fatalf("views have %d disagreements after %v, want 0", c.disagreements(), limit)
 	}
 	return took
 }
@@ -17,14 +17,14 @@
 func TestClusterConvergesAfterStart(t *testing.T) {
 	c := newCluster(DefaultConfig(), 60, 3, 1)
 	c.encodePackets = true
-	t.Logf("60 nodes agree after %v", mustConverge(t, c, time.Minute))
+	t.Logf("views of 60 nodes agree after %v", mustConverge(t, c, time.Minute))
 }
 
 func TestClusterConvergesAfterCrash(t *testing.T) {
 	c := newCluster(DefaultConfig(), 60, 3, 2)
 	mustConverge(t, c, time.Minute)
 	c.nodes[7].dead = true
-	t.Logf("crash known to all after %v", mustConverge(t, c, 2*time.Minute))
+	t.Logf("all views show the crash after %v", mustConverge(t, c, 2*time.Minute))
 }
 
 func TestFrozenProcessIsSupersededByReplacement(t *testing.T) {
@@ -38,7 +38,7 @@
 	c.unfreeze(old)
 	c.run(5 * time.Second)
 	if !old.core.Superseded() {
-		t.Fatal("the replaced process does not know that it was replaced")
+		t.Fatal("Superseded of the replaced process is false, want true")
 	}
 	mustConverge(t, c, time.Minute)
 }
@@ -49,20 +49,21 @@
 	node := c.nodes[9]
 	node.core.Leave()
 	c.run(5 * time.Second)
-	if seen, _ := c.nodes[0].core.Lookup(nodeName(9)); seen.State != StateLeaving {
-		t.Fatalf("state is %v, want leaving", seen.State)
+	if record, _ := c.nodes[0].core.Lookup(nodeName(9)); record.State != StateLeaving {
+		t.Fatalf("state of node 9 after Leave is %v, want leaving", record.State)
 	}
 	node.core.Depart()
 	c.processReady(node)
 	c.run(5 * time.Second)
 	for _, other := range c.liveNodes() {
-		if seen, _ := other.core.Lookup(nodeName(9)); seen.State != StateGone {
-			t.Fatalf("state is %v, want gone", seen.State)
+		if record, _ := other.core.Lookup(nodeName(9)); record.State != StateGone {
+			t.Fatalf("state of node 9 after Depart is %v, want gone", record.State)
 		}
 	}
 }
 
-// TestSeedsCarryNoMoreThanOthers counts the digests that arrive at each node.
+// TestSeedsReceiveBoundedShareOfDigests checks that no seed receives more than three times the mean
+// number of digests per node.
 func TestSeedsReceiveBoundedShareOfDigests(t *testing.T) {
 	c := newCluster(DefaultConfig(), 150, 3, 5)
 	mustConverge(t, c, time.Minute)
@@ -78,7 +79,7 @@
 	mean := total / len(c.nodes)
 	for _, seed := range c.nodes[:3] {
 		if digests[seed] > 3*mean {
-			t.Errorf("%s got %d digests, the mean is %d", seed.core.Self().Name, digests[seed], mean)
+			t.Errorf("seed %s received %d digests, want at most 3 times the mean of %d", seed.core.Self().Name, digests[seed], mean)
 		}
 	}
 }
--- a/internal/selfhosted/membership/core_view.go
+++ b/internal/selfhosted/membership/core_view.go
@@ -8,15 +8,14 @@
 // Self returns this node's own record.
 func (c *Core) Self() Member { return c.self }
 
-// Joined reports whether this node has heard from any other, or has no seeds.
+// Joined reports whether this node has received a packet from another node, or has no seeds.
 func (c *Core) Joined() bool { return c.joined || len(c.seeds) == 0 }
 
-// Superseded reports whether the name belongs to a newer process.
+// Superseded reports whether a process with a higher incarnation holds the name of this node.
 func (c *Core) Superseded() bool { return c.superseded }
 
-// Members returns all known members that are not gone, this node included,
-// ordered by name. The list is rebuilt only after a change; it must not be
-// modified.
+// Members returns all members that are not gone, including this node, in order of their names. The
+// list is rebuilt only after a change and must not be modified.
 func (c *Core) Members() []Member {
 	if c.memberList == nil || c.memberListVersion != c.view.version || c.memberList[c.memberListSelf] != c.self {
 		c.memberList = make([]Member, 0, c.memberCount())
@@ -32,7 +31,7 @@
 	return c.memberList
 }
 
-// Lookup returns what is known of a member, gone ones included.
+// Lookup returns the record of a member, including a member that is gone.
 func (c *Core) Lookup(name string) (Member, bool) {
 	if name == c.self.Name {
 		return c.self, true
@@ -44,9 +43,8 @@
 	return p.Member, true
 }
 
-// ViewHash returns a hash of the view: the exclusive or of ViewHash of all
-// members that are not gone, this node included. Equal views have equal
-// hashes.
+// ViewHash returns a hash of the view: the XOR of Member.ViewHash over all members that are not
+// gone, including this node. Equal views have equal hashes.
 func (c *Core) ViewHash() uint64 {
 	hash := c.self.ViewHash()
 	for _, p := range c.view.live {
@@ -66,5 +64,5 @@
 	return names
 }
 
-// members is the number of members that are not gone, this node included.
+// memberCount returns the number of members that are not gone, including this node.
 func (c *Core) memberCount() int { return len(c.view.live) + 1 }
--- a/internal/selfhosted/membership/digest.go
+++ b/internal/selfhosted/membership/digest.go
@@ -7,34 +7,31 @@
 )
 
 const (
-	// digestBuckets is the largest number of buckets, and minimumBuckets the
-	// smallest; both are powers of two.
-	maximumBuckets  = 256
+	// maximumBuckets and minimumBuckets bound the number of buckets; both are powers of two.
+	maximumBuckets = 256
 	minimumBuckets = 8
-	// membersPerBucket is how many members a bucket has on average before the
-	// number of buckets doubles.
-	// Not measured: chosen because a bucket that differs costs the records of
-	// all its members.
+	// membersPerBucket is the mean number of members per bucket above which the number of buckets
+	// doubles. A bucket that differs costs the records of all its members.
 	membersPerBucket = 8
 	bytesPerBucket   = 4
 )
 
-// digest is the exclusive or of the fingerprints of all members that are not
-// gone, by bucket of the name.
+// digest holds, for each bucket of names, the XOR of the fingerprints of the members that are not
+// gone.
 type digest [maximumBuckets]uint32
 
-// bucketOf returns the bucket of a name out of a power of two of buckets. The
-// bucket out of fewer is the remainder of the bucket out of more.
+// nameBucket returns the bucket of a name among a power of two of buckets. The bucket among fewer
+// buckets is the remainder of the bucket among more, which fold relies on.
 func nameBucket(name string, buckets int) int {
 	return int(xxhash.Sum64String(name) % uint64(buckets))
 }
 
-// toggle adds a fingerprint, or takes it out again.
+// toggle adds a fingerprint to the digest, or removes one that was added before.
 func (d *digest) toggle(name string, fingerprint uint32) {
 	d[nameBucket(name, maximumBuckets)] ^= fingerprint
 }
 
-// fold returns the digest with fewer buckets.
+// fold returns the digest reduced to fewer buckets.
 func (d *digest) fold(buckets int) []uint32 {
 	folded := make([]uint32, buckets)
 	for i, value := range d {
@@ -43,8 +40,7 @@
 	return folded
 }
 
-// encode returns the digest with a number of buckets fit for the number of
-// members.
+// encode returns the digest with a number of buckets that suits the number of members.
 func (d *digest) encode(members int) []byte {
 	buckets := minimumBuckets
 	for buckets < maximumBuckets && buckets*membersPerBucket < members {
@@ -57,8 +53,9 @@
 	return encoded
 }
 
-// differing returns the number of buckets of an encoded digest and those in
-// which d differs from it; zero buckets if it is malformed.
+// differingBuckets compares an encoded digest with d. It returns the number of buckets in the
+// encoded digest and the indexes of those that differ, or zero buckets if the encoded digest is
+// malformed.
 func (d *digest) differingBuckets(encoded []byte) (buckets int, differ []int) {
 	buckets = len(encoded) / bytesPerBucket
 	valid := len(encoded)%bytesPerBucket == 0 && buckets > 0 &&
--- a/internal/selfhosted/membership/event.go
+++ b/internal/selfhosted/membership/event.go
@@ -2,33 +2,31 @@
 
 import "time"
 
-// EventKind says what an event is about.
+// EventKind is the type of an Event.
 type EventKind uint8
 
-// The kinds of events.
 const (
-	// EventChanged reports that a member was added, that its state,
-	// incarnation or addresses changed, or that it was forgotten.
+	// EventChanged reports that a member was added, or that its state, incarnation or addresses
+	// changed.
 	EventChanged EventKind = iota + 1
-	// EventSuperseded reports that another process holds the name of this
-	// node with a higher incarnation. The core is silent from then on; the
-	// node must stop serving.
+	// EventSuperseded reports that another process holds the name of this node with a higher
+	// incarnation. The core sends and accepts no packets from then on; the node must stop serving.
 	EventSuperseded
-	// EventZoneHeld and EventZoneReleased report the begin and end of a hold.
+	// EventZoneHeld and EventZoneReleased report the start and the end of a zone hold.
 	EventZoneHeld
 	EventZoneReleased
-	// EventPaused reports that this process did not run for Event.Pause.
+	// EventPaused reports that this process did not run for the duration Event.Pause.
 	EventPaused
-	// EventRevision reports that a peer holds Event.Revision, higher than any
-	// heard of before.
+	// EventRevision reports that a peer holds the catalog revision Event.Revision, which is higher
+	// than any revision announced before.
 	EventRevision
 )
 
-// Event is a change of what this node knows.
+// Event reports a change of the view or of the state of this node.
 type Event struct {
 	Kind EventKind
-	// Member is the member after the change, and Previous before it; Previous
-	// has no name if the member was not known.
+	// Member is the record after the change and Previous the record before it. Previous has no name
+	// if the member is new.
 	Member   Member
 	Previous Member
 	Zone     string
--- a/internal/selfhosted/membership/mechanism_test.go
+++ b/internal/selfhosted/membership/mechanism_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// falseDeaths records, for each observer and subject, how long a process that
-// runs and can be reached was seen as gone.
-type falseGone struct {
-	count   int
-	longest time.Duration
-	since   map[[2]string]time.Duration
+// falsePositiveTracker records, for each pair of observer and subject, how long the observer's view
+// showed a running, reachable process as gone.
+type falsePositiveTracker struct {
+	count           int
+	longestDuration time.Duration
+	goneSince       map[[2]string]time.Duration
 }
 
-func trackFalseGone(c *simulatedCluster) *falseGone {
-	f := &falseGone{since: make(map[[2]string]time.Duration)}
+func trackFalsePositives(c *simulatedCluster) *falsePositiveTracker {
+	f := &falsePositiveTracker{goneSince: make(map[[2]string]time.Duration)}
 	running := func(m Member) bool {
 		node := c.byAddress[m.Address]
 		return node != nil && !node.dead && !node.frozen && node.core.Self().Incarnation == m.Incarnation
@@ -27,14 +27,14 @@
 			return
 		}
 		key := [2]string{observer.core.Self().Name, event.Member.Name}
-		goneSince, seenGone := f.since[key]
+		goneSince, seenGone := f.goneSince[key]
 		switch {
 		case event.Member.State == StateGone && running(event.Member):
 			f.count++
-			f.since[key] = c.now
+			f.goneSince[key] = c.now
 		case event.Member.State != StateGone && seenGone:
-			f.longest = max(f.longest, c.now-goneSince)
-			delete(f.since, key)
+			f.longestDuration = max(f.longestDuration, c.now-goneSince)
+			delete(f.goneSince, key)
 		}
 	}
 	return f
@@ -54,37 +54,37 @@
 	return sum
 }
 
-// lossRun is a while of sixty nodes that lose a fifth of all packets.
-func runWithLoss(config Config, duration time.Duration, seed uint64) (*falseGone, Statistics) {
+// runWithLoss runs 60 nodes at 20 % packet loss for a duration.
+func runWithLoss(config Config, duration time.Duration, seed uint64) (*falsePositiveTracker, Statistics) {
 	c := newCluster(config, 60, 4, seed)
 	c.converge(time.Minute)
-	deaths := trackFalseGone(c)
+	falsePositives := trackFalsePositives(c)
 	before := sumStatistics(c)
 	c.lossRate = 0.2
 	c.run(duration)
 	after := sumStatistics(c)
 	after.Probes -= before.Probes
-	return deaths, after
+	return falsePositives, after
 }
 
 func TestNoLiveMemberDeclaredGoneAtTwentyPercentLoss(t *testing.T) {
-	deaths, sum := runWithLoss(DefaultConfig(), 5*time.Minute, 11)
-	t.Logf("%d probes, %d suspicions, %d refutations, %d false deaths", sum.Probes, sum.SuspicionsRaised, sum.SelfRefutations, deaths.count)
-	if deaths.count > 0 {
-		t.Errorf("%d views declared a live member gone, for up to %v", deaths.count, deaths.longest)
+	falsePositives, sum := runWithLoss(DefaultConfig(), 5*time.Minute, 11)
+	t.Logf("%d probes, %d suspicions, %d refutations, %d live members declared gone", sum.Probes, sum.SuspicionsRaised, sum.SelfRefutations, falsePositives.count)
+	if falsePositives.count > 0 {
+		t.Errorf("%d views showed a live member as gone, for up to %v; want 0", falsePositives.count, falsePositives.longestDuration)
 	}
 	withoutRefutation := DefaultConfig()
 	withoutRefutation.disabled.refutation = true
 	disabledResult, _ := runWithLoss(withoutRefutation, time.Minute, 11)
-	t.Logf("without refutation: %d false deaths", disabledResult.count)
+	t.Logf("without refutation: %d live members declared gone", disabledResult.count)
 	if disabledResult.count == 0 {
-		t.Error("the run does not need refutation: it proves nothing")
+		t.Error("no live member is declared gone without refutation, want at least 1: the run does not exercise refutation")
 	}
 }
 
-// replacementRun freezes a process, starts its successor in the same slot, and
-// wakes the frozen one. It reports whether that one knows of it and whether
-// all others kept to the successor.
+// runReplacement freezes a process, starts its replacement in the same slot, and unfreezes the old
+// process. It reports whether the old process was superseded and whether all other views kept the
+// replacement.
 func runReplacement(config Config, seed uint64) (superseded, successorKept bool) {
 	c := newCluster(config, 20, 3, seed)
 	c.converge(time.Minute)
@@ -109,7 +109,7 @@
 	failures := 0
 	for seed := range uint64(10) {
 		if superseded, kept := runReplacement(DefaultConfig(), seed); !superseded || !kept {
-			t.Errorf("seed %d: old process superseded %t, others kept to the new one %t", seed, superseded, kept)
+			t.Errorf("seed %d: old process superseded is %t, replacement kept in all other views is %t; want true, true", seed, superseded, kept)
 		}
 		withoutIncarnations := DefaultConfig()
 		withoutIncarnations.disabled.incarnations = true
@@ -117,18 +117,18 @@
 			failures++
 		}
 	}
-	t.Logf("without the order of incarnations: %d of 10 runs fail", failures)
+	t.Logf("without incarnation order: %d of 10 runs fail", failures)
 	if failures == 0 {
-		t.Error("the runs do not need the order of incarnations: they prove nothing")
+		t.Error("no run fails without incarnation order, want at least 1: the runs do not exercise it")
 	}
 }
 
-// pauseRun freezes a tenth of the nodes, together, for a while that is shorter
-// than the time to be declared gone, and counts the members that they accuse.
-func runPause(config Config, seed uint64) (accused uint64, deaths *falseGone) {
+// runPause freezes a tenth of the nodes at the same time, for less than the time to be declared
+// gone. It returns the number of suspicions that these nodes raise afterwards.
+func runPause(config Config, seed uint64) (suspicions uint64, falsePositives *falsePositiveTracker) {
 	c := newCluster(config, 60, 3, seed)
 	c.converge(time.Minute)
-	deaths = trackFalseGone(c)
+	falsePositives = trackFalsePositives(c)
 	c.delay = 150 * time.Millisecond
 	c.run(5 * time.Second)
 	var before uint64
@@ -142,30 +142,31 @@
 	}
 	c.run(20 * time.Second)
 	for _, node := range c.nodes[:6] {
-		accused += node.core.Statistics().SuspicionsRaised
+		suspicions += node.core.Statistics().SuspicionsRaised
 	}
-	return accused - before, deaths
+	return suspicions - before, falsePositives
 }
 
 func TestNodeRaisesNoSuspicionsAfterPause(t *testing.T) {
-	var accusedWithout uint64
+	var suspicionsWithoutDetection uint64
 	for seed := range uint64(10) {
-		accused, deaths := runPause(DefaultConfig(), seed)
-		if accused > 0 || deaths.count > 0 {
-			t.Errorf("seed %d: woken nodes accused %d, false deaths %d", seed, accused, deaths.count)
+		suspicions, falsePositives := runPause(DefaultConfig(), seed)
+		if suspicions > 0 || falsePositives.count > 0 {
+			t.Errorf("seed %d: paused nodes raised %d suspicions, %d live members declared gone; want 0, 0", seed, suspicions, falsePositives.count)
 		}
 		withoutPauseDetection := DefaultConfig()
 		withoutPauseDetection.disabled.pauseDetection = true
-		accused, _ = runPause(withoutPauseDetection, seed)
-		accusedWithout += accused
+		suspicions, _ = runPause(withoutPauseDetection, seed)
+		suspicionsWithoutDetection += suspicions
 	}
-	t.Logf("without pause detection, woken nodes accused %d", accusedWithout)
-	if accusedWithout == 0 {
-		t.Error("the runs do not need pause detection: they prove nothing")
+	t.Logf("without pause detection: paused nodes raised %d suspicions", suspicionsWithoutDetection)
+	if suspicionsWithoutDetection == 0 {
+		t.Error("paused nodes raise no suspicions without pause detection, want at least 1: the runs do not exercise it")
 	}
 }
 
-// zoneRun cuts one zone off for two minutes and heals the cut.
+// runZoneCut partitions one zone from the others for two minutes. It returns the number of changes
+// to gone and the time until the views agree after the partition.
 func runZoneCut(t *testing.T, config Config) (gone int, healed time.Duration) {
 	c := newCluster(config, 60, 4, 21)
 	mustConverge(t, c, time.Minute)
@@ -182,16 +183,16 @@
 
 func TestUnreachableZoneIsHeld(t *testing.T) {
 	gone, healed := runZoneCut(t, DefaultConfig())
-	t.Logf("with holds: %d changes to gone, views agree %v after the cut", gone, healed)
+	t.Logf("with zone holds: %d changes to gone, views agree %v after the partition", gone, healed)
 	if gone > 0 {
-		t.Errorf("%d changes to gone in a cut that is shorter than the hold", gone)
+		t.Errorf("%d changes to gone in a partition shorter than the hold, want 0", gone)
 	}
 	config := DefaultConfig()
 	config.disabled.zoneHold = true
 	gone, healed = runZoneCut(t, config)
-	t.Logf("without holds: %d changes to gone, views agree %v after the cut", gone, healed)
+	t.Logf("without zone holds: %d changes to gone, views agree %v after the partition", gone, healed)
 	if gone == 0 {
-		t.Error("the run does not need holds: it proves nothing")
+		t.Error("no member is declared gone without zone holds, want at least 1: the run does not exercise them")
 	}
 }
 
@@ -205,14 +206,13 @@
 	}
 	c.run(30 * time.Second)
 	if held := c.liveNodes()[0].core.HeldZones(); !slices.Equal(held, []string{"zone-1"}) {
-		t.Fatalf("held zones are %v", held)
+		t.Fatalf("HeldZones returned %v, want [zone-1]", held)
 	}
 	mustConverge(t, c, 3*time.Minute)
 }
 
-// TestSchedules drives small clusters through random schedules of faults. In
-// each, no view may go back to an older incarnation, and all views agree in
-// the end.
+// TestViewsConvergeAfterRandomFaults injects random faults into small clusters. No view may return
+// to an older incarnation, and all views must agree after the last fault.
 func TestViewsConvergeAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(3, 12).Draw(t, "size")
@@ -223,7 +223,7 @@
 		c.onEvent = func(_ *simulatedNode, event Event) {
 			regressed := event.Member.Incarnation < event.Previous.Incarnation
 			if event.Kind == EventChanged && regressed {
-				t.Fatalf("%+v came back in place of %+v", event.Member, event.Previous)
+				t.Fatalf("record %+v replaced %+v, which has a higher incarnation", event.Member, event.Previous)
 			}
 		}
 		steps := rapid.IntRange(1, 12).Draw(t, "steps")
@@ -241,7 +241,7 @@
 			c.start(0, 3, incarnation+1)
 		}
 		if _, ok := c.converge(5 * time.Minute); !ok {
-			t.Fatalf("%d disagreements five minutes after the last fault", c.disagreements())
+			t.Fatalf("views have %d disagreements five minutes after the last fault, want 0", c.disagreements())
 		}
 	})
 }
--- a/internal/selfhosted/membership/merge.go
+++ b/internal/selfhosted/membership/merge.go
@@ -2,7 +2,8 @@
 
 import "net/netip"
 
-// merge processes one update and passes it on if it is newer than what is known.
+// merge processes one update. If the update replaces the record of a member, merge stores it and
+// queues it for broadcast.
 func (c *Core) merge(update Update) {
 	if update.Name == c.self.Name {
 		c.mergeSelf(update)
@@ -19,6 +20,7 @@
 	}
 }
 
+// replaces reports whether an update replaces the record of a member.
 func (c *Core) replaces(update Update, existing *peer) bool {
 	if c.config.disabled.incarnations {
 		return update.hasAddresses() || update.version().newerThan(existing.version())
@@ -26,8 +28,8 @@
 	return update.version().newerThan(existing.version())
 }
 
-// mergeUnknown adds a member. One that is gone already, or that comes without
-// addresses, is left out: the first does no harm, the second will follow.
+// addMember adds an unknown member. It ignores a member that is gone, which no view needs, and an
+// update without addresses, because the full record will follow.
 func (c *Core) addMember(update Update) {
 	if update.State == StateGone || !update.hasAddresses() {
 		return
@@ -35,7 +37,8 @@
 	c.storeRecord(update, Member{})
 }
 
-// mergeNewer replaces the record of a known member.
+// updateMember replaces the record of a member. An update without addresses keeps the addresses of
+// the existing record; it is ignored if it belongs to another incarnation.
 func (c *Core) updateMember(update Update, existing *peer) {
 	if !update.hasAddresses() {
 		if update.Incarnation != existing.Incarnation {
@@ -50,9 +53,10 @@
 	c.storeRecord(update, existing.Member)
 }
 
-// adopt stores a record, notifies the node and passes the update on. What came in
-// answer to a digest is not passed on: the others have it, or get it by their
-// own digests, and a new node gets all members in this way.
+// storeRecord stores the record of an update, emits EventChanged and queues the update for
+// broadcast. Records received in answer to a digest are not broadcast: the other members have them
+// already or get them by their own digests, and a new node would otherwise broadcast the whole
+// membership.
 func (c *Core) storeRecord(update Update, previous Member) {
 	record := update.member()
 	if previous.State == StateSuspect && record.State != StateSuspect {
@@ -75,8 +79,8 @@
 	c.emit(Event{Kind: EventChanged, Member: record, Previous: previous})
 }
 
-// forwarded drops the addresses from an update that receivers can do without:
-// those that know the incarnation need them no more.
+// trimAddresses removes the addresses from an update if the incarnation was known before, because
+// its receivers have the addresses.
 func (c *Core) trimAddresses(update Update, previous Member) Update {
 	if previous.Incarnation == update.Incarnation && previous.Name != "" {
 		short := shortUpdate(update.member())
@@ -86,7 +90,8 @@
 	return update
 }
 
-// mergeSelf processes what others say of this node.
+// mergeSelf processes an update about this node that another member sent. It refutes a suspicion or
+// a declaration as gone.
 func (c *Core) mergeSelf(update Update) {
 	if update.Incarnation > c.self.Incarnation {
 		c.mergeSuccessor(update)
@@ -105,9 +110,9 @@
 	c.raiseHealthScore()
 }
 
-// mergeSuccessor handles a higher incarnation of this node's own name. If that
-// process is gone, and this one has only just started with a clock that lags,
-// it takes a still higher incarnation; else it has been replaced.
+// mergeSuccessor handles an update about this node's name with a higher incarnation. If that
+// process is gone and this node has not joined yet, this node was started with a clock that lags,
+// and takes a still higher incarnation. Otherwise this node has been replaced.
 func (c *Core) mergeSuccessor(update Update) {
 	if update.State == StateGone && !c.joined {
 		c.self.Incarnation = update.Incarnation + 1
@@ -117,15 +122,16 @@
 	if c.superseded || c.config.disabled.incarnations {
 		return
 	}
-	// The last update of this process makes its successor known.
+	// The final packets of this process announce its successor.
 	c.broadcasts.add(update)
 	c.sendFinalUpdate()
 	c.superseded = true
 	c.emit(Event{Kind: EventSuperseded, Member: update.member(), Previous: c.self})
 }
 
-// observeSender processes the sender's own record. A sender that is unknown is
-// asked for its addresses; one that others have judged, or replaced, is notified.
+// processSender merges the sender's own record. It asks an unknown sender for its full record, and
+// sends the newer record to a sender that was suspected, declared gone or replaced, so that the
+// sender can refute it.
 func (c *Core) processSender(from netip.AddrPort, packet Packet) {
 	sender := packet.From
 	if sender.Name == "" || sender.Name == c.self.Name {
@@ -144,7 +150,8 @@
 	c.recordContact(existing)
 }
 
-// describe returns the full record of a peer, with an accuser if suspected.
+// fullRecord returns an update with the addresses of a peer, and with the first accuser if the peer
+// is suspected.
 func (c *Core) fullRecord(p *peer) Update {
 	update := fullUpdate(p.Member)
 	if p.suspicion != nil {
@@ -153,7 +160,7 @@
 	return update
 }
 
-// send queues a packet and fills it up with waiting updates.
+// send queues a packet for the driver and piggybacks waiting updates on it.
 func (c *Core) send(to netip.AddrPort, packet Packet) {
 	packet.From = shortUpdate(c.self)
 	packet.Revision = c.revision
@@ -162,8 +169,8 @@
 	c.ready.Packets = append(c.ready.Packets, Outgoing{To: to, Packet: packet})
 }
 
-// sendTo sends to a peer. One that is suspected or gone is notified, so that it
-// can refute.
+// sendToPeer sends a packet to a peer. To a peer that is suspected or gone, it adds the record of
+// that peer, so that the peer can refute it.
 func (c *Core) sendToPeer(p *peer, packet Packet) {
 	if p.State == StateSuspect || p.State == StateGone {
 		packet.Updates = append(packet.Updates, c.fullRecord(p))
@@ -171,7 +178,7 @@
 	c.send(p.Address, packet)
 }
 
-// tickGossip sends waiting updates on packets of their own.
+// tickGossip sends gossip packets with waiting updates.
 func (c *Core) tickGossip() {
 	if c.now < c.nextGossip {
 		return
@@ -187,8 +194,8 @@
 	}
 }
 
-// gossipTarget picks a member to send updates to: every third one anywhere,
-// the others in this node's own zone.
+// gossipTarget picks a receiver of gossip. Every third receiver is a random member of the cluster;
+// the others are in the zone of this node.
 func (c *Core) gossipTarget(index int) *peer {
 	const zoneIndependentEvery = 3
 	acceptAll := func(*peer) bool { return true }
@@ -200,7 +207,7 @@
 	return pickRandom(c.random, c.view.live, acceptAll)
 }
 
-// tickGone forgets members that have been gone for long.
+// tickRetention forgets members that have been gone for Config.GoneRetention.
 func (c *Core) tickRetention() {
 	for len(c.view.gone) > 0 && c.now-c.view.gone[0].goneAt >= c.config.GoneRetention {
 		c.view.forget(c.view.gone[0])
--- a/internal/selfhosted/membership/probe.go
+++ b/internal/selfhosted/membership/probe.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// probing is the state of this node's own probes, and of those that it makes as a
-// proxy for others.
+// probeState holds the state of the probes of this node and of those that it makes as a proxy.
 type probeState struct {
-	nextProbeAt     time.Duration
-	sequence uint64
-	// order is the members in the order in which they are probed; position is
-	// the next one.
-	probeOrder    []*peer
-	nextIndex int
-
-	target      *peer
+	nextProbe time.Duration
+	sequence  uint64
+	// probeOrder lists the members in the shuffled order in which they are probed; nextIndex is the
+	// index of the next one.
+	probeOrder []*peer
+	nextIndex  int
+
+	// target is the member that is probed now, or nil. The fields below describe its probe.
+	target            *peer
 	targetIncarnation uint64
-	targetSequence     uint64
-	sentAt      time.Duration
-	proxiesAsked    bool
-	nacksExpected    int
-	nacksReceived       int
+	targetSequence    uint64
+	sentAt            time.Duration
+	proxiesAsked      bool
+	nacksExpected     int
+	nacksReceived     int
 
 	proxied []proxiedProbe
 }
 
-// include puts a new member at a random place of what is left of the order.
+// insertMember inserts a new member at a random index of the rest of the probe order.
 func (p *probeState) insertMember(random *rand.Rand, member *peer) {
 	p.probeOrder = append(p.probeOrder, member)
 	last := len(p.probeOrder) - 1
@@ -36,10 +36,11 @@
 	p.probeOrder[index], p.probeOrder[last] = p.probeOrder[last], p.probeOrder[index]
 }
 
-// abandon drops the running probe without a verdict.
+// cancel ends the running probe without a result.
 func (p *probeState) cancel() { p.target = nil }
 
-// nextTarget returns the next member in the shuffled order, or nil.
+// nextTarget returns the next member in the probe order, or nil if no member can be probed. It
+// shuffles the members anew at the end of the order.
 func (c *Core) nextTarget() *peer {
 	p := &c.probes
 	for range 2 {
@@ -57,20 +58,21 @@
 	return nil
 }
 
-// tickProbe ends the running probe, asks proxies, or begins the next probe.
+// tickProbe falls back to indirect probes when the direct one has timed out. At the end of the
+// probe period it ends the running probe and starts the next one.
 func (c *Core) tickProbe() {
 	c.tickProxied()
 	p := &c.probes
 	if p.target != nil && !p.proxiesAsked && c.now >= p.sentAt+c.scaleByHealth(c.config.ProbeTimeout) {
 		c.probeIndirectly()
 	}
-	if c.now < p.nextProbeAt {
+	if c.now < p.nextProbe {
 		return
 	}
 	if p.target != nil {
 		c.failProbe()
 	}
-	p.nextProbeAt = c.now + c.scaleByHealth(c.config.ProbeInterval)
+	p.nextProbe = c.now + c.scaleByHealth(c.config.ProbeInterval)
 	if target := c.nextTarget(); target != nil {
 		c.beginProbe(target)
 	}
@@ -90,7 +92,7 @@
 	c.sendToPeer(target, Packet{Kind: PacketPing, Sequence: sequence, Target: target.Name})
 }
 
-// probeIndirectly pings the target again, and through proxies.
+// probeIndirectly pings the target again, directly and through proxies.
 func (c *Core) probeIndirectly() {
 	p := &c.probes
 	p.proxiesAsked = true
@@ -108,9 +110,9 @@
 	}
 }
 
-// chooseProxies picks one member in the target's zone, one in this node's own
-// zone, and the others anywhere, so that a broken link between two zones or
-// two machines does not look like a broken target.
+// chooseProxies picks one member in the target's zone, one in this node's zone, and the rest from
+// all members. A broken link between two zones or two machines therefore does not look like a
+// failed target.
 func (c *Core) chooseProxies(target *peer) []*peer {
 	var proxies []*peer
 	usable := func(p *peer) bool {
@@ -132,14 +134,15 @@
 	return proxies
 }
 
-// failProbe ends a probe that nobody answered.
+// failProbe ends a probe that received no ack and suspects the target. Missing nacks, or the
+// absence of proxies, suggest that this node itself is at fault, and raise its health score.
 func (c *Core) failProbe() {
 	p := &c.probes
 	target := p.target
 	p.target = nil
 	c.statistics.ProbesFailed++
-	inDoubt := p.nacksReceived < p.nacksExpected || p.nacksExpected == 0
-	if inDoubt && !c.view.ensureZone(target.Zone).held {
+	localFault := p.nacksReceived < p.nacksExpected || p.nacksExpected == 0
+	if localFault && !c.view.ensureZone(target.Zone).held {
 		c.raiseHealthScore()
 	}
 	if target.gone() || target.Incarnation != p.targetIncarnation || c.now < c.noAccusationsUntil {
@@ -148,14 +151,14 @@
 	c.raiseSuspicion(target)
 }
 
-// stepPing answers a ping that is meant for this node.
+// stepPing acks a ping that names this node as its target.
 func (c *Core) stepPing(from netip.AddrPort, packet Packet) {
 	if packet.Target == c.self.Name {
 		c.send(from, Packet{Kind: PacketAck, Sequence: packet.Sequence})
 	}
 }
 
-// stepAck ends this node's probe, or passes the ack on to who asked for it.
+// stepAck ends the running probe, or forwards the ack to the node that requested an indirect probe.
 func (c *Core) stepAck(packet Packet) {
 	subject := packet.From
 	if packet.Subject.Name != "" {
--- a/internal/selfhosted/membership/proxy.go
+++ b/internal/selfhosted/membership/proxy.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// proxiedProbe is a probe that this node makes for another one, the origin.
+// proxiedProbe is a probe that this node makes as a proxy for the node at origin. The origin
+// numbered its request originSequence.
 type proxiedProbe struct {
-	sequence uint64
-	origin   netip.AddrPort
+	sequence       uint64
+	origin         netip.AddrPort
 	originSequence uint64
-	target   string
-	deadline time.Duration
-	nackSent bool
+	target         string
+	deadline       time.Duration
+	nackSent       bool
 }
 
-// maximumProxied bounds the probes that one node makes for others at a time.
-// Not measured: chosen because it bounds what others can make a node send and
-// remember.
+// maximumProxiedProbes bounds the probes that a node makes as a proxy at a time. It limits the
+// packets and the memory that other nodes can cause.
 const maximumProxiedProbes = 64
 
 func (c *Core) stepIndirectPing(from netip.AddrPort, packet Packet) {
@@ -34,8 +34,8 @@
 	c.send(packet.TargetAddress, Packet{Kind: PacketPing, Sequence: p.sequence, Target: packet.Target})
 }
 
-// tickProxied sends nacks for proxied probes that are late, and drops those
-// that no answer can help any more.
+// tickProxied sends a nack for each proxied probe that has timed out. It drops a probe once the
+// prober, even with the maximum health score, has ended its own probe.
 func (c *Core) tickProxied() {
 	p := &c.probes
 	for i := range p.proxied {
--- a/internal/selfhosted/membership/service.go
+++ b/internal/selfhosted/membership/service.go
@@ -11,48 +11,46 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Datagrams sends the payloads of this package to other nodes. Send must not
-// block for long; a datagram may be lost.
+// Datagrams sends payloads to other nodes. Send must not block for long; datagrams may be lost.
 type Datagrams interface {
 	Send(to netip.AddrPort, payload []byte) error
 }
 
-// Options are what a Service needs besides its configuration.
+// Options configures a Service.
 type Options struct {
 	Config Config
-	// Self is this node. If its incarnation is zero, the wall clock in
-	// milliseconds is taken, which is higher for each later process.
+	// Self is the record of this node. If its incarnation is zero, the service uses the wall clock
+	// in milliseconds, which is higher for each later process.
 	Self  Member
 	Seeds []netip.AddrPort
-	// Datagrams carries the packets out; those that arrive are handed to
+	// Datagrams sends the packets. The owner of the socket passes received payloads to
 	// Service.Receive.
 	Datagrams Datagrams
 	Logger    *slog.Logger
-	// Registerer takes the metrics; nil for none.
+	// Registerer registers the metrics; nil disables them.
 	Registerer prometheus.Registerer
-	// Seed fixes the random choices; zero for a seed from the clock.
+	// Seed seeds the random choices; zero derives a seed from the incarnation and the name.
 	Seed uint64
 }
 
-// Service runs the membership of one node over datagrams. Its methods may be
-// called by any goroutine.
+// Service runs the membership protocol of one node over datagrams. It is safe for concurrent use.
 type Service struct {
-	options Options
-	clockOrigin  time.Time
-	metrics *metrics
-	logger  *slog.Logger
+	options     Options
+	clockOrigin time.Time
+	metrics     *metrics
+	logger      *slog.Logger
 
-	mutex       sync.Mutex
-	core        *Core
-	subscribers map[int]chan Event
-	nextSubscriberID      int
-	closed      bool
+	mutex            sync.Mutex
+	core             *Core
+	subscribers      map[int]chan Event
+	nextSubscriberID int
+	closed           bool
 
 	stop    chan struct{}
 	running sync.WaitGroup
 }
 
-// NewService returns a service that is not yet started.
+// NewService returns a service that is not started yet.
 func NewService(options Options) *Service {
 	if options.Self.Incarnation == 0 {
 		options.Self.Incarnation = uint64(time.Now().UnixMilli())
@@ -75,7 +73,7 @@
 	return s
 }
 
-// Start begins to probe and to send. It does not block.
+// Start starts the protocol and returns at once.
 func (s *Service) Start() {
 	s.running.Add(1)
 	go s.run()
@@ -95,7 +93,7 @@
 	}
 }
 
-// Receive processes one datagram. It is called by the owner of the socket.
+// Receive processes the payload of one datagram. The owner of the socket calls it.
 func (s *Service) Receive(from netip.AddrPort, payload []byte) {
 	packet, err := DecodePacket(payload)
 	if err != nil {
@@ -106,7 +104,7 @@
 	s.runStep(func(now time.Duration) { s.core.Step(now, from, packet) })
 }
 
-// do runs one step of the core and carries out what it asks for.
+// runStep runs one step of the core, publishes its events and sends its packets.
 func (s *Service) runStep(step func(now time.Duration)) {
 	s.mutex.Lock()
 	if s.closed {
@@ -142,13 +140,12 @@
 	s.core.SetRevision(revision)
 }
 
-// leaveRounds is for how many gossip intervals Leave waits.
-// Not measured: chosen because a few rounds reach members by several ways.
+// leaveGossipIntervals is the number of gossip intervals for which Leave waits. In a few rounds the
+// update reaches other members over several paths.
 const leaveGossipIntervals = 5
 
-// Leave announces a planned stop to the others. It blocks until the news has
-// been sent a few times, or until ctx ends. The node goes on answering probes
-// until Close.
+// Leave announces a planned stop. It blocks for leaveGossipIntervals, so that the update is sent
+// several times, or until ctx ends. The node answers probes until Close.
 func (s *Service) Leave(ctx context.Context) error {
 	s.runStep(func(time.Duration) { s.core.Leave() })
 	timer := time.NewTimer(leaveGossipIntervals * s.options.Config.GossipInterval)
@@ -163,8 +160,8 @@
 	}
 }
 
-// Close notifies some members that this node is gone and stops. It blocks until
-// the service no longer sends. A second call does nothing.
+// Close sends the departure of this node to some members and stops the service. It blocks until the
+// service has stopped sending. Further calls have no effect.
 func (s *Service) Close() {
 	s.runStep(func(time.Duration) { s.core.Depart() })
 	s.mutex.Lock()
--- a/internal/selfhosted/membership/service_events.go
+++ b/internal/selfhosted/membership/service_events.go
@@ -1,10 +1,10 @@
 package membership
 
-// subscriberBuffer is how many events a subscriber may lag behind.
+// subscriberBufferSize is the number of events that are buffered for a subscriber.
 const subscriberBufferSize = 256
 
-// publish hands events to the subscribers. One that does not keep up has its
-// channel closed, so that it cannot miss an event without noticing.
+// publish logs events and sends them to the subscribers. It closes the channel of a subscriber
+// whose buffer is full, so that the subscriber notices that it missed events.
 func (s *Service) publish(events []Event) {
 	for _, event := range events {
 		s.logEvent(event)
@@ -27,21 +27,21 @@
 			"state", event.Member.State.String(), "previous_state", event.Previous.State.String(),
 			"incarnation", event.Member.Incarnation)
 	case EventSuperseded:
-		s.logger.Error("another process holds the name of this node",
+		s.logger.Error("node superseded by a process with a higher incarnation",
 			"peer", event.Member.Address.String(), "incarnation", event.Member.Incarnation)
 	case EventZoneHeld:
-		s.logger.Warn("zone does not answer", "zone", event.Zone)
+		s.logger.Warn("zone held: its members do not answer", "zone", event.Zone)
 	case EventZoneReleased:
-		s.logger.Info("zone is no longer held", "zone", event.Zone)
+		s.logger.Info("zone hold released", "zone", event.Zone)
 	case EventPaused:
-		s.logger.Warn("process did not run", "pause", event.Pause)
+		s.logger.Warn("process was paused", "pause", event.Pause)
 	case EventRevision:
 	}
 }
 
-// Subscribe returns a channel of all events from now on, and a function that
-// ends the subscription. The channel is closed by that, by Close, or if the
-// reader lags too far behind: it then subscribes again and reads Members.
+// Subscribe returns a channel of all events from now on, and a function that ends the subscription.
+// The channel is closed when the subscription ends, on Close, or when the buffer of the subscriber
+// is full. In the last case the subscriber subscribes again and reads Members.
 func (s *Service) Subscribe() (<-chan Event, func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/selfhosted/membership/service_test.go
+++ b/internal/selfhosted/membership/service_test.go
@@ -12,10 +12,10 @@
 	"go.uber.org/goleak"
 )
 
-// hub carries datagrams between services in this process.
+// datagramHub delivers datagrams between services of this process.
 type datagramHub struct {
-	mutex    sync.Mutex
-	services map[netip.AddrPort]*Service
+	mutex      sync.Mutex
+	services   map[netip.AddrPort]*Service
 	deliveries sync.WaitGroup
 }
 
@@ -37,7 +37,7 @@
 
 func startTestServices(t *testing.T, size int) []*Service {
 	t.Helper()
-	network := &datagramHub{services: make(map[netip.AddrPort]*Service)}
+	hub := &datagramHub{services: make(map[netip.AddrPort]*Service)}
 	config := DefaultConfig()
 	config.TickInterval, config.ProbeInterval = 5*time.Millisecond, 50*time.Millisecond
 	config.ProbeTimeout, config.GossipInterval = 20*time.Millisecond, 10*time.Millisecond
@@ -46,11 +46,11 @@
 		self := Member{Name: nodeName(i), Zone: "zone-1", Region: "region-1", Address: address(i, 1), HTTPAddress: address(i, 1)}
 		services[i] = NewService(Options{
 			Config: config, Self: self, Seeds: []netip.AddrPort{address(0, 1)},
-			Datagrams: hubPort{network, self.Address}, Registerer: prometheus.NewRegistry(),
+			Datagrams: hubPort{hub, self.Address}, Registerer: prometheus.NewRegistry(),
 		})
-		network.mutex.Lock()
-		network.services[self.Address] = services[i]
-		network.mutex.Unlock()
+		hub.mutex.Lock()
+		hub.services[self.Address] = services[i]
+		hub.mutex.Unlock()
 	}
 	for _, service := range services {
 		service.Start()
@@ -59,12 +59,12 @@
 		for _, service := range services {
 			service.Close()
 		}
-		network.deliveries.Wait()
+		hub.deliveries.Wait()
 	})
 	return services
 }
 
-func waitUntil(t *testing.T, what string, condition func() bool) {
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 2000 {
 		if condition() {
@@ -72,13 +72,13 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not reached: %s", what)
+	t.Fatalf("condition %q not met after 2000 polls", description)
 }
 
 func TestServicesDiscoverEachOtherAndLeave(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	services := startTestServices(t, 5)
-	waitUntil(t, "all see all", func() bool {
+	waitUntil(t, "every service lists all members", func() bool {
 		for _, service := range services {
 			if len(service.Members()) != len(services) {
 				return false
@@ -105,6 +105,6 @@
 	defer service.Close()
 	families, err := registry.Gather()
 	if err != nil || len(families) != 19 {
-		t.Fatalf("%d families, %v", len(families), err)
+		t.Fatalf("Gather returned %d metric families and error %v, want 19 and no error", len(families), err)
 	}
 }
--- a/internal/selfhosted/membership/service_view.go
+++ b/internal/selfhosted/membership/service_view.go
@@ -1,14 +1,14 @@
 package membership
 
-// Members returns all known members that are not gone, this node included,
-// ordered by name. The list must not be modified.
+// Members returns all members that are not gone, including this node, in order of their names. The
+// list must not be modified.
 func (s *Service) Members() []Member {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Members()
 }
 
-// Lookup returns what is known of a member, gone ones included.
+// Lookup returns the record of a member, including a member that is gone.
 func (s *Service) Lookup(name string) (Member, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -29,14 +29,14 @@
 	return s.core.Self()
 }
 
-// Joined reports whether this node has heard from any other, or has no seeds.
+// Joined reports whether this node has received a packet from another node, or has no seeds.
 func (s *Service) Joined() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Joined()
 }
 
-// Superseded reports whether a newer process holds the name of this node.
+// Superseded reports whether a process with a higher incarnation holds the name of this node.
 func (s *Service) Superseded() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -50,7 +50,7 @@
 	return s.core.HeldZones()
 }
 
-// Statistics returns the counts of the core so far.
+// Statistics returns the counters of the core and its health score.
 func (s *Service) Statistics() Statistics {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/selfhosted/membership/simulation_test.go
+++ b/internal/selfhosted/membership/simulation_test.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// cluster runs cores in virtual time over a network that loses, delays and
-// cuts. All of it repeats for a seed.
+// simulatedCluster runs cores in virtual time over a network with loss, delay and partitions. Runs
+// with the same seed are identical.
 type simulatedCluster struct {
-	config  Config
-	random  *rand.Rand
-	now     time.Duration
-	queue   arrivals
-	nodes   []*simulatedNode
-	byAddress  map[netip.AddrPort]*simulatedNode
-	lossRate    float64
-	delay   time.Duration
-	linkDown     func(from, to *simulatedNode) bool
-	sentBytes   int
-	encodePackets  bool
-	lastOrder   int
-	onEvent func(*simulatedNode, Event)
-	// onPacket is called with each packet that arrives.
+	config        Config
+	random        *rand.Rand
+	now           time.Duration
+	queue         deliveryQueue
+	nodes         []*simulatedNode
+	byAddress     map[netip.AddrPort]*simulatedNode
+	lossRate      float64
+	delay         time.Duration
+	linkDown      func(from, to *simulatedNode) bool
+	sentBytes     int
+	encodePackets bool
+	lastOrder     int
+	onEvent       func(*simulatedNode, Event)
+	// onPacket is called with each packet that is delivered.
 	onPacket func(to *simulatedNode, packet Packet)
 }
 
 type simulatedNode struct {
-	core   *Core
-	zone   string
-	index  int
-	frozen bool
-	dead   bool
-	heldPackets  []arrival
-	events []Event
+	core        *Core
+	zone        string
+	index       int
+	frozen      bool
+	dead        bool
+	heldPackets []delivery
+	events      []Event
 }
 
-type arrival struct {
+type delivery struct {
 	at    time.Duration
 	order int
 	from  netip.AddrPort
@@ -47,18 +47,18 @@
 	packet *Packet
 }
 
-type arrivals []arrival
+type deliveryQueue []delivery
 
-func (a arrivals) Len() int { return len(a) }
-func (a arrivals) Less(i, j int) bool {
+func (a deliveryQueue) Len() int { return len(a) }
+func (a deliveryQueue) Less(i, j int) bool {
 	if a[i].at != a[j].at {
 		return a[i].at < a[j].at
 	}
 	return a[i].order < a[j].order
 }
-func (a arrivals) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *arrivals) Push(x any)   { *a = append(*a, x.(arrival)) }
-func (a *arrivals) Pop() any {
+func (a deliveryQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *deliveryQueue) Push(x any)   { *a = append(*a, x.(delivery)) }
+func (a *deliveryQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
@@ -83,12 +83,12 @@
 
 func nodeName(index int) string { return fmt.Sprintf("node-%04d", index) }
 
-// start runs a new process in a slot.
+// start starts a new process in a slot.
 func (c *simulatedCluster) start(index, zones int, incarnation uint64) *simulatedNode {
 	zone := fmt.Sprintf("zone-%d", index%zones)
 	peerAddress := address(index, incarnation)
 	if index == 0 {
-		// The first slot is always replaced in place, so that one seed works.
+		// A replacement in the first slot keeps the address, so that one seed address stays valid.
 		peerAddress = address(index, firstIncarnation)
 	}
 	self := Member{
@@ -103,35 +103,35 @@
 	node := &simulatedNode{core: NewCore(c.config, self, seeds, random), zone: zone, index: index}
 	c.nodes = append(c.nodes, node)
 	c.byAddress[self.Address] = node
-	c.schedule(arrival{at: c.now + time.Duration(c.random.Int64N(int64(c.config.TickInterval))), to: node})
+	c.schedule(delivery{at: c.now + time.Duration(c.random.Int64N(int64(c.config.TickInterval))), to: node})
 	return node
 }
 
-func (c *simulatedCluster) schedule(a arrival) {
+func (c *simulatedCluster) schedule(a delivery) {
 	c.lastOrder++
 	a.order = c.lastOrder
 	heap.Push(&c.queue, a)
 }
 
-// run lets virtual time pass.
+// run advances the virtual time.
 func (c *simulatedCluster) run(duration time.Duration) {
 	end := c.now + duration
 	for len(c.queue) > 0 && c.queue[0].at <= end {
-		next := heap.Pop(&c.queue).(arrival)
+		next := heap.Pop(&c.queue).(delivery)
 		c.now = next.at
 		c.deliver(next)
 	}
 	c.now = end
 }
 
-func (c *simulatedCluster) deliver(a arrival) {
+func (c *simulatedCluster) deliver(a delivery) {
 	node := a.to
 	if node.dead {
 		return
 	}
 	if node.frozen {
 		if a.packet == nil {
-			c.schedule(arrival{at: c.now + c.config.TickInterval, to: node})
+			c.schedule(delivery{at: c.now + c.config.TickInterval, to: node})
 		} else if len(node.heldPackets) < 100 {
 			node.heldPackets = append(node.heldPackets, a)
 		}
@@ -139,7 +139,7 @@
 	}
 	if a.packet == nil {
 		node.core.Tick(c.now)
-		c.schedule(arrival{at: c.now + c.config.TickInterval, to: node})
+		c.schedule(delivery{at: c.now + c.config.TickInterval, to: node})
 	} else {
 		if c.onPacket != nil {
 			c.onPacket(node, *a.packet)
@@ -183,10 +183,11 @@
 		return
 	}
 	delay := c.delay/2 + time.Duration(c.random.Int64N(int64(c.delay)))
-	c.schedule(arrival{at: c.now + delay, from: from.core.Self().Address, to: to, packet: &packet})
+	c.schedule(delivery{at: c.now + delay, from: from.core.Self().Address, to: to, packet: &packet})
 }
 
-// wake lets a frozen node go on, with its timer before what has come in.
+// unfreeze resumes a frozen node. Its timer fires before the held packets are processed, as happens
+// when an operating system resumes a process.
 func (c *simulatedCluster) unfreeze(node *simulatedNode) {
 	if !node.frozen || node.dead {
 		return
@@ -201,7 +202,7 @@
 	node.heldPackets = nil
 }
 
-// live returns the nodes that run and were not replaced.
+// liveNodes returns the nodes whose process runs and takes part in the protocol.
 func (c *simulatedCluster) liveNodes() []*simulatedNode {
 	var live []*simulatedNode
 	for _, node := range c.nodes {
@@ -212,8 +213,8 @@
 	return live
 }
 
-// disagreements counts pairs in which a live node does not see another live
-// node's own record, or sees a member that does not run.
+// disagreements counts the live nodes whose member list has the wrong length, and the pairs in
+// which a live node does not have the current record of another.
 func (c *simulatedCluster) disagreements() int {
 	live := c.liveNodes()
 	count := 0
@@ -231,8 +232,8 @@
 	return count
 }
 
-// converge runs until all live nodes agree; it returns the time that took, or
-// false if they do not within the limit.
+// converge runs until the views of all live nodes agree. It returns the elapsed virtual time, or
+// false if they do not agree within the limit.
 func (c *simulatedCluster) converge(limit time.Duration) (time.Duration, bool) {
 	const step = 500 * time.Millisecond
 	for elapsed := time.Duration(0); elapsed <= limit; elapsed += step {
--- a/internal/selfhosted/membership/statistics.go
+++ b/internal/selfhosted/membership/statistics.go
@@ -1,6 +1,6 @@
 package membership
 
-// Statistics counts what the core has done since it was made.
+// Statistics holds the counters of a Core since its creation, and its current health score.
 type Statistics struct {
 	Probes            uint64
 	ProbesIndirect    uint64
@@ -15,7 +15,7 @@
 	HealthScore       int
 }
 
-// Statistics returns the counts so far.
+// Statistics returns the current counters.
 func (c *Core) Statistics() Statistics {
 	statistics := c.statistics
 	statistics.HealthScore = c.healthScore
--- a/internal/selfhosted/membership/suspicion.go
+++ b/internal/selfhosted/membership/suspicion.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// suspicion is the time that a member has left to refute.
+// suspicion is the state of a suspicion that the member has not refuted yet.
 type suspicion struct {
 	raisedAt time.Duration
 	deadline time.Duration
-	// accusers are the name hashes of the members that raised it, the first
-	// one first.
+	// accusers holds the name hashes of the members that raised the suspicion, in order of arrival.
 	accusers []uint32
-	// own is set if this node is one of them.
+	// raisedHere is set if this node raised or confirmed the suspicion itself.
 	raisedHere bool
-	// patience stretches the time while this node's own health is in doubt.
+	// healthFactor is the local health score plus one at the start of the suspicion. It multiplies
+	// the time from suspicion to gone.
 	healthFactor time.Duration
-	// checks counts the rounds of the last check, begun at checkedAt, and
-	// witnessedChecks those at which the zone could be reached.
-	checkCount          int
+	// checkCount is the number of rounds of the final check so far, which started at
+	// checkStartedAt. reachableChecks is the number of rounds in which the zone was reachable.
+	checkCount      int
 	reachableChecks int
-	checkStartedAt       time.Duration
+	checkStartedAt  time.Duration
 }
 
-// accuse raises a suspicion of this node's own, or confirms a running one.
-// Nobody is accused in a zone that is held.
+// raiseSuspicion suspects a member, or confirms a suspicion of it. It does nothing in a zone that
+// is held.
 func (c *Core) raiseSuspicion(target *peer) {
 	if c.view.ensureZone(target.Zone).held {
 		return
@@ -44,21 +44,22 @@
 
 func (c *Core) beginSuspicion(p *peer, accuser uint32) {
 	p.suspicion = &suspicion{
-		raisedAt: c.now,
-		accusers: []uint32{accuser},
+		raisedAt:     c.now,
+		accusers:     []uint32{accuser},
 		healthFactor: time.Duration(c.healthScore + 1),
 	}
 	c.setDeadline(p.suspicion)
 }
 
-// setDeadline sets the end of a suspicion; the last check starts over.
+// setDeadline sets the deadline of a suspicion and restarts its final check.
 func (c *Core) setDeadline(s *suspicion) {
 	s.checkCount, s.reachableChecks = 0, 0
 	confirmations := len(s.accusers) - 1
 	s.deadline = s.raisedAt + c.config.suspicionTime(c.memberCount(), confirmations)*s.healthFactor
 }
 
-// confirmSuspicion counts a further accuser and passes its suspicion on.
+// confirmSuspicion records a further accuser, which shortens the deadline, and queues its update
+// for broadcast.
 func (c *Core) confirmSuspicion(p *peer, update Update) {
 	s := p.suspicion
 	if len(s.accusers) > c.config.SuspicionConfirmations || slices.Contains(s.accusers, update.Accuser) {
@@ -71,7 +72,7 @@
 	c.broadcasts.add(short)
 }
 
-// tickSuspicions takes up the suspicions whose time is over.
+// tickSuspicions runs the final check of suspicions whose deadline has passed.
 func (c *Core) tickSuspicions() {
 	if c.now < c.noAccusationsUntil {
 		return
@@ -92,27 +93,27 @@
 }
 
 const (
-	// checkRounds is how often a suspect is asked again before it is declared
-	// gone, and checkInterval the time between.
+	// checkRounds is the number of times that a suspect is pinged again before it is declared gone.
 	checkRounds = 3
-	// witnessedRounds is how many of these must come after a sign that the
-	// zone can be reached: those before may have been lost in a cut.
+	// reachableRounds is the number of rounds that must follow a packet from the zone, because
+	// earlier pings may have been lost in a network partition.
 	reachableRounds = 2
-	checkInterval   = 500 * time.Millisecond
-	// maximumChecks bounds the suspects that are asked again in one tick.
+	// checkInterval is the time between two rounds.
+	checkInterval = 500 * time.Millisecond
+	// maximumChecksPerTick bounds the suspects that are checked in one tick.
 	maximumChecksPerTick = 16
 )
 
-// lastCheck asks a suspect a last time before it is declared gone: a view that
-// missed the refutation gets it from the suspect itself or from another member,
-// and a witness shows whether this node still reaches the zone at all.
+// finalCheck pings a suspect again before declaring it gone. A view that missed the refutation gets
+// it from the suspect or from another member. A packet from another member of the zone shows that
+// this node reaches the zone at all; without one, the zone is held.
 func (c *Core) finalCheck(p *peer) {
 	s := p.suspicion
 	z := c.view.ensureZone(p.Zone)
 	if s.checkCount == 0 {
 		s.checkStartedAt = c.now
 	}
-	reachable := !c.canHold(z) || c.reachable(z, s.checkStartedAt)
+	reachable := !c.canHold(z) || c.zoneReachableSince(z, s.checkStartedAt)
 	if reachable {
 		s.reachableChecks++
 	}
@@ -134,8 +135,8 @@
 	c.merge(update)
 }
 
-// query asks a witness in the zone of the suspect, and any other member, for
-// news of it.
+// querySuspect asks a member in the zone of the suspect, and a random member of the cluster, for a
+// newer record of the suspect.
 func (c *Core) querySuspect(suspect *peer) {
 	notSuspect := func(p *peer) bool { return p != suspect }
 	packet := Packet{Kind: PacketQuery, Updates: []Update{c.fullRecord(suspect)}}
@@ -146,8 +147,8 @@
 	}
 }
 
-// stepQuery answers with the member's record, if it is newer, and in any case
-// shows that this node can be reached.
+// stepQuery answers with the record of the queried member if it is newer. It always answers,
+// because the packet shows that this node is reachable.
 func (c *Core) stepQuery(from netip.AddrPort, packet Packet) {
 	answer := Packet{Kind: PacketGossip}
 	for _, asked := range packet.Updates[:min(1, len(packet.Updates))] {
@@ -159,12 +160,12 @@
 	c.send(from, answer)
 }
 
-// reprobedAtOnce is how many suspects are pinged again in one period.
-// Not measured: chosen because it bounds the load while many are suspected.
+// maximumReprobes bounds the suspects that are pinged again in one probe period, which limits the
+// load while many members are suspected.
 const maximumReprobes = 4
 
-// reprobeSuspects pings the members that this node itself suspects once more
-// in each period, so that they hear of it and can refute.
+// reprobeSuspects pings members that this node suspects once more in each probe period, so that
+// they learn of the suspicion and can refute it.
 func (c *Core) reprobeSuspects() {
 	if c.config.disabled.suspectReprobes {
 		return
--- a/internal/selfhosted/membership/sync.go
+++ b/internal/selfhosted/membership/sync.go
@@ -5,38 +5,37 @@
 	"time"
 )
 
-// syncing is the state of the exchange of digests.
+// syncState holds the state of the digest exchanges.
 type syncState struct {
 	nextSync     time.Duration
 	nextSeedSync time.Duration
-	// count is the number of exchanges with random members so far.
+	// syncCount is the number of exchanges with random members so far.
 	syncCount int
-	// seed counts the exchanges with seeds, which take turns.
-	seedIndex          int
+	// seedIndex selects the seed of the next exchange in round-robin order.
+	seedIndex     int
 	nextReconnect time.Duration
-	// rounds is how many more digests may follow in the exchange that runs.
+	// roundsLeft is the number of further digests that the running exchange may send.
 	roundsLeft int
-	// receiving is set while the answer to a digest is processed.
+	// mergingRecords is set while the answer to a digest is processed.
 	mergingRecords bool
-	// replies is how many digests were answered since repliesSince.
-	replyCount      int
+	// replyCount is the number of digests answered since replyWindowStart.
+	replyCount       int
 	replyWindowStart time.Duration
 }
 
-// maximumRounds bounds how many digests one exchange may take.
-// Not measured: chosen because it ends an exchange of two nodes that never agree.
+// maximumSyncRounds bounds the digests of one exchange. It ends an exchange between two nodes that
+// never agree.
 const maximumSyncRounds = 128
 
-// hurriedSyncs is how many exchanges of a new node come sooner than the
-// others, each after twice the time of the one before.
+// startupSyncs is the number of exchanges of a new node at shorter intervals. Each interval is
+// twice the one before.
 const startupSyncs = 4
 
-// joinInterval is the time between attempts to join.
-// Not measured: chosen because it is the default of Config.ProbeInterval.
+// joinInterval is the time between attempts to join. It equals the default of Config.ProbeInterval.
 const joinInterval = time.Second
 
-// tickSync begins exchanges: with a seed until this node has joined and now
-// and then after that, with a random member, and with one that is gone.
+// tickSync starts digest exchanges: with a seed, often until this node has joined and rarely
+// afterwards, with a random member, and with a member that is gone.
 func (c *Core) tickSync() {
 	s := &c.sync
 	if c.now >= s.nextSeedSync {
@@ -60,23 +59,23 @@
 	}
 }
 
-// seedSharers is how many nodes together make an exchange with a seed in each
-// Config.SeedInterval; among more nodes each does it more rarely, so that the
-// load of the seeds does not grow with their number.
-const nodesPerSeedSync = 16
+// seedSyncsPerInterval is the number of exchanges with seeds that all nodes of a large cluster
+// together perform per Config.SeedInterval. The interval of each node grows with the number of
+// nodes, so that the load of the seeds does not.
+const seedSyncsPerInterval = 16
 
-// seedInterval is the time until this node's next exchange with a seed.
+// seedInterval returns the time until this node's next exchange with a seed.
 func (c *Core) seedInterval() time.Duration {
 	if c.isIsolated() {
 		return joinInterval
 	}
-	sharers := max(1, c.memberCount()/nodesPerSeedSync)
+	sharers := max(1, c.memberCount()/seedSyncsPerInterval)
 	interval := c.config.SeedInterval * time.Duration(sharers)
 	return interval/2 + c.randomFraction(interval)
 }
 
-// syncWithSeed begins an exchange with the next seed, or with the next two if
-// this node is alone.
+// syncWithSeed starts an exchange with the next seed, or with the next two if this node is
+// isolated.
 func (c *Core) syncWithSeed() {
 	attempts := 1
 	if c.isIsolated() {
@@ -88,11 +87,11 @@
 	}
 }
 
-// alone reports whether this node knows of nobody else that may be up.
+// isIsolated reports whether this node has not joined or has no other member that is not gone.
 func (c *Core) isIsolated() bool { return !c.Joined() || len(c.view.live) == 0 }
 
-// reconnect tries a member that is gone, with such a chance that all nodes
-// together try each about once an interval.
+// reconnect sends a digest to a member that is gone. The probability is such that all nodes
+// together try each such member about once per Config.ReconnectInterval.
 func (c *Core) reconnect() {
 	gone := len(c.view.gone)
 	if gone == 0 || c.random.IntN(c.memberCount()) >= gone {
@@ -107,7 +106,7 @@
 	c.send(to, c.digestPacket())
 }
 
-// digestPacket asks for differences; it brings this node's own full record.
+// digestPacket returns a packet with this node's digest and its full record.
 func (c *Core) digestPacket() Packet {
 	d := c.view.digest
 	d.toggle(c.self.Name, c.self.fingerprint())
@@ -118,8 +117,7 @@
 	}
 }
 
-// stepDigest answers with the records of buckets that differ, from a random
-// one on, in a few packets.
+// stepDigest answers with the records of the buckets that differ.
 func (c *Core) stepDigest(from netip.AddrPort, packet Packet) {
 	d := c.view.digest
 	d.toggle(c.self.Name, c.self.fingerprint())
@@ -134,7 +132,7 @@
 	c.sendRecords(from, c.bucketRecords(wanted, buckets))
 }
 
-// mayReply limits the digests that are answered in one second.
+// allowReply enforces Config.SyncRepliesPerSecond.
 func (c *Core) allowReply() bool {
 	s := &c.sync
 	if c.now-s.replyWindowStart >= time.Second {
@@ -144,8 +142,8 @@
 	return s.replyCount <= c.config.SyncRepliesPerSecond
 }
 
-// recordsOf returns the records in the wanted buckets, in an order that begins
-// at a random place.
+// bucketRecords returns the records in the wanted buckets. The order starts at a random record, so
+// that repeated exchanges cover all of them even if one answer cannot hold them.
 func (c *Core) bucketRecords(wanted []bool, buckets int) []Update {
 	var records []Update
 	if wanted[nameBucket(c.self.Name, buckets)] {
@@ -162,7 +160,7 @@
 	return append(records[start:], records[:start]...)
 }
 
-// sendRecords sends as many records as the limit of packets allows.
+// sendRecords sends as many records as fit into Config.SyncPackets packets.
 func (c *Core) sendRecords(to netip.AddrPort, records []Update) {
 	for i := range c.config.SyncPackets {
 		if len(records) == 0 {
@@ -182,8 +180,8 @@
 	}
 }
 
-// stepRecords goes on with the exchange if the answer was not complete. The
-// next digest goes to any member, so that a seed need not serve all who join.
+// stepRecords continues the exchange if the answer was incomplete. The next digest goes to a random
+// member that is alive, so that the seeds do not serve all joining nodes alone.
 func (c *Core) stepRecords(packet Packet) {
 	s := &c.sync
 	if !packet.More || s.roundsLeft == 0 {
--- a/internal/selfhosted/membership/view.go
+++ b/internal/selfhosted/membership/view.go
@@ -7,57 +7,59 @@
 	"time"
 )
 
-// peer is a member other than this node, with what is kept about it.
+// peer is a member other than this node, with its local state.
 type peer struct {
 	Member
-	// fingerprint is the share of this member in its bucket of the digest.
+	// fingerprint is the value that this member contributes to its bucket of the digest.
 	fingerprint uint32
 	bucket      int
 	suspicion   *suspicion
 	goneAt      time.Duration
-	// liveIndex and zoneIndex are the places in view.live and zone.live; they
-	// mean nothing while the member is gone.
+	// liveIndex and zoneIndex are the indexes in view.live and zone.live. They are undefined while
+	// the member is gone.
 	liveIndex int
 	zoneIndex int
 }
 
 func (p *peer) gone() bool { return p.State == StateGone }
 
-// zone counts the members of one zone, this node included.
+// zone holds the members of one zone other than this node, and the state of its hold.
 type zone struct {
 	name     string
 	live     []*peer
 	suspects int
-	// held is set while the zone is held, since heldSince; spent is set once
-	// the hold has lasted its time and the zone has not answered since.
-	held      bool
-	holdExpired     bool
-	heldSince time.Duration
-	// heardAt is when this node last received a packet from the zone.
+	// held is set during a hold, which started at heldSince. holdExpired is set once a hold has
+	// lasted Config.ZoneHold, until a packet from the zone arrives; it prevents another hold.
+	held        bool
+	holdExpired bool
+	heldSince   time.Duration
+	// lastPacketAt is when this node last received a packet from the zone.
 	lastPacketAt time.Duration
 }
 
-// view indexes the known members other than this node. It holds no map that
-// is iterated over, so that a seeded run repeats.
+// view indexes the members other than this node. It never iterates over a map, so that runs with
+// the same seed are identical.
 type view struct {
 	byName map[string]*peer
 	live   []*peer
-	// ordered is live in the order of names, and version counts its changes.
+	// ordered holds the same peers as live in order of their names. version counts the changes of
+	// the view.
 	ordered []*peer
 	version uint64
 	zones   []*zone
-	// regions are the names of the regions met.
+	// regions holds the interned names of regions.
 	regions []string
-	// gone is ordered by goneAt.
+	// gone holds the members that are gone, in order of goneAt.
 	gone []*peer
-	// suspects lists the members with a running suspicion.
+	// suspects holds the members that are suspected.
 	suspects []*peer
 	digest   digest
 }
 
 func newView() view { return view{byName: make(map[string]*peer)} }
 
-// zone returns the zone of that name, made if new. Zones are few.
+// ensureZone returns the zone with a name and creates it if necessary. The linear insertion is
+// cheap because zones are few.
 func (v *view) ensureZone(name string) *zone {
 	index, found := slices.BinarySearchFunc(v.zones, name, func(z *zone, name string) int {
 		return strings.Compare(z.name, name)
@@ -68,7 +70,8 @@
 	return v.zones[index]
 }
 
-// region returns the stored text that is equal to name. Regions are few.
+// internRegion returns the stored string equal to name, so that members share it. The linear search
+// is cheap because regions are few.
 func (v *view) internRegion(name string) string {
 	index := slices.Index(v.regions, name)
 	if index < 0 {
@@ -78,8 +81,7 @@
 	return v.regions[index]
 }
 
-// set stores a new record of a member, in place of the old one, and keeps the
-// indexes.
+// put stores a record, replaces an earlier one of the same member, and updates the indexes.
 func (v *view) put(now time.Duration, record Member) *peer {
 	v.version++
 	p := v.byName[record.Name]
@@ -89,7 +91,7 @@
 	} else {
 		v.removeFromIndexes(p)
 	}
-	// Members share the texts of their zone and region.
+	// Members of a zone or region share one string for its name.
 	record.Zone = v.ensureZone(record.Zone).name
 	record.Region = v.internRegion(record.Region)
 	p.Member = record
@@ -138,7 +140,7 @@
 	}
 }
 
-// orderOf returns the place of a name in ordered.
+// orderedIndex returns the index of a name in ordered.
 func (v *view) orderedIndex(name string) int {
 	index, _ := slices.BinarySearchFunc(v.ordered, name, func(p *peer, name string) int {
 		return strings.Compare(p.Name, name)
@@ -146,14 +148,14 @@
 	return index
 }
 
-// forget drops a member that is gone.
+// forget removes a member that is gone.
 func (v *view) forget(p *peer) {
 	v.removeFromIndexes(p)
 	delete(v.byName, p.Name)
 }
 
-// pick returns a random element of peers that is acceptable, or nil if none
-// was found in a few attempts.
+// pickRandom returns a random element of peers that is acceptable, or nil if eight attempts found
+// none.
 func pickRandom(random *rand.Rand, peers []*peer, acceptable func(*peer) bool) *peer {
 	if len(peers) == 0 {
 		return nil
--- a/internal/selfhosted/membership/zone_hold.go
+++ b/internal/selfhosted/membership/zone_hold.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// minimumSuspectsToHold keeps a zone with a single lost member from being
-// held before its last check.
+// minimumSuspectsToHold prevents a zone with a single failed member from being held before the
+// final check of that member.
 const minimumSuspectsToHold = 2
 
-// silentPeriods is how many probe periods without a packet from a zone make it
-// silent.
+// zoneSilencePeriods is the number of probe periods without a packet from a zone after which the
+// zone counts as silent.
 const zoneSilencePeriods = 2
 
-// tickZones begins and ends the holds of zones, twice a period.
+// tickZones starts and ends zone holds, twice per probe period.
 func (c *Core) tickZones() {
 	if c.now < c.nextZoneCheck {
 		return
@@ -18,12 +18,12 @@
 	c.nextZoneCheck = c.now + c.config.ProbeInterval/2
 	for _, z := range c.view.zones {
 		switch {
-		case z.held && c.reachable(z, z.heldSince):
+		case z.held && c.zoneReachableSince(z, z.heldSince):
 			c.releaseZone(z)
 		case z.held && c.now-z.heldSince >= c.config.ZoneHold:
 			z.holdExpired = true
 			c.releaseZone(z)
-		case z.holdExpired && c.reachable(z, z.heldSince):
+		case z.holdExpired && c.zoneReachableSince(z, z.heldSince):
 			z.holdExpired = false
 		case c.canHold(z) && c.isMostlySuspect(z) && c.now-z.lastPacketAt > zoneSilencePeriods*c.config.ProbeInterval:
 			c.holdZone(z)
@@ -31,12 +31,13 @@
 	}
 }
 
+// canHold reports whether a hold of the zone may start.
 func (c *Core) canHold(z *zone) bool {
 	return !z.held && !z.holdExpired && !c.config.disabled.zoneHold
 }
 
-// mostlySuspect reports whether more than half of the members of the zone,
-// this node included, are suspected.
+// isMostlySuspect reports whether at least minimumSuspectsToHold members and more than half of the
+// zone, including this node if it belongs to the zone, are suspected.
 func (c *Core) isMostlySuspect(z *zone) bool {
 	size := len(z.live)
 	if z.name == c.self.Zone {
@@ -45,17 +46,17 @@
 	return z.suspects >= minimumSuspectsToHold && 2*z.suspects > size
 }
 
-// hear records that a member was heard from directly.
+// recordContact records that a packet from a member arrived.
 func (c *Core) recordContact(p *peer) {
 	c.joined = true
 	c.lastPacketAt = c.now
 	c.view.ensureZone(p.Zone).lastPacketAt = c.now
 }
 
-// witnessed reports whether this node has heard since then from the zone, or,
-// if the zone has a single member, from anybody. If there is nobody else whom
-// it could hear from, it counts as a witness itself.
-func (c *Core) reachable(z *zone, since time.Duration) bool {
+// zoneReachableSince reports whether a packet from the zone arrived after the time since. For a
+// zone with a single member, a packet from any member counts. If this node has at most one other
+// member, no other packet can be expected and the zone counts as reachable.
+func (c *Core) zoneReachableSince(z *zone, since time.Duration) bool {
 	switch {
 	case len(z.live) > 1:
 		return z.lastPacketAt > since
@@ -71,12 +72,12 @@
 	c.emit(Event{Kind: EventZoneHeld, Zone: z.name})
 }
 
-// releasePings is how many suspected members of a zone are pinged when its hold
-// ends. Not measured: chosen because their refutations reach the rest by gossip.
+// holdReleasePings is the number of suspected members of a zone that are pinged when its hold ends.
+// Gossip spreads their refutations.
 const holdReleasePings = 4
 
-// releaseZone ends a hold. Suspicions that still run get their whole time
-// again, and a few of the members are notified, so that they can refute.
+// releaseZone ends a hold. Suspicions in the zone start over with their full time, and some of the
+// suspected members are pinged, so that they can refute.
 func (c *Core) releaseZone(z *zone) {
 	z.held = false
 	isSuspected := func(p *peer) bool { return p.suspicion != nil }
