--- a/internal/selfhosted/membership/service_events.go
+++ b/internal/selfhosted/membership/service_events.go
@@ -27,14 +27,14 @@
 			"state", event.Member.State.String(), "previous_state", event.Previous.State.String(),
 			"incarnation", event.Member.Incarnation)
 	case EventSuperseded:
-		s.logger.Error("node superseded by a process with a higher incarnation",
+		s.logger.Error("another process holds the name of this node",
 			"peer", event.Member.Address.String(), "incarnation", event.Member.Incarnation)
 	case EventZoneHeld:
-		s.logger.Warn("zone held: its members do not answer", "zone", event.Zone)
+		s.logger.Warn("zone does not answer", "zone", event.Zone)
 	case EventZoneReleased:
-		s.logger.Info("zone hold released", "zone", event.Zone)
+		s.logger.Info("zone is no longer held", "zone", event.Zone)
 	case EventPaused:
-		s.logger.Warn("process was paused", "pause", event.Pause)
+		s.logger.Warn("process did not run", "pause", event.Pause)
 	case EventRevision:
 	}
 }
