--- a/internal/selfhosted/topology/healthcheck.go
+++ b/internal/selfhosted/topology/healthcheck.go
@@ -51,11 +51,11 @@
 type HealthCheck struct {
 	config HealthCheckConfig
 
-	mutex     sync.Mutex
-	table     *Table
-	published map[string]dispatch.Topology
-	pollers   map[netip.AddrPort]context.CancelFunc
-	running   sync.WaitGroup
+	mutex        sync.Mutex
+	table        *Table
+	published    map[string]dispatch.Topology
+	pollers      map[netip.AddrPort]context.CancelFunc
+	pollsRunning sync.WaitGroup
 }
 
 // NewHealthCheck returns a HealthCheck that polls nothing until SetCatalog.
@@ -70,32 +70,32 @@
 
 // SetCatalog installs a catalog and starts or stops polling its leaves.
 func (h *HealthCheck) SetCatalog(current *catalog.Catalog) {
-	h.change(func(Time) {
+	h.update(func(Time) {
 		h.table.SetCatalog(current)
-		h.reconcile()
+		h.reconcilePollers()
 	})
 }
 
 // Draining marks a leaf whose reply said that it is leaving.
 func (h *HealthCheck) Draining(address netip.AddrPort, bootID string) {
-	h.change(func(Time) { h.table.Draining(address, bootID) })
+	h.update(func(Time) { h.table.Draining(address, bootID) })
 }
 
 // MachineLeaving marks a leaf that the machine list calls leaving or gone.
 func (h *HealthCheck) MachineLeaving(address netip.AddrPort, bootID string) {
-	h.change(func(Time) { h.table.MachineLeaving(address, bootID) })
+	h.update(func(Time) { h.table.MachineLeaving(address, bootID) })
 }
 
 // Apply takes a notice of another node.
 func (h *HealthCheck) Apply(notice Notice) {
-	h.change(func(Time) { h.table.Apply(notice) })
+	h.update(func(Time) { h.table.ApplyNotice(notice) })
 }
 
 // Marks returns the marks of leaving leaves in force.
 func (h *HealthCheck) Marks() []Notice {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.table.Marks()
+	return h.table.LeavingMarks()
 }
 
 // Statuses lists every leaf of every service.
@@ -113,17 +113,17 @@
 		delete(h.pollers, address)
 	}
 	h.mutex.Unlock()
-	h.running.Wait()
+	h.pollsRunning.Wait()
 }
 
 // change runs one change of the table and publishes what it altered.
-func (h *HealthCheck) change(apply func(now Time)) {
+func (h *HealthCheck) update(apply func(now Time)) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.config.Clock.Now()
 	apply(now)
 	h.publish(now)
-	if notices := h.table.Notices(); len(notices) > 0 {
+	if notices := h.table.TakeNotices(); len(notices) > 0 {
 		h.config.Sink.Notify(notices)
 	}
 }
@@ -136,8 +136,8 @@
 	}
 	for name := range h.table.catalog.Services {
 		topology, _ := h.table.Service(now, name)
-		previous, known := h.published[name]
-		if known && reflect.DeepEqual(previous, topology) {
+		previous, published := h.published[name]
+		if published && reflect.DeepEqual(previous, topology) {
 			continue
 		}
 		h.published[name] = topology
@@ -147,16 +147,16 @@
 
 // reconcile starts a poller for each new leaf and stops those of leaves that
 // left the catalog.
-func (h *HealthCheck) reconcile() {
-	wanted := make(map[netip.AddrPort]bool)
+func (h *HealthCheck) reconcilePollers() {
+	configured := make(map[netip.AddrPort]bool)
 	for _, address := range h.table.Addresses() {
-		wanted[address] = true
+		configured[address] = true
 		if h.pollers[address] == nil {
 			h.startPoller(address)
 		}
 	}
 	for address, stop := range h.pollers {
-		if wanted[address] {
+		if configured[address] {
 			continue
 		}
 		stop()
@@ -168,13 +168,13 @@
 func (h *HealthCheck) startPoller(address netip.AddrPort) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.pollers[address] = cancel
-	h.running.Add(1)
+	h.pollsRunning.Add(1)
 	go h.poll(ctx, address)
 }
 
 // poll asks one leaf periodically, with jitter so that polls spread out.
 func (h *HealthCheck) poll(ctx context.Context, address netip.AddrPort) {
-	defer h.running.Done()
+	defer h.pollsRunning.Done()
 	for {
 		h.pollOnce(ctx, address)
 		jitter := time.Duration(rand.Int64N(int64(h.config.Interval)/5 + 1))
@@ -194,10 +194,10 @@
 		return
 	}
 	if err != nil {
-		h.change(func(Time) { h.table.ReportFailed(address) })
+		h.update(func(Time) { h.table.ReportFailed(address) })
 		return
 	}
-	h.change(func(now Time) {
+	h.update(func(now Time) {
 		h.table.Report(now, address, *report)
 		h.observe(address, report.LoadSummary)
 	})
@@ -205,7 +205,7 @@
 
 func (h *HealthCheck) observe(address netip.AddrPort, load leaf.LoadSummary) {
 	for name, service := range h.table.catalog.Services {
-		if _, has := service.Leaves[address]; has {
+		if _, exists := service.Leaves[address]; exists {
 			h.config.Sink.Observe(name, address, load)
 		}
 	}
--- a/internal/selfhosted/topology/status.go
+++ b/internal/selfhosted/topology/status.go
@@ -52,18 +52,18 @@
 
 func (t *Table) dispatchLeaf(now Time, configured catalog.Leaf) dispatch.Leaf {
 	status, _ := t.status(now, configured)
-	described := dispatch.Leaf{
+	result := dispatch.Leaf{
 		Address: configured.Address,
 		Zone:    configured.Zone,
 		Usable:  status == StatusUsable || status == StatusCold,
 		Cold:    status == StatusCold,
 	}
-	if seen := t.observed[configured.Address]; seen != nil {
-		described.BootID = seen.report.BootID
-		described.Slots = seen.report.Slots
-		described.Holdings = seen.report.Holdings
+	if state := t.leafStates[configured.Address]; state != nil {
+		result.BootID = state.report.BootID
+		result.Slots = state.report.Slots
+		result.Holdings = state.report.Holdings
 	}
-	return described
+	return result
 }
 
 // status decides a leaf's place in its life, and why.
@@ -71,17 +71,17 @@
 	if configured.Retiring {
 		return StatusLeaving, string(SourceCatalog)
 	}
-	seen := t.observed[configured.Address]
+	state := t.leafStates[configured.Address]
 	switch {
-	case seen == nil || !seen.heard && seen.leaving == nil && seen.failures == 0:
+	case state == nil || !state.hasReport && state.leaving == nil && state.failedPolls == 0:
 		return StatusUnknown, "no report yet"
-	case seen.leaving != nil:
-		return StatusLeaving, string(seen.leaving.source)
-	case !seen.heard || seen.failures >= t.config.UnreachableAfter:
+	case state.leaving != nil:
+		return StatusLeaving, string(state.leaving.source)
+	case !state.hasReport || state.failedPolls >= t.config.UnreachableAfter:
 		return StatusUnreachable, "load polls fail"
-	case now-seen.reportedAt > t.config.ReportLifetime:
+	case now-state.reportedAt > t.config.ReportLifetime:
 		return StatusUnreachable, "report too old"
-	case seen.report.State == leaf.StateCold:
+	case state.report.State == leaf.StateCold:
 		return StatusCold, string(SourceReport)
 	}
 	return StatusUsable, ""
@@ -102,10 +102,10 @@
 }
 
 func (t *Table) leafStatus(now Time, service string, configured catalog.Leaf) LeafStatus {
-	described := LeafStatus{Service: service, Leaf: configured}
-	described.Status, described.Reason = t.status(now, configured)
-	if seen := t.observed[configured.Address]; seen != nil {
-		described.Report = seen.report
+	result := LeafStatus{Service: service, Leaf: configured}
+	result.Status, result.Reason = t.status(now, configured)
+	if state := t.leafStates[configured.Address]; state != nil {
+		result.Report = state.report
 	}
-	return described
+	return result
 }
--- a/internal/selfhosted/topology/topology.go
+++ b/internal/selfhosted/topology/topology.go
@@ -50,28 +50,28 @@
 }
 
 // observation is what a node has heard from one leaf.
-type observation struct {
-	report     leaf.LoadReport
-	reportedAt Time
-	heard      bool
-	failures   int
-	leaving    *mark
+type leafState struct {
+	report      leaf.LoadReport
+	reportedAt  Time
+	hasReport   bool
+	failedPolls int
+	leaving     *leavingMark
 }
 
 // Table combines the sources. The zero value is not usable; call New.
 type Table struct {
-	config   Config
-	catalog  *catalog.Catalog
-	observed map[netip.AddrPort]*observation
-	notices  []Notice
+	config         Config
+	catalog        *catalog.Catalog
+	leafStates     map[netip.AddrPort]*leafState
+	pendingNotices []Notice
 }
 
 // New returns a Table over the empty catalog.
 func New(config Config) *Table {
 	return &Table{
-		config:   config,
-		catalog:  &catalog.Catalog{},
-		observed: make(map[netip.AddrPort]*observation),
+		config:     config,
+		catalog:    &catalog.Catalog{},
+		leafStates: make(map[netip.AddrPort]*leafState),
 	}
 }
 
@@ -85,9 +85,9 @@
 			t.clearOlderMark(address, configuredLeaf.AddedAt)
 		}
 	}
-	for address := range t.observed {
+	for address := range t.leafStates {
 		if !configured[address] {
-			delete(t.observed, address)
+			delete(t.leafStates, address)
 		}
 	}
 }
@@ -108,27 +108,27 @@
 // marks it; a report that calls it serving never clears a mark of the same
 // boot.
 func (t *Table) Report(now Time, address netip.AddrPort, report leaf.LoadReport) {
-	seen := t.observe(address)
-	seen.report = report
-	seen.reportedAt = now
-	seen.heard = true
-	seen.failures = 0
-	t.bindMark(seen, report.BootID)
+	state := t.ensureState(address)
+	state.report = report
+	state.reportedAt = now
+	state.hasReport = true
+	state.failedPolls = 0
+	t.bindMarkToBoot(state, report.BootID)
 	if report.State == leaf.StateDraining {
-		t.mark(address, report.BootID, SourceReport)
+		t.markLeaving(address, report.BootID, SourceReport)
 	}
 }
 
 // ReportFailed counts a load poll that got no answer.
 func (t *Table) ReportFailed(address netip.AddrPort) {
-	t.observe(address).failures++
+	t.ensureState(address).failedPolls++
 }
 
-func (t *Table) observe(address netip.AddrPort) *observation {
-	seen := t.observed[address]
-	if seen == nil {
-		seen = &observation{}
-		t.observed[address] = seen
+func (t *Table) ensureState(address netip.AddrPort) *leafState {
+	state := t.leafStates[address]
+	if state == nil {
+		state = &leafState{}
+		t.leafStates[address] = state
 	}
-	return seen
+	return state
 }
--- a/internal/selfhosted/topology/topology_test.go
+++ b/internal/selfhosted/topology/topology_test.go
@@ -16,7 +16,7 @@
 var testAddress = netip.MustParseAddrPort("127.0.0.1:7101")
 
 // catalogWith returns a catalog with one leaf, added at a revision.
-func catalogWith(revision uint64, retiring bool) *catalog.Catalog {
+func newCatalog(revision uint64, retiring bool) *catalog.Catalog {
 	configured := catalog.Leaf{Address: testAddress, Zone: "a", Shards: []int{0}, AddedAt: revision, Retiring: retiring}
 	return &catalog.Catalog{
 		Revision: revision,
@@ -28,7 +28,7 @@
 	}
 }
 
-func reportOf(bootID string, state leaf.State) leaf.LoadReport {
+func newReport(bootID string, state leaf.State) leaf.LoadReport {
 	return leaf.LoadReport{
 		BootID:      bootID,
 		Service:     testService,
@@ -37,7 +37,7 @@
 	}
 }
 
-func usable(t *Table, now Time) bool {
+func isUsable(t *Table, now Time) bool {
 	topology, _ := t.Service(now, testService)
 	return topology.Leaves[0].Usable
 }
@@ -46,19 +46,19 @@
 // about two boots of one leaf, and compares it with the rule: once any source
 // called the current boot leaving, it is not usable before a new boot or a
 // newer "add leaf".
-func TestLeavingSticksToTheBoot(t *testing.T) {
+func TestLeavingLeafIsUnusableUntilNewBootOrReAdd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New(DefaultConfig())
 		revision := uint64(1)
-		table.SetCatalog(catalogWith(revision, false))
+		table.SetCatalog(newCatalog(revision, false))
 		boot := 0
 		bootID := func() string { return string(rune('a' + boot)) }
-		table.Report(0, testAddress, reportOf(bootID(), leaf.StateServing))
+		table.Report(0, testAddress, newReport(bootID(), leaf.StateServing))
 		leaving := false
 		t.Repeat(map[string]func(*rapid.T){
-			"serving report": func(*rapid.T) { table.Report(0, testAddress, reportOf(bootID(), leaf.StateServing)) },
+			"serving report": func(*rapid.T) { table.Report(0, testAddress, newReport(bootID(), leaf.StateServing)) },
 			"draining report": func(*rapid.T) {
-				table.Report(0, testAddress, reportOf(bootID(), leaf.StateDraining))
+				table.Report(0, testAddress, newReport(bootID(), leaf.StateDraining))
 				leaving = true
 			},
 			"draining reply":   func(*rapid.T) { table.Draining(testAddress, bootID()); leaving = true },
@@ -66,26 +66,26 @@
 			"machine no boot":  func(*rapid.T) { table.MachineLeaving(testAddress, ""); leaving = true },
 			"machine old boot": func(*rapid.T) { table.MachineLeaving(testAddress, "older") },
 			"peer notice": func(*rapid.T) {
-				table.Apply(Notice{Address: testAddress, BootID: bootID(), AddedAt: revision})
+				table.ApplyNotice(Notice{Address: testAddress, BootID: bootID(), AddedAt: revision})
 				leaving = true
 			},
 			"old peer notice": func(*rapid.T) {
-				table.Apply(Notice{Address: testAddress, BootID: bootID(), AddedAt: revision - 1})
+				table.ApplyNotice(Notice{Address: testAddress, BootID: bootID(), AddedAt: revision - 1})
 			},
 			"new boot": func(*rapid.T) {
 				boot++
-				table.Report(0, testAddress, reportOf(bootID(), leaf.StateServing))
+				table.Report(0, testAddress, newReport(bootID(), leaf.StateServing))
 				leaving = false
 			},
 			"add again": func(*rapid.T) {
 				revision++
-				table.SetCatalog(catalogWith(revision, false))
+				table.SetCatalog(newCatalog(revision, false))
 				leaving = false
 			},
-			"same catalog": func(*rapid.T) { table.SetCatalog(catalogWith(revision, false)) },
+			"same catalog": func(*rapid.T) { table.SetCatalog(newCatalog(revision, false)) },
 			"": func(t *rapid.T) {
-				if usable(table, 0) == leaving {
-					t.Fatalf("leaving is %v, usable is %v", leaving, usable(table, 0))
+				if isUsable(table, 0) == leaving {
+					t.Fatalf("leaving is %v, usable is %v", leaving, isUsable(table, 0))
 				}
 			},
 		})
@@ -94,47 +94,47 @@
 
 func TestRetiringLeafIsNotUsable(t *testing.T) {
 	table := New(DefaultConfig())
-	table.SetCatalog(catalogWith(1, true))
-	table.Report(0, testAddress, reportOf("a", leaf.StateServing))
-	if usable(table, 0) {
+	table.SetCatalog(newCatalog(1, true))
+	table.Report(0, testAddress, newReport("a", leaf.StateServing))
+	if isUsable(table, 0) {
 		t.Fatal("a retiring leaf is usable")
 	}
 }
 
-func TestSilentLeafBecomesUnreachableAndReturns(t *testing.T) {
+func TestUnresponsiveLeafBecomesUnreachableAndRecovers(t *testing.T) {
 	config := DefaultConfig()
 	table := New(config)
-	table.SetCatalog(catalogWith(1, false))
-	if usable(table, 0) {
+	table.SetCatalog(newCatalog(1, false))
+	if isUsable(table, 0) {
 		t.Fatal("a leaf is usable before it was heard of")
 	}
-	table.Report(0, testAddress, reportOf("a", leaf.StateServing))
+	table.Report(0, testAddress, newReport("a", leaf.StateServing))
 	for range config.UnreachableAfter {
 		table.ReportFailed(testAddress)
 	}
-	if usable(table, time.Second) {
+	if isUsable(table, time.Second) {
 		t.Fatal("a silent leaf is usable")
 	}
-	table.Report(2*time.Second, testAddress, reportOf("a", leaf.StateServing))
-	if !usable(table, 2*time.Second) {
+	table.Report(2*time.Second, testAddress, newReport("a", leaf.StateServing))
+	if !isUsable(table, 2*time.Second) {
 		t.Fatal("a leaf that answers again is not usable")
 	}
-	if usable(table, 2*time.Second+config.ReportLifetime+1) {
+	if isUsable(table, 2*time.Second+config.ReportLifetime+1) {
 		t.Fatal("an old report keeps a leaf usable")
 	}
 }
 
-func TestNoticesAreOnlyThoseLearnedAtFirstHand(t *testing.T) {
+func TestPeerNoticesAreNotForwarded(t *testing.T) {
 	table := New(DefaultConfig())
-	table.SetCatalog(catalogWith(3, false))
-	table.Apply(Notice{Address: testAddress, BootID: "a", AddedAt: 3})
-	if got := table.Notices(); len(got) != 0 {
+	table.SetCatalog(newCatalog(3, false))
+	table.ApplyNotice(Notice{Address: testAddress, BootID: "a", AddedAt: 3})
+	if got := table.TakeNotices(); len(got) != 0 {
 		t.Fatalf("a notice of a peer is passed on: %v", got)
 	}
-	table.SetCatalog(catalogWith(4, false))
+	table.SetCatalog(newCatalog(4, false))
 	table.Draining(testAddress, "a")
 	table.Draining(testAddress, "a")
-	got := table.Notices()
+	got := table.TakeNotices()
 	want := Notice{Address: testAddress, BootID: "a", AddedAt: 4, Source: SourceReply}
 	if len(got) != 1 || got[0] != want {
 		t.Fatalf("got %v, want one notice %v", got, want)
@@ -143,29 +143,29 @@
 
 // TestMarksBringAnotherNodeInStep hands the marks of one Table to another that
 // heard nothing but serving reports.
-func TestMarksBringAnotherNodeInStep(t *testing.T) {
+func TestMarksApplyToAnotherTable(t *testing.T) {
 	tables := []*Table{New(DefaultConfig()), New(DefaultConfig())}
 	for _, table := range tables {
-		table.SetCatalog(catalogWith(1, false))
-		table.Report(0, testAddress, reportOf("a", leaf.StateServing))
+		table.SetCatalog(newCatalog(1, false))
+		table.Report(0, testAddress, newReport("a", leaf.StateServing))
 	}
-	told, other := tables[0], tables[1]
-	if marks := told.Marks(); len(marks) > 0 {
+	source, target := tables[0], tables[1]
+	if marks := source.LeavingMarks(); len(marks) > 0 {
 		t.Errorf("marks before any word: %v", marks)
 	}
-	told.Draining(testAddress, "a")
-	told.Report(0, testAddress, reportOf("a", leaf.StateServing))
-	for _, mark := range told.Marks() {
-		other.Apply(mark)
+	source.Draining(testAddress, "a")
+	source.Report(0, testAddress, newReport("a", leaf.StateServing))
+	for _, mark := range source.LeavingMarks() {
+		target.ApplyNotice(mark)
 	}
-	if usable(other, 0) || len(other.Marks()) != 1 {
+	if isUsable(target, 0) || len(target.LeavingMarks()) != 1 {
 		t.Error("the leaf is still usable")
 	}
-	if len(other.Notices()) > 0 {
+	if len(target.TakeNotices()) > 0 {
 		t.Error("a mark of another node is spread again")
 	}
-	told.Report(0, testAddress, reportOf("b", leaf.StateServing))
-	if marks := told.Marks(); len(marks) > 0 {
+	source.Report(0, testAddress, newReport("b", leaf.StateServing))
+	if marks := source.LeavingMarks(); len(marks) > 0 {
 		t.Errorf("marks of an older boot: %v", marks)
 	}
 }
