--- a/internal/selfhosted/topology/healthcheck.go
+++ b/internal/selfhosted/topology/healthcheck.go
@@ -15,39 +15,38 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// LoadClient asks one leaf for its load report.
+// LoadClient requests load reports from leaves.
 type LoadClient interface {
 	Load(ctx context.Context, address netip.AddrPort) (*leaf.LoadReport, error)
-	// Forget closes what is kept for a leaf that left the catalog.
+	// Forget closes the connections to a leaf that is no longer in the catalog.
 	Forget(address netip.AddrPort)
 }
 
-// Sink takes what the HealthCheck learns. Its methods must not block and must
-// not call the HealthCheck.
+// Sink receives the results of a HealthCheck. Its methods must not block and must not call the
+// HealthCheck.
 type Sink interface {
-	// SetTopology receives a changed view of one service.
+	// SetTopology receives the topology of a service after a change.
 	SetTopology(service string, topology dispatch.Topology)
-	// Observe receives one report of a leaf of a service.
+	// Observe receives one load report of a leaf of a service.
 	Observe(service string, address netip.AddrPort, load leaf.LoadSummary)
-	// Notify receives marks that other nodes should be notified of.
+	// Notify receives the marks to send to other nodes.
 	Notify(notices []Notice)
 }
 
-// HealthCheckConfig is what a HealthCheck needs.
+// HealthCheckConfig configures a HealthCheck.
 type HealthCheckConfig struct {
 	Table  Config
 	Client LoadClient
 	Sink   Sink
 	Clock  clock.Clock
 	Logger *slog.Logger
-	// Interval is the time between two load polls of one leaf.
+	// Interval is the time between two load polls of one leaf, without jitter.
 	Interval time.Duration
-	// Timeout bounds one poll.
+	// Timeout is the maximum duration of one poll.
 	Timeout time.Duration
 }
 
-// HealthCheck polls the leaves of the catalog and keeps a Table. It is safe
-// for concurrent use.
+// HealthCheck polls the leaves of the catalog and maintains a Table. It is safe for concurrent use.
 type HealthCheck struct {
 	config HealthCheckConfig
 
@@ -58,7 +57,7 @@
 	pollsRunning sync.WaitGroup
 }
 
-// NewHealthCheck returns a HealthCheck that polls nothing until SetCatalog.
+// NewHealthCheck returns a HealthCheck that polls no leaf until SetCatalog is called.
 func NewHealthCheck(config HealthCheckConfig) *HealthCheck {
 	return &HealthCheck{
 		config:    config,
@@ -68,7 +67,8 @@
 	}
 }
 
-// SetCatalog installs a catalog and starts or stops polling its leaves.
+// SetCatalog installs a catalog, starts the polls of its new leaves and stops those of removed
+// leaves.
 func (h *HealthCheck) SetCatalog(current *catalog.Catalog) {
 	h.update(func(Time) {
 		h.table.SetCatalog(current)
@@ -76,36 +76,36 @@
 	})
 }
 
-// Draining marks a leaf whose reply said that it is leaving.
+// Draining marks a leaf whose reply said that it is draining.
 func (h *HealthCheck) Draining(address netip.AddrPort, bootID string) {
 	h.update(func(Time) { h.table.Draining(address, bootID) })
 }
 
-// MachineLeaving marks a leaf that the machine list calls leaving or gone.
+// MachineLeaving marks a leaf that the machine list shows as leaving or gone.
 func (h *HealthCheck) MachineLeaving(address netip.AddrPort, bootID string) {
 	h.update(func(Time) { h.table.MachineLeaving(address, bootID) })
 }
 
-// Apply takes a notice of another node.
+// Apply applies a notice of another node.
 func (h *HealthCheck) Apply(notice Notice) {
 	h.update(func(Time) { h.table.ApplyNotice(notice) })
 }
 
-// Marks returns the marks of leaving leaves in force.
+// Marks returns the current marks of leaving leaves.
 func (h *HealthCheck) Marks() []Notice {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.table.LeavingMarks()
 }
 
-// Statuses lists every leaf of every service.
+// Statuses returns the status of every leaf of every service.
 func (h *HealthCheck) Statuses() []LeafStatus {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.table.Statuses(h.config.Clock.Now())
 }
 
-// Close stops all polls and blocks until they have ended.
+// Close stops all polls and waits until they have ended.
 func (h *HealthCheck) Close() {
 	h.mutex.Lock()
 	for address, stop := range h.pollers {
@@ -116,7 +116,7 @@
 	h.pollsRunning.Wait()
 }
 
-// change runs one change of the table and publishes what it altered.
+// update applies a change to the table and passes changed topologies and new notices to the sink.
 func (h *HealthCheck) update(apply func(now Time)) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -145,8 +145,8 @@
 	}
 }
 
-// reconcile starts a poller for each new leaf and stops those of leaves that
-// left the catalog.
+// reconcilePollers starts a poller for each new leaf and stops the pollers of leaves that are no
+// longer in the catalog.
 func (h *HealthCheck) reconcilePollers() {
 	configured := make(map[netip.AddrPort]bool)
 	for _, address := range h.table.Addresses() {
@@ -172,7 +172,8 @@
 	go h.poll(ctx, address)
 }
 
-// poll asks one leaf periodically, with jitter so that polls spread out.
+// poll requests the load report of a leaf periodically. Jitter of up to a fifth of the interval
+// spreads the polls.
 func (h *HealthCheck) poll(ctx context.Context, address netip.AddrPort) {
 	defer h.pollsRunning.Done()
 	for {
--- a/internal/selfhosted/topology/marks.go
+++ b/internal/selfhosted/topology/marks.go
@@ -2,26 +2,25 @@
 
 import "net/netip"
 
-// Notice says that a leaf is leaving. Nodes send it to each other.
+// Notice reports to other nodes that a leaf is leaving.
 type Notice struct {
 	Address netip.AddrPort
-	// BootID is the boot that is leaving; empty means the boot that the
-	// receiver knows, or else the next one that it meets.
+	// BootID is the boot that is leaving. If it is empty, the notice applies to the boot that the
+	// receiver knows, or to the next one that it sees.
 	BootID string
 	// AddedAt is the catalog revision that added the leaf.
 	AddedAt uint64
 	Source  Source
 }
 
-// mark remembers that one boot of a leaf is leaving.
+// leavingMark records that one boot of a leaf is leaving.
 type leavingMark struct {
 	bootID  string
 	addedAt uint64
 	source  Source
 }
 
-// clearOlderMark drops a mark that an operator has overruled by adding the
-// leaf again.
+// clearOlderMark clears a mark if an operator has added the leaf again since.
 func (t *Table) clearOlderMark(address netip.AddrPort, addedAt uint64) {
 	state := t.leafStates[address]
 	if state == nil || state.leaving == nil {
@@ -32,8 +31,8 @@
 	}
 }
 
-// bindMark ties a mark without a boot to the first boot met, and clears the
-// mark of an older boot.
+// bindMarkToBoot assigns a mark without a boot to the first boot seen, and clears a mark of another
+// boot.
 func (t *Table) bindMarkToBoot(state *leafState, bootID string) {
 	if state.leaving == nil || bootID == "" {
 		return
@@ -47,18 +46,18 @@
 	}
 }
 
-// Draining marks a leaf whose reply or refusal said that it is leaving.
+// Draining marks a leaf whose reply or refusal said that it is draining.
 func (t *Table) Draining(address netip.AddrPort, bootID string) {
 	t.markLeaving(address, bootID, SourceReply)
 }
 
-// MachineLeaving marks a leaf that the machine list calls leaving or gone.
-// The list lags: an entry for another boot than the one last met is ignored.
+// MachineLeaving marks a leaf that the machine list shows as leaving or gone. It ignores an entry
+// for another boot than the one last seen, because the list may be outdated.
 func (t *Table) MachineLeaving(address netip.AddrPort, bootID string) {
 	t.markLeaving(address, bootID, SourceMachines)
 }
 
-// Apply takes a notice of another node.
+// ApplyNotice applies a notice of another node.
 func (t *Table) ApplyNotice(notice Notice) {
 	addedAt, configured := t.addedAt(notice.Address)
 	if !configured || notice.AddedAt < addedAt {
@@ -67,16 +66,16 @@
 	t.markLeaving(notice.Address, notice.BootID, SourcePeer)
 }
 
-// Notices returns, once, the marks that this node learned at first hand and
-// that other nodes should hear of.
+// TakeNotices returns the marks that did not come from another node and that other nodes should
+// receive. Each mark is returned once.
 func (t *Table) TakeNotices() []Notice {
 	notices := t.pendingNotices
 	t.pendingNotices = nil
 	return notices
 }
 
-// Marks returns the marks in force, however learned, in order of the leaves.
-// A node that was cut off from the others asks for them.
+// LeavingMarks returns the current marks from all sources, in order of the leaf addresses. A node
+// that was unable to receive notices requests them.
 func (t *Table) LeavingMarks() []Notice {
 	var marks []Notice
 	for _, address := range t.Addresses() {
@@ -92,6 +91,8 @@
 	return marks
 }
 
+// markLeaving marks a leaf as leaving unless it is marked already. It ignores leaves outside the
+// catalog and boots other than the one last seen.
 func (t *Table) markLeaving(address netip.AddrPort, bootID string, source Source) {
 	addedAt, configured := t.addedAt(address)
 	if !configured {
@@ -113,7 +114,8 @@
 	}
 }
 
-// addedAt returns the newest revision that added the leaf to any service.
+// addedAt returns the newest revision that added the leaf to any service, and whether the catalog
+// contains the leaf.
 func (t *Table) addedAt(address netip.AddrPort) (uint64, bool) {
 	var newest uint64
 	configured := false
--- a/internal/selfhosted/topology/status.go
+++ b/internal/selfhosted/topology/status.go
@@ -9,16 +9,17 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Status is a leaf's place in its life, as this node sees it.
+// Status is the state of a leaf in the view of this node.
 type Status string
 
-// The statuses.
 const (
 	StatusUsable      Status = "usable"
 	StatusCold        Status = "cold"
 	StatusLeaving     Status = "leaving"
 	StatusUnreachable Status = "unreachable"
-	StatusUnknown     Status = "unknown" // never heard of
+	// StatusUnknown leaves have neither answered nor failed a poll, and no source reported them as
+	// leaving.
+	StatusUnknown Status = "unknown"
 )
 
 // LeafStatus describes one leaf of one service for status pages.
@@ -30,8 +31,8 @@
 	Report  leaf.LoadReport
 }
 
-// Service returns what the dispatcher of a service may use at this moment. It
-// reports false if the catalog has no such service.
+// Service returns the leaves and partitions that the dispatcher of a service may use now. It
+// returns false if the catalog does not contain the service.
 func (t *Table) Service(now Time, name string) (dispatch.Topology, bool) {
 	service, ok := t.catalog.Services[name]
 	if !ok {
@@ -66,7 +67,7 @@
 	return result
 }
 
-// status decides a leaf's place in its life, and why.
+// status returns the status of a leaf and the reason for it.
 func (t *Table) status(now Time, configured catalog.Leaf) (Status, string) {
 	if configured.Retiring {
 		return StatusLeaving, string(SourceCatalog)
@@ -87,7 +88,7 @@
 	return StatusUsable, ""
 }
 
-// Statuses lists every leaf of every service, in order.
+// Statuses returns the status of every leaf of every service, in order of service and address.
 func (t *Table) Statuses(now Time) []LeafStatus {
 	var statuses []LeafStatus
 	for name, service := range t.catalog.Services {
--- a/internal/selfhosted/topology/topology.go
+++ b/internal/selfhosted/topology/topology.go
@@ -1,14 +1,14 @@
-// Package topology keeps what a node knows about leaves: which of them may get
-// work now, and what they hold.
+// Package topology tracks the state of leaves: which of them may receive requests and which shards
+// they hold.
 //
-// Four sources are combined: the catalog, the machine list, the leaves' own
-// reports and replies, and notices of other nodes. They lag and mislead, so one
-// rule decides: a leaf that any source called leaving gets no new work until a
-// new boot of the leaf is seen, or an operator adds it again.
+// It combines four sources: the catalog, the machine list, the reports and replies of the leaves,
+// and notices of other nodes. Each source may be outdated or wrong. Therefore a leaf that any
+// source reported as leaving receives no new requests until a new boot of the leaf is seen or an
+// operator adds the leaf again.
 //
-// A Table is a pure value without goroutines, sockets or clocks. It is not safe
-// for concurrent use. HealthCheck drives one: it owns the polls of leaves, and
-// relies on its LoadClient for the calls and on its Sink for what comes of them.
+// A Table is a state machine without goroutines, sockets or clocks, and is not safe for concurrent
+// use. HealthCheck drives a Table. It runs the load polls, calls leaves through a LoadClient and
+// passes results to a Sink.
 package topology
 
 import (
@@ -20,13 +20,12 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Time is a reading of a monotonic clock: the time since an arbitrary origin.
+// Time is a reading of a monotonic clock, as the duration since an arbitrary origin.
 type Time = time.Duration
 
-// Source names who said that a leaf is leaving.
+// Source names the source that reported a leaf as leaving.
 type Source string
 
-// The sources.
 const (
 	SourceCatalog  Source = "catalog"
 	SourceMachines Source = "machine_list"
@@ -35,21 +34,22 @@
 	SourcePeer     Source = "peer"
 )
 
-// Config holds the bounds of a Table.
+// Config holds the thresholds of a Table.
 type Config struct {
-	// UnreachableAfter is the number of load polls in a row that must fail
-	// before a leaf counts as unreachable.
+	// UnreachableAfter is the number of consecutive failed load polls after which a leaf is
+	// unreachable.
 	UnreachableAfter int
-	// ReportLifetime is how long a report stays usable without a newer one.
+	// ReportLifetime is how long a report is used if no newer one arrives.
 	ReportLifetime time.Duration
 }
 
-// DefaultConfig returns the bounds used unless settings say otherwise.
+// DefaultConfig returns the thresholds used unless the settings override them.
 func DefaultConfig() Config {
 	return Config{UnreachableAfter: 3, ReportLifetime: 10 * time.Second}
 }
 
-// observation is what a node has heard from one leaf.
+// leafState holds what a node knows about one leaf besides its catalog entry. hasReport is false
+// until the first load report, and failedPolls counts the failed polls since the last report.
 type leafState struct {
 	report      leaf.LoadReport
 	reportedAt  Time
@@ -58,7 +58,7 @@
 	leaving     *leavingMark
 }
 
-// Table combines the sources. The zero value is not usable; call New.
+// Table combines the sources. Create it with New; the zero value is not usable.
 type Table struct {
 	config         Config
 	catalog        *catalog.Catalog
@@ -66,7 +66,7 @@
 	pendingNotices []Notice
 }
 
-// New returns a Table over the empty catalog.
+// New returns a Table with an empty catalog.
 func New(config Config) *Table {
 	return &Table{
 		config:     config,
@@ -75,7 +75,7 @@
 	}
 }
 
-// SetCatalog installs a catalog. Leaves that it no longer has are forgotten.
+// SetCatalog installs a catalog and drops the state of leaves that it does not contain.
 func (t *Table) SetCatalog(current *catalog.Catalog) {
 	t.catalog = current
 	configured := make(map[netip.AddrPort]bool)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Addresses returns the configured leaves, in order.
+// Addresses returns the addresses of the leaves in the catalog, in order and without duplicates.
 func (t *Table) Addresses() []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, service := range t.catalog.Services {
@@ -104,9 +104,8 @@
 	return slices.Compact(addresses)
 }
 
-// Report takes a leaf's load report. A report that calls the leaf draining
-// marks it; a report that calls it serving never clears a mark of the same
-// boot.
+// Report records a load report. A report with state draining marks the leaf as leaving. A report
+// with state serving never clears the mark of the same boot.
 func (t *Table) Report(now Time, address netip.AddrPort, report leaf.LoadReport) {
 	state := t.ensureState(address)
 	state.report = report
@@ -119,11 +118,12 @@
 	}
 }
 
-// ReportFailed counts a load poll that got no answer.
+// ReportFailed counts a failed load poll.
 func (t *Table) ReportFailed(address netip.AddrPort) {
 	t.ensureState(address).failedPolls++
 }
 
+// ensureState returns the state of a leaf and creates it if necessary.
 func (t *Table) ensureState(address netip.AddrPort) *leafState {
 	state := t.leafStates[address]
 	if state == nil {
--- a/internal/selfhosted/topology/topology_test.go
+++ b/internal/selfhosted/topology/topology_test.go
@@ -15,7 +15,7 @@
 
 var testAddress = netip.MustParseAddrPort("127.0.0.1:7101")
 
-// catalogWith returns a catalog with one leaf, added at a revision.
+// newCatalog returns a catalog with one leaf that was added at the given revision.
 func newCatalog(revision uint64, retiring bool) *catalog.Catalog {
 	configured := catalog.Leaf{Address: testAddress, Zone: "a", Shards: []int{0}, AddedAt: revision, Retiring: retiring}
 	return &catalog.Catalog{
@@ -42,10 +42,9 @@
 	return topology.Leaves[0].Usable
 }
 
-// TestLeavingSticksToTheBoot drives a Table with random words of all sources
-// about two boots of one leaf, and compares it with the rule: once any source
-// called the current boot leaving, it is not usable before a new boot or a
-// newer "add leaf".
+// TestLeavingLeafIsUnusableUntilNewBootOrReAdd applies random reports, notices and catalogs about
+// the boots of one leaf. Once any source reported the current boot as leaving, the leaf must be
+// unusable until a new boot or a newer catalog entry.
 func TestLeavingLeafIsUnusableUntilNewBootOrReAdd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New(DefaultConfig())
@@ -85,7 +84,7 @@
 			"same catalog": func(*rapid.T) { table.SetCatalog(newCatalog(revision, false)) },
 			"": func(t *rapid.T) {
 				if isUsable(table, 0) == leaving {
-					t.Fatalf("leaving is %v, usable is %v", leaving, isUsable(table, 0))
+					t.Fatalf("usable is %v, want %v", isUsable(table, 0), !leaving)
 				}
 			},
 		})
@@ -97,7 +96,7 @@
 	table.SetCatalog(newCatalog(1, true))
 	table.Report(0, testAddress, newReport("a", leaf.StateServing))
 	if isUsable(table, 0) {
-		t.Fatal("a retiring leaf is usable")
+		t.Fatal("usable is true for a retiring leaf, want false")
 	}
 }
 
@@ -106,21 +105,21 @@
 	table := New(config)
 	table.SetCatalog(newCatalog(1, false))
 	if isUsable(table, 0) {
-		t.Fatal("a leaf is usable before it was heard of")
+		t.Fatal("usable is true before the first report, want false")
 	}
 	table.Report(0, testAddress, newReport("a", leaf.StateServing))
 	for range config.UnreachableAfter {
 		table.ReportFailed(testAddress)
 	}
 	if isUsable(table, time.Second) {
-		t.Fatal("a silent leaf is usable")
+		t.Fatal("usable is true after UnreachableAfter failed polls, want false")
 	}
 	table.Report(2*time.Second, testAddress, newReport("a", leaf.StateServing))
 	if !isUsable(table, 2*time.Second) {
-		t.Fatal("a leaf that answers again is not usable")
+		t.Fatal("usable is false after a new report, want true")
 	}
 	if isUsable(table, 2*time.Second+config.ReportLifetime+1) {
-		t.Fatal("an old report keeps a leaf usable")
+		t.Fatal("usable is true after ReportLifetime without a report, want false")
 	}
 }
 
@@ -129,7 +128,7 @@
 	table.SetCatalog(newCatalog(3, false))
 	table.ApplyNotice(Notice{Address: testAddress, BootID: "a", AddedAt: 3})
 	if got := table.TakeNotices(); len(got) != 0 {
-		t.Fatalf("a notice of a peer is passed on: %v", got)
+		t.Fatalf("TakeNotices returned %v after a notice of a peer, want none", got)
 	}
 	table.SetCatalog(newCatalog(4, false))
 	table.Draining(testAddress, "a")
@@ -137,12 +136,12 @@
 	got := table.TakeNotices()
 	want := Notice{Address: testAddress, BootID: "a", AddedAt: 4, Source: SourceReply}
 	if len(got) != 1 || got[0] != want {
-		t.Fatalf("got %v, want one notice %v", got, want)
+		t.Fatalf("TakeNotices returned %v, want one notice %v", got, want)
 	}
 }
 
-// TestMarksBringAnotherNodeInStep hands the marks of one Table to another that
-// heard nothing but serving reports.
+// TestMarksApplyToAnotherTable applies the marks of one Table to another that received only serving
+// reports.
 func TestMarksApplyToAnotherTable(t *testing.T) {
 	tables := []*Table{New(DefaultConfig()), New(DefaultConfig())}
 	for _, table := range tables {
@@ -151,7 +150,7 @@
 	}
 	source, target := tables[0], tables[1]
 	if marks := source.LeavingMarks(); len(marks) > 0 {
-		t.Errorf("marks before any word: %v", marks)
+		t.Errorf("LeavingMarks returned %v before the leaf was reported as leaving, want none", marks)
 	}
 	source.Draining(testAddress, "a")
 	source.Report(0, testAddress, newReport("a", leaf.StateServing))
@@ -159,13 +158,13 @@
 		target.ApplyNotice(mark)
 	}
 	if isUsable(target, 0) || len(target.LeavingMarks()) != 1 {
-		t.Error("the leaf is still usable")
+		t.Error("leaf is usable or has no mark after the marks were applied, want one mark and an unusable leaf")
 	}
 	if len(target.TakeNotices()) > 0 {
-		t.Error("a mark of another node is spread again")
+		t.Error("TakeNotices returned a mark of another node, want none")
 	}
 	source.Report(0, testAddress, newReport("b", leaf.StateServing))
 	if marks := source.LeavingMarks(); len(marks) > 0 {
-		t.Errorf("marks of an older boot: %v", marks)
+		t.Errorf("LeavingMarks returned %v after a new boot, want none", marks)
 	}
 }
