--- a/internal/selfhosted/store/call.go
+++ b/internal/selfhosted/store/call.go
@@ -19,43 +19,43 @@
 func (c *Client) call(ctx context.Context, step Step, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
-	begun := time.Now()
-	err := c.try(ctx, step, path, request, response)
-	c.metrics.observe(step, err, time.Since(begun))
+	start := time.Now()
+	err := c.attempt(ctx, step, path, request, response)
+	c.metrics.observe(step, err, time.Since(start))
 	return err
 }
 
-func (c *Client) try(ctx context.Context, step Step, path string, request, response any) error {
-	if err := c.wait(ctx, step); err != nil {
-		return annotate(err.(*Error))
+func (c *Client) attempt(ctx context.Context, step Step, path string, request, response any) error {
+	if err := c.waitForToken(ctx, step); err != nil {
+		return wrapError(err.(*Error))
 	}
 	body, err := json.Marshal(request)
 	if err != nil {
-		return annotate(&Error{Step: step, Kind: KindRefused, Cause: err})
+		return wrapError(&Error{Step: step, Kind: KindRefused, Cause: err})
 	}
 	reply, endpoint, failure := c.post(ctx, step, path, body)
 	if failure != nil {
-		return annotate(failure)
+		return wrapError(failure)
 	}
 	defer reply.Body.Close()
-	limited := io.LimitReader(reply.Body, maximumResponseBytes)
-	if err := json.NewDecoder(limited).Decode(response); err != nil {
-		return annotate(lost(ctx, step, endpoint, err))
+	limitedBody := io.LimitReader(reply.Body, maximumResponseBytes)
+	if err := json.NewDecoder(limitedBody).Decode(response); err != nil {
+		return wrapError(responseError(ctx, step, endpoint, err))
 	}
-	drain(limited)
+	discardRest(limitedBody)
 	return nil
 }
 
 // drain reads the end of a response, so that the connection can be used again.
-func drain(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
+func discardRest(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
 
 // post sends the body to the first endpoint that can be reached, and returns
 // the response if its status is OK.
 func (c *Client) post(ctx context.Context, step Step, path string, body []byte) (*http.Response, netip.AddrPort, *Error) {
 	var failure *Error
-	first := int(c.preferred.Load())
-	for try := range c.config.Endpoints {
-		endpoint := c.config.Endpoints[(first+try)%len(c.config.Endpoints)]
+	first := int(c.preferredEndpoint.Load())
+	for attempt := range c.config.Endpoints {
+		endpoint := c.config.Endpoints[(first+attempt)%len(c.config.Endpoints)]
 		reply, err := c.postTo(ctx, step, endpoint, path, body)
 		if err == nil {
 			return reply, endpoint, nil
@@ -69,16 +69,16 @@
 }
 
 func (c *Client) postTo(ctx context.Context, step Step, endpoint netip.AddrPort, path string, body []byte) (*http.Response, *Error) {
-	sent := &departure{}
-	request, err := newRequest(sent.trace(ctx), endpoint, path, body)
+	tracker := &writeTracker{}
+	request, err := newRequest(tracker.trace(ctx), endpoint, path, body)
 	if err != nil {
 		return nil, &Error{Step: step, Peer: endpoint.String(), Kind: KindRefused, Cause: err}
 	}
 	reply, err := c.http.Do(request)
 	if err != nil {
-		failure := broken(ctx, step, endpoint, sent.abandon(), err)
+		failure := transportError(ctx, step, endpoint, tracker.abort(), err)
 		if failure.Kind != KindCanceled {
-			c.avoid(endpoint)
+			c.avoidEndpoint(endpoint)
 		}
 		return nil, failure
 	}
@@ -86,9 +86,9 @@
 		return reply, nil
 	}
 	defer reply.Body.Close()
-	failure := answered(step, endpoint, reply)
+	failure := statusError(step, endpoint, reply)
 	if failure.Kind == KindUnavailable {
-		c.avoid(endpoint)
+		c.avoidEndpoint(endpoint)
 	}
 	return nil, failure
 }
@@ -109,14 +109,14 @@
 }
 
 // broken classifies a call that got no response header.
-func broken(ctx context.Context, step Step, endpoint netip.AddrPort, mayHaveLeft bool, cause error) *Error {
-	failure := &Error{Step: step, Peer: endpoint.String(), MaybeApplied: mayHaveLeft, Cause: cause}
+func transportError(ctx context.Context, step Step, endpoint netip.AddrPort, maybeSent bool, cause error) *Error {
+	failure := &Error{Step: step, Peer: endpoint.String(), MaybeApplied: maybeSent, Cause: cause}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		failure.Kind = KindCanceled
 	case ctx.Err() != nil:
 		failure.Kind = KindTimeout
-	case !mayHaveLeft:
+	case !maybeSent:
 		failure.Kind = KindUnreachable
 	case isTimeout(cause):
 		failure.Kind = KindTimeout
@@ -127,8 +127,8 @@
 }
 
 // lost classifies a call whose response broke off or cannot be read.
-func lost(ctx context.Context, step Step, endpoint netip.AddrPort, cause error) *Error {
-	failure := broken(ctx, step, endpoint, true, cause)
+func responseError(ctx context.Context, step Step, endpoint netip.AddrPort, cause error) *Error {
+	failure := transportError(ctx, step, endpoint, true, cause)
 	if failure.Kind == KindUnreachable {
 		failure.Kind = KindReplyLost
 	}
@@ -136,18 +136,18 @@
 }
 
 // answered classifies a response with an error status.
-func answered(step Step, endpoint netip.AddrPort, reply *http.Response) *Error {
+func statusError(step Step, endpoint netip.AddrPort, reply *http.Response) *Error {
 	failure := &Error{Step: step, Peer: endpoint.String(), RetryAfter: retryAfter(reply.Header)}
 	content, _ := io.ReadAll(io.LimitReader(reply.Body, maximumErrorBytes))
 	var body wire.ErrorBody
-	decoded := json.Unmarshal(content, &body)
-	if decoded != nil || body.Message == "" {
+	decodeError := json.Unmarshal(content, &body)
+	if decodeError != nil || body.Message == "" {
 		body.Message = "HTTP status " + strconv.Itoa(reply.StatusCode)
 	}
-	if decoded != nil || body.Code == wire.CodeOK {
-		body.Code = codeOfStatus(reply.StatusCode)
+	if decodeError != nil || body.Code == wire.CodeOK {
+		body.Code = codeFromStatus(reply.StatusCode)
 	}
-	failure.Kind, failure.MaybeApplied = classify(body.Code, body.Message)
+	failure.Kind, failure.MaybeApplied = classifyCode(body.Code, body.Message)
 	failure.Cause = errors.New(body.Message)
 	return failure
 }
@@ -164,7 +164,7 @@
 // classify says what kind of failure a status code is and whether the call
 // may have had effect. The store answers "unavailable", "deadline exceeded",
 // "unknown" and "internal" also after it has proposed a write.
-func classify(code wire.Code, message string) (kind Kind, maybeApplied bool) {
+func classifyCode(code wire.Code, message string) (kind Kind, maybeApplied bool) {
 	switch code {
 	case wire.CodeResourceExhausted:
 		return KindRateLimited, false
@@ -185,7 +185,7 @@
 	}
 }
 
-func codeOfStatus(status int) wire.Code {
+func codeFromStatus(status int) wire.Code {
 	switch status {
 	case http.StatusTooManyRequests:
 		return wire.CodeResourceExhausted
--- a/internal/selfhosted/store/client.go
+++ b/internal/selfhosted/store/client.go
@@ -60,11 +60,11 @@
 
 // Client calls the store. It is safe for concurrent use.
 type Client struct {
-	config    Config
-	http      *http.Client
-	limiter   *rate.Limiter
-	metrics   *metrics
-	preferred atomic.Uint32
+	config            Config
+	http              *http.Client
+	limiter           *rate.Limiter
+	metrics           *metrics
+	preferredEndpoint atomic.Uint32
 }
 
 // New returns a client and registers its metrics. It opens no connection.
@@ -95,7 +95,7 @@
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Transport{
-		DialContext:         dialCounted(timeout),
+		DialContext:         dialCounting(timeout),
 		MaxIdleConnsPerHost: idleConnectionsPerHost,
 		IdleConnTimeout:     idleConnectionTimeout,
 		Protocols:           protocols,
@@ -107,7 +107,7 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // wait takes a token of the client's own limiter.
-func (c *Client) wait(ctx context.Context, step Step) error {
+func (c *Client) waitForToken(ctx context.Context, step Step) error {
 	err := c.limiter.Wait(ctx)
 	if err == nil {
 		return nil
@@ -120,10 +120,10 @@
 }
 
 // avoid makes later calls start with another endpoint than the failed one.
-func (c *Client) avoid(endpoint netip.AddrPort) {
-	current := c.preferred.Load()
+func (c *Client) avoidEndpoint(endpoint netip.AddrPort) {
+	current := c.preferredEndpoint.Load()
 	if c.config.Endpoints[int(current)%len(c.config.Endpoints)] == endpoint {
-		c.preferred.CompareAndSwap(current, (current+1)%uint32(len(c.config.Endpoints)))
+		c.preferredEndpoint.CompareAndSwap(current, (current+1)%uint32(len(c.config.Endpoints)))
 	}
 }
 
--- a/internal/selfhosted/store/errors.go
+++ b/internal/selfhosted/store/errors.go
@@ -66,11 +66,11 @@
 
 // Error implements error.
 func (e *Error) Error() string {
-	fate := "not applied"
+	effect := "not applied"
 	if e.MaybeApplied {
-		fate = "may have been applied"
+		effect = "may have been applied"
 	}
-	return fmt.Sprintf("%s at %q: %s (%s): %v", e.Step, e.Peer, e.Kind, fate, e.Cause)
+	return fmt.Sprintf("%s at %q: %s (%s): %v", e.Step, e.Peer, e.Kind, effect, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -98,6 +98,6 @@
 	return ""
 }
 
-func annotate(failure *Error) error {
+func wrapError(failure *Error) error {
 	return oops.In("store").With("step", string(failure.Step), "peer", failure.Peer).Wrap(failure)
 }
--- a/internal/selfhosted/store/wire_test.go
+++ b/internal/selfhosted/store/gateway_test.go
@@ -12,40 +12,40 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-const header = `"header":{"cluster_id":"14841639068965178418","member_id":"10276657743932975437","revision":"7","raft_term":"2"}`
+const headerJSON = `"header":{"cluster_id":"14841639068965178418","member_id":"10276657743932975437","revision":"7","raft_term":"2"}`
 
 // scripted answers each path as the published gateway does, field by field,
 // and writes down what was asked.
-var scripted = map[string]string{
-	"/v3/kv/range": `{` + header + `,"kvs":[{"key":"Zm9v","create_revision":"2","mod_revision":"5","version":"3","value":"YmFy","lease":"7587862094143457803"}],"more":true,"count":"4"}`,
-	"/v3/kv/txn": `{` + header + `,"responses":[{"response_range":{` + header +
+var gatewayResponses = map[string]string{
+	"/v3/kv/range": `{` + headerJSON + `,"kvs":[{"key":"Zm9v","create_revision":"2","mod_revision":"5","version":"3","value":"YmFy","lease":"7587862094143457803"}],"more":true,"count":"4"}`,
+	"/v3/kv/txn": `{` + headerJSON + `,"responses":[{"response_range":{` + headerJSON +
 		`,"kvs":[{"key":"Zm9v","create_revision":"2","mod_revision":"5","version":"3","value":"YmFy"}],"count":"1"}}]}`,
-	"/v3/kv/deleterange": `{` + header + `,"deleted":"2"}`,
-	"/v3/watch": `{"result":{` + header + `,"created":true}}` + "\n" +
-		`{"result":{` + header + `,"events":[{"kv":{"key":"Zm9v","create_revision":"2","mod_revision":"6","version":"1","value":"YmFy"}},{"type":"DELETE","kv":{"key":"Zm9v","mod_revision":"7"}}]}}` + "\n" +
-		`{"result":{` + header + `}}` + "\n" +
-		`{"result":{` + header + `,"canceled":true,"compact_revision":"6"}}` + "\n",
+	"/v3/kv/deleterange": `{` + headerJSON + `,"deleted":"2"}`,
+	"/v3/watch": `{"result":{` + headerJSON + `,"created":true}}` + "\n" +
+		`{"result":{` + headerJSON + `,"events":[{"kv":{"key":"Zm9v","create_revision":"2","mod_revision":"6","version":"1","value":"YmFy"}},{"type":"DELETE","kv":{"key":"Zm9v","mod_revision":"7"}}]}}` + "\n" +
+		`{"result":{` + headerJSON + `}}` + "\n" +
+		`{"result":{` + headerJSON + `,"canceled":true,"compact_revision":"6"}}` + "\n",
 }
 
-func TestMessagesAreThoseOfTheGateway(t *testing.T) {
-	var talk strings.Builder
+func TestMessagesMatchGatewayFormat(t *testing.T) {
+	var transcript strings.Builder
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		fmt.Fprintf(&talk, "%s %s\n  %s\n", request.Method, request.URL.Path, body)
-		_, _ = io.WriteString(writer, scripted[request.URL.Path])
+		fmt.Fprintf(&transcript, "%s %s\n  %s\n", request.Method, request.URL.Path, body)
+		_, _ = io.WriteString(writer, gatewayResponses[request.URL.Path])
 	}))
 	defer server.Close()
-	client := clientOf(t, server.Listener.Addr().String())
+	client := newTestClient(t, server.Listener.Addr().String())
 	ctx := context.Background()
-	answered := func(result any, err error) { fmt.Fprintf(&talk, "  -> %+v, %v\n", result, err) }
-	found, err := client.Range(ctx, "foo", "fop", 3)
-	answered(found, err)
+	record := func(result any, err error) { fmt.Fprintf(&transcript, "  -> %+v, %v\n", result, err) }
+	rangeResult, err := client.Range(ctx, "foo", "fop", 3)
+	record(rangeResult, err)
 	created, err := client.CreateIfAbsent(ctx, "foo", []byte("bar"))
-	answered(created, err)
+	record(created, err)
 	swapped, err := client.CompareAndSwap(ctx, "foo", 4, []byte("bar"))
-	answered(swapped, err)
+	record(swapped, err)
 	deleted, err := client.DeleteRange(ctx, "foo", "")
-	answered(deleted, err)
+	record(deleted, err)
 	events, err := client.Watch(ctx, "foo", "fop", 6)
 	if err != nil {
 		t.Fatal(err)
@@ -53,12 +53,12 @@
 	for event := range events {
 		kind := KindOf(event.Err)
 		event.Err = nil
-		fmt.Fprintf(&talk, "  -> %+v %s\n", event, kind)
+		fmt.Fprintf(&transcript, "  -> %+v %s\n", event, kind)
 	}
-	goldie.New(t).Assert(t, "gateway", []byte(talk.String()))
+	goldie.New(t).Assert(t, "gateway", []byte(transcript.String()))
 }
 
-func TestRefusalsAreTyped(t *testing.T) {
+func TestErrorResponsesAreClassified(t *testing.T) {
 	for _, expected := range []struct {
 		status       int
 		body         string
@@ -83,7 +83,7 @@
 			writer.WriteHeader(expected.status)
 			_, _ = io.WriteString(writer, expected.body)
 		}))
-		client := clientOf(t, server.Listener.Addr().String())
+		client := newTestClient(t, server.Listener.Addr().String())
 		_, err := client.CreateIfAbsent(context.Background(), "a", nil)
 		if KindOf(err) != expected.kind || MaybeApplied(err) != expected.maybeApplied {
 			t.Errorf("%d %s: %v", expected.status, expected.body, err)
--- a/internal/selfhosted/store/keys.go
+++ b/internal/selfhosted/store/kv.go
@@ -61,10 +61,10 @@
 	result := RangeResult{
 		More:          response.More,
 		Count:         int64(response.Count),
-		StoreRevision: revisionOf(response.Header),
+		StoreRevision: headerRevision(response.Header),
 	}
 	for _, keyValue := range response.KeyValues {
-		result.Entries = append(result.Entries, entryOf(keyValue))
+		result.Entries = append(result.Entries, newEntry(keyValue))
 	}
 	return result, nil
 }
@@ -92,9 +92,9 @@
 	if err := c.call(ctx, StepTxn, wire.TxnPath, request, &response); err != nil {
 		return SwapResult{}, err
 	}
-	result := SwapResult{Swapped: response.Succeeded, StoreRevision: revisionOf(response.Header)}
+	result := SwapResult{Swapped: response.Succeeded, StoreRevision: headerRevision(response.Header)}
 	if !response.Succeeded {
-		result.Existing = firstOf(response.Responses, key)
+		result.Existing = firstEntry(response.Responses, key)
 	}
 	return result, nil
 }
@@ -120,14 +120,14 @@
 	return "\x00"
 }
 
-func firstOf(responses []wire.ResponseOp, key string) Entry {
+func firstEntry(responses []wire.ResponseOp, key string) Entry {
 	if len(responses) == 0 || responses[0].Range == nil || len(responses[0].Range.KeyValues) == 0 {
 		return Entry{Key: key}
 	}
-	return entryOf(responses[0].Range.KeyValues[0])
+	return newEntry(responses[0].Range.KeyValues[0])
 }
 
-func entryOf(keyValue wire.KeyValue) Entry {
+func newEntry(keyValue wire.KeyValue) Entry {
 	return Entry{
 		Key:            string(keyValue.Key),
 		Value:          keyValue.Value,
@@ -137,7 +137,7 @@
 	}
 }
 
-func revisionOf(header *wire.ResponseHeader) int64 {
+func headerRevision(header *wire.ResponseHeader) int64 {
 	if header == nil {
 		return 0
 	}
--- a/internal/selfhosted/store/watch.go
+++ b/internal/selfhosted/store/watch.go
@@ -40,7 +40,7 @@
 
 // watchBuffer is how many events wait for the receiver before the stream is
 // read no further.
-const watchBuffer = 64
+const watchBufferSize = 64
 
 // Watch reports the changes of the keys from key up to end (only key if end is
 // empty), from the revision fromRevision on; 0 means from now on. It blocks
@@ -52,56 +52,56 @@
 // A connection that breaks silently is not noticed: pair a watch with a Range
 // now and then.
 func (c *Client) Watch(ctx context.Context, key, end string, fromRevision int64) (<-chan WatchEvent, error) {
-	begun := time.Now()
+	start := time.Now()
 	stream, err := c.openWatch(ctx, key, end, fromRevision)
-	c.metrics.observe(StepWatch, err, time.Since(begun))
+	c.metrics.observe(StepWatch, err, time.Since(start))
 	if err != nil {
 		return nil, err
 	}
-	events := make(chan WatchEvent, watchBuffer)
+	events := make(chan WatchEvent, watchBufferSize)
 	go stream.run(events)
 	return events, nil
 }
 
 // watchStream is the reading side of one open watch.
 type watchStream struct {
-	ctx      context.Context
-	cancel   context.CancelFunc
-	endpoint netip.AddrPort
-	body     io.ReadCloser
-	decoder  *json.Decoder
-	metrics  *metrics
-	revision int64
+	ctx          context.Context
+	cancel       context.CancelFunc
+	endpoint     netip.AddrPort
+	body         io.ReadCloser
+	decoder      *json.Decoder
+	metrics      *metrics
+	lastRevision int64
 }
 
 func (c *Client) openWatch(ctx context.Context, key, end string, fromRevision int64) (*watchStream, error) {
-	opening, stopOpening := context.WithTimeout(ctx, c.config.Timeout)
-	defer stopOpening()
-	if err := c.wait(opening, StepWatch); err != nil {
-		return nil, annotate(err.(*Error))
+	openContext, cancelOpen := context.WithTimeout(ctx, c.config.Timeout)
+	defer cancelOpen()
+	if err := c.waitForToken(openContext, StepWatch); err != nil {
+		return nil, wrapError(err.(*Error))
 	}
 	body, err := json.Marshal(wire.WatchRequest{Create: &wire.WatchCreateRequest{
 		Key: []byte(key), RangeEnd: []byte(end), StartRevision: wire.Integer(fromRevision), ProgressNotify: true,
 	}})
 	if err != nil {
-		return nil, annotate(&Error{Step: StepWatch, Kind: KindRefused, Cause: err})
+		return nil, wrapError(&Error{Step: StepWatch, Kind: KindRefused, Cause: err})
 	}
-	streaming, cancel := context.WithCancel(ctx)
-	stopTimer := context.AfterFunc(opening, cancel)
-	stream, failure := c.startStream(streaming, body)
+	streamContext, cancelStream := context.WithCancel(ctx)
+	stopTimer := context.AfterFunc(openContext, cancelStream)
+	stream, failure := c.startStream(streamContext, body)
 	if failure != nil {
-		cancel()
-		if ctx.Err() == nil && opening.Err() != nil {
+		cancelStream()
+		if ctx.Err() == nil && openContext.Err() != nil {
 			failure.Kind = KindTimeout
 		}
-		return nil, annotate(failure)
+		return nil, wrapError(failure)
 	}
 	if !stopTimer() {
-		cancel()
+		cancelStream()
 		stream.body.Close()
-		return nil, annotate(&Error{Step: StepWatch, Peer: stream.endpoint.String(), Kind: KindTimeout, Cause: opening.Err()})
+		return nil, wrapError(&Error{Step: StepWatch, Peer: stream.endpoint.String(), Kind: KindTimeout, Cause: openContext.Err()})
 	}
-	stream.cancel = cancel
+	stream.cancel = cancelStream
 	return stream, nil
 }
 
@@ -116,9 +116,9 @@
 	stream := &watchStream{
 		ctx: ctx, endpoint: endpoint, body: reply.Body, decoder: json.NewDecoder(reply.Body), metrics: c.metrics,
 	}
-	first, failure := stream.next()
+	first, failure := stream.readMessage()
 	if failure == nil && !first.Created {
-		failure = stream.fail(KindReplyLost, errors.New("the store did not confirm the watch"))
+		failure = stream.newError(KindReplyLost, errors.New("the store did not confirm the watch"))
 	}
 	if failure != nil {
 		reply.Body.Close()
@@ -134,43 +134,43 @@
 	defer s.cancel()
 	defer s.body.Close()
 	for {
-		message, failure := s.next()
+		message, failure := s.readMessage()
 		if failure != nil {
-			s.deliverEnd(events, failure)
+			s.sendEnd(events, failure)
 			return
 		}
-		if !s.deliver(events, message) {
-			s.deliverEnd(events, s.fail(KindCanceled, s.ctx.Err()))
+		if !s.deliverMessage(events, message) {
+			s.sendEnd(events, s.newError(KindCanceled, s.ctx.Err()))
 			return
 		}
 	}
 }
 
 // next reads one message and turns the ways in which a stream ends into errors.
-func (s *watchStream) next() (*wire.WatchResponse, *Error) {
+func (s *watchStream) readMessage() (*wire.WatchResponse, *Error) {
 	var message wire.StreamMessage[wire.WatchResponse]
 	if err := s.decoder.Decode(&message); err != nil {
 		kind := KindReplyLost
 		if s.ctx.Err() != nil {
 			kind = KindCanceled
 		}
-		return nil, s.fail(kind, err)
+		return nil, s.newError(kind, err)
 	}
 	if message.Error != nil {
-		kind, _ := classify(message.Error.GRPCCode, message.Error.Message)
-		return nil, s.fail(kind, errors.New(message.Error.Message))
+		kind, _ := classifyCode(message.Error.GRPCCode, message.Error.Message)
+		return nil, s.newError(kind, errors.New(message.Error.Message))
 	}
 	if message.Result == nil {
-		return nil, s.fail(KindReplyLost, errors.New("a message without a result"))
+		return nil, s.newError(KindReplyLost, errors.New("a message without a result"))
 	}
 	if message.Result.Canceled {
-		return nil, s.canceled(message.Result)
+		return nil, s.canceledError(message.Result)
 	}
 	return message.Result, nil
 }
 
-func (s *watchStream) canceled(result *wire.WatchResponse) *Error {
-	failure := s.fail(KindCanceled, errors.New("the store cancelled the watch: "+result.CancelReason))
+func (s *watchStream) canceledError(result *wire.WatchResponse) *Error {
+	failure := s.newError(KindCanceled, errors.New("the store cancelled the watch: "+result.CancelReason))
 	if result.CompactRevision > 0 {
 		failure.Kind = KindCompacted
 		failure.CompactRevision = int64(result.CompactRevision)
@@ -178,15 +178,15 @@
 	return failure
 }
 
-func (s *watchStream) fail(kind Kind, cause error) *Error {
+func (s *watchStream) newError(kind Kind, cause error) *Error {
 	return &Error{Step: StepWatch, Peer: s.endpoint.String(), Kind: kind, Cause: cause}
 }
 
 // deliver sends the events of a message to the receiver; it is false if ctx ended first.
-func (s *watchStream) deliver(events chan<- WatchEvent, message *wire.WatchResponse) bool {
-	s.revision = revisionOf(message.Header)
+func (s *watchStream) deliverMessage(events chan<- WatchEvent, message *wire.WatchResponse) bool {
+	s.lastRevision = headerRevision(message.Header)
 	if len(message.Events) == 0 {
-		return s.send(events, WatchEvent{Kind: WatchProgress, StoreRevision: s.revision})
+		return s.sendEvent(events, WatchEvent{Kind: WatchProgress, StoreRevision: s.lastRevision})
 	}
 	for _, event := range message.Events {
 		kind := WatchPut
@@ -194,14 +194,14 @@
 			kind = WatchDelete
 		}
 		s.metrics.watchEvents.Inc()
-		if !s.send(events, WatchEvent{Kind: kind, Entry: entryOf(event.KeyValue), StoreRevision: s.revision}) {
+		if !s.sendEvent(events, WatchEvent{Kind: kind, Entry: newEntry(event.KeyValue), StoreRevision: s.lastRevision}) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *watchStream) send(events chan<- WatchEvent, event WatchEvent) bool {
+func (s *watchStream) sendEvent(events chan<- WatchEvent, event WatchEvent) bool {
 	select {
 	case events <- event:
 		return true
@@ -211,11 +211,11 @@
 }
 
 // deliverEnd sends the last event, or drops it if there is no reader any more.
-func (s *watchStream) deliverEnd(events chan<- WatchEvent, failure *Error) {
-	end := WatchEvent{Kind: WatchEnded, StoreRevision: s.revision, Err: annotate(failure)}
+func (s *watchStream) sendEnd(events chan<- WatchEvent, failure *Error) {
+	end := WatchEvent{Kind: WatchEnded, StoreRevision: s.lastRevision, Err: wrapError(failure)}
 	select {
 	case events <- end:
 	default:
-		s.send(events, end)
+		s.sendEvent(events, end)
 	}
 }
