--- a/internal/selfhosted/store/call.go
+++ b/internal/selfhosted/store/call.go
@@ -15,7 +15,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
-// call posts one request and decodes the response into response.
+// call posts a request, decodes the response and records the metrics of the call.
 func (c *Client) call(ctx context.Context, step Step, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
@@ -46,11 +46,11 @@
 	return nil
 }
 
-// drain reads the end of a response, so that the connection can be used again.
+// discardRest reads the rest of a response, so that its connection can be reused.
 func discardRest(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
 
-// post sends the body to the first endpoint that can be reached, and returns
-// the response if its status is OK.
+// post sends the body to the first endpoint that can be reached, starting with the preferred one.
+// It returns the response if its status is 200.
 func (c *Client) post(ctx context.Context, step Step, path string, body []byte) (*http.Response, netip.AddrPort, *Error) {
 	var failure *Error
 	first := int(c.preferredEndpoint.Load())
@@ -93,9 +93,8 @@
 	return nil, failure
 }
 
-// newRequest builds a request that net/http cannot send twice: it has a body
-// and no GetBody, so that neither a broken idle connection nor a redirect can
-// replay it.
+// newRequest returns a request that net/http cannot send twice. The request has a body but no
+// GetBody, so neither a failed idle connection nor a redirect can replay it.
 func newRequest(ctx context.Context, endpoint netip.AddrPort, path string, body []byte) (*http.Request, error) {
 	url := "http://" + endpoint.String() + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
@@ -108,7 +107,7 @@
 	return request, nil
 }
 
-// broken classifies a call that got no response header.
+// transportError classifies a call that received no response header.
 func transportError(ctx context.Context, step Step, endpoint netip.AddrPort, maybeSent bool, cause error) *Error {
 	failure := &Error{Step: step, Peer: endpoint.String(), MaybeApplied: maybeSent, Cause: cause}
 	switch {
@@ -126,7 +125,7 @@
 	return failure
 }
 
-// lost classifies a call whose response broke off or cannot be read.
+// responseError classifies a call whose response was truncated or malformed.
 func responseError(ctx context.Context, step Step, endpoint netip.AddrPort, cause error) *Error {
 	failure := transportError(ctx, step, endpoint, true, cause)
 	if failure.Kind == KindUnreachable {
@@ -135,7 +134,7 @@
 	return failure
 }
 
-// answered classifies a response with an error status.
+// statusError classifies a response whose status is not 200.
 func statusError(step Step, endpoint netip.AddrPort, reply *http.Response) *Error {
 	failure := &Error{Step: step, Peer: endpoint.String(), RetryAfter: retryAfter(reply.Header)}
 	content, _ := io.ReadAll(io.LimitReader(reply.Body, maximumErrorBytes))
@@ -152,18 +151,17 @@
 	return failure
 }
 
-// maximumErrorBytes bounds how much of an error's body is read.
-// Not measured: chosen because the store's messages are one line.
+// maximumErrorBytes bounds the part of an error body that is read. The messages of the store are
+// one line long.
 const maximumErrorBytes = 64 << 10
 
-// Messages that distinguish refusals of the store with the same code.
-const (
-	messageCompacted = "mvcc: required revision has been compacted"
-)
+// messageCompacted is the part of an error message that distinguishes a compacted revision from
+// other errors with code OutOfRange.
+const messageCompacted = "mvcc: required revision has been compacted"
 
-// classify says what kind of failure a status code is and whether the call
-// may have had effect. The store answers "unavailable", "deadline exceeded",
-// "unknown" and "internal" also after it has proposed a write.
+// classifyCode returns the kind of a failure and whether the call may have taken effect. The store
+// returns the codes Unavailable, DeadlineExceeded, Unknown and Internal also after it has proposed
+// a write.
 func classifyCode(code wire.Code, message string) (kind Kind, maybeApplied bool) {
 	switch code {
 	case wire.CodeResourceExhausted:
@@ -185,6 +183,7 @@
 	}
 }
 
+// codeFromStatus returns the gRPC code for an HTTP status, for a response without a code.
 func codeFromStatus(status int) wire.Code {
 	switch status {
 	case http.StatusTooManyRequests:
--- a/internal/selfhosted/store/client.go
+++ b/internal/selfhosted/store/client.go
@@ -1,12 +1,12 @@
-// Package store is the client of the configuration store: the published etcd
-// v3 HTTP/JSON gateway, over net/http.
+// Package store is a client of the configuration store. It uses the etcd v3 HTTP/JSON gateway over
+// net/http.
 //
-// No call is ever repeated by this package once a byte of it may have left.
-// Each failure says whether the call may have taken effect (Error.MaybeApplied),
-// so that the caller can settle it by reading back.
+// The package never repeats a call after any byte of it may have been sent. Each error says whether
+// the call may have taken effect (Error.MaybeApplied); in that case the caller reads the keys to
+// find out.
 //
-// It owns the connections to the store, the rate of calls and the choice of an
-// endpoint. What the keys mean is known to package dissemination alone.
+// The package manages the connections to the store, limits the rate of calls and selects an
+// endpoint. Only package dissemination interprets the keys.
 package store
 
 import (
@@ -24,41 +24,40 @@
 )
 
 const (
-	// keepAlivePeriod is the time between TCP keep-alives.
-	// Not measured: chosen because a dead connection is found without a call then.
+	// keepAlivePeriod is the time between TCP keep-alives. They detect a dead connection while no
+	// call uses it.
 	keepAlivePeriod = 10 * time.Second
-	// idleConnectionTimeout is how long a connection without calls is kept.
-	// Not measured: chosen because it is longer than a node without another source
-	// waits between reads (dissemination.Config.StoreBackoff).
+	// idleConnectionTimeout is how long an idle connection is kept. It exceeds the time between
+	// reads of a node without another source (dissemination.Config.StoreBackoff).
 	idleConnectionTimeout = 30 * time.Second
-	// idleConnectionsPerHost is how many such connections are kept for each
-	// endpoint.
-	// Not measured: chosen because few calls of a node run at a time.
+	// idleConnectionsPerHost is the maximum number of idle connections per endpoint. A node
+	// performs few calls at the same time.
 	idleConnectionsPerHost = 8
-	// maximumResponseBytes bounds the response of one call other than a watch.
-	// Not measured: chosen because it bounds the memory of a call.
+	// maximumResponseBytes bounds the response of a call other than a watch, and so the memory of a
+	// call.
 	maximumResponseBytes = 64 << 20
 )
 
-// Config says where the store is and how hard it may be asked.
+// Config holds the endpoints of the store and the limits of calls.
 type Config struct {
-	// Endpoints are IP addresses with ports. They belong to one store; a call
-	// moves on to the next one only if it certainly did not reach the first.
+	// Endpoints are the addresses of one store. A call tries the next endpoint only if no byte of
+	// it reached the previous one.
 	Endpoints []netip.AddrPort
-	// Timeout bounds each call, other than a watch once it is open.
+	// Timeout is the maximum duration of a call. For a watch it bounds only the time until the
+	// watch is open.
 	Timeout time.Duration
-	// Rate bounds the calls a second of this client, in bursts of at most
-	// Burst. A zero rate means no limit.
+	// Rate is the maximum number of calls per second of this client, in bursts of at most Burst.
+	// Zero means no limit.
 	Rate  float64
 	Burst int
 }
 
-// DefaultConfig returns a Config without endpoints.
+// DefaultConfig returns the default limits, without endpoints.
 func DefaultConfig() Config {
 	return Config{Timeout: 2 * time.Second, Rate: 50, Burst: 25}
 }
 
-// Client calls the store. It is safe for concurrent use.
+// Client performs calls to the store. It is safe for concurrent use.
 type Client struct {
 	config            Config
 	http              *http.Client
@@ -67,10 +66,10 @@
 	preferredEndpoint atomic.Uint32
 }
 
-// New returns a client and registers its metrics. It opens no connection.
+// New returns a client and registers its metrics. It does not connect to the store.
 func New(config Config, registerer prometheus.Registerer) (*Client, error) {
 	if len(config.Endpoints) == 0 {
-		return nil, oops.In("store").Errorf("the store has no endpoints")
+		return nil, oops.In("store").Errorf("create client: config has no endpoints")
 	}
 	if config.Timeout <= 0 {
 		config.Timeout = DefaultConfig().Timeout
@@ -103,10 +102,10 @@
 	}
 }
 
-// Close gives the idle connections back. Calls in flight go on.
+// Close closes the idle connections. Running calls continue.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// wait takes a token of the client's own limiter.
+// waitForToken waits until the rate limiter of the client admits a call.
 func (c *Client) waitForToken(ctx context.Context, step Step) error {
 	err := c.limiter.Wait(ctx)
 	if err == nil {
@@ -119,7 +118,8 @@
 	return &Error{Step: step, Kind: kind, Cause: err}
 }
 
-// avoid makes later calls start with another endpoint than the failed one.
+// avoidEndpoint makes later calls start with the next endpoint if they would start with the failed
+// one.
 func (c *Client) avoidEndpoint(endpoint netip.AddrPort) {
 	current := c.preferredEndpoint.Load()
 	if c.config.Endpoints[int(current)%len(c.config.Endpoints)] == endpoint {
--- a/internal/selfhosted/store/connection.go
+++ b/internal/selfhosted/store/connection.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-var errSealed = errors.New("connection given up on")
+// errSealed is returned by Write after seal.
+var errSealed = errors.New("write on a sealed connection")
 
-// countedConnection counts the writes begun on a connection, so that a failed
-// call can tell whether a byte of it can have left.
+// countingConnection counts the writes that were started on a connection. A failed call uses the
+// count to determine whether any byte of it may have been sent.
 type countingConnection struct {
 	net.Conn
 	writes atomic.Int64
 	sealed atomic.Bool
 }
 
-// Write counts first and checks the seal second; seal does the reverse. So
-// either the write sees the seal and sends nothing, or seal sees the write.
+// Write increments the counter before it checks sealed, and seal sets sealed before it reads the
+// counter. Therefore either Write sees the seal and sends nothing, or seal counts the write.
 func (c *countingConnection) Write(bytes []byte) (int, error) {
 	c.writes.Add(1)
 	if c.sealed.Load() {
@@ -29,6 +30,7 @@
 	return c.Conn.Write(bytes)
 }
 
+// seal closes the connection, prevents further writes and returns the number of writes.
 func (c *countingConnection) seal() (writes int64) {
 	c.sealed.Store(true)
 	writes = c.writes.Load()
@@ -36,6 +38,7 @@
 	return writes
 }
 
+// dialCounting returns a dial function for countingConnections.
 func dialCounting(timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: timeout, KeepAlive: keepAlivePeriod}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -47,34 +50,35 @@
 	}
 }
 
-// departure follows one call to the connection that it is sent on. HTTP/1.1
-// carries one call at a time on a connection, so all writes on it after the
-// call got it belong to the call.
+// writeTracker observes the connection on which a call is sent. HTTP/1.1 carries one call at a time
+// on a connection, so all writes after the call obtained the connection belong to it.
 type writeTracker struct {
 	connection   *countingConnection
 	writesBefore int64
-	untracked    bool
+	// untracked is set if the call may have used a connection that is not observed.
+	untracked bool
 }
 
-func (d *writeTracker) trace(ctx context.Context) context.Context {
+// trace returns a context whose HTTP trace records the connection of the call.
+func (w *writeTracker) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			connection, ok := info.Conn.(*countingConnection)
-			if !ok || d.connection != nil {
-				d.untracked = true
+			if !ok || w.connection != nil {
+				w.untracked = true
 				return
 			}
-			d.connection = connection
-			d.writesBefore = connection.writes.Load()
+			w.connection = connection
+			w.writesBefore = connection.writes.Load()
 		},
 	})
 }
 
-// abandon is called after the call failed. It makes sure that nothing more
-// leaves, and reports whether anything can have left.
-func (d *writeTracker) abort() (maybeSent bool) {
-	if d.connection == nil {
-		return d.untracked
+// abort prevents further writes of a failed call and reports whether any byte of it may have been
+// sent.
+func (w *writeTracker) abort() (maybeSent bool) {
+	if w.connection == nil {
+		return w.untracked
 	}
-	return d.connection.seal() > d.writesBefore || d.untracked
+	return w.connection.seal() > w.writesBefore || w.untracked
 }
--- a/internal/selfhosted/store/connection_test.go
+++ b/internal/selfhosted/store/connection_test.go
@@ -20,10 +20,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// behaviour is what the raw server does with one connection.
+// connectionHandler serves one connection of a tcpServer.
 type connectionHandler func(net.Conn)
 
-// rawServer counts the requests and the bytes that reach it.
+// tcpServer counts the requests and the bytes that it receives.
 type tcpServer struct {
 	listener      net.Listener
 	requests      atomic.Int64
@@ -31,7 +31,7 @@
 	handlers      sync.WaitGroup
 }
 
-// stop waits until everything that arrived has been read.
+// stop closes the listener and waits until all handlers have returned.
 func (s *tcpServer) stop() {
 	s.listener.Close()
 	s.handlers.Wait()
@@ -71,7 +71,7 @@
 	return count, err
 }
 
-// answer reads one whole request and writes the given response.
+// respond reads one complete request and writes the given response.
 func (s *tcpServer) respond(connection net.Conn, reader *bufio.Reader, response string) bool {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -99,7 +99,8 @@
 
 const createdResponse = "HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n" + `{"succeeded":true}`
 
-// replayable posts as net/http does by default, with a body that it can rewind.
+// postReplayable sends a request that net/http can replay, because it has GetBody and an
+// idempotency key.
 func postReplayable(client *http.Client, url string) error {
 	request, err := http.NewRequest(http.MethodPost, url, nil)
 	if err != nil {
@@ -117,8 +118,8 @@
 	return err
 }
 
-// repeatingServers answer the first request of a connection, and make
-// net/http want to send the second one again.
+// replayingServers answer the first request of a connection in ways that make net/http replay
+// requests.
 var replayingServers = map[string]func(*tcpServer) connectionHandler{
 	"connection lost after the bytes left": func(s *tcpServer) connectionHandler {
 		return func(connection net.Conn) {
@@ -155,14 +156,14 @@
 				_, err := client.CreateIfAbsent(context.Background(), "/a", nil)
 				return err
 			}) {
-				t.Error("the client sent a transaction twice")
+				t.Error("server received a transaction more than once, want once")
 			}
 			if !isRepeated(func(address string, _ *Client) error {
 				plain := &http.Client{Transport: newTransport(time.Second)}
 				defer plain.CloseIdleConnections()
 				return errors.Join(postReplayable(plain, "http://"+address+"/"), postReplayable(plain, "http://"+address+"/"))
 			}) {
-				t.Error("a plain net/http client did not repeat: the server proves nothing")
+				t.Error("plain net/http client did not replay the request: the server does not exercise replays")
 			}
 		})
 	}
@@ -179,40 +180,40 @@
 	closed.Close()
 	client := newTestClient(t, closed.Addr().String(), server.listener.Addr().String())
 	if result, err := client.CreateIfAbsent(context.Background(), "/a", nil); err != nil || !result.Created {
-		t.Fatalf("expected the second endpoint to answer: %+v, %v", result, err)
+		t.Fatalf("CreateIfAbsent returned %+v, %v; want Created from the second endpoint", result, err)
 	}
 	single := newTestClient(t, closed.Addr().String())
 	_, err = single.CreateIfAbsent(context.Background(), "/a", nil)
 	if KindOf(err) != KindUnreachable || MaybeApplied(err) {
-		t.Fatalf("expected an unreachable store, got %v", err)
+		t.Fatalf("CreateIfAbsent returned error %v, want kind %q and not applied", err, KindUnreachable)
 	}
 }
 
-// Whenever a byte of a call has reached the server, a failed call says that it
-// may have been applied.
+// TestErrorIsMaybeAppliedIfServerReceivedBytes truncates connections and cancels calls at random
+// times. A failed call must be reported as maybe applied if the server received any byte of it.
 func TestErrorIsMaybeAppliedIfServerReceivedBytes(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	outcomes := map[bool]int{}
 	for range 300 {
-		cut, pause := random.IntN(400), time.Duration(random.IntN(300))*time.Microsecond
+		readLimit, timeout := random.IntN(400), time.Duration(random.IntN(300))*time.Microsecond
 		server := startTCPServer(t, func(*tcpServer) connectionHandler {
-			return func(connection net.Conn) { _, _ = io.CopyN(io.Discard, connection, int64(cut)) }
+			return func(connection net.Conn) { _, _ = io.CopyN(io.Discard, connection, int64(readLimit)) }
 		})
 		client := newTestClient(t, server.listener.Addr().String())
-		ctx, cancel := context.WithTimeout(context.Background(), pause)
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		_, err := client.CreateIfAbsent(ctx, "/a", nil)
 		cancel()
 		if err == nil {
-			t.Fatal("the server never answers")
+			t.Fatal("CreateIfAbsent returned no error, want one because the server never answers")
 		}
 		outcomes[MaybeApplied(err)]++
 		client.Close()
 		server.stop()
 		if !MaybeApplied(err) && server.receivedBytes.Load() > 0 {
-			t.Fatalf("%d bytes arrived, but: %v", server.receivedBytes.Load(), err)
+			t.Fatalf("server received %d bytes, but the error is not maybe applied: %v", server.receivedBytes.Load(), err)
 		}
 	}
-	t.Logf("may have been applied: %d, certainly not: %d", outcomes[true], outcomes[false])
+	t.Logf("errors maybe applied: %d, not applied: %d", outcomes[true], outcomes[false])
 }
 
 type byteDiscardingConn struct {
@@ -236,7 +237,7 @@
 		counted := connection.seal()
 		writer.Wait()
 		if counted == 0 && discarding.writtenBytes.Load() > 0 {
-			t.Fatal("a byte left after the seal had counted none")
+			t.Fatal("seal counted 0 writes, but a write sent a byte")
 		}
 	}
 }
--- a/internal/selfhosted/store/errors.go
+++ b/internal/selfhosted/store/errors.go
@@ -8,37 +8,34 @@
 	"github.com/samber/oops"
 )
 
-// Kind says why a call failed.
+// Kind is the reason why a call failed.
 type Kind string
 
-// The kinds of failure.
 const (
-	// KindUnreachable: no connection could be made, or it broke before a byte left.
+	// KindUnreachable: no connection could be made, or it failed before any byte was sent.
 	KindUnreachable Kind = "unreachable"
-	// KindTimeout: the time for the call ran out.
+	// KindTimeout: the call exceeded its timeout or deadline.
 	KindTimeout Kind = "timeout"
-	// KindRateLimited: the store, or the client's own limiter, refused the call
-	// as one too many.
+	// KindRateLimited: the store or the client's rate limiter rejected the call.
 	KindRateLimited Kind = "rate_limited"
-	// KindRefused: the store answered that it will not do it.
+	// KindRefused: the store rejected the call as invalid or not permitted.
 	KindRefused Kind = "refused"
-	// KindUnavailable: the store answered that it cannot do it now. An
-	// overloaded store may have applied the write all the same.
+	// KindUnavailable: the store cannot perform the call now. An overloaded store may have applied
+	// a write nevertheless.
 	KindUnavailable Kind = "unavailable"
-	// KindReplyLost: the request left, and no whole reply came back.
+	// KindReplyLost: the request may have been sent, and no complete response was received.
 	KindReplyLost Kind = "reply_lost"
-	// KindCanceled: the caller's context or the store cancelled the call.
+	// KindCanceled: the context of the caller ended or the store cancelled the call.
 	KindCanceled Kind = "canceled"
-	// KindCompacted: the revision asked for is not in the store's history any more.
+	// KindCompacted: the requested revision is no longer in the history of the store.
 	KindCompacted Kind = "compacted"
-	// KindLeaseNotFound: the store did not find what the call names.
+	// KindLeaseNotFound: the store returned NotFound, as it does for an unknown lease.
 	KindLeaseNotFound Kind = "lease_not_found"
 )
 
-// Step names the call at which an error arose.
+// Step names the operation in which an error occurred.
 type Step string
 
-// The steps.
 const (
 	StepRange       Step = "store.range"
 	StepTxn         Step = "store.txn"
@@ -46,20 +43,19 @@
 	StepWatch       Step = "store.watch"
 )
 
-// Error is the failure of one call. Calls return it wrapped by oops with the
-// attributes step and peer; find it with errors.As.
+// Error is the failure of one call. Calls return it wrapped by oops with the attributes step and
+// peer. Use errors.As to obtain it.
 type Error struct {
 	Step Step
-	// Peer is the endpoint that was called; empty if none was.
+	// Peer is the endpoint that was called, or empty if none was.
 	Peer string
 	Kind Kind
-	// MaybeApplied is false only if the call certainly had no effect: no byte
-	// of it left this process, or the store said so.
+	// MaybeApplied is false only if the call certainly had no effect, because no byte of it was
+	// sent or because the store reported so.
 	MaybeApplied bool
-	// RetryAfter is when the store wants to be asked again; zero if unknown.
+	// RetryAfter is the delay that the store requested before a retry, or zero.
 	RetryAfter time.Duration
-	// CompactRevision, for KindCompacted, is the oldest revision still kept;
-	// zero if unknown.
+	// CompactRevision is the oldest revision that is available, for KindCompacted; zero if unknown.
 	CompactRevision int64
 	Cause           error
 }
@@ -76,8 +72,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// MaybeApplied reports whether the call that returned err may have taken
-// effect. It is false for nil and true for errors of other packages.
+// MaybeApplied reports whether the call that returned err may have taken effect. It returns false
+// for nil and true for errors of other packages.
 func MaybeApplied(err error) bool {
 	if err == nil {
 		return false
--- a/internal/selfhosted/store/gateway_test.go
+++ b/internal/selfhosted/store/gateway_test.go
@@ -14,8 +14,7 @@
 
 const headerJSON = `"header":{"cluster_id":"14841639068965178418","member_id":"10276657743932975437","revision":"7","raft_term":"2"}`
 
-// scripted answers each path as the published gateway does, field by field,
-// and writes down what was asked.
+// gatewayResponses holds the response of the gateway for each path.
 var gatewayResponses = map[string]string{
 	"/v3/kv/range": `{` + headerJSON + `,"kvs":[{"key":"Zm9v","create_revision":"2","mod_revision":"5","version":"3","value":"YmFy","lease":"7587862094143457803"}],"more":true,"count":"4"}`,
 	"/v3/kv/txn": `{` + headerJSON + `,"responses":[{"response_range":{` + headerJSON +
@@ -86,7 +85,8 @@
 		client := newTestClient(t, server.Listener.Addr().String())
 		_, err := client.CreateIfAbsent(context.Background(), "a", nil)
 		if KindOf(err) != expected.kind || MaybeApplied(err) != expected.maybeApplied {
-			t.Errorf("%d %s: %v", expected.status, expected.body, err)
+			t.Errorf("status %d, body %s: got error %v, want kind %q and maybe applied %t",
+				expected.status, expected.body, err, expected.kind, expected.maybeApplied)
 		}
 		client.Close()
 		server.Close()
--- a/internal/selfhosted/store/kv.go
+++ b/internal/selfhosted/store/kv.go
@@ -6,52 +6,52 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
-// Entry is one key with its value and revisions.
+// Entry is a key with its value and revisions.
 type Entry struct {
 	Key   string
 	Value []byte
-	// CreateRevision and ModRevision are the store's revisions at which the
-	// key was created and last written.
+	// CreateRevision and ModRevision are the revisions of the store at which the key was created
+	// and last modified.
 	CreateRevision int64
 	ModRevision    int64
-	// Version counts the writes since the key was created.
+	// Version is the number of writes since the key was created.
 	Version int64
 }
 
-// RangeResult is what a Range found.
+// RangeResult is the result of Client.Range.
 type RangeResult struct {
-	// Entries are in order of their keys.
+	// Entries is in order of the keys.
 	Entries []Entry
-	// More is set if the limit cut the range short.
+	// More is set if the limit truncated the range.
 	More bool
-	// Count is the number of keys in the range, whatever the limit.
+	// Count is the number of keys in the range, regardless of the limit.
 	Count int64
-	// StoreRevision is the store's revision of the read. A watch from
-	// StoreRevision+1 misses nothing.
+	// StoreRevision is the revision of the store at the read. A watch from StoreRevision+1 reports
+	// every later change.
 	StoreRevision int64
 }
 
-// CreateResult is the outcome of a CreateIfAbsent.
+// CreateResult is the result of Client.CreateIfAbsent.
 type CreateResult struct {
 	Created bool
-	// Existing is the entry that was there before, if Created is false.
+	// Existing is the entry that prevented the creation, if Created is false.
 	Existing Entry
-	// StoreRevision is the store's revision after the call; if Created, the
+	// StoreRevision is the revision of the store after the call. If Created is true, it is the
 	// revision of the new key.
 	StoreRevision int64
 }
 
-// SwapResult is the outcome of a CompareAndSwap.
+// SwapResult is the result of Client.CompareAndSwap.
 type SwapResult struct {
 	Swapped bool
-	// Existing is the entry found, if Swapped is false; its ModRevision is
-	// zero if the key does not exist.
+	// Existing is the current entry if Swapped is false. Its ModRevision is zero if the key does
+	// not exist.
 	Existing      Entry
 	StoreRevision int64
 }
 
-// Range reads the keys from key up to, not including, end, at most limit of
-// them (0 means all). An empty end reads the one key. The read is linearizable.
+// Range reads the keys from key up to, but not including, end, and returns at most limit of them (0
+// means all). If end is empty, it reads only key. The read is linearizable.
 func (c *Client) Range(ctx context.Context, key, end string, limit int64) (RangeResult, error) {
 	request := wire.RangeRequest{Key: []byte(key), RangeEnd: []byte(end), Limit: wire.Integer(limit)}
 	var response wire.RangeResponse
@@ -69,15 +69,14 @@
 	return result, nil
 }
 
-// CreateIfAbsent writes the key if it does not exist, and returns the entry
-// that is there otherwise.
+// CreateIfAbsent writes the key if it does not exist. Otherwise it returns the existing entry.
 func (c *Client) CreateIfAbsent(ctx context.Context, key string, value []byte) (CreateResult, error) {
 	result, err := c.CompareAndSwap(ctx, key, 0, value)
 	return CreateResult{Created: result.Swapped, Existing: result.Existing, StoreRevision: result.StoreRevision}, err
 }
 
-// CompareAndSwap writes the key if its mod revision is modRevision (0: the key
-// does not exist), and returns the entry that is there otherwise.
+// CompareAndSwap writes the key if its mod revision equals modRevision, where 0 means that the key
+// does not exist. Otherwise it returns the current entry.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, modRevision int64, value []byte) (SwapResult, error) {
 	put := &wire.PutRequest{Key: []byte(key), Value: value}
 	revision := wire.Integer(modRevision)
@@ -99,8 +98,8 @@
 	return result, nil
 }
 
-// DeleteRange deletes the keys from key up to, not including, end (only key if
-// end is empty) and returns how many there were.
+// DeleteRange deletes the keys from key up to, but not including, end (only key if end is empty)
+// and returns the number of deleted keys.
 func (c *Client) DeleteRange(ctx context.Context, key, end string) (deleted int64, err error) {
 	request := wire.DeleteRangeRequest{Key: []byte(key), RangeEnd: []byte(end)}
 	var response wire.DeleteRangeResponse
@@ -108,7 +107,7 @@
 	return int64(response.Deleted), err
 }
 
-// PrefixEnd returns the end of the range of all keys that start with prefix.
+// PrefixEnd returns the end of the range that contains all keys with the given prefix.
 func PrefixEnd(prefix string) string {
 	end := []byte(prefix)
 	for last := len(end) - 1; last >= 0; last-- {
@@ -120,6 +119,8 @@
 	return "\x00"
 }
 
+// firstEntry returns the entry that the first response of a transaction contains, or an entry with
+// only the key.
 func firstEntry(responses []wire.ResponseOp, key string) Entry {
 	if len(responses) == 0 || responses[0].Range == nil || len(responses[0].Range.KeyValues) == 0 {
 		return Entry{Key: key}
--- a/internal/selfhosted/store/metrics.go
+++ b/internal/selfhosted/store/metrics.go
@@ -11,8 +11,7 @@
 
 const resultOK = "ok"
 
-// durationBuckets are the upper bounds of the time of a call, 1 ms to 4 s, in
-// seconds.
+// durationBuckets are the upper bounds of the call duration in seconds, from 1 ms to 4 s.
 var durationBuckets = prometheus.ExponentialBuckets(0.001, 2, 13)
 
 type metrics struct {
@@ -22,18 +21,18 @@
 	watches     prometheus.Gauge
 }
 
-// newMetrics registers the metrics, unless the registerer is nil.
+// newMetrics creates the metrics and registers them unless registerer is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &metrics{
 		calls: factory.Counters("micaplank_store_calls_total",
 			"Calls to the configuration store, by step and result.", "step", "result"),
 		duration: factory.Histograms("micaplank_store_call_duration_seconds",
-			"Time of a call to the configuration store, with the wait for the client's own limiter.", durationBuckets, "step"),
+			"Duration of a call to the configuration store, including the wait for the rate limiter of the client.", durationBuckets, "step"),
 		watchEvents: factory.Counter("micaplank_store_watch_events_total",
-			"Changes of keys received over watches."),
+			"Changes of keys received from watches."),
 		watches: factory.Gauge("micaplank_store_watches_open",
-			"Watches that are open now."),
+			"Open watches."),
 	}
 }
 
--- a/internal/selfhosted/store/watch.go
+++ b/internal/selfhosted/store/watch.go
@@ -12,45 +12,45 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
-// WatchKind says what a WatchEvent reports.
+// WatchKind is the type of a WatchEvent.
 type WatchKind string
 
-// The kinds of watch events.
 const (
-	// WatchPut and WatchDelete: the key of Entry was written or deleted at
+	// WatchPut and WatchDelete report that the key of Entry was written or deleted at
 	// Entry.ModRevision.
 	WatchPut    WatchKind = "put"
 	WatchDelete WatchKind = "delete"
-	// WatchProgress: every change up to StoreRevision has been delivered.
+	// WatchProgress reports that all changes up to StoreRevision have been delivered.
 	WatchProgress WatchKind = "progress"
-	// WatchEnded: the stream is over and Err says why. It is the last event.
+	// WatchEnded reports that the stream has ended because of Err. It is the last event.
 	WatchEnded WatchKind = "ended"
 )
 
-// WatchEvent is one message of a watch.
+// WatchEvent is one event of a watch.
 type WatchEvent struct {
 	Kind  WatchKind
 	Entry Entry
-	// StoreRevision is the store's revision when it sent the message.
+	// StoreRevision is the revision of the store when it sent the message.
 	StoreRevision int64
-	// Err is set for WatchEnded: an *Error, wrapped, of kind KindCompacted,
-	// KindCanceled, KindReplyLost or any kind that a call can fail with.
+	// Err is set for WatchEnded. It wraps an *Error, for example of KindCompacted, KindCanceled or
+	// KindReplyLost, or of another kind that a call can return.
 	Err error
 }
 
-// watchBuffer is how many events wait for the receiver before the stream is
-// read no further.
+// watchBufferSize is the number of buffered events at which the client stops reading the stream
+// until the receiver catches up.
 const watchBufferSize = 64
 
-// Watch reports the changes of the keys from key up to end (only key if end is
-// empty), from the revision fromRevision on; 0 means from now on. It blocks
-// until the store has opened the watch. The channel ends with one WatchEnded
-// event and is closed; the caller reconnects from the revision after the last
-// one seen. The watch ends when ctx does; the caller must then either read the
-// channel to its end or leave it.
+// Watch reports the changes of the keys from key up to, but not including, end (only key if end is
+// empty), starting at fromRevision; 0 means after the current revision. It blocks until the store
+// has opened the watch.
 //
-// A connection that breaks silently is not noticed: pair a watch with a Range
-// now and then.
+// The channel is closed after one WatchEnded event. The caller then opens a new watch from the
+// revision after the last one seen. The watch ends when ctx ends; the caller then either reads the
+// channel until it is closed or stops reading it.
+//
+// Watch does not detect a connection that fails silently. Callers should also call Range
+// periodically.
 func (c *Client) Watch(ctx context.Context, key, end string, fromRevision int64) (<-chan WatchEvent, error) {
 	start := time.Now()
 	stream, err := c.openWatch(ctx, key, end, fromRevision)
@@ -63,7 +63,7 @@
 	return events, nil
 }
 
-// watchStream is the reading side of one open watch.
+// watchStream is the reader of an open watch.
 type watchStream struct {
 	ctx          context.Context
 	cancel       context.CancelFunc
@@ -105,7 +105,7 @@
 	return stream, nil
 }
 
-// startStream posts the request and reads the message that confirms the watch.
+// startStream posts the watch request and reads the message that confirms the watch.
 func (c *Client) startStream(ctx context.Context, body []byte) (*watchStream, *Error) {
 	var reply *http.Response
 	reply, endpoint, failure := c.post(ctx, StepWatch, wire.WatchPath, body)
@@ -118,7 +118,7 @@
 	}
 	first, failure := stream.readMessage()
 	if failure == nil && !first.Created {
-		failure = stream.newError(KindReplyLost, errors.New("the store did not confirm the watch"))
+		failure = stream.newError(KindReplyLost, errors.New("open watch: first message does not confirm the watch"))
 	}
 	if failure != nil {
 		reply.Body.Close()
@@ -146,7 +146,8 @@
 	}
 }
 
-// next reads one message and turns the ways in which a stream ends into errors.
+// readMessage reads one message. It returns an error if the stream was truncated, failed or was
+// cancelled.
 func (s *watchStream) readMessage() (*wire.WatchResponse, *Error) {
 	var message wire.StreamMessage[wire.WatchResponse]
 	if err := s.decoder.Decode(&message); err != nil {
@@ -161,7 +162,7 @@
 		return nil, s.newError(kind, errors.New(message.Error.Message))
 	}
 	if message.Result == nil {
-		return nil, s.newError(KindReplyLost, errors.New("a message without a result"))
+		return nil, s.newError(KindReplyLost, errors.New("read watch: message has neither a result nor an error"))
 	}
 	if message.Result.Canceled {
 		return nil, s.canceledError(message.Result)
@@ -182,7 +183,8 @@
 	return &Error{Step: StepWatch, Peer: s.endpoint.String(), Kind: kind, Cause: cause}
 }
 
-// deliver sends the events of a message to the receiver; it is false if ctx ended first.
+// deliverMessage sends the events of a message to the receiver. It returns false if the context
+// ended first.
 func (s *watchStream) deliverMessage(events chan<- WatchEvent, message *wire.WatchResponse) bool {
 	s.lastRevision = headerRevision(message.Header)
 	if len(message.Events) == 0 {
@@ -210,7 +212,8 @@
 	}
 }
 
-// deliverEnd sends the last event, or drops it if there is no reader any more.
+// sendEnd sends the WatchEnded event. It drops the event if the buffer is full and the context has
+// ended.
 func (s *watchStream) sendEnd(events chan<- WatchEvent, failure *Error) {
 	end := WatchEvent{Kind: WatchEnded, StoreRevision: s.lastRevision, Err: wrapError(failure)}
 	select {
--- a/internal/selfhosted/store/wire/errors.go
+++ b/internal/selfhosted/store/wire/errors.go
@@ -10,7 +10,7 @@
 // Code is a gRPC status code.
 type Code int
 
-// The codes that the store is known to answer with.
+// The codes that the store returns.
 const (
 	CodeOK                 Code = 0
 	CodeCanceled           Code = 1
--- a/internal/selfhosted/store/wire/integer.go
+++ b/internal/selfhosted/store/wire/integer.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Integer is a 64-bit integer that is written to JSON as a string, as the
-// gateway does, and read from a string or a number.
+// Integer is a 64-bit integer. It is encoded in JSON as a string, as the gateway does, and decoded
+// from a string or a number.
 type Integer int64
 
 // MarshalJSON implements json.Marshaler.
--- a/internal/selfhosted/store/wire/messages.go
+++ b/internal/selfhosted/store/wire/messages.go
@@ -1,7 +1,6 @@
-// Package wire holds the messages of the part of the etcd v3 HTTP/JSON gateway
-// that micaplank uses. Field names, the base64 form of keys and values, and
-// 64-bit integers as strings follow the published gateway; fields at their
-// zero value are left out, as the gateway does.
+// Package wire defines the messages of the part of the etcd v3 HTTP/JSON gateway that micaplank
+// uses. Field names, the base64 encoding of keys and values, and the encoding of 64-bit integers as
+// strings follow the gateway. As in the gateway, fields with their zero value are omitted.
 package wire
 
 // Paths of the gateway. All are called with POST.
@@ -13,16 +12,16 @@
 	WatchPath       = "/v3/watch"
 )
 
-// ResponseHeader comes with every response.
+// ResponseHeader is part of every response.
 type ResponseHeader struct {
-	// ClusterID and MemberID are unsigned 64-bit integers, as text.
+	// ClusterID and MemberID are unsigned 64-bit integers in decimal notation.
 	ClusterID string `json:"cluster_id,omitempty"`
 	MemberID  string `json:"member_id,omitempty"`
-	// Revision is the store's revision when the response was made.
+	// Revision is the revision of the store when it created the response.
 	Revision Integer `json:"revision,omitempty"`
 }
 
-// KeyValue is one key with its value and revisions.
+// KeyValue is a key with its value and revisions.
 type KeyValue struct {
 	Key            []byte  `json:"key,omitempty"`
 	CreateRevision Integer `json:"create_revision,omitempty"`
@@ -31,8 +30,8 @@
 	Value          []byte  `json:"value,omitempty"`
 }
 
-// RangeRequest reads the keys from Key up to, not including, RangeEnd; only
-// Key if RangeEnd is empty.
+// RangeRequest reads the keys from Key up to, but not including, RangeEnd, or only Key if RangeEnd
+// is empty.
 type RangeRequest struct {
 	Key       []byte  `json:"key,omitempty"`
 	RangeEnd  []byte  `json:"range_end,omitempty"`
@@ -42,7 +41,7 @@
 	CountOnly bool    `json:"count_only,omitempty"`
 }
 
-// RangeResponse lists the keys found, in order.
+// RangeResponse holds the keys of a range in order.
 type RangeResponse struct {
 	Header    *ResponseHeader `json:"header,omitempty"`
 	KeyValues []KeyValue      `json:"kvs,omitempty"`
@@ -61,32 +60,31 @@
 	Header *ResponseHeader `json:"header,omitempty"`
 }
 
-// DeleteRangeRequest deletes the keys from Key up to RangeEnd.
+// DeleteRangeRequest deletes the keys from Key up to, but not including, RangeEnd, or only Key if
+// RangeEnd is empty.
 type DeleteRangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// DeleteRangeResponse says how many keys were deleted.
+// DeleteRangeResponse holds the number of deleted keys.
 type DeleteRangeResponse struct {
 	Header  *ResponseHeader `json:"header,omitempty"`
 	Deleted Integer         `json:"deleted,omitempty"`
 }
 
-// CompareTarget is the field of a key that a Compare looks at.
+// CompareTarget is the field of a key that a Compare examines.
 type CompareTarget string
 
-// The targets used here.
 const (
 	TargetVersion CompareTarget = "VERSION"
 	TargetCreate  CompareTarget = "CREATE"
 	TargetMod     CompareTarget = "MOD"
 )
 
-// CompareResult is the relation that a Compare asks for.
+// CompareResult is the relation that a Compare requires.
 type CompareResult string
 
-// The relations.
 const (
 	ResultEqual    CompareResult = "EQUAL"
 	ResultGreater  CompareResult = "GREATER"
@@ -94,8 +92,7 @@
 	ResultNotEqual CompareResult = "NOT_EQUAL"
 )
 
-// Compare is one condition of a transaction. A missing key has version and
-// revisions zero.
+// Compare is one condition of a transaction. A missing key has version 0 and revisions 0.
 type Compare struct {
 	Result         CompareResult `json:"result,omitempty"`
 	Target         CompareTarget `json:"target,omitempty"`
@@ -119,15 +116,14 @@
 	DeleteRange *DeleteRangeResponse `json:"response_delete_range,omitempty"`
 }
 
-// TxnRequest runs Success if all of Compare hold, and Failure otherwise, as
-// one atomic step.
+// TxnRequest atomically executes Success if all conditions of Compare hold, and Failure otherwise.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// TxnResponse says which branch ran and what it returned.
+// TxnResponse reports which branch was executed and holds its responses.
 type TxnResponse struct {
 	Header    *ResponseHeader `json:"header,omitempty"`
 	Succeeded bool            `json:"succeeded,omitempty"`
--- a/internal/selfhosted/store/wire/watch.go
+++ b/internal/selfhosted/store/wire/watch.go
@@ -1,10 +1,10 @@
 package wire
 
-// WatchCreateRequest asks for the changes of a range of keys.
+// WatchCreateRequest requests the changes of a range of keys.
 type WatchCreateRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
-	// StartRevision is the first revision to report; zero means from now on.
+	// StartRevision is the first revision to report; zero means after the current revision.
 	StartRevision  Integer `json:"start_revision,omitempty"`
 	ProgressNotify bool    `json:"progress_notify,omitempty"`
 }
@@ -14,17 +14,15 @@
 	Create *WatchCreateRequest `json:"create_request,omitempty"`
 }
 
-// EventType says what happened to a key. The zero value, which the gateway
-// leaves out, is a put.
+// EventType is the type of a change. The zero value, which the gateway omits, is a put.
 type EventType string
 
-// The event types.
 const (
 	EventPut    EventType = "PUT"
 	EventDelete EventType = "DELETE"
 )
 
-// Event is one change of one key.
+// Event is a change of one key.
 type Event struct {
 	Type     EventType `json:"type,omitempty"`
 	KeyValue KeyValue  `json:"kv"`
@@ -35,20 +33,20 @@
 	Header   *ResponseHeader `json:"header,omitempty"`
 	Created  bool            `json:"created,omitempty"`
 	Canceled bool            `json:"canceled,omitempty"`
-	// CompactRevision is set if the watch was cancelled since its start
-	// revision is compacted.
+	// CompactRevision is set if the watch was cancelled because its start revision has been
+	// compacted.
 	CompactRevision Integer `json:"compact_revision,omitempty"`
 	CancelReason    string  `json:"cancel_reason,omitempty"`
 	Events          []Event `json:"events,omitempty"`
 }
 
-// StreamMessage wraps each message of a streamed response.
+// StreamMessage is the envelope of each message of a streamed response.
 type StreamMessage[Response any] struct {
 	Result *Response    `json:"result,omitempty"`
 	Error  *StreamError `json:"error,omitempty"`
 }
 
-// StreamError ends a streamed response.
+// StreamError is the error that ends a streamed response.
 type StreamError struct {
 	GRPCCode   Code   `json:"grpc_code,omitempty"`
 	HTTPCode   int    `json:"http_code,omitempty"`
