--- a/internal/selfhosted/membership/benchmark_test.go
+++ b/internal/selfhosted/membership/benchmark_test.go
@@ -14,7 +14,7 @@
 
 func newFormedCluster(b *testing.B, size int, seed uint64) *simulatedCluster {
 	b.Helper()
-	c := newCluster(DefaultConfig(), size, 4, seed)
+	c := newSimulatedCluster(DefaultConfig(), size, 4, seed)
 	c.encodePackets = true
 	if _, ok := c.converge(2 * time.Minute); !ok {
 		b.Fatal("views do not agree after 2m0s")
@@ -56,7 +56,7 @@
 	c := newFormedCluster(b, size, 2)
 	for i := range crashes {
 		victim := c.nodes[(i*7)%size]
-		if victim.dead {
+		if victim.crashed {
 			continue
 		}
 		crashedAt := c.now
@@ -77,7 +77,7 @@
 				gone = c.now - crashedAt
 			}
 		}
-		victim.dead = true
+		victim.crashed = true
 		c.run(60 * time.Second)
 		suspectedFirst = append(suspectedFirst, first)
 		suspectedByAll = append(suspectedByAll, all)
--- a/internal/selfhosted/membership/config.go
+++ b/internal/selfhosted/membership/config.go
@@ -17,8 +17,8 @@
 	ProbeTimeout time.Duration
 	// IndirectProbes is the number of proxies that are asked to ping a member that did not answer.
 	IndirectProbes int
-	// GossipInterval is the time between two rounds of gossip packets, which carry waiting updates
-	// that no other packet has carried, and GossipFanout is the number of receivers per round.
+	// GossipInterval is the time between two rounds of gossip packets, which carry only waiting
+	// updates, and GossipFanout is the number of receivers per round.
 	GossipInterval time.Duration
 	GossipFanout   int
 	// RetransmitMultiplier times log10 of the number of members is how often a node transmits one
--- a/internal/selfhosted/membership/core.go
+++ b/internal/selfhosted/membership/core.go
@@ -36,10 +36,11 @@
 	sync         syncState
 	healthScore  int
 	lastPacketAt time.Duration
-	// noAccusationsUntil is the time until which this node raises no suspicions after a pause.
-	noAccusationsUntil time.Duration
-	nextGossip         time.Duration
-	nextZoneCheck      time.Duration
+	// pauseGraceUntil is the time until which this node raises no suspicions and declares no member
+	// gone after a pause.
+	pauseGraceUntil time.Duration
+	nextGossip      time.Duration
+	nextZoneCheck   time.Duration
 
 	// memberList caches the result of Members, built at memberListVersion of the view.
 	// memberListSelf is the index of this node in it.
@@ -135,12 +136,13 @@
 }
 
 // pauseGracePeriods is the number of probe periods after a pause in which this process raises no
-// suspicions. Two periods cover a whole probe that begins after the pause.
+// suspicions and declares no member gone. A probe that starts after the pause ends within two
+// periods.
 const pauseGracePeriods = 2
 
 // advance sets the clock. After a pause of this process, missing answers of other members are no
 // evidence of failure: advance cancels the running probe, extends the deadline of every suspicion
-// by the pause, and blocks new suspicions for pauseGracePeriods.
+// by the pause, and sets pauseGraceUntil.
 func (c *Core) advance(now time.Duration) {
 	if !c.started {
 		c.start(now)
@@ -154,7 +156,7 @@
 	c.statistics.Pauses++
 	c.emit(Event{Kind: EventPaused, Pause: pause})
 	c.probes.cancel()
-	c.noAccusationsUntil = now + pauseGracePeriods*c.config.ProbeInterval
+	c.pauseGraceUntil = now + pauseGracePeriods*c.config.ProbeInterval
 	for _, p := range c.view.suspects {
 		p.suspicion.deadline += pause
 	}
--- a/internal/selfhosted/membership/core_test.go
+++ b/internal/selfhosted/membership/core_test.go
@@ -15,20 +15,20 @@
 }
 
 func TestClusterConvergesAfterStart(t *testing.T) {
-	c := newCluster(DefaultConfig(), 60, 3, 1)
+	c := newSimulatedCluster(DefaultConfig(), 60, 3, 1)
 	c.encodePackets = true
 	t.Logf("views of 60 nodes agree after %v", mustConverge(t, c, time.Minute))
 }
 
 func TestClusterConvergesAfterCrash(t *testing.T) {
-	c := newCluster(DefaultConfig(), 60, 3, 2)
+	c := newSimulatedCluster(DefaultConfig(), 60, 3, 2)
 	mustConverge(t, c, time.Minute)
-	c.nodes[7].dead = true
+	c.nodes[7].crashed = true
 	t.Logf("all views show the crash after %v", mustConverge(t, c, 2*time.Minute))
 }
 
 func TestFrozenProcessIsSupersededByReplacement(t *testing.T) {
-	c := newCluster(DefaultConfig(), 30, 3, 3)
+	c := newSimulatedCluster(DefaultConfig(), 30, 3, 3)
 	mustConverge(t, c, time.Minute)
 	old := c.nodes[7]
 	old.frozen = true
@@ -44,7 +44,7 @@
 }
 
 func TestLeaveAndDepartReachOtherNodes(t *testing.T) {
-	c := newCluster(DefaultConfig(), 30, 3, 4)
+	c := newSimulatedCluster(DefaultConfig(), 30, 3, 4)
 	mustConverge(t, c, time.Minute)
 	node := c.nodes[9]
 	node.core.Leave()
@@ -65,7 +65,7 @@
 // TestSeedsReceiveBoundedShareOfDigests checks that no seed receives more than three times the mean
 // number of digests per node.
 func TestSeedsReceiveBoundedShareOfDigests(t *testing.T) {
-	c := newCluster(DefaultConfig(), 150, 3, 5)
+	c := newSimulatedCluster(DefaultConfig(), 150, 3, 5)
 	mustConverge(t, c, time.Minute)
 	digests := make(map[*simulatedNode]int)
 	total := 0
--- a/internal/selfhosted/membership/mechanism_test.go
+++ b/internal/selfhosted/membership/mechanism_test.go
@@ -20,7 +20,7 @@
 	f := &falsePositiveTracker{goneSince: make(map[[2]string]time.Duration)}
 	running := func(m Member) bool {
 		node := c.byAddress[m.Address]
-		return node != nil && !node.dead && !node.frozen && node.core.Self().Incarnation == m.Incarnation
+		return node != nil && !node.crashed && !node.frozen && node.core.Self().Incarnation == m.Incarnation
 	}
 	c.onEvent = func(observer *simulatedNode, event Event) {
 		if event.Kind != EventChanged {
@@ -56,7 +56,7 @@
 
 // runWithLoss runs 60 nodes at 20 % packet loss for a duration.
 func runWithLoss(config Config, duration time.Duration, seed uint64) (*falsePositiveTracker, Statistics) {
-	c := newCluster(config, 60, 4, seed)
+	c := newSimulatedCluster(config, 60, 4, seed)
 	c.converge(time.Minute)
 	falsePositives := trackFalsePositives(c)
 	before := sumStatistics(c)
@@ -75,9 +75,9 @@
 	}
 	withoutRefutation := DefaultConfig()
 	withoutRefutation.disabled.refutation = true
-	disabledResult, _ := runWithLoss(withoutRefutation, time.Minute, 11)
-	t.Logf("without refutation: %d live members declared gone", disabledResult.count)
-	if disabledResult.count == 0 {
+	unrefuted, _ := runWithLoss(withoutRefutation, time.Minute, 11)
+	t.Logf("without refutation: %d live members declared gone", unrefuted.count)
+	if unrefuted.count == 0 {
 		t.Error("no live member is declared gone without refutation, want at least 1: the run does not exercise refutation")
 	}
 }
@@ -86,7 +86,7 @@
 // process. It reports whether the old process was superseded and whether all other views kept the
 // replacement.
 func runReplacement(config Config, seed uint64) (superseded, successorKept bool) {
-	c := newCluster(config, 20, 3, seed)
+	c := newSimulatedCluster(config, 20, 3, seed)
 	c.converge(time.Minute)
 	old := c.nodes[7]
 	old.frozen = true
@@ -98,8 +98,8 @@
 	for range 40 {
 		c.run(500 * time.Millisecond)
 		for _, node := range c.liveNodes() {
-			seen, _ := node.core.Lookup(nodeName(7))
-			successorKept = successorKept && (node == old || node == successor || seen.Incarnation == 2000)
+			record, _ := node.core.Lookup(nodeName(7))
+			successorKept = successorKept && (node == old || node == successor || record.Incarnation == 2000)
 		}
 	}
 	return old.core.Superseded(), successorKept
@@ -108,12 +108,12 @@
 func TestReplacementSupersedesOldProcessOnEverySeed(t *testing.T) {
 	failures := 0
 	for seed := range uint64(10) {
-		if superseded, kept := runReplacement(DefaultConfig(), seed); !superseded || !kept {
-			t.Errorf("seed %d: old process superseded is %t, replacement kept in all other views is %t; want true, true", seed, superseded, kept)
+		if superseded, successorKept := runReplacement(DefaultConfig(), seed); !superseded || !successorKept {
+			t.Errorf("seed %d: old process superseded is %t, replacement kept in all other views is %t; want true, true", seed, superseded, successorKept)
 		}
 		withoutIncarnations := DefaultConfig()
 		withoutIncarnations.disabled.incarnations = true
-		if superseded, kept := runReplacement(withoutIncarnations, seed); !superseded || !kept {
+		if superseded, successorKept := runReplacement(withoutIncarnations, seed); !superseded || !successorKept {
 			failures++
 		}
 	}
@@ -126,7 +126,7 @@
 // runPause freezes a tenth of the nodes at the same time, for less than the time to be declared
 // gone. It returns the number of suspicions that these nodes raise afterwards.
 func runPause(config Config, seed uint64) (suspicions uint64, falsePositives *falsePositiveTracker) {
-	c := newCluster(config, 60, 3, seed)
+	c := newSimulatedCluster(config, 60, 3, seed)
 	c.converge(time.Minute)
 	falsePositives = trackFalsePositives(c)
 	c.delay = 150 * time.Millisecond
@@ -165,10 +165,10 @@
 	}
 }
 
-// runZoneCut partitions one zone from the others for two minutes. It returns the number of changes
-// to gone and the time until the views agree after the partition.
-func runZoneCut(t *testing.T, config Config) (gone int, healed time.Duration) {
-	c := newCluster(config, 60, 4, 21)
+// runZonePartition separates one zone from the others for two minutes. It returns the number of
+// changes to gone and the time until the views agree after the partition.
+func runZonePartition(t *testing.T, config Config) (gone int, convergenceTime time.Duration) {
+	c := newSimulatedCluster(config, 60, 4, 21)
 	mustConverge(t, c, time.Minute)
 	c.onEvent = func(_ *simulatedNode, event Event) {
 		if event.Kind == EventChanged && event.Member.State == StateGone {
@@ -182,15 +182,15 @@
 }
 
 func TestUnreachableZoneIsHeld(t *testing.T) {
-	gone, healed := runZoneCut(t, DefaultConfig())
-	t.Logf("with zone holds: %d changes to gone, views agree %v after the partition", gone, healed)
+	gone, convergenceTime := runZonePartition(t, DefaultConfig())
+	t.Logf("with zone holds: %d changes to gone, views agree %v after the partition", gone, convergenceTime)
 	if gone > 0 {
 		t.Errorf("%d changes to gone in a partition shorter than the hold, want 0", gone)
 	}
 	config := DefaultConfig()
 	config.disabled.zoneHold = true
-	gone, healed = runZoneCut(t, config)
-	t.Logf("without zone holds: %d changes to gone, views agree %v after the partition", gone, healed)
+	gone, convergenceTime = runZonePartition(t, config)
+	t.Logf("without zone holds: %d changes to gone, views agree %v after the partition", gone, convergenceTime)
 	if gone == 0 {
 		t.Error("no member is declared gone without zone holds, want at least 1: the run does not exercise them")
 	}
@@ -199,10 +199,10 @@
 func TestZoneIsDeclaredGoneAfterHoldExpires(t *testing.T) {
 	config := DefaultConfig()
 	config.ZoneHold = time.Minute
-	c := newCluster(config, 40, 4, 22)
+	c := newSimulatedCluster(config, 40, 4, 22)
 	mustConverge(t, c, time.Minute)
 	for _, node := range c.nodes {
-		node.dead = node.zone == "zone-1"
+		node.crashed = node.zone == "zone-1"
 	}
 	c.run(30 * time.Second)
 	if held := c.liveNodes()[0].core.HeldZones(); !slices.Equal(held, []string{"zone-1"}) {
@@ -218,7 +218,7 @@
 		size := rapid.IntRange(3, 12).Draw(t, "size")
 		config := DefaultConfig()
 		config.ZoneHold = 30 * time.Second
-		c := newCluster(config, size, 3, rapid.Uint64().Draw(t, "seed"))
+		c := newSimulatedCluster(config, size, 3, rapid.Uint64().Draw(t, "seed"))
 		c.encodePackets = true
 		c.onEvent = func(_ *simulatedNode, event Event) {
 			regressed := event.Member.Incarnation < event.Previous.Incarnation
@@ -237,7 +237,7 @@
 		for _, node := range c.nodes {
 			c.unfreeze(node)
 		}
-		if c.byAddress[address(0, firstIncarnation)].dead {
+		if c.byAddress[address(0, firstIncarnation)].crashed {
 			c.start(0, 3, incarnation+1)
 		}
 		if _, ok := c.converge(5 * time.Minute); !ok {
@@ -250,15 +250,15 @@
 	node := c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(t, "node")]
 	switch rapid.SampledFrom([]string{"crash", "replace", "leave", "freeze", "wake", "cut zone", "cut node", "heal", "loss", "delay"}).Draw(t, "fault") {
 	case "crash":
-		node.dead = true
+		node.crashed = true
 	case "replace":
 		replaced := c.start(node.index, 3, incarnation)
 		for _, old := range c.nodes {
 			sameSlot := old != replaced && old.index == node.index
-			old.dead = old.dead || sameSlot && (old.index == 0 || rapid.Bool().Draw(t, "old process dies"))
+			old.crashed = old.crashed || sameSlot && (old.index == 0 || rapid.Bool().Draw(t, "old process dies"))
 		}
 	case "leave":
-		if !node.dead {
+		if !node.crashed {
 			node.core.Leave()
 		}
 	case "freeze":
--- a/internal/selfhosted/membership/merge.go
+++ b/internal/selfhosted/membership/merge.go
@@ -80,7 +80,7 @@
 }
 
 // trimAddresses removes the addresses from an update if the incarnation was known before, because
-// its receivers have the addresses.
+// receivers that know the incarnation have the addresses.
 func (c *Core) trimAddresses(update Update, previous Member) Update {
 	if previous.Incarnation == update.Incarnation && previous.Name != "" {
 		short := shortUpdate(update.member())
@@ -194,8 +194,8 @@
 	}
 }
 
-// gossipTarget picks a receiver of gossip. Every third receiver is a random member of the cluster;
-// the others are in the zone of this node.
+// gossipTarget picks a receiver of gossip. Every third receiver is a random member of the cluster.
+// The others are in the zone of this node if it has other members.
 func (c *Core) gossipTarget(index int) *peer {
 	const zoneIndependentEvery = 3
 	acceptAll := func(*peer) bool { return true }
--- a/internal/selfhosted/membership/probe.go
+++ b/internal/selfhosted/membership/probe.go
@@ -145,7 +145,7 @@
 	if localFault && !c.view.ensureZone(target.Zone).held {
 		c.raiseHealthScore()
 	}
-	if target.gone() || target.Incarnation != p.targetIncarnation || c.now < c.noAccusationsUntil {
+	if target.gone() || target.Incarnation != p.targetIncarnation || c.now < c.pauseGraceUntil {
 		return
 	}
 	c.raiseSuspicion(target)
--- a/internal/selfhosted/membership/simulation_test.go
+++ b/internal/selfhosted/membership/simulation_test.go
@@ -33,7 +33,7 @@
 	zone        string
 	index       int
 	frozen      bool
-	dead        bool
+	crashed     bool
 	heldPackets []delivery
 	events      []Event
 }
@@ -64,7 +64,7 @@
 	return last
 }
 
-func newCluster(config Config, size, zones int, seed uint64) *simulatedCluster {
+func newSimulatedCluster(config Config, size, zones int, seed uint64) *simulatedCluster {
 	c := &simulatedCluster{
 		config: config, random: rand.New(rand.NewPCG(seed, 1)),
 		byAddress: make(map[netip.AddrPort]*simulatedNode), delay: 2 * time.Millisecond,
@@ -126,7 +126,7 @@
 
 func (c *simulatedCluster) deliver(a delivery) {
 	node := a.to
-	if node.dead {
+	if node.crashed {
 		return
 	}
 	if node.frozen {
@@ -178,7 +178,7 @@
 		}
 	}
 	to := c.byAddress[outgoing.To]
-	lost := to == nil || to.dead || c.random.Float64() < c.lossRate
+	lost := to == nil || to.crashed || c.random.Float64() < c.lossRate
 	if lost || (c.linkDown != nil && c.linkDown(from, to)) {
 		return
 	}
@@ -189,7 +189,7 @@
 // unfreeze resumes a frozen node. Its timer fires before the held packets are processed, as happens
 // when an operating system resumes a process.
 func (c *simulatedCluster) unfreeze(node *simulatedNode) {
-	if !node.frozen || node.dead {
+	if !node.frozen || node.crashed {
 		return
 	}
 	node.frozen = false
@@ -206,7 +206,7 @@
 func (c *simulatedCluster) liveNodes() []*simulatedNode {
 	var live []*simulatedNode
 	for _, node := range c.nodes {
-		if !node.dead && !node.core.inactive() {
+		if !node.crashed && !node.core.inactive() {
 			live = append(live, node)
 		}
 	}
--- a/internal/selfhosted/membership/suspicion.go
+++ b/internal/selfhosted/membership/suspicion.go
@@ -74,7 +74,7 @@
 
 // tickSuspicions runs the final check of suspicions whose deadline has passed.
 func (c *Core) tickSuspicions() {
-	if c.now < c.noAccusationsUntil {
+	if c.now < c.pauseGraceUntil {
 		return
 	}
 	var due []*peer
--- a/internal/selfhosted/membership/sync.go
+++ b/internal/selfhosted/membership/sync.go
@@ -69,8 +69,8 @@
 	if c.isIsolated() {
 		return joinInterval
 	}
-	sharers := max(1, c.memberCount()/seedSyncsPerInterval)
-	interval := c.config.SeedInterval * time.Duration(sharers)
+	intervalFactor := max(1, c.memberCount()/seedSyncsPerInterval)
+	interval := c.config.SeedInterval * time.Duration(intervalFactor)
 	return interval/2 + c.randomFraction(interval)
 }
 
