--- a/internal/selfhosted/membership/simulation_test.go
+++ b/internal/selfhosted/membership/simulation_test.go
@@ -223,8 +223,8 @@
 			count++
 		}
 		for _, subject := range live {
-			seen, known := observer.core.Lookup(subject.core.Self().Name)
-			if !known || seen != subject.core.Self() {
+			record, exists := observer.core.Lookup(subject.core.Self().Name)
+			if !exists || record != subject.core.Self() {
 				count++
 			}
 		}
