--- a/internal/leaf/pool.go
+++ b/internal/leaf/pool.go
@@ -10,85 +10,87 @@
 	"time"
 )
 
-// pool keeps a fixed number of connections to one leaf, each dialed again in
-// the background when it is lost.
+// pool keeps a fixed number of connections to one leaf. It redials lost connections in the
+// background.
 type pool struct {
 	address   netip.AddrPort
 	config    Config
 	transport *http.Transport
 	metrics   *metrics
-	// closing is done when the client closes: connections are cut.
-	closing context.Context
-	// serving is done when the pool is forgotten: connections finish.
-	serving context.Context
-	stop    context.CancelFunc
-	running *sync.WaitGroup
+	// clientCtx ends when the client is closed. All connections are then closed immediately.
+	clientCtx context.Context
+	// ctx ends when Client.Forget removes the pool. Each connection is then closed when its calls
+	// have ended.
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines *sync.WaitGroup
 
 	mutex sync.Mutex
-	// open lists the connections that take new requests.
+	// open lists the connections that accept new requests.
 	open []*connection
-	// failure is the error of the last dial, if it failed.
-	failure error
-	// changed is closed and replaced when open or failure changes.
+	// dialErr is the error of the last dial; nil if it succeeded.
+	dialErr error
+	// changed is closed and replaced when open or dialErr changes.
 	changed chan struct{}
 }
 
-func newPool(closing context.Context, address netip.AddrPort, client *Client) *pool {
+func newPool(clientCtx context.Context, address netip.AddrPort, client *Client) *pool {
 	p := &pool{
-		address:   address,
-		config:    client.config,
-		transport: client.transport,
-		metrics:   client.metrics,
-		closing:   closing,
-		running:   &client.running,
-		changed:   make(chan struct{}),
+		address:    address,
+		config:     client.config,
+		transport:  client.transport,
+		metrics:    client.metrics,
+		clientCtx:  clientCtx,
+		goroutines: &client.goroutines,
+		changed:    make(chan struct{}),
 	}
-	p.serving, p.stop = context.WithCancel(closing)
+	p.ctx, p.stop = context.WithCancel(clientCtx)
 	for range client.config.ConnectionsPerLeaf {
-		p.running.Go(p.maintain)
+		p.goroutines.Go(p.maintain)
 	}
 	return p
 }
 
-// maintain keeps one connection open until the pool is forgotten.
+// maintain keeps one connection open until the pool is removed.
 func (p *pool) maintain() {
-	pause := p.config.RedialMinimum
-	for p.serving.Err() == nil {
-		dialed, err := p.dial()
+	backoff := p.config.RedialMinimum
+	for p.ctx.Err() == nil {
+		conn, err := p.dial()
 		if err != nil {
-			p.update(func() { p.failure = err })
-			p.sleep(pause)
-			pause = min(2*pause, p.config.RedialMaximum)
+			p.update(func() { p.dialErr = err })
+			p.sleep(backoff)
+			backoff = min(2*backoff, p.config.RedialMaximum)
 			continue
 		}
 		opened := time.Now()
-		p.add(dialed)
-		dialed.awaitUnusable(p.serving)
-		p.remove(dialed)
-		p.running.Go(func() { p.finish(dialed) })
+		p.add(conn)
+		conn.waitUnusable(p.ctx)
+		p.remove(conn)
+		p.goroutines.Go(func() { p.closeWhenIdle(conn) })
 		if time.Since(opened) >= p.config.RedialMaximum {
-			pause = p.config.RedialMinimum
+			backoff = p.config.RedialMinimum
 			continue
 		}
-		// A leaf that accepts and closes at once is not dialed in a loop.
-		p.sleep(pause)
-		pause = min(2*pause, p.config.RedialMaximum)
+		// The backoff also applies after a short-lived connection, so that a leaf that accepts
+		// connections and closes them immediately is not redialed in a tight loop.
+		p.sleep(backoff)
+		backoff = min(2*backoff, p.config.RedialMaximum)
 	}
 }
 
 func (p *pool) dial() (*connection, error) {
-	ctx, cancel := context.WithTimeout(p.serving, p.config.ConnectTimeout)
+	ctx, cancel := context.WithTimeout(p.ctx, p.config.ConnectTimeout)
 	defer cancel()
-	dialed, err := dial(ctx, p.transport, p.address)
-	p.metrics.dialed(err)
-	return dialed, err
+	conn, err := dial(ctx, p.transport, p.address)
+	p.metrics.recordDial(err)
+	return conn, err
 }
 
 func (p *pool) add(c *connection) {
 	p.metrics.connections.Inc()
 	p.update(func() {
 		p.open = append(p.open, c)
-		p.failure = nil
+		p.dialErr = nil
 	})
 }
 
@@ -98,11 +100,12 @@
 	})
 }
 
-func (p *pool) finish(c *connection) {
+func (p *pool) closeWhenIdle(c *connection) {
 	defer p.metrics.connections.Dec()
-	c.finish(p.closing)
+	c.closeWhenIdle(p.clientCtx)
 }
 
+// update applies a change to open or dialErr and wakes up the waiting calls.
 func (p *pool) update(change func()) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -111,34 +114,35 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *pool) sleep(pause time.Duration) {
-	timer := time.NewTimer(pause)
+// sleep blocks for the given duration or until the pool is removed.
+func (p *pool) sleep(duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-p.serving.Done():
+	case <-p.ctx.Done():
 	}
 }
 
-// pick returns the open connection with the fewest calls, claimed for one more, which has
-// to release it. While the first dials are under way it waits, at most Config.ConnectWait.
-func (p *pool) pick(ctx context.Context) (*connection, error) {
-	if c, _, _ := p.look(); c != nil {
+// acquire returns the open connection with the fewest active calls. The caller must release it. If
+// no connection is usable and no dial has failed, acquire waits for at most Config.ConnectWait.
+func (p *pool) acquire(ctx context.Context) (*connection, error) {
+	if c, _, _ := p.tryAcquire(); c != nil {
 		return c, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.config.ConnectWait)
 	defer cancel()
 	for {
-		c, changed, failure := p.look()
+		c, changed, dialErr := p.tryAcquire()
 		switch {
 		case c != nil:
 			return c, nil
-		case failure != nil:
-			return nil, fmt.Errorf("%w: %w", ErrNoConnection, failure)
+		case dialErr != nil:
+			return nil, fmt.Errorf("%w: %w", ErrNoConnection, dialErr)
 		}
 		select {
 		case <-changed:
-		case <-p.serving.Done():
+		case <-p.ctx.Done():
 			return nil, ErrClosed
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w: %w", ErrNoConnection, ctx.Err())
@@ -146,9 +150,10 @@
 	}
 }
 
-// look claims the open connection with the fewest calls; nil if none is usable. It holds
-// the mutex, so that a connection which was removed is claimed by nobody.
-func (p *pool) look() (best *connection, changed <-chan struct{}, failure error) {
+// tryAcquire acquires the usable connection with the fewest active calls, or returns nil if there
+// is none. It holds the mutex during the search and the acquisition, so that no call can acquire a
+// connection that was removed from the pool.
+func (p *pool) tryAcquire() (best *connection, changed <-chan struct{}, dialErr error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	fewest := int64(0)
@@ -156,12 +161,12 @@
 		if !c.usable() {
 			continue
 		}
-		if claims := c.claims.Load(); best == nil || claims < fewest {
-			best, fewest = c, claims
+		if calls := c.activeCalls.Load(); best == nil || calls < fewest {
+			best, fewest = c, calls
 		}
 	}
 	if best != nil {
-		best.claim()
+		best.acquire()
 	}
-	return best, p.changed, p.failure
+	return best, p.changed, p.dialErr
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -16,7 +16,7 @@
 
 var timePattern = regexp.MustCompile(`time"?[=:]"?[^ ",]+"?`)
 
-func TestLogLinesAreGolden(t *testing.T) {
+func TestLogLineFormat(t *testing.T) {
 	failure := oops.With("peer", "127.0.0.1:7001", "step", "store.txn", "other", 1).Wrap(errors.New("timeout"))
 	for _, format := range []telemetry.Format{telemetry.FormatText, telemetry.FormatJSON} {
 		var lines bytes.Buffer
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestMetricsListNamesEveryMetric(t *testing.T) {
+func TestMetricsListsEveryRegisteredMetric(t *testing.T) {
 	registry := telemetry.NewRegistry("test")
 	counter := prometheus.CounterOpts{Name: "micaplank_a_calls_total", Help: "Calls, by \"result\" | step."}
 	registry.MustRegister(
@@ -51,20 +51,20 @@
 	goldie.New(t).Assert(t, "metrics", table.Bytes())
 	all, err := registry.Metrics("")
 	if err != nil || len(all) <= len(metrics) {
-		t.Fatalf("the runtime's metrics are missing: %d, %v", len(all), err)
+		t.Fatalf("got %d metrics and error %v, want more than the %d of this module", len(all), err, len(metrics))
 	}
 	if err := registry.Register(prometheus.NewCounterVec(counter, []string{"step", "result"})); err == nil {
-		t.Fatal("a second metric of the same name was taken")
+		t.Fatal("registered a second metric of the same name, want an error")
 	}
 }
 
 func BenchmarkLogger(b *testing.B) {
-	logger := telemetry.NewLogger(discard{}, telemetry.LogConfig{}, "node-a1")
+	logger := telemetry.NewLogger(discardWriter{}, telemetry.LogConfig{}, "node-a1")
 	for b.Loop() {
 		logger.Info("catalog installed", slog.Int("revision", 17), slog.String("peer", "127.0.0.1:7301"))
 	}
 }
 
-type discard struct{}
+type discardWriter struct{}
 
-func (discard) Write(line []byte) (int, error) { return len(line), nil }
+func (discardWriter) Write(line []byte) (int, error) { return len(line), nil }
