--- a/internal/selfhosted/membership/measure_test.go
+++ b/internal/selfhosted/membership/benchmark_test.go
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// These benchmarks report virtual times and encoded bytes rather than the time
-// they take; run them with -benchtime 1x.
+// The benchmarks report virtual times and encoded bytes instead of elapsed time. Run them with
+// -benchtime 1x.
 
-var measuredSizes = []int{10, 100, 400}
+var benchmarkSizes = []int{10, 100, 400}
 
-func formed(b *testing.B, size int, seed uint64) *cluster {
+func newFormedCluster(b *testing.B, size int, seed uint64) *simulatedCluster {
 	b.Helper()
-	c := newCluster(DefaultConfig(), size, 4, seed)
-	c.encode = true
+	c := newSimulatedCluster(DefaultConfig(), size, 4, seed)
+	c.encodePackets = true
 	if _, ok := c.converge(2 * time.Minute); !ok {
-		b.Fatal("the cluster does not form")
+		b.Fatal("views do not agree after 2m0s")
 	}
 	c.run(30 * time.Second)
 	return c
 }
 
-// BenchmarkTraffic measures the bytes that a node sends at rest.
-func BenchmarkTraffic(b *testing.B) {
-	for _, size := range measuredSizes {
+// BenchmarkIdleTraffic reports the bytes that a node sends while nothing changes.
+func BenchmarkIdleTraffic(b *testing.B) {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				c := formed(b, size, 1)
+				c := newFormedCluster(b, size, 1)
 				const seconds = 60
-				before := c.bytes
+				before := c.sentBytes
 				c.run(seconds * time.Second)
-				b.ReportMetric(float64(c.bytes-before)/seconds/float64(size), "bytes/s/node")
+				b.ReportMetric(float64(c.sentBytes-before)/seconds/float64(size), "bytes/s/node")
 			}
 		})
 	}
 }
 
-// BenchmarkDetection crashes single nodes and measures when the first view and
-// when all views hold them for suspect and for gone.
-func BenchmarkDetection(b *testing.B) {
-	for _, size := range measuredSizes {
+// BenchmarkFailureDetection crashes single nodes. It reports the time until the first view suspects
+// the node, until all views suspect it, and until all views declare it gone.
+func BenchmarkFailureDetection(b *testing.B) {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				measureDetection(b, size)
+				benchmarkFailureDetection(b, size)
 			}
 		})
 	}
 }
 
-func measureDetection(b *testing.B, size int) {
+func benchmarkFailureDetection(b *testing.B, size int) {
 	const crashes = 20
 	var suspectedFirst, suspectedByAll, goneByAll []time.Duration
-	c := formed(b, size, 2)
+	c := newFormedCluster(b, size, 2)
 	for i := range crashes {
 		victim := c.nodes[(i*7)%size]
-		if victim.dead {
+		if victim.crashed {
 			continue
 		}
-		begun := c.now
-		suspected := make(map[*simulated]bool)
+		crashedAt := c.now
+		suspected := make(map[*simulatedNode]bool)
 		var first, all, gone time.Duration
-		c.onEvent = func(observer *simulated, event Event) {
+		c.onEvent = func(observer *simulatedNode, event Event) {
 			if event.Kind != EventChanged || event.Member.Name != victim.core.Self().Name {
 				return
 			}
 			if len(suspected) == 0 {
-				first = c.now - begun
+				first = c.now - crashedAt
 			}
 			if !suspected[observer] {
 				suspected[observer] = true
-				all = c.now - begun
+				all = c.now - crashedAt
 			}
 			if event.Member.State == StateGone {
-				gone = c.now - begun
+				gone = c.now - crashedAt
 			}
 		}
-		victim.dead = true
+		victim.crashed = true
 		c.run(60 * time.Second)
 		suspectedFirst = append(suspectedFirst, first)
 		suspectedByAll = append(suspectedByAll, all)
@@ -96,24 +96,23 @@
 	report(goneByAll, "all-gone")
 }
 
-// BenchmarkLoss counts suspicions and deaths of live members while a fifth of
-// all packets is lost.
-func BenchmarkLoss(b *testing.B) {
-	for _, size := range measuredSizes {
+// BenchmarkPacketLoss counts false suspicions and live members declared gone at 20 % packet loss.
+func BenchmarkPacketLoss(b *testing.B) {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			for b.Loop() {
-				c := formed(b, size, 3)
-				deaths := watchFalseDeaths(c)
-				before, bytes := totals(c), c.bytes
-				c.loss = 0.2
+				c := newFormedCluster(b, size, 3)
+				falsePositives := trackFalsePositives(c)
+				before, bytes := sumStatistics(c), c.sentBytes
+				c.lossRate = 0.2
 				const minutes = 10
 				c.run(minutes * time.Minute)
-				sum := totals(c)
+				sum := sumStatistics(c)
 				hours := float64(size) * minutes / 60
 				b.ReportMetric(float64(sum.SuspicionsRaised-before.SuspicionsRaised)/hours, "false-suspicions/node-hour")
 				b.ReportMetric(float64(sum.ProbesFailed-before.ProbesFailed)/float64(sum.Probes-before.Probes), "failed-probes/probe")
-				b.ReportMetric(float64(deaths.count), "false-deaths")
-				b.ReportMetric(float64(c.bytes-bytes)/minutes/60/float64(size), "bytes/s/node")
+				b.ReportMetric(float64(falsePositives.count), "false-deaths")
+				b.ReportMetric(float64(c.sentBytes-bytes)/minutes/60/float64(size), "bytes/s/node")
 			}
 		})
 	}
--- a/internal/selfhosted/membership/leave.go
+++ b/internal/selfhosted/membership/leave.go
@@ -1,41 +1,44 @@
 package membership
 
-// Leave announces a planned stop. The node goes on answering.
+// Leave announces a planned stop. The node continues to answer packets.
 func (c *Core) Leave() {
 	if c.self.State == StateAlive {
-		c.announce(StateLeaving)
+		c.announceState(StateLeaving)
 	}
 }
 
-// Depart declares this node gone. It sends that at once to a few members and
-// is silent from then on.
+// Depart declares this node gone and sends that update to a few members at once. The core sends and
+// accepts no packets from then on.
 func (c *Core) Depart() {
-	if c.silent() {
+	if c.inactive() {
 		return
 	}
-	c.announce(StateGone)
-	c.notify()
+	c.announceState(StateGone)
+	c.sendFinalUpdate()
 	c.departed = true
 }
 
-// departureNotices is how many members a node that ends notifies itself.
-// Not measured: chosen because each of them passes the news on.
-const departureNotices = 6
+// finalUpdateTargets is the number of members to which a node sends its final update. Each of them
+// passes the update on.
+const finalUpdateTargets = 6
 
-// notify sends the last update of this node to a few members.
-func (c *Core) notify() {
-	for i := range min(departureNotices, len(c.view.live)) {
+// sendFinalUpdate sends the queued updates, including the final update of this node, to a few
+// members.
+func (c *Core) sendFinalUpdate() {
+	for i := range min(finalUpdateTargets, len(c.view.live)) {
 		if p := c.gossipTarget(i); p != nil {
-			c.sendTo(p, Packet{Kind: PacketGossip})
+			c.sendToPeer(p, Packet{Kind: PacketGossip})
 		}
 	}
 }
 
-// announce changes this node's own record and spreads it.
-func (c *Core) announce(state State) {
+// announceState changes the state of this node and queues its record. It raises the refutation
+// counter, so that the new record replaces older ones.
+func (c *Core) announceState(state State) {
 	c.self.Refutation++
 	c.self.State = state
 	c.broadcasts.add(fullUpdate(c.self))
 }
 
-func (c *Core) silent() bool { return c.superseded || c.departed }
+// inactive reports whether the core has stopped taking part in the protocol.
+func (c *Core) inactive() bool { return c.superseded || c.departed }
--- a/internal/selfhosted/membership/view.go
+++ b/internal/selfhosted/membership/view.go
@@ -7,58 +7,60 @@
 	"time"
 )
 
-// peer is a member other than this node, with what is kept about it.
+// peer is a member other than this node, with its local state.
 type peer struct {
 	Member
-	// fingerprint is the share of this member in its bucket of the digest.
+	// fingerprint is the value that this member contributes to its bucket of the digest.
 	fingerprint uint32
 	bucket      int
 	suspicion   *suspicion
 	goneAt      time.Duration
-	// liveIndex and zoneIndex are the places in view.live and zone.live; they
-	// mean nothing while the member is gone.
+	// liveIndex and zoneIndex are the indexes in view.live and zone.live. They are undefined while
+	// the member is gone.
 	liveIndex int
 	zoneIndex int
 }
 
 func (p *peer) gone() bool { return p.State == StateGone }
 
-// zone counts the members of one zone, this node included.
+// zone holds the members of one zone other than this node, and the state of its hold.
 type zone struct {
 	name     string
 	live     []*peer
 	suspects int
-	// held is set while the zone is held, since heldSince; spent is set once
-	// the hold has lasted its time and the zone has not answered since.
-	held      bool
-	spent     bool
-	heldSince time.Duration
-	// heardAt is when this node last received a packet from the zone.
-	heardAt time.Duration
+	// held is set during a hold, which started at heldSince. holdExpired is set once a hold has
+	// lasted Config.ZoneHold, until a packet from the zone arrives; it prevents another hold.
+	held        bool
+	holdExpired bool
+	heldSince   time.Duration
+	// lastPacketAt is when this node last received a packet from the zone.
+	lastPacketAt time.Duration
 }
 
-// view indexes the known members other than this node. It holds no map that
-// is iterated over, so that a seeded run repeats.
+// view indexes the members other than this node. It never iterates over a map, so that runs with
+// the same seed are identical.
 type view struct {
 	byName map[string]*peer
 	live   []*peer
-	// ordered is live in the order of names, and version counts its changes.
+	// ordered holds the same peers as live in order of their names. version counts the changes of
+	// the view.
 	ordered []*peer
 	version uint64
 	zones   []*zone
-	// regions are the names of the regions met.
+	// regions holds the interned names of regions.
 	regions []string
-	// gone is ordered by goneAt.
+	// gone holds the members that are gone, in order of goneAt.
 	gone []*peer
-	// suspects lists the members with a running suspicion.
+	// suspects holds the members that are suspected.
 	suspects []*peer
 	digest   digest
 }
 
 func newView() view { return view{byName: make(map[string]*peer)} }
 
-// zone returns the zone of that name, made if new. Zones are few.
-func (v *view) zone(name string) *zone {
+// ensureZone returns the zone with a name and creates it if necessary. The linear insertion is
+// cheap because zones are few.
+func (v *view) ensureZone(name string) *zone {
 	index, found := slices.BinarySearchFunc(v.zones, name, func(z *zone, name string) int {
 		return strings.Compare(z.name, name)
 	})
@@ -68,8 +70,9 @@
 	return v.zones[index]
 }
 
-// region returns the stored text that is equal to name. Regions are few.
-func (v *view) region(name string) string {
+// internRegion returns the stored string equal to name, so that members share it. The linear search
+// is cheap because regions are few.
+func (v *view) internRegion(name string) string {
 	index := slices.Index(v.regions, name)
 	if index < 0 {
 		v.regions = append(v.regions, name)
@@ -78,26 +81,25 @@
 	return v.regions[index]
 }
 
-// set stores a new record of a member, in place of the old one, and keeps the
-// indexes.
-func (v *view) set(now time.Duration, record Member) *peer {
+// put stores a record, replaces an earlier one of the same member, and updates the indexes.
+func (v *view) put(now time.Duration, record Member) *peer {
 	v.version++
 	p := v.byName[record.Name]
 	if p == nil {
-		p = &peer{bucket: bucketOf(record.Name, digestBuckets)}
+		p = &peer{bucket: nameBucket(record.Name, maximumBuckets)}
 		v.byName[record.Name] = p
 	} else {
-		v.unlink(p)
+		v.removeFromIndexes(p)
 	}
-	// Members share the texts of their zone and region.
-	record.Zone = v.zone(record.Zone).name
-	record.Region = v.region(record.Region)
+	// Members of a zone or region share one string for its name.
+	record.Zone = v.ensureZone(record.Zone).name
+	record.Region = v.internRegion(record.Region)
 	p.Member = record
-	v.link(now, p)
+	v.addToIndexes(now, p)
 	return p
 }
 
-func (v *view) link(now time.Duration, p *peer) {
+func (v *view) addToIndexes(now time.Duration, p *peer) {
 	if p.gone() {
 		p.goneAt = now
 		v.gone = append(v.gone, p)
@@ -107,8 +109,8 @@
 	v.digest[p.bucket] ^= p.fingerprint
 	p.liveIndex = len(v.live)
 	v.live = append(v.live, p)
-	v.ordered = slices.Insert(v.ordered, v.orderOf(p.Name), p)
-	z := v.zone(p.Zone)
+	v.ordered = slices.Insert(v.ordered, v.orderedIndex(p.Name), p)
+	z := v.ensureZone(p.Zone)
 	p.zoneIndex = len(z.live)
 	z.live = append(z.live, p)
 	if p.State == StateSuspect {
@@ -117,7 +119,7 @@
 	}
 }
 
-func (v *view) unlink(p *peer) {
+func (v *view) removeFromIndexes(p *peer) {
 	if p.gone() {
 		v.gone = slices.DeleteFunc(v.gone, func(other *peer) bool { return other == p })
 		return
@@ -126,9 +128,9 @@
 	last := v.live[len(v.live)-1]
 	v.live[p.liveIndex], last.liveIndex = last, p.liveIndex
 	v.live = v.live[:len(v.live)-1]
-	place := v.orderOf(p.Name)
-	v.ordered = slices.Delete(v.ordered, place, place+1)
-	z := v.zone(p.Zone)
+	index := v.orderedIndex(p.Name)
+	v.ordered = slices.Delete(v.ordered, index, index+1)
+	z := v.ensureZone(p.Zone)
 	lastOfZone := z.live[len(z.live)-1]
 	z.live[p.zoneIndex], lastOfZone.zoneIndex = lastOfZone, p.zoneIndex
 	z.live = z.live[:len(z.live)-1]
@@ -138,23 +140,23 @@
 	}
 }
 
-// orderOf returns the place of a name in ordered.
-func (v *view) orderOf(name string) int {
-	place, _ := slices.BinarySearchFunc(v.ordered, name, func(p *peer, name string) int {
+// orderedIndex returns the index of a name in ordered.
+func (v *view) orderedIndex(name string) int {
+	index, _ := slices.BinarySearchFunc(v.ordered, name, func(p *peer, name string) int {
 		return strings.Compare(p.Name, name)
 	})
-	return place
+	return index
 }
 
-// forget drops a member that is gone.
+// forget removes a member that is gone.
 func (v *view) forget(p *peer) {
-	v.unlink(p)
+	v.removeFromIndexes(p)
 	delete(v.byName, p.Name)
 }
 
-// pick returns a random element of peers that is acceptable, or nil if none
-// was found in a few attempts.
-func pick(random *rand.Rand, peers []*peer, acceptable func(*peer) bool) *peer {
+// pickRandom returns a random element of peers that is acceptable, or nil if eight attempts found
+// none.
+func pickRandom(random *rand.Rand, peers []*peer, acceptable func(*peer) bool) *peer {
 	if len(peers) == 0 {
 		return nil
 	}
