--- /dev/null
+++ b/internal/selfhosted/query/at_most_once.go
@@ -0,0 +1,161 @@
+package query
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/oklog/ulid/v2"
+
+	"github.com/micaplank/micaplank/internal/catalog"
+	"github.com/micaplank/micaplank/internal/decide/dispatch"
+	"github.com/micaplank/micaplank/internal/decide/once"
+	"github.com/micaplank/micaplank/internal/selfhosted/api"
+)
+
+// retryInProgress is when a caller may ask again for the outcome of a request
+// that is still running.
+const inProgressRetryAfter = 100 * time.Millisecond
+
+// queryOnce runs a query that must not run twice: at the owner of its id.
+func (r *Runner) routeToOwner(ctx context.Context, plan *queryPlan) (*api.QueryResponse, error) {
+	id, err := plan.parseRequestID()
+	if err != nil {
+		return nil, err
+	}
+	current := r.config.Catalogs.Current()
+	owner := once.Owner(current.VoterNames(), id)
+	switch owner {
+	case "":
+		return nil, r.newUnavailableProblem(plan.request, "No voters are configured.")
+	case r.config.Self:
+		return r.runAsOwner(ctx, plan, id, current)
+	}
+	return r.forwardToOwner(ctx, plan, owner)
+}
+
+func (p *queryPlan) parseRequestID() (ulid.ULID, error) {
+	id, err := ulid.ParseStrict(p.request.RequestID)
+	if err != nil {
+		return id, p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("Class %s runs a request at most once: request_id must be a ULID (%v).", p.class.Name, err))
+	}
+	return id, nil
+}
+
+// forward asks the owner, once. If its answer is lost, the query may have run,
+// and that is what the caller receives.
+func (r *Runner) forwardToOwner(ctx context.Context, plan *queryPlan, owner string) (*api.QueryResponse, error) {
+	forwardCtx, cancel := context.WithTimeout(ctx, plan.timeout)
+	defer cancel()
+	response, err := r.config.Forwarder.Forward(forwardCtx, owner, Forward{
+		Service:   plan.service.Name,
+		Request:   plan.request,
+		Remaining: plan.timeout,
+	})
+	if err == nil {
+		return response, nil
+	}
+	var problem *api.Problem
+	if errors.As(err, &problem) {
+		return nil, problem
+	}
+	var forwardErr *ForwardError
+	if errors.As(err, &forwardErr) && !forwardErr.Sent {
+		return nil, r.newUnavailableProblem(plan.request, fmt.Sprintf("The owner of this request id, %s, cannot be reached.", owner))
+	}
+	unknownOutcome := plan.newProblem(api.ProblemOutcomeUnknown, err.Error())
+	unknownOutcome.Outcome = dispatch.OutcomeUnknown
+	unknownOutcome.Reason = dispatch.ReasonLost
+	return nil, unknownOutcome
+}
+
+// Own runs a query that another node forwarded because this node owns its id.
+// Errors are *api.Problem values.
+func (r *Runner) Own(ctx context.Context, forward Forward) (*api.QueryResponse, error) {
+	if !r.config.Catalogs.Fresh() {
+		return nil, r.newUnavailableProblem(forward.Request, "The owner of this request id cannot show that its catalog is current.")
+	}
+	current := r.config.Catalogs.Current()
+	plan, err := newPlan(r.statementCache, current, forward.Service, forward.Request)
+	if err != nil {
+		return nil, err
+	}
+	plan.timeout = min(plan.timeout, forward.Remaining)
+	id, err := plan.parseRequestID()
+	if err != nil {
+		return nil, err
+	}
+	if plan.class.Repeatable || once.Owner(current.VoterNames(), id) != r.config.Self {
+		return nil, r.newUnavailableProblem(forward.Request, "The nodes do not agree yet on the owner of this request id.")
+	}
+	return r.runAsOwner(ctx, plan, id, current)
+}
+
+// own decides about an id that this node owns by a catalog. The query goes on when the
+// caller disconnects, so that a later submission learns its outcome.
+func (r *Runner) runAsOwner(ctx context.Context, plan *queryPlan, id ulid.ULID, current *catalog.Catalog) (*api.QueryResponse, error) {
+	decision := r.config.Ledger.begin(id, current.VotersRevision)
+	// The decision counts only if the node was still fresh and in touch with
+	// the voters after it was made, and its ownership lasted until then.
+	fresh := r.config.Acknowledged() && r.config.Catalogs.Fresh() && r.config.Ledger.isStillOwned(decision)
+	switch decision.Kind {
+	case once.Replay:
+		return decision.Outcome.response, decision.Outcome.err()
+	case once.InProgress:
+		return nil, plan.newInProgressProblem()
+	case once.Refuse:
+		return nil, r.refuseRequestID(plan, decision, fresh)
+	}
+	if !fresh {
+		r.config.Ledger.release(id)
+		return nil, r.newUnavailableProblem(plan.request, "The owner of this request id cannot show that its catalog is current.")
+	}
+	return r.runAndRecord(context.WithoutCancel(ctx), plan, id)
+}
+
+// runOnce runs a query that the ledger let through, and records its fate.
+func (r *Runner) runAndRecord(ctx context.Context, plan *queryPlan, id ulid.ULID) (*api.QueryResponse, error) {
+	response, err := r.scatterQuery(ctx, plan)
+	var problem *api.Problem
+	if errors.As(err, &problem) && problem.Outcome == dispatch.OutcomeNotRun {
+		r.config.Ledger.release(id)
+		return nil, err
+	}
+	r.config.Ledger.finish(id, storedResult{response: response, problem: problem})
+	return response, err
+}
+
+func (p *queryPlan) newInProgressProblem() *api.Problem {
+	problem := p.newProblem(api.ProblemOutcomeUnknown, "A request with this id is running.")
+	problem.Outcome = dispatch.OutcomeUnknown
+	problem.RetryAfterMilliseconds = inProgressRetryAfter.Milliseconds()
+	return problem
+}
+
+// refusalTexts says in words why an id is refused.
+var refusalDescriptions = map[once.Reason]string{
+	once.ReasonFenced:    "its owner has changed, and the one before may have run it",
+	once.ReasonTooOld:    "it is older than the ids that are remembered",
+	once.ReasonFuture:    "the time in it is ahead of the clock of its owner",
+	once.ReasonFull:      "no more ids can be remembered now",
+	once.ReasonSuspended: "the voters or their processes have changed, and its owner is not certain yet",
+}
+
+// refuseOnce returns the problem for a refused id. "Not run" is said only if no
+// earlier submission of the id can have run.
+func (r *Runner) refuseRequestID(plan *queryPlan, decision once.Decision[storedResult], fresh bool) *api.Problem {
+	detail := fmt.Sprintf("The request id was refused (%s): %s.", decision.Reason, refusalDescriptions[decision.Reason])
+	if decision.MayHaveRun || !fresh {
+		problem := r.newUnavailableProblem(plan.request, detail)
+		problem.RetryAfterMilliseconds = max(problem.RetryAfterMilliseconds, roundUpMilliseconds(decision.RetryAfter))
+		return problem
+	}
+	problem := plan.newProblem(api.ProblemNotRunOverload, detail)
+	if decision.Reason != once.ReasonFull {
+		problem = plan.newProblem(api.ProblemInvalidRequest, detail)
+	}
+	problem.Outcome = dispatch.OutcomeNotRun
+	problem.RetryAfterMilliseconds = roundUpMilliseconds(decision.RetryAfter)
+	return problem
+}
--- a/internal/selfhosted/query/once_test.go
+++ b/internal/selfhosted/query/at_most_once_test.go
@@ -14,9 +14,9 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-func TestOnceRunsAndIsReplayed(t *testing.T) {
-	f := settled(t)
-	request := f.filing()
+func TestAtMostOnceRequestIsReplayed(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsert()
 	first, err := f.runner.Query(context.Background(), "rate-desk", request)
 	if err != nil {
 		t.Fatal(err)
@@ -30,14 +30,14 @@
 
 // TestProblemIsReplayed keeps the fate of a request that may have run.
 func TestProblemIsReplayed(t *testing.T) {
-	f := settled(t)
-	request := f.filing()
-	answered := f.scatterer.result
+	f := newFixturePastFence(t)
+	request := f.newInsert()
+	successResult := f.scatterer.result
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonLost}}
 	for range 2 {
 		_, err := f.runner.Query(context.Background(), "rate-desk", request)
 		requireProblem(t, "lost", err, api.ProblemOutcomeUnknown)
-		f.scatterer.result = answered
+		f.scatterer.result = successResult
 	}
 	if f.scatterer.calls != 1 {
 		t.Errorf("it ran %d times", f.scatterer.calls)
@@ -45,24 +45,24 @@
 }
 
 // TestNotRunMayBeSubmittedAgain forgets an id that ran nowhere.
-func TestNotRunMayBeSubmittedAgain(t *testing.T) {
-	f := settled(t)
-	request := f.filing()
-	answered := f.scatterer.result
+func TestNotRunRequestCanBeResubmitted(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsert()
+	successResult := f.scatterer.result
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: dispatch.ReasonOverload}}
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "overload", err, api.ProblemNotRunOverload)
-	f.scatterer.result = answered
+	f.scatterer.result = successResult
 	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil {
 		t.Errorf("the second submission: %v", err)
 	}
 }
 
-func TestInProgressIsToldAndDoesNotRunTwice(t *testing.T) {
-	f := settled(t)
-	request := f.filing()
-	f.scatterer.during = func(context.Context) {
-		f.scatterer.during = nil
+func TestInProgressRequestDoesNotRunTwice(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsert()
+	f.scatterer.onExecute = func(context.Context) {
+		f.scatterer.onExecute = nil
 		_, err := f.runner.Query(context.Background(), "rate-desk", request)
 		problem := requireProblem(t, "in progress", err, api.ProblemOutcomeUnknown)
 		if problem.RetryAfterMilliseconds == 0 || !strings.Contains(problem.Detail, "running") {
@@ -75,28 +75,28 @@
 }
 
 // TestCallerThatGoesAwayDoesNotEndTheRun lets a later submission learn it.
-func TestCallerThatGoesAwayDoesNotEndTheRun(t *testing.T) {
-	f := settled(t)
+func TestCallerDisconnectDoesNotCancelQuery(t *testing.T) {
+	f := newFixturePastFence(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	f.scatterer.during = func(running context.Context) {
+	f.scatterer.onExecute = func(running context.Context) {
 		cancel()
 		if running.Err() != nil {
 			t.Error("the run was cancelled")
 		}
 	}
-	if _, err := f.runner.Query(ctx, "rate-desk", f.filing()); err != nil {
+	if _, err := f.runner.Query(ctx, "rate-desk", f.newInsert()); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestOtherNodesIdsAreForwarded(t *testing.T) {
-	f := settled(t)
-	request := f.filingOf("node-b1")
+func TestRequestIsForwardedToOwner(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsertFor("node-b1")
 	request.DeadlineMilliseconds = 700
-	f.forwarder.answer = &api.QueryResponse{RequestID: request.RequestID}
-	answer, err := f.runner.Query(context.Background(), "rate-desk", request)
-	if err != nil || answer != f.forwarder.answer || f.forwarder.node != "node-b1" || f.forwarder.sent.Remaining != 700*time.Millisecond {
-		t.Errorf("got %v, %v by %+v", answer, err, f.forwarder)
+	f.forwarder.response = &api.QueryResponse{RequestID: request.RequestID}
+	response, err := f.runner.Query(context.Background(), "rate-desk", request)
+	if err != nil || response != f.forwarder.response || f.forwarder.lastNode != "node-b1" || f.forwarder.lastForward.Remaining != 700*time.Millisecond {
+		t.Errorf("got %v, %v by %+v", response, err, f.forwarder)
 	}
 	if f.scatterer.calls != 0 {
 		t.Error("it ran here")
@@ -105,7 +105,7 @@
 
 // TestFatesOfAForward never says "not run" of what the owner may have run, nor
 // of an id that may have been submitted before.
-func TestFatesOfAForward(t *testing.T) {
+func TestForwardErrorsMapToProblems(t *testing.T) {
 	notRun := api.NewProblem(api.ProblemNotRunOverload, "busy")
 	cases := []struct {
 		name string
@@ -118,9 +118,9 @@
 		{"problem of the owner", notRun, api.ProblemNotRunOverload},
 	}
 	for _, test := range cases {
-		f := settled(t)
+		f := newFixturePastFence(t)
 		f.forwarder.err = test.err
-		_, err := f.runner.Query(context.Background(), "rate-desk", f.filingOf("node-b1"))
+		_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsertFor("node-b1"))
 		problem := requireProblem(t, test.name, err, test.want)
 		if problem != notRun && problem.Outcome == dispatch.OutcomeNotRun {
 			t.Errorf("%s: said to be not run", test.name)
@@ -132,19 +132,19 @@
 }
 
 // TestOwnChecksAgain refuses what a node with another view forwarded.
-func TestOwnChecksAgain(t *testing.T) {
+func TestOwnRejectsInvalidForwards(t *testing.T) {
 	forward := func(f *fixture, owner string) Forward {
-		return Forward{Service: "rate-desk", Request: f.filingOf(owner), Remaining: time.Second}
+		return Forward{Service: "rate-desk", Request: f.newInsertFor(owner), Remaining: time.Second}
 	}
-	f := settled(t)
+	f := newFixturePastFence(t)
 	_, err := f.runner.Own(context.Background(), forward(f, "node-b1"))
 	requireProblem(t, "not the owner", err, api.ProblemUnavailable)
 	repeatable := forward(f, "node-a1")
-	repeatable.Request.Class, repeatable.Request.Statement = "sweep", broadSelect
+	repeatable.Request.Class, repeatable.Request.Statement = "sweep", fullScan
 	_, err = f.runner.Own(context.Background(), repeatable)
 	requireProblem(t, "repeatable here", err, api.ProblemUnavailable)
-	if _, err := f.runner.Own(context.Background(), forward(f, "node-a1")); err != nil || f.scatterer.last.Timeout != time.Second {
-		t.Errorf("own id: %v, with %s left", err, f.scatterer.last.Timeout)
+	if _, err := f.runner.Own(context.Background(), forward(f, "node-a1")); err != nil || f.scatterer.lastRequest.Timeout != time.Second {
+		t.Errorf("own id: %v, with %s left", err, f.scatterer.lastRequest.Timeout)
 	}
 	f.catalogs.fresh = false
 	_, err = f.runner.Own(context.Background(), forward(f, "node-a1"))
@@ -155,10 +155,10 @@
 }
 
 // TestStaleAfterTheDecision gives the id back: the decision does not count.
-func TestStaleAfterTheDecision(t *testing.T) {
-	f := settled(t)
-	request := f.filing()
-	f.catalogs.staleAfter = 2 // fresh when it arrives, stale after the decision
+func TestStaleCatalogAfterDecisionReleasesID(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsert()
+	f.catalogs.staleAtCall = 2 // fresh when it arrives, stale after the decision
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "stale", err, api.ProblemUnavailable)
 	f.catalogs.fresh = true
@@ -169,32 +169,32 @@
 
 // TestOwnerThatIsCutOffFromTheVoters is fresh, by reading the store. Another
 // process may have its slot and run the same id.
-func TestOwnerThatIsCutOffFromTheVoters(t *testing.T) {
-	f := settled(t)
-	request := f.filing()
-	f.cutOff = true
+func TestOwnerWithoutVoterMajorityRefuses(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsert()
+	f.withoutMajority = true
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "cut off", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
 	}
-	f.cutOff = false
+	f.withoutMajority = false
 	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil {
 		t.Errorf("back in touch: %v", err)
 	}
 }
 
-func TestNoVoters(t *testing.T) {
+func TestNoVotersIsUnavailable(t *testing.T) {
 	f := newFixture(t)
-	request := f.filing()
+	request := f.newInsert()
 	f.catalogs.current.Voters = nil
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "no voters", err, api.ProblemUnavailable)
 }
 
-func TestEveryReasonIsPutInWords(t *testing.T) {
+func TestEveryRefusalReasonIsDescribed(t *testing.T) {
 	for _, reason := range []once.Reason{once.ReasonFenced, once.ReasonTooOld, once.ReasonFuture, once.ReasonFull, once.ReasonSuspended} {
-		if refusalTexts[reason] == "" {
+		if refusalDescriptions[reason] == "" {
 			t.Errorf("no words for %s", reason)
 		}
 	}
--- a/internal/selfhosted/query/fixture_test.go
+++ b/internal/selfhosted/query/fixture_test.go
@@ -22,18 +22,18 @@
 
 const retryWhenStale = 500 * time.Millisecond
 
-type fakeCatalogs struct {
+type fakeCatalogSource struct {
 	current *catalog.Catalog
 	fresh   bool
 	// staleAfter makes the node stale after so many more looks; 0 never.
-	staleAfter int
+	staleAtCall int
 }
 
-func (f *fakeCatalogs) Current() *catalog.Catalog { return f.current }
+func (f *fakeCatalogSource) Current() *catalog.Catalog { return f.current }
 
-func (f *fakeCatalogs) Fresh() bool {
-	if f.staleAfter > 0 {
-		if f.staleAfter--; f.staleAfter == 0 {
+func (f *fakeCatalogSource) Fresh() bool {
+	if f.staleAtCall > 0 {
+		if f.staleAtCall--; f.staleAtCall == 0 {
 			f.fresh = false
 		}
 	}
@@ -41,44 +41,44 @@
 }
 
 type fakeScatterer struct {
-	mutex  sync.Mutex
-	calls  int
-	last   scatter.Request[string]
-	result scatter.Result[rows.Table]
+	mutex       sync.Mutex
+	calls       int
+	lastRequest scatter.Request[string]
+	result      scatter.Result[rows.Table]
 	// during runs while a query is scattered.
-	during func(ctx context.Context)
+	onExecute func(ctx context.Context)
 }
 
 func (f *fakeScatterer) Execute(ctx context.Context, request scatter.Request[string]) scatter.Result[rows.Table] {
 	f.mutex.Lock()
 	f.calls++
-	f.last = request
+	f.lastRequest = request
 	f.mutex.Unlock()
-	if f.during != nil {
-		f.during(ctx)
+	if f.onExecute != nil {
+		f.onExecute(ctx)
 	}
 	return f.result
 }
 
-type fakeScatterers struct {
+type fakeScattererRegistry struct {
 	scatterer *fakeScatterer
 	missing   bool
 }
 
-func (f *fakeScatterers) Scatterer(string) (Scatterer, bool) { return f.scatterer, !f.missing }
+func (f *fakeScattererRegistry) Scatterer(string) (Scatterer, bool) { return f.scatterer, !f.missing }
 
 type fakeForwarder struct {
-	calls  int
-	node   string
-	sent   Forward
-	answer *api.QueryResponse
-	err    error
+	calls       int
+	lastNode    string
+	lastForward Forward
+	response    *api.QueryResponse
+	err         error
 }
 
 func (f *fakeForwarder) Forward(_ context.Context, node string, forward Forward) (*api.QueryResponse, error) {
 	f.calls++
-	f.node, f.sent = node, forward
-	return f.answer, f.err
+	f.lastNode, f.lastForward = node, forward
+	return f.response, f.err
 }
 
 // manualClock stands still until it is moved.
@@ -88,49 +88,49 @@
 
 // fixture is a Runner of node-a1, one of the voters, with fake neighbours.
 type fixture struct {
-	t          *testing.T
-	runner     *Runner
-	catalogs   *fakeCatalogs
-	scatterer  *fakeScatterer
-	scatterers *fakeScatterers
-	forwarder  *fakeForwarder
-	ledger     *Ledger
-	clock      *manualClock
-	wall       time.Time
-	proved     bool
+	t               *testing.T
+	runner          *Runner
+	catalogs        *fakeCatalogSource
+	scatterer       *fakeScatterer
+	scatterers      *fakeScattererRegistry
+	forwarder       *fakeForwarder
+	ledger          *Ledger
+	clock           *manualClock
+	wall            time.Time
+	ownershipProved bool
 	// cutOff says that no other voter is heard from.
-	cutOff bool
-	minted uint64
+	withoutMajority bool
+	idCounter       uint64
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{
-		t:         t,
-		catalogs:  &fakeCatalogs{current: exampleCatalog(), fresh: true},
-		scatterer: &fakeScatterer{},
-		forwarder: &fakeForwarder{},
-		clock:     &manualClock{now: time.Minute},
-		wall:      time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
-		proved:    true,
+	fixture := &fixture{
+		t:               t,
+		catalogs:        &fakeCatalogSource{current: exampleCatalog(), fresh: true},
+		scatterer:       &fakeScatterer{},
+		forwarder:       &fakeForwarder{},
+		clock:           &manualClock{now: time.Minute},
+		wall:            time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
+		ownershipProved: true,
 	}
-	f.scatterers = &fakeScatterers{scatterer: f.scatterer}
-	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeAnswered, Total: 1, Answered: []dispatch.ShardAnswer{{Shard: 0, Attempt: 1}}}}
-	f.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"lane"}}}}
-	f.ledger = newLedger(once.DefaultConfig(), f.clock, func() time.Time { return f.wall }, func(time.Duration, uint64) bool { return f.proved })
-	f.runner = New(Config{
+	fixture.scatterers = &fakeScattererRegistry{scatterer: fixture.scatterer}
+	fixture.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeAnswered, Total: 1, Answered: []dispatch.ShardAnswer{{Shard: 0, Attempt: 1}}}}
+	fixture.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"lane"}}}}
+	fixture.ledger = newLedger(once.DefaultConfig(), fixture.clock, func() time.Time { return fixture.wall }, func(time.Duration, uint64) bool { return fixture.ownershipProved })
+	fixture.runner = New(Config{
 		Self:           "node-a1",
-		Catalogs:       f.catalogs,
-		Scatterers:     f.scatterers,
-		Forwarder:      f.forwarder,
-		Ledger:         f.ledger,
-		Acknowledged:   func() bool { return !f.cutOff },
-		Clock:          f.clock,
+		Catalogs:       fixture.catalogs,
+		Scatterers:     fixture.scatterers,
+		Forwarder:      fixture.forwarder,
+		Ledger:         fixture.ledger,
+		Acknowledged:   func() bool { return !fixture.withoutMajority },
+		Clock:          fixture.clock,
 		Metrics:        NewMetrics(prometheus.NewRegistry()),
 		RetryWhenStale: retryWhenStale,
 	})
-	f.runner.SetVoters(f.catalogs.current)
-	return f
+	fixture.runner.SetVoters(fixture.catalogs.current)
+	return fixture
 }
 
 func exampleCatalog() *catalog.Catalog {
@@ -145,12 +145,12 @@
 		"rate-desk": {Name: "rate-desk", Replicas: 2, KeyColumn: "quote", Partitions: partitions, Classes: classes},
 		"plain":     {Name: "plain", Replicas: 2, Partitions: partitions, Classes: classes},
 	}
-	current.Voters = voters("node-a1", "node-b1", "node-c1")
+	current.Voters = newVoters("node-a1", "node-b1", "node-c1")
 	current.VotersRevision = current.Revision
 	return current
 }
 
-func voters(names ...string) map[string]catalog.Voter {
+func newVoters(names ...string) map[string]catalog.Voter {
 	set := make(map[string]catalog.Voter, len(names))
 	for _, name := range names {
 		set[name] = catalog.Voter{Name: name, Zone: "a"}
@@ -159,45 +159,45 @@
 }
 
 // pass moves both clocks.
-func (f *fixture) pass(duration time.Duration) {
+func (f *fixture) advance(duration time.Duration) {
 	f.clock.now += duration
 	f.wall = f.wall.Add(duration)
 }
 
 // ownedBy returns an id, minted now, that the owner has among the present
 // voters.
-func (f *fixture) ownedBy(owner string) string {
+func (f *fixture) newRequestID(owner string) string {
 	for {
-		f.minted++
+		f.idCounter++
 		var id ulid.ULID
 		_ = id.SetTime(ulid.Timestamp(f.wall))
-		id[15], id[14] = byte(f.minted), byte(f.minted>>8)
+		id[15], id[14] = byte(f.idCounter), byte(f.idCounter>>8)
 		if once.Owner(f.catalogs.current.VoterNames(), id) == owner {
 			return id.String()
 		}
 	}
 }
 
-func (f *fixture) ownerOf(request api.QueryRequest) string {
+func (f *fixture) findOwner(request api.QueryRequest) string {
 	return once.Owner(f.catalogs.current.VoterNames(), ulid.MustParse(request.RequestID))
 }
 
 // filing returns an insert whose id this node owns.
-func (f *fixture) filing() api.QueryRequest { return f.filingOf("node-a1") }
+func (f *fixture) newInsert() api.QueryRequest { return f.newInsertFor("node-a1") }
 
-func (f *fixture) filingOf(owner string) api.QueryRequest {
+func (f *fixture) newInsertFor(owner string) api.QueryRequest {
 	return api.QueryRequest{
-		RequestID: f.ownedBy(owner), Class: "file",
+		RequestID: f.newRequestID(owner), Class: "file",
 		Statement: "insert into rate-desk (quote, lane) values ('Q-1', 'OTR-SPK')",
 	}
 }
 
 // settled returns a fixture whose ledger is past its fence.
-func settled(t *testing.T) *fixture {
+func newFixturePastFence(t *testing.T) *fixture {
 	f := newFixture(t)
-	f.pass(time.Second)
-	_, _ = f.runner.Query(context.Background(), "rate-desk", f.filing()) // proves the ownership
-	f.pass(time.Minute)
+	f.advance(time.Second)
+	_, _ = f.runner.Query(context.Background(), "rate-desk", f.newInsert()) // proves the ownership
+	f.advance(time.Minute)
 	f.scatterer.calls = 0
 	return f
 }
--- a/internal/selfhosted/query/ledger.go
+++ b/internal/selfhosted/query/ledger.go
@@ -16,12 +16,12 @@
 const expireInterval = time.Second
 
 // fate is what came of a request that ran at most once: exactly one is set.
-type fate struct {
-	answer  *api.QueryResponse
-	problem *api.Problem
+type storedResult struct {
+	response *api.QueryResponse
+	problem  *api.Problem
 }
 
-func (f fate) err() error {
+func (f storedResult) err() error {
 	if f.problem == nil {
 		return nil
 	}
@@ -39,22 +39,22 @@
 type Ledger struct {
 	clock clock.Clock
 	// wall reads the time of day.
-	wall   func() time.Time
-	proved OwnershipProof
+	wall              func() time.Time
+	isOwnershipProved OwnershipProof
 
 	mutex  sync.Mutex
-	ledger *once.Ledger[fate]
+	ledger *once.Ledger[storedResult]
 	// votersRevision is the revision of the newest change of the voting set
 	// that this node knows of.
 	votersRevision uint64
 	// pending is the change of the voting set that is not yet proved.
-	pending *ownership
+	pendingOwnership *ownership
 }
 
 // ownership is a voting set that this node has installed.
 type ownership struct {
-	installed time.Duration
-	revision  uint64
+	installedAt time.Duration
+	revision    uint64
 }
 
 // NewLedger returns a Ledger that lets nothing through until a voting set is
@@ -64,13 +64,13 @@
 }
 
 func newLedger(config once.Config, source clock.Clock, wall func() time.Time, proved OwnershipProof) *Ledger {
-	ledger := &Ledger{clock: source, wall: wall, proved: proved}
-	ledger.ledger = once.NewLedger[fate](config, ledger.reading())
+	ledger := &Ledger{clock: source, wall: wall, isOwnershipProved: proved}
+	ledger.ledger = once.NewLedger[storedResult](config, ledger.readClocks())
 	ledger.ledger.Suspend()
 	return ledger
 }
 
-func (l *Ledger) reading() once.Reading {
+func (l *Ledger) readClocks() once.Reading {
 	return once.Reading{Wall: l.wall(), Monotonic: l.clock.Now()}
 }
 
@@ -89,7 +89,7 @@
 	}
 	l.votersRevision = votersRevision
 	l.ledger.Suspend()
-	l.pending = &ownership{installed: l.clock.Now(), revision: votersRevision}
+	l.pendingOwnership = &ownership{installedAt: l.clock.Now(), revision: votersRevision}
 }
 
 // Run forgets old ids until ctx ends.
@@ -102,48 +102,48 @@
 			return
 		case <-ticker.C:
 			l.mutex.Lock()
-			l.settle()
-			l.ledger.Expire(l.reading())
+			l.completePendingOwnership()
+			l.ledger.Expire(l.readClocks())
 			l.mutex.Unlock()
 		}
 	}
 }
 
 // settle ends the suspension once the new ownership is proved.
-func (l *Ledger) settle() {
-	if l.pending == nil || !l.proved(l.pending.installed, l.pending.revision) {
+func (l *Ledger) completePendingOwnership() {
+	if l.pendingOwnership == nil || !l.isOwnershipProved(l.pendingOwnership.installedAt, l.pendingOwnership.revision) {
 		return
 	}
-	l.pending = nil
-	l.ledger.Reset(l.reading())
+	l.pendingOwnership = nil
+	l.ledger.Reset(l.readClocks())
 }
 
 // begin decides about an id that this node owns by the voting set of a
 // catalog, which is named by the revision of its newest change. It may be newer
 // than the one that SetVoters took last: it is installed first. If it is
 // older, the node may not be the owner any more, and the id is refused.
-func (l *Ledger) begin(id ulid.ULID, votersRevision uint64) once.Decision[fate] {
+func (l *Ledger) begin(id ulid.ULID, votersRevision uint64) once.Decision[storedResult] {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.setVoters(votersRevision)
 	if votersRevision < l.votersRevision {
-		return once.Decision[fate]{Kind: once.Refuse, Reason: once.ReasonSuspended, MayHaveRun: true}
+		return once.Decision[storedResult]{Kind: once.Refuse, Reason: once.ReasonSuspended, MayHaveRun: true}
 	}
-	l.settle()
-	return l.ledger.Begin(l.reading(), id)
+	l.completePendingOwnership()
+	return l.ledger.Begin(l.readClocks(), id)
 }
 
 // holds reports whether the ownership under which a decision was taken lasts.
-func (l *Ledger) holds(decision once.Decision[fate]) bool {
+func (l *Ledger) isStillOwned(decision once.Decision[storedResult]) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.ledger.Holds(decision)
 }
 
-func (l *Ledger) finish(id ulid.ULID, ended fate) {
+func (l *Ledger) finish(id ulid.ULID, result storedResult) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Finish(id, ended)
+	l.ledger.Finish(id, result)
 }
 
 func (l *Ledger) release(id ulid.ULID) {
--- a/internal/selfhosted/query/once_voters_test.go
+++ b/internal/selfhosted/query/ledger_voters_test.go
@@ -9,25 +9,25 @@
 
 // TestFenceAfterAVoterChange refuses ids that another owner may have run, until
 // the new ownership is proved and the id is younger than it.
-func TestFenceAfterAVoterChange(t *testing.T) {
-	f := settled(t)
+func TestVoterChangeFencesEarlierIDs(t *testing.T) {
+	f := newFixturePastFence(t)
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = voters("node-a1", "node-b1")
+	changed.Voters = newVoters("node-a1", "node-b1")
 	f.catalogs.current = changed
 	f.runner.SetVoters(changed)
-	f.proved = false
-	old := f.filing()
+	f.ownershipProved = false
+	old := f.newInsert()
 	_, err := f.runner.Query(context.Background(), "rate-desk", old)
 	requireUnavailable(t, "suspended", err)
 	if !strings.Contains(err.Error(), "(suspended): the voters") {
 		t.Errorf("got %v", err)
 	}
-	f.proved = true
+	f.ownershipProved = true
 	_, err = f.runner.Query(context.Background(), "rate-desk", old)
 	requireUnavailable(t, "fenced", err)
-	f.pass(time.Minute)
-	if _, err := f.runner.Query(context.Background(), "rate-desk", f.filing()); err != nil {
+	f.advance(time.Minute)
+	if _, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert()); err != nil {
 		t.Errorf("past the fence: %v", err)
 	}
 	if f.scatterer.calls != 1 {
@@ -38,19 +38,19 @@
 // TestVotersThatTheLedgerDoesNotKnowYet has a catalog with another voting set
 // that is current already, before the ledger was notified of it: the id, which
 // another node owned until now, must not run.
-func TestVotersThatTheLedgerDoesNotKnowYet(t *testing.T) {
-	f := settled(t)
-	request := f.filingOf("node-b1")
+func TestBeginInstallsNewerVoters(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsertFor("node-b1")
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = voters("node-a1", "node-c1")
+	changed.Voters = newVoters("node-a1", "node-c1")
 	f.catalogs.current = changed
-	for owner := f.ownerOf(request); owner != "node-a1"; owner = f.ownerOf(request) {
+	for owner := f.findOwner(request); owner != "node-a1"; owner = f.findOwner(request) {
 		f.catalogs.current = exampleCatalog()
-		request = f.filingOf("node-b1")
+		request = f.newInsertFor("node-b1")
 		f.catalogs.current = changed
 	}
-	f.proved = false
+	f.ownershipProved = false
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "new voters", err)
 	if f.scatterer.calls != 0 {
@@ -60,15 +60,15 @@
 
 // TestVotersThatAreOutdated has a request that was planned on a catalog which
 // the ledger has left behind.
-func TestVotersThatAreOutdated(t *testing.T) {
-	f := settled(t)
-	request := f.filing()
+func TestBeginRefusesOutdatedVoters(t *testing.T) {
+	f := newFixturePastFence(t)
+	request := f.newInsert()
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = voters("node-a1", "node-b1", "node-c1", "node-d1")
+	changed.Voters = newVoters("node-a1", "node-b1", "node-c1", "node-d1")
 	f.runner.SetVoters(changed)
-	f.pass(time.Minute)
-	request.RequestID = f.ownedBy("node-a1")
+	f.advance(time.Minute)
+	request.RequestID = f.newRequestID("node-a1")
 	_, err := f.runner.Query(context.Background(), "rate-desk", request) // on the catalog of revision 9
 	requireUnavailable(t, "outdated", err)
 	if f.scatterer.calls != 0 {
@@ -78,14 +78,14 @@
 
 // TestVotersThatChangedAndChangedBack has a node that missed two changes of the
 // voting set, which cancel out: an owner in between may have run its ids.
-func TestVotersThatChangedAndChangedBack(t *testing.T) {
-	f := settled(t)
+func TestRevertedVoterChangeSuspendsLedger(t *testing.T) {
+	f := newFixturePastFence(t)
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 11, 11
 	f.catalogs.current = changed
 	f.runner.SetVoters(changed)
-	f.proved = false
-	_, err := f.runner.Query(context.Background(), "rate-desk", f.filing())
+	f.ownershipProved = false
+	_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	requireUnavailable(t, "changed back", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
@@ -94,13 +94,13 @@
 
 // TestOwnershipThatEndsAfterTheDecision takes a decision back if the voting set
 // changed before the node was seen fresh again.
-func TestOwnershipThatEndsAfterTheDecision(t *testing.T) {
-	f := settled(t)
+func TestOwnershipLostAfterDecision(t *testing.T) {
+	f := newFixturePastFence(t)
 	changed := exampleCatalog()
 	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = voters("node-b1", "node-c1")
-	f.runner.config.Catalogs = &changingCatalogs{fakeCatalogs: f.catalogs, change: func() { f.runner.SetVoters(changed) }}
-	_, err := f.runner.Query(context.Background(), "rate-desk", f.filing())
+	changed.Voters = newVoters("node-b1", "node-c1")
+	f.runner.config.Catalogs = &voterChangingCatalogSource{fakeCatalogSource: f.catalogs, change: func() { f.runner.SetVoters(changed) }}
+	_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	requireUnavailable(t, "ownership ended", err)
 	if f.scatterer.calls != 0 {
 		t.Error("it ran")
@@ -109,14 +109,14 @@
 
 // changingCatalogs installs other voters at the second look at its freshness,
 // which follows the decision.
-type changingCatalogs struct {
-	*fakeCatalogs
-	looks  int
-	change func()
+type voterChangingCatalogSource struct {
+	*fakeCatalogSource
+	freshCalls int
+	change     func()
 }
 
-func (c *changingCatalogs) Fresh() bool {
-	if c.looks++; c.looks == 2 {
+func (c *voterChangingCatalogSource) Fresh() bool {
+	if c.freshCalls++; c.freshCalls == 2 {
 		c.change()
 	}
 	return true
--- a/internal/selfhosted/query/metrics.go
+++ b/internal/selfhosted/query/metrics.go
@@ -31,14 +31,14 @@
 }
 
 // unknownService is the label of services that do not exist.
-const unknownService = "unknown"
+const unknownServiceLabel = "unknown"
 
 // observe counts one query. Its names must be those of the catalog: any other
 // would become a label of its own.
-func (m *Metrics) observe(service, class string, answer *api.QueryResponse, err error, took time.Duration) {
+func (m *Metrics) observe(service, class string, response *api.QueryResponse, err error, duration time.Duration) {
 	if err == nil {
-		m.queries.WithLabelValues(service, string(answer.Outcome)).Inc()
-		m.latency.WithLabelValues(service, class).Observe(took.Seconds())
+		m.queries.WithLabelValues(service, string(response.Outcome)).Inc()
+		m.latency.WithLabelValues(service, class).Observe(duration.Seconds())
 		return
 	}
 	var problem *api.Problem
--- a/internal/selfhosted/query/plan.go
+++ b/internal/selfhosted/query/plan.go
@@ -16,10 +16,10 @@
 )
 
 // maximumRequestID is the longest request id, in bytes.
-const maximumRequestID = 128
+const maxRequestIDBytes = 128
 
 // plan is a checked query: what each shard runs and how the tables are merged.
-type plan struct {
+type queryPlan struct {
 	service catalog.Service
 	class   catalog.Class
 	request api.QueryRequest
@@ -30,87 +30,87 @@
 	key             rows.Value
 	hasKey          bool
 	// selection is nil for an insert.
-	selection *merge.Plan
+	mergePlan *merge.Plan
 }
 
 // newPlan checks a request against the catalog. The error is a *api.Problem;
 // nothing has run when it is returned.
-func newPlan(known *statements, current *catalog.Catalog, serviceName string, request api.QueryRequest) (*plan, error) {
+func newPlan(cache *statementCache, current *catalog.Catalog, serviceName string, request api.QueryRequest) (*queryPlan, error) {
 	service, ok := current.Services[serviceName]
 	if !ok {
-		return nil, requestProblem(request, api.ProblemUnknownService, fmt.Sprintf("There is no service %q.", serviceName))
+		return nil, newRequestProblem(request, api.ProblemUnknownService, fmt.Sprintf("There is no service %q.", serviceName))
 	}
 	class, ok := service.Classes[request.Class]
 	if !ok {
-		return nil, requestProblem(request, api.ProblemUnknownClass, fmt.Sprintf("Service %s has no class %q.", serviceName, request.Class))
+		return nil, newRequestProblem(request, api.ProblemUnknownClass, fmt.Sprintf("Service %s has no class %q.", serviceName, request.Class))
 	}
-	planned := &plan{service: service, class: class, request: request}
-	steps := []func() error{planned.checkID, planned.checkDeadline, planned.checkCoverage}
+	plan := &queryPlan{service: service, class: class, request: request}
+	steps := []func() error{plan.resolveRequestID, plan.resolveTimeout, plan.resolveCoverage}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return nil, err
 		}
 	}
-	if err := planned.checkStatement(known); err != nil {
+	if err := plan.planStatement(cache); err != nil {
 		return nil, err
 	}
-	return planned, nil
+	return plan, nil
 }
 
-func requestProblem(request api.QueryRequest, problemType api.ProblemType, detail string) *api.Problem {
+func newRequestProblem(request api.QueryRequest, problemType api.ProblemType, detail string) *api.Problem {
 	problem := api.NewProblem(problemType, detail)
 	problem.RequestID = request.RequestID
 	return problem
 }
 
-func (p *plan) problem(problemType api.ProblemType, detail string) *api.Problem {
-	return requestProblem(p.request, problemType, detail)
+func (p *queryPlan) newProblem(problemType api.ProblemType, detail string) *api.Problem {
+	return newRequestProblem(p.request, problemType, detail)
 }
 
-func (p *plan) checkID() error {
-	if len(p.request.RequestID) > maximumRequestID {
-		return p.problem(api.ProblemInvalidRequest, fmt.Sprintf("request_id is longer than %d bytes.", maximumRequestID))
+func (p *queryPlan) resolveRequestID() error {
+	if len(p.request.RequestID) > maxRequestIDBytes {
+		return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("request_id is longer than %d bytes.", maxRequestIDBytes))
 	}
 	if p.request.RequestID != "" {
 		return nil
 	}
 	if !p.class.Repeatable {
-		return p.problem(api.ProblemInvalidRequest, fmt.Sprintf("Class %s runs a request at most once: request_id must be a ULID made by the caller.", p.class.Name))
+		return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("Class %s runs a request at most once: request_id must be a ULID made by the caller.", p.class.Name))
 	}
 	p.request.RequestID = ulid.Make().String()
 	return nil
 }
 
-func (p *plan) checkDeadline() error {
-	asked := p.request.DeadlineMilliseconds
-	if asked == 0 {
+func (p *queryPlan) resolveTimeout() error {
+	requested := p.request.DeadlineMilliseconds
+	if requested == 0 {
 		p.timeout = p.class.Deadline
 		return nil
 	}
 	// Compared before it is converted: a large number would overflow.
-	if limit := p.class.Deadline.Milliseconds(); asked < 0 || asked > limit {
-		return p.problem(api.ProblemInvalidDeadline, fmt.Sprintf("deadline_ms must be between 1 and %d for class %s.", limit, p.class.Name))
+	if limit := p.class.Deadline.Milliseconds(); requested < 0 || requested > limit {
+		return p.newProblem(api.ProblemInvalidDeadline, fmt.Sprintf("deadline_ms must be between 1 and %d for class %s.", limit, p.class.Name))
 	}
-	p.timeout = time.Duration(asked) * time.Millisecond
+	p.timeout = time.Duration(requested) * time.Millisecond
 	return nil
 }
 
-func (p *plan) checkCoverage() error {
+func (p *queryPlan) resolveCoverage() error {
 	p.minimumCoverage = p.class.Coverage
 	if p.request.MinimumCoverage == nil {
 		return nil
 	}
 	p.minimumCoverage = *p.request.MinimumCoverage
 	if !(p.minimumCoverage >= 0 && p.minimumCoverage <= 1) {
-		return p.problem(api.ProblemInvalidRequest, "minimum_coverage must be between 0 and 1.")
+		return p.newProblem(api.ProblemInvalidRequest, "minimum_coverage must be between 0 and 1.")
 	}
 	return nil
 }
 
-func (p *plan) checkStatement(known *statements) error {
-	parsed, statement, err := known.parse(p.request.Statement)
+func (p *queryPlan) planStatement(cache *statementCache) error {
+	parsed, statement, err := cache.parse(p.request.Statement)
 	if err != nil {
-		return p.statementProblem(err)
+		return p.newStatementProblem(err)
 	}
 	if parsed != nil {
 		return p.planSelect(parsed)
@@ -118,19 +118,19 @@
 	if insert, ok := statement.(*language.Insert); ok {
 		return p.planInsert(insert)
 	}
-	return p.problem(api.ProblemInvalidRequest, "A query is a select or an insert.")
+	return p.newProblem(api.ProblemInvalidRequest, "A query is a select or an insert.")
 }
 
 // statementProblem names the problem of a statement that cannot be planned.
-func (p *plan) statementProblem(err error) error {
+func (p *queryPlan) newStatementProblem(err error) error {
 	var syntax *language.SyntaxError
 	if errors.As(err, &syntax) {
-		return p.syntaxProblem(err)
+		return p.newSyntaxProblem(err)
 	}
-	return p.problem(api.ProblemInvalidRequest, err.Error())
+	return p.newProblem(api.ProblemInvalidRequest, err.Error())
 }
 
-func (p *plan) syntaxProblem(err error) error {
+func (p *queryPlan) newSyntaxProblem(err error) error {
 	problem := SyntaxProblem(err)
 	problem.RequestID = p.request.RequestID
 	return problem
@@ -149,48 +149,48 @@
 	return problem
 }
 
-func (p *plan) checkServiceName(name string) error {
+func (p *queryPlan) checkServiceName(name string) error {
 	if name == p.service.Name {
 		return nil
 	}
-	return p.problem(api.ProblemInvalidRequest, fmt.Sprintf("The statement names service %s, the path names %s.", name, p.service.Name))
+	return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("The statement names service %s, the path names %s.", name, p.service.Name))
 }
 
-func (p *plan) planSelect(parsed *selection) error {
-	statement := parsed.statement
+func (p *queryPlan) planSelect(selectPlan *parsedSelect) error {
+	statement := selectPlan.statement
 	if err := p.checkServiceName(statement.Service); err != nil {
 		return err
 	}
-	p.selection = parsed.merge
-	p.shardStatement = parsed.merge.ShardStatement()
+	p.mergePlan = selectPlan.mergePlan
+	p.shardStatement = selectPlan.mergePlan.ShardStatement()
 	if p.service.KeyColumn != "" {
 		p.key, p.hasKey = statement.KeyEquality(p.service.KeyColumn)
 	}
 	if !p.class.Repeatable && !p.hasKey {
-		return p.problem(api.ProblemInvalidRequest, fmt.Sprintf("Class %s runs a request at most once: the statement must name one key.", p.class.Name))
+		return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("Class %s runs a request at most once: the statement must name one key.", p.class.Name))
 	}
 	return nil
 }
 
-func (p *plan) planInsert(statement *language.Insert) error {
+func (p *queryPlan) planInsert(statement *language.Insert) error {
 	if err := p.checkServiceName(statement.Service); err != nil {
 		return err
 	}
 	if p.class.Repeatable {
-		return p.problem(api.ProblemInvalidRequest, fmt.Sprintf("Class %s may repeat requests: an insert needs a class declared \"once\".", p.class.Name))
+		return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("Class %s may repeat requests: an insert needs a class declared \"once\".", p.class.Name))
 	}
 	if p.service.KeyColumn == "" {
-		return p.problem(api.ProblemInvalidRequest, fmt.Sprintf("Service %s has no key column: an insert has no shard.", p.service.Name))
+		return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("Service %s has no key column: an insert has no shard.", p.service.Name))
 	}
 	p.key, p.hasKey = statement.Value(p.service.KeyColumn)
 	if !p.hasKey {
-		return p.problem(api.ProblemInvalidRequest, fmt.Sprintf("An insert into %s must give the column %s.", p.service.Name, p.service.KeyColumn))
+		return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("An insert into %s must give the column %s.", p.service.Name, p.service.KeyColumn))
 	}
 	p.shardStatement = statement.String()
 	return nil
 }
 
-func (p *plan) scatterRequest() scatter.Request[string] {
+func (p *queryPlan) newScatterRequest() scatter.Request[string] {
 	request := scatter.Request[string]{
 		RequestID:       p.request.RequestID,
 		Class:           p.class,
@@ -206,11 +206,11 @@
 }
 
 // merge builds the table of the answer. An insert's answer is its shard's.
-func (p *plan) merge(tables []scatter.ShardPart[rows.Table]) (rows.Table, error) {
-	if p.selection == nil {
+func (p *queryPlan) mergeTables(tables []scatter.ShardPart[rows.Table]) (rows.Table, error) {
+	if p.mergePlan == nil {
 		return firstTable(tables), nil
 	}
-	merger := p.selection.NewMerger()
+	merger := p.mergePlan.NewMerger()
 	for _, table := range tables {
 		if err := merger.Add(table.Shard, table.Part); err != nil {
 			return rows.Table{}, err
--- a/internal/selfhosted/query/plan_benchmark_test.go
+++ b/internal/selfhosted/query/plan_benchmark_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkPlan measures the planning of a select that was seen before.
 func BenchmarkPlan(b *testing.B) {
-	known := newStatements()
+	cache := newStatementCache()
 	current := exampleCatalog()
 	request := api.QueryRequest{
 		RequestID: "r", Class: "sweep",
@@ -16,7 +16,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := newPlan(known, current, "rate-desk", request); err != nil {
+		if _, err := newPlan(cache, current, "rate-desk", request); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/selfhosted/query/refuse.go
+++ b/internal/selfhosted/query/refusal.go
@@ -9,17 +9,17 @@
 // the given "not run" type, and counts it. A request of a class that runs at
 // most once may have been submitted before, so for it "not run" is not claimed.
 func (r *Runner) Refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
-	problem := r.refuse(service, request, notRun)
-	r.config.Metrics.observe(r.known(service), request.Class, nil, problem, 0)
+	problem := r.newRefusalProblem(service, request, notRun)
+	r.config.Metrics.observe(r.serviceLabel(service), request.Class, nil, problem, 0)
 	return problem
 }
 
-func (r *Runner) refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
-	class, known := r.config.Catalogs.Current().Services[service].Classes[request.Class]
-	if request.RequestID != "" && (!known || !class.Repeatable) {
-		return r.unavailable(request, "This node takes no requests now.")
+func (r *Runner) newRefusalProblem(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
+	class, exists := r.config.Catalogs.Current().Services[service].Classes[request.Class]
+	if request.RequestID != "" && (!exists || !class.Repeatable) {
+		return r.newUnavailableProblem(request, "This node takes no requests now.")
 	}
-	problem := requestProblem(request, notRun, "")
+	problem := newRequestProblem(request, notRun, "")
 	problem.Outcome = dispatch.OutcomeNotRun
 	problem.RetryAfterMilliseconds = r.config.RetryWhenStale.Milliseconds()
 	return problem
@@ -27,8 +27,8 @@
 
 // unavailable refuses a submission that ran nowhere, where an earlier one of
 // the same id may have run.
-func (r *Runner) unavailable(request api.QueryRequest, detail string) *api.Problem {
-	problem := requestProblem(request, api.ProblemUnavailable, detail+" This submission ran nowhere; an earlier one of the same id may have.")
+func (r *Runner) newUnavailableProblem(request api.QueryRequest, detail string) *api.Problem {
+	problem := newRequestProblem(request, api.ProblemUnavailable, detail+" This submission ran nowhere; an earlier one of the same id may have.")
 	problem.Outcome = dispatch.OutcomeFailed
 	problem.RetryAfterMilliseconds = r.config.RetryWhenStale.Milliseconds()
 	return problem
@@ -36,9 +36,9 @@
 
 // known returns the name of a service, or "unknown" for one that a caller made
 // up: it would become a label of its own.
-func (r *Runner) known(service string) string {
+func (r *Runner) serviceLabel(service string) string {
 	if _, exists := r.config.Catalogs.Current().Services[service]; exists {
 		return service
 	}
-	return unknownService
+	return unknownServiceLabel
 }
--- a/internal/selfhosted/query/answer.go
+++ b/internal/selfhosted/query/response.go
@@ -12,29 +12,29 @@
 
 // answer turns the outcome of a scattered query into what the caller receives. A
 // statement that leaves refuse, and none has run, is the caller's mistake.
-func (p *plan) answer(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
+func (p *queryPlan) toResponse(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
 	switch result.Outcome {
 	case dispatch.OutcomeAnswered, dispatch.OutcomePartial:
-		return p.merged(result)
+		return p.mergeResponse(result)
 	case dispatch.OutcomeNotRun, dispatch.OutcomeFailed:
 		if result.Reason == dispatch.ReasonInvalid && len(result.Answered) == 0 {
-			return nil, p.fateProblem(api.ProblemInvalidRequest, result)
+			return nil, p.newOutcomeProblem(api.ProblemInvalidRequest, result)
 		}
 	}
 	switch result.Outcome {
 	case dispatch.OutcomeNotRun:
-		return nil, p.fateProblem(notRunType(result.Reason), result)
+		return nil, p.newOutcomeProblem(notRunProblemType(result.Reason), result)
 	case dispatch.OutcomeUnknown:
-		return nil, p.fateProblem(api.ProblemOutcomeUnknown, result)
+		return nil, p.newOutcomeProblem(api.ProblemOutcomeUnknown, result)
 	}
-	return nil, p.fateProblem(api.ProblemFailed, result)
+	return nil, p.newOutcomeProblem(api.ProblemFailed, result)
 }
 
 // merged builds the answer from exactly the tables that the dispatcher counts.
-func (p *plan) merged(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
-	table, err := p.merge(result.Parts)
+func (p *queryPlan) mergeResponse(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
+	table, err := p.mergeTables(result.Parts)
 	if err != nil {
-		return nil, p.problem(api.ProblemInternal, err.Error())
+		return nil, p.newProblem(api.ProblemInternal, err.Error())
 	}
 	missing := result.Missing
 	if missing == nil {
@@ -55,7 +55,7 @@
 }
 
 // notRunType names the problem for a query that ran nowhere.
-func notRunType(reason dispatch.Reason) api.ProblemType {
+func notRunProblemType(reason dispatch.Reason) api.ProblemType {
 	switch reason {
 	case dispatch.ReasonStopped:
 		return api.ProblemNotRunStopped
@@ -73,12 +73,12 @@
 	return api.ProblemNotRunOverload
 }
 
-func (p *plan) fateProblem(problemType api.ProblemType, result scatter.Result[rows.Table]) *api.Problem {
+func (p *queryPlan) newOutcomeProblem(problemType api.ProblemType, result scatter.Result[rows.Table]) *api.Problem {
 	detail := result.Detail
 	if detail == "" && result.Total > 0 {
 		detail = fmt.Sprintf("%d of %d shards answered.", len(result.Answered), result.Total)
 	}
-	problem := p.problem(problemType, detail)
+	problem := p.newProblem(problemType, detail)
 	problem.Outcome = result.Outcome
 	problem.Reason = result.Reason
 	problem.RetryAfterMilliseconds = roundUpMilliseconds(result.RetryAfter)
--- a/internal/selfhosted/query/runner.go
+++ b/internal/selfhosted/query/runner.go
@@ -24,7 +24,7 @@
 )
 
 // Catalogs returns what is in force on this node.
-type Catalogs interface {
+type CatalogSource interface {
 	// Current returns the installed catalog; it must not be modified.
 	Current() *catalog.Catalog
 	// Fresh reports whether the node can show, at this moment, that it holds
@@ -39,7 +39,7 @@
 
 // Scatterers finds the Scatterer of a service; it reports false if the service
 // is not installed.
-type Scatterers interface {
+type ScattererRegistry interface {
 	Scatterer(service string) (Scatterer, bool)
 }
 
@@ -79,8 +79,8 @@
 type Config struct {
 	// Self is the name of this node's slot.
 	Self       string
-	Catalogs   Catalogs
-	Scatterers Scatterers
+	Catalogs   CatalogSource
+	Scatterers ScattererRegistry
 	Forwarder  Forwarder
 	Ledger     *Ledger
 	// Acknowledged reports whether a majority of the voters has been heard
@@ -97,36 +97,36 @@
 
 // Runner runs queries. It is safe for concurrent use.
 type Runner struct {
-	config     Config
-	statements *statements
+	config         Config
+	statementCache *statementCache
 }
 
 // New returns a Runner.
 func New(config Config) *Runner {
-	return &Runner{config: config, statements: newStatements()}
+	return &Runner{config: config, statementCache: newStatementCache()}
 }
 
 // Query runs a request that a caller sent to this node. It blocks until the
 // request has its final answer, at the latest until its deadline.
 func (r *Runner) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	started := r.config.Clock.Now()
-	answer, err := r.query(ctx, service, request)
-	r.config.Metrics.observe(r.known(service), request.Class, answer, err, r.config.Clock.Now()-started)
-	return answer, err
+	response, err := r.runQuery(ctx, service, request)
+	r.config.Metrics.observe(r.serviceLabel(service), request.Class, response, err, r.config.Clock.Now()-started)
+	return response, err
 }
 
-func (r *Runner) query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
+func (r *Runner) runQuery(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	if !r.config.Catalogs.Fresh() {
-		return nil, r.refuse(service, request, api.ProblemNotRunStale)
+		return nil, r.newRefusalProblem(service, request, api.ProblemNotRunStale)
 	}
-	planned, err := newPlan(r.statements, r.config.Catalogs.Current(), service, request)
+	plan, err := newPlan(r.statementCache, r.config.Catalogs.Current(), service, request)
 	if err != nil {
 		return nil, err
 	}
-	if planned.class.Repeatable {
-		return r.scatter(ctx, planned)
+	if plan.class.Repeatable {
+		return r.scatterQuery(ctx, plan)
 	}
-	return r.queryOnce(ctx, planned)
+	return r.routeToOwner(ctx, plan)
 }
 
 // SetVoters takes the voting set of a catalog that was installed.
@@ -135,11 +135,11 @@
 }
 
 // scatter runs a planned query over the shards and merges the answer.
-func (r *Runner) scatter(ctx context.Context, planned *plan) (*api.QueryResponse, error) {
-	scatterer, ok := r.config.Scatterers.Scatterer(planned.service.Name)
+func (r *Runner) scatterQuery(ctx context.Context, plan *queryPlan) (*api.QueryResponse, error) {
+	scatterer, ok := r.config.Scatterers.Scatterer(plan.service.Name)
 	if !ok {
-		return nil, planned.problem(api.ProblemNotRunSnapshot, "The service is not installed on this node yet.")
+		return nil, plan.newProblem(api.ProblemNotRunSnapshot, "The service is not installed on this node yet.")
 	}
-	result := scatterer.Execute(ctx, planned.scatterRequest())
-	return planned.answer(result)
+	result := scatterer.Execute(ctx, plan.newScatterRequest())
+	return plan.toResponse(result)
 }
--- a/internal/selfhosted/query/statements.go
+++ b/internal/selfhosted/query/statement_cache.go
@@ -9,53 +9,53 @@
 
 const (
 	// statementsKept is how many parsed selects are kept.
-	statementsKept = 4096
+	maxCachedStatements = 4096
 	// maximumKeptStatement is the longest statement that is kept, in bytes.
-	maximumKeptStatement = 4096
+	maxCachedStatementBytes = 4096
 )
 
 // selection is a parsed select with the plan of its merge. It is shared by
 // queries and never modified.
-type selection struct {
+type parsedSelect struct {
 	statement *language.Select
-	merge     *merge.Plan
+	mergePlan *merge.Plan
 }
 
 // statements parses statements and keeps the newest selects, since callers
 // send the same few texts repeatedly. Inserts are not kept: each is
 // another text. It is safe for concurrent use.
-type statements struct {
-	selections *lru.Cache[string, *selection]
+type statementCache struct {
+	selections *lru.Cache[string, *parsedSelect]
 }
 
-func newStatements() *statements {
-	selections, err := lru.New[string, *selection](statementsKept)
+func newStatementCache() *statementCache {
+	selections, err := lru.New[string, *parsedSelect](maxCachedStatements)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &statements{selections: selections}
+	return &statementCache{selections: selections}
 }
 
 // parse returns the selection of a select, or another kind of statement.
 // Errors are those of packages language and merge.
-func (s *statements) parse(text string) (*selection, language.Statement, error) {
-	if kept, ok := s.selections.Get(text); ok {
-		return kept, kept.statement, nil
+func (s *statementCache) parse(text string) (*parsedSelect, language.Statement, error) {
+	if cached, ok := s.selections.Get(text); ok {
+		return cached, cached.statement, nil
 	}
 	statement, err := language.ParseOne(text)
 	if err != nil {
 		return nil, nil, err
 	}
-	selecting, ok := statement.(*language.Select)
+	selectStatement, ok := statement.(*language.Select)
 	if !ok {
 		return nil, statement, nil
 	}
-	plan, err := merge.NewPlan(selecting)
+	mergePlan, err := merge.NewPlan(selectStatement)
 	if err != nil {
 		return nil, statement, err
 	}
-	parsed := &selection{statement: selecting, merge: plan}
-	if len(text) <= maximumKeptStatement {
+	parsed := &parsedSelect{statement: selectStatement, mergePlan: mergePlan}
+	if len(text) <= maxCachedStatementBytes {
 		s.selections.Add(text, parsed)
 	}
 	return parsed, statement, nil
