--- a/internal/selfhosted/merge/errors.go
+++ b/internal/selfhosted/merge/errors.go
@@ -34,14 +34,14 @@
 }
 
 // ColumnsError says that the table of a shard has other columns than it should.
-type ColumnsError struct {
+type ColumnMismatchError struct {
 	Shard    int
 	Got      []string
 	Expected []string
 }
 
 // Error implements error.
-func (e *ColumnsError) Error() string {
+func (e *ColumnMismatchError) Error() string {
 	return fmt.Sprintf("merge: shard %d has the columns %q, expected %q", e.Shard, e.Got, e.Expected)
 }
 
--- a/internal/selfhosted/merge/evaluate_grouped.go
+++ b/internal/selfhosted/merge/evaluate_grouped.go
@@ -8,29 +8,29 @@
 )
 
 // evaluateGroups runs a grouped select.
-func evaluateGroups(statement *language.Select, table rows.Table) (rows.Table, error) {
-	grouping, err := newGrouping(statement)
+func evaluateGrouped(statement *language.Select, table rows.Table) (rows.Table, error) {
+	groupPlan, err := newGroupPlan(statement)
 	if err != nil {
 		return rows.Table{}, err
 	}
-	indexes, err := grouping.inputs(table)
+	indexes, err := groupPlan.resolveInputs(table)
 	if err != nil {
 		return rows.Table{}, err
 	}
-	groups := grouping.newGroups()
-	input := make(rows.Row, len(indexes))
-	for _, row := range matching(statement, table) {
-		grouping.read(input, row, indexes)
-		if err := groups.addPartials(input); err != nil {
+	groups := groupPlan.newGroupSet()
+	partialRow := make(rows.Row, len(indexes))
+	for _, row := range filterRows(statement, table) {
+		groupPlan.fillPartialRow(partialRow, row, indexes)
+		if err := groups.addPartials(partialRow); err != nil {
 			return rows.Table{}, err
 		}
 	}
-	return groups.result()
+	return groups.buildResult()
 }
 
 // inputs returns the places of the keys' and partials' columns in the table;
 // -1 for count(*).
-func (g *grouping) inputs(table rows.Table) ([]int, error) {
+func (g *groupPlan) resolveInputs(table rows.Table) ([]int, error) {
 	columns := slices.Clone(g.keys)
 	for _, partial := range g.partials {
 		columns = append(columns, partial.Column)
@@ -46,20 +46,20 @@
 }
 
 // read makes a row into the group row of just this row.
-func (g *grouping) read(input, row rows.Row, indexes []int) {
+func (g *groupPlan) fillPartialRow(partialRow, row rows.Row, indexes []int) {
 	for i, index := range indexes {
 		switch {
 		case index < 0:
-			input[i] = rows.NumberOf(1)
+			partialRow[i] = rows.NumberOf(1)
 		case i >= len(g.keys) && g.partials[i-len(g.keys)].Function == language.Count:
-			input[i] = countOf(row[index])
+			partialRow[i] = countNonNull(row[index])
 		default:
-			input[i] = row[index]
+			partialRow[i] = row[index]
 		}
 	}
 }
 
-func countOf(value rows.Value) rows.Value {
+func countNonNull(value rows.Value) rows.Value {
 	if value.IsNull() {
 		return rows.NumberOf(0)
 	}
--- a/internal/selfhosted/merge/fold.go
+++ b/internal/selfhosted/merge/fold.go
@@ -14,7 +14,7 @@
 	foldMaximum
 )
 
-func foldOf(function language.Function) foldKind {
+func foldKindFor(function language.Function) foldKind {
 	switch function {
 	case language.Minimum:
 		return foldMinimum
--- a/internal/selfhosted/merge/group.go
+++ b/internal/selfhosted/merge/group.go
@@ -10,69 +10,69 @@
 
 // grouping splits a grouped select into partial aggregates, which shards
 // compute and which can be added up, and the result made of them.
-type grouping struct {
+type groupPlan struct {
 	keys []string
 	// partials are the aggregates that a shard computes: count, sum, min and
 	// max, each once.
 	partials []language.Item
 	// folds has the kind of each partial.
-	folds   []foldKind
-	outputs []output
+	foldKinds []foldKind
+	outputs   []outputColumn
 	// columns are the result's columns followed by the keys.
 	columns []string
-	order   *ordering
+	order   *rowOrder
 	limit   int
 }
 
 // output says how a result column is made from a group row, which holds the
 // keys and then the partials.
-type output struct {
+type outputColumn struct {
 	item language.Item
 	// index is the place of the value, or of the sum of an average.
-	index int
+	valueIndex int
 	// count is the place of the count of an average, and 0 otherwise.
-	count int
+	countIndex int
 }
 
-func newGrouping(statement *language.Select) (*grouping, error) {
-	g := &grouping{keys: statement.GroupBy, limit: statement.Limit}
+func newGroupPlan(statement *language.Select) (*groupPlan, error) {
+	g := &groupPlan{keys: statement.GroupBy, limit: statement.Limit}
 	for _, item := range statement.Items {
-		made, err := g.output(item)
+		output, err := g.resolveOutput(item)
 		if err != nil {
 			return nil, err
 		}
-		g.outputs = append(g.outputs, made)
+		g.outputs = append(g.outputs, output)
 	}
-	g.columns = append(itemNames(statement.Items), g.keys...)
+	g.columns = append(columnNames(statement.Items), g.keys...)
 	var err error
-	g.order, err = newOrdering(statement.OrderBy, g.columns, len(statement.Items))
+	g.order, err = newRowOrder(statement.OrderBy, g.columns, len(statement.Items))
 	return g, err
 }
 
-func (g *grouping) output(item language.Item) (output, error) {
+func (g *groupPlan) resolveOutput(item language.Item) (outputColumn, error) {
 	switch item.Function {
 	case language.NoFunction:
 		index := slices.Index(g.keys, item.Column)
 		if index < 0 {
-			return output{}, &UnknownColumnError{Column: item.Column}
+			return outputColumn{}, &UnknownColumnError{Column: item.Column}
 		}
-		return output{item: item, index: index}, nil
+		return outputColumn{item: item, valueIndex: index}, nil
 	case language.Average:
-		sum := g.partial(language.Item{Function: language.Sum, Column: item.Column})
-		count := g.partial(language.Item{Function: language.Count, Column: item.Column})
-		return output{item: item, index: sum, count: count}, nil
+		sum := g.ensurePartial(language.Item{Function: language.Sum, Column: item.Column})
+		count := g.ensurePartial(language.Item{Function: language.Count, Column: item.Column})
+		return outputColumn{item: item, valueIndex: sum, countIndex: count}, nil
 	default:
-		return output{item: item, index: g.partial(item)}, nil
+		return outputColumn{item: item, valueIndex: g.ensurePartial(item)}, nil
 	}
 }
 
 // partial returns the place of a partial in a group row, adding it if needed.
-func (g *grouping) partial(item language.Item) int {
+func (g *groupPlan) ensurePartial(item language.Item) int {
 	index := slices.Index(g.partials, item)
 	if index < 0 {
 		index = len(g.partials)
 		g.partials = append(g.partials, item)
-		g.folds = append(g.folds, foldOf(item.Function))
+		g.foldKinds = append(g.foldKinds, foldKindFor(item.Function))
 	}
 	return len(g.keys) + index
 }
@@ -80,7 +80,7 @@
 // shardStatement selects the keys and the partials. The limit is passed on
 // only if the order is by keys: then the first groups of all shards together
 // are among the first of each shard that has them.
-func (g *grouping) shardStatement(statement *language.Select) *language.Select {
+func (g *groupPlan) buildShardStatement(statement *language.Select) *language.Select {
 	shard := &language.Select{
 		Service: statement.Service,
 		Where:   statement.Where,
@@ -101,39 +101,39 @@
 }
 
 // groups collects group rows by their keys.
-type groups struct {
-	*grouping
-	index map[string]int
-	rows  []rows.Row
-	key   []byte
+type groupSet struct {
+	*groupPlan
+	indexByKey map[string]int
+	rows       []rows.Row
+	keyBuffer  []byte
 	// next is the place of the group that likely comes next: shards tend to
 	// list the same groups in the same order.
-	next int
+	nextIndex int
 }
 
-func (g *grouping) newGroups() *groups {
-	return &groups{grouping: g, index: make(map[string]int)}
+func (g *groupPlan) newGroupSet() *groupSet {
+	return &groupSet{groupPlan: g, indexByKey: make(map[string]int)}
 }
 
 // group returns the row of the group with these keys.
-func (g *groups) group(keys rows.Row) rows.Row {
-	if g.next < len(g.rows) && g.hasKeys(g.rows[g.next], keys) {
-		g.next++
-		return g.rows[g.next-1]
+func (g *groupSet) findOrAddGroup(keys rows.Row) rows.Row {
+	if g.nextIndex < len(g.rows) && g.hasKeys(g.rows[g.nextIndex], keys) {
+		g.nextIndex++
+		return g.rows[g.nextIndex-1]
 	}
-	g.key = g.key[:0]
+	g.keyBuffer = g.keyBuffer[:0]
 	for _, key := range keys {
-		g.key = rows.AppendKey(g.key, key)
+		g.keyBuffer = rows.AppendKey(g.keyBuffer, key)
 	}
-	if index, ok := g.index[string(g.key)]; ok {
-		g.next = index + 1
+	if index, ok := g.indexByKey[string(g.keyBuffer)]; ok {
+		g.nextIndex = index + 1
 		return g.rows[index]
 	}
-	g.next = 0
-	return g.newGroup(keys)
+	g.nextIndex = 0
+	return g.addGroup(keys)
 }
 
-func (g *groups) hasKeys(row, keys rows.Row) bool {
+func (g *groupSet) hasKeys(row, keys rows.Row) bool {
 	for i := range keys {
 		a, b := &row[i], &keys[i]
 		if a.Kind != b.Kind || a.Number != b.Number || a.Text != b.Text {
@@ -144,7 +144,7 @@
 }
 
 // newGroup adds the group whose key encoding is in g.key.
-func (g *groups) newGroup(keys rows.Row) rows.Row {
+func (g *groupSet) addGroup(keys rows.Row) rows.Row {
 	row := make(rows.Row, len(g.keys)+len(g.partials))
 	copy(row, keys)
 	for i, partial := range g.partials {
@@ -152,16 +152,16 @@
 			row[len(g.keys)+i] = rows.NumberOf(0)
 		}
 	}
-	g.index[string(g.key)] = len(g.rows)
+	g.indexByKey[string(g.keyBuffer)] = len(g.rows)
 	g.rows = append(g.rows, row)
 	return row
 }
 
 // addPartials adds a group row of a shard.
-func (g *groups) addPartials(shardRow rows.Row) error {
-	row := g.group(shardRow[:len(g.keys)])
+func (g *groupSet) addPartials(shardRow rows.Row) error {
+	row := g.findOrAddGroup(shardRow[:len(g.keys)])
 	totals, values := row[len(g.keys):], shardRow[len(g.keys):]
-	for i, kind := range g.folds {
+	for i, kind := range g.foldKinds {
 		if !kind.fold(&totals[i], &values[i]) {
 			return &TypeError{Item: g.partials[i].String(), Value: values[i].Text}
 		}
@@ -170,39 +170,39 @@
 }
 
 // result makes the result of the group rows.
-func (g *groups) result() (rows.Table, error) {
+func (g *groupSet) buildResult() (rows.Table, error) {
 	if len(g.keys) == 0 {
-		g.group(nil) // without keys there is one group, also of no rows
+		g.findOrAddGroup(nil) // without keys there is one group, also of no rows
 	}
-	made := make([]rows.Row, 0, len(g.rows))
+	resultRows := make([]rows.Row, 0, len(g.rows))
 	for _, row := range g.rows {
-		wide, err := g.resultRow(row)
+		resultRow, err := g.buildResultRow(row)
 		if err != nil {
 			return rows.Table{}, err
 		}
-		made = append(made, wide)
+		resultRows = append(resultRows, resultRow)
 	}
-	g.order.sort(made)
-	made = limited(made, g.limit)
+	g.order.sort(resultRows)
+	resultRows = truncateRows(resultRows, g.limit)
 	width := len(g.outputs)
-	for i, wide := range made {
-		made[i] = wide[:width:width]
+	for i, resultRow := range resultRows {
+		resultRows[i] = resultRow[:width:width]
 	}
-	return rows.Table{Columns: g.columns[:width:width], Rows: made}, nil
+	return rows.Table{Columns: g.columns[:width:width], Rows: resultRows}, nil
 }
 
 // resultRow returns the result columns followed by the keys.
-func (g *groups) resultRow(row rows.Row) (rows.Row, error) {
-	wide := make(rows.Row, 0, len(g.columns))
+func (g *groupSet) buildResultRow(row rows.Row) (rows.Row, error) {
+	resultRow := make(rows.Row, 0, len(g.columns))
 	for _, output := range g.outputs {
-		value := row[output.index]
-		if output.count > 0 && !value.IsNull() {
-			value.Number /= row[output.count].Number
+		value := row[output.valueIndex]
+		if output.countIndex > 0 && !value.IsNull() {
+			value.Number /= row[output.countIndex].Number
 		}
 		if math.IsInf(value.Number, 0) || math.IsNaN(value.Number) {
 			return nil, &RangeError{Item: output.item.String()}
 		}
-		wide = append(wide, value)
+		resultRow = append(resultRow, value)
 	}
-	return append(wide, row[:len(g.keys)]...), nil
+	return append(resultRow, row[:len(g.keys)]...), nil
 }
--- a/internal/selfhosted/merge/merge_test.go
+++ b/internal/selfhosted/merge/merge_test.go
@@ -23,7 +23,7 @@
 
 // testStatements cover every kind of plan; the rows have the columns lane,
 // carrier, weight and price.
-var testStatements = []string{
+var planStatements = []string{
 	"select * from s",
 	"select * from s limit 3",
 	"select * from s order by price desc, lane limit 4",
@@ -55,7 +55,7 @@
 }
 
 // divide deals the rows out to shards at random.
-func divide(t *rapid.T, table rows.Table) []rows.Table {
+func drawShards(t *rapid.T, table rows.Table) []rows.Table {
 	shards := make([]rows.Table, rapid.IntRange(1, 6).Draw(t, "shards"))
 	for i := range shards {
 		shards[i].Columns = table.Columns
@@ -67,8 +67,8 @@
 	return shards
 }
 
-func TestMergingEqualsEvaluatingTheUnion(t *testing.T) {
-	for _, text := range testStatements {
+func TestMergeEqualsEvaluatingUnion(t *testing.T) {
+	for _, text := range planStatements {
 		t.Run(text, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				statement := parseSelect(t, text)
@@ -77,7 +77,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				merged := mergeShards(t, statement, divide(t, table))
+				merged := mergeShards(t, statement, drawShards(t, table))
 				if !merged.Equal(expected) {
 					t.Fatalf("merged %v\nexpected %v", merged, expected)
 				}
@@ -115,7 +115,7 @@
 	return merged
 }
 
-func TestErrors(t *testing.T) {
+func TestEvaluateAndMergeErrors(t *testing.T) {
 	table := rows.Table{Columns: []string{"lane", "price"}, Rows: []rows.Row{
 		{rows.TextOf("a"), rows.NumberOf(1e308)}, {rows.TextOf("a"), rows.NumberOf(1e308)},
 	}}
@@ -145,7 +145,7 @@
 	if err := merger.Add(1, table); !errors.As(err, &duplicate) {
 		t.Errorf("%v", err)
 	}
-	var columns *ColumnsError
+	var columns *ColumnMismatchError
 	if err := merger.Add(2, rows.Table{Columns: []string{"lane"}}); !errors.As(err, &columns) {
 		t.Errorf("%v", err)
 	}
--- a/internal/selfhosted/merge/merger.go
+++ b/internal/selfhosted/merge/merger.go
@@ -13,26 +13,26 @@
 	// columns are those that each shard's table must have; for "select *"
 	// they are known with the first table.
 	columns []string
-	order   *ordering
+	order   *rowOrder
 	// tables has the table of each shard at the shard's number.
-	tables []shardRows
-	added  int
+	tables     []shardTable
+	shardCount int
 }
 
-type shardRows struct {
+type shardTable struct {
 	added bool
 	rows  []rows.Row
 }
 
 // NewMerger returns an empty merger.
 func (p *Plan) NewMerger() *Merger {
-	return &Merger{plan: p, columns: itemNames(p.shard.Items)}
+	return &Merger{plan: p, columns: columnNames(p.shard.Items)}
 }
 
 // Add takes the whole table of a shard, which the caller must not modify
 // afterwards. After an error the shard does not count.
 func (m *Merger) Add(shard int, table rows.Table) error {
-	m.grow(shard)
+	m.ensureSlot(shard)
 	if m.tables[shard].added {
 		return &DuplicateShardError{Shard: shard}
 	}
@@ -40,43 +40,43 @@
 		m.columns = table.Columns
 	}
 	if !slices.Equal(table.Columns, m.columns) {
-		return &ColumnsError{Shard: shard, Got: table.Columns, Expected: m.columns}
+		return &ColumnMismatchError{Shard: shard, Got: table.Columns, Expected: m.columns}
 	}
-	if m.plan.grouping == nil {
+	if m.plan.groupPlan == nil {
 		if err := m.ensureSorted(table.Rows); err != nil {
 			return err
 		}
 	}
-	m.tables[shard] = shardRows{added: true, rows: table.Rows}
-	m.added++
+	m.tables[shard] = shardTable{added: true, rows: table.Rows}
+	m.shardCount++
 	return nil
 }
 
 // grow makes room for the shard's table.
-func (m *Merger) grow(shard int) {
+func (m *Merger) ensureSlot(shard int) {
 	if missing := shard + 1 - len(m.tables); missing > 0 {
-		m.tables = append(m.tables, make([]shardRows, missing)...)
+		m.tables = append(m.tables, make([]shardTable, missing)...)
 	}
 }
 
 // ensureSorted sorts the rows if the leaf did not.
-func (m *Merger) ensureSorted(candidate []rows.Row) error {
+func (m *Merger) ensureSorted(tableRows []rows.Row) error {
 	if m.order == nil {
-		order, err := newOrdering(m.plan.statement.OrderBy, m.columns, 0)
+		order, err := newRowOrder(m.plan.statement.OrderBy, m.columns, 0)
 		if err != nil {
 			return err
 		}
 		m.order = order
 	}
-	if !m.order.isSorted(candidate) {
-		m.order.sort(candidate)
+	if !m.order.isSorted(tableRows) {
+		m.order.sort(tableRows)
 	}
 	return nil
 }
 
 // Shards returns the shards added, in order.
 func (m *Merger) Shards() []int {
-	shards := make([]int, 0, m.added)
+	shards := make([]int, 0, m.shardCount)
 	for shard := range m.tables {
 		if m.tables[shard].added {
 			shards = append(shards, shard)
@@ -88,10 +88,10 @@
 // Result merges the tables added so far. It depends only on which they are,
 // not on the order of Add. It may be called once.
 func (m *Merger) Result() (rows.Table, error) {
-	if m.plan.grouping != nil {
+	if m.plan.groupPlan != nil {
 		return m.mergeGroups()
 	}
-	sorted := make([][]rows.Row, 0, m.added)
+	sorted := make([][]rows.Row, 0, m.shardCount)
 	for i := range m.tables {
 		if len(m.tables[i].rows) > 0 {
 			sorted = append(sorted, m.tables[i].rows)
@@ -102,14 +102,14 @@
 }
 
 func (m *Merger) mergeGroups() (rows.Table, error) {
-	groups := m.plan.grouping.newGroups()
+	groups := m.plan.groupPlan.newGroupSet()
 	for i := range m.tables {
-		groups.next = 0
+		groups.nextIndex = 0
 		for _, row := range m.tables[i].rows {
 			if err := groups.addPartials(row); err != nil {
 				return rows.Table{}, err
 			}
 		}
 	}
-	return groups.result()
+	return groups.buildResult()
 }
--- a/internal/selfhosted/merge/order.go
+++ b/internal/selfhosted/merge/order.go
@@ -8,46 +8,46 @@
 )
 
 // ordering compares rows by some of their columns.
-type ordering struct {
-	terms []orderTerm
+type rowOrder struct {
+	sortKeys []sortKey
 }
 
-type orderTerm struct {
-	index      int
+type sortKey struct {
+	column     int
 	descending bool
 }
 
 // newOrdering resolves an order by among the columns, then adds the columns
 // from tieBreak on as tie breakers.
-func newOrdering(orderBy []language.Order, columns []string, tieBreak int) (*ordering, error) {
-	o := new(ordering)
+func newRowOrder(orderBy []language.Order, columns []string, tieBreak int) (*rowOrder, error) {
+	o := new(rowOrder)
 	for _, order := range orderBy {
 		index := slices.Index(columns, order.Item.String())
 		if index < 0 {
 			return nil, &UnknownColumnError{Column: order.Item.String()}
 		}
-		o.terms = append(o.terms, orderTerm{index: index, descending: order.Descending})
+		o.sortKeys = append(o.sortKeys, sortKey{column: index, descending: order.Descending})
 	}
 	for index := tieBreak; index < len(columns); index++ {
-		if !o.uses(index) {
-			o.terms = append(o.terms, orderTerm{index: index})
+		if !o.includesColumn(index) {
+			o.sortKeys = append(o.sortKeys, sortKey{column: index})
 		}
 	}
 	return o, nil
 }
 
-func (o *ordering) uses(index int) bool {
-	return slices.ContainsFunc(o.terms, func(term orderTerm) bool { return term.index == index })
+func (o *rowOrder) includesColumn(index int) bool {
+	return slices.ContainsFunc(o.sortKeys, func(key sortKey) bool { return key.column == index })
 }
 
-func (o *ordering) compare(a, b rows.Row) int {
-	for i := range o.terms {
-		term := &o.terms[i]
-		order := compareValues(&a[term.index], &b[term.index])
+func (o *rowOrder) compare(a, b rows.Row) int {
+	for i := range o.sortKeys {
+		key := &o.sortKeys[i]
+		order := compareValues(&a[key.column], &b[key.column])
 		switch {
 		case order == 0:
 			continue
-		case term.descending:
+		case key.descending:
 			return -order
 		default:
 			return order
@@ -72,8 +72,8 @@
 	}
 }
 
-func (o *ordering) sort(unsorted []rows.Row) { slices.SortFunc(unsorted, o.compare) }
+func (o *rowOrder) sort(rowsToSort []rows.Row) { slices.SortFunc(rowsToSort, o.compare) }
 
-func (o *ordering) isSorted(candidate []rows.Row) bool {
-	return slices.IsSortedFunc(candidate, o.compare)
+func (o *rowOrder) isSorted(sorted []rows.Row) bool {
+	return slices.IsSortedFunc(sorted, o.compare)
 }
--- a/internal/selfhosted/merge/plan.go
+++ b/internal/selfhosted/merge/plan.go
@@ -30,19 +30,19 @@
 	// shardText is the canonical text of shard.
 	shardText string
 	// grouping is nil if the statement is not grouped.
-	grouping *grouping
+	groupPlan *groupPlan
 }
 
 // NewPlan plans a select, which must not be modified afterwards.
 func NewPlan(statement *language.Select) (*Plan, error) {
 	plan := &Plan{statement: statement, shard: statement}
 	if statement.Grouped() {
-		grouping, err := newGrouping(statement)
+		groupPlan, err := newGroupPlan(statement)
 		if err != nil {
 			return nil, err
 		}
-		plan.grouping = grouping
-		plan.shard = grouping.shardStatement(statement)
+		plan.groupPlan = groupPlan
+		plan.shard = groupPlan.buildShardStatement(statement)
 	}
 	plan.shardText = plan.shard.String()
 	return plan, nil
@@ -53,9 +53,9 @@
 
 // Columns returns the columns of the result; nil for "select *", whose columns
 // are those of the shards.
-func (p *Plan) Columns() []string { return itemNames(p.statement.Items) }
+func (p *Plan) Columns() []string { return columnNames(p.statement.Items) }
 
-func itemNames(items []language.Item) []string {
+func columnNames(items []language.Item) []string {
 	var names []string
 	for _, item := range items {
 		names = append(names, item.String())
@@ -67,13 +67,13 @@
 // The result may share rows with it.
 func Evaluate(statement *language.Select, table rows.Table) (rows.Table, error) {
 	if statement.Grouped() {
-		return evaluateGroups(statement, table)
+		return evaluateGrouped(statement, table)
 	}
-	return evaluateRows(statement, table)
+	return evaluateUngrouped(statement, table)
 }
 
 // limited cuts the rows to the limit; zero means no limit.
-func limited(sorted []rows.Row, limit int) []rows.Row {
+func truncateRows(sorted []rows.Row, limit int) []rows.Row {
 	if limit > 0 && len(sorted) > limit {
 		return sorted[:limit]
 	}
@@ -81,7 +81,7 @@
 }
 
 // matching returns the rows that the where clause takes.
-func matching(statement *language.Select, table rows.Table) []rows.Row {
+func filterRows(statement *language.Select, table rows.Table) []rows.Row {
 	if statement.Where == nil {
 		return slices.Clone(table.Rows)
 	}
--- a/internal/selfhosted/merge/ungrouped.go
+++ b/internal/selfhosted/merge/ungrouped.go
@@ -8,20 +8,20 @@
 )
 
 // evaluateRows runs a select that is not grouped.
-func evaluateRows(statement *language.Select, table rows.Table) (rows.Table, error) {
-	columns := itemNames(statement.Items)
-	result := matching(statement, table)
+func evaluateUngrouped(statement *language.Select, table rows.Table) (rows.Table, error) {
+	columns := columnNames(statement.Items)
+	result := filterRows(statement, table)
 	if len(columns) == 0 {
 		columns = table.Columns
 	} else if err := project(result, columns, table); err != nil {
 		return rows.Table{}, err
 	}
-	order, err := newOrdering(statement.OrderBy, columns, 0)
+	order, err := newRowOrder(statement.OrderBy, columns, 0)
 	if err != nil {
 		return rows.Table{}, err
 	}
 	order.sort(result)
-	return rows.Table{Columns: columns, Rows: limited(result, statement.Limit)}, nil
+	return rows.Table{Columns: columns, Rows: truncateRows(result, statement.Limit)}, nil
 }
 
 // project replaces each row of the table by the values of the columns.
@@ -46,25 +46,25 @@
 }
 
 // runs is a heap of sorted runs, the one with the least first row at the top.
-type runs struct {
-	order *ordering
+type runHeap struct {
+	order *rowOrder
 	runs  [][]rows.Row
 }
 
 // Len implements heap.Interface.
-func (r *runs) Len() int { return len(r.runs) }
+func (r *runHeap) Len() int { return len(r.runs) }
 
 // Less implements heap.Interface.
-func (r *runs) Less(i, j int) bool { return r.order.compare(r.runs[i][0], r.runs[j][0]) < 0 }
+func (r *runHeap) Less(i, j int) bool { return r.order.compare(r.runs[i][0], r.runs[j][0]) < 0 }
 
 // Swap implements heap.Interface.
-func (r *runs) Swap(i, j int) { r.runs[i], r.runs[j] = r.runs[j], r.runs[i] }
+func (r *runHeap) Swap(i, j int) { r.runs[i], r.runs[j] = r.runs[j], r.runs[i] }
 
 // Push implements heap.Interface.
-func (r *runs) Push(run any) { r.runs = append(r.runs, run.([]rows.Row)) }
+func (r *runHeap) Push(run any) { r.runs = append(r.runs, run.([]rows.Row)) }
 
 // Pop implements heap.Interface.
-func (r *runs) Pop() any {
+func (r *runHeap) Pop() any {
 	last := len(r.runs) - 1
 	run := r.runs[last]
 	r.runs = r.runs[:last]
@@ -73,7 +73,7 @@
 
 // mergeRuns returns the first rows of sorted runs, none of them empty, up to
 // the limit; zero means no limit. It keeps and changes the slice of runs.
-func mergeRuns(order *ordering, sorted [][]rows.Row, limit int) []rows.Row {
+func mergeRuns(order *rowOrder, sorted [][]rows.Row, limit int) []rows.Row {
 	total := 0
 	for _, run := range sorted {
 		total += len(run)
@@ -81,18 +81,18 @@
 	if limit > 0 {
 		total = min(total, limit)
 	}
-	merging := &runs{order: order, runs: sorted}
-	heap.Init(merging)
+	pending := &runHeap{order: order, runs: sorted}
+	heap.Init(pending)
 	merged := make([]rows.Row, 0, total)
 	for len(merged) < total {
-		first := merging.runs[0]
+		first := pending.runs[0]
 		merged = append(merged, first[0])
 		if len(first) == 1 {
-			heap.Pop(merging)
+			heap.Pop(pending)
 			continue
 		}
-		merging.runs[0] = first[1:]
-		heap.Fix(merging, 0)
+		pending.runs[0] = first[1:]
+		heap.Fix(pending, 0)
 	}
 	return merged
 }
