--- a/internal/selfhosted/gateway/body_timeout_test.go
+++ b/internal/selfhosted/gateway/body_timeout_test.go
@@ -15,12 +15,12 @@
 )
 
 // patience bounds every wait of these tests; nothing is measured by it.
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // TestBodyThatDoesNotArrive sends half of a body and then nothing: the request
 // ends, so that it cannot hold up a planned stop.
-func TestBodyThatDoesNotArrive(t *testing.T) {
-	gateway, _ := newGateway(&fakeNode{})
+func TestIncompleteBodyTimesOut(t *testing.T) {
+	gateway, _ := newTestGateway(&fakeNode{})
 	gateway.config.BodyTimeout = 20 * time.Millisecond
 	server := httptest.NewServer(gateway)
 	defer server.Close()
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		defer connection.Close()
-		if err := connection.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := connection.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n%s", queryPath, sent)
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text := describe(t, response)
+		text := formatResponse(t, response)
 		if response.StatusCode != http.StatusBadRequest || !strings.Contains(text, "in time") {
 			t.Errorf("after %s: %s", sent, text)
 		}
@@ -47,9 +47,9 @@
 
 // TestDeadlineOfTheBodyIsNotThatOfTheAnswer has an answer that takes longer
 // than a body may.
-func TestDeadlineOfTheBodyIsNotThatOfTheAnswer(t *testing.T) {
+func TestBodyTimeoutDoesNotLimitResponse(t *testing.T) {
 	slow := &slowNode{}
-	gateway, _ := newGateway(&fakeNode{})
+	gateway, _ := newTestGateway(&fakeNode{})
 	gateway.config.Queries = slow
 	gateway.config.BodyTimeout = 20 * time.Millisecond
 	server := httptest.NewServer(gateway)
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if text := describe(t, response); response.StatusCode != http.StatusOK {
+		if text := formatResponse(t, response); response.StatusCode != http.StatusOK {
 			t.Error(text)
 		}
 	}
@@ -70,10 +70,10 @@
 
 // TestCallerThatGoesAwayIsNoticed closes the connection after the deadline of
 // the body is over: that one must not hide it.
-func TestCallerThatGoesAwayIsNoticed(t *testing.T) {
-	waiting := &waitingNode{entered: make(chan struct{}), left: make(chan bool, 1)}
-	gateway, _ := newGateway(&fakeNode{})
-	gateway.config.Queries = waiting
+func TestCallerDisconnectCancelsQuery(t *testing.T) {
+	blocking := &blockingNode{started: make(chan struct{}), cancelled: make(chan bool, 1)}
+	gateway, _ := newTestGateway(&fakeNode{})
+	gateway.config.Queries = blocking
 	gateway.config.BodyTimeout = 20 * time.Millisecond
 	server := httptest.NewServer(gateway)
 	defer server.Close()
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	go func() {
-		<-waiting.entered
+		<-blocking.started
 		time.Sleep(5 * gateway.config.BodyTimeout)
 		cancel()
 	}()
@@ -92,24 +92,24 @@
 		response.Body.Close()
 		t.Fatal("the request was answered")
 	}
-	if !<-waiting.left {
+	if !<-blocking.cancelled {
 		t.Error("the node did not notice that the caller went away")
 	}
 }
 
 // waitingNode waits until the caller goes away.
-type waitingNode struct {
-	entered chan struct{}
-	left    chan bool
+type blockingNode struct {
+	started   chan struct{}
+	cancelled chan bool
 }
 
-func (w *waitingNode) Query(ctx context.Context, _ string, _ api.QueryRequest) (*api.QueryResponse, error) {
-	close(w.entered)
+func (b *blockingNode) Query(ctx context.Context, _ string, _ api.QueryRequest) (*api.QueryResponse, error) {
+	close(b.started)
 	select {
 	case <-ctx.Done():
-		w.left <- true
-	case <-time.After(patience):
-		w.left <- false
+		b.cancelled <- true
+	case <-time.After(testTimeout):
+		b.cancelled <- false
 	}
 	return &api.QueryResponse{}, nil
 }
--- a/internal/selfhosted/gateway/decode.go
+++ b/internal/selfhosted/gateway/decode.go
@@ -53,7 +53,7 @@
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
-		return decodeProblem(err)
+		return newDecodeProblem(err)
 	}
 	_, err := decoder.Token()
 	var tooLarge *http.MaxBytesError
@@ -61,13 +61,13 @@
 	case errors.Is(err, io.EOF):
 		return nil
 	case errors.As(err, &tooLarge), errors.Is(err, os.ErrDeadlineExceeded):
-		return decodeProblem(err)
+		return newDecodeProblem(err)
 	}
 	return api.NewProblem(api.ProblemInvalidRequest, "The body must hold one JSON object and nothing after it.")
 }
 
 // decodeProblem says what is wrong in terms of the document.
-func decodeProblem(err error) error {
+func newDecodeProblem(err error) error {
 	var tooLarge *http.MaxBytesError
 	var wrongType *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
--- a/internal/selfhosted/gateway/fixture_test.go
+++ b/internal/selfhosted/gateway/fixture_test.go
@@ -19,22 +19,22 @@
 
 // fakeNode answers what is set; what it was asked is recorded.
 type fakeNode struct {
-	query      api.QueryRequest
-	service    string
-	answer     *api.QueryResponse
-	err        error
-	asked      int
-	deadlineIn time.Duration
-	panics     bool
+	lastQuery   api.QueryRequest
+	lastService string
+	response    *api.QueryResponse
+	err         error
+	calls       int
+	timeout     time.Duration
+	panics      bool
 }
 
 func (f *fakeNode) Query(_ context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
-	f.asked++
-	f.query, f.service = request, service
+	f.calls++
+	f.lastQuery, f.lastService = request, service
 	if f.panics {
 		panic("a fault of the program")
 	}
-	return f.answer, f.err
+	return f.response, f.err
 }
 
 func (f *fakeNode) Statement(ctx context.Context, _ api.StatementRequest) (*api.StatementResponse, error) {
@@ -46,9 +46,9 @@
 }
 
 func (f *fakeNode) respond(ctx context.Context) (*api.StatementResponse, error) {
-	f.asked++
+	f.calls++
 	if deadline, ok := ctx.Deadline(); ok {
-		f.deadlineIn = time.Until(deadline).Round(time.Minute)
+		f.timeout = time.Until(deadline).Round(time.Minute)
 	}
 	return &api.StatementResponse{Kind: api.KindChange}, f.err
 }
@@ -63,14 +63,14 @@
 	return &api.DrainResponse{Node: node, State: api.NodeLeaving}, f.err
 }
 
-func newGateway(node *fakeNode) (*Gateway, *bytes.Buffer) {
+func newTestGateway(node *fakeNode) (*Gateway, *bytes.Buffer) {
 	var log bytes.Buffer
 	return New(Config{
 		Queries:    node,
 		Operations: node,
 		Metrics:    http.NotFoundHandler(),
 		Logger:     slog.New(slog.NewTextHandler(&log, nil)),
-		BodyBytes:  bodyBytes,
+		BodyBytes:  maxBodyBytes,
 		Ready:      func() error { return nil },
 	}), &log
 }
@@ -82,7 +82,7 @@
 }
 
 // describe writes what a client sees of a response.
-func describe(t *testing.T, response *http.Response) string {
+func formatResponse(t *testing.T, response *http.Response) string {
 	t.Helper()
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
--- a/internal/selfhosted/gateway/gateway.go
+++ b/internal/selfhosted/gateway/gateway.go
@@ -24,12 +24,12 @@
 )
 
 // Queries runs callers' queries. An error is a *api.Problem.
-type Queries interface {
+type QueryRunner interface {
 	Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error)
 }
 
 // Operations carries out operators' commands. Errors are *api.Problem values.
-type Operations interface {
+type OperatorService interface {
 	Statement(ctx context.Context, request api.StatementRequest) (*api.StatementResponse, error)
 	Change(ctx context.Context, id string) (*api.StatementResponse, error)
 	Status(ctx context.Context) (*api.StatusResponse, error)
@@ -39,8 +39,8 @@
 
 // Config is what a Gateway serves.
 type Config struct {
-	Queries    Queries
-	Operations Operations
+	Queries    QueryRunner
+	Operations OperatorService
 	// Metrics answers GET /metrics.
 	Metrics http.Handler
 	Logger  *slog.Logger
@@ -71,19 +71,19 @@
 	gateway := &Gateway{config: config, router: echo.New()}
 	gateway.router.HTTPErrorHandler = gateway.writeError
 	gateway.router.Use(gateway.recoverPanics(), gateway.limitBody, gateway.closeWhenDraining)
-	gateway.route()
+	gateway.registerRoutes()
 	return gateway
 }
 
-func (g *Gateway) route() {
-	g.router.POST(echoPath(api.QueryPath), g.query)
-	g.router.POST(echoPath(api.StatementsPath), g.statement)
-	g.router.GET(echoPath(api.ChangePath), g.change)
-	g.router.GET(echoPath(api.StatusPath), g.status)
-	g.router.GET(echoPath(api.CatalogPath), g.catalog)
-	g.router.POST(echoPath(api.DrainPath), g.drain)
-	g.router.GET("/healthz", g.healthy)
-	g.router.GET("/readyz", g.ready)
+func (g *Gateway) registerRoutes() {
+	g.router.POST(echoPath(api.QueryPath), g.handleQuery)
+	g.router.POST(echoPath(api.StatementsPath), g.handleStatement)
+	g.router.GET(echoPath(api.ChangePath), g.handleChange)
+	g.router.GET(echoPath(api.StatusPath), g.handleStatus)
+	g.router.GET(echoPath(api.CatalogPath), g.handleCatalog)
+	g.router.POST(echoPath(api.DrainPath), g.handleDrain)
+	g.router.GET("/healthz", g.handleHealth)
+	g.router.GET("/readyz", g.handleReady)
 	g.router.GET("/metrics", echo.WrapHandler(g.config.Metrics))
 }
 
@@ -129,11 +129,11 @@
 	})
 }
 
-func (g *Gateway) healthy(c echo.Context) error {
+func (g *Gateway) handleHealth(c echo.Context) error {
 	return c.String(http.StatusOK, "ok\n")
 }
 
-func (g *Gateway) ready(c echo.Context) error {
+func (g *Gateway) handleReady(c echo.Context) error {
 	if g.draining.Load() {
 		return c.String(http.StatusServiceUnavailable, "draining\n")
 	}
@@ -144,7 +144,7 @@
 }
 
 // asProblem finds the problem that an error is or becomes.
-func asProblem(err error) *api.Problem {
+func toProblem(err error) *api.Problem {
 	var problem *api.Problem
 	if errors.As(err, &problem) {
 		return problem
@@ -153,8 +153,8 @@
 	if errors.As(err, &tooLarge) {
 		return api.NewProblem(api.ProblemBodyTooLarge, fmt.Sprintf("The limit is %d bytes.", tooLarge.Limit))
 	}
-	var routing *echo.HTTPError
-	if errors.As(err, &routing) && (routing.Code == http.StatusNotFound || routing.Code == http.StatusMethodNotAllowed) {
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) && (httpError.Code == http.StatusNotFound || httpError.Code == http.StatusMethodNotAllowed) {
 		return api.NewProblem(api.ProblemUnknownPath, "")
 	}
 	return api.NewProblem(api.ProblemInternal, err.Error())
--- a/internal/selfhosted/gateway/gateway_test.go
+++ b/internal/selfhosted/gateway/gateway_test.go
@@ -15,7 +15,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-const bodyBytes = 1024
+const maxBodyBytes = 1024
 
 const (
 	queryPath     = "/v1/services/rate-desk/query"
@@ -24,16 +24,16 @@
 
 // TestProblemsGolden holds the problem document of each kind of bad input.
 func TestProblemsGolden(t *testing.T) {
-	late := api.NewProblem(api.ProblemNotRunOverload, "predicted wait 1.2s")
-	late.RequestID, late.Outcome, late.Reason, late.RetryAfterMilliseconds = "r-1", dispatch.OutcomeNotRun, dispatch.ReasonOverload, 1200
+	overload := api.NewProblem(api.ProblemNotRunOverload, "predicted wait 1.2s")
+	overload.RequestID, overload.Outcome, overload.Reason, overload.RetryAfterMilliseconds = "r-1", dispatch.OutcomeNotRun, dispatch.ReasonOverload, 1200
 	syntax := api.NewProblem(api.ProblemSyntax, "expected \"from\"")
 	syntax.Line, syntax.Column, syntax.Expected = 1, 13, `"from"`
-	large := `{"class":"sweep","statement":"` + strings.Repeat("x", bodyBytes) + `"}`
+	tooLarge := `{"class":"sweep","statement":"` + strings.Repeat("x", maxBodyBytes) + `"}`
 	cases := []struct {
 		name, method, path, body string
 		err                      error
 	}{
-		{"body too large", http.MethodPost, queryPath, large, nil},
+		{"body too large", http.MethodPost, queryPath, tooLarge, nil},
 		{"unknown key", http.MethodPost, queryPath, `{"class":"sweep","statment":"select"}`, nil},
 		{"wrong type", http.MethodPost, queryPath, `{"class":"sweep","deadline_ms":"2s"}`, nil},
 		{"fraction of a millisecond", http.MethodPost, queryPath, `{"class":"sweep","deadline_ms":0.5}`, nil},
@@ -50,7 +50,7 @@
 		{"timeout of a change that is no number", http.MethodGet, "/v1/operator/changes/17-a?timeout_ms=soon", "", nil},
 		{"unknown path", http.MethodGet, "/v1/service", "", nil},
 		{"unknown method", http.MethodDelete, queryPath, "", nil},
-		{"problem of the node with a time", http.MethodPost, queryPath, `{"class":"sweep"}`, late},
+		{"problem of the node with a time", http.MethodPost, queryPath, `{"class":"sweep"}`, overload},
 		{"problem that points into a statement", http.MethodPost, queryPath, `{"class":"sweep"}`, syntax},
 		{"wrapped problem", http.MethodPost, statementPath, `{"statement":"show nodes"}`, fmt.Errorf("step: %w", api.NewProblem(api.ProblemConflict, "revision 4, not 3"))},
 		{"error that is no problem", http.MethodPost, queryPath, `{"class":"sweep"}`, errors.New("unforeseen")},
@@ -58,46 +58,46 @@
 	var report strings.Builder
 	for _, test := range cases {
 		node := &fakeNode{err: test.err}
-		gateway, _ := newGateway(node)
-		fmt.Fprintf(&report, "=== %s\n%s", test.name, describe(t, serve(gateway, test.method, test.path, test.body)))
-		if test.err == nil && node.asked > 0 {
+		gateway, _ := newTestGateway(node)
+		fmt.Fprintf(&report, "=== %s\n%s", test.name, formatResponse(t, serve(gateway, test.method, test.path, test.body)))
+		if test.err == nil && node.calls > 0 {
 			t.Errorf("%s: the node was asked", test.name)
 		}
 	}
 	goldie.New(t).Assert(t, "problems", []byte(report.String()))
 }
 
-func TestQueryIsHandedOn(t *testing.T) {
-	node := &fakeNode{answer: &api.QueryResponse{RequestID: "r-1", Outcome: dispatch.OutcomeAnswered, Columns: []string{"lane"}}}
-	gateway, _ := newGateway(node)
+func TestQueryIsPassedToNode(t *testing.T) {
+	node := &fakeNode{response: &api.QueryResponse{RequestID: "r-1", Outcome: dispatch.OutcomeAnswered, Columns: []string{"lane"}}}
+	gateway, _ := newTestGateway(node)
 	response := serve(gateway, http.MethodPost, queryPath, `{"request_id":"r-1","class":"sweep","statement":"select * from rate-desk","deadline_ms":90,"minimum_coverage":0.5}`+"\n")
-	if response.StatusCode != http.StatusOK || node.service != "rate-desk" {
-		t.Fatalf("status %d, service %q", response.StatusCode, node.service)
+	if response.StatusCode != http.StatusOK || node.lastService != "rate-desk" {
+		t.Fatalf("status %d, service %q", response.StatusCode, node.lastService)
 	}
-	q := node.query
-	if q.RequestID != "r-1" || q.Class != "sweep" || q.Statement != "select * from rate-desk" || q.DeadlineMilliseconds != 90 || q.MinimumCoverage == nil || *q.MinimumCoverage != 0.5 {
-		t.Errorf("handed on %+v", q)
+	query := node.lastQuery
+	if query.RequestID != "r-1" || query.Class != "sweep" || query.Statement != "select * from rate-desk" || query.DeadlineMilliseconds != 90 || query.MinimumCoverage == nil || *query.MinimumCoverage != 0.5 {
+		t.Errorf("handed on %+v", query)
 	}
 }
 
-func TestOperatorsTimeout(t *testing.T) {
+func TestOperatorTimeout(t *testing.T) {
 	for body, want := range map[string]time.Duration{
 		`{"statement":"show nodes","timeout_ms":120000}`: 2 * time.Minute,
 		`{"statement":"show nodes","timeout_ms":300000}`: 5 * time.Minute,
 	} {
 		node := &fakeNode{}
-		gateway, _ := newGateway(node)
-		if response := serve(gateway, http.MethodPost, statementPath, body); response.StatusCode != http.StatusOK || node.deadlineIn != want {
-			t.Errorf("%s: status %d, %s", body, response.StatusCode, node.deadlineIn)
+		gateway, _ := newTestGateway(node)
+		if response := serve(gateway, http.MethodPost, statementPath, body); response.StatusCode != http.StatusOK || node.timeout != want {
+			t.Errorf("%s: status %d, %s", body, response.StatusCode, node.timeout)
 		}
 	}
 }
 
 // TestDraining has a node that is not ready, but that still answers, and asks
 // its callers to open a connection elsewhere.
-func TestDraining(t *testing.T) {
-	node := &fakeNode{answer: &api.QueryResponse{}}
-	gateway, _ := newGateway(node)
+func TestDrainingNodeIsNotReady(t *testing.T) {
+	node := &fakeNode{response: &api.QueryResponse{}}
+	gateway, _ := newTestGateway(node)
 	if response := serve(gateway, http.MethodGet, "/readyz", ""); response.StatusCode != http.StatusOK || response.Header.Get("Connection") != "" {
 		t.Errorf("before: %d, Connection %q", response.StatusCode, response.Header.Get("Connection"))
 	}
@@ -114,7 +114,7 @@
 
 // TestDrainingClosesTheConnection checks the header against a real connection.
 func TestDrainingClosesTheConnection(t *testing.T) {
-	gateway, _ := newGateway(&fakeNode{})
+	gateway, _ := newTestGateway(&fakeNode{})
 	server := httptest.NewServer(gateway)
 	defer server.Close()
 	for _, draining := range []bool{false, true} {
@@ -132,21 +132,21 @@
 	}
 }
 
-func TestNotReadySaysWhy(t *testing.T) {
-	gateway, _ := newGateway(&fakeNode{})
+func TestReadyzReportsReason(t *testing.T) {
+	gateway, _ := newTestGateway(&fakeNode{})
 	gateway.config.Ready = func() error { return errors.New("the catalog may be out of date") }
 	response := serve(gateway, http.MethodGet, "/readyz", "")
-	if text := describe(t, response); response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(text, "out of date") {
+	if text := formatResponse(t, response); response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(text, "out of date") {
 		t.Errorf("got %s", text)
 	}
 }
 
 // TestPanicIsAnInternalProblem tells the caller nothing of the inside, and the
 // log all of it.
-func TestPanicIsAnInternalProblem(t *testing.T) {
-	gateway, log := newGateway(&fakeNode{panics: true})
+func TestPanicBecomesInternalProblem(t *testing.T) {
+	gateway, log := newTestGateway(&fakeNode{panics: true})
 	response := serve(gateway, http.MethodPost, queryPath, `{"class":"sweep"}`)
-	text := describe(t, response)
+	text := formatResponse(t, response)
 	if response.StatusCode != http.StatusInternalServerError || !strings.Contains(text, string(api.ProblemInternal)) || strings.Contains(text, "a fault of the program") {
 		t.Errorf("got %s", text)
 	}
@@ -162,7 +162,7 @@
 		f.Add(body)
 	}
 	f.Fuzz(func(t *testing.T, body string) {
-		gateway, log := newGateway(&fakeNode{answer: &api.QueryResponse{}})
+		gateway, log := newTestGateway(&fakeNode{response: &api.QueryResponse{}})
 		response := serve(gateway, http.MethodPost, queryPath, body)
 		if response.StatusCode == http.StatusInternalServerError || log.Len() > 0 {
 			t.Errorf("%d, %s", response.StatusCode, log)
--- a/internal/selfhosted/gateway/handlers.go
+++ b/internal/selfhosted/gateway/handlers.go
@@ -18,26 +18,26 @@
 const defaultOperatorTimeout = 10 * time.Second
 
 // maximumOperatorTimeout bounds the time that an operator may ask for.
-const maximumOperatorTimeout = 5 * time.Minute
+const maxOperatorTimeout = 5 * time.Minute
 
-func (g *Gateway) query(c echo.Context) error {
+func (g *Gateway) handleQuery(c echo.Context) error {
 	request, err := g.decodeQuery(c)
 	if err != nil {
 		return err
 	}
-	answer, err := g.config.Queries.Query(c.Request().Context(), c.Param("service"), request)
+	response, err := g.config.Queries.Query(c.Request().Context(), c.Param("service"), request)
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, answer)
+	return c.JSON(http.StatusOK, response)
 }
 
-func (g *Gateway) statement(c echo.Context) error {
+func (g *Gateway) handleStatement(c echo.Context) error {
 	var request api.StatementRequest
 	if err := g.decode(c, &request); err != nil {
 		return err
 	}
-	ctx, cancel, err := operatorContext(c, request.TimeoutMilliseconds)
+	ctx, cancel, err := withOperatorTimeout(c, request.TimeoutMilliseconds)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	return c.JSON(http.StatusOK, response)
 }
 
-func (g *Gateway) change(c echo.Context) error {
+func (g *Gateway) handleChange(c echo.Context) error {
 	var milliseconds int64
 	if text := c.QueryParam(api.TimeoutParameter); text != "" {
 		parsed, err := strconv.ParseInt(text, 10, 64)
@@ -58,7 +58,7 @@
 		}
 		milliseconds = parsed
 	}
-	ctx, cancel, err := operatorContext(c, milliseconds)
+	ctx, cancel, err := withOperatorTimeout(c, milliseconds)
 	if err != nil {
 		return err
 	}
@@ -71,10 +71,10 @@
 }
 
 // operatorContext bounds an operator's command in time.
-func operatorContext(c echo.Context, milliseconds int64) (context.Context, context.CancelFunc, error) {
+func withOperatorTimeout(c echo.Context, milliseconds int64) (context.Context, context.CancelFunc, error) {
 	// Compared before it is converted: a large number would overflow.
-	if milliseconds < 0 || milliseconds > maximumOperatorTimeout.Milliseconds() {
-		return nil, nil, api.NewProblem(api.ProblemInvalidDeadline, "timeout_ms must be between 1 and "+strconv.FormatInt(maximumOperatorTimeout.Milliseconds(), 10)+".")
+	if milliseconds < 0 || milliseconds > maxOperatorTimeout.Milliseconds() {
+		return nil, nil, api.NewProblem(api.ProblemInvalidDeadline, "timeout_ms must be between 1 and "+strconv.FormatInt(maxOperatorTimeout.Milliseconds(), 10)+".")
 	}
 	timeout := time.Duration(milliseconds) * time.Millisecond
 	if timeout == 0 {
@@ -84,7 +84,7 @@
 	return ctx, cancel, nil
 }
 
-func (g *Gateway) status(c echo.Context) error {
+func (g *Gateway) handleStatus(c echo.Context) error {
 	response, err := g.config.Operations.Status(c.Request().Context())
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return c.JSON(http.StatusOK, response)
 }
 
-func (g *Gateway) catalog(c echo.Context) error {
+func (g *Gateway) handleCatalog(c echo.Context) error {
 	encoded, err := catalog.Encode(g.config.Operations.Catalog())
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return c.JSONBlob(http.StatusOK, encoded)
 }
 
-func (g *Gateway) drain(c echo.Context) error {
+func (g *Gateway) handleDrain(c echo.Context) error {
 	response, err := g.config.Operations.Drain(c.Request().Context(), c.Param("name"))
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 	if c.Response().Committed {
 		return
 	}
-	problem := asProblem(err)
+	problem := toProblem(err)
 	if problem.RetryAfterMilliseconds > 0 {
 		seconds := (problem.RetryAfterMilliseconds + 999) / 1000
 		c.Response().Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
