--- a/internal/selfhosted/api/errors_page_test.go
+++ b/internal/selfhosted/api/errors_page_test.go
@@ -33,7 +33,7 @@
 `
 
 // TestErrorsPage keeps docs/ERRORS.md equal to the types.
-func TestErrorsPage(t *testing.T) {
+func TestErrorsPageMatchesDescriptions(t *testing.T) {
 	var page strings.Builder
 	page.WriteString(errorsPageHead)
 	page.WriteString("| type | status | meaning | what to do |\n| --- | --- | --- | --- |\n")
@@ -57,17 +57,17 @@
 	for _, description := range ProblemDescriptions() {
 		described[fmt.Sprintf("%q", description.Type)] = true
 	}
-	found := 0
+	count := 0
 	ast.Inspect(file, func(node ast.Node) bool {
 		if literal, ok := node.(*ast.BasicLit); ok && strings.HasPrefix(literal.Value, `"urn:micaplank:problem:`) {
-			found++
+			count++
 			if !described[literal.Value] {
 				t.Errorf("%s is not described", literal.Value)
 			}
 		}
 		return true
 	})
-	if found != len(described) {
-		t.Errorf("%d types in the source, %d described", found, len(described))
+	if count != len(described) {
+		t.Errorf("%d types in the source, %d described", count, len(described))
 	}
 }
