--- a/internal/selfhosted/operator/apply.go
+++ b/internal/selfhosted/operator/apply.go
@@ -22,31 +22,31 @@
 	if err != nil {
 		return err
 	}
-	plan, err := MakePlan(current, statements)
+	plan, err := NewPlan(current, statements)
 	if err != nil {
 		return fmt.Errorf("%s: %w", source, err)
 	}
 	if err := s.writePlan(plan, dryRun); err != nil || dryRun {
 		return err
 	}
-	for made, located := range plan.located {
-		revision := plan.Revision + uint64(made)
-		err := s.run(ctx, located.Statement, ExecOptions{Source: source, IfRevision: &revision})
+	for applied, located := range plan.statements {
+		revision := plan.Revision + uint64(applied)
+		err := s.runStatement(ctx, located.Statement, ExecOptions{Source: source, IfRevision: &revision})
 		if err != nil {
-			return statementError(source, located, len(plan.located)+1, movedOn(err, made, len(plan.located)))
+			return statementError(source, located, len(plan.statements)+1, explainConflict(err, applied, len(plan.statements)))
 		}
 	}
 	return nil
 }
 
 // movedOn adds to a conflict what it means for a plan.
-func movedOn(err error, made, planned int) error {
+func explainConflict(err error, applied, total int) error {
 	var problem *api.Problem
 	if !errors.As(err, &problem) || problem.Type != api.ProblemConflict {
 		return err
 	}
 	return fmt.Errorf("%w\n%d of %s made; the catalog is not what the plan was made for: look at apply --dry-run again",
-		err, made, count(planned, "change"))
+		err, applied, pluralize(total, "change"))
 }
 
 func (s *Session) writePlan(plan *Plan, dryRun bool) error {
@@ -63,11 +63,11 @@
 	if dryRun {
 		verb = "would be made"
 	}
-	s.printf("%s %s on revision %d, %s so already\n", count(len(plan.Changes), "change"), verb, plan.Revision, count(plan.Unchanged, "statement"))
+	s.printf("%s %s on revision %d, %s so already\n", pluralize(len(plan.Changes), "change"), verb, plan.Revision, pluralize(plan.Unchanged, "statement"))
 	return nil
 }
 
-func count(number int, what string) string {
+func pluralize(number int, what string) string {
 	if number == 1 {
 		return "1 " + what
 	}
--- a/internal/selfhosted/operator/apply_test.go
+++ b/internal/selfhosted/operator/apply_test.go
@@ -15,15 +15,15 @@
 )
 
 // catalogNode keeps a catalog and applies the changes that it is sent.
-type catalogNode struct {
+type fakeCatalogNode struct {
 	t       *testing.T
 	current *catalog.Catalog
 	// before, if set, runs before each change, with the number made so far.
-	before func(made int)
-	made   int
+	beforeChange func(changesMade int)
+	changesMade  int
 }
 
-func (n *catalogNode) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (n *fakeCatalogNode) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == api.CatalogPath {
 		encoded, err := catalog.Encode(n.current)
 		if err != nil {
@@ -36,8 +36,8 @@
 	if err := json.NewDecoder(request.Body).Decode(&sent); err != nil {
 		n.t.Error(err)
 	}
-	if n.before != nil {
-		n.before(n.made)
+	if n.beforeChange != nil {
+		n.beforeChange(n.changesMade)
 	}
 	if err := n.apply(sent.Statement); err != nil {
 		problem := api.NewProblem(api.ProblemConflict, err.Error())
@@ -46,11 +46,11 @@
 		_ = json.NewEncoder(writer).Encode(problem)
 		return
 	}
-	n.made++
+	n.changesMade++
 	_ = json.NewEncoder(writer).Encode(api.StatementResponse{Kind: api.KindChange, Fate: api.FateInForce, Revision: n.current.Revision})
 }
 
-func (n *catalogNode) apply(text string) error {
+func (n *fakeCatalogNode) apply(text string) error {
 	statement, err := language.ParseOne(text)
 	if err != nil {
 		return err
@@ -62,8 +62,8 @@
 	return err
 }
 
-func startCatalogNode(t *testing.T) (*catalogNode, netip.AddrPort) {
-	node := &catalogNode{t: t, current: catalog.Empty()}
+func startFakeCatalogNode(t *testing.T) (*fakeCatalogNode, netip.AddrPort) {
+	node := &fakeCatalogNode{t: t, current: catalog.Empty()}
 	server := httptest.NewServer(node)
 	t.Cleanup(server.Close)
 	return node, netip.MustParseAddrPort(server.Listener.Addr().String())
@@ -74,14 +74,14 @@
 limit rate-desk concurrency 40
 `
 
-func TestApplyBindsEachChangeToItsRevision(t *testing.T) {
-	node, address := startCatalogNode(t)
+func TestApplyBindsEachChangeToRevision(t *testing.T) {
+	node, address := startFakeCatalogNode(t)
 	var output strings.Builder
 	if err := newSession(&output, FormatText, address).Apply(context.Background(), "x.mica", threeChanges, false); err != nil {
 		t.Fatal(err)
 	}
-	if node.made != 3 || node.current.Services["rate-desk"].Concurrency != 40 {
-		t.Errorf("%d changes made", node.made)
+	if node.changesMade != 3 || node.current.Services["rate-desk"].Concurrency != 40 {
+		t.Errorf("%d changes made", node.changesMade)
 	}
 	if strings.Contains(output.String(), "if revision") {
 		t.Errorf("the guard is shown to the operator:\n%s", output.String())
@@ -90,12 +90,12 @@
 
 // TestApplyStopsWhenTheCatalogMovesOn has another operator change the limit
 // after the plan was shown, before its first change or in the middle.
-func TestApplyStopsWhenTheCatalogMovesOn(t *testing.T) {
+func TestApplyStopsOnConcurrentChange(t *testing.T) {
 	for at := range 3 {
-		node, address := startCatalogNode(t)
-		node.before = func(made int) {
-			if made == at {
-				node.before = nil
+		node, address := startFakeCatalogNode(t)
+		node.beforeChange = func(changesMade int) {
+			if changesMade == at {
+				node.beforeChange = nil
 				if err := node.apply("create service other shards 1 replicas 1"); err != nil {
 					t.Error(err)
 				}
@@ -103,8 +103,8 @@
 		}
 		var output strings.Builder
 		err := newSession(&output, FormatText, address).Apply(context.Background(), "x.mica", threeChanges, false)
-		if err == nil || node.made != at || !strings.Contains(err.Error(), "look at apply --dry-run again") {
-			t.Errorf("another change after %d: %d made, %v", at, node.made, err)
+		if err == nil || node.changesMade != at || !strings.Contains(err.Error(), "look at apply --dry-run again") {
+			t.Errorf("another change after %d: %d made, %v", at, node.changesMade, err)
 		}
 	}
 }
--- a/internal/selfhosted/operator/client.go
+++ b/internal/selfhosted/operator/client.go
@@ -28,9 +28,9 @@
 	connectTimeout = 2 * time.Second
 	// answerGrace is how much longer than the node's own timeout the client
 	// waits for the answer.
-	answerGrace = 2 * time.Second
+	responseGrace = 2 * time.Second
 	// maximumAnswer bounds the size of an answer in bytes.
-	maximumAnswer = 256 << 20
+	maxResponseBytes = 256 << 20
 )
 
 // Client calls the HTTP interface of the nodes. It tries them in order, so
@@ -66,12 +66,12 @@
 		}
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, usagef("%q is no node address: an IP address with a port is expected, such as 127.0.0.1:7201", text)
+			return nil, usageErrorf("%q is no node address: an IP address with a port is expected, such as 127.0.0.1:7201", text)
 		}
 		nodes = append(nodes, address)
 	}
 	if len(nodes) == 0 {
-		return nil, usagef("no node is named: use --node")
+		return nil, usageErrorf("no node is named: use --node")
 	}
 	return nodes, nil
 }
@@ -92,17 +92,17 @@
 		DryRun:              dryRun,
 	}
 	response := new(api.StatementResponse)
-	lost, err := c.send(ctx, call{method: http.MethodPost, path: api.StatementsPath, body: request, again: true}, response)
-	if lost == nil {
+	unreachable, err := c.sendToNodes(ctx, nodeRequest{method: http.MethodPost, path: api.StatementsPath, body: request, resendable: true}, response)
+	if unreachable == nil {
 		return response, err
 	}
 	if err != nil {
-		lost.Attempts = append(lost.Attempts, err)
-		return nil, lost
+		unreachable.Attempts = append(unreachable.Attempts, err)
+		return nil, unreachable
 	}
 	if response.Fate == api.FateNotAccepted {
 		response.Fate = api.FateUnknown
-		response.Detail = lost.Error() + "; " + response.Detail
+		response.Detail = unreachable.Error() + "; " + response.Detail
 	}
 	return response, nil
 }
@@ -113,20 +113,20 @@
 	path := strings.Replace(api.ChangePath, "{id}", url.PathEscape(id), 1)
 	path += "?" + api.TimeoutParameter + "=" + strconv.FormatInt(c.timeout.Milliseconds(), 10)
 	response := new(api.StatementResponse)
-	err := c.call(ctx, call{method: http.MethodGet, path: path, again: true}, response)
+	err := c.sendRequest(ctx, nodeRequest{method: http.MethodGet, path: path, resendable: true}, response)
 	return response, err
 }
 
 // Status returns what one node knows of the deployment.
 func (c *Client) Status(ctx context.Context) (*api.StatusResponse, error) {
 	response := new(api.StatusResponse)
-	return response, c.call(ctx, call{method: http.MethodGet, path: api.StatusPath, again: true}, response)
+	return response, c.sendRequest(ctx, nodeRequest{method: http.MethodGet, path: api.StatusPath, resendable: true}, response)
 }
 
 // Catalog returns the catalog that one node holds.
 func (c *Client) Catalog(ctx context.Context) (*catalog.Catalog, error) {
 	var raw json.RawMessage
-	if err := c.call(ctx, call{method: http.MethodGet, path: api.CatalogPath, again: true}, &raw); err != nil {
+	if err := c.sendRequest(ctx, nodeRequest{method: http.MethodGet, path: api.CatalogPath, resendable: true}, &raw); err != nil {
 		return nil, err
 	}
 	return catalog.Decode(raw)
@@ -136,7 +136,7 @@
 func (c *Client) Drain(ctx context.Context, node string) (*api.DrainResponse, error) {
 	path := strings.Replace(api.DrainPath, "{name}", url.PathEscape(node), 1)
 	response := new(api.DrainResponse)
-	return response, c.call(ctx, call{method: http.MethodPost, path: path, again: true}, response)
+	return response, c.sendRequest(ctx, nodeRequest{method: http.MethodPost, path: path, resendable: true}, response)
 }
 
 // Query runs one query. It is sent to another node only if no connection to
@@ -144,5 +144,5 @@
 func (c *Client) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	path := strings.Replace(api.QueryPath, "{service}", url.PathEscape(service), 1)
 	response := new(api.QueryResponse)
-	return response, c.call(ctx, call{method: http.MethodPost, path: path, body: request}, response)
+	return response, c.sendRequest(ctx, nodeRequest{method: http.MethodPost, path: path, body: request}, response)
 }
--- a/internal/selfhosted/operator/drain.go
+++ b/internal/selfhosted/operator/drain.go
@@ -11,7 +11,7 @@
 )
 
 // drainPoll is the time between two looks at a node that drains.
-const drainPoll = 250 * time.Millisecond
+const drainPollInterval = 250 * time.Millisecond
 
 // Drain starts the planned stop of a node and waits until it is gone.
 func (s *Session) Drain(ctx context.Context, node string) error {
@@ -19,13 +19,13 @@
 	if err != nil {
 		return err
 	}
-	var seen bool
-	response.State, seen = s.awaitGone(ctx, node)
+	var reachable bool
+	response.State, reachable = s.waitUntilGone(ctx, node)
 	if s.Format == FormatJSON {
 		if err := s.writeJSON(response); err != nil {
 			return err
 		}
-	} else if seen {
+	} else if reachable {
 		s.printf("node %s is %s\n", node, response.State)
 	} else {
 		s.printf("node %s took the command; none of the nodes asked can be reached any more\n", node)
@@ -39,7 +39,7 @@
 // awaitGone polls the status until the node is gone or the timeout is over. It
 // also ends when no node can be reached: if the node was the only one to be
 // asked, it has stopped; seen is then false.
-func (s *Session) awaitGone(ctx context.Context, node string) (state api.NodeState, seen bool) {
+func (s *Session) waitUntilGone(ctx context.Context, node string) (state api.NodeState, reachable bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	for {
@@ -48,18 +48,18 @@
 		switch {
 		case ctx.Err() != nil:
 			return api.NodeLeaving, true
-		case err == nil && stateOf(status, node) == api.NodeGone:
+		case err == nil && findNodeState(status, node) == api.NodeGone:
 			return api.NodeGone, true
 		case errors.As(err, &unreachable) && !unreachable.Sent:
 			return api.NodeGone, false
-		case !clock.Sleep(ctx, drainPoll):
+		case !clock.Sleep(ctx, drainPollInterval):
 			return api.NodeLeaving, true
 		}
 	}
 }
 
 // stateOf returns the state of a node; one that is not listed is gone.
-func stateOf(status *api.StatusResponse, name string) api.NodeState {
+func findNodeState(status *api.StatusResponse, name string) api.NodeState {
 	for _, node := range status.Nodes {
 		if node.Name == name {
 			return node.State
--- a/internal/selfhosted/operator/errors.go
+++ b/internal/selfhosted/operator/errors.go
@@ -36,7 +36,7 @@
 // Error returns the message.
 func (e *UsageError) Error() string { return e.Message }
 
-func usagef(format string, arguments ...any) error {
+func usageErrorf(format string, arguments ...any) error {
 	return &UsageError{Message: fmt.Sprintf(format, arguments...)}
 }
 
@@ -58,7 +58,7 @@
 }
 
 // ifSent returns the error if the request may have reached a node, or nil.
-func (e *UnreachableError) ifSent() *UnreachableError {
+func (e *UnreachableError) nilUnlessSent() *UnreachableError {
 	if e.Sent {
 		return e
 	}
@@ -94,16 +94,16 @@
 }
 
 // LostError means that the answer to a change was lost on the way.
-type LostError struct {
+type LostResponseError struct {
 	Token string
 	Cause error
 }
 
 // Error says how to find the fate out.
-func (e *LostError) Error() string {
+func (e *LostResponseError) Error() string {
 	return fmt.Sprintf("the fate of the change is unknown: %v\nask again:  micactl change %s\nor repeat:  the same statement with --change-id %s takes effect at most once",
 		e.Cause, e.Token, e.Token)
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *LostResponseError) Unwrap() error { return e.Cause }
--- a/internal/selfhosted/operator/exec.go
+++ b/internal/selfhosted/operator/exec.go
@@ -38,19 +38,19 @@
 		return fmt.Errorf("%s: %w", options.Source, err)
 	}
 	if len(statements) == 0 {
-		return usagef("%s: there is no statement", options.Source)
+		return usageErrorf("%s: there is no statement", options.Source)
 	}
 	if options.ChangeID != "" && len(statements) != 1 {
-		return usagef("--change-id goes with one statement, not with %d", len(statements))
+		return usageErrorf("--change-id goes with one statement, not with %d", len(statements))
 	}
 	for _, located := range statements {
 		switch located.Statement.(type) {
 		case *language.Select, *language.Insert:
-			return usagef("%s: line %d: queries are run by \"micactl query\"", options.Source, located.Line)
+			return usageErrorf("%s: line %d: queries are run by \"micactl query\"", options.Source, located.Line)
 		}
 	}
 	for _, located := range statements {
-		if err := s.run(ctx, located.Statement, options); err != nil {
+		if err := s.runStatement(ctx, located.Statement, options); err != nil {
 			return statementError(options.Source, located, len(statements), err)
 		}
 	}
@@ -66,21 +66,21 @@
 }
 
 // run runs one statement and writes its result.
-func (s *Session) run(ctx context.Context, statement language.Statement, options ExecOptions) error {
+func (s *Session) runStatement(ctx context.Context, statement language.Statement, options ExecOptions) error {
 	_, isChange := statement.(*language.ChangeStatement)
 	token := options.ChangeID
 	if isChange && token == "" {
 		token = NewToken()
 	}
-	response, err := s.Client.Statement(ctx, guarded(statement, options.IfRevision), token, options.DryRun)
+	response, err := s.Client.Statement(ctx, bindToRevision(statement, options.IfRevision), token, options.DryRun)
 	if err != nil {
-		return s.report(statement, nil, lost(err, isChange && !options.DryRun, token))
+		return s.writeResult(statement, nil, wrapLostResponse(err, isChange && !options.DryRun, token))
 	}
-	return s.report(statement, response, fateError(response))
+	return s.writeResult(statement, response, checkFate(response))
 }
 
 // guarded returns the text of a statement; a change is bound to the revision.
-func guarded(statement language.Statement, revision *uint64) string {
+func bindToRevision(statement language.Statement, revision *uint64) string {
 	change, isChange := statement.(*language.ChangeStatement)
 	if !isChange || revision == nil {
 		return statement.String()
@@ -91,16 +91,16 @@
 
 // lost turns the failure of a change that may have reached a node into one
 // that says how to find its fate out.
-func lost(err error, isChange bool, token string) error {
+func wrapLostResponse(err error, isChange bool, token string) error {
 	var unreachable *UnreachableError
 	if isChange && errors.As(err, &unreachable) && unreachable.Sent {
-		return &LostError{Token: token, Cause: err}
+		return &LostResponseError{Token: token, Cause: err}
 	}
 	return err
 }
 
 // fateError returns the error that the fate of a change stands for.
-func fateError(response *api.StatementResponse) error {
+func checkFate(response *api.StatementResponse) error {
 	if response.Kind != api.KindChange {
 		return nil
 	}
@@ -113,7 +113,7 @@
 }
 
 // report writes the result of one statement and returns its error.
-func (s *Session) report(statement language.Statement, response *api.StatementResponse, err error) error {
+func (s *Session) writeResult(statement language.Statement, response *api.StatementResponse, err error) error {
 	if s.Format == FormatJSON {
 		result := StatementResult{Statement: statement.String(), Response: response}
 		if err != nil {
@@ -178,9 +178,9 @@
 		if err := s.writeJSON(response); err != nil {
 			return err
 		}
-		return fateError(response)
+		return checkFate(response)
 	}
-	if err := fateError(response); err != nil {
+	if err := checkFate(response); err != nil {
 		return err
 	}
 	s.writeResponse("", response)
--- a/internal/selfhosted/operator/fixture_test.go
+++ b/internal/selfhosted/operator/fixture_test.go
@@ -22,7 +22,7 @@
 	mutex  sync.Mutex
 	bodies []string
 	// drop closes the connection of a POST instead of answering it.
-	drop bool
+	dropPosts bool
 }
 
 func newFakeNode(t *testing.T) *fakeNode {
@@ -36,7 +36,7 @@
 	return netip.MustParseAddrPort(n.server.Listener.Addr().String())
 }
 
-func (n *fakeNode) sent() []string {
+func (n *fakeNode) receivedBodies() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.bodies
@@ -49,7 +49,7 @@
 	n.mutex.Lock()
 	n.bodies = append(n.bodies, string(body))
 	n.mutex.Unlock()
-	if n.drop && request.Method == http.MethodPost {
+	if n.dropPosts && request.Method == http.MethodPost {
 		panic(http.ErrAbortHandler)
 	}
 	name := strings.ReplaceAll(strings.TrimPrefix(request.URL.Path, "/v1/"), "/", "_")
--- a/internal/selfhosted/operator/operator_test.go
+++ b/internal/selfhosted/operator/operator_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const rateDesk = `add voter node-a1 zone a
+const rateDeskChanges = `add voter node-a1 zone a
 create service rate-desk shards 8 replicas 2
 class spot-check on rate-desk priority 1 deadline 100ms repeatable
 add leaf 127.0.0.1:7101 to rate-desk zone b shards 0,1
@@ -26,7 +26,7 @@
 `
 
 // TestGolden holds what the commands write, with their errors and exit codes.
-func TestGolden(t *testing.T) {
+func TestCommandsGolden(t *testing.T) {
 	ctx := context.Background()
 	statement := func(changeID, text string) func(*Session) error {
 		return func(s *Session) error { return s.Exec(ctx, text, ExecOptions{Source: "statement", ChangeID: changeID}) }
@@ -62,7 +62,7 @@
 		{"query partial", query("partial")},
 		{"query not run", query("not-run")},
 		{"query of an operator", func(s *Session) error { return s.Query(ctx, "x", api.QueryRequest{Statement: "show nodes"}) }},
-		{"apply dry run", func(s *Session) error { return s.Apply(ctx, "rate-desk.mica", rateDesk, true) }},
+		{"apply dry run", func(s *Session) error { return s.Apply(ctx, "rate-desk.mica", rateDeskChanges, true) }},
 		{"apply refused", func(s *Session) error { return s.Apply(ctx, "x.mica", "show nodes", true) }},
 		{"apply of an unknown leaf", func(s *Session) error { return s.Apply(ctx, "x.mica", "\nretire leaf 127.0.0.1:1", true) }},
 		{"drain", func(s *Session) error { return s.Drain(ctx, "node-a1") }},
@@ -86,24 +86,24 @@
 
 // TestChangeIsSentAgainUnderTheSameID loses the answer of the first node: the
 // change goes to the second under the same id.
-func TestChangeIsSentAgainUnderTheSameID(t *testing.T) {
+func TestChangeIsResentWithSameID(t *testing.T) {
 	first, second := newFakeNode(t), newFakeNode(t)
-	first.drop = true
+	first.dropPosts = true
 	session := newSession(io.Discard, FormatText, first.address(), second.address())
 	err := session.Exec(context.Background(), "stop service rate-desk", ExecOptions{ChangeID: "in-force"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := first.sent(), second.sent(); len(a) != 1 || len(b) != 1 || a[0] != b[0] || !strings.Contains(a[0], `"in-force"`) {
+	if a, b := first.receivedBodies(), second.receivedBodies(); len(a) != 1 || len(b) != 1 || a[0] != b[0] || !strings.Contains(a[0], `"in-force"`) {
 		t.Errorf("the nodes were sent %q and %q", a, b)
 	}
 }
 
 // TestRefusalAfterALostAnswer loses the answer of the first node; what the
 // second says of a change that the first may still make is not final.
-func TestRefusalAfterALostAnswer(t *testing.T) {
+func TestRefusalAfterLostResponseIsUnknown(t *testing.T) {
 	first, second := newFakeNode(t), newFakeNode(t)
-	first.drop = true
+	first.dropPosts = true
 	session := newSession(io.Discard, FormatText, first.address(), second.address())
 	for _, id := range []string{"not-accepted", "refused"} {
 		err := session.Exec(context.Background(), "stop service rate-desk", ExecOptions{ChangeID: id})
@@ -114,9 +114,9 @@
 }
 
 // TestLostAnswer has no other node to ask: the id to ask by is in the error.
-func TestLostAnswer(t *testing.T) {
+func TestLostResponseErrorNamesChangeID(t *testing.T) {
 	node := newFakeNode(t)
-	node.drop = true
+	node.dropPosts = true
 	session := newSession(io.Discard, FormatText, node.address())
 	err := session.Exec(context.Background(), "stop service rate-desk", ExecOptions{ChangeID: "01JEXAMPLE"})
 	if err == nil || !strings.Contains(err.Error(), "micactl change 01JEXAMPLE") || ExitCode(err) != ExitFailed {
@@ -126,10 +126,10 @@
 
 // TestQueryIsSentOnce checks that a query goes to the next node only if the
 // first could not be connected to, and never after it may have arrived.
-func TestQueryIsSentOnce(t *testing.T) {
+func TestQueryIsNotResentAfterDelivery(t *testing.T) {
 	closed, dropping, healthy := newFakeNode(t), newFakeNode(t), newFakeNode(t)
 	closed.server.Close()
-	dropping.drop = true
+	dropping.dropPosts = true
 	ctx := context.Background()
 	request := api.QueryRequest{RequestID: "answered", Class: "file-quote", Statement: "insert into rate-desk (a) values (1)"}
 	session := newSession(io.Discard, FormatText, closed.address(), dropping.address(), healthy.address())
@@ -137,31 +137,31 @@
 	if err == nil || !strings.Contains(err.Error(), "may or may not have run") {
 		t.Errorf("got %v", err)
 	}
-	if len(dropping.sent()) != 1 || len(healthy.sent()) != 0 {
-		t.Errorf("sent %d times to the first node that lives, and %d times to the next", len(dropping.sent()), len(healthy.sent()))
+	if len(dropping.receivedBodies()) != 1 || len(healthy.receivedBodies()) != 0 {
+		t.Errorf("sent %d times to the first node that lives, and %d times to the next", len(dropping.receivedBodies()), len(healthy.receivedBodies()))
 	}
 	session = newSession(io.Discard, FormatText, closed.address(), healthy.address())
-	if err := session.Query(ctx, "rate-desk", request); err != nil || len(healthy.sent()) != 1 {
-		t.Errorf("past a node without connection: %v, sent %d times", err, len(healthy.sent()))
+	if err := session.Query(ctx, "rate-desk", request); err != nil || len(healthy.receivedBodies()) != 1 {
+		t.Errorf("past a node without connection: %v, sent %d times", err, len(healthy.receivedBodies()))
 	}
 }
 
-func TestApplyRunsOnlyWhatChanges(t *testing.T) {
+func TestApplySkipsUnchangedStatements(t *testing.T) {
 	node := newFakeNode(t)
 	session := newSession(io.Discard, FormatText, node.address())
 	// The fake node does not know the id that is made up, so the first
 	// statement that changes something fails.
-	err := session.Apply(context.Background(), "rate-desk.mica", rateDesk, false)
+	err := session.Apply(context.Background(), "rate-desk.mica", rateDeskChanges, false)
 	if err == nil || !strings.Contains(err.Error(), "rate-desk.mica: line 3: class spot-check") {
 		t.Errorf("got %v", err)
 	}
-	if sent := node.sent(); len(sent) != 2 || !strings.Contains(sent[1], "class spot-check") || !strings.Contains(sent[1], `"operator":"mori"`) {
+	if sent := node.receivedBodies(); len(sent) != 2 || !strings.Contains(sent[1], "class spot-check") || !strings.Contains(sent[1], `"operator":"mori"`) {
 		t.Errorf("sent %q", sent)
 	}
 }
 
-func TestPlanOfItsOwnResultIsEmpty(t *testing.T) {
-	statements, err := language.ParseFile(strings.Replace(rateDesk, "retire leaf 127.0.0.1:7102\n", "", 1))
+func TestPlanAfterApplyIsEmpty(t *testing.T) {
+	statements, err := language.ParseFile(strings.Replace(rateDeskChanges, "retire leaf 127.0.0.1:7102\n", "", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 	}
-	plan, err := MakePlan(current, statements)
+	plan, err := NewPlan(current, statements)
 	if err != nil || len(plan.Changes)+len(plan.Added)+len(plan.Removed) != 0 || plan.Unchanged != len(statements) {
 		t.Errorf("got %+v, %v", plan, err)
 	}
@@ -191,7 +191,7 @@
 
 // TestWatchTellsEachFailure has no node to ask: each look is one document, and
 // the last failure is not written twice.
-func TestWatchTellsEachFailure(t *testing.T) {
+func TestWatchReportsEachFailure(t *testing.T) {
 	node := newFakeNode(t)
 	node.server.Close()
 	var output strings.Builder
--- a/internal/selfhosted/operator/plan.go
+++ b/internal/selfhosted/operator/plan.go
@@ -22,12 +22,12 @@
 	Removed []string `json:"removed"`
 	Added   []string `json:"added"`
 
-	located []language.Located
+	statements []language.Located
 }
 
 // MakePlan applies the statements to a copy of the catalog. A statement that
 // would change nothing is left out; one that would be refused is an error.
-func MakePlan(current *catalog.Catalog, statements []language.Located) (*Plan, error) {
+func NewPlan(current *catalog.Catalog, statements []language.Located) (*Plan, error) {
 	plan := &Plan{Revision: current.Revision}
 	next := current
 	for _, located := range statements {
@@ -45,17 +45,17 @@
 		}
 		next = applied
 		plan.Changes = append(plan.Changes, change.String())
-		plan.located = append(plan.located, located)
+		plan.statements = append(plan.statements, located)
 	}
-	before, after := describe(current), describe(next)
-	plan.Removed = difference(before, after)
-	plan.Added = difference(after, before)
+	before, after := describeCatalog(current), describeCatalog(next)
+	plan.Removed = excludeLines(before, after)
+	plan.Added = excludeLines(after, before)
 	return plan, nil
 }
 
 func applyStatement(current *catalog.Catalog, statement *language.ChangeStatement) (*catalog.Catalog, error) {
-	if wanted := statement.IfRevision; wanted != nil && *wanted != current.Revision {
-		return nil, fmt.Errorf("the catalog would be at revision %d, not %d", current.Revision, *wanted)
+	if required := statement.IfRevision; required != nil && *required != current.Revision {
+		return nil, fmt.Errorf("the catalog would be at revision %d, not %d", current.Revision, *required)
 	}
 	change := catalog.Change{
 		Revision: current.Revision + 1,
@@ -66,7 +66,7 @@
 }
 
 // describe returns statements that describe the catalog, in order.
-func describe(current *catalog.Catalog) []string {
+func describeCatalog(current *catalog.Catalog) []string {
 	var lines []string
 	add := func(command catalog.Command) { lines = append(lines, command.String()) }
 	for _, name := range current.VoterNames() {
@@ -105,10 +105,10 @@
 }
 
 // difference returns the lines that are not among others, in order.
-func difference(lines, others []string) []string {
-	known := make(map[string]bool, len(others))
+func excludeLines(lines, others []string) []string {
+	excluded := make(map[string]bool, len(others))
 	for _, line := range others {
-		known[line] = true
+		excluded[line] = true
 	}
-	return slices.DeleteFunc(slices.Clone(lines), func(line string) bool { return known[line] })
+	return slices.DeleteFunc(slices.Clone(lines), func(line string) bool { return excluded[line] })
 }
--- a/internal/selfhosted/operator/query.go
+++ b/internal/selfhosted/operator/query.go
@@ -20,14 +20,14 @@
 	switch statement.(type) {
 	case *language.Select, *language.Insert:
 	default:
-		return usagef("operators' statements are run by \"micactl exec\"")
+		return usageErrorf("operators' statements are run by \"micactl exec\"")
 	}
 	if request.RequestID == "" {
 		request.RequestID = NewToken()
 	}
 	response, err := s.Client.Query(ctx, service, request)
 	if err != nil {
-		return queryError(statement, err)
+		return explainQueryError(statement, err)
 	}
 	if s.Format == FormatJSON {
 		return s.writeJSON(response)
@@ -35,17 +35,17 @@
 	if len(response.Columns) > 0 {
 		writeRows(s.Output, response.Columns, response.Rows)
 	}
-	s.printf("%s\n", describeAnswer(response))
+	s.printf("%s\n", describeQueryResponse(response))
 	return nil
 }
 
 // queryError says of an insert whose answer was lost that it may have run, and
 // of a problem when to ask again.
-func queryError(statement language.Statement, err error) error {
+func explainQueryError(statement language.Statement, err error) error {
 	var problem *api.Problem
 	if errors.As(err, &problem) && problem.RetryAfterMilliseconds > 0 {
-		again := time.Duration(problem.RetryAfterMilliseconds) * time.Millisecond
-		return fmt.Errorf("%w\nask again:  after %s", err, again)
+		retryAfter := time.Duration(problem.RetryAfterMilliseconds) * time.Millisecond
+		return fmt.Errorf("%w\nask again:  after %s", err, retryAfter)
 	}
 	var unreachable *UnreachableError
 	if _, isInsert := statement.(*language.Insert); isInsert && errors.As(err, &unreachable) && unreachable.Sent {
@@ -54,13 +54,13 @@
 	return err
 }
 
-func describeAnswer(response *api.QueryResponse) string {
+func describeQueryResponse(response *api.QueryResponse) string {
 	coverage := response.Coverage
 	text := fmt.Sprintf("%s: %s, snapshot version %d of epoch %d, %d of %d shards",
-		response.Outcome, count(len(response.Rows), "row"), response.Snapshot.Version, response.Snapshot.Epoch,
+		response.Outcome, pluralize(len(response.Rows), "row"), response.Snapshot.Version, response.Snapshot.Epoch,
 		coverage.Answered, coverage.Total)
 	if len(coverage.Missing) > 0 {
-		text += ", missing " + shardRanges(coverage.Missing)
+		text += ", missing " + formatShardRanges(coverage.Missing)
 	}
 	if response.Reason != "" {
 		text += fmt.Sprintf(" (%s)", response.Reason)
--- a/internal/selfhosted/operator/session.go
+++ b/internal/selfhosted/operator/session.go
@@ -25,7 +25,7 @@
 	case FormatText, FormatJSON:
 		return format, nil
 	default:
-		return "", usagef("%q is no output format: text or json is expected", text)
+		return "", usageErrorf("%q is no output format: text or json is expected", text)
 	}
 }
 
--- a/internal/selfhosted/operator/status.go
+++ b/internal/selfhosted/operator/status.go
@@ -29,29 +29,29 @@
 // error of the last one is returned.
 func (s *Session) Watch(ctx context.Context, interval time.Duration, count int) error {
 	if interval <= 0 || count < 0 {
-		return usagef("--interval must be more than 0s and --count at least 0")
+		return usageErrorf("--interval must be more than 0s and --count at least 0")
 	}
-	var last error
+	var lastErr error
 	for shown := 0; count == 0 || shown < count; shown++ {
 		if shown > 0 && !clock.Sleep(ctx, interval) {
 			return nil
 		}
-		last = s.watchOnce(ctx)
-		if last == nil {
+		lastErr = s.writeWatchedStatus(ctx)
+		if lastErr == nil {
 			continue
 		}
 		if s.Format == FormatText {
-			s.printf("--- %s\nno status: %v\n\n", s.now().Format(time.TimeOnly), last)
+			s.printf("--- %s\nno status: %v\n\n", s.now().Format(time.TimeOnly), lastErr)
 			continue
 		}
 		s.errorWritten = false
-		last = s.Finish(last)
+		lastErr = s.Finish(lastErr)
 		s.errorWritten = true
 	}
-	return last
+	return lastErr
 }
 
-func (s *Session) watchOnce(ctx context.Context) error {
+func (s *Session) writeWatchedStatus(ctx context.Context) error {
 	status, err := s.Client.Status(ctx)
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 		lines[i] = []string{
 			node.Name, node.Zone, node.Address, string(node.State),
 			strconv.FormatUint(node.Incarnation, 10), strconv.FormatUint(node.Revision, 10),
-			yesNo(node.Voter), yesNo(node.Serving),
+			formatYesNo(node.Voter), formatYesNo(node.Serving),
 		}
 	}
 	writeTable(s.Output, []string{"NODE", "ZONE", "ADDRESS", "STATE", "INCARNATION", "REVISION", "VOTER", "SERVING"}, lines)
@@ -168,7 +168,7 @@
 	lines := make([][]string, len(leaves))
 	for i, leaf := range leaves {
 		lines[i] = []string{
-			leaf.Service, leaf.Address, leaf.Zone, string(leaf.State), shardRanges(leaf.Shards),
+			leaf.Service, leaf.Address, leaf.Zone, string(leaf.State), formatShardRanges(leaf.Shards),
 			strconv.Itoa(leaf.InFlight), strconv.Itoa(leaf.Limit), leaf.Reason,
 		}
 	}
--- a/internal/selfhosted/operator/table.go
+++ b/internal/selfhosted/operator/table.go
@@ -26,15 +26,15 @@
 
 // writeCells ends each line without spaces, which a last cell would get.
 func writeCells(writer io.Writer, cells []string) {
-	clean := make([]string, len(cells))
+	escaped := make([]string, len(cells))
 	for i, cell := range cells {
-		clean[i] = printable(cell)
+		escaped[i] = quoteUnprintable(cell)
 	}
-	fmt.Fprintln(writer, strings.Join(clean, "\t"))
+	fmt.Fprintln(writer, strings.Join(escaped, "\t"))
 }
 
 // printable quotes a text that would break the table or the terminal.
-func printable(text string) string {
+func quoteUnprintable(text string) string {
 	for _, character := range text {
 		if !unicode.IsPrint(character) {
 			return strconv.Quote(text)
@@ -57,7 +57,7 @@
 	writeTable(output, columns, lines)
 }
 
-func yesNo(value bool) string {
+func formatYesNo(value bool) string {
 	if value {
 		return "yes"
 	}
@@ -65,7 +65,7 @@
 }
 
 // shardRanges writes ascending numbers with runs joined: 0-3,7.
-func shardRanges(shards []int) string {
+func formatShardRanges(shards []int) string {
 	var parts []string
 	for start := 0; start < len(shards); {
 		end := start
--- a/internal/selfhosted/operator/transport.go
+++ b/internal/selfhosted/operator/transport.go
@@ -19,38 +19,38 @@
 )
 
 // call is one request to whichever node can be reached.
-type call struct {
+type nodeRequest struct {
 	method string
 	path   string
 	body   any
 	// again allows the request to be sent to another node after it may have
 	// reached one.
-	again bool
+	resendable bool
 }
 
-func (c *Client) call(ctx context.Context, call call, target any) error {
-	_, err := c.send(ctx, call, target)
+func (c *Client) sendRequest(ctx context.Context, call nodeRequest, target any) error {
+	_, err := c.sendToNodes(ctx, call, target)
 	return err
 }
 
 // send makes the call. Besides the error of the last node it returns, if one
 // before it may have received the request, the error that says so.
-func (c *Client) send(ctx context.Context, call call, target any) (lost *UnreachableError, err error) {
-	failure := &UnreachableError{}
+func (c *Client) sendToNodes(ctx context.Context, call nodeRequest, target any) (unreachableEarlier *UnreachableError, err error) {
+	unreachable := &UnreachableError{}
 	for _, node := range c.nodes {
-		err := c.callNode(ctx, node, call, target)
+		err := c.sendToNode(ctx, node, call, target)
 		var problem *api.Problem
 		if err == nil || errors.As(err, &problem) {
-			return failure.ifSent(), err
+			return unreachable.nilUnlessSent(), err
 		}
 		sent := !isDialError(err)
-		failure.Sent = failure.Sent || sent
-		failure.Attempts = append(failure.Attempts, oops.In("operator").With("step", call.method+" "+call.path, "peer", node.String()).Wrapf(err, "node %s", node))
-		if ctx.Err() != nil || (sent && !call.again) {
+		unreachable.Sent = unreachable.Sent || sent
+		unreachable.Attempts = append(unreachable.Attempts, oops.In("operator").With("step", call.method+" "+call.path, "peer", node.String()).Wrapf(err, "node %s", node))
+		if ctx.Err() != nil || (sent && !call.resendable) {
 			break
 		}
 	}
-	return nil, failure
+	return nil, unreachable
 }
 
 func isDialError(err error) bool {
@@ -58,8 +58,8 @@
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func (c *Client) callNode(ctx context.Context, node netip.AddrPort, call call, target any) error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout+answerGrace)
+func (c *Client) sendToNode(ctx context.Context, node netip.AddrPort, call nodeRequest, target any) error {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout+responseGrace)
 	defer cancel()
 	request, err := newRequest(ctx, node, call)
 	if err != nil {
@@ -67,18 +67,18 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return withoutURL(err)
+		return unwrapURLError(err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(body) > maximumAnswer {
-		return fmt.Errorf("the answer is larger than %d bytes", maximumAnswer)
+	if len(body) > maxResponseBytes {
+		return fmt.Errorf("the answer is larger than %d bytes", maxResponseBytes)
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return asProblem(response, body)
+		return readProblem(response, body)
 	}
 	if err := json.Unmarshal(body, target); err != nil {
 		return fmt.Errorf("the answer is not understood: %w", err)
@@ -87,7 +87,7 @@
 }
 
 // withoutURL drops the method and URL that net/http puts before an error.
-func withoutURL(err error) error {
+func unwrapURLError(err error) error {
 	var wrapped *url.Error
 	if errors.As(err, &wrapped) {
 		return wrapped.Err
@@ -95,7 +95,7 @@
 	return err
 }
 
-func newRequest(ctx context.Context, node netip.AddrPort, call call) (*http.Request, error) {
+func newRequest(ctx context.Context, node netip.AddrPort, call nodeRequest) (*http.Request, error) {
 	var body io.Reader
 	if call.body != nil {
 		encoded, err := json.Marshal(call.body)
@@ -114,7 +114,7 @@
 
 // asProblem reads a problem document. An error answer without one comes from
 // something that is no node.
-func asProblem(response *http.Response, body []byte) error {
+func readProblem(response *http.Response, body []byte) error {
 	problem := new(api.Problem)
 	isProblem := strings.HasPrefix(response.Header.Get("Content-Type"), api.ProblemContentType)
 	if isProblem && json.Unmarshal(body, problem) == nil && problem.Title != "" {
