--- a/internal/selfhosted/query/at_most_once.go
+++ b/internal/selfhosted/query/at_most_once.go
@@ -14,11 +14,12 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// retryInProgress is when a caller may ask again for the outcome of a request
-// that is still running.
+// inProgressRetryAfter is the retry delay that a caller receives while a request with
+// the same id is running.
 const inProgressRetryAfter = 100 * time.Millisecond
 
-// queryOnce runs a query that must not run twice: at the owner of its id.
+// routeToOwner runs a query of an at-most-once class at the node that owns its
+// request id, which is this node or another one.
 func (r *Runner) routeToOwner(ctx context.Context, plan *queryPlan) (*api.QueryResponse, error) {
 	id, err := plan.parseRequestID()
 	if err != nil {
@@ -35,6 +36,7 @@
 	return r.forwardToOwner(ctx, plan, owner)
 }
 
+// parseRequestID returns the request id as a ULID, which at-most-once classes require.
 func (p *queryPlan) parseRequestID() (ulid.ULID, error) {
 	id, err := ulid.ParseStrict(p.request.RequestID)
 	if err != nil {
@@ -43,8 +45,8 @@
 	return id, nil
 }
 
-// forward asks the owner, once. If its answer is lost, the query may have run,
-// and that is what the caller receives.
+// forwardToOwner sends the query to the owner exactly once. If the response is lost,
+// the query may have run, and the caller receives an outcome-unknown problem.
 func (r *Runner) forwardToOwner(ctx context.Context, plan *queryPlan, owner string) (*api.QueryResponse, error) {
 	forwardCtx, cancel := context.WithTimeout(ctx, plan.timeout)
 	defer cancel()
@@ -92,12 +94,14 @@
 	return r.runAsOwner(ctx, plan, id, current)
 }
 
-// own decides about an id that this node owns by a catalog. The query goes on when the
-// caller disconnects, so that a later submission learns its outcome.
+// runAsOwner decides about an id that this node owns by the given catalog, and runs the
+// query if it is new. The query continues after the caller disconnects, so that a later
+// submission of the id receives its outcome.
 func (r *Runner) runAsOwner(ctx context.Context, plan *queryPlan, id ulid.ULID, current *catalog.Catalog) (*api.QueryResponse, error) {
 	decision := r.config.Ledger.begin(id, current.VotersRevision)
-	// The decision counts only if the node was still fresh and in touch with
-	// the voters after it was made, and its ownership lasted until then.
+	// The decision is valid only if, after it was made, the catalog was still fresh, a
+	// majority of the voters still acknowledged this process, and the ownership was
+	// unchanged.
 	fresh := r.config.Acknowledged() && r.config.Catalogs.Fresh() && r.config.Ledger.isStillOwned(decision)
 	switch decision.Kind {
 	case once.Replay:
@@ -114,7 +118,8 @@
 	return r.runAndRecord(context.WithoutCancel(ctx), plan, id)
 }
 
-// runOnce runs a query that the ledger let through, and records its fate.
+// runAndRecord runs a query that the ledger accepted and records its result. An id
+// whose query ran on no leaf is released, so that the caller may submit it again.
 func (r *Runner) runAndRecord(ctx context.Context, plan *queryPlan, id ulid.ULID) (*api.QueryResponse, error) {
 	response, err := r.scatterQuery(ctx, plan)
 	var problem *api.Problem
@@ -126,6 +131,7 @@
 	return response, err
 }
 
+// newInProgressProblem returns the problem for an id whose request is running.
 func (p *queryPlan) newInProgressProblem() *api.Problem {
 	problem := p.newProblem(api.ProblemOutcomeUnknown, "A request with this id is running.")
 	problem.Outcome = dispatch.OutcomeUnknown
@@ -133,7 +139,7 @@
 	return problem
 }
 
-// refusalTexts says in words why an id is refused.
+// refusalDescriptions explains to callers why a request id was refused.
 var refusalDescriptions = map[once.Reason]string{
 	once.ReasonFenced:    "its owner has changed, and the one before may have run it",
 	once.ReasonTooOld:    "it is older than the ids that are remembered",
@@ -142,8 +148,8 @@
 	once.ReasonSuspended: "the voters or their processes have changed, and its owner is not certain yet",
 }
 
-// refuseOnce returns the problem for a refused id. "Not run" is said only if no
-// earlier submission of the id can have run.
+// refuseRequestID returns the problem for a refused id. The outcome is "not run" only if
+// no earlier submission of the id can have run.
 func (r *Runner) refuseRequestID(plan *queryPlan, decision once.Decision[storedResult], fresh bool) *api.Problem {
 	detail := fmt.Sprintf("The request id was refused (%s): %s.", decision.Reason, refusalDescriptions[decision.Reason])
 	if decision.MayHaveRun || !fresh {
--- a/internal/selfhosted/query/at_most_once_test.go
+++ b/internal/selfhosted/query/at_most_once_test.go
@@ -24,11 +24,12 @@
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeFailed}}
 	second, err := f.runner.Query(context.Background(), "rate-desk", request)
 	if err != nil || second != first || f.scatterer.calls != 1 {
-		t.Errorf("the replay is %v, %v after %d runs", second, err, f.scatterer.calls)
+		t.Errorf("replay: got %v, %v after %d executions, want %v after 1", second, err, f.scatterer.calls, first)
 	}
 }
 
-// TestProblemIsReplayed keeps the fate of a request that may have run.
+// TestProblemIsReplayed checks that a request with an unknown outcome is not executed
+// again, although a second execution would succeed.
 func TestProblemIsReplayed(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsert()
@@ -40,11 +41,12 @@
 		f.scatterer.result = successResult
 	}
 	if f.scatterer.calls != 1 {
-		t.Errorf("it ran %d times", f.scatterer.calls)
+		t.Errorf("got %d executions, want 1", f.scatterer.calls)
 	}
 }
 
-// TestNotRunMayBeSubmittedAgain forgets an id that ran nowhere.
+// TestNotRunRequestCanBeResubmitted checks that the ledger releases the id of a request
+// that ran on no leaf.
 func TestNotRunRequestCanBeResubmitted(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsert()
@@ -54,7 +56,7 @@
 	requireProblem(t, "overload", err, api.ProblemNotRunOverload)
 	f.scatterer.result = successResult
 	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil {
-		t.Errorf("the second submission: %v", err)
+		t.Errorf("second submission: got %v, want no error", err)
 	}
 }
 
@@ -66,22 +68,23 @@
 		_, err := f.runner.Query(context.Background(), "rate-desk", request)
 		problem := requireProblem(t, "in progress", err, api.ProblemOutcomeUnknown)
 		if problem.RetryAfterMilliseconds == 0 || !strings.Contains(problem.Detail, "running") {
-			t.Errorf("got %+v", problem)
+			t.Errorf("got %+v, want a retry delay and a detail with \"running\"", problem)
 		}
 	}
 	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
-		t.Errorf("%v after %d runs", err, f.scatterer.calls)
+		t.Errorf("got %v after %d executions, want no error after 1", err, f.scatterer.calls)
 	}
 }
 
-// TestCallerThatGoesAwayDoesNotEndTheRun lets a later submission learn it.
+// TestCallerDisconnectDoesNotCancelQuery checks that a query continues without its caller,
+// so that a later submission of the id receives its outcome.
 func TestCallerDisconnectDoesNotCancelQuery(t *testing.T) {
 	f := newFixturePastFence(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.scatterer.onExecute = func(running context.Context) {
 		cancel()
 		if running.Err() != nil {
-			t.Error("the run was cancelled")
+			t.Error("the query was cancelled with its caller")
 		}
 	}
 	if _, err := f.runner.Query(ctx, "rate-desk", f.newInsert()); err != nil {
@@ -96,15 +99,16 @@
 	f.forwarder.response = &api.QueryResponse{RequestID: request.RequestID}
 	response, err := f.runner.Query(context.Background(), "rate-desk", request)
 	if err != nil || response != f.forwarder.response || f.forwarder.lastNode != "node-b1" || f.forwarder.lastForward.Remaining != 700*time.Millisecond {
-		t.Errorf("got %v, %v by %+v", response, err, f.forwarder)
+		t.Errorf("got %v, %v from %+v, want the response of node-b1 to a forward with 700ms left", response, err, f.forwarder)
 	}
 	if f.scatterer.calls != 0 {
-		t.Error("it ran here")
+		t.Error("the query ran on this node, want it forwarded")
 	}
 }
 
-// TestFatesOfAForward never says "not run" of what the owner may have run, nor
-// of an id that may have been submitted before.
+// TestForwardErrorsMapToProblems checks that a failed forward never yields the outcome
+// "not run": the owner may have run this submission or an earlier one of the same id. Only
+// the owner itself may report "not run".
 func TestForwardErrorsMapToProblems(t *testing.T) {
 	notRun := api.NewProblem(api.ProblemNotRunOverload, "busy")
 	cases := []struct {
@@ -112,7 +116,7 @@
 		err  error
 		want api.ProblemType
 	}{
-		{"answer lost", &ForwardError{Node: "node-b1", Sent: true, Err: errors.New("reset")}, api.ProblemOutcomeUnknown},
+		{"response lost", &ForwardError{Node: "node-b1", Sent: true, Err: errors.New("reset")}, api.ProblemOutcomeUnknown},
 		{"owner unreachable", &ForwardError{Node: "node-b1", Sent: false, Err: errors.New("refused")}, api.ProblemUnavailable},
 		{"error of another kind", errors.New("strange"), api.ProblemOutcomeUnknown},
 		{"problem of the owner", notRun, api.ProblemNotRunOverload},
@@ -123,15 +127,16 @@
 		_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsertFor("node-b1"))
 		problem := requireProblem(t, test.name, err, test.want)
 		if problem != notRun && problem.Outcome == dispatch.OutcomeNotRun {
-			t.Errorf("%s: said to be not run", test.name)
+			t.Errorf("%s: got outcome %s, want another", test.name, problem.Outcome)
 		}
 		if f.forwarder.calls != 1 {
-			t.Errorf("%s: forwarded %d times", test.name, f.forwarder.calls)
+			t.Errorf("%s: forwarded %d times, want 1", test.name, f.forwarder.calls)
 		}
 	}
 }
 
-// TestOwnChecksAgain refuses what a node with another view forwarded.
+// TestOwnRejectsInvalidForwards checks that the owner validates a forwarded query against
+// its own catalog, since the forwarding node may hold another one.
 func TestOwnRejectsInvalidForwards(t *testing.T) {
 	forward := func(f *fixture, owner string) Forward {
 		return Forward{Service: "rate-desk", Request: f.newInsertFor(owner), Remaining: time.Second}
@@ -144,31 +149,33 @@
 	_, err = f.runner.Own(context.Background(), repeatable)
 	requireProblem(t, "repeatable here", err, api.ProblemUnavailable)
 	if _, err := f.runner.Own(context.Background(), forward(f, "node-a1")); err != nil || f.scatterer.lastRequest.Timeout != time.Second {
-		t.Errorf("own id: %v, with %s left", err, f.scatterer.lastRequest.Timeout)
+		t.Errorf("own id: got %v with timeout %s, want no error with 1s", err, f.scatterer.lastRequest.Timeout)
 	}
 	f.catalogs.fresh = false
 	_, err = f.runner.Own(context.Background(), forward(f, "node-a1"))
 	requireProblem(t, "stale owner", err, api.ProblemUnavailable)
 	if f.scatterer.calls != 1 {
-		t.Errorf("%d runs", f.scatterer.calls)
+		t.Errorf("got %d executions, want 1", f.scatterer.calls)
 	}
 }
 
-// TestStaleAfterTheDecision gives the id back: the decision does not count.
+// TestStaleCatalogAfterDecisionReleasesID checks that an accepted id is released if the
+// catalog became stale after the decision, so that the request may be submitted again.
 func TestStaleCatalogAfterDecisionReleasesID(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsert()
-	f.catalogs.staleAtCall = 2 // fresh when it arrives, stale after the decision
+	f.catalogs.staleAtCall = 2 // the second call of Fresh follows the decision
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "stale", err, api.ProblemUnavailable)
 	f.catalogs.fresh = true
 	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
-		t.Errorf("%v after %d runs", err, f.scatterer.calls)
+		t.Errorf("got %v after %d executions, want no error after 1", err, f.scatterer.calls)
 	}
 }
 
-// TestOwnerThatIsCutOffFromTheVoters is fresh, by reading the store. Another
-// process may have its slot and run the same id.
+// TestOwnerWithoutVoterMajorityRefuses covers an owner that is fresh from reading the
+// store but has no contact with the voters: another process may have taken over its slot
+// and run the same id.
 func TestOwnerWithoutVoterMajorityRefuses(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsert()
@@ -176,11 +183,11 @@
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "cut off", err)
 	if f.scatterer.calls != 0 {
-		t.Error("it ran")
+		t.Error("the query ran, want it refused")
 	}
 	f.withoutMajority = false
 	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil {
-		t.Errorf("back in touch: %v", err)
+		t.Errorf("with the majority again: got %v, want no error", err)
 	}
 }
 
@@ -195,7 +202,7 @@
 func TestEveryRefusalReasonIsDescribed(t *testing.T) {
 	for _, reason := range []once.Reason{once.ReasonFenced, once.ReasonTooOld, once.ReasonFuture, once.ReasonFull, once.ReasonSuspended} {
 		if refusalDescriptions[reason] == "" {
-			t.Errorf("no words for %s", reason)
+			t.Errorf("refusal reason %s has no description", reason)
 		}
 	}
 }
@@ -203,6 +210,6 @@
 func requireUnavailable(t *testing.T, name string, err error) {
 	t.Helper()
 	if problem := requireProblem(t, name, err, api.ProblemUnavailable); problem.Outcome == dispatch.OutcomeNotRun {
-		t.Errorf("%s: said to be not run", name)
+		t.Errorf("%s: got outcome %s, want another", name, problem.Outcome)
 	}
 }
--- a/internal/selfhosted/query/fixture_test.go
+++ b/internal/selfhosted/query/fixture_test.go
@@ -17,7 +17,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// validID is a ULID.
+// validID is a request id in the form of a ULID.
 const validID = "01JEXAMPMVJ9E7WXCY0TK9JJKD"
 
 const retryWhenStale = 500 * time.Millisecond
@@ -25,7 +25,8 @@
 type fakeCatalogSource struct {
 	current *catalog.Catalog
 	fresh   bool
-	// staleAfter makes the node stale after so many more looks; 0 never.
+	// staleAtCall makes the catalog stale at that call of Fresh, counted from 1. 0 never
+	// makes it stale.
 	staleAtCall int
 }
 
@@ -45,7 +46,7 @@
 	calls       int
 	lastRequest scatter.Request[string]
 	result      scatter.Result[rows.Table]
-	// during runs while a query is scattered.
+	// onExecute, if set, is called during Execute.
 	onExecute func(ctx context.Context)
 }
 
@@ -81,12 +82,12 @@
 	return f.response, f.err
 }
 
-// manualClock stands still until it is moved.
+// manualClock is a clock that only tests advance.
 type manualClock struct{ now time.Duration }
 
 func (c *manualClock) Now() time.Duration { return c.now }
 
-// fixture is a Runner of node-a1, one of the voters, with fake neighbours.
+// fixture is a Runner of node-a1, one of the voters, with fake dependencies.
 type fixture struct {
 	t               *testing.T
 	runner          *Runner
@@ -98,7 +99,7 @@
 	clock           *manualClock
 	wall            time.Time
 	ownershipProved bool
-	// cutOff says that no other voter is heard from.
+	// withoutMajority makes Acknowledged report false.
 	withoutMajority bool
 	idCounter       uint64
 }
@@ -158,14 +159,14 @@
 	return set
 }
 
-// pass moves both clocks.
+// advance advances the monotonic clock and the time of day.
 func (f *fixture) advance(duration time.Duration) {
 	f.clock.now += duration
 	f.wall = f.wall.Add(duration)
 }
 
-// ownedBy returns an id, minted now, that the owner has among the present
-// voters.
+// newRequestID returns an id with the current time that the given node owns by the
+// current voters.
 func (f *fixture) newRequestID(owner string) string {
 	for {
 		f.idCounter++
@@ -182,7 +183,7 @@
 	return once.Owner(f.catalogs.current.VoterNames(), ulid.MustParse(request.RequestID))
 }
 
-// filing returns an insert whose id this node owns.
+// newInsert returns an insert whose id this node owns.
 func (f *fixture) newInsert() api.QueryRequest { return f.newInsertFor("node-a1") }
 
 func (f *fixture) newInsertFor(owner string) api.QueryRequest {
@@ -192,11 +193,12 @@
 	}
 }
 
-// settled returns a fixture whose ledger is past its fence.
+// newFixturePastFence returns a fixture whose ownership is proved and whose clock is past
+// the fence of the ledger, so that new ids are accepted.
 func newFixturePastFence(t *testing.T) *fixture {
 	f := newFixture(t)
 	f.advance(time.Second)
-	_, _ = f.runner.Query(context.Background(), "rate-desk", f.newInsert()) // proves the ownership
+	_, _ = f.runner.Query(context.Background(), "rate-desk", f.newInsert()) // completes the pending ownership
 	f.advance(time.Minute)
 	f.scatterer.calls = 0
 	return f
--- a/internal/selfhosted/query/ledger.go
+++ b/internal/selfhosted/query/ledger.go
@@ -12,10 +12,11 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// expireInterval is the time between two looks for ids to forget.
+// expireInterval is the time between two removals of expired ids.
 const expireInterval = time.Second
 
-// fate is what came of a request that ran at most once: exactly one is set.
+// storedResult is the recorded result of a request that runs at most once. Exactly
+// one of its fields is set.
 type storedResult struct {
 	response *api.QueryResponse
 	problem  *api.Problem
@@ -28,43 +29,44 @@
 	return f.problem
 }
 
-// OwnershipProof reports whether a majority of the voters has, after the given
-// reading of the monotonic clock, acknowledged this process and hold the given
+// OwnershipProof reports whether a majority of the voters has acknowledged this
+// process since the given reading of the monotonic clock and holds the given
 // revision.
 type OwnershipProof func(after time.Duration, revision uint64) bool
 
-// Ledger keeps the ids that this node owns. It is suspended whenever the
-// voting set changes, until the new ownership is proved. It is safe for
-// concurrent use.
+// Ledger records the request ids that this node owns, with their results. A change
+// of the voting set suspends the ledger until the new ownership is proved. A Ledger
+// is safe for concurrent use.
 type Ledger struct {
 	clock clock.Clock
-	// wall reads the time of day.
+	// wall returns the time of day, which request ids are compared with.
 	wall              func() time.Time
 	isOwnershipProved OwnershipProof
 
 	mutex  sync.Mutex
 	ledger *once.Ledger[storedResult]
 	// votersRevision is the revision of the newest change of the voting set
-	// that this node knows of.
+	// that this node has installed.
 	votersRevision uint64
-	// pending is the change of the voting set that is not yet proved.
+	// pendingOwnership is the newest voting set while its ownership is not yet
+	// proved, and nil otherwise.
 	pendingOwnership *ownership
 }
 
-// ownership is a voting set that this node has installed.
+// ownership identifies an installed voting set and the time of its installation.
 type ownership struct {
 	installedAt time.Duration
 	revision    uint64
 }
 
-// NewLedger returns a Ledger that lets nothing through until a voting set is
-// set and proved.
-func NewLedger(config once.Config, source clock.Clock, proved OwnershipProof) *Ledger {
-	return newLedger(config, source, time.Now, proved)
+// NewLedger returns a Ledger that refuses every id until a voting set is installed
+// and its ownership is proved.
+func NewLedger(config once.Config, source clock.Clock, isOwnershipProved OwnershipProof) *Ledger {
+	return newLedger(config, source, time.Now, isOwnershipProved)
 }
 
-func newLedger(config once.Config, source clock.Clock, wall func() time.Time, proved OwnershipProof) *Ledger {
-	ledger := &Ledger{clock: source, wall: wall, isOwnershipProved: proved}
+func newLedger(config once.Config, source clock.Clock, wall func() time.Time, isOwnershipProved OwnershipProof) *Ledger {
+	ledger := &Ledger{clock: source, wall: wall, isOwnershipProved: isOwnershipProved}
 	ledger.ledger = once.NewLedger[storedResult](config, ledger.readClocks())
 	ledger.ledger.Suspend()
 	return ledger
@@ -74,9 +76,10 @@
 	return once.Reading{Wall: l.wall(), Monotonic: l.clock.Now()}
 }
 
-// SetVoters takes the newest change of the voting set. The revision counts,
-// not the names: a node that missed two changes which cancel out must be
-// suspended too, since an owner in between may have run its ids.
+// SetVoters installs the voting set that was changed last at the given revision.
+// Revisions are compared rather than voter names: if a node missed two changes that
+// cancel each other out, another node owned its ids in between and may have run
+// them, so the ledger must be suspended in that case as well.
 func (l *Ledger) SetVoters(votersRevision uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -92,7 +95,7 @@
 	l.pendingOwnership = &ownership{installedAt: l.clock.Now(), revision: votersRevision}
 }
 
-// Run forgets old ids until ctx ends.
+// Run removes expired ids until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
@@ -109,7 +112,8 @@
 	}
 }
 
-// settle ends the suspension once the new ownership is proved.
+// completePendingOwnership ends the suspension if the pending ownership is proved.
+// The caller holds the mutex.
 func (l *Ledger) completePendingOwnership() {
 	if l.pendingOwnership == nil || !l.isOwnershipProved(l.pendingOwnership.installedAt, l.pendingOwnership.revision) {
 		return
@@ -118,10 +122,10 @@
 	l.ledger.Reset(l.readClocks())
 }
 
-// begin decides about an id that this node owns by the voting set of a
-// catalog, which is named by the revision of its newest change. It may be newer
-// than the one that SetVoters took last: it is installed first. If it is
-// older, the node may not be the owner any more, and the id is refused.
+// begin decides whether a request may run whose id this node owns by the voting set
+// of votersRevision. If that voting set is newer than the installed one, begin
+// installs it first. If it is older, this node may have lost the ownership, and
+// begin refuses the id.
 func (l *Ledger) begin(id ulid.ULID, votersRevision uint64) once.Decision[storedResult] {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -133,7 +137,8 @@
 	return l.ledger.Begin(l.readClocks(), id)
 }
 
-// holds reports whether the ownership under which a decision was taken lasts.
+// isStillOwned reports whether the ownership under which a decision was made is still
+// in effect.
 func (l *Ledger) isStillOwned(decision once.Decision[storedResult]) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/selfhosted/query/ledger_voters_test.go
+++ b/internal/selfhosted/query/ledger_voters_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestFenceAfterAVoterChange refuses ids that another owner may have run, until
-// the new ownership is proved and the id is younger than it.
+// TestVoterChangeFencesEarlierIDs checks that after a change of the voting set the ledger
+// refuses ids that a previous owner may have run: all ids until the new ownership is
+// proved, and afterwards the ids created before it.
 func TestVoterChangeFencesEarlierIDs(t *testing.T) {
 	f := newFixturePastFence(t)
 	changed := exampleCatalog()
@@ -21,23 +22,23 @@
 	_, err := f.runner.Query(context.Background(), "rate-desk", old)
 	requireUnavailable(t, "suspended", err)
 	if !strings.Contains(err.Error(), "(suspended): the voters") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want the description of the reason \"suspended\"", err)
 	}
 	f.ownershipProved = true
 	_, err = f.runner.Query(context.Background(), "rate-desk", old)
 	requireUnavailable(t, "fenced", err)
 	f.advance(time.Minute)
 	if _, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert()); err != nil {
-		t.Errorf("past the fence: %v", err)
+		t.Errorf("past the fence: got %v, want no error", err)
 	}
 	if f.scatterer.calls != 1 {
-		t.Errorf("%d runs", f.scatterer.calls)
+		t.Errorf("got %d executions, want 1", f.scatterer.calls)
 	}
 }
 
-// TestVotersThatTheLedgerDoesNotKnowYet has a catalog with another voting set
-// that is current already, before the ledger was notified of it: the id, which
-// another node owned until now, must not run.
+// TestBeginInstallsNewerVoters covers a catalog whose new voting set is current before
+// SetVoters passed it to the ledger. An id that another node owned until then must not
+// run.
 func TestBeginInstallsNewerVoters(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsertFor("node-b1")
@@ -54,12 +55,12 @@
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "new voters", err)
 	if f.scatterer.calls != 0 {
-		t.Error("it ran")
+		t.Error("the query ran, want it refused")
 	}
 }
 
-// TestVotersThatAreOutdated has a request that was planned on a catalog which
-// the ledger has left behind.
+// TestBeginRefusesOutdatedVoters covers a request that was planned on a catalog with an
+// older voting set than the ledger has.
 func TestBeginRefusesOutdatedVoters(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsert()
@@ -69,15 +70,15 @@
 	f.runner.SetVoters(changed)
 	f.advance(time.Minute)
 	request.RequestID = f.newRequestID("node-a1")
-	_, err := f.runner.Query(context.Background(), "rate-desk", request) // on the catalog of revision 9
+	_, err := f.runner.Query(context.Background(), "rate-desk", request) // planned on the catalog of revision 9
 	requireUnavailable(t, "outdated", err)
 	if f.scatterer.calls != 0 {
-		t.Error("it ran")
+		t.Error("the query ran, want it refused")
 	}
 }
 
-// TestVotersThatChangedAndChangedBack has a node that missed two changes of the
-// voting set, which cancel out: an owner in between may have run its ids.
+// TestRevertedVoterChangeSuspendsLedger covers a node that missed two changes of the voting
+// set that cancel each other out. A node that owned the ids in between may have run them.
 func TestRevertedVoterChangeSuspendsLedger(t *testing.T) {
 	f := newFixturePastFence(t)
 	changed := exampleCatalog()
@@ -88,12 +89,12 @@
 	_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	requireUnavailable(t, "changed back", err)
 	if f.scatterer.calls != 0 {
-		t.Error("it ran")
+		t.Error("the query ran, want it refused")
 	}
 }
 
-// TestOwnershipThatEndsAfterTheDecision takes a decision back if the voting set
-// changed before the node was seen fresh again.
+// TestOwnershipLostAfterDecision checks that a decision is void if the voting set changed
+// between the decision and the check of freshness that follows it.
 func TestOwnershipLostAfterDecision(t *testing.T) {
 	f := newFixturePastFence(t)
 	changed := exampleCatalog()
@@ -103,12 +104,12 @@
 	_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	requireUnavailable(t, "ownership ended", err)
 	if f.scatterer.calls != 0 {
-		t.Error("it ran")
+		t.Error("the query ran, want it refused")
 	}
 }
 
-// changingCatalogs installs other voters at the second look at its freshness,
-// which follows the decision.
+// voterChangingCatalogSource calls change at the second call of Fresh, which follows the
+// decision of the ledger.
 type voterChangingCatalogSource struct {
 	*fakeCatalogSource
 	freshCalls int
--- a/internal/selfhosted/query/metrics.go
+++ b/internal/selfhosted/query/metrics.go
@@ -13,13 +13,13 @@
 // latencyBuckets are the upper bounds of the latency histogram, in seconds.
 var latencyBuckets = []float64{.001, .002, .005, .01, .02, .05, .1, .2, .33, .5, 1, 2, 5}
 
-// Metrics counts the queries of callers by their fate.
+// Metrics counts callers' queries by result and records their latency.
 type Metrics struct {
 	queries *prometheus.CounterVec
 	latency *prometheus.HistogramVec
 }
 
-// NewMetrics registers the counters.
+// NewMetrics registers the metrics of callers' queries.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &Metrics{
@@ -30,11 +30,11 @@
 	}
 }
 
-// unknownService is the label of services that do not exist.
+// unknownServiceLabel is the label value for services that do not exist.
 const unknownServiceLabel = "unknown"
 
-// observe counts one query. Its names must be those of the catalog: any other
-// would become a label of its own.
+// observe counts one query. The service and class must come from the catalog: each
+// name that a caller invents would add a time series.
 func (m *Metrics) observe(service, class string, response *api.QueryResponse, err error, duration time.Duration) {
 	if err == nil {
 		m.queries.WithLabelValues(service, string(response.Outcome)).Inc()
--- a/internal/selfhosted/query/plan.go
+++ b/internal/selfhosted/query/plan.go
@@ -15,26 +15,27 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/merge"
 )
 
-// maximumRequestID is the longest request id, in bytes.
+// maxRequestIDBytes is the maximum length of a request id.
 const maxRequestIDBytes = 128
 
-// plan is a checked query: what each shard runs and how the tables are merged.
+// queryPlan is a validated query: the statement that each shard runs, and how the
+// tables of the shards are merged.
 type queryPlan struct {
 	service catalog.Service
 	class   catalog.Class
 	request api.QueryRequest
 	timeout time.Duration
-	// minimumCoverage is a share from 0 to 1.
+	// minimumCoverage is the fraction of the shards, from 0 to 1, that must answer.
 	minimumCoverage float64
 	shardStatement  string
 	key             rows.Value
 	hasKey          bool
-	// selection is nil for an insert.
+	// mergePlan is nil for an insert.
 	mergePlan *merge.Plan
 }
 
-// newPlan checks a request against the catalog. The error is a *api.Problem;
-// nothing has run when it is returned.
+// newPlan validates a request against the catalog. The error is a *api.Problem, and
+// no part of the request has run when newPlan returns it.
 func newPlan(cache *statementCache, current *catalog.Catalog, serviceName string, request api.QueryRequest) (*queryPlan, error) {
 	service, ok := current.Services[serviceName]
 	if !ok {
@@ -57,6 +58,7 @@
 	return plan, nil
 }
 
+// newRequestProblem returns a problem with the id of the request.
 func newRequestProblem(request api.QueryRequest, problemType api.ProblemType, detail string) *api.Problem {
 	problem := api.NewProblem(problemType, detail)
 	problem.RequestID = request.RequestID
@@ -67,6 +69,8 @@
 	return newRequestProblem(p.request, problemType, detail)
 }
 
+// resolveRequestID checks the request id and generates a missing one. At-most-once
+// classes require an id from the caller, since a retry must carry the same id.
 func (p *queryPlan) resolveRequestID() error {
 	if len(p.request.RequestID) > maxRequestIDBytes {
 		return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("request_id is longer than %d bytes.", maxRequestIDBytes))
@@ -81,13 +85,15 @@
 	return nil
 }
 
+// resolveTimeout sets the timeout to the deadline of the request, or of the class if
+// the request has none.
 func (p *queryPlan) resolveTimeout() error {
 	requested := p.request.DeadlineMilliseconds
 	if requested == 0 {
 		p.timeout = p.class.Deadline
 		return nil
 	}
-	// Compared before it is converted: a large number would overflow.
+	// Compare milliseconds: converting a large value to a time.Duration would overflow.
 	if limit := p.class.Deadline.Milliseconds(); requested < 0 || requested > limit {
 		return p.newProblem(api.ProblemInvalidDeadline, fmt.Sprintf("deadline_ms must be between 1 and %d for class %s.", limit, p.class.Name))
 	}
@@ -95,6 +101,8 @@
 	return nil
 }
 
+// resolveCoverage sets the minimum coverage to that of the request, or of the class if
+// the request has none.
 func (p *queryPlan) resolveCoverage() error {
 	p.minimumCoverage = p.class.Coverage
 	if p.request.MinimumCoverage == nil {
@@ -107,6 +115,7 @@
 	return nil
 }
 
+// planStatement parses the statement and plans it as a select or an insert.
 func (p *queryPlan) planStatement(cache *statementCache) error {
 	parsed, statement, err := cache.parse(p.request.Statement)
 	if err != nil {
@@ -121,7 +130,8 @@
 	return p.newProblem(api.ProblemInvalidRequest, "A query is a select or an insert.")
 }
 
-// statementProblem names the problem of a statement that cannot be planned.
+// newStatementProblem returns the problem for a statement that could not be parsed or
+// planned.
 func (p *queryPlan) newStatementProblem(err error) error {
 	var syntax *language.SyntaxError
 	if errors.As(err, &syntax) {
@@ -136,8 +146,8 @@
 	return problem
 }
 
-// SyntaxProblem turns an error of package language into a problem that points
-// at the place.
+// SyntaxProblem converts an error of package language into a problem with the position
+// of the syntax error.
 func SyntaxProblem(err error) *api.Problem {
 	problem := api.NewProblem(api.ProblemSyntax, err.Error())
 	var syntax *language.SyntaxError
@@ -149,6 +159,7 @@
 	return problem
 }
 
+// checkServiceName checks that the statement names the same service as the URL path.
 func (p *queryPlan) checkServiceName(name string) error {
 	if name == p.service.Name {
 		return nil
@@ -205,7 +216,8 @@
 	return request
 }
 
-// merge builds the table of the answer. An insert's answer is its shard's.
+// mergeTables merges the tables of the shards of a select. An insert runs on one shard,
+// whose table is returned unchanged.
 func (p *queryPlan) mergeTables(tables []scatter.ShardPart[rows.Table]) (rows.Table, error) {
 	if p.mergePlan == nil {
 		return firstTable(tables), nil
--- a/internal/selfhosted/query/plan_benchmark_test.go
+++ b/internal/selfhosted/query/plan_benchmark_test.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// BenchmarkPlan measures the planning of a select that was seen before.
+// BenchmarkPlan plans a select that is in the statement cache.
 func BenchmarkPlan(b *testing.B) {
 	cache := newStatementCache()
 	current := exampleCatalog()
--- a/internal/selfhosted/query/refusal.go
+++ b/internal/selfhosted/query/refusal.go
@@ -5,9 +5,9 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Refuse returns the problem for a query that this node does not take, with
-// the given "not run" type, and counts it. A request of a class that runs at
-// most once may have been submitted before, so for it "not run" is not claimed.
+// Refuse returns a problem of the given "not run" type for a query that this node does
+// not accept, and counts the query. A request of an at-most-once class gets an
+// unavailable problem instead, since an earlier submission of its id may have run.
 func (r *Runner) Refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem {
 	problem := r.newRefusalProblem(service, request, notRun)
 	r.config.Metrics.observe(r.serviceLabel(service), request.Class, nil, problem, 0)
@@ -25,8 +25,8 @@
 	return problem
 }
 
-// unavailable refuses a submission that ran nowhere, where an earlier one of
-// the same id may have run.
+// newUnavailableProblem returns the problem for a submission that ran on no leaf while
+// an earlier submission of the same id may have run.
 func (r *Runner) newUnavailableProblem(request api.QueryRequest, detail string) *api.Problem {
 	problem := newRequestProblem(request, api.ProblemUnavailable, detail+" This submission ran nowhere; an earlier one of the same id may have.")
 	problem.Outcome = dispatch.OutcomeFailed
@@ -34,8 +34,8 @@
 	return problem
 }
 
-// known returns the name of a service, or "unknown" for one that a caller made
-// up: it would become a label of its own.
+// serviceLabel returns the metric label for a service: its name, or "unknown" for a
+// service that is not in the catalog, so that callers cannot add time series.
 func (r *Runner) serviceLabel(service string) string {
 	if _, exists := r.config.Catalogs.Current().Services[service]; exists {
 		return service
--- a/internal/selfhosted/query/response.go
+++ b/internal/selfhosted/query/response.go
@@ -10,8 +10,9 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// answer turns the outcome of a scattered query into what the caller receives. A
-// statement that leaves refuse, and none has run, is the caller's mistake.
+// toResponse converts the result of a scattered query into the response or the
+// problem for the caller. If leaves rejected the statement as invalid and no shard
+// answered, the request itself is invalid.
 func (p *queryPlan) toResponse(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
 	switch result.Outcome {
 	case dispatch.OutcomeAnswered, dispatch.OutcomePartial:
@@ -30,7 +31,8 @@
 	return nil, p.newOutcomeProblem(api.ProblemFailed, result)
 }
 
-// merged builds the answer from exactly the tables that the dispatcher counts.
+// mergeResponse builds the response from the tables of the shards that the
+// dispatcher counts as answered, and from no others.
 func (p *queryPlan) mergeResponse(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
 	table, err := p.mergeTables(result.Parts)
 	if err != nil {
@@ -54,7 +56,7 @@
 	}, nil
 }
 
-// notRunType names the problem for a query that ran nowhere.
+// notRunProblemType returns the problem type for a query that ran on no leaf.
 func notRunProblemType(reason dispatch.Reason) api.ProblemType {
 	switch reason {
 	case dispatch.ReasonStopped:
@@ -73,6 +75,8 @@
 	return api.ProblemNotRunOverload
 }
 
+// newOutcomeProblem returns a problem that carries the outcome, the reason and the
+// retry delay of a scattered query.
 func (p *queryPlan) newOutcomeProblem(problemType api.ProblemType, result scatter.Result[rows.Table]) *api.Problem {
 	detail := result.Detail
 	if detail == "" && result.Total > 0 {
--- a/internal/selfhosted/query/runner.go
+++ b/internal/selfhosted/query/runner.go
@@ -1,15 +1,15 @@
-// Package query runs callers' queries: it plans a statement against the
-// catalog, sends it to the owner of its id if it may run only once, has it
-// scattered over the shards, and merges what comes back.
+// Package query runs callers' queries. It plans a statement against the catalog,
+// forwards a request of an at-most-once class to the owner of its id, scatters the
+// statement over the shards, and merges their tables.
 //
-// It owns the Ledger, which has the ids that this node decides about, and the
-// selects that were parsed of late. It relies on decide/once for the decision
-// about an id, on language and merge for statements, and on scatter for the
-// attempts at leaves; which catalog is in force, and whether this node may act
-// on it, it asks its Catalogs.
+// The package owns the Ledger, which records the ids that this node owns, and a cache of
+// recently parsed selects. Package decide/once decides whether an id may run, packages
+// language and merge parse and plan statements, and package scatter sends attempts to
+// leaves. A CatalogSource provides the catalog in force and reports whether this node may
+// act on it.
 //
-// Errors are *api.Problem values. A problem of a "not run" type is a promise
-// that the request ran nowhere and never will.
+// Errors are *api.Problem values. A problem of a "not run" type guarantees that the
+// request ran on no leaf and never will.
 package query
 
 import (
@@ -23,12 +23,12 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Catalogs returns what is in force on this node.
+// CatalogSource provides the catalog that is in force on this node.
 type CatalogSource interface {
-	// Current returns the installed catalog; it must not be modified.
+	// Current returns the installed catalog, which callers must not modify.
 	Current() *catalog.Catalog
-	// Fresh reports whether the node can show, at this moment, that it holds
-	// every accepted change. A node that cannot takes no new work.
+	// Fresh reports whether the node can prove now that it holds every accepted
+	// change. A node that cannot prove it accepts no new requests.
 	Fresh() bool
 }
 
@@ -37,35 +37,36 @@
 	Execute(ctx context.Context, request scatter.Request[string]) scatter.Result[rows.Table]
 }
 
-// Scatterers finds the Scatterer of a service; it reports false if the service
-// is not installed.
+// ScattererRegistry looks up the Scatterer of a service. It reports false if the
+// service is not installed.
 type ScattererRegistry interface {
 	Scatterer(service string) (Scatterer, bool)
 }
 
-// Forwarder sends a query to another node, by its name. The error is a
-// *ForwardError or a *api.Problem that the other node answered with.
+// Forwarder sends a query to the node with the given name. The error is a *ForwardError,
+// or the *api.Problem with which that node responded.
 type Forwarder interface {
 	Forward(ctx context.Context, node string, forward Forward) (*api.QueryResponse, error)
 }
 
-// Forward is a query on its way from the node that took it to its owner.
+// Forward is a query that the receiving node forwards to the owner of the request id.
 type Forward struct {
 	Service string
 	Request api.QueryRequest
-	// Remaining is a duration, since the clocks of nodes differ.
+	// Remaining is the time until the deadline. It is sent as a duration since the
+	// clocks of nodes differ.
 	Remaining time.Duration
 }
 
-// ForwardError says that the owner gave no answer.
+// ForwardError is returned if the owner gave no response.
 type ForwardError struct {
 	Node string
-	// Sent is false only if provably no byte of the query left.
+	// Sent is false only if no byte of the query can have been sent.
 	Sent bool
 	Err  error
 }
 
-// Error describes the failed hop.
+// Error names the node and the cause.
 func (e *ForwardError) Error() string {
 	return "forward to " + e.Node + ": " + e.Err.Error()
 }
@@ -75,23 +76,23 @@
 	return e.Err
 }
 
-// Config is what a Runner needs.
+// Config holds the dependencies and settings of a Runner.
 type Config struct {
-	// Self is the name of this node's slot.
+	// Self is the name of this node, which identifies its slot among the voters.
 	Self       string
 	Catalogs   CatalogSource
 	Scatterers ScattererRegistry
 	Forwarder  Forwarder
 	Ledger     *Ledger
-	// Acknowledged reports whether a majority of the voters has been heard
-	// from of late. Only then would this process know that another one has
-	// taken over its slot, and so its ids: that the catalog is fresh may also
-	// be known from the store alone.
+	// Acknowledged reports whether a majority of the voters has acknowledged this
+	// process recently. A fresh catalog alone is not enough: the node may have read it
+	// from the store. Only contact with the voters shows whether another process has
+	// taken over this node's slot, and with it the ownership of its ids.
 	Acknowledged func() bool
 	Clock        clock.Clock
 	Metrics      *Metrics
-	// RetryWhenStale is the time after which a caller that was refused,
-	// because this node was not fresh, may ask again.
+	// RetryWhenStale is the retry delay for callers that were refused because this
+	// node was not fresh.
 	RetryWhenStale time.Duration
 }
 
@@ -106,8 +107,8 @@
 	return &Runner{config: config, statementCache: newStatementCache()}
 }
 
-// Query runs a request that a caller sent to this node. It blocks until the
-// request has its final answer, at the latest until its deadline.
+// Query runs a request that a caller sent to this node. It blocks until the request has
+// its final result, and at most until the deadline.
 func (r *Runner) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	started := r.config.Clock.Now()
 	response, err := r.runQuery(ctx, service, request)
@@ -129,12 +130,12 @@
 	return r.routeToOwner(ctx, plan)
 }
 
-// SetVoters takes the voting set of a catalog that was installed.
+// SetVoters passes the voting set of an installed catalog to the ledger.
 func (r *Runner) SetVoters(current *catalog.Catalog) {
 	r.config.Ledger.SetVoters(current.VotersRevision)
 }
 
-// scatter runs a planned query over the shards and merges the answer.
+// scatterQuery runs a planned query over the shards and merges their tables.
 func (r *Runner) scatterQuery(ctx context.Context, plan *queryPlan) (*api.QueryResponse, error) {
 	scatterer, ok := r.config.Scatterers.Scatterer(plan.service.Name)
 	if !ok {
--- a/internal/selfhosted/query/runner_test.go
+++ b/internal/selfhosted/query/runner_test.go
@@ -18,7 +18,8 @@
 
 func floatPointer(value float64) *float64 { return &value }
 
-// TestInvalidRequestsRunNowhere sends what is wrong; nothing reaches a leaf.
+// TestInvalidRequestsAreRejectedBeforeExecution checks that an invalid request gets the
+// right problem and reaches neither a leaf nor another node.
 func TestInvalidRequestsAreRejectedBeforeExecution(t *testing.T) {
 	sweep := func(statement string) api.QueryRequest {
 		return api.QueryRequest{Class: "sweep", Statement: statement}
@@ -72,10 +73,10 @@
 		problem := requireProblem(t, test.name, err, test.want)
 		given := test.request.RequestID
 		if !strings.Contains(problem.Detail, test.detail) || (given != "" && problem.RequestID != given) {
-			t.Errorf("%s: got %+v", test.name, problem)
+			t.Errorf("%s: got %+v, want detail %q and request id %q", test.name, problem, test.detail, given)
 		}
 		if fixture.scatterer.calls+fixture.forwarder.calls != 0 {
-			t.Errorf("%s: a leaf or a node was asked", test.name)
+			t.Errorf("%s: the request was sent to a leaf or a node", test.name)
 		}
 	}
 }
@@ -85,11 +86,12 @@
 	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: "select lane\tform rate-desk"})
 	problem := requireProblem(t, "syntax", err, api.ProblemSyntax)
 	if problem.Line != 1 || problem.Column != 13 || !strings.Contains(problem.Expected, "from") {
-		t.Errorf("got %+v", problem)
+		t.Errorf("got %+v, want line 1, column 13 and \"from\" expected", problem)
 	}
 }
 
-// TestDeadlineAndCoverageOfTheClass checks what stands in for absent values.
+// TestDeadlineAndCoverageDefaultToClass checks the values of requests that omit the
+// deadline, the coverage or the request id.
 func TestDeadlineAndCoverageDefaultToClass(t *testing.T) {
 	for _, test := range []struct {
 		request  api.QueryRequest
@@ -107,10 +109,10 @@
 		}
 		sent := fixture.scatterer.lastRequest
 		if sent.Timeout != test.timeout || sent.MinimumCoverage != test.coverage || sent.HasKey {
-			t.Errorf("sent %+v", sent)
+			t.Errorf("sent %+v, want timeout %s, coverage %v and no key", sent, test.timeout, test.coverage)
 		}
 		if response.RequestID == "" || response.RequestID != sent.RequestID {
-			t.Errorf("the id that was made up is %q, and %q to the leaves", response.RequestID, sent.RequestID)
+			t.Errorf("got generated request id %q, want the one sent to the leaves, %q", response.RequestID, sent.RequestID)
 		}
 	}
 }
@@ -123,31 +125,33 @@
 	}
 	sent := fixture.scatterer.lastRequest
 	if want := rows.KeyHash(rows.Value{Kind: rows.Text, Text: "Q-17"}); !sent.HasKey || sent.KeyHash != want {
-		t.Errorf("sent %+v, want the key hash %d", sent, want)
+		t.Errorf("sent %+v, want key hash %d", sent, want)
 	}
 }
 
-// TestStaleNodeTakesNothing says "not run" only of a request that may be
-// repeated: one that may not could have run at another node before.
+// TestStaleNodeRefusesRequests checks that a stale node reports "not run" only for a
+// repeatable request: an earlier submission of an at-most-once request may have run at
+// another node.
 func TestStaleNodeRefusesRequests(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.catalogs.fresh = false
 	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{RequestID: "a", Class: "sweep", Statement: fullScan})
 	problem := requireProblem(t, "repeatable", err, api.ProblemNotRunStale)
 	if problem.Outcome != dispatch.OutcomeNotRun || problem.RetryAfterMilliseconds != retryWhenStale.Milliseconds() {
-		t.Errorf("got %+v", problem)
+		t.Errorf("got %+v, want outcome not_run with a retry delay of %s", problem, retryWhenStale)
 	}
 	_, err = fixture.runner.Query(context.Background(), "rate-desk", fixture.newInsert())
 	problem = requireProblem(t, "once", err, api.ProblemUnavailable)
 	if problem.Outcome == dispatch.OutcomeNotRun || !strings.Contains(problem.Detail, "an earlier one of the same id may have") {
-		t.Errorf("got %+v", problem)
+		t.Errorf("got %+v, want an outcome other than not_run that mentions an earlier submission", problem)
 	}
 	if fixture.scatterer.calls != 0 {
-		t.Error("a leaf was asked")
+		t.Error("a request was sent to a leaf")
 	}
 }
 
-// TestProblemOfEachFate maps what the dispatcher says to what the caller gets.
+// TestOutcomesMapToProblems checks the problem for each outcome and reason of the
+// dispatcher.
 func TestOutcomesMapToProblems(t *testing.T) {
 	finish := func(outcome dispatch.Outcome, reason dispatch.Reason) dispatch.Finish {
 		return dispatch.Finish{Outcome: outcome, Reason: reason, Total: 8, Missing: []int{0, 1, 2, 3, 4, 5, 6, 7}}
@@ -177,21 +181,22 @@
 	for _, test := range cases {
 		fixture := newFixture(t)
 		test.finish.RetryAfter = 1500 * time.Microsecond
-		fixture.scatterer.result = scatter.Result[rows.Table]{Finish: test.finish, Detail: "a leaf's word"}
+		fixture.scatterer.result = scatter.Result[rows.Table]{Finish: test.finish, Detail: "detail of a leaf"}
 		_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
 		problem := requireProblem(t, test.name, err, test.want)
-		if problem.Outcome != test.finish.Outcome || problem.Reason != test.finish.Reason || problem.RetryAfterMilliseconds != 2 || problem.Detail != "a leaf's word" {
+		if problem.Outcome != test.finish.Outcome || problem.Reason != test.finish.Reason || problem.RetryAfterMilliseconds != 2 || problem.Detail != "detail of a leaf" {
 			t.Errorf("%s: got %+v", test.name, problem)
 		}
-		// A type that says "not run" is given only where that is the outcome.
+		// A "not run" type is used only for the outcome "not run".
 		saysNotRun := strings.HasPrefix(string(problem.Type), "urn:micaplank:problem:not-run")
 		if saysNotRun && problem.Outcome != dispatch.OutcomeNotRun {
-			t.Errorf("%s: %s for outcome %s", test.name, problem.Type, problem.Outcome)
+			t.Errorf("%s: got problem type %s for outcome %s", test.name, problem.Type, problem.Outcome)
 		}
 	}
 }
 
-// TestAnswerCoversWhatTheDispatcherCounts merges and reports partial coverage.
+// TestPartialResponseReportsCoverage checks that a partial response merges the tables of
+// the answered shards and lists the missing ones.
 func TestPartialResponseReportsCoverage(t *testing.T) {
 	fixture := newFixture(t)
 	lane := func(name string) rows.Table {
@@ -209,14 +214,15 @@
 		t.Fatal(err)
 	}
 	if c := response.Coverage; c.Answered != 2 || c.Total != 3 || len(c.Missing) != 1 || c.Missing[0] != 1 {
-		t.Errorf("coverage %+v", c)
+		t.Errorf("got coverage %+v, want 2 of 3 shards with shard 1 missing", c)
 	}
 	if len(response.Rows) != 2 || response.Rows[0][0].Text != "a" || response.Outcome != dispatch.OutcomePartial {
-		t.Errorf("got %+v", response)
+		t.Errorf("got %+v, want a partial response with rows a and b", response)
 	}
 }
 
-// TestTablesThatDoNotFitAreAnInternalError gives no half-merged answer.
+// TestMismatchedColumnsAreInternalError checks that a table with unexpected columns fails
+// the query instead of yielding a partly merged table.
 func TestMismatchedColumnsAreInternalError(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"other"}}}}
--- a/internal/selfhosted/query/statement_cache.go
+++ b/internal/selfhosted/query/statement_cache.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// statementsKept is how many parsed selects are kept.
+	// maxCachedStatements is the number of parsed selects in the cache.
 	maxCachedStatements = 4096
-	// maximumKeptStatement is the longest statement that is kept, in bytes.
+	// maxCachedStatementBytes is the length of the longest statement that is cached.
 	maxCachedStatementBytes = 4096
 )
 
-// selection is a parsed select with the plan of its merge. It is shared by
-// queries and never modified.
+// parsedSelect is a parsed select with its merge plan. Concurrent queries share it, so it
+// is never modified.
 type parsedSelect struct {
 	statement *language.Select
 	mergePlan *merge.Plan
 }
 
-// statements parses statements and keeps the newest selects, since callers
-// send the same few texts repeatedly. Inserts are not kept: each is
-// another text. It is safe for concurrent use.
+// statementCache parses statements and caches the most recently used selects, since
+// callers send the same few texts repeatedly. Inserts are not cached, since each has a
+// different text. A statementCache is safe for concurrent use.
 type statementCache struct {
 	selections *lru.Cache[string, *parsedSelect]
 }
@@ -31,13 +31,13 @@
 func newStatementCache() *statementCache {
 	selections, err := lru.New[string, *parsedSelect](maxCachedStatements)
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // lru.New fails only for a size below 1
 	}
 	return &statementCache{selections: selections}
 }
 
-// parse returns the selection of a select, or another kind of statement.
-// Errors are those of packages language and merge.
+// parse parses a statement. The parsedSelect is nil if the statement is not a select.
+// Errors come from packages language and merge.
 func (s *statementCache) parse(text string) (*parsedSelect, language.Statement, error) {
 	if cached, ok := s.selections.Get(text); ok {
 		return cached, cached.statement, nil
