--- a/internal/selfhosted/merge/errors.go
+++ b/internal/selfhosted/merge/errors.go
@@ -2,55 +2,57 @@
 
 import "fmt"
 
-// UnknownColumnError says that a statement names a column that the rows lack.
+// UnknownColumnError is returned for a statement that names a column that the table does
+// not have.
 type UnknownColumnError struct {
 	Column string
 }
 
-// Error implements error.
+// Error names the column.
 func (e *UnknownColumnError) Error() string { return fmt.Sprintf("merge: no column %q", e.Column) }
 
-// TypeError says that a function cannot take a value.
+// TypeError is returned for a value that an aggregate function does not accept.
 type TypeError struct {
 	// Item is the result column, such as sum(price).
 	Item string
-	// Value is the value in text form.
+	// Value is the text of the value.
 	Value string
 }
 
-// Error implements error.
+// Error names the aggregate and the value.
 func (e *TypeError) Error() string {
 	return fmt.Sprintf("merge: %s cannot take the text %q", e.Item, e.Value)
 }
 
-// RangeError says that a result is beyond the range of numbers.
+// RangeError is returned for an aggregate that is infinite or not a number.
 type RangeError struct {
 	Item string
 }
 
-// Error implements error.
+// Error names the aggregate.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("merge: %s is beyond the range of numbers", e.Item)
 }
 
-// ColumnsError says that the table of a shard has other columns than it should.
+// ColumnMismatchError is returned for a shard whose table does not have the expected
+// columns.
 type ColumnMismatchError struct {
 	Shard    int
 	Got      []string
 	Expected []string
 }
 
-// Error implements error.
+// Error names the shard and both lists of columns.
 func (e *ColumnMismatchError) Error() string {
 	return fmt.Sprintf("merge: shard %d has the columns %q, expected %q", e.Shard, e.Got, e.Expected)
 }
 
-// DuplicateShardError says that a shard was added twice.
+// DuplicateShardError is returned for a shard that was already added.
 type DuplicateShardError struct {
 	Shard int
 }
 
-// Error implements error.
+// Error names the shard.
 func (e *DuplicateShardError) Error() string {
 	return fmt.Sprintf("merge: shard %d is merged already", e.Shard)
 }
--- a/internal/selfhosted/merge/evaluate_grouped.go
+++ b/internal/selfhosted/merge/evaluate_grouped.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// evaluateGroups runs a grouped select.
+// evaluateGrouped runs a grouped select over the rows of a table.
 func evaluateGrouped(statement *language.Select, table rows.Table) (rows.Table, error) {
 	groupPlan, err := newGroupPlan(statement)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return groups.buildResult()
 }
 
-// inputs returns the places of the keys' and partials' columns in the table;
-// -1 for count(*).
+// resolveInputs returns the table indexes of the columns of the keys and the partials. The
+// index is -1 for count(*).
 func (g *groupPlan) resolveInputs(table rows.Table) ([]int, error) {
 	columns := slices.Clone(g.keys)
 	for _, partial := range g.partials {
@@ -45,7 +45,7 @@
 	return indexes, nil
 }
 
-// read makes a row into the group row of just this row.
+// fillPartialRow converts a table row into the group row of a group with that row alone.
 func (g *groupPlan) fillPartialRow(partialRow, row rows.Row, indexes []int) {
 	for i, index := range indexes {
 		switch {
@@ -59,6 +59,7 @@
 	}
 }
 
+// countNonNull returns the count of a single value: 0 for null and 1 otherwise.
 func countNonNull(value rows.Value) rows.Value {
 	if value.IsNull() {
 		return rows.NumberOf(0)
--- a/internal/selfhosted/merge/fold.go
+++ b/internal/selfhosted/merge/fold.go
@@ -5,15 +5,16 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// foldKind is how the partials of a function are added up.
+// foldKind is the operation that combines partial aggregates.
 type foldKind uint8
 
 const (
-	foldSum foldKind = iota // also counts
+	foldSum foldKind = iota // combines sums and counts
 	foldMinimum
 	foldMaximum
 )
 
+// foldKindFor returns the operation that combines the partial aggregates of a function.
 func foldKindFor(function language.Function) foldKind {
 	switch function {
 	case language.Minimum:
@@ -25,8 +26,8 @@
 	}
 }
 
-// fold adds a value to a total. Nulls are passed over. It returns false if
-// the value is none that can be added.
+// fold combines a value with a total and ignores nulls. It returns false if the value has
+// a type that the operation does not accept.
 func (k foldKind) fold(total, value *rows.Value) bool {
 	switch {
 	case value.Kind == rows.Null:
--- a/internal/selfhosted/merge/group.go
+++ b/internal/selfhosted/merge/group.go
@@ -8,29 +8,29 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// grouping splits a grouped select into partial aggregates, which shards
-// compute and which can be added up, and the result made of them.
+// groupPlan splits a grouped select into partial aggregates, which shards compute and the
+// merger folds, and into output columns, which are computed from the folded partials.
 type groupPlan struct {
 	keys []string
-	// partials are the aggregates that a shard computes: count, sum, min and
-	// max, each once.
+	// partials are the aggregates that each shard computes (count, sum, min or max),
+	// without duplicates.
 	partials []language.Item
-	// folds has the kind of each partial.
+	// foldKinds holds the fold operation of each partial.
 	foldKinds []foldKind
 	outputs   []outputColumn
-	// columns are the result's columns followed by the keys.
+	// columns are the result columns followed by the group keys, which break ties.
 	columns []string
 	order   *rowOrder
 	limit   int
 }
 
-// output says how a result column is made from a group row, which holds the
-// keys and then the partials.
+// outputColumn computes a result column from a group row, which holds the group keys
+// followed by the partials.
 type outputColumn struct {
 	item language.Item
-	// index is the place of the value, or of the sum of an average.
+	// valueIndex is the index of the value, or of the sum of an average.
 	valueIndex int
-	// count is the place of the count of an average, and 0 otherwise.
+	// countIndex is the index of the count of an average, and 0 otherwise.
 	countIndex int
 }
 
@@ -49,6 +49,8 @@
 	return g, err
 }
 
+// resolveOutput returns the output column for a select item and adds the partials that
+// the column needs.
 func (g *groupPlan) resolveOutput(item language.Item) (outputColumn, error) {
 	switch item.Function {
 	case language.NoFunction:
@@ -66,7 +68,8 @@
 	}
 }
 
-// partial returns the place of a partial in a group row, adding it if needed.
+// ensurePartial returns the index of a partial in a group row and adds the partial if it
+// is missing.
 func (g *groupPlan) ensurePartial(item language.Item) int {
 	index := slices.Index(g.partials, item)
 	if index < 0 {
@@ -77,9 +80,10 @@
 	return len(g.keys) + index
 }
 
-// shardStatement selects the keys and the partials. The limit is passed on
-// only if the order is by keys: then the first groups of all shards together
-// are among the first of each shard that has them.
+// buildShardStatement returns the statement that selects the keys and the partials on each
+// shard. It includes the limit only if the statement does not order by an aggregate: then
+// each of the first groups of the result is also among the first groups of every shard
+// that has the group. The order by an aggregate is known only after merging.
 func (g *groupPlan) buildShardStatement(statement *language.Select) *language.Select {
 	shard := &language.Select{
 		Service: statement.Service,
@@ -100,14 +104,14 @@
 	return shard
 }
 
-// groups collects group rows by their keys.
+// groupSet holds the group rows of one evaluation or merge.
 type groupSet struct {
 	*groupPlan
 	indexByKey map[string]int
 	rows       []rows.Row
 	keyBuffer  []byte
-	// next is the place of the group that likely comes next: shards tend to
-	// list the same groups in the same order.
+	// nextIndex is the index of the group that is expected next, since most shards
+	// list the same groups in the same order. A correct guess avoids a map lookup.
 	nextIndex int
 }
 
@@ -115,7 +119,7 @@
 	return &groupSet{groupPlan: g, indexByKey: make(map[string]int)}
 }
 
-// group returns the row of the group with these keys.
+// findOrAddGroup returns the row of the group with the given keys.
 func (g *groupSet) findOrAddGroup(keys rows.Row) rows.Row {
 	if g.nextIndex < len(g.rows) && g.hasKeys(g.rows[g.nextIndex], keys) {
 		g.nextIndex++
@@ -143,7 +147,7 @@
 	return true
 }
 
-// newGroup adds the group whose key encoding is in g.key.
+// addGroup adds the group whose encoded keys are in g.keyBuffer.
 func (g *groupSet) addGroup(keys rows.Row) rows.Row {
 	row := make(rows.Row, len(g.keys)+len(g.partials))
 	copy(row, keys)
@@ -157,7 +161,7 @@
 	return row
 }
 
-// addPartials adds a group row of a shard.
+// addPartials folds a group row of a shard into the row of its group.
 func (g *groupSet) addPartials(shardRow rows.Row) error {
 	row := g.findOrAddGroup(shardRow[:len(g.keys)])
 	totals, values := row[len(g.keys):], shardRow[len(g.keys):]
@@ -169,10 +173,10 @@
 	return nil
 }
 
-// result makes the result of the group rows.
+// buildResult computes, sorts and truncates the rows of the result.
 func (g *groupSet) buildResult() (rows.Table, error) {
 	if len(g.keys) == 0 {
-		g.findOrAddGroup(nil) // without keys there is one group, also of no rows
+		g.findOrAddGroup(nil) // a select without group by has one group, even over no rows
 	}
 	resultRows := make([]rows.Row, 0, len(g.rows))
 	for _, row := range g.rows {
@@ -191,7 +195,7 @@
 	return rows.Table{Columns: g.columns[:width:width], Rows: resultRows}, nil
 }
 
-// resultRow returns the result columns followed by the keys.
+// buildResultRow returns the result columns of a group followed by its keys.
 func (g *groupSet) buildResultRow(row rows.Row) (rows.Row, error) {
 	resultRow := make(rows.Row, 0, len(g.columns))
 	for _, output := range g.outputs {
--- a/internal/selfhosted/merge/merge_test.go
+++ b/internal/selfhosted/merge/merge_test.go
@@ -21,8 +21,8 @@
 	return statement.(*language.Select)
 }
 
-// testStatements cover every kind of plan; the rows have the columns lane,
-// carrier, weight and price.
+// planStatements cover every kind of plan. The tables have the columns lane, carrier,
+// weight and price.
 var planStatements = []string{
 	"select * from s",
 	"select * from s limit 3",
@@ -54,7 +54,7 @@
 	return table
 }
 
-// divide deals the rows out to shards at random.
+// drawShards distributes the rows of a table over a drawn number of shards.
 func drawShards(t *rapid.T, table rows.Table) []rows.Table {
 	shards := make([]rows.Table, rapid.IntRange(1, 6).Draw(t, "shards"))
 	for i := range shards {
@@ -67,6 +67,8 @@
 	return shards
 }
 
+// TestMergeEqualsEvaluatingUnion checks that the merged tables of the shards equal the
+// result of the whole statement over all rows.
 func TestMergeEqualsEvaluatingUnion(t *testing.T) {
 	for _, text := range planStatements {
 		t.Run(text, func(t *testing.T) {
@@ -79,15 +81,15 @@
 				}
 				merged := mergeShards(t, statement, drawShards(t, table))
 				if !merged.Equal(expected) {
-					t.Fatalf("merged %v\nexpected %v", merged, expected)
+					t.Fatalf("got merged table %v\nwant %v", merged, expected)
 				}
 			})
 		})
 	}
 }
 
-// mergeShards runs the shard statement on each shard and merges the tables in
-// a random order.
+// mergeShards runs the shard statement on each shard and merges the tables in a drawn
+// order.
 func mergeShards(t *rapid.T, statement *language.Select, shards []rows.Table) rows.Table {
 	plan, err := NewPlan(statement)
 	if err != nil {
@@ -130,7 +132,7 @@
 		"select sum(price) from s group by lane": &rangeError,
 	} {
 		if _, err := Evaluate(parseSelect(t, text), table); !errors.As(err, target) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: got error %v, want a %T", text, err, target)
 		}
 	}
 	plan, err := NewPlan(parseSelect(t, "select lane, price from s"))
@@ -143,11 +145,11 @@
 	}
 	var duplicate *DuplicateShardError
 	if err := merger.Add(1, table); !errors.As(err, &duplicate) {
-		t.Errorf("%v", err)
+		t.Errorf("shard added twice: got error %v, want a %T", err, duplicate)
 	}
 	var columns *ColumnMismatchError
 	if err := merger.Add(2, rows.Table{Columns: []string{"lane"}}); !errors.As(err, &columns) {
-		t.Errorf("%v", err)
+		t.Errorf("table with other columns: got error %v, want a %T", err, columns)
 	}
 }
 
@@ -174,7 +176,7 @@
 			for i := range tables {
 				partial, err := Evaluate(shard.(*language.Select), benchmarkTable(uint64(i), perShard))
 				if err != nil || len(partial.Rows) != perShard {
-					b.Fatal(len(partial.Rows), err)
+					b.Fatalf("evaluate shard %d: got %d rows, %v, want %d rows", i, len(partial.Rows), err, perShard)
 				}
 				tables[i] = partial
 			}
@@ -194,7 +196,8 @@
 	}
 }
 
-// benchmarkTable has as many lanes as rows, so that grouping keeps them all.
+// benchmarkTable returns a table with a distinct lane per row, so that grouping by lane
+// keeps every row.
 func benchmarkTable(seed uint64, size int) rows.Table {
 	random := rand.New(rand.NewPCG(seed, 1))
 	table := rows.Table{Columns: []string{"lane", "carrier", "price"}}
--- a/internal/selfhosted/merge/merger.go
+++ b/internal/selfhosted/merge/merger.go
@@ -6,15 +6,15 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// Merger collects the tables of one query's shards. It is not safe for
+// Merger merges the tables that the shards return for one query. It is not safe for
 // concurrent use.
 type Merger struct {
 	plan *Plan
-	// columns are those that each shard's table must have; for "select *"
-	// they are known with the first table.
+	// columns are the columns that the table of each shard must have. For "select *"
+	// the first added table defines them.
 	columns []string
 	order   *rowOrder
-	// tables has the table of each shard at the shard's number.
+	// tables is indexed by shard number.
 	tables     []shardTable
 	shardCount int
 }
@@ -24,13 +24,14 @@
 	rows  []rows.Row
 }
 
-// NewMerger returns an empty merger.
+// NewMerger returns a Merger without tables.
 func (p *Plan) NewMerger() *Merger {
 	return &Merger{plan: p, columns: columnNames(p.shard.Items)}
 }
 
-// Add takes the whole table of a shard, which the caller must not modify
-// afterwards. After an error the shard does not count.
+// Add adds the complete table of a shard. The Merger keeps and may sort its rows, so the
+// caller must not use the table afterwards. After an error the shard is not part of the
+// result.
 func (m *Merger) Add(shard int, table rows.Table) error {
 	m.ensureSlot(shard)
 	if m.tables[shard].added {
@@ -52,14 +53,14 @@
 	return nil
 }
 
-// grow makes room for the shard's table.
+// ensureSlot extends the list of tables to hold the shard.
 func (m *Merger) ensureSlot(shard int) {
 	if missing := shard + 1 - len(m.tables); missing > 0 {
 		m.tables = append(m.tables, make([]shardTable, missing)...)
 	}
 }
 
-// ensureSorted sorts the rows if the leaf did not.
+// ensureSorted sorts the rows in place unless the leaf returned them in order.
 func (m *Merger) ensureSorted(tableRows []rows.Row) error {
 	if m.order == nil {
 		order, err := newRowOrder(m.plan.statement.OrderBy, m.columns, 0)
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// Shards returns the shards added, in order.
+// Shards returns the numbers of the added shards in ascending order.
 func (m *Merger) Shards() []int {
 	shards := make([]int, 0, m.shardCount)
 	for shard := range m.tables {
@@ -85,8 +86,8 @@
 	return shards
 }
 
-// Result merges the tables added so far. It depends only on which they are,
-// not on the order of Add. It may be called once.
+// Result merges the added tables. The result does not depend on the order in which they
+// were added. Result may be called only once.
 func (m *Merger) Result() (rows.Table, error) {
 	if m.plan.groupPlan != nil {
 		return m.mergeGroups()
@@ -101,6 +102,8 @@
 	return rows.Table{Columns: m.columns, Rows: merged}, nil
 }
 
+// mergeGroups folds the group rows in the order of the shard numbers, so that sums of
+// floating-point numbers do not depend on the order of arrival.
 func (m *Merger) mergeGroups() (rows.Table, error) {
 	groups := m.plan.groupPlan.newGroupSet()
 	for i := range m.tables {
--- a/internal/selfhosted/merge/order.go
+++ b/internal/selfhosted/merge/order.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// ordering compares rows by some of their columns.
+// rowOrder compares rows by a list of sort keys.
 type rowOrder struct {
 	sortKeys []sortKey
 }
@@ -17,8 +17,8 @@
 	descending bool
 }
 
-// newOrdering resolves an order by among the columns, then adds the columns
-// from tieBreak on as tie breakers.
+// newRowOrder resolves the terms of an "order by" to columns, and appends the columns from
+// index tieBreak on, as far as they are not among the terms, to break ties.
 func newRowOrder(orderBy []language.Order, columns []string, tieBreak int) (*rowOrder, error) {
 	o := new(rowOrder)
 	for _, order := range orderBy {
@@ -56,8 +56,8 @@
 	return 0
 }
 
-// compareValues is rows.Compare without the copies for numbers, which most
-// orders begin with.
+// compareValues is equivalent to rows.Compare. It avoids copying the values if both are
+// numbers, the usual type of the first sort key.
 func compareValues(a, b *rows.Value) int {
 	if a.Kind != rows.Number || b.Kind != rows.Number {
 		return rows.Compare(*a, *b)
--- a/internal/selfhosted/merge/plan.go
+++ b/internal/selfhosted/merge/plan.go
@@ -1,18 +1,19 @@
-// Package merge splits a select statement into a part that each shard runs and
-// a part that merges the shards' tables, and evaluates statements over rows.
+// Package merge splits a select statement into a statement that each shard runs and a
+// merge of the tables that the shards return. It also evaluates statements over the rows
+// of a table.
 //
-// For any division of rows into shards, merging the tables that Evaluate gives
-// for the shard statement equals Evaluate of the whole statement over all
-// rows, whatever the order of arrival. Sums are exact as long as the numbers
-// and their sums are whole and below 2^53; otherwise they are added in the
-// order of the shards, so that a result depends only on what was merged.
+// For any distribution of rows over shards and any order of arrival, evaluating the shard
+// statement on each shard and merging the tables yields the same result as evaluating the
+// whole statement over all rows. Sums are exact while the numbers and their sums are
+// integers below 2^53. Other sums are added in the order of the shard numbers, so that the
+// result depends only on which tables were merged.
 //
-// Rows are in the order of the statement's order by. Ties, and statements
-// without an order by, are ordered by all result columns from left to right,
-// or if grouped by the columns of the group.
+// The rows of a result are sorted by the "order by" of the statement. Ties, and results of
+// statements without "order by", are sorted by all result columns from left to right, or
+// by the "group by" columns if the statement is grouped.
 //
-// The package is pure: it owns no state beyond a Plan and the tables handed to a
-// Merger, and relies on language for statements and on rows for values.
+// The package does no I/O and has no state other than a Plan and the tables passed to a
+// Merger. Package language defines statements and package rows defines values.
 package merge
 
 import (
@@ -22,18 +23,19 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// Plan says how to run a select over shards. It is not modified after it has
-// been made and may be shared.
+// Plan describes how to run a select over shards. A Plan is immutable and safe for
+// concurrent use.
 type Plan struct {
 	statement *language.Select
 	shard     *language.Select
-	// shardText is the canonical text of shard.
+	// shardText is the canonical text of the shard statement.
 	shardText string
-	// grouping is nil if the statement is not grouped.
+	// groupPlan is nil if the statement is not grouped.
 	groupPlan *groupPlan
 }
 
-// NewPlan plans a select, which must not be modified afterwards.
+// NewPlan returns the plan of a select. The caller must not modify the statement
+// afterwards.
 func NewPlan(statement *language.Select) (*Plan, error) {
 	plan := &Plan{statement: statement, shard: statement}
 	if statement.Grouped() {
@@ -48,11 +50,11 @@
 	return plan, nil
 }
 
-// ShardStatement returns the canonical text of what each shard runs.
+// ShardStatement returns the canonical text of the statement that each shard runs.
 func (p *Plan) ShardStatement() string { return p.shardText }
 
-// Columns returns the columns of the result; nil for "select *", whose columns
-// are those of the shards.
+// Columns returns the columns of the result. It returns nil for "select *", whose columns
+// come from the tables of the shards.
 func (p *Plan) Columns() []string { return columnNames(p.statement.Items) }
 
 func columnNames(items []language.Item) []string {
@@ -63,8 +65,8 @@
 	return names
 }
 
-// Evaluate runs a select over the rows of a table, which it does not modify.
-// The result may share rows with it.
+// Evaluate runs a select over the rows of a table. It does not modify the table, but the
+// result may share rows with it.
 func Evaluate(statement *language.Select, table rows.Table) (rows.Table, error) {
 	if statement.Grouped() {
 		return evaluateGrouped(statement, table)
@@ -72,7 +74,7 @@
 	return evaluateUngrouped(statement, table)
 }
 
-// limited cuts the rows to the limit; zero means no limit.
+// truncateRows returns the first limit rows. A limit of 0 means no limit.
 func truncateRows(sorted []rows.Row, limit int) []rows.Row {
 	if limit > 0 && len(sorted) > limit {
 		return sorted[:limit]
@@ -80,7 +82,7 @@
 	return sorted
 }
 
-// matching returns the rows that the where clause takes.
+// filterRows returns the rows that the where clause matches, in a new slice.
 func filterRows(statement *language.Select, table rows.Table) []rows.Row {
 	if statement.Where == nil {
 		return slices.Clone(table.Rows)
--- a/internal/selfhosted/merge/ungrouped.go
+++ b/internal/selfhosted/merge/ungrouped.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// evaluateRows runs a select that is not grouped.
+// evaluateUngrouped runs a select without grouping over the rows of a table.
 func evaluateUngrouped(statement *language.Select, table rows.Table) (rows.Table, error) {
 	columns := columnNames(statement.Items)
 	result := filterRows(statement, table)
@@ -24,7 +24,7 @@
 	return rows.Table{Columns: columns, Rows: truncateRows(result, statement.Limit)}, nil
 }
 
-// project replaces each row of the table by the values of the columns.
+// project replaces each row by a new row with the values of the given columns.
 func project(result []rows.Row, columns []string, table rows.Table) error {
 	indexes := make([]int, len(columns))
 	for i, name := range columns {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// runs is a heap of sorted runs, the one with the least first row at the top.
+// runHeap is a min-heap of sorted runs, ordered by their first rows.
 type runHeap struct {
 	order *rowOrder
 	runs  [][]rows.Row
@@ -71,8 +71,8 @@
 	return run
 }
 
-// mergeRuns returns the first rows of sorted runs, none of them empty, up to
-// the limit; zero means no limit. It keeps and changes the slice of runs.
+// mergeRuns merges sorted, non-empty runs and returns the first limit rows. A limit of 0
+// means no limit. It modifies the slice of runs.
 func mergeRuns(order *rowOrder, sorted [][]rows.Row, limit int) []rows.Row {
 	total := 0
 	for _, run := range sorted {
