--- a/internal/selfhosted/api/api.go
+++ b/internal/selfhosted/api/api.go
@@ -1,6 +1,6 @@
-// Package api holds the JSON types of a node's HTTP interface, for callers and
-// for operators. The gateway serves them and micactl reads them; both use this
-// package, so that they cannot drift apart.
+// Package api defines the JSON types, paths and errors of a node's HTTP interface for
+// callers and operators. The gateway and micactl share this package, so that server and
+// client always agree.
 package api
 
 import (
@@ -9,85 +9,85 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// Paths of the HTTP interface. A name in braces is one path segment.
+// Paths of the HTTP interface. A name in braces stands for one path segment.
 const (
-	// QueryPath takes a QueryRequest by POST.
+	// QueryPath accepts a POST of a QueryRequest.
 	QueryPath = "/v1/services/{service}/query"
-	// StatementsPath takes a StatementRequest by POST.
+	// StatementsPath accepts a POST of a StatementRequest.
 	StatementsPath = "/v1/operator/statements"
-	// ChangePath answers GET with the StatementResponse of an earlier change.
-	// The optional query parameter timeout_ms bounds the wait.
+	// ChangePath returns the StatementResponse of an earlier change on GET. The optional
+	// query parameter timeout_ms limits the wait.
 	ChangePath = "/v1/operator/changes/{id}"
-	// StatusPath answers GET with a StatusResponse.
+	// StatusPath returns a StatusResponse on GET.
 	StatusPath = "/v1/operator/status"
-	// CatalogPath answers GET with the catalog, as catalog.Encode writes it.
+	// CatalogPath returns the catalog in the encoding of catalog.Encode on GET.
 	CatalogPath = "/v1/operator/catalog"
-	// DrainPath starts the planned stop of a node, by POST; it answers 202
-	// with a DrainResponse.
+	// DrainPath starts the planned stop of a node on POST. The response has status 202 and
+	// a DrainResponse.
 	DrainPath = "/v1/operator/nodes/{name}/drain"
 )
 
-// TimeoutParameter is the query parameter of ChangePath that bounds how long
-// the node waits, in milliseconds.
+// TimeoutParameter is the query parameter of ChangePath that limits how long the node
+// waits, in milliseconds.
 const TimeoutParameter = "timeout_ms"
 
 // ProblemContentType is the media type of a Problem.
 const ProblemContentType = "application/problem+json"
 
-// QueryRequest asks for one select or insert on a service.
+// QueryRequest is a select or an insert on a service.
 type QueryRequest struct {
-	// RequestID names the request; the answer echoes it. A node makes one up
-	// if it is empty.
+	// RequestID identifies the request and is repeated in the response. The node
+	// generates one if it is empty and the class is repeatable.
 	RequestID string `json:"request_id"`
 	// Class is the name of a class of the service.
 	Class     string `json:"class"`
 	Statement string `json:"statement"`
-	// DeadlineMilliseconds is the time that the caller waits, counted from
-	// the arrival at the node. Zero means the deadline of the class.
+	// DeadlineMilliseconds is the time until the deadline, counted from the arrival at
+	// the node. 0 means the deadline of the class; in JSON the field is then omitted.
 	DeadlineMilliseconds int64 `json:"deadline_ms,omitempty"`
-	// MinimumCoverage is the least share of shards, from 0 to 1, that the
-	// caller accepts before the deadline; absent means that of the class.
+	// MinimumCoverage is the smallest fraction of the shards, from 0 to 1, that the
+	// caller accepts before the deadline. nil means the coverage of the class.
 	MinimumCoverage *float64 `json:"minimum_coverage,omitempty"`
 }
 
-// QueryResponse answers a QueryRequest with status 200. A request without an
-// answer gets a Problem instead.
+// QueryResponse is the response to a QueryRequest, with status 200. A request without a
+// result gets a Problem instead.
 type QueryResponse struct {
 	RequestID string           `json:"request_id"`
 	Outcome   dispatch.Outcome `json:"outcome"`
 	Reason    dispatch.Reason  `json:"reason,omitempty"`
-	// Snapshot is the one snapshot that all rows come from.
+	// Snapshot is the single snapshot that all rows come from.
 	Snapshot catalog.Snapshot `json:"snapshot"`
 	Coverage Coverage         `json:"coverage"`
 	Columns  []string         `json:"columns"`
 	Rows     []rows.Row       `json:"rows"`
 }
 
-// Coverage says which of the needed shards an answer covers.
+// Coverage reports which of the needed shards a response covers.
 type Coverage struct {
-	// Answered is the number of shards whose whole reply is merged.
+	// Answered is the number of shards whose complete tables are merged.
 	Answered int `json:"answered"`
-	// Total is the number of shards that the request needed.
+	// Total is the number of shards that the request needs.
 	Total int `json:"total"`
 	// Missing lists the shards that are not merged, in ascending order.
 	Missing []int `json:"missing"`
 }
 
-// StatementRequest asks a node to run one statement of an operator.
+// StatementRequest is an operator's statement for a node to run.
 type StatementRequest struct {
 	Statement string `json:"statement"`
-	// Operator is the name noted in the log of changes.
+	// Operator is the name of the operator for the log of changes.
 	Operator string `json:"operator,omitempty"`
-	// ChangeID is the id under which a change is made. Empty lets the node
-	// choose one.
+	// ChangeID is the id or token of a change, which takes effect at most once. The node
+	// generates one if it is empty.
 	ChangeID string `json:"change_id,omitempty"`
-	// TimeoutMilliseconds bounds the wait until the change is in force.
+	// TimeoutMilliseconds limits the wait until the change is in force.
 	TimeoutMilliseconds int64 `json:"timeout_ms,omitempty"`
-	// DryRun asks only whether the change would be valid now.
+	// DryRun makes the node only validate the change.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
-// StatementKind says which kind of statement a StatementResponse answers.
+// StatementKind is the kind of statement that a StatementResponse belongs to.
 type StatementKind string
 
 // The kinds of statements.
@@ -96,47 +96,45 @@
 	KindShow   StatementKind = "show"
 )
 
-// Fate is what a node knows of a change.
+// Fate is the state of a change as far as the responding node knows it.
 type Fate string
 
 // The fates of a change.
 const (
-	// FateInForce means that the change is accepted and that every serving
-	// member holds it.
+	// FateInForce means that the change is accepted and every serving member holds it.
 	FateInForce Fate = "in_force"
-	// FateAccepted means that the change never reverts, but that some
-	// members are not yet known to hold it.
+	// FateAccepted means that the change is permanent, but some members are not yet known
+	// to hold it.
 	FateAccepted Fate = "accepted"
-	// FateNotAccepted means that the change has not taken effect and never
-	// will.
+	// FateNotAccepted means that the change has not taken effect and never will.
 	FateNotAccepted Fate = "not_accepted"
-	// FateUnknown means that the change may or may not take effect; ask again
-	// by its id.
+	// FateUnknown means that the change may or may not take effect. A later request by
+	// its id may tell.
 	FateUnknown Fate = "unknown"
-	// FateDryRun means that the change would be valid; nothing was done.
+	// FateDryRun means that the change would be valid and was not made.
 	FateDryRun Fate = "dry_run"
 )
 
-// StatementResponse answers a StatementRequest, and a GET of ChangePath.
+// StatementResponse is the response to a StatementRequest and to a GET of ChangePath.
 type StatementResponse struct {
 	Kind StatementKind `json:"kind"`
-	// ChangeID, Fate, Revision and the members are set for a change.
+	// ChangeID, Fate, Revision, InForceOn, Members and Missing are set for a change.
 	ChangeID string `json:"change_id,omitempty"`
 	Fate     Fate   `json:"fate,omitempty"`
-	// Revision is the revision of the change, or the one that a show
-	// statement read.
+	// Revision is the revision of the change, or the revision that a show statement
+	// read.
 	Revision uint64 `json:"revision"`
-	// InForceOn is how many of Members are known to hold the change.
+	// InForceOn is the number of members that are known to hold the change.
 	InForceOn int `json:"in_force_on"`
 	Members   int `json:"members"`
-	// Missing names the members not yet known to hold the change.
+	// Missing lists the names of the members that are not yet known to hold the change.
 	Missing []string `json:"missing,omitempty"`
 	Detail  string   `json:"detail,omitempty"`
 	// Table is the result of a show statement.
 	Table *rows.Table `json:"table,omitempty"`
 }
 
-// DrainResponse answers a POST of DrainPath.
+// DrainResponse is the response to a POST of DrainPath.
 type DrainResponse struct {
 	Node  string    `json:"node"`
 	State NodeState `json:"state"`
--- a/internal/selfhosted/api/errors_page_test.go
+++ b/internal/selfhosted/api/errors_page_test.go
@@ -32,7 +32,8 @@
 
 `
 
-// TestErrorsPage keeps docs/ERRORS.md equal to the types.
+// TestErrorsPageMatchesDescriptions checks that docs/ERRORS.md lists the problem types with
+// their current descriptions. Run it with -update to rewrite the page.
 func TestErrorsPageMatchesDescriptions(t *testing.T) {
 	var page strings.Builder
 	page.WriteString(errorsPageHead)
@@ -46,8 +47,8 @@
 	goldie.New(t, goldie.WithFixtureDir("../../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "ERRORS", []byte(page.String()))
 }
 
-// TestEveryProblemTypeIsDescribed reads the constants from the source, so that
-// a new one without a description fails.
+// TestEveryProblemTypeIsDescribed reads the constants from the source, so that it fails for
+// a new constant without a description.
 func TestEveryProblemTypeIsDescribed(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "problem.go", nil, 0)
 	if err != nil {
@@ -68,6 +69,6 @@
 		return true
 	})
 	if count != len(described) {
-		t.Errorf("%d types in the source, %d described", count, len(described))
+		t.Errorf("got %d types in the source and %d descriptions, want as many", count, len(described))
 	}
 }
--- a/internal/selfhosted/api/problem.go
+++ b/internal/selfhosted/api/problem.go
@@ -7,11 +7,11 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// ProblemType is the stable name of a kind of error: a URN that programs may
-// compare. A type that was once published never changes its meaning.
+// ProblemType is a URN that identifies a kind of error. Programs may compare it, since a
+// published type never changes its meaning.
 type ProblemType string
 
-// The problem types. "Not run" types promise that the request ran nowhere and
+// The problem types. The "not run" types guarantee that the request ran on no leaf and
 // never will.
 const (
 	ProblemSyntax          ProblemType = "urn:micaplank:problem:syntax"
@@ -42,16 +42,16 @@
 	ProblemInternal        ProblemType = "urn:micaplank:problem:internal"
 )
 
-// Problem is an error as sent to callers and operators: a problem document
-// after RFC 9457 with the members that micaplank adds.
+// Problem is the error document for callers and operators: a problem document according
+// to RFC 9457 with extension members.
 type Problem struct {
 	Type   ProblemType `json:"type"`
 	Title  string      `json:"title"`
 	Status int         `json:"status"`
-	// Detail says what went wrong in this case.
+	// Detail describes this occurrence of the problem.
 	Detail string `json:"detail,omitempty"`
-	// Line and Column, both counted from 1, and Expected point into a
-	// statement that has a syntax error.
+	// Line and Column are the position of a syntax error in the statement, counted from
+	// 1. Expected lists what the parser accepts there.
 	Line     int    `json:"line,omitempty"`
 	Column   int    `json:"column,omitempty"`
 	Expected string `json:"expected,omitempty"`
@@ -59,13 +59,13 @@
 	RequestID string           `json:"request_id,omitempty"`
 	Outcome   dispatch.Outcome `json:"outcome,omitempty"`
 	Reason    dispatch.Reason  `json:"reason,omitempty"`
-	// RetryAfterMilliseconds repeats the Retry-After header with more
-	// precision; zero if no time is known.
+	// RetryAfterMilliseconds is the retry delay, which the Retry-After header gives in
+	// whole seconds. It is 0 if no delay is known.
 	RetryAfterMilliseconds int64 `json:"retry_after_ms,omitempty"`
 }
 
-// NewProblem makes a problem of a published type; title and status are those
-// of the type. An unpublished type becomes ProblemInternal.
+// NewProblem returns a problem with the title and status of its type. An unpublished type
+// is replaced by ProblemInternal.
 func NewProblem(problemType ProblemType, detail string) *Problem {
 	for _, description := range problemDescriptions {
 		if description.Type == problemType {
@@ -75,8 +75,8 @@
 	return NewProblem(ProblemInternal, detail)
 }
 
-// Error returns the title, the place in the statement if there is one, and the
-// detail.
+// Error returns the title, followed by the position of a syntax error and the detail, as
+// far as they are set.
 func (p *Problem) Error() string {
 	text := strings.TrimSuffix(p.Title, ".")
 	if p.Line > 0 {
--- a/internal/selfhosted/api/problem_descriptions.go
+++ b/internal/selfhosted/api/problem_descriptions.go
@@ -6,24 +6,24 @@
 type ProblemDescription struct {
 	Type  ProblemType
 	Title string
-	// Status is the HTTP status that the problem is sent with.
+	// Status is the HTTP status of responses with the problem.
 	Status int
-	// Advice says what a caller or operator does about it.
+	// Advice tells callers or operators how to handle the problem.
 	Advice string
 }
 
-// problemDescriptions lists every problem type, in the order of the docs.
+// problemDescriptions lists every problem type, in the order of the errors page.
 var problemDescriptions = []ProblemDescription{
 	{ProblemSyntax, "The statement has a syntax error.", http.StatusBadRequest,
-		"Correct the statement; line, column and expected point to the place."},
+		"Correct the statement at the position given by line and column; expected lists what can stand there."},
 	{ProblemInvalidRequest, "The request is malformed.", http.StatusBadRequest,
-		"Correct the request; the same request fails again. Where a leaf refused the statement, the detail is its word."},
+		"Correct the request; the same request fails again. If a leaf refused the statement, the detail is the message of the leaf."},
 	{ProblemInvalidDeadline, "The deadline is zero, negative or beyond that of the class.", http.StatusBadRequest,
-		"Ask with a deadline between 1 ms and that of the class, or with none."},
+		"Send a deadline between 1 ms and the deadline of the class, or none."},
 	{ProblemInvalidChange, "The change breaks a rule of the catalog.", http.StatusUnprocessableEntity,
-		"Correct the change; the detail names the rule."},
+		"Correct the change; the detail names the violated rule."},
 	{ProblemBodyTooLarge, "The request body is too large.", http.StatusRequestEntityTooLarge,
-		"Send less; the detail names the limit."},
+		"Send a smaller body; the detail names the limit."},
 	{ProblemUnknownPath, "There is nothing at this path, or not by this method.", http.StatusNotFound,
 		"Correct the path or the method."},
 	{ProblemUnknownService, "There is no such service.", http.StatusNotFound,
@@ -39,7 +39,7 @@
 	{ProblemUnknownChange, "No change with this id is known.", http.StatusNotFound,
 		"Correct the id. A change that was sent under this token a moment ago may still take effect: ask again."},
 	{ProblemConflict, "The change conflicts with the catalog as it is now.", http.StatusConflict,
-		"Look at the catalog as it is now, and decide anew. With `if revision` the catalog has moved on."},
+		"Read the current catalog and decide again. For a change with `if revision`, the catalog is at another revision."},
 	{ProblemNotRunOverload, "Not run: the wait would be longer than the deadline.", http.StatusTooManyRequests,
 		"Ask again after Retry-After, or at another node, or with a longer deadline."},
 	{ProblemNotRunStopped, "Not run: the service is stopped.", http.StatusServiceUnavailable,
@@ -57,19 +57,19 @@
 	{ProblemNotRunRefused, "Not run: every leaf refused the request.", http.StatusServiceUnavailable,
 		"Ask again after Retry-After, or at another node."},
 	{ProblemNotRunCancelled, "Not run: the caller went away.", http.StatusServiceUnavailable,
-		"Nothing; nobody waits for the answer."},
+		"No action is needed, since the caller has disconnected."},
 	{ProblemFailed, "No answer can be given; a part of the request may have run.", http.StatusBadGateway,
 		"Ask again if the request may be repeated: a class declared `repeatable` may."},
 	{ProblemOutcomeUnknown, "The request may or may not have run; it is not repeated.", http.StatusGatewayTimeout,
-		"Ask again under the same request id: that never runs it a second time, and tells the outcome if the owner of the id still knows it. Do not send it under a new id unless running twice does no harm."},
+		"Ask again under the same request id: that never runs it a second time, and returns the outcome if the owner of the id still has it. Do not send it under a new id unless running twice does no harm."},
 	{ProblemUnavailable, "This cannot be done now: a part that is needed is away or not certain yet.", http.StatusServiceUnavailable,
 		"Ask again after Retry-After, or at another node. For a request that runs at most once: under the same id, if an earlier submission of it may have run; under a new id, made after that time, if there was none. An id that is refused as fenced is never taken later."},
 	{ProblemInternal, "The node met an internal error.", http.StatusInternalServerError,
-		"Report it with the request id; the log of the node has the error."},
+		"Report the problem with the request id; the log of the node contains the error."},
 }
 
-// ProblemDescriptions returns every problem type with its title, status and
-// advice, in the order of the docs. The caller owns the slice.
+// ProblemDescriptions returns the descriptions of all problem types, in the order of the
+// errors page. The caller owns the slice.
 func ProblemDescriptions() []ProblemDescription {
 	return append([]ProblemDescription(nil), problemDescriptions...)
 }
--- a/internal/selfhosted/api/problem_test.go
+++ b/internal/selfhosted/api/problem_test.go
@@ -17,7 +17,7 @@
 			t.Errorf("%s is outside the namespace", description.Type)
 		}
 		if description.Title == "" || http.StatusText(description.Status) == "" || description.Status < 400 {
-			t.Errorf("%s has no title or no error status", description.Type)
+			t.Errorf("%s: got title %q and status %d, want a title and an error status", description.Type, description.Title, description.Status)
 		}
 	}
 }
@@ -25,9 +25,9 @@
 func TestNewProblemTakesTitleAndStatusFromItsType(t *testing.T) {
 	problem := NewProblem(ProblemNotRunOverload, "predicted wait 90ms")
 	if problem.Status != http.StatusTooManyRequests || problem.Title == "" {
-		t.Errorf("got %+v", problem)
+		t.Errorf("got %+v, want status 429 and a title", problem)
 	}
 	if got := NewProblem("urn:example", "x").Type; got != ProblemInternal {
-		t.Errorf("an unpublished type became %s", got)
+		t.Errorf("unpublished type: got %s, want %s", got, ProblemInternal)
 	}
 }
