--- a/internal/selfhosted/operator/apply.go
+++ b/internal/selfhosted/operator/apply.go
@@ -9,10 +9,10 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// Apply brings the catalog to what the changes of a text say. It shows the
-// difference first and runs only the statements that change something; with
-// dryRun it runs none. Each change is made only on the revision that the plan
-// has for it, so that the changes of another operator end it.
+// Apply changes the catalog to the state that the statements of a text describe. It writes
+// the difference first and runs only the statements that change something. With dryRun it
+// runs none. Each change is bound to the revision that the plan expects, so that Apply stops
+// if another operator changes the catalog meanwhile.
 func (s *Session) Apply(ctx context.Context, source, text string, dryRun bool) error {
 	statements, err := language.ParseFile(text)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// movedOn adds to a conflict what it means for a plan.
+// explainConflict adds to a conflict how many changes were made and that the plan is
+// outdated. Other errors are returned unchanged.
 func explainConflict(err error, applied, total int) error {
 	var problem *api.Problem
 	if !errors.As(err, &problem) || problem.Type != api.ProblemConflict {
@@ -49,6 +50,7 @@
 		err, applied, pluralize(total, "change"))
 }
 
+// writePlan writes the difference that a plan makes and a summary of it.
 func (s *Session) writePlan(plan *Plan, dryRun bool) error {
 	if s.Format == FormatJSON {
 		return s.writeJSONLine(plan)
@@ -67,9 +69,10 @@
 	return nil
 }
 
-func pluralize(number int, what string) string {
-	if number == 1 {
-		return "1 " + what
+// pluralize returns a count with its noun, in the plural unless the count is 1.
+func pluralize(count int, noun string) string {
+	if count == 1 {
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", number, what)
+	return fmt.Sprintf("%d %ss", count, noun)
 }
--- a/internal/selfhosted/operator/apply_test.go
+++ b/internal/selfhosted/operator/apply_test.go
@@ -14,11 +14,11 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// catalogNode keeps a catalog and applies the changes that it is sent.
+// fakeCatalogNode serves a catalog and applies the changes that it receives to it.
 type fakeCatalogNode struct {
 	t       *testing.T
 	current *catalog.Catalog
-	// before, if set, runs before each change, with the number made so far.
+	// beforeChange, if set, is called before each change with the number of earlier ones.
 	beforeChange func(changesMade int)
 	changesMade  int
 }
@@ -81,15 +81,15 @@
 		t.Fatal(err)
 	}
 	if node.changesMade != 3 || node.current.Services["rate-desk"].Concurrency != 40 {
-		t.Errorf("%d changes made", node.changesMade)
+		t.Errorf("got %d changes and concurrency %d, want 3 and 40", node.changesMade, node.current.Services["rate-desk"].Concurrency)
 	}
 	if strings.Contains(output.String(), "if revision") {
-		t.Errorf("the guard is shown to the operator:\n%s", output.String())
+		t.Errorf("got output with the revision condition, want it hidden from operators:\n%s", output.String())
 	}
 }
 
-// TestApplyStopsWhenTheCatalogMovesOn has another operator change the limit
-// after the plan was shown, before its first change or in the middle.
+// TestApplyStopsOnConcurrentChange makes another change to the catalog after the plan was
+// written, before the first, second or third change of the plan. Apply must stop there.
 func TestApplyStopsOnConcurrentChange(t *testing.T) {
 	for at := range 3 {
 		node, address := startFakeCatalogNode(t)
@@ -104,7 +104,7 @@
 		var output strings.Builder
 		err := newSession(&output, FormatText, address).Apply(context.Background(), "x.mica", threeChanges, false)
 		if err == nil || node.changesMade != at || !strings.Contains(err.Error(), "look at apply --dry-run again") {
-			t.Errorf("another change after %d: %d made, %v", at, node.changesMade, err)
+			t.Errorf("concurrent change after %d: got %d changes and error %v, want %d changes and the hint to look at the plan again", at, node.changesMade, err, at)
 		}
 	}
 }
--- a/internal/selfhosted/operator/client.go
+++ b/internal/selfhosted/operator/client.go
@@ -1,9 +1,9 @@
-// Package operator is the client side of the operators' interface: what the
-// command line program micactl does once its arguments are read.
+// Package operator is the client of the operators' interface. It implements the commands of
+// the program micactl after its arguments are parsed.
 //
-// It owns which node is asked, when the next one is asked in its place, and how
-// answers are shown. It relies on the shapes of package api, and on language for
-// the statements of a file.
+// The package decides which node receives a request, when the request is sent to the next
+// node instead, and how responses are printed. Package api defines the documents and package
+// language parses statements.
 package operator
 
 import (
@@ -24,16 +24,16 @@
 )
 
 const (
-	// connectTimeout bounds the dialling of one node.
+	// connectTimeout limits the time to connect to a node.
 	connectTimeout = 2 * time.Second
-	// answerGrace is how much longer than the node's own timeout the client
-	// waits for the answer.
+	// responseGrace is the time that the client waits for a response beyond the timeout
+	// of the node, so that the node can report the timeout itself.
 	responseGrace = 2 * time.Second
-	// maximumAnswer bounds the size of an answer in bytes.
+	// maxResponseBytes is the maximum size of a response.
 	maxResponseBytes = 256 << 20
 )
 
-// Client calls the HTTP interface of the nodes. It tries them in order, so
+// Client sends requests to the HTTP interface of the nodes. It tries the nodes in order, so
 // that one reachable node is enough. It is safe for concurrent use.
 type Client struct {
 	nodes    []netip.AddrPort
@@ -42,12 +42,11 @@
 	http     *http.Client
 }
 
-// NewClient returns a client of the nodes, of which there must be one or more.
-// The timeout bounds the wait of a node for one command; the operator's name
-// goes into the log of changes.
+// NewClient returns a client of one or more nodes. The timeout limits how long a node waits
+// for one command. The name of the operator is recorded in the log of changes.
 func NewClient(nodes []netip.AddrPort, timeout time.Duration, operator string) *Client {
-	// Without kept connections the transport has none that the server may have
-	// closed, and so no reason to send a request twice by itself.
+	// http.Transport resends a request by itself if a reused connection turns out to be
+	// closed. A new connection per request prevents that.
 	transport := &http.Transport{
 		DisableKeepAlives: true,
 		DialContext:       (&net.Dialer{Timeout: connectTimeout}).DialContext,
@@ -55,8 +54,8 @@
 	return &Client{nodes: nodes, timeout: timeout, operator: operator, http: &http.Client{Transport: transport}}
 }
 
-// ParseNodes reads node addresses, each an IP address with a port; one text
-// may hold several, separated by commas.
+// ParseNodes parses node addresses, each an IP address with a port. One text may hold
+// several addresses, separated by commas.
 func ParseNodes(texts []string) ([]netip.AddrPort, error) {
 	var nodes []netip.AddrPort
 	for _, text := range strings.Split(strings.Join(texts, ","), ",") {
@@ -76,13 +75,13 @@
 	return nodes, nil
 }
 
-// NewToken returns a new token for a change or id for a request.
+// NewToken returns a new token for a change, or a new id for a request.
 func NewToken() string { return ulid.Make().String() }
 
-// Statement runs one statement. Under the same change id or token a change
-// takes effect at most once, so it is sent to the next node also after an
-// answer was lost. The node before may still be making the change then, so
-// that a refusal of the next one leaves the fate unknown.
+// Statement runs one statement. A change takes effect at most once under the same change id
+// or token, so the statement is sent to the next node even after a response was lost. The
+// earlier node may still make the change, so a refusal by the next node leaves the fate of
+// the change unknown.
 func (c *Client) Statement(ctx context.Context, statement, changeID string, dryRun bool) (*api.StatementResponse, error) {
 	request := api.StatementRequest{
 		Statement:           statement,
@@ -107,8 +106,7 @@
 	return response, nil
 }
 
-// Change asks for the fate of an earlier change by its id, or by its token
-// alone.
+// Change returns the fate of an earlier change, which is named by its id or its token.
 func (c *Client) Change(ctx context.Context, id string) (*api.StatementResponse, error) {
 	path := strings.Replace(api.ChangePath, "{id}", url.PathEscape(id), 1)
 	path += "?" + api.TimeoutParameter + "=" + strconv.FormatInt(c.timeout.Milliseconds(), 10)
@@ -117,7 +115,7 @@
 	return response, err
 }
 
-// Status returns what one node knows of the deployment.
+// Status returns the status of the deployment as one node knows it.
 func (c *Client) Status(ctx context.Context) (*api.StatusResponse, error) {
 	response := new(api.StatusResponse)
 	return response, c.sendRequest(ctx, nodeRequest{method: http.MethodGet, path: api.StatusPath, resendable: true}, response)
@@ -139,8 +137,8 @@
 	return response, c.sendRequest(ctx, nodeRequest{method: http.MethodPost, path: path, resendable: true}, response)
 }
 
-// Query runs one query. It is sent to another node only if no connection to
-// the one before could be made.
+// Query runs one query. The query is sent to the next node only if the connection to the
+// previous one could not be established, since a query may not be idempotent.
 func (c *Client) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	path := strings.Replace(api.QueryPath, "{service}", url.PathEscape(service), 1)
 	response := new(api.QueryResponse)
--- a/internal/selfhosted/operator/operator_test.go
+++ b/internal/selfhosted/operator/commands_test.go
@@ -25,7 +25,8 @@
 retire leaf 127.0.0.1:7102
 `
 
-// TestGolden holds what the commands write, with their errors and exit codes.
+// TestCommandsGolden checks the output, the error and the exit code of each command in both
+// formats.
 func TestCommandsGolden(t *testing.T) {
 	ctx := context.Background()
 	statement := func(changeID, text string) func(*Session) error {
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestChangeIsSentAgainUnderTheSameID loses the answer of the first node: the
-// change goes to the second under the same id.
+// TestChangeIsResentWithSameID loses the response of the first node. The change must be sent to
+// the second node with the same id, so that it takes effect at most once.
 func TestChangeIsResentWithSameID(t *testing.T) {
 	first, second := newFakeNode(t), newFakeNode(t)
 	first.dropPosts = true
@@ -95,12 +96,12 @@
 		t.Fatal(err)
 	}
 	if a, b := first.receivedBodies(), second.receivedBodies(); len(a) != 1 || len(b) != 1 || a[0] != b[0] || !strings.Contains(a[0], `"in-force"`) {
-		t.Errorf("the nodes were sent %q and %q", a, b)
+		t.Errorf("got bodies %q at the first node and %q at the second, want one and the same with the id in-force", a, b)
 	}
 }
 
-// TestRefusalAfterALostAnswer loses the answer of the first node; what the
-// second says of a change that the first may still make is not final.
+// TestRefusalAfterLostResponseIsUnknown loses the response of the first node, which may still
+// make the change. A refusal by the second node must therefore be reported as unknown.
 func TestRefusalAfterLostResponseIsUnknown(t *testing.T) {
 	first, second := newFakeNode(t), newFakeNode(t)
 	first.dropPosts = true
@@ -108,24 +109,25 @@
 	for _, id := range []string{"not-accepted", "refused"} {
 		err := session.Exec(context.Background(), "stop service rate-desk", ExecOptions{ChangeID: id})
 		if err == nil || !strings.Contains(err.Error(), "unknown") || !strings.Contains(err.Error(), "micactl change") {
-			t.Errorf("%s: got %v", id, err)
+			t.Errorf("%s: got error %v, want an unknown fate with the command to ask again", id, err)
 		}
 	}
 }
 
-// TestLostAnswer has no other node to ask: the id to ask by is in the error.
+// TestLostResponseErrorNamesChangeID loses the response of the only node. The error must name
+// the id by which the operator can ask for the change.
 func TestLostResponseErrorNamesChangeID(t *testing.T) {
 	node := newFakeNode(t)
 	node.dropPosts = true
 	session := newSession(io.Discard, FormatText, node.address())
 	err := session.Exec(context.Background(), "stop service rate-desk", ExecOptions{ChangeID: "01JEXAMPLE"})
 	if err == nil || !strings.Contains(err.Error(), "micactl change 01JEXAMPLE") || ExitCode(err) != ExitFailed {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v with exit code %d, want the command to ask again with %d", err, ExitCode(err), ExitFailed)
 	}
 }
 
-// TestQueryIsSentOnce checks that a query goes to the next node only if the
-// first could not be connected to, and never after it may have arrived.
+// TestQueryIsNotResentAfterDelivery checks that a query is sent to the next node only if no
+// connection to the previous one could be established, and never after it may have arrived.
 func TestQueryIsNotResentAfterDelivery(t *testing.T) {
 	closed, dropping, healthy := newFakeNode(t), newFakeNode(t), newFakeNode(t)
 	closed.server.Close()
@@ -135,28 +137,28 @@
 	session := newSession(io.Discard, FormatText, closed.address(), dropping.address(), healthy.address())
 	err := session.Query(ctx, "rate-desk", request)
 	if err == nil || !strings.Contains(err.Error(), "may or may not have run") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that the insert may or may not have run", err)
 	}
 	if len(dropping.receivedBodies()) != 1 || len(healthy.receivedBodies()) != 0 {
-		t.Errorf("sent %d times to the first node that lives, and %d times to the next", len(dropping.receivedBodies()), len(healthy.receivedBodies()))
+		t.Errorf("got %d requests at the first reachable node and %d at the next, want 1 and 0", len(dropping.receivedBodies()), len(healthy.receivedBodies()))
 	}
 	session = newSession(io.Discard, FormatText, closed.address(), healthy.address())
 	if err := session.Query(ctx, "rate-desk", request); err != nil || len(healthy.receivedBodies()) != 1 {
-		t.Errorf("past a node without connection: %v, sent %d times", err, len(healthy.receivedBodies()))
+		t.Errorf("after an unreachable node: got error %v and %d requests, want none and 1", err, len(healthy.receivedBodies()))
 	}
 }
 
 func TestApplySkipsUnchangedStatements(t *testing.T) {
 	node := newFakeNode(t)
 	session := newSession(io.Discard, FormatText, node.address())
-	// The fake node does not know the id that is made up, so the first
-	// statement that changes something fails.
+	// The fake node has no file for the generated change id, so the first statement that
+	// changes something fails.
 	err := session.Apply(context.Background(), "rate-desk.mica", rateDeskChanges, false)
 	if err == nil || !strings.Contains(err.Error(), "rate-desk.mica: line 3: class spot-check") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one for line 3", err)
 	}
 	if sent := node.receivedBodies(); len(sent) != 2 || !strings.Contains(sent[1], "class spot-check") || !strings.Contains(sent[1], `"operator":"mori"`) {
-		t.Errorf("sent %q", sent)
+		t.Errorf("got requests %q, want the catalog and the class by operator mori", sent)
 	}
 }
 
@@ -173,24 +175,24 @@
 	}
 	plan, err := NewPlan(current, statements)
 	if err != nil || len(plan.Changes)+len(plan.Added)+len(plan.Removed) != 0 || plan.Unchanged != len(statements) {
-		t.Errorf("got %+v, %v", plan, err)
+		t.Errorf("got plan %+v and error %v, want an empty plan with %d unchanged statements", plan, err, len(statements))
 	}
 }
 
 func TestParseNodes(t *testing.T) {
 	nodes, err := ParseNodes([]string{"127.0.0.1:1, 127.0.0.1:2", "[::1]:3"})
 	if err != nil || len(nodes) != 3 {
-		t.Errorf("got %v, %v", nodes, err)
+		t.Errorf("got nodes %v and error %v, want three nodes", nodes, err)
 	}
 	for _, text := range []string{"", "localhost:7201", "127.0.0.1", "http://127.0.0.1:1"} {
 		if _, err := ParseNodes([]string{text}); ExitCode(err) != ExitUsage {
-			t.Errorf("%q: got %v", text, err)
+			t.Errorf("%q: got error %v, want a usage error", text, err)
 		}
 	}
 }
 
-// TestWatchTellsEachFailure has no node to ask: each look is one document, and
-// the last failure is not written twice.
+// TestWatchReportsEachFailure watches an unreachable node. Each failed request must be written
+// as one document, and Finish must not write the last failure again.
 func TestWatchReportsEachFailure(t *testing.T) {
 	node := newFakeNode(t)
 	node.server.Close()
@@ -198,6 +200,6 @@
 	session := newSession(&output, FormatJSON, node.address())
 	err := session.Finish(session.Watch(context.Background(), time.Millisecond, 2))
 	if lines := strings.Count(output.String(), "\n"); err == nil || lines != 2 || strings.Count(output.String(), `{"error":"no node answered`) != 2 {
-		t.Errorf("%v, %s", err, output.String())
+		t.Errorf("got error %v and output %s, want an error and two documents", err, output.String())
 	}
 }
--- a/internal/selfhosted/operator/drain.go
+++ b/internal/selfhosted/operator/drain.go
@@ -10,10 +10,10 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// drainPoll is the time between two looks at a node that drains.
+// drainPollInterval is the time between two status requests while a node drains.
 const drainPollInterval = 250 * time.Millisecond
 
-// Drain starts the planned stop of a node and waits until it is gone.
+// Drain starts the planned stop of a node and waits until the node has stopped.
 func (s *Session) Drain(ctx context.Context, node string) error {
 	response, err := s.Client.Drain(ctx, node)
 	if err != nil {
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// awaitGone polls the status until the node is gone or the timeout is over. It
-// also ends when no node can be reached: if the node was the only one to be
-// asked, it has stopped; seen is then false.
+// waitUntilGone polls the status until the node is gone or the timeout expires. It also
+// returns NodeGone if no connection to any node can be established, since the drained node
+// may be the only one in the list. reachable is false in that case.
 func (s *Session) waitUntilGone(ctx context.Context, node string) (state api.NodeState, reachable bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-// stateOf returns the state of a node; one that is not listed is gone.
+// findNodeState returns the state of a node. A node that is not listed is gone.
 func findNodeState(status *api.StatusResponse, name string) api.NodeState {
 	for _, node := range status.Nodes {
 		if node.Name == name {
--- a/internal/selfhosted/operator/errors.go
+++ b/internal/selfhosted/operator/errors.go
@@ -8,14 +8,14 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Exit codes of the program.
+// Exit codes of micactl.
 const (
 	ExitDone   = 0
 	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// ExitCode returns the exit code that stands for an error.
+// ExitCode returns the exit code for the error of a command.
 func ExitCode(err error) int {
 	var usage *UsageError
 	switch {
@@ -28,7 +28,7 @@
 	}
 }
 
-// UsageError is a wrong use of the command line.
+// UsageError reports invalid arguments on the command line.
 type UsageError struct {
 	Message string
 }
@@ -36,19 +36,20 @@
 // Error returns the message.
 func (e *UsageError) Error() string { return e.Message }
 
+// usageErrorf returns a UsageError with a formatted message.
 func usageErrorf(format string, arguments ...any) error {
 	return &UsageError{Message: fmt.Sprintf(format, arguments...)}
 }
 
-// UnreachableError means that no node gave an answer.
+// UnreachableError is returned if no node responded.
 type UnreachableError struct {
-	// Attempts holds the error of each node that was tried.
+	// Attempts holds the error for each node that was tried.
 	Attempts []error
-	// Sent is whether the request may have reached a node.
+	// Sent reports whether the request may have reached a node.
 	Sent bool
 }
 
-// Error lists the attempts.
+// Error lists the errors of the attempts.
 func (e *UnreachableError) Error() string {
 	texts := make([]string, len(e.Attempts))
 	for i, attempt := range e.Attempts {
@@ -57,7 +58,8 @@
 	return "no node answered: " + strings.Join(texts, "; ")
 }
 
-// ifSent returns the error if the request may have reached a node, or nil.
+// nilUnlessSent returns the error if the request may have reached a node, and nil
+// otherwise.
 func (e *UnreachableError) nilUnlessSent() *UnreachableError {
 	if e.Sent {
 		return e
@@ -65,17 +67,17 @@
 	return nil
 }
 
-// Unwrap returns the attempts.
+// Unwrap returns the errors of the attempts.
 func (e *UnreachableError) Unwrap() []error { return e.Attempts }
 
-// FateError means that a change is not known to be accepted.
+// FateError is returned for a change that is not known to be accepted.
 type FateError struct {
 	Fate     api.Fate
 	ChangeID string
 	Detail   string
 }
 
-// Error says what is known and, if that may change, how to ask again.
+// Error describes the fate and, if the fate is unknown, how to ask for it again.
 func (e *FateError) Error() string {
 	var text string
 	switch e.Fate {
@@ -93,13 +95,13 @@
 	return text
 }
 
-// LostError means that the answer to a change was lost on the way.
+// LostResponseError is returned if a change may have reached a node, but no node responded.
 type LostResponseError struct {
 	Token string
 	Cause error
 }
 
-// Error says how to find the fate out.
+// Error explains how to find out the fate of the change.
 func (e *LostResponseError) Error() string {
 	return fmt.Sprintf("the fate of the change is unknown: %v\nask again:  micactl change %s\nor repeat:  the same statement with --change-id %s takes effect at most once",
 		e.Cause, e.Token, e.Token)
--- a/internal/selfhosted/operator/exec.go
+++ b/internal/selfhosted/operator/exec.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// StatementResult is the JSON form of the result of one statement.
+// StatementResult is the JSON output for one statement.
 type StatementResult struct {
 	Statement string                 `json:"statement"`
 	Response  *api.StatementResponse `json:"response,omitempty"`
@@ -21,17 +21,17 @@
 type ExecOptions struct {
 	// Source names the text in errors.
 	Source string
-	// DryRun asks only whether each change would be valid now.
+	// DryRun makes the node only validate each change.
 	DryRun bool
-	// ChangeID is the id or token of the only change of the text; empty makes
-	// one up for each change.
+	// ChangeID is the id or token of the change, if the text has a single statement. If it
+	// is empty, a token is generated for each change.
 	ChangeID string
-	// IfRevision, if set, is the only revision on which a change may be made.
+	// IfRevision, if set, is the revision that the catalog must have for a change.
 	IfRevision *uint64
 }
 
-// Exec runs the statements of a text in order and stops at the first that
-// fails. The whole text is read first: a syntax error runs nothing.
+// Exec runs the statements of a text in order and stops at the first failure. The whole text
+// is parsed first, so that nothing runs if it has a syntax error.
 func (s *Session) Exec(ctx context.Context, text string, options ExecOptions) error {
 	statements, err := language.ParseFile(text)
 	if err != nil {
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// statementError adds the place if there is more than one statement.
+// statementError adds the line and the statement to an error if the text has more than one
+// statement.
 func statementError(source string, located language.Located, count int, err error) error {
 	if count == 1 {
 		return err
@@ -65,7 +66,7 @@
 	return fmt.Errorf("%s: line %d: %s: %w", source, located.Line, located.Statement, err)
 }
 
-// run runs one statement and writes its result.
+// runStatement runs one statement and writes its result.
 func (s *Session) runStatement(ctx context.Context, statement language.Statement, options ExecOptions) error {
 	_, isChange := statement.(*language.ChangeStatement)
 	token := options.ChangeID
@@ -79,7 +80,8 @@
 	return s.writeResult(statement, response, checkFate(response))
 }
 
-// guarded returns the text of a statement; a change is bound to the revision.
+// bindToRevision returns the text of a statement. A change gets the condition that the
+// catalog is at the given revision.
 func bindToRevision(statement language.Statement, revision *uint64) string {
 	change, isChange := statement.(*language.ChangeStatement)
 	if !isChange || revision == nil {
@@ -89,8 +91,8 @@
 	return bound.String()
 }
 
-// lost turns the failure of a change that may have reached a node into one
-// that says how to find its fate out.
+// wrapLostResponse returns a LostResponseError for a change that may have reached a node
+// without a response. Other errors are returned unchanged.
 func wrapLostResponse(err error, isChange bool, token string) error {
 	var unreachable *UnreachableError
 	if isChange && errors.As(err, &unreachable) && unreachable.Sent {
@@ -99,7 +101,7 @@
 	return err
 }
 
-// fateError returns the error that the fate of a change stands for.
+// checkFate returns a FateError for a change that is not known to be accepted.
 func checkFate(response *api.StatementResponse) error {
 	if response.Kind != api.KindChange {
 		return nil
@@ -112,7 +114,8 @@
 	}
 }
 
-// report writes the result of one statement and returns its error.
+// writeResult writes the result of one statement and returns its error. In text format the
+// caller prints the error.
 func (s *Session) writeResult(statement language.Statement, response *api.StatementResponse, err error) error {
 	if s.Format == FormatJSON {
 		result := StatementResult{Statement: statement.String(), Response: response}
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// writeResponse writes a successful result for people.
+// writeResponse writes a successful result as text.
 func (s *Session) writeResponse(statement string, response *api.StatementResponse) {
 	if response.Kind == api.KindShow {
 		if response.Table != nil {
@@ -153,6 +156,7 @@
 	}
 }
 
+// describeFate describes the fate of a change in one line.
 func describeFate(response *api.StatementResponse) string {
 	switch response.Fate {
 	case api.FateInForce:
--- a/internal/selfhosted/operator/fixture_test.go
+++ b/internal/selfhosted/operator/fixture_test.go
@@ -15,13 +15,12 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// fakeNode answers by what stands in testdata/answers and records the bodies
-// that it was sent.
+// fakeNode responds with the files of testdata/answers and records the bodies of the requests.
 type fakeNode struct {
 	server *httptest.Server
 	mutex  sync.Mutex
 	bodies []string
-	// drop closes the connection of a POST instead of answering it.
+	// dropPosts makes the node close the connection of each POST without a response.
 	dropPosts bool
 }
 
@@ -42,8 +41,8 @@
 	return n.bodies
 }
 
-// ServeHTTP answers with a file named by the path, or by the change id if the
-// body has one; files that hold a problem are sent with its status.
+// ServeHTTP responds with the file that is named after the path and the change id or request
+// id of the body. A file with a problem is sent with the status of the problem.
 func (n *fakeNode) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	n.mutex.Lock()
--- a/internal/selfhosted/operator/plan.go
+++ b/internal/selfhosted/operator/plan.go
@@ -9,24 +9,26 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// Plan is what a file of changes would do to a catalog.
+// Plan describes how a file of changes would modify a catalog.
 type Plan struct {
-	// Revision is the revision that the plan was made at.
+	// Revision is the revision of the catalog that the plan starts from.
 	Revision uint64 `json:"revision"`
 	// Changes are the statements that change something, in order.
 	Changes []string `json:"changes"`
-	// Unchanged is the number of statements that are so already.
+	// Unchanged is the number of statements that would change nothing.
 	Unchanged int `json:"unchanged"`
-	// Removed and Added are the lines of the diff: the statements that
-	// describe the catalog before but not after, and after but not before.
+	// Removed and Added are the lines of the difference: the statements that describe the
+	// catalog only before or only after the changes.
 	Removed []string `json:"removed"`
 	Added   []string `json:"added"`
 
+	// statements are the parsed statements of Changes, in the same order.
 	statements []language.Located
 }
 
-// MakePlan applies the statements to a copy of the catalog. A statement that
-// would change nothing is left out; one that would be refused is an error.
+// NewPlan returns the plan of applying the statements to the catalog, which it does not
+// modify. It omits statements that would change nothing, and returns an error for a
+// statement that the catalog would reject.
 func NewPlan(current *catalog.Catalog, statements []language.Located) (*Plan, error) {
 	plan := &Plan{Revision: current.Revision}
 	next := current
@@ -53,6 +55,7 @@
 	return plan, nil
 }
 
+// applyStatement returns the catalog after a change.
 func applyStatement(current *catalog.Catalog, statement *language.ChangeStatement) (*catalog.Catalog, error) {
 	if required := statement.IfRevision; required != nil && *required != current.Revision {
 		return nil, fmt.Errorf("the catalog would be at revision %d, not %d", current.Revision, *required)
@@ -65,7 +68,7 @@
 	return catalog.Apply(current, change)
 }
 
-// describe returns statements that describe the catalog, in order.
+// describeCatalog returns the statements that describe the catalog, in a fixed order.
 func describeCatalog(current *catalog.Catalog) []string {
 	var lines []string
 	add := func(command catalog.Command) { lines = append(lines, command.String()) }
@@ -91,6 +94,7 @@
 	return lines
 }
 
+// describeLeaves returns the statements that describe the leaves of a service.
 func describeLeaves(service catalog.Service) []string {
 	var lines []string
 	for _, leaf := range service.SortedLeaves() {
@@ -104,7 +108,7 @@
 	return lines
 }
 
-// difference returns the lines that are not among others, in order.
+// excludeLines returns the lines that are not in others, in their order.
 func excludeLines(lines, others []string) []string {
 	excluded := make(map[string]bool, len(others))
 	for _, line := range others {
--- a/internal/selfhosted/operator/query.go
+++ b/internal/selfhosted/operator/query.go
@@ -10,8 +10,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// Query runs one query on a service and writes its rows, snapshot and
-// coverage. The id of the request is made up if it is empty.
+// Query runs one query on a service and writes its rows, snapshot and coverage. It generates
+// the id of the request if it is empty.
 func (s *Session) Query(ctx context.Context, service string, request api.QueryRequest) error {
 	statement, err := language.ParseOne(request.Statement)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// queryError says of an insert whose answer was lost that it may have run, and
-// of a problem when to ask again.
+// explainQueryError adds the retry delay to a problem, and to a lost response of an insert
+// that the insert may have run.
 func explainQueryError(statement language.Statement, err error) error {
 	var problem *api.Problem
 	if errors.As(err, &problem) && problem.RetryAfterMilliseconds > 0 {
@@ -54,6 +54,7 @@
 	return err
 }
 
+// describeQueryResponse summarizes outcome, snapshot and coverage in one line.
 func describeQueryResponse(response *api.QueryResponse) string {
 	coverage := response.Coverage
 	text := fmt.Sprintf("%s: %s, snapshot version %d of epoch %d, %d of %d shards",
--- a/internal/selfhosted/operator/session.go
+++ b/internal/selfhosted/operator/session.go
@@ -10,16 +10,16 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Format is how results are written.
+// Format is the output format of results.
 type Format string
 
-// The formats.
+// The output formats.
 const (
 	FormatText Format = "text"
 	FormatJSON Format = "json"
 )
 
-// ParseFormat reads a format.
+// ParseFormat parses the name of an output format.
 func ParseFormat(text string) (Format, error) {
 	switch format := Format(text); format {
 	case FormatText, FormatJSON:
@@ -29,28 +29,28 @@
 	}
 }
 
-// Session runs the commands of the program: each method is one command. It
-// writes results to Output; errors are returned, and the caller writes them.
+// Session runs the commands of micactl, one method per command. It writes results to Output
+// and returns errors for the caller to print.
 type Session struct {
 	Client *Client
 	Output io.Writer
 	Format Format
-	// Timeout bounds a command that waits for something to happen.
+	// Timeout limits commands that wait, such as Drain.
 	Timeout time.Duration
-	// Now returns the time of day that watch shows; nil stands for time.Now.
+	// Now returns the time of day that Watch prints. nil means time.Now.
 	Now func() time.Time
-	// errorWritten says that the error of the command is in the output already.
+	// errorWritten is set once the output contains the error of the command.
 	errorWritten bool
 }
 
-// Failure is the JSON form of the error of a command.
+// Failure is the JSON output for the error of a command.
 type Failure struct {
 	Error   string       `json:"error"`
 	Problem *api.Problem `json:"problem,omitempty"`
 }
 
-// Finish ends a command and returns its error. In JSON it first writes the
-// error as the last document of the output, unless a result has it already.
+// Finish ends a command and returns its error. In JSON format it first writes the error as
+// the last document of the output, unless the output already contains it.
 func (s *Session) Finish(err error) error {
 	if err == nil || s.errorWritten || s.Format != FormatJSON {
 		return err
@@ -67,20 +67,21 @@
 	return s.Now()
 }
 
-// printf writes text to the output. What cannot be written has no reader.
+// printf writes formatted text to the output. It ignores write errors, since there is no
+// other place to report them.
 func (s *Session) printf(format string, arguments ...any) {
 	fmt.Fprintf(s.Output, format, arguments...)
 }
 
-// writeJSON writes one indented document.
+// writeJSON writes a value as one indented JSON document.
 func (s *Session) writeJSON(value any) error {
 	encoder := json.NewEncoder(s.Output)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// writeJSONLine writes one document on a line of its own, for commands that
-// give more than one.
+// writeJSONLine writes a value as one JSON document per line, for commands that write several
+// documents.
 func (s *Session) writeJSONLine(value any) error {
 	return json.NewEncoder(s.Output).Encode(value)
 }
--- a/internal/selfhosted/operator/status.go
+++ b/internal/selfhosted/operator/status.go
@@ -11,7 +11,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Status writes what one node knows of the deployment.
+// Status writes the status of the deployment as one node knows it.
 func (s *Session) Status(ctx context.Context) error {
 	status, err := s.Client.Status(ctx)
 	if err != nil {
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// Watch writes the status count times, or until ctx ends if count is zero,
-// with the interval between two. A status that cannot be had is said so; the
-// error of the last one is returned.
+// Watch writes the status count times at the given interval, or until ctx ends if count is 0.
+// A failed status request is written as well and does not end Watch, which returns the error
+// of the last request.
 func (s *Session) Watch(ctx context.Context, interval time.Duration, count int) error {
 	if interval <= 0 || count < 0 {
 		return usageErrorf("--interval must be more than 0s and --count at least 0")
@@ -51,6 +51,7 @@
 	return lastErr
 }
 
+// writeWatchedStatus requests the status once and writes it.
 func (s *Session) writeWatchedStatus(ctx context.Context) error {
 	status, err := s.Client.Status(ctx)
 	if err != nil {
@@ -84,8 +85,8 @@
 	}
 }
 
-// describeMembers says on how many nodes the newest known revision is in
-// force, and who lacks it. A node that is gone is not counted.
+// describeMembers returns the number of members that hold the newest known revision, and the
+// names of the others. Nodes that are gone are not counted.
 func describeMembers(status *api.StatusResponse) string {
 	newest, members, holders := status.Revision, 0, 0
 	for _, node := range status.Nodes {
@@ -110,8 +111,9 @@
 	return text
 }
 
-// describeVoters says how many voters are up, how many a change needs, and who
-// is missing. A voter that has left still counts towards the majority.
+// describeVoters returns the number of voters that are up, the number that a change needs,
+// and the names of the others. A voter that left the membership remains in the voting set, so
+// it counts for the majority.
 func describeVoters(voters []api.VoterStatus) string {
 	if len(voters) == 0 {
 		return "no voters: the store alone accepts changes"
--- a/internal/selfhosted/operator/table.go
+++ b/internal/selfhosted/operator/table.go
@@ -14,7 +14,7 @@
 // columnGap is the number of spaces between columns.
 const columnGap = 2
 
-// writeTable writes lines of cells in columns.
+// writeTable writes a header and lines of cells in aligned columns.
 func writeTable(output io.Writer, header []string, lines [][]string) {
 	writer := tabwriter.NewWriter(output, 0, 0, columnGap, ' ', 0)
 	writeCells(writer, header)
@@ -24,7 +24,8 @@
 	writer.Flush()
 }
 
-// writeCells ends each line without spaces, which a last cell would get.
+// writeCells writes one line of cells, separated by tabs. The last cell has no tab after it,
+// since tabwriter would pad it with spaces.
 func writeCells(writer io.Writer, cells []string) {
 	escaped := make([]string, len(cells))
 	for i, cell := range cells {
@@ -33,7 +34,8 @@
 	fmt.Fprintln(writer, strings.Join(escaped, "\t"))
 }
 
-// printable quotes a text that would break the table or the terminal.
+// quoteUnprintable quotes a text with unprintable characters, which could break the table or
+// control the terminal. An empty text becomes "-".
 func quoteUnprintable(text string) string {
 	for _, character := range text {
 		if !unicode.IsPrint(character) {
@@ -64,7 +66,7 @@
 	return "no"
 }
 
-// shardRanges writes ascending numbers with runs joined: 0-3,7.
+// formatShardRanges formats ascending shard numbers as ranges, such as 0-3,7.
 func formatShardRanges(shards []int) string {
 	var parts []string
 	for start := 0; start < len(shards); {
--- a/internal/selfhosted/operator/transport.go
+++ b/internal/selfhosted/operator/transport.go
@@ -18,54 +18,58 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// call is one request to whichever node can be reached.
+// nodeRequest is a request that any node can handle.
 type nodeRequest struct {
 	method string
 	path   string
 	body   any
-	// again allows the request to be sent to another node after it may have
-	// reached one.
+	// resendable allows sending the request to the next node after it may have reached
+	// an earlier one.
 	resendable bool
 }
 
-func (c *Client) sendRequest(ctx context.Context, call nodeRequest, target any) error {
-	_, err := c.sendToNodes(ctx, call, target)
+// sendRequest sends the request to the first node that responds and decodes the response.
+func (c *Client) sendRequest(ctx context.Context, request nodeRequest, target any) error {
+	_, err := c.sendToNodes(ctx, request, target)
 	return err
 }
 
-// send makes the call. Besides the error of the last node it returns, if one
-// before it may have received the request, the error that says so.
-func (c *Client) sendToNodes(ctx context.Context, call nodeRequest, target any) (unreachableEarlier *UnreachableError, err error) {
+// sendToNodes sends the request to the nodes in order until one responds. If the request may
+// have reached a node before that one, sendToNodes also returns the errors of those nodes.
+func (c *Client) sendToNodes(ctx context.Context, request nodeRequest, target any) (earlierFailures *UnreachableError, err error) {
 	unreachable := &UnreachableError{}
 	for _, node := range c.nodes {
-		err := c.sendToNode(ctx, node, call, target)
+		err := c.sendToNode(ctx, node, request, target)
 		var problem *api.Problem
 		if err == nil || errors.As(err, &problem) {
 			return unreachable.nilUnlessSent(), err
 		}
 		sent := !isDialError(err)
 		unreachable.Sent = unreachable.Sent || sent
-		unreachable.Attempts = append(unreachable.Attempts, oops.In("operator").With("step", call.method+" "+call.path, "peer", node.String()).Wrapf(err, "node %s", node))
-		if ctx.Err() != nil || (sent && !call.resendable) {
+		unreachable.Attempts = append(unreachable.Attempts, oops.In("operator").With("step", request.method+" "+request.path, "peer", node.String()).Wrapf(err, "node %s", node))
+		if ctx.Err() != nil || (sent && !request.resendable) {
 			break
 		}
 	}
 	return nil, unreachable
 }
 
+// isDialError reports whether the connection could not be established, so that no part of
+// the request was sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func (c *Client) sendToNode(ctx context.Context, node netip.AddrPort, call nodeRequest, target any) error {
+// sendToNode sends the request to one node. A problem document becomes a *api.Problem.
+func (c *Client) sendToNode(ctx context.Context, node netip.AddrPort, request nodeRequest, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+responseGrace)
 	defer cancel()
-	request, err := newRequest(ctx, node, call)
+	httpRequest, err := newHTTPRequest(ctx, node, request)
 	if err != nil {
 		return err
 	}
-	response, err := c.http.Do(request)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		return unwrapURLError(err)
 	}
@@ -86,7 +90,7 @@
 	return nil
 }
 
-// withoutURL drops the method and URL that net/http puts before an error.
+// unwrapURLError removes the method and the URL that net/http adds to an error.
 func unwrapURLError(err error) error {
 	var wrapped *url.Error
 	if errors.As(err, &wrapped) {
@@ -95,25 +99,25 @@
 	return err
 }
 
-func newRequest(ctx context.Context, node netip.AddrPort, call nodeRequest) (*http.Request, error) {
+func newHTTPRequest(ctx context.Context, node netip.AddrPort, request nodeRequest) (*http.Request, error) {
 	var body io.Reader
-	if call.body != nil {
-		encoded, err := json.Marshal(call.body)
+	if request.body != nil {
+		encoded, err := json.Marshal(request.body)
 		if err != nil {
 			return nil, err
 		}
 		body = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+node.String()+call.path, body)
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, "http://"+node.String()+request.path, body)
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Content-Type", "application/json")
-	return request, nil
+	httpRequest.Header.Set("Content-Type", "application/json")
+	return httpRequest, nil
 }
 
-// asProblem reads a problem document. An error answer without one comes from
-// something that is no node.
+// readProblem decodes the problem document of an error response. A response without one was
+// not sent by a node.
 func readProblem(response *http.Response, body []byte) error {
 	problem := new(api.Problem)
 	isProblem := strings.HasPrefix(response.Header.Get("Content-Type"), api.ProblemContentType)
