--- a/internal/selfhosted/query/at_most_once.go
+++ b/internal/selfhosted/query/at_most_once.go
@@ -102,16 +102,16 @@
 	// The decision is valid only if, after it was made, the catalog was still fresh, a
 	// majority of the voters still acknowledged this process, and the ownership was
 	// unchanged.
-	fresh := r.config.Acknowledged() && r.config.Catalogs.Fresh() && r.config.Ledger.isStillOwned(decision)
+	decisionValid := r.config.Acknowledged() && r.config.Catalogs.Fresh() && r.config.Ledger.isStillOwned(decision)
 	switch decision.Kind {
 	case once.Replay:
 		return decision.Outcome.response, decision.Outcome.err()
 	case once.InProgress:
 		return nil, plan.newInProgressProblem()
 	case once.Refuse:
-		return nil, r.refuseRequestID(plan, decision, fresh)
+		return nil, r.refuseRequestID(plan, decision, decisionValid)
 	}
-	if !fresh {
+	if !decisionValid {
 		r.config.Ledger.release(id)
 		return nil, r.newUnavailableProblem(plan.request, "The owner of this request id cannot show that its catalog is current.")
 	}
@@ -150,9 +150,9 @@
 
 // refuseRequestID returns the problem for a refused id. The outcome is "not run" only if
 // no earlier submission of the id can have run.
-func (r *Runner) refuseRequestID(plan *queryPlan, decision once.Decision[storedResult], fresh bool) *api.Problem {
+func (r *Runner) refuseRequestID(plan *queryPlan, decision once.Decision[storedResult], decisionValid bool) *api.Problem {
 	detail := fmt.Sprintf("The request id was refused (%s): %s.", decision.Reason, refusalDescriptions[decision.Reason])
-	if decision.MayHaveRun || !fresh {
+	if decision.MayHaveRun || !decisionValid {
 		problem := r.newUnavailableProblem(plan.request, detail)
 		problem.RetryAfterMilliseconds = max(problem.RetryAfterMilliseconds, roundUpMilliseconds(decision.RetryAfter))
 		return problem
--- a/internal/selfhosted/query/at_most_once_test.go
+++ b/internal/selfhosted/query/at_most_once_test.go
@@ -23,8 +23,8 @@
 	}
 	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeFailed}}
 	second, err := f.runner.Query(context.Background(), "rate-desk", request)
-	if err != nil || second != first || f.scatterer.calls != 1 {
-		t.Errorf("replay: got %v, %v after %d executions, want %v after 1", second, err, f.scatterer.calls, first)
+	if err != nil || second != first || f.scatterer.executions != 1 {
+		t.Errorf("replay: got %v, %v after %d executions, want %v after 1", second, err, f.scatterer.executions, first)
 	}
 }
 
@@ -40,8 +40,8 @@
 		requireProblem(t, "lost", err, api.ProblemOutcomeUnknown)
 		f.scatterer.result = successResult
 	}
-	if f.scatterer.calls != 1 {
-		t.Errorf("got %d executions, want 1", f.scatterer.calls)
+	if f.scatterer.executions != 1 {
+		t.Errorf("got %d executions, want 1", f.scatterer.executions)
 	}
 }
 
@@ -71,8 +71,8 @@
 			t.Errorf("got %+v, want a retry delay and a detail with \"running\"", problem)
 		}
 	}
-	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
-		t.Errorf("got %v after %d executions, want no error after 1", err, f.scatterer.calls)
+	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.executions != 1 {
+		t.Errorf("got %v after %d executions, want no error after 1", err, f.scatterer.executions)
 	}
 }
 
@@ -101,7 +101,7 @@
 	if err != nil || response != f.forwarder.response || f.forwarder.lastNode != "node-b1" || f.forwarder.lastForward.Remaining != 700*time.Millisecond {
 		t.Errorf("got %v, %v from %+v, want the response of node-b1 to a forward with 700ms left", response, err, f.forwarder)
 	}
-	if f.scatterer.calls != 0 {
+	if f.scatterer.executions != 0 {
 		t.Error("the query ran on this node, want it forwarded")
 	}
 }
@@ -154,8 +154,8 @@
 	f.catalogs.fresh = false
 	_, err = f.runner.Own(context.Background(), forward(f, "node-a1"))
 	requireProblem(t, "stale owner", err, api.ProblemUnavailable)
-	if f.scatterer.calls != 1 {
-		t.Errorf("got %d executions, want 1", f.scatterer.calls)
+	if f.scatterer.executions != 1 {
+		t.Errorf("got %d executions, want 1", f.scatterer.executions)
 	}
 }
 
@@ -168,8 +168,8 @@
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireProblem(t, "stale", err, api.ProblemUnavailable)
 	f.catalogs.fresh = true
-	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.calls != 1 {
-		t.Errorf("got %v after %d executions, want no error after 1", err, f.scatterer.calls)
+	if _, err := f.runner.Query(context.Background(), "rate-desk", request); err != nil || f.scatterer.executions != 1 {
+		t.Errorf("got %v after %d executions, want no error after 1", err, f.scatterer.executions)
 	}
 }
 
@@ -182,7 +182,7 @@
 	f.withoutMajority = true
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "cut off", err)
-	if f.scatterer.calls != 0 {
+	if f.scatterer.executions != 0 {
 		t.Error("the query ran, want it refused")
 	}
 	f.withoutMajority = false
--- a/internal/selfhosted/query/fixture_test.go
+++ b/internal/selfhosted/query/fixture_test.go
@@ -43,7 +43,7 @@
 
 type fakeScatterer struct {
 	mutex       sync.Mutex
-	calls       int
+	executions  int
 	lastRequest scatter.Request[string]
 	result      scatter.Result[rows.Table]
 	// onExecute, if set, is called during Execute.
@@ -52,7 +52,7 @@
 
 func (f *fakeScatterer) Execute(ctx context.Context, request scatter.Request[string]) scatter.Result[rows.Table] {
 	f.mutex.Lock()
-	f.calls++
+	f.executions++
 	f.lastRequest = request
 	f.mutex.Unlock()
 	if f.onExecute != nil {
@@ -97,7 +97,7 @@
 	forwarder       *fakeForwarder
 	ledger          *Ledger
 	clock           *manualClock
-	wall            time.Time
+	timeOfDay       time.Time
 	ownershipProved bool
 	// withoutMajority makes Acknowledged report false.
 	withoutMajority bool
@@ -106,32 +106,32 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	fixture := &fixture{
+	f := &fixture{
 		t:               t,
 		catalogs:        &fakeCatalogSource{current: exampleCatalog(), fresh: true},
 		scatterer:       &fakeScatterer{},
 		forwarder:       &fakeForwarder{},
 		clock:           &manualClock{now: time.Minute},
-		wall:            time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
+		timeOfDay:       time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC),
 		ownershipProved: true,
 	}
-	fixture.scatterers = &fakeScattererRegistry{scatterer: fixture.scatterer}
-	fixture.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeAnswered, Total: 1, Answered: []dispatch.ShardAnswer{{Shard: 0, Attempt: 1}}}}
-	fixture.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"lane"}}}}
-	fixture.ledger = newLedger(once.DefaultConfig(), fixture.clock, func() time.Time { return fixture.wall }, func(time.Duration, uint64) bool { return fixture.ownershipProved })
-	fixture.runner = New(Config{
+	f.scatterers = &fakeScattererRegistry{scatterer: f.scatterer}
+	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeAnswered, Total: 1, Answered: []dispatch.ShardAnswer{{Shard: 0, Attempt: 1}}}}
+	f.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"lane"}}}}
+	f.ledger = newLedger(once.DefaultConfig(), f.clock, func() time.Time { return f.timeOfDay }, func(time.Duration, uint64) bool { return f.ownershipProved })
+	f.runner = New(Config{
 		Self:           "node-a1",
-		Catalogs:       fixture.catalogs,
-		Scatterers:     fixture.scatterers,
-		Forwarder:      fixture.forwarder,
-		Ledger:         fixture.ledger,
-		Acknowledged:   func() bool { return !fixture.withoutMajority },
-		Clock:          fixture.clock,
+		Catalogs:       f.catalogs,
+		Scatterers:     f.scatterers,
+		Forwarder:      f.forwarder,
+		Ledger:         f.ledger,
+		Acknowledged:   func() bool { return !f.withoutMajority },
+		Clock:          f.clock,
 		Metrics:        NewMetrics(prometheus.NewRegistry()),
 		RetryWhenStale: retryWhenStale,
 	})
-	fixture.runner.SetVoters(fixture.catalogs.current)
-	return fixture
+	f.runner.SetVoters(f.catalogs.current)
+	return f
 }
 
 func exampleCatalog() *catalog.Catalog {
@@ -162,7 +162,7 @@
 // advance advances the monotonic clock and the time of day.
 func (f *fixture) advance(duration time.Duration) {
 	f.clock.now += duration
-	f.wall = f.wall.Add(duration)
+	f.timeOfDay = f.timeOfDay.Add(duration)
 }
 
 // newRequestID returns an id with the current time that the given node owns by the
@@ -171,7 +171,7 @@
 	for {
 		f.idCounter++
 		var id ulid.ULID
-		_ = id.SetTime(ulid.Timestamp(f.wall))
+		_ = id.SetTime(ulid.Timestamp(f.timeOfDay))
 		id[15], id[14] = byte(f.idCounter), byte(f.idCounter>>8)
 		if once.Owner(f.catalogs.current.VoterNames(), id) == owner {
 			return id.String()
@@ -200,6 +200,6 @@
 	f.advance(time.Second)
 	_, _ = f.runner.Query(context.Background(), "rate-desk", f.newInsert()) // completes the pending ownership
 	f.advance(time.Minute)
-	f.scatterer.calls = 0
+	f.scatterer.executions = 0
 	return f
 }
--- a/internal/selfhosted/query/ledger.go
+++ b/internal/selfhosted/query/ledger.go
@@ -22,11 +22,11 @@
 	problem  *api.Problem
 }
 
-func (f storedResult) err() error {
-	if f.problem == nil {
+func (r storedResult) err() error {
+	if r.problem == nil {
 		return nil
 	}
-	return f.problem
+	return r.problem
 }
 
 // OwnershipProof reports whether a majority of the voters has acknowledged this
@@ -39,12 +39,12 @@
 // is safe for concurrent use.
 type Ledger struct {
 	clock clock.Clock
-	// wall returns the time of day, which request ids are compared with.
-	wall              func() time.Time
+	// timeOfDay returns the wall-clock time, which the times in request ids are compared with.
+	timeOfDay         func() time.Time
 	isOwnershipProved OwnershipProof
 
-	mutex  sync.Mutex
-	ledger *once.Ledger[storedResult]
+	mutex   sync.Mutex
+	entries *once.Ledger[storedResult]
 	// votersRevision is the revision of the newest change of the voting set
 	// that this node has installed.
 	votersRevision uint64
@@ -65,15 +65,15 @@
 	return newLedger(config, source, time.Now, isOwnershipProved)
 }
 
-func newLedger(config once.Config, source clock.Clock, wall func() time.Time, isOwnershipProved OwnershipProof) *Ledger {
-	ledger := &Ledger{clock: source, wall: wall, isOwnershipProved: isOwnershipProved}
-	ledger.ledger = once.NewLedger[storedResult](config, ledger.readClocks())
-	ledger.ledger.Suspend()
+func newLedger(config once.Config, source clock.Clock, timeOfDay func() time.Time, isOwnershipProved OwnershipProof) *Ledger {
+	ledger := &Ledger{clock: source, timeOfDay: timeOfDay, isOwnershipProved: isOwnershipProved}
+	ledger.entries = once.NewLedger[storedResult](config, ledger.readClocks())
+	ledger.entries.Suspend()
 	return ledger
 }
 
 func (l *Ledger) readClocks() once.Reading {
-	return once.Reading{Wall: l.wall(), Monotonic: l.clock.Now()}
+	return once.Reading{Wall: l.timeOfDay(), Monotonic: l.clock.Now()}
 }
 
 // SetVoters installs the voting set that was changed last at the given revision.
@@ -86,12 +86,14 @@
 	l.setVoters(votersRevision)
 }
 
+// setVoters suspends the ledger if votersRevision is newer than the installed revision. The
+// caller holds the mutex.
 func (l *Ledger) setVoters(votersRevision uint64) {
 	if votersRevision <= l.votersRevision {
 		return
 	}
 	l.votersRevision = votersRevision
-	l.ledger.Suspend()
+	l.entries.Suspend()
 	l.pendingOwnership = &ownership{installedAt: l.clock.Now(), revision: votersRevision}
 }
 
@@ -106,7 +108,7 @@
 		case <-ticker.C:
 			l.mutex.Lock()
 			l.completePendingOwnership()
-			l.ledger.Expire(l.readClocks())
+			l.entries.Expire(l.readClocks())
 			l.mutex.Unlock()
 		}
 	}
@@ -119,7 +121,7 @@
 		return
 	}
 	l.pendingOwnership = nil
-	l.ledger.Reset(l.readClocks())
+	l.entries.Reset(l.readClocks())
 }
 
 // begin decides whether a request may run whose id this node owns by the voting set
@@ -134,7 +136,7 @@
 		return once.Decision[storedResult]{Kind: once.Refuse, Reason: once.ReasonSuspended, MayHaveRun: true}
 	}
 	l.completePendingOwnership()
-	return l.ledger.Begin(l.readClocks(), id)
+	return l.entries.Begin(l.readClocks(), id)
 }
 
 // isStillOwned reports whether the ownership under which a decision was made is still
@@ -142,17 +144,19 @@
 func (l *Ledger) isStillOwned(decision once.Decision[storedResult]) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Holds(decision)
+	return l.entries.Holds(decision)
 }
 
+// finish records the result of an accepted id, for replay to later submissions.
 func (l *Ledger) finish(id ulid.ULID, result storedResult) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Finish(id, result)
+	l.entries.Finish(id, result)
 }
 
+// release forgets an accepted id whose request did not run.
 func (l *Ledger) release(id ulid.ULID) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Release(id)
+	l.entries.Release(id)
 }
--- a/internal/selfhosted/query/ledger_voters_test.go
+++ b/internal/selfhosted/query/ledger_voters_test.go
@@ -12,11 +12,11 @@
 // proved, and afterwards the ids created before it.
 func TestVoterChangeFencesEarlierIDs(t *testing.T) {
 	f := newFixturePastFence(t)
-	changed := exampleCatalog()
-	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = newVoters("node-a1", "node-b1")
-	f.catalogs.current = changed
-	f.runner.SetVoters(changed)
+	changedCatalog := exampleCatalog()
+	changedCatalog.Revision, changedCatalog.VotersRevision = 10, 10
+	changedCatalog.Voters = newVoters("node-a1", "node-b1")
+	f.catalogs.current = changedCatalog
+	f.runner.SetVoters(changedCatalog)
 	f.ownershipProved = false
 	old := f.newInsert()
 	_, err := f.runner.Query(context.Background(), "rate-desk", old)
@@ -31,8 +31,8 @@
 	if _, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert()); err != nil {
 		t.Errorf("past the fence: got %v, want no error", err)
 	}
-	if f.scatterer.calls != 1 {
-		t.Errorf("got %d executions, want 1", f.scatterer.calls)
+	if f.scatterer.executions != 1 {
+		t.Errorf("got %d executions, want 1", f.scatterer.executions)
 	}
 }
 
@@ -42,19 +42,19 @@
 func TestBeginInstallsNewerVoters(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsertFor("node-b1")
-	changed := exampleCatalog()
-	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = newVoters("node-a1", "node-c1")
-	f.catalogs.current = changed
+	changedCatalog := exampleCatalog()
+	changedCatalog.Revision, changedCatalog.VotersRevision = 10, 10
+	changedCatalog.Voters = newVoters("node-a1", "node-c1")
+	f.catalogs.current = changedCatalog
 	for owner := f.findOwner(request); owner != "node-a1"; owner = f.findOwner(request) {
 		f.catalogs.current = exampleCatalog()
 		request = f.newInsertFor("node-b1")
-		f.catalogs.current = changed
+		f.catalogs.current = changedCatalog
 	}
 	f.ownershipProved = false
 	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "new voters", err)
-	if f.scatterer.calls != 0 {
+	if f.scatterer.executions != 0 {
 		t.Error("the query ran, want it refused")
 	}
 }
@@ -64,15 +64,15 @@
 func TestBeginRefusesOutdatedVoters(t *testing.T) {
 	f := newFixturePastFence(t)
 	request := f.newInsert()
-	changed := exampleCatalog()
-	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = newVoters("node-a1", "node-b1", "node-c1", "node-d1")
-	f.runner.SetVoters(changed)
+	changedCatalog := exampleCatalog()
+	changedCatalog.Revision, changedCatalog.VotersRevision = 10, 10
+	changedCatalog.Voters = newVoters("node-a1", "node-b1", "node-c1", "node-d1")
+	f.runner.SetVoters(changedCatalog)
 	f.advance(time.Minute)
 	request.RequestID = f.newRequestID("node-a1")
 	_, err := f.runner.Query(context.Background(), "rate-desk", request) // planned on the catalog of revision 9
 	requireUnavailable(t, "outdated", err)
-	if f.scatterer.calls != 0 {
+	if f.scatterer.executions != 0 {
 		t.Error("the query ran, want it refused")
 	}
 }
@@ -81,14 +81,14 @@
 // set that cancel each other out. A node that owned the ids in between may have run them.
 func TestRevertedVoterChangeSuspendsLedger(t *testing.T) {
 	f := newFixturePastFence(t)
-	changed := exampleCatalog()
-	changed.Revision, changed.VotersRevision = 11, 11
-	f.catalogs.current = changed
-	f.runner.SetVoters(changed)
+	changedCatalog := exampleCatalog()
+	changedCatalog.Revision, changedCatalog.VotersRevision = 11, 11
+	f.catalogs.current = changedCatalog
+	f.runner.SetVoters(changedCatalog)
 	f.ownershipProved = false
 	_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	requireUnavailable(t, "changed back", err)
-	if f.scatterer.calls != 0 {
+	if f.scatterer.executions != 0 {
 		t.Error("the query ran, want it refused")
 	}
 }
@@ -97,13 +97,13 @@
 // between the decision and the check of freshness that follows it.
 func TestOwnershipLostAfterDecision(t *testing.T) {
 	f := newFixturePastFence(t)
-	changed := exampleCatalog()
-	changed.Revision, changed.VotersRevision = 10, 10
-	changed.Voters = newVoters("node-b1", "node-c1")
-	f.runner.config.Catalogs = &voterChangingCatalogSource{fakeCatalogSource: f.catalogs, change: func() { f.runner.SetVoters(changed) }}
+	changedCatalog := exampleCatalog()
+	changedCatalog.Revision, changedCatalog.VotersRevision = 10, 10
+	changedCatalog.Voters = newVoters("node-b1", "node-c1")
+	f.runner.config.Catalogs = &voterChangingCatalogSource{fakeCatalogSource: f.catalogs, change: func() { f.runner.SetVoters(changedCatalog) }}
 	_, err := f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	requireUnavailable(t, "ownership ended", err)
-	if f.scatterer.calls != 0 {
+	if f.scatterer.executions != 0 {
 		t.Error("the query ran, want it refused")
 	}
 }
@@ -116,9 +116,9 @@
 	change     func()
 }
 
-func (c *voterChangingCatalogSource) Fresh() bool {
-	if c.freshCalls++; c.freshCalls == 2 {
-		c.change()
+func (s *voterChangingCatalogSource) Fresh() bool {
+	if s.freshCalls++; s.freshCalls == 2 {
+		s.change()
 	}
 	return true
 }
--- a/internal/selfhosted/query/runner_test.go
+++ b/internal/selfhosted/query/runner_test.go
@@ -68,22 +68,22 @@
 		{"id too long", "rate-desk", with(sweep(fullScan), func(r *api.QueryRequest) { r.RequestID = strings.Repeat("x", 129) }), api.ProblemInvalidRequest, "128 bytes"},
 	}
 	for _, test := range cases {
-		fixture := newFixture(t)
-		_, err := fixture.runner.Query(context.Background(), test.service, test.request)
+		f := newFixture(t)
+		_, err := f.runner.Query(context.Background(), test.service, test.request)
 		problem := requireProblem(t, test.name, err, test.want)
 		given := test.request.RequestID
 		if !strings.Contains(problem.Detail, test.detail) || (given != "" && problem.RequestID != given) {
 			t.Errorf("%s: got %+v, want detail %q and request id %q", test.name, problem, test.detail, given)
 		}
-		if fixture.scatterer.calls+fixture.forwarder.calls != 0 {
+		if f.scatterer.executions+f.forwarder.calls != 0 {
 			t.Errorf("%s: the request was sent to a leaf or a node", test.name)
 		}
 	}
 }
 
 func TestSyntaxProblemHasPosition(t *testing.T) {
-	fixture := newFixture(t)
-	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: "select lane\tform rate-desk"})
+	f := newFixture(t)
+	_, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: "select lane\tform rate-desk"})
 	problem := requireProblem(t, "syntax", err, api.ProblemSyntax)
 	if problem.Line != 1 || problem.Column != 13 || !strings.Contains(problem.Expected, "from") {
 		t.Errorf("got %+v, want line 1, column 13 and \"from\" expected", problem)
@@ -102,30 +102,30 @@
 		{api.QueryRequest{Class: "sweep", Statement: fullScan, DeadlineMilliseconds: 1, MinimumCoverage: floatPointer(0)}, time.Millisecond, 0},
 		{api.QueryRequest{Class: "sweep", Statement: fullScan, DeadlineMilliseconds: 2000, MinimumCoverage: floatPointer(1)}, 2 * time.Second, 1},
 	} {
-		fixture := newFixture(t)
-		response, err := fixture.runner.Query(context.Background(), "rate-desk", test.request)
+		f := newFixture(t)
+		response, err := f.runner.Query(context.Background(), "rate-desk", test.request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sent := fixture.scatterer.lastRequest
-		if sent.Timeout != test.timeout || sent.MinimumCoverage != test.coverage || sent.HasKey {
-			t.Errorf("sent %+v, want timeout %s, coverage %v and no key", sent, test.timeout, test.coverage)
+		request := f.scatterer.lastRequest
+		if request.Timeout != test.timeout || request.MinimumCoverage != test.coverage || request.HasKey {
+			t.Errorf("got request %+v, want timeout %s, coverage %v and no key", request, test.timeout, test.coverage)
 		}
-		if response.RequestID == "" || response.RequestID != sent.RequestID {
-			t.Errorf("got generated request id %q, want the one sent to the leaves, %q", response.RequestID, sent.RequestID)
+		if response.RequestID == "" || response.RequestID != request.RequestID {
+			t.Errorf("got generated request id %q, want the one sent to the leaves, %q", response.RequestID, request.RequestID)
 		}
 	}
 }
 
 func TestKeyEqualitySelectsShard(t *testing.T) {
-	fixture := newFixture(t)
+	f := newFixture(t)
 	statement := "select * from rate-desk where lane = 'OTR-SPK' and quote = 'Q-17'"
-	if _, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: statement}); err != nil {
+	if _, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: statement}); err != nil {
 		t.Fatal(err)
 	}
-	sent := fixture.scatterer.lastRequest
-	if want := rows.KeyHash(rows.Value{Kind: rows.Text, Text: "Q-17"}); !sent.HasKey || sent.KeyHash != want {
-		t.Errorf("sent %+v, want key hash %d", sent, want)
+	request := f.scatterer.lastRequest
+	if want := rows.KeyHash(rows.Value{Kind: rows.Text, Text: "Q-17"}); !request.HasKey || request.KeyHash != want {
+		t.Errorf("got request %+v, want key hash %d", request, want)
 	}
 }
 
@@ -133,19 +133,19 @@
 // repeatable request: an earlier submission of an at-most-once request may have run at
 // another node.
 func TestStaleNodeRefusesRequests(t *testing.T) {
-	fixture := newFixture(t)
-	fixture.catalogs.fresh = false
-	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{RequestID: "a", Class: "sweep", Statement: fullScan})
+	f := newFixture(t)
+	f.catalogs.fresh = false
+	_, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{RequestID: "a", Class: "sweep", Statement: fullScan})
 	problem := requireProblem(t, "repeatable", err, api.ProblemNotRunStale)
 	if problem.Outcome != dispatch.OutcomeNotRun || problem.RetryAfterMilliseconds != retryWhenStale.Milliseconds() {
 		t.Errorf("got %+v, want outcome not_run with a retry delay of %s", problem, retryWhenStale)
 	}
-	_, err = fixture.runner.Query(context.Background(), "rate-desk", fixture.newInsert())
+	_, err = f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	problem = requireProblem(t, "once", err, api.ProblemUnavailable)
 	if problem.Outcome == dispatch.OutcomeNotRun || !strings.Contains(problem.Detail, "an earlier one of the same id may have") {
 		t.Errorf("got %+v, want an outcome other than not_run that mentions an earlier submission", problem)
 	}
-	if fixture.scatterer.calls != 0 {
+	if f.scatterer.executions != 0 {
 		t.Error("a request was sent to a leaf")
 	}
 }
@@ -179,10 +179,10 @@
 		{"unknown", finish(dispatch.OutcomeUnknown, dispatch.ReasonLost), api.ProblemOutcomeUnknown},
 	}
 	for _, test := range cases {
-		fixture := newFixture(t)
+		f := newFixture(t)
 		test.finish.RetryAfter = 1500 * time.Microsecond
-		fixture.scatterer.result = scatter.Result[rows.Table]{Finish: test.finish, Detail: "detail of a leaf"}
-		_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
+		f.scatterer.result = scatter.Result[rows.Table]{Finish: test.finish, Detail: "detail of a leaf"}
+		_, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
 		problem := requireProblem(t, test.name, err, test.want)
 		if problem.Outcome != test.finish.Outcome || problem.Reason != test.finish.Reason || problem.RetryAfterMilliseconds != 2 || problem.Detail != "detail of a leaf" {
 			t.Errorf("%s: got %+v", test.name, problem)
@@ -198,18 +198,18 @@
 // TestPartialResponseReportsCoverage checks that a partial response merges the tables of
 // the answered shards and lists the missing ones.
 func TestPartialResponseReportsCoverage(t *testing.T) {
-	fixture := newFixture(t)
+	f := newFixture(t)
 	lane := func(name string) rows.Table {
 		return rows.Table{Columns: []string{"lane"}, Rows: []rows.Row{{rows.Value{Kind: rows.Text, Text: name}}}}
 	}
-	fixture.scatterer.result = scatter.Result[rows.Table]{
+	f.scatterer.result = scatter.Result[rows.Table]{
 		Finish: dispatch.Finish{
 			Outcome: dispatch.OutcomePartial, Reason: dispatch.ReasonDeadline, Total: 3, Missing: []int{1},
 			Answered: []dispatch.ShardAnswer{{Shard: 0, Attempt: 1}, {Shard: 2, Attempt: 3}},
 		},
 		Parts: []scatter.ShardPart[rows.Table]{{Shard: 2, Part: lane("b")}, {Shard: 0, Part: lane("a")}},
 	}
-	response, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
+	response, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,16 +224,16 @@
 // TestMismatchedColumnsAreInternalError checks that a table with unexpected columns fails
 // the query instead of yielding a partly merged table.
 func TestMismatchedColumnsAreInternalError(t *testing.T) {
-	fixture := newFixture(t)
-	fixture.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"other"}}}}
-	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
+	f := newFixture(t)
+	f.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"other"}}}}
+	_, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
 	requireProblem(t, "columns", err, api.ProblemInternal)
 }
 
 func TestUninstalledServiceIsNotRun(t *testing.T) {
-	fixture := newFixture(t)
-	fixture.scatterers.missing = true
-	_, err := fixture.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
+	f := newFixture(t)
+	f.scatterers.missing = true
+	_, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
 	requireProblem(t, "not installed", err, api.ProblemNotRunSnapshot)
 }
 
