--- a/internal/selfhosted/merge/merge_test.go
+++ b/internal/selfhosted/merge/merge_test.go
@@ -40,15 +40,15 @@
 }
 
 func drawTable(t *rapid.T) rows.Table {
-	name := rapid.SampledFrom([]rows.Value{rows.TextOf("a"), rows.TextOf("b"), rows.TextOf("c"), {}})
-	number := rapid.OneOf(
+	textValue := rapid.SampledFrom([]rows.Value{rows.TextOf("a"), rows.TextOf("b"), rows.TextOf("c"), {}})
+	numberValue := rapid.OneOf(
 		rapid.Map(rapid.IntRange(-3, 3), func(n int) rows.Value { return rows.NumberOf(float64(n)) }),
 		rapid.Just(rows.Value{}),
 	)
 	table := rows.Table{Columns: []string{"lane", "carrier", "weight", "price"}}
 	for range rapid.IntRange(0, 30).Draw(t, "rows") {
 		table.Rows = append(table.Rows, rows.Row{
-			name.Draw(t, "lane"), name.Draw(t, "carrier"), number.Draw(t, "weight"), number.Draw(t, "price"),
+			textValue.Draw(t, "lane"), textValue.Draw(t, "carrier"), numberValue.Draw(t, "weight"), numberValue.Draw(t, "price"),
 		})
 	}
 	return table
