--- a/internal/selfhosted/gateway/decode.go
+++ b/internal/selfhosted/gateway/decode.go
@@ -88,8 +88,8 @@
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return api.NewProblem(api.ProblemInvalidRequest, "The body ends within a JSON value.")
 	}
-	detail := strings.TrimPrefix(err.Error(), "json: ")
-	return api.NewProblem(api.ProblemInvalidRequest, strings.Replace(detail, "unknown field", "unknown key", 1))
+	message := strings.TrimPrefix(err.Error(), "json: ")
+	return api.NewProblem(api.ProblemInvalidRequest, strings.Replace(message, "unknown field", "unknown key", 1))
 }
 
 // describeWrongType names the key, the expected type and the given type.
--- a/internal/selfhosted/gateway/handlers.go
+++ b/internal/selfhosted/gateway/handlers.go
@@ -49,15 +49,15 @@
 }
 
 func (g *Gateway) handleChange(c echo.Context) error {
-	var milliseconds int64
+	var timeoutMilliseconds int64
 	if text := c.QueryParam(api.TimeoutParameter); text != "" {
 		parsed, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
 			return api.NewProblem(api.ProblemInvalidRequest, api.TimeoutParameter+" must be a whole number of milliseconds.")
 		}
-		milliseconds = parsed
+		timeoutMilliseconds = parsed
 	}
-	ctx, cancel, err := withOperatorTimeout(c, milliseconds)
+	ctx, cancel, err := withOperatorTimeout(c, timeoutMilliseconds)
 	if err != nil {
 		return err
 	}
@@ -71,12 +71,12 @@
 
 // withOperatorTimeout returns the context of the request with the timeout of an operator's
 // command.
-func withOperatorTimeout(c echo.Context, milliseconds int64) (context.Context, context.CancelFunc, error) {
+func withOperatorTimeout(c echo.Context, timeoutMilliseconds int64) (context.Context, context.CancelFunc, error) {
 	// Compare milliseconds: converting a large value to a time.Duration would overflow.
-	if milliseconds < 0 || milliseconds > maxOperatorTimeout.Milliseconds() {
+	if timeoutMilliseconds < 0 || timeoutMilliseconds > maxOperatorTimeout.Milliseconds() {
 		return nil, nil, api.NewProblem(api.ProblemInvalidDeadline, "timeout_ms must be between 1 and "+strconv.FormatInt(maxOperatorTimeout.Milliseconds(), 10)+".")
 	}
-	timeout := time.Duration(milliseconds) * time.Millisecond
+	timeout := time.Duration(timeoutMilliseconds) * time.Millisecond
 	if timeout == 0 {
 		timeout = defaultOperatorTimeout
 	}
@@ -93,11 +93,11 @@
 }
 
 func (g *Gateway) handleCatalog(c echo.Context) error {
-	encoded, err := catalog.Encode(g.config.Operations.Catalog())
+	document, err := catalog.Encode(g.config.Operations.Catalog())
 	if err != nil {
 		return err
 	}
-	return c.JSONBlob(http.StatusOK, encoded)
+	return c.JSONBlob(http.StatusOK, document)
 }
 
 func (g *Gateway) handleDrain(c echo.Context) error {
@@ -119,11 +119,11 @@
 		seconds := (problem.RetryAfterMilliseconds + 999) / 1000
 		c.Response().Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	encoded, err := json.Marshal(problem)
+	document, err := json.Marshal(problem)
 	if err != nil {
 		g.config.Logger.Error("problem not encoded", "error", err)
 		return
 	}
 	// A write error means that the caller has disconnected, so it is ignored.
-	_ = c.Blob(problem.Status, api.ProblemContentType, encoded)
+	_ = c.Blob(problem.Status, api.ProblemContentType, document)
 }
