--- a/internal/selfhosted/operator/client.go
+++ b/internal/selfhosted/operator/client.go
@@ -36,10 +36,10 @@
 // Client sends requests to the HTTP interface of the nodes. It tries the nodes in order, so
 // that one reachable node is enough. It is safe for concurrent use.
 type Client struct {
-	nodes    []netip.AddrPort
-	timeout  time.Duration
-	operator string
-	http     *http.Client
+	nodes      []netip.AddrPort
+	timeout    time.Duration
+	operator   string
+	httpClient *http.Client
 }
 
 // NewClient returns a client of one or more nodes. The timeout limits how long a node waits
@@ -51,7 +51,7 @@
 		DisableKeepAlives: true,
 		DialContext:       (&net.Dialer{Timeout: connectTimeout}).DialContext,
 	}
-	return &Client{nodes: nodes, timeout: timeout, operator: operator, http: &http.Client{Transport: transport}}
+	return &Client{nodes: nodes, timeout: timeout, operator: operator, httpClient: &http.Client{Transport: transport}}
 }
 
 // ParseNodes parses node addresses, each an IP address with a port. One text may hold
--- a/internal/selfhosted/operator/commands_test.go
+++ b/internal/selfhosted/operator/commands_test.go
@@ -121,8 +121,8 @@
 	node.dropPosts = true
 	session := newSession(io.Discard, FormatText, node.address())
 	err := session.Exec(context.Background(), "stop service rate-desk", ExecOptions{ChangeID: "01JEXAMPLE"})
-	if err == nil || !strings.Contains(err.Error(), "micactl change 01JEXAMPLE") || ExitCode(err) != ExitFailed {
-		t.Errorf("got error %v with exit code %d, want the command to ask again with %d", err, ExitCode(err), ExitFailed)
+	if err == nil || !strings.Contains(err.Error(), "micactl change 01JEXAMPLE") || ExitCode(err) != ExitFailure {
+		t.Errorf("got error %v with exit code %d, want the command to ask again with %d", err, ExitCode(err), ExitFailure)
 	}
 }
 
--- a/internal/selfhosted/operator/errors.go
+++ b/internal/selfhosted/operator/errors.go
@@ -10,9 +10,9 @@
 
 // Exit codes of micactl.
 const (
-	ExitDone   = 0
-	ExitFailed = 1
-	ExitUsage  = 2
+	ExitSuccess = 0
+	ExitFailure = 1
+	ExitUsage   = 2
 )
 
 // ExitCode returns the exit code for the error of a command.
@@ -20,11 +20,11 @@
 	var usage *UsageError
 	switch {
 	case err == nil:
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &usage):
 		return ExitUsage
 	default:
-		return ExitFailed
+		return ExitFailure
 	}
 }
 
@@ -58,9 +58,9 @@
 	return "no node answered: " + strings.Join(texts, "; ")
 }
 
-// nilUnlessSent returns the error if the request may have reached a node, and nil
+// nilIfUnsent returns the error if the request may have reached a node, and nil
 // otherwise.
-func (e *UnreachableError) nilUnlessSent() *UnreachableError {
+func (e *UnreachableError) nilIfUnsent() *UnreachableError {
 	if e.Sent {
 		return e
 	}
--- a/internal/selfhosted/operator/session.go
+++ b/internal/selfhosted/operator/session.go
@@ -43,8 +43,8 @@
 	errorWritten bool
 }
 
-// Failure is the JSON output for the error of a command.
-type Failure struct {
+// ErrorDocument is the JSON output for the error of a command.
+type ErrorDocument struct {
 	Error   string       `json:"error"`
 	Problem *api.Problem `json:"problem,omitempty"`
 }
@@ -55,9 +55,9 @@
 	if err == nil || s.errorWritten || s.Format != FormatJSON {
 		return err
 	}
-	failure := Failure{Error: err.Error()}
-	errors.As(err, &failure.Problem)
-	return errors.Join(err, s.writeJSONLine(failure))
+	document := ErrorDocument{Error: err.Error()}
+	errors.As(err, &document.Problem)
+	return errors.Join(err, s.writeJSONLine(document))
 }
 
 func (s *Session) now() time.Time {
--- a/internal/selfhosted/operator/transport.go
+++ b/internal/selfhosted/operator/transport.go
@@ -42,7 +42,7 @@
 		err := c.sendToNode(ctx, node, request, target)
 		var problem *api.Problem
 		if err == nil || errors.As(err, &problem) {
-			return unreachable.nilUnlessSent(), err
+			return unreachable.nilIfUnsent(), err
 		}
 		sent := !isDialError(err)
 		unreachable.Sent = unreachable.Sent || sent
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	response, err := c.http.Do(httpRequest)
+	response, err := c.httpClient.Do(httpRequest)
 	if err != nil {
 		return unwrapURLError(err)
 	}
@@ -79,13 +79,13 @@
 		return err
 	}
 	if len(body) > maxResponseBytes {
-		return fmt.Errorf("the answer is larger than %d bytes", maxResponseBytes)
+		return fmt.Errorf("the response is larger than %d bytes", maxResponseBytes)
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		return readProblem(response, body)
 	}
 	if err := json.Unmarshal(body, target); err != nil {
-		return fmt.Errorf("the answer is not understood: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
