--- a/internal/selfhosted/merge/order.go
+++ b/internal/selfhosted/merge/order.go
@@ -72,8 +72,8 @@
 	}
 }
 
-func (o *rowOrder) sort(rowsToSort []rows.Row) { slices.SortFunc(rowsToSort, o.compare) }
+func (o *rowOrder) sort(tableRows []rows.Row) { slices.SortFunc(tableRows, o.compare) }
 
-func (o *rowOrder) isSorted(sorted []rows.Row) bool {
-	return slices.IsSortedFunc(sorted, o.compare)
+func (o *rowOrder) isSorted(tableRows []rows.Row) bool {
+	return slices.IsSortedFunc(tableRows, o.compare)
 }
--- a/internal/selfhosted/query/plan.go
+++ b/internal/selfhosted/query/plan.go
@@ -167,13 +167,13 @@
 	return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("The statement names service %s, the path names %s.", name, p.service.Name))
 }
 
-func (p *queryPlan) planSelect(selectPlan *parsedSelect) error {
-	statement := selectPlan.statement
+func (p *queryPlan) planSelect(parsed *parsedSelect) error {
+	statement := parsed.statement
 	if err := p.checkServiceName(statement.Service); err != nil {
 		return err
 	}
-	p.mergePlan = selectPlan.mergePlan
-	p.shardStatement = selectPlan.mergePlan.ShardStatement()
+	p.mergePlan = parsed.mergePlan
+	p.shardStatement = parsed.mergePlan.ShardStatement()
 	if p.service.KeyColumn != "" {
 		p.key, p.hasKey = statement.KeyEquality(p.service.KeyColumn)
 	}
