--- a/internal/selfhosted/gateway/gateway.go
+++ b/internal/selfhosted/gateway/gateway.go
@@ -103,6 +103,7 @@
 	g.draining.Store(true)
 }
 
+// limitBody limits the size of request bodies to Config.BodyBytes.
 func (g *Gateway) limitBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		request := c.Request()
@@ -111,6 +112,7 @@
 	}
 }
 
+// closeWhenDraining sets the header that closes the connection while the node drains.
 func (g *Gateway) closeWhenDraining(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if g.draining.Load() {
--- a/internal/selfhosted/gateway/handlers.go
+++ b/internal/selfhosted/gateway/handlers.go
@@ -121,7 +121,7 @@
 	}
 	document, err := json.Marshal(problem)
 	if err != nil {
-		g.config.Logger.Error("problem not encoded", "error", err)
+		g.config.Logger.Error("encode problem document failed", "error", err)
 		return
 	}
 	// A write error means that the caller has disconnected, so it is ignored.
--- a/internal/selfhosted/merge/group.go
+++ b/internal/selfhosted/merge/group.go
@@ -34,6 +34,7 @@
 	countIndex int
 }
 
+// newGroupPlan returns the plan of a grouped select.
 func newGroupPlan(statement *language.Select) (*groupPlan, error) {
 	g := &groupPlan{keys: statement.GroupBy, limit: statement.Limit}
 	for _, item := range statement.Items {
@@ -137,6 +138,7 @@
 	return g.addGroup(keys)
 }
 
+// hasKeys reports whether a group row has the given keys.
 func (g *groupSet) hasKeys(row, keys rows.Row) bool {
 	for i := range keys {
 		a, b := &row[i], &keys[i]
--- a/internal/selfhosted/merge/merger.go
+++ b/internal/selfhosted/merge/merger.go
@@ -19,6 +19,7 @@
 	shardCount int
 }
 
+// shardTable holds the rows of a shard, if its table was added.
 type shardTable struct {
 	added bool
 	rows  []rows.Row
--- a/internal/selfhosted/merge/order.go
+++ b/internal/selfhosted/merge/order.go
@@ -12,6 +12,7 @@
 	sortKeys []sortKey
 }
 
+// sortKey is a column index with its direction.
 type sortKey struct {
 	column     int
 	descending bool
@@ -36,6 +37,7 @@
 	return o, nil
 }
 
+// includesColumn reports whether the column is among the sort keys.
 func (o *rowOrder) includesColumn(index int) bool {
 	return slices.ContainsFunc(o.sortKeys, func(key sortKey) bool { return key.column == index })
 }
--- a/internal/selfhosted/merge/plan.go
+++ b/internal/selfhosted/merge/plan.go
@@ -57,6 +57,7 @@
 // come from the tables of the shards.
 func (p *Plan) Columns() []string { return columnNames(p.statement.Items) }
 
+// columnNames returns the column names of select items. It returns nil for "select *".
 func columnNames(items []language.Item) []string {
 	var names []string
 	for _, item := range items {
--- a/internal/selfhosted/query/at_most_once.go
+++ b/internal/selfhosted/query/at_most_once.go
@@ -141,11 +141,11 @@
 
 // refusalDescriptions explains to callers why a request id was refused.
 var refusalDescriptions = map[once.Reason]string{
-	once.ReasonFenced:    "its owner has changed, and the one before may have run it",
-	once.ReasonTooOld:    "it is older than the ids that are remembered",
+	once.ReasonFenced:    "its owner has changed, and the previous owner may have run it",
+	once.ReasonTooOld:    "it is older than the ids that its owner has recorded",
 	once.ReasonFuture:    "the time in it is ahead of the clock of its owner",
-	once.ReasonFull:      "no more ids can be remembered now",
-	once.ReasonSuspended: "the voters or their processes have changed, and its owner is not certain yet",
+	once.ReasonFull:      "its owner cannot record more ids now",
+	once.ReasonSuspended: "the voters or their processes have changed, and its owner is not confirmed yet",
 }
 
 // refuseRequestID returns the problem for a refused id. The outcome is "not run" only if
--- a/internal/selfhosted/query/metrics.go
+++ b/internal/selfhosted/query/metrics.go
@@ -24,9 +24,9 @@
 	factory := telemetry.NewFactory(registerer)
 	return &Metrics{
 		queries: factory.Counters("micaplank_executor_queries_total",
-			"Queries of callers, by service and fate: the outcome of an answer or the type of a problem.", "service", "fate"),
+			"Callers' queries by service and fate, which is the outcome of a response or the type of a problem.", "service", "fate"),
 		latency: factory.Histograms("micaplank_executor_query_duration_seconds",
-			"Time from the arrival of a query to its answer, of answered queries, by service and class.", latencyBuckets, "service", "class"),
+			"Time from the arrival of a query to its response, for queries without a problem, by service and class.", latencyBuckets, "service", "class"),
 	}
 }
 
--- a/internal/selfhosted/query/plan.go
+++ b/internal/selfhosted/query/plan.go
@@ -65,6 +65,7 @@
 	return problem
 }
 
+// newProblem returns a problem with the id of the planned request.
 func (p *queryPlan) newProblem(problemType api.ProblemType, detail string) *api.Problem {
 	return newRequestProblem(p.request, problemType, detail)
 }
@@ -167,6 +168,8 @@
 	return p.newProblem(api.ProblemInvalidRequest, fmt.Sprintf("The statement names service %s, the path names %s.", name, p.service.Name))
 }
 
+// planSelect sets the shard statement and the merge plan of a select, and the key if the where
+// clause requires the key column to equal one value.
 func (p *queryPlan) planSelect(parsed *parsedSelect) error {
 	statement := parsed.statement
 	if err := p.checkServiceName(statement.Service); err != nil {
@@ -183,6 +186,7 @@
 	return nil
 }
 
+// planInsert sets the shard statement and the key of an insert.
 func (p *queryPlan) planInsert(statement *language.Insert) error {
 	if err := p.checkServiceName(statement.Service); err != nil {
 		return err
@@ -201,6 +205,8 @@
 	return nil
 }
 
+// newScatterRequest returns the request that scatters the shard statement. A plan with a key
+// goes to one shard.
 func (p *queryPlan) newScatterRequest() scatter.Request[string] {
 	request := scatter.Request[string]{
 		RequestID:       p.request.RequestID,
