--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-// fake is a machine whose clocks a test moves.
-type fake struct {
+// fakeMachine simulates the clocks of a machine.
+type fakeMachine struct {
 	steady, wall, boot time.Duration
-	broken             bool
-	accounts           int
+	bootReadFails      bool
+	bootReads          int
 }
 
-func (f *fake) readings() readings {
-	return readings{
+func (f *fakeMachine) clockSource() clockSource {
+	return clockSource{
 		now: func() (steady, wall time.Duration) { return f.steady, f.wall },
 		boot: func() (time.Duration, error) {
-			f.accounts++
-			if f.broken {
+			f.bootReads++
+			if f.bootReadFails {
 				return 0, errors.New("refused")
 			}
 			return f.boot, nil
@@ -29,31 +29,31 @@
 	}
 }
 
-// run lets time pass.
-func (f *fake) run(length time.Duration) {
+// advance moves all clocks forward.
+func (f *fakeMachine) advance(length time.Duration) {
 	f.steady += length
 	f.wall += length
 	f.boot += length
 }
 
-// suspend lets time pass while the machine is suspended.
-func (f *fake) suspend(length time.Duration) {
+// suspend simulates a suspension, during which the steady clock stops.
+func (f *fakeMachine) suspend(length time.Duration) {
 	f.wall += length
 	f.boot += length
 }
 
-// TestClockCountsSuspensions, at its first reading after each, and nothing else: not
-// the jumps of the time of day.
-func TestClockCountsSuspensions(t *testing.T) {
+// TestNowCountsSuspensionsOnly checks that the first reading after a suspension includes it, and
+// that steps of the wall clock have no effect.
+func TestNowCountsSuspensionsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		machine := &fake{boot: time.Hour, wall: 100 * time.Hour}
-		clock := newMonotonic(machine.readings())
+		machine := &fakeMachine{boot: time.Hour, wall: 100 * time.Hour}
+		clock := newMonotonic(machine.clockSource())
 		want := clock.Now()
 		for _, step := range rapid.SliceOf(rapid.IntRange(0, 3)).Draw(t, "steps") {
-			length := time.Duration(rapid.Int64Range(int64(2*tolerance), int64(time.Minute)).Draw(t, "length"))
+			length := time.Duration(rapid.Int64Range(int64(2*maxWallDrift), int64(time.Minute)).Draw(t, "length"))
 			switch step {
 			case 0:
-				machine.run(length)
+				machine.advance(length)
 				want += length
 			case 1:
 				machine.suspend(length)
@@ -64,72 +64,74 @@
 				machine.wall -= length
 			}
 			if now := clock.Now(); now != want {
-				t.Fatalf("%v after step %d of %v, want %v", now, step, length, want)
+				t.Fatalf("got %v after step %d of %v, want %v", now, step, length, want)
 			}
 		}
 	})
 }
 
-// TestClockWithoutAnAccount goes on without suspensions, and counts that.
-func TestClockWithoutAnAccount(t *testing.T) {
-	machine := &fake{broken: true}
-	clock := newMonotonic(machine.readings())
+// TestNowWithoutBootClock checks that a clock whose first reading of the boot clock failed runs
+// without suspensions, and counts the failure.
+func TestNowWithoutBootClock(t *testing.T) {
+	machine := &fakeMachine{bootReadFails: true}
+	clock := newMonotonic(machine.clockSource())
 	machine.suspend(time.Minute)
 	clock.Now()
-	machine.broken = false
-	machine.run(time.Second)
+	machine.bootReadFails = false
+	machine.advance(time.Second)
 	machine.suspend(time.Minute)
 	if now := clock.Now(); now != time.Second || clock.Failures() == 0 {
-		t.Errorf("%v, %d failures", now, clock.Failures())
+		t.Errorf("got %v and %d failures, want 1s and at least one failure", now, clock.Failures())
 	}
 }
 
-// TestAccountIsReadSeldom: it costs a call of the system.
-func TestAccountIsReadSeldom(t *testing.T) {
-	machine := &fake{boot: time.Hour}
-	clock := newMonotonic(machine.readings())
+// TestBootClockIsReadRarely guards against a system call per reading: a wall clock that is
+// slew of 500 ppm at the maximum rate of 500 ppm causes few readings of the boot clock.
+func TestBootClockIsReadRarely(t *testing.T) {
+	machine := &fakeMachine{boot: time.Hour}
+	clock := newMonotonic(machine.clockSource())
 	for range 10_000 {
-		machine.run(time.Millisecond)
-		machine.wall += 500 * time.Nanosecond // slewed
+		machine.advance(time.Millisecond)
+		machine.wall += 500 * time.Nanosecond // slew of 500 ppm
 		clock.Now()
 	}
-	if machine.accounts > 3 {
-		t.Errorf("%d readings in 10 s", machine.accounts)
+	if machine.bootReads > 3 {
+		t.Errorf("got %d readings of the boot clock in 10 s, want at most 3", machine.bootReads)
 	}
 }
 
-// TestClockOfThisMachine has an account, and runs.
-func TestClockOfThisMachine(t *testing.T) {
+// TestSystemClocks checks that the boot clock of the operating system can be read and that the
+// clock advances.
+func TestSystemClocks(t *testing.T) {
 	clock := NewMonotonic()
 	before := clock.Now()
-	clock.Check()
+	clock.detectSuspension()
 	if after := clock.Now(); after <= before || clock.Failures() != 0 {
-		t.Errorf("%v then %v, %d failures", before, after, clock.Failures())
+		t.Errorf("got %v, then %v with %d failures, want a later time and no failures", before, after, clock.Failures())
 	}
 }
 
-// TestWatchTellsOfSuspensions once for each.
-func TestWatchTellsOfSuspensions(t *testing.T) {
-	machine := &fake{boot: time.Hour}
-	clock := newMonotonic(machine.readings())
+func TestWatchReportsEachSuspensionOnce(t *testing.T) {
+	machine := &fakeMachine{boot: time.Hour}
+	clock := newMonotonic(machine.clockSource())
 	machine.suspend(time.Minute)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	told := make(chan time.Duration, 10)
+	reported := make(chan time.Duration, 10)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		clock.Watch(ctx, time.Millisecond, func(length time.Duration) {
-			told <- length
+			reported <- length
 			cancel()
 		})
 	}()
-	if length := <-told; length != time.Minute {
-		t.Errorf("%v", length)
+	if length := <-reported; length != time.Minute {
+		t.Errorf("got a suspension of %v, want %v", length, time.Minute)
 	}
 	<-done
-	if len(told) != 0 {
-		t.Error("told twice")
+	if len(reported) != 0 {
+		t.Errorf("got %d further reports of the same suspension, want 0", len(reported))
 	}
 }
 
--- a/internal/edge/combine/wire_test.go
+++ b/internal/edge/combine/wire_test.go
@@ -6,8 +6,9 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
+// TestRecordedMessagesDecode checks that recorded messages decode, because a fleet may run two
+// versions.
+func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.Gob[pingRequest](t, "combine.ping.request")
 	wiretest.Gob[pingResponse](t, "combine.ping.response")
 	wiretest.Gob[fetchRequest](t, "combine.fetch.request")
@@ -16,10 +17,11 @@
 	wiretest.Gob[restResponse](t, "combine.rest.response")
 }
 
-// TestFormerFailureIsRead: combiners of a former version do not say that nobody listens.
-func TestFormerFailureIsRead(t *testing.T) {
+// TestFormerFailureDecodes checks the message of a former version, whose combiners do not report a
+// refused connection.
+func TestFormerFailureDecodes(t *testing.T) {
 	response := wiretest.FormerGob[fetchResponse](t, "combine.fetch.response")
 	if failed := response.Failure; failed == nil || !failed.Sent || !failed.Closed || failed.Refused || failed.Text == "" {
-		t.Errorf("%+v", failed)
+		t.Errorf("failure %+v, want Sent, Closed and a text, without Refused", failed)
 	}
 }
--- a/internal/edge/http1/connection.go
+++ b/internal/edge/http1/connection.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// exchange is one request on a connection, until its answer.
+// exchange is one request on a connection, until its response.
 type exchange struct {
 	method string
 	match  Matcher
@@ -25,14 +25,14 @@
 type result struct {
 	response *Response
 	err      error
-	// closed is set if the other side ended the connection before a byte of the
-	// answer.
+	// closed is set if the peer closed or reset the connection before the first byte of the
+	// response.
 	closed bool
 }
 
-// connection is one connection to a target. A goroutine reads it all the time,
-// also while it is idle, so that its end and surplus bytes are seen before it
-// is used again.
+// connection is one connection to a target. A goroutine reads it at all times, also while the
+// connection is idle, so that a close by the peer and surplus bytes are noticed before the
+// connection is reused.
 type connection struct {
 	pool   *pool
 	socket net.Conn
@@ -40,18 +40,18 @@
 
 	mutex   sync.Mutex
 	current *exchange
-	busy    bool // in use, or about to be
+	busy    bool // in use, or claimed
 	closed  bool
 }
 
 // newConnection returns a connection that is in use by the caller.
 func newConnection(owner *pool, socket net.Conn) *connection {
 	c := &connection{pool: owner, socket: socket, reader: bufio.NewReader(socket), busy: true}
-	go c.read()
+	go c.readLoop()
 	return c
 }
 
-// claim takes an idle connection into use, unless it has ended.
+// claim marks an idle connection as in use. It returns false if the connection is closed.
 func (c *connection) claim() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,27 +62,27 @@
 	return true
 }
 
-// release gives back a connection on which nothing was sent.
+// release returns a connection on which nothing was sent to the pool.
 func (c *connection) release() {
-	idle := c.pool.idleTime()
-	if idle == 0 || !c.rest(idle) {
+	idle := c.pool.idleTimeout()
+	if idle == 0 || !c.markIdle(idle) {
 		c.close()
 	}
 }
 
-// start sends the bytes of a request. If it fails, it reports whether a byte
-// can have left, and the connection is closed.
-func (c *connection) start(ctx context.Context, started *exchange, content []byte) (sent bool, err error) {
+// send sends the bytes of a request. On an error it closes the connection and reports whether a
+// byte may have been sent.
+func (c *connection) send(ctx context.Context, next *exchange, content []byte) (sent bool, err error) {
 	c.mutex.Lock()
 	closed := c.closed
 	if !closed {
-		c.current = started
+		c.current = next
 	}
 	c.mutex.Unlock()
 	if closed {
 		return false, net.ErrClosed
 	}
-	_ = c.socket.SetReadDeadline(time.Time{}) // a closed socket shows in Write
+	_ = c.socket.SetReadDeadline(time.Time{}) // Write reports a closed socket
 	deadline, _ := ctx.Deadline()
 	_ = c.socket.SetWriteDeadline(deadline)
 	written, err := c.socket.Write(content)
@@ -93,58 +93,57 @@
 	return true, nil
 }
 
-// read delivers answers until the connection is not to be used any more.
-func (c *connection) read() {
+// readLoop delivers responses until the connection can no longer be used.
+func (c *connection) readLoop() {
 	defer c.close()
 	for {
 		_, err := c.reader.Peek(1)
-		current, busy := c.state()
+		current, busy := c.currentExchange()
 		if errors.Is(err, os.ErrDeadlineExceeded) && busy {
-			continue // it was idle for long, and is in use again
+			continue // the idle deadline expired, but the connection is in use again
 		}
 		if current == nil {
 			return
 		}
 		if err != nil {
-			current.done <- result{err: err, closed: endedByPeer(err)}
+			current.done <- result{err: err, closed: closedByPeer(err)}
 			return
 		}
-		if !c.answer(current) {
+		if !c.handleResponse(current) {
 			return
 		}
 	}
 }
 
-// endedByPeer reports whether a read failed because the other side closed or reset
-// the connection.
-func endedByPeer(err error) bool {
+// closedByPeer reports whether a read failed because the peer closed or reset the connection.
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-func (c *connection) state() (*exchange, bool) {
+func (c *connection) currentExchange() (*exchange, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.current, c.busy
 }
 
-// answer reads the answer to an exchange and delivers it. It reports whether
-// the connection may be used again.
-func (c *connection) answer(current *exchange) bool {
-	response, idle, err := c.receive(current)
+// handleResponse reads and delivers the response to an exchange. It reports whether the connection
+// may be reused.
+func (c *connection) handleResponse(current *exchange) bool {
+	response, idle, err := c.receiveMatching(current)
 	if err != nil {
 		current.done <- result{err: err}
 		return false
 	}
-	reusable := idle > 0 && c.reader.Buffered() == 0 && c.rest(idle)
+	reusable := idle > 0 && c.reader.Buffered() == 0 && c.markIdle(idle)
 	current.done <- result{response: response}
 	return reusable
 }
 
-// receive reads the awaited answer. The duration is how long the connection
-// may be idle then; zero if it must not be used again.
-func (c *connection) receive(current *exchange) (*Response, time.Duration, error) {
+// receiveMatching reads the awaited response. It returns how long the connection may be idle
+// afterwards, or zero if the connection must not be reused.
+func (c *connection) receiveMatching(current *exchange) (*Response, time.Duration, error) {
 	for skipped := 0; ; skipped++ {
-		response, idle, err := c.receiveOne(current.method)
+		response, idle, err := c.receiveResponse(current.method)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -155,37 +154,37 @@
 			return response, idle, nil
 		}
 		if idle == 0 || skipped >= c.pool.client.config.MaxSkipped {
-			return nil, 0, errMismatch
+			return nil, 0, errResponseMismatch
 		}
 	}
 }
 
-func (c *connection) receiveOne(method string) (*Response, time.Duration, error) {
-	request := &http.Request{Method: method} // all that matters of it for its answer
+func (c *connection) receiveResponse(method string) (*Response, time.Duration, error) {
+	request := &http.Request{Method: method} // parsing a response needs only the method
 	for {
 		received, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, 0, err
 		}
 		if received.StatusCode >= 100 && received.StatusCode < 200 {
-			continue // an interim answer
+			continue // an interim response
 		}
 		body, err := readBody(received, c.pool.client.config.BodyBytes)
 		if err != nil {
 			return nil, 0, err
 		}
-		answer := &Response{Status: received.StatusCode, Header: received.Header, Body: body}
-		return answer, c.idleTime(received), nil
+		response := &Response{Status: received.StatusCode, Header: received.Header, Body: body}
+		return response, c.idleTimeout(received), nil
 	}
 }
 
-// readBody reads the whole body of an answer, of at most limit bytes.
+// readBody reads the complete body of a response, of at most limit bytes.
 func readBody(received *http.Response, limit int64) ([]byte, error) {
 	if received.Body == http.NoBody {
-		return nil, nil // also after HEAD, whatever length is named
+		return nil, nil // also after HEAD, whatever the Content-Length
 	}
 	if received.ContentLength > limit {
-		return nil, errTooLarge
+		return nil, errBodyTooLarge
 	}
 	if received.ContentLength >= 0 {
 		body := make([]byte, received.ContentLength)
@@ -194,31 +193,32 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(received.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		return nil, errTooLarge
+		return nil, errBodyTooLarge
 	}
 	return body, err
 }
 
-// idleTime returns how long the connection may be idle after an answer; zero if
-// it must not be used again.
-func (c *connection) idleTime(received *http.Response) time.Duration {
+// idleTimeout returns how long the connection may be idle after a response, or zero if it must not
+// be reused.
+func (c *connection) idleTimeout(received *http.Response) time.Duration {
 	framed := received.ContentLength >= 0 || len(received.TransferEncoding) > 0
 	if received.Close || !framed {
 		return 0
 	}
-	idle := c.pool.idleTime()
-	if named, ok := keepAlive(received.Header.Get("Keep-Alive")); ok {
-		idle = min(idle, named-keepAliveMargin)
+	idle := c.pool.idleTimeout()
+	if keepAlive, ok := parseKeepAlive(received.Header.Get("Keep-Alive")); ok {
+		idle = min(idle, keepAlive-keepAliveMargin)
 	}
 	return max(idle, 0)
 }
 
-// keepAliveMargin is how long before the back end a connection is closed here. Not
-// measured: chosen because it is a few times as long as a request is on the way.
+// keepAliveMargin is how much earlier than the back end the client closes an idle connection. It is
+// a few times the transit time of a request, so that no request is sent to a connection that the
+// back end is about to close.
 const keepAliveMargin = 500 * time.Millisecond
 
-// keepAlive returns the time of a Keep-Alive header.
-func keepAlive(value string) (time.Duration, bool) {
+// parseKeepAlive returns the timeout of a Keep-Alive header.
+func parseKeepAlive(value string) (time.Duration, bool) {
 	for _, parameter := range strings.Split(value, ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -233,24 +233,24 @@
 	return 0, false
 }
 
-// rest makes the connection idle and reports whether the pool keeps it.
-func (c *connection) rest(idle time.Duration) bool {
-	_ = c.socket.SetReadDeadline(time.Now().Add(idle)) // a closed socket shows in Read
+// markIdle makes the connection idle and reports whether the pool keeps it.
+func (c *connection) markIdle(idle time.Duration) bool {
+	_ = c.socket.SetReadDeadline(time.Now().Add(idle)) // Read reports a closed socket
 	c.mutex.Lock()
 	c.current = nil
 	c.busy = false
 	c.mutex.Unlock()
-	return c.pool.put(c)
+	return c.pool.putIdle(c)
 }
 
-// close ends the connection; its end is counted once.
+// close closes the connection and removes it from its pool once.
 func (c *connection) close() {
 	c.mutex.Lock()
 	first := !c.closed
 	c.closed = true
 	c.mutex.Unlock()
 	if first {
-		_ = c.socket.Close() // nothing is left to be said on it
-		c.pool.ended(c)
+		_ = c.socket.Close() // nothing is pending that an error could affect
+		c.pool.remove(c)
 	}
 }
--- a/internal/telemetry/order.go
+++ b/internal/telemetry/attribute_order.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// attributeOrder is the order of the shared attributes on a line; others
-// follow in the order in which they were given.
+// attributeOrder lists the attributes that come first on a line. Other attributes follow in the
+// order in which they were added, and the error comes last.
 var attributeOrder = []string{AttributeStep, AttributePeer, AttributeRequestID}
 
-// orderingHandler puts the shared attributes of a record first.
+// orderingHandler is a slog.Handler that sorts the attributes of a record by attributeRank.
 type orderingHandler struct{ next slog.Handler }
 
 func newOrderingHandler(next slog.Handler) slog.Handler { return orderingHandler{next: next} }
@@ -24,10 +24,10 @@
 func (h orderingHandler) Handle(ctx context.Context, record slog.Record) error {
 	attributes := make([]slog.Attr, 0, record.NumAttrs())
 	record.Attrs(func(attribute slog.Attr) bool {
-		attributes = append(attributes, inlined(attribute)...)
+		attributes = append(attributes, flattenAttribute(attribute)...)
 		return true
 	})
-	slices.SortStableFunc(attributes, func(left, right slog.Attr) int { return rank(left.Key) - rank(right.Key) })
+	slices.SortStableFunc(attributes, func(left, right slog.Attr) int { return attributeRank(left.Key) - attributeRank(right.Key) })
 	ordered := slog.NewRecord(record.Time, record.Level, record.Message, record.PC)
 	ordered.AddAttrs(attributes...)
 	return h.next.Handle(ctx, ordered)
@@ -43,9 +43,9 @@
 	return orderingHandler{next: h.next.WithGroup(name)}
 }
 
-// inlined opens a group without a name, and turns an error given as a value
-// into its attributes, so that no stack trace gets into a line.
-func inlined(attribute slog.Attr) []slog.Attr {
+// flattenAttribute expands a group without a name, and replaces an error value by its log
+// attributes, so that stack traces are not logged.
+func flattenAttribute(attribute slog.Attr) []slog.Attr {
 	if err, isError := attribute.Value.Any().(error); isError && attribute.Key == AttributeError {
 		attribute = Error(err)
 	}
@@ -55,9 +55,10 @@
 	return []slog.Attr{attribute}
 }
 
-func rank(key string) int {
-	if place := slices.Index(attributeOrder, key); place >= 0 {
-		return place
+// attributeRank returns the sort position of an attribute.
+func attributeRank(key string) int {
+	if index := slices.Index(attributeOrder, key); index >= 0 {
+		return index
 	}
 	if key == AttributeError {
 		return len(attributeOrder) + 1
