--- a/internal/selfhosted/query/at_most_once.go
+++ b/internal/selfhosted/query/at_most_once.go
@@ -68,7 +68,7 @@
 	}
 	unknownOutcome := plan.newProblem(api.ProblemOutcomeUnknown, err.Error())
 	unknownOutcome.Outcome = dispatch.OutcomeUnknown
-	unknownOutcome.Reason = dispatch.ReasonLost
+	unknownOutcome.Reason = dispatch.ReasonConnectionLost
 	return nil, unknownOutcome
 }
 
--- a/internal/selfhosted/query/at_most_once_test.go
+++ b/internal/selfhosted/query/at_most_once_test.go
@@ -34,7 +34,7 @@
 	f := newFixturePastFence(t)
 	request := f.newInsert()
 	successResult := f.scatterer.result
-	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonLost}}
+	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonConnectionLost}}
 	for range 2 {
 		_, err := f.runner.Query(context.Background(), "rate-desk", request)
 		requireProblem(t, "lost", err, api.ProblemOutcomeUnknown)
--- a/internal/selfhosted/query/ledger.go
+++ b/internal/selfhosted/query/ledger.go
@@ -72,8 +72,8 @@
 	return ledger
 }
 
-func (l *Ledger) readClocks() once.Reading {
-	return once.Reading{Wall: l.timeOfDay(), Monotonic: l.clock.Now()}
+func (l *Ledger) readClocks() once.ClockReading {
+	return once.ClockReading{Wall: l.timeOfDay(), Monotonic: l.clock.Now()}
 }
 
 // SetVoters installs the voting set that was changed last at the given revision.
@@ -144,7 +144,7 @@
 func (l *Ledger) isStillOwned(decision once.Decision[storedResult]) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.entries.Holds(decision)
+	return l.entries.OwnershipHolds(decision)
 }
 
 // finish records the result of an accepted id, for replay to later submissions.
--- a/internal/selfhosted/query/response.go
+++ b/internal/selfhosted/query/response.go
@@ -67,7 +67,7 @@
 		return api.ProblemNotRunSnapshot
 	case dispatch.ReasonDeadline:
 		return api.ProblemNotRunDeadline
-	case dispatch.ReasonRefused, dispatch.ReasonInvalid, dispatch.ReasonLost:
+	case dispatch.ReasonRefused, dispatch.ReasonInvalid, dispatch.ReasonConnectionLost:
 		return api.ProblemNotRunRefused
 	case dispatch.ReasonCancelled:
 		return api.ProblemNotRunCancelled
