--- a/internal/selfhosted/gateway/handlers.go
+++ b/internal/selfhosted/gateway/handlers.go
@@ -13,31 +13,30 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// defaultOperatorTimeout is how long an operator's command waits unless it
-// says otherwise.
+// defaultOperatorTimeout is the timeout of operators' commands that do not set one.
 const defaultOperatorTimeout = 10 * time.Second
 
-// maximumOperatorTimeout bounds the time that an operator may ask for.
-const maximumOperatorTimeout = 5 * time.Minute
+// maxOperatorTimeout is the longest timeout that operators' commands may set.
+const maxOperatorTimeout = 5 * time.Minute
 
-func (g *Gateway) query(c echo.Context) error {
+func (g *Gateway) handleQuery(c echo.Context) error {
 	request, err := g.decodeQuery(c)
 	if err != nil {
 		return err
 	}
-	answer, err := g.config.Queries.Query(c.Request().Context(), c.Param("service"), request)
+	response, err := g.config.Queries.Query(c.Request().Context(), c.Param("service"), request)
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, answer)
+	return c.JSON(http.StatusOK, response)
 }
 
-func (g *Gateway) statement(c echo.Context) error {
+func (g *Gateway) handleStatement(c echo.Context) error {
 	var request api.StatementRequest
 	if err := g.decode(c, &request); err != nil {
 		return err
 	}
-	ctx, cancel, err := operatorContext(c, request.TimeoutMilliseconds)
+	ctx, cancel, err := withOperatorTimeout(c, request.TimeoutMilliseconds)
 	if err != nil {
 		return err
 	}
@@ -49,16 +48,16 @@
 	return c.JSON(http.StatusOK, response)
 }
 
-func (g *Gateway) change(c echo.Context) error {
-	var milliseconds int64
+func (g *Gateway) handleChange(c echo.Context) error {
+	var timeoutMilliseconds int64
 	if text := c.QueryParam(api.TimeoutParameter); text != "" {
 		parsed, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
 			return api.NewProblem(api.ProblemInvalidRequest, api.TimeoutParameter+" must be a whole number of milliseconds.")
 		}
-		milliseconds = parsed
+		timeoutMilliseconds = parsed
 	}
-	ctx, cancel, err := operatorContext(c, milliseconds)
+	ctx, cancel, err := withOperatorTimeout(c, timeoutMilliseconds)
 	if err != nil {
 		return err
 	}
@@ -70,13 +69,14 @@
 	return c.JSON(http.StatusOK, response)
 }
 
-// operatorContext bounds an operator's command in time.
-func operatorContext(c echo.Context, milliseconds int64) (context.Context, context.CancelFunc, error) {
-	// Compared before it is converted: a large number would overflow.
-	if milliseconds < 0 || milliseconds > maximumOperatorTimeout.Milliseconds() {
-		return nil, nil, api.NewProblem(api.ProblemInvalidDeadline, "timeout_ms must be between 1 and "+strconv.FormatInt(maximumOperatorTimeout.Milliseconds(), 10)+".")
-	}
-	timeout := time.Duration(milliseconds) * time.Millisecond
+// withOperatorTimeout returns the context of the request with the timeout of an operator's
+// command.
+func withOperatorTimeout(c echo.Context, timeoutMilliseconds int64) (context.Context, context.CancelFunc, error) {
+	// Compare milliseconds: converting a large value to a time.Duration would overflow.
+	if timeoutMilliseconds < 0 || timeoutMilliseconds > maxOperatorTimeout.Milliseconds() {
+		return nil, nil, api.NewProblem(api.ProblemInvalidDeadline, "timeout_ms must be between 1 and "+strconv.FormatInt(maxOperatorTimeout.Milliseconds(), 10)+".")
+	}
+	timeout := time.Duration(timeoutMilliseconds) * time.Millisecond
 	if timeout == 0 {
 		timeout = defaultOperatorTimeout
 	}
@@ -84,7 +84,7 @@
 	return ctx, cancel, nil
 }
 
-func (g *Gateway) status(c echo.Context) error {
+func (g *Gateway) handleStatus(c echo.Context) error {
 	response, err := g.config.Operations.Status(c.Request().Context())
 	if err != nil {
 		return err
@@ -92,15 +92,15 @@
 	return c.JSON(http.StatusOK, response)
 }
 
-func (g *Gateway) catalog(c echo.Context) error {
-	encoded, err := catalog.Encode(g.config.Operations.Catalog())
+func (g *Gateway) handleCatalog(c echo.Context) error {
+	document, err := catalog.Encode(g.config.Operations.Catalog())
 	if err != nil {
 		return err
 	}
-	return c.JSONBlob(http.StatusOK, encoded)
+	return c.JSONBlob(http.StatusOK, document)
 }
 
-func (g *Gateway) drain(c echo.Context) error {
+func (g *Gateway) handleDrain(c echo.Context) error {
 	response, err := g.config.Operations.Drain(c.Request().Context(), c.Param("name"))
 	if err != nil {
 		return err
@@ -108,22 +108,22 @@
 	return c.JSON(http.StatusAccepted, response)
 }
 
-// writeError sends a problem document, with Retry-After where a time is known.
+// writeError responds with a problem document. It sets Retry-After, rounded up to whole
+// seconds, if the problem has a retry delay.
 func (g *Gateway) writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	problem := asProblem(err)
+	problem := toProblem(err)
 	if problem.RetryAfterMilliseconds > 0 {
 		seconds := (problem.RetryAfterMilliseconds + 999) / 1000
 		c.Response().Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	encoded, err := json.Marshal(problem)
+	document, err := json.Marshal(problem)
 	if err != nil {
-		g.config.Logger.Error("problem not encoded", "error", err)
+		g.config.Logger.Error("encode problem document failed", "error", err)
 		return
 	}
-	// A write error means that the caller has disconnected: there is no one to
-	// report it to.
-	_ = c.Blob(problem.Status, api.ProblemContentType, encoded)
+	// A write error means that the caller has disconnected, so it is ignored.
+	_ = c.Blob(problem.Status, api.ProblemContentType, document)
 }
--- a/internal/selfhosted/operator/exec.go
+++ b/internal/selfhosted/operator/exec.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// StatementResult is the JSON form of the result of one statement.
+// StatementResult is the JSON output for one statement.
 type StatementResult struct {
 	Statement string                 `json:"statement"`
 	Response  *api.StatementResponse `json:"response,omitempty"`
@@ -21,43 +21,44 @@
 type ExecOptions struct {
 	// Source names the text in errors.
 	Source string
-	// DryRun asks only whether each change would be valid now.
+	// DryRun makes the node only validate each change.
 	DryRun bool
-	// ChangeID is the id or token of the only change of the text; empty makes
-	// one up for each change.
+	// ChangeID is the id or token of the change, if the text has a single statement. If it
+	// is empty, a token is generated for each change.
 	ChangeID string
-	// IfRevision, if set, is the only revision on which a change may be made.
+	// IfRevision, if set, is the revision that the catalog must have for a change.
 	IfRevision *uint64
 }
 
-// Exec runs the statements of a text in order and stops at the first that
-// fails. The whole text is read first: a syntax error runs nothing.
+// Exec runs the statements of a text in order and stops at the first failure. The whole text
+// is parsed first, so that nothing runs if it has a syntax error.
 func (s *Session) Exec(ctx context.Context, text string, options ExecOptions) error {
 	statements, err := language.ParseFile(text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", options.Source, err)
 	}
 	if len(statements) == 0 {
-		return usagef("%s: there is no statement", options.Source)
+		return usageErrorf("%s: there is no statement", options.Source)
 	}
 	if options.ChangeID != "" && len(statements) != 1 {
-		return usagef("--change-id goes with one statement, not with %d", len(statements))
+		return usageErrorf("--change-id goes with one statement, not with %d", len(statements))
 	}
 	for _, located := range statements {
 		switch located.Statement.(type) {
 		case *language.Select, *language.Insert:
-			return usagef("%s: line %d: queries are run by \"micactl query\"", options.Source, located.Line)
+			return usageErrorf("%s: line %d: queries are run by \"micactl query\"", options.Source, located.Line)
 		}
 	}
 	for _, located := range statements {
-		if err := s.run(ctx, located.Statement, options); err != nil {
+		if err := s.runStatement(ctx, located.Statement, options); err != nil {
 			return statementError(options.Source, located, len(statements), err)
 		}
 	}
 	return nil
 }
 
-// statementError adds the place if there is more than one statement.
+// statementError adds the line and the statement to an error if the text has more than one
+// statement.
 func statementError(source string, located language.Located, count int, err error) error {
 	if count == 1 {
 		return err
@@ -65,22 +66,23 @@
 	return fmt.Errorf("%s: line %d: %s: %w", source, located.Line, located.Statement, err)
 }
 
-// run runs one statement and writes its result.
-func (s *Session) run(ctx context.Context, statement language.Statement, options ExecOptions) error {
+// runStatement runs one statement and writes its result.
+func (s *Session) runStatement(ctx context.Context, statement language.Statement, options ExecOptions) error {
 	_, isChange := statement.(*language.ChangeStatement)
 	token := options.ChangeID
 	if isChange && token == "" {
 		token = NewToken()
 	}
-	response, err := s.Client.Statement(ctx, guarded(statement, options.IfRevision), token, options.DryRun)
+	response, err := s.Client.Statement(ctx, bindToRevision(statement, options.IfRevision), token, options.DryRun)
 	if err != nil {
-		return s.report(statement, nil, lost(err, isChange && !options.DryRun, token))
+		return s.writeResult(statement, nil, wrapLostResponse(err, isChange && !options.DryRun, token))
 	}
-	return s.report(statement, response, fateError(response))
+	return s.writeResult(statement, response, checkFate(response))
 }
 
-// guarded returns the text of a statement; a change is bound to the revision.
-func guarded(statement language.Statement, revision *uint64) string {
+// bindToRevision returns the text of a statement. A change gets the condition that the
+// catalog is at the given revision.
+func bindToRevision(statement language.Statement, revision *uint64) string {
 	change, isChange := statement.(*language.ChangeStatement)
 	if !isChange || revision == nil {
 		return statement.String()
@@ -89,18 +91,18 @@
 	return bound.String()
 }
 
-// lost turns the failure of a change that may have reached a node into one
-// that says how to find its fate out.
-func lost(err error, isChange bool, token string) error {
+// wrapLostResponse returns a LostResponseError for a change that may have reached a node
+// without a response. Other errors are returned unchanged.
+func wrapLostResponse(err error, isChange bool, token string) error {
 	var unreachable *UnreachableError
 	if isChange && errors.As(err, &unreachable) && unreachable.Sent {
-		return &LostError{Token: token, Cause: err}
+		return &LostResponseError{Token: token, Cause: err}
 	}
 	return err
 }
 
-// fateError returns the error that the fate of a change stands for.
-func fateError(response *api.StatementResponse) error {
+// checkFate returns a FateError for a change that is not known to be accepted.
+func checkFate(response *api.StatementResponse) error {
 	if response.Kind != api.KindChange {
 		return nil
 	}
@@ -112,8 +114,9 @@
 	}
 }
 
-// report writes the result of one statement and returns its error.
-func (s *Session) report(statement language.Statement, response *api.StatementResponse, err error) error {
+// writeResult writes the result of one statement and returns its error. In text format the
+// caller prints the error.
+func (s *Session) writeResult(statement language.Statement, response *api.StatementResponse, err error) error {
 	if s.Format == FormatJSON {
 		result := StatementResult{Statement: statement.String(), Response: response}
 		if err != nil {
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// writeResponse writes a successful result for people.
+// writeResponse writes a successful result as text.
 func (s *Session) writeResponse(statement string, response *api.StatementResponse) {
 	if response.Kind == api.KindShow {
 		if response.Table != nil {
@@ -153,6 +156,7 @@
 	}
 }
 
+// describeFate describes the fate of a change in one line.
 func describeFate(response *api.StatementResponse) string {
 	switch response.Fate {
 	case api.FateInForce:
@@ -178,9 +182,9 @@
 		if err := s.writeJSON(response); err != nil {
 			return err
 		}
-		return fateError(response)
+		return checkFate(response)
 	}
-	if err := fateError(response); err != nil {
+	if err := checkFate(response); err != nil {
 		return err
 	}
 	s.writeResponse("", response)
--- a/internal/selfhosted/operator/plan.go
+++ b/internal/selfhosted/operator/plan.go
@@ -9,25 +9,27 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// Plan is what a file of changes would do to a catalog.
+// Plan describes how a file of changes would modify a catalog.
 type Plan struct {
-	// Revision is the revision that the plan was made at.
+	// Revision is the revision of the catalog that the plan starts from.
 	Revision uint64 `json:"revision"`
 	// Changes are the statements that change something, in order.
 	Changes []string `json:"changes"`
-	// Unchanged is the number of statements that are so already.
+	// Unchanged is the number of statements that would change nothing.
 	Unchanged int `json:"unchanged"`
-	// Removed and Added are the lines of the diff: the statements that
-	// describe the catalog before but not after, and after but not before.
+	// Removed and Added are the lines of the difference: the statements that describe the
+	// catalog only before or only after the changes.
 	Removed []string `json:"removed"`
 	Added   []string `json:"added"`
 
-	located []language.Located
+	// statements are the parsed statements of Changes, in the same order.
+	statements []language.Located
 }
 
-// MakePlan applies the statements to a copy of the catalog. A statement that
-// would change nothing is left out; one that would be refused is an error.
-func MakePlan(current *catalog.Catalog, statements []language.Located) (*Plan, error) {
+// NewPlan returns the plan of applying the statements to the catalog, which it does not
+// modify. It omits statements that would change nothing, and returns an error for a
+// statement that the catalog would reject.
+func NewPlan(current *catalog.Catalog, statements []language.Located) (*Plan, error) {
 	plan := &Plan{Revision: current.Revision}
 	next := current
 	for _, located := range statements {
@@ -45,17 +47,18 @@
 		}
 		next = applied
 		plan.Changes = append(plan.Changes, change.String())
-		plan.located = append(plan.located, located)
+		plan.statements = append(plan.statements, located)
 	}
-	before, after := describe(current), describe(next)
-	plan.Removed = difference(before, after)
-	plan.Added = difference(after, before)
+	before, after := describeCatalog(current), describeCatalog(next)
+	plan.Removed = excludeLines(before, after)
+	plan.Added = excludeLines(after, before)
 	return plan, nil
 }
 
+// applyStatement returns the catalog after a change.
 func applyStatement(current *catalog.Catalog, statement *language.ChangeStatement) (*catalog.Catalog, error) {
-	if wanted := statement.IfRevision; wanted != nil && *wanted != current.Revision {
-		return nil, fmt.Errorf("the catalog would be at revision %d, not %d", current.Revision, *wanted)
+	if required := statement.IfRevision; required != nil && *required != current.Revision {
+		return nil, fmt.Errorf("the catalog would be at revision %d, not %d", current.Revision, *required)
 	}
 	change := catalog.Change{
 		Revision: current.Revision + 1,
@@ -65,8 +68,8 @@
 	return catalog.Apply(current, change)
 }
 
-// describe returns statements that describe the catalog, in order.
-func describe(current *catalog.Catalog) []string {
+// describeCatalog returns the statements that describe the catalog, in a fixed order.
+func describeCatalog(current *catalog.Catalog) []string {
 	var lines []string
 	add := func(command catalog.Command) { lines = append(lines, command.String()) }
 	for _, name := range current.VoterNames() {
@@ -91,6 +94,7 @@
 	return lines
 }
 
+// describeLeaves returns the statements that describe the leaves of a service.
 func describeLeaves(service catalog.Service) []string {
 	var lines []string
 	for _, leaf := range service.SortedLeaves() {
@@ -104,11 +108,11 @@
 	return lines
 }
 
-// difference returns the lines that are not among others, in order.
-func difference(lines, others []string) []string {
-	known := make(map[string]bool, len(others))
+// excludeLines returns the lines that are not in others, in their order.
+func excludeLines(lines, others []string) []string {
+	excluded := make(map[string]bool, len(others))
 	for _, line := range others {
-		known[line] = true
+		excluded[line] = true
 	}
-	return slices.DeleteFunc(slices.Clone(lines), func(line string) bool { return known[line] })
+	return slices.DeleteFunc(slices.Clone(lines), func(line string) bool { return excluded[line] })
 }
--- a/internal/selfhosted/query/plan_benchmark_test.go
+++ b/internal/selfhosted/query/plan_benchmark_test.go
@@ -6,9 +6,9 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// BenchmarkPlan measures the planning of a select that was seen before.
+// BenchmarkPlan plans a select that is in the statement cache.
 func BenchmarkPlan(b *testing.B) {
-	known := newStatements()
+	cache := newStatementCache()
 	current := exampleCatalog()
 	request := api.QueryRequest{
 		RequestID: "r", Class: "sweep",
@@ -16,7 +16,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := newPlan(known, current, "rate-desk", request); err != nil {
+		if _, err := newPlan(cache, current, "rate-desk", request); err != nil {
 			b.Fatal(err)
 		}
 	}
