--- a/internal/catalog/apply.go
+++ b/internal/catalog/apply.go
@@ -8,7 +8,7 @@
 
 // maximumRecordedStatement is the length in bytes to which a statement is cut
 // when it is remembered in Recent.
-const maximumRecordedStatement = 1024
+const maximumStatementBytes = 1024
 
 // Empty returns the catalog of revision zero, before any change.
 func Empty() *Catalog { return &Catalog{} }
@@ -25,20 +25,20 @@
 		return nil, err
 	}
 	if change.Revision != current.Revision+1 {
-		return nil, refuse(CodeRevision, change.ID, "change %s is for revision %d, the catalog is at %d", change.ID, change.Revision, current.Revision)
+		return nil, newError(CodeRevision, change.ID, "change %s is for revision %d, the catalog is at %d", change.ID, change.Revision, current.Revision)
 	}
-	if earlier, found := current.Lookup(change.ID); found {
-		return nil, refuse(CodeDuplicate, change.ID, "change %s took effect at revision %d", change.ID, earlier.Revision)
+	if earlier, applied := current.Lookup(change.ID); applied {
+		return nil, newError(CodeDuplicate, change.ID, "change %s took effect at revision %d", change.ID, earlier.Revision)
 	}
-	member, err := change.Command.operation()
+	op, err := change.Command.selectOperation()
 	if err != nil {
 		return nil, err
 	}
 	editor := newEditor(current, change.Revision)
-	if err := member.apply(editor); err != nil {
+	if err := op.apply(editor); err != nil {
 		return nil, err
 	}
-	editor.remember(change)
+	editor.recordChange(change)
 	return editor.next, nil
 }
 
@@ -55,7 +55,7 @@
 }
 
 // remember notes the change, dropping the oldest beyond RetainedChanges.
-func (e *editor) remember(change Change) {
+func (e *editor) recordChange(change Change) {
 	recent := e.next.Recent
 	if excess := len(recent) + 1 - RetainedChanges; excess > 0 {
 		recent = recent[excess:]
@@ -63,8 +63,8 @@
 	copied := make([]AppliedChange, 0, len(recent)+1)
 	copied = append(copied, recent...)
 	statement := change.Command.String()
-	if len(statement) > maximumRecordedStatement {
-		statement = statement[:maximumRecordedStatement-3] + "..."
+	if len(statement) > maximumStatementBytes {
+		statement = statement[:maximumStatementBytes-3] + "..."
 	}
 	e.next.Recent = append(copied, AppliedChange{
 		ID:        change.ID,
@@ -76,20 +76,20 @@
 }
 
 // service returns a copy of the service; its maps are still shared.
-func (e *editor) service(name string) (Service, error) {
-	service, found := e.next.Services[name]
-	if !found {
-		return Service{}, unknownService(name)
+func (e *editor) lookupService(name string) (Service, error) {
+	service, exists := e.next.Services[name]
+	if !exists {
+		return Service{}, newUnknownServiceError(name)
 	}
 	return service, nil
 }
 
 func (e *editor) putService(service Service) {
-	e.next.Services = with(e.next.Services, service.Name, service)
+	e.next.Services = copyWith(e.next.Services, service.Name, service)
 }
 
 // with returns a copy of the map in which key has the value.
-func with[K comparable, V any](original map[K]V, key K, value V) map[K]V {
+func copyWith[K comparable, V any](original map[K]V, key K, value V) map[K]V {
 	copied := maps.Clone(original)
 	if copied == nil {
 		copied = make(map[K]V, 1)
@@ -99,7 +99,7 @@
 }
 
 // without returns a copy of the map without the key; nil when it is empty.
-func without[K comparable, V any](original map[K]V, key K) map[K]V {
+func copyWithout[K comparable, V any](original map[K]V, key K) map[K]V {
 	if len(original) <= 1 {
 		return nil
 	}
@@ -110,10 +110,10 @@
 
 // servicesWithLeaf returns the names of the services that have the leaf, in
 // order.
-func (e *editor) servicesWithLeaf(address netip.AddrPort) []string {
+func (e *editor) findServicesWithLeaf(address netip.AddrPort) []string {
 	var names []string
 	for name, service := range e.next.Services {
-		if _, found := service.Leaves[address]; found {
+		if _, exists := service.Leaves[address]; exists {
 			names = append(names, name)
 		}
 	}
--- a/internal/catalog/apply_benchmark_test.go
+++ b/internal/catalog/apply_benchmark_test.go
@@ -13,7 +13,7 @@
 	const leaves = 760
 	current := catalog.Empty()
 	apply := func(command catalog.Command) {
-		next, err := catalog.Apply(current, changeAt(current.Revision+1, command))
+		next, err := catalog.Apply(current, newChange(current.Revision+1, command))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 		"retire-leaf": {RetireLeaf: &catalog.RetireLeaf{Address: netip.MustParseAddrPort("10.7.0.1:7101")}},
 	}
 	for name, command := range commands {
-		change := changeAt(current.Revision+1, command)
+		change := newChange(current.Revision+1, command)
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/catalog/apply_test.go
+++ b/internal/catalog/apply_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-func changeAt(revision uint64, command catalog.Command) catalog.Change {
+func newChange(revision uint64, command catalog.Command) catalog.Change {
 	at := time.Date(2026, 1, 2, 3, 4, 5, int(revision), time.FixedZone("JST", 9*3600))
 	return catalog.Change{Revision: revision, ID: fmt.Sprintf("%d-x", revision), Operator: "mori", At: at, Command: command}
 }
@@ -38,11 +38,11 @@
 var leafAddress = netip.MustParseAddrPort("127.0.0.1:7101")
 
 // build applies the commands to the empty catalog, one revision each.
-func build(t *testing.T, commands ...catalog.Command) *catalog.Catalog {
+func buildCatalog(t *testing.T, commands ...catalog.Command) *catalog.Catalog {
 	t.Helper()
 	current := catalog.Empty()
 	for _, command := range commands {
-		next, err := catalog.Apply(current, changeAt(current.Revision+1, command))
+		next, err := catalog.Apply(current, newChange(current.Revision+1, command))
 		if err != nil {
 			t.Fatalf("%s: %v", command, err)
 		}
@@ -63,25 +63,25 @@
 	return catalog.Command{RetireLeaf: &catalog.RetireLeaf{Address: leafAddress}}
 }
 
-func TestAddLeafAgain(t *testing.T) {
-	updated := build(t, createService(8), addLeaf("a", 1, 0), addLeaf("b", 2))
+func TestAddExistingLeaf(t *testing.T) {
+	updated := buildCatalog(t, createService(8), addLeaf("a", 1, 0), addLeaf("b", 2))
 	leaf := updated.Services["rate-desk"].Leaves[leafAddress]
 	if leaf.AddedAt != 2 || leaf.Zone != "b" || !slices.Equal(leaf.Shards, []int{2}) {
 		t.Errorf("an update of a leaf in use gave %+v", leaf)
 	}
-	returned := build(t, createService(8), addLeaf("a", 1, 0), retireLeaf(), addLeaf("a", 0, 1))
+	returned := buildCatalog(t, createService(8), addLeaf("a", 1, 0), retireLeaf(), addLeaf("a", 0, 1))
 	leaf = returned.Services["rate-desk"].Leaves[leafAddress]
 	if leaf.AddedAt != 4 || leaf.Retiring {
 		t.Errorf("a retired leaf that was added again is %+v", leaf)
 	}
 }
 
-func TestRepartition(t *testing.T) {
+func TestRepartitionKeepsNewestPartitions(t *testing.T) {
 	commands := []catalog.Command{createService(8), addLeaf("a", 1, 7)}
 	for shards := 7; shards > 7-catalog.RetainedPartitions; shards-- {
 		commands = append(commands, catalog.Command{Repartition: &catalog.Repartition{Service: "rate-desk", Shards: shards}})
 	}
-	service := build(t, commands...).Services["rate-desk"]
+	service := buildCatalog(t, commands...).Services["rate-desk"]
 	want := []catalog.Partition{{Epoch: 2, Shards: 7}, {Epoch: 3, Shards: 6}, {Epoch: 4, Shards: 5}}
 	if !slices.Equal(service.Partitions, want) {
 		t.Errorf("partitions are %v, want %v", service.Partitions, want)
@@ -91,8 +91,8 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
-	base := build(t, createService(8), addLeaf("a", 0), catalog.Command{AddVoter: &catalog.AddVoter{Voter: catalog.Voter{Name: "n1", Zone: "a"}}})
+func TestApplyRefusals(t *testing.T) {
+	base := buildCatalog(t, createService(8), addLeaf("a", 0), catalog.Command{AddVoter: &catalog.AddVoter{Voter: catalog.Voter{Name: "n1", Zone: "a"}}})
 	cases := []struct {
 		command catalog.Command
 		code    catalog.Code
@@ -114,21 +114,21 @@
 		{catalog.Command{}, catalog.CodeInvalid},
 	}
 	for _, c := range cases {
-		if _, err := catalog.Apply(base, changeAt(base.Revision+1, c.command)); !errors.Is(err, c.code) {
+		if _, err := catalog.Apply(base, newChange(base.Revision+1, c.command)); !errors.Is(err, c.code) {
 			t.Errorf("%s: got %v, want code %s", c.command, err, c.code)
 		}
 	}
-	if _, err := catalog.Apply(base, changeAt(base.Revision, retireLeaf())); !errors.Is(err, catalog.CodeRevision) {
+	if _, err := catalog.Apply(base, newChange(base.Revision, retireLeaf())); !errors.Is(err, catalog.CodeRevision) {
 		t.Errorf("an old revision: got %v", err)
 	}
-	repeated := changeAt(base.Revision+1, retireLeaf())
+	repeated := newChange(base.Revision+1, retireLeaf())
 	repeated.ID = "1-x"
 	if _, err := catalog.Apply(base, repeated); !errors.Is(err, catalog.CodeDuplicate) {
 		t.Errorf("a repeated id: got %v", err)
 	}
 }
 
-func TestDecodeIsStrict(t *testing.T) {
+func TestDecodeRefusesInvalidInput(t *testing.T) {
 	for _, text := range []string{`{"revision":1,"colour":2}`, `{"revision":1} {}`, `[]`, ``} {
 		if _, err := catalog.Decode([]byte(text)); err == nil {
 			t.Errorf("Decode took %q", text)
@@ -141,11 +141,11 @@
 	}
 }
 
-func TestRecentIsBounded(t *testing.T) {
-	current := build(t, createService(8))
+func TestRecentChangesAreBounded(t *testing.T) {
+	current := buildCatalog(t, createService(8))
 	for revision := uint64(2); revision <= catalog.RetainedChanges+5; revision++ {
 		limit := catalog.Command{LimitService: &catalog.LimitService{Service: "rate-desk", Concurrency: int(revision)}}
-		next, err := catalog.Apply(current, changeAt(revision, limit))
+		next, err := catalog.Apply(current, newChange(revision, limit))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/catalog/wire_test.go
+++ b/internal/catalog/codec_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestStoredReadsAsRecorded: the store keeps changes and checkpoints of other versions.
-func TestStoredReadsAsRecorded(t *testing.T) {
+func TestStoredFormsMatchRecordings(t *testing.T) {
 	wiretest.JSON[Catalog](t, "catalog")
 	wiretest.JSON[Change](t, "change")
 }
--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -49,14 +49,14 @@
 // Unwrap returns the code.
 func (e *Error) Unwrap() error { return e.Code }
 
-func refuse(code Code, subject, format string, arguments ...any) *Error {
+func newError(code Code, subject, format string, arguments ...any) *Error {
 	return &Error{Code: code, Subject: subject, Message: fmt.Sprintf(format, arguments...)}
 }
 
-func unknownService(name string) *Error {
-	return refuse(CodeUnknownService, name, "there is no service %q", name)
+func newUnknownServiceError(name string) *Error {
+	return newError(CodeUnknownService, name, "there is no service %q", name)
 }
 
-func unknownLeaf(address string) *Error {
-	return refuse(CodeUnknownLeaf, address, "no service has the leaf %s", address)
+func newUnknownLeafError(address string) *Error {
+	return newError(CodeUnknownLeaf, address, "no service has the leaf %s", address)
 }
--- a/internal/catalog/operation.go
+++ b/internal/catalog/operation.go
@@ -5,17 +5,17 @@
 	// validate checks what can be checked without a catalog.
 	validate() error
 	// statement returns the canonical text in the command language.
-	statement() string
+	formatStatement() string
 	// apply makes the change on a copy of the catalog.
 	apply(*editor) error
 }
 
 // operation returns the member that is set, or an error if not exactly one is.
-func (c Command) operation() (operation, error) {
-	var found []operation
+func (c Command) selectOperation() (operation, error) {
+	var members []operation
 	add := func(set bool, member operation) {
 		if set {
-			found = append(found, member)
+			members = append(members, member)
 		}
 	}
 	add(c.CreateService != nil, c.CreateService)
@@ -31,29 +31,29 @@
 	add(c.StartService != nil, c.StartService)
 	add(c.AddVoter != nil, c.AddVoter)
 	add(c.RemoveVoter != nil, c.RemoveVoter)
-	if len(found) != 1 {
-		return nil, refuse(CodeInvalid, "command", "a command must have exactly one member, this one has %d", len(found))
+	if len(members) != 1 {
+		return nil, newError(CodeInvalid, "command", "a command must have exactly one member, this one has %d", len(members))
 	}
-	return found[0], nil
+	return members[0], nil
 }
 
 // Validate checks what can be checked without a catalog: that exactly one
 // member is set, the syntax of names and the limits of numbers. Its errors are
 // of type *Error.
 func (c Command) Validate() error {
-	member, err := c.operation()
+	op, err := c.selectOperation()
 	if err != nil {
 		return err
 	}
-	return member.validate()
+	return op.validate()
 }
 
 // String returns the canonical text of the command in the command language;
 // for a valid command, the language parses it back to the same value.
 func (c Command) String() string {
-	member, err := c.operation()
+	op, err := c.selectOperation()
 	if err != nil {
 		return "invalid command"
 	}
-	return member.statement()
+	return op.formatStatement()
 }
--- a/internal/catalog/properties_test.go
+++ b/internal/catalog/properties_test.go
@@ -59,19 +59,19 @@
 		var log [][]byte
 		for range rapid.IntRange(1, 40).Draw(t, "length") {
 			before := mustEncode(t, current)
-			change := changeAt(current.Revision+1, drawCommand(t))
+			change := newChange(current.Revision+1, drawCommand(t))
 			next, err := catalog.Apply(current, change)
 			if !bytes.Equal(before, mustEncode(t, current)) {
 				t.Fatalf("%s modified the catalog that it was applied to", change.Command)
 			}
 			if err != nil {
-				requireTyped(t, next, err)
+				requireTypedError(t, next, err)
 				continue
 			}
 			if next.Revision != current.Revision+1 {
 				t.Fatalf("revision went from %d to %d", current.Revision, next.Revision)
 			}
-			if applied, found := next.Lookup(change.ID); !found || applied.Revision != next.Revision {
+			if applied, remembered := next.Lookup(change.ID); !remembered || applied.Revision != next.Revision {
 				t.Fatalf("change %s is not remembered: %+v", change.ID, applied)
 			}
 			encoded, err := catalog.EncodeChange(change)
@@ -81,13 +81,13 @@
 			log = append(log, encoded)
 			current = next
 		}
-		requireReplay(t, log, current)
+		requireSameDigestAfterReplay(t, log, current)
 	})
 }
 
 // TestStatementProperties checks that the text of a valid command is read back
 // as the same command, with shares of every precision.
-func TestStatementProperties(t *testing.T) {
+func TestStatementRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1)
 		class := catalog.Class{
@@ -97,15 +97,15 @@
 			HedgePercentile: share.Draw(t, "percentile"),
 			ExtraLoad:       share.Draw(t, "extra"),
 		}
-		requireStatement(t, catalog.Command{DefineClass: &catalog.DefineClass{Class: class}})
+		requireStatementRoundTrip(t, catalog.Command{DefineClass: &catalog.DefineClass{Class: class}})
 		if command := drawCommand(t); command.Validate() == nil {
-			requireStatement(t, command)
+			requireStatementRoundTrip(t, command)
 		}
 	})
 }
 
 // requireStatement checks that the language reads the command's text back.
-func requireStatement(t *rapid.T, command catalog.Command) {
+func requireStatementRoundTrip(t *rapid.T, command catalog.Command) {
 	statement, err := language.ParseOne(command.String())
 	if err != nil {
 		t.Fatalf("%s: %v", command, err)
@@ -115,14 +115,14 @@
 	}
 }
 
-func requireTyped(t *rapid.T, next *catalog.Catalog, err error) {
+func requireTypedError(t *rapid.T, next *catalog.Catalog, err error) {
 	var refused *catalog.Error
 	if next != nil || !errors.As(err, &refused) || !errors.Is(err, refused.Code) || refused.Message == "" {
 		t.Fatalf("refused with %#v and catalog %v", err, next)
 	}
 }
 
-func requireReplay(t *rapid.T, log [][]byte, want *catalog.Catalog) {
+func requireSameDigestAfterReplay(t *rapid.T, log [][]byte, want *catalog.Catalog) {
 	replayed := catalog.Empty()
 	for _, encoded := range log {
 		change, err := catalog.DecodeChange(encoded)
--- a/internal/catalog/render.go
+++ b/internal/catalog/statement.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-func (o *CreateService) statement() string {
+func (o *CreateService) formatStatement() string {
 	text := fmt.Sprintf("create service %s shards %d replicas %d", o.Name, o.Shards, o.Replicas)
 	if o.KeyColumn != "" {
 		text += " key " + o.KeyColumn
@@ -14,18 +14,18 @@
 	return text
 }
 
-func (o *DropService) statement() string  { return "drop service " + o.Name }
-func (o *StopService) statement() string  { return "stop service " + o.Name }
-func (o *StartService) statement() string { return "start service " + o.Name }
-func (o *RetireLeaf) statement() string   { return "retire leaf " + o.Address.String() }
-func (o *RemoveLeaf) statement() string   { return "remove leaf " + o.Address.String() }
-func (o *RemoveVoter) statement() string  { return "remove voter " + o.Name }
+func (o *DropService) formatStatement() string  { return "drop service " + o.Name }
+func (o *StopService) formatStatement() string  { return "stop service " + o.Name }
+func (o *StartService) formatStatement() string { return "start service " + o.Name }
+func (o *RetireLeaf) formatStatement() string   { return "retire leaf " + o.Address.String() }
+func (o *RemoveLeaf) formatStatement() string   { return "remove leaf " + o.Address.String() }
+func (o *RemoveVoter) formatStatement() string  { return "remove voter " + o.Name }
 
-func (o *Repartition) statement() string {
+func (o *Repartition) formatStatement() string {
 	return fmt.Sprintf("repartition service %s shards %d", o.Service, o.Shards)
 }
 
-func (o *DefineClass) statement() string {
+func (o *DefineClass) formatStatement() string {
 	class := o.Class
 	var text strings.Builder
 	fmt.Fprintf(&text, "class %s on %s priority %d deadline %s coverage %s",
@@ -42,17 +42,17 @@
 	return text.String()
 }
 
-func (o *DropClass) statement() string { return "drop class " + o.Name + " on " + o.Service }
+func (o *DropClass) formatStatement() string { return "drop class " + o.Name + " on " + o.Service }
 
-func (o *AddLeaf) statement() string {
+func (o *AddLeaf) formatStatement() string {
 	return fmt.Sprintf("add leaf %s to %s zone %s shards %s", o.Address, o.Service, o.Zone, FormatShards(o.Shards))
 }
 
-func (o *LimitService) statement() string {
+func (o *LimitService) formatStatement() string {
 	return fmt.Sprintf("limit %s concurrency %d", o.Service, o.Concurrency)
 }
 
-func (o *AddVoter) statement() string {
+func (o *AddVoter) formatStatement() string {
 	return fmt.Sprintf("add voter %s zone %s", o.Voter.Name, o.Voter.Zone)
 }
 
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -47,23 +47,23 @@
 // of type *Error.
 func (c Change) Validate() error {
 	if c.Revision == 0 {
-		return refuse(CodeInvalid, "revision", "the revision of a change counts from 1")
+		return newError(CodeInvalid, "revision", "the revision of a change counts from 1")
 	}
 	if !ValidChangeID(c.ID) {
-		return refuse(CodeInvalid, c.ID, "%q is no change id", c.ID)
+		return newError(CodeInvalid, c.ID, "%q is no change id", c.ID)
 	}
 	if len(c.Operator) > MaximumOperator || !utf8.ValidString(c.Operator) {
-		return refuse(CodeInvalid, "operator", "the operator's name must be UTF-8 of at most %d bytes", MaximumOperator)
+		return newError(CodeInvalid, "operator", "the operator's name must be UTF-8 of at most %d bytes", MaximumOperator)
 	}
 	if year := c.At.UTC().Year(); year < 1 || year > 9999 {
-		return refuse(CodeInvalid, "at", "the time of a change must lie in the years 1 to 9999")
+		return newError(CodeInvalid, "at", "the time of a change must lie in the years 1 to 9999")
 	}
 	return c.Command.Validate()
 }
 
 func (o *CreateService) validate() error {
 	if o.KeyColumn != "" && !ValidColumn(o.KeyColumn) {
-		return refuse(CodeInvalid, o.KeyColumn, "%q is no column name", o.KeyColumn)
+		return newError(CodeInvalid, o.KeyColumn, "%q is no column name", o.KeyColumn)
 	}
 	return firstError(
 		checkName("service", o.Name),
@@ -86,10 +86,10 @@
 func (o *DefineClass) validate() error {
 	class := o.Class
 	if class.Deadline <= 0 || class.Deadline > MaximumDeadline {
-		return refuse(CodeLimit, "deadline", "the deadline must be more than 0s and at most %s, not %s", MaximumDeadline, class.Deadline)
+		return newError(CodeLimit, "deadline", "the deadline must be more than 0s and at most %s, not %s", MaximumDeadline, class.Deadline)
 	}
 	if class.HedgePercentile != 0 && !class.Repeatable {
-		return refuse(CodeInvalid, class.Name, "class %q runs its requests once, so it cannot hedge", class.Name)
+		return newError(CodeInvalid, class.Name, "class %q runs its requests once, so it cannot hedge", class.Name)
 	}
 	return firstError(
 		checkName("class", class.Name),
@@ -118,7 +118,7 @@
 			return err
 		}
 		if seen[shard] {
-			return refuse(CodeInvalid, "shards", "shard %d is listed twice", shard)
+			return newError(CodeInvalid, "shards", "shard %d is listed twice", shard)
 		}
 		seen[shard] = true
 	}
@@ -143,30 +143,30 @@
 	return nil
 }
 
-func checkName(what, name string) *Error {
+func checkName(kind, name string) *Error {
 	if ValidName(name) {
 		return nil
 	}
-	return refuse(CodeInvalid, name, "%q is no %s name: it must be a lower-case letter followed by at most 62 letters, digits and hyphens", name, what)
+	return newError(CodeInvalid, name, "%q is no %s name: it must be a lower-case letter followed by at most 62 letters, digits and hyphens", name, kind)
 }
 
-func checkRange(what string, value, least, most int) *Error {
-	if value >= least && value <= most {
+func checkRange(quantity string, value, minimum, maximum int) *Error {
+	if value >= minimum && value <= maximum {
 		return nil
 	}
-	return refuse(CodeLimit, what, "%s must be from %d to %d, not %d", what, least, most, value)
+	return newError(CodeLimit, quantity, "%s must be from %d to %d, not %d", quantity, minimum, maximum, value)
 }
 
-func checkShare(what string, value float64) *Error {
+func checkShare(quantity string, value float64) *Error {
 	if value >= 0 && value <= 1 && !math.Signbit(value) {
 		return nil
 	}
-	return refuse(CodeLimit, what, "%s must be from 0 to 1, not %v", what, value)
+	return newError(CodeLimit, quantity, "%s must be from 0 to 1, not %v", quantity, value)
 }
 
 func checkAddress(address netip.AddrPort) *Error {
 	if address.IsValid() && address.Port() != 0 && address.Addr().Zone() == "" && !address.Addr().Is4In6() {
 		return nil
 	}
-	return refuse(CodeInvalid, "address", "%q is no IP address with a port", address)
+	return newError(CodeInvalid, "address", "%q is no IP address with a port", address)
 }
