--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -11,60 +11,60 @@
 	tagExpect = "expect"
 	// maximumEdits is how far an unknown key may be from the known one that
 	// an error suggests.
-	maximumEdits = 2
+	maximumSuggestionDistance = 2
 )
 
 // field is one key that the settings know.
 type field struct {
 	// key is dotted; table is true for a section such as "listen".
-	key    string
-	expect string
-	table  bool
+	key      string
+	expected string
+	table    bool
 	// duration is true for a value that is written as text with a unit.
 	duration bool
 }
 
 // knownFields lists every key, in the order of the settings.
-var knownFields = listFields(reflect.TypeFor[Settings](), "")
+var allFields = collectFields(reflect.TypeFor[Settings](), "")
 
-func listFields(structure reflect.Type, prefix string) []field {
+func collectFields(structure reflect.Type, prefix string) []field {
 	var fields []field
 	for index := range structure.NumField() {
-		member := structure.Field(index)
-		key := prefix + member.Tag.Get(tagTOML)
-		expect := member.Tag.Get(tagExpect)
+		structField := structure.Field(index)
+		key := prefix + structField.Tag.Get(tagTOML)
+		expect := structField.Tag.Get(tagExpect)
 		if expect == "" {
-			fields = append(fields, field{key: key, expect: "a table [" + key + "]", table: true})
-			fields = append(fields, listFields(member.Type, key+".")...)
+			fields = append(fields, field{key: key, expected: "a table [" + key + "]", table: true})
+			fields = append(fields, collectFields(structField.Type, key+".")...)
 			continue
 		}
-		fields = append(fields, field{key: key, expect: expect, duration: member.Type == reflect.TypeFor[Duration]()})
+		fields = append(fields, field{key: key, expected: expect, duration: structField.Type == reflect.TypeFor[Duration]()})
 	}
 	return fields
 }
 
 func findField(key string) (field, bool) {
-	index := slices.IndexFunc(knownFields, func(known field) bool { return known.key == key })
+	index := slices.IndexFunc(allFields, func(candidate field) bool { return candidate.key == key })
 	if index < 0 {
 		return field{}, false
 	}
-	return knownFields[index], true
+	return allFields[index], true
 }
 
 // describeKnown says in words which keys may stand where the unknown key does.
-func describeKnown(key string) string {
+func describeValidKeys(key string) string {
 	table, name := "", key
 	if dot := strings.LastIndex(key, "."); dot >= 0 {
 		table, name = key[:dot], key[dot+1:]
 	}
-	if section, found := findField(table); table != "" && (!found || !section.table) {
-		return describeKnown(table)
+	if section, exists := findField(table); table != "" && (!exists || !section.table) {
+		return describeValidKeys(table)
 	}
 	nearest, distance := "", len(name)
 	var names []string
-	for _, known := range knownFields {
-		rest, inside := strings.CutPrefix(known.key, prefixOf(table))
-		if !inside || strings.Contains(rest, ".") {
+	for _, candidate := range allFields {
+		rest, inTable := strings.CutPrefix(candidate.key, keyPrefix(table))
+		if !inTable || strings.Contains(rest, ".") {
 			continue
 		}
 		names = append(names, rest)
@@ -72,17 +72,17 @@
 			nearest, distance = rest, d
 		}
 	}
-	if nearest != "" && distance <= maximumEdits {
-		return "a known key (did you mean \"" + prefixOf(table) + nearest + "\"?)"
+	if nearest != "" && distance <= maximumSuggestionDistance {
+		return "a known key (did you mean \"" + keyPrefix(table) + nearest + "\"?)"
 	}
-	where := "at the top level"
+	location := "at the top level"
 	if table != "" {
-		where = "in [" + table + "]"
+		location = "in [" + table + "]"
 	}
-	return "a known key " + where + ": " + strings.Join(names, ", ")
+	return "a known key " + location + ": " + strings.Join(names, ", ")
 }
 
-func prefixOf(table string) string {
+func keyPrefix(table string) string {
 	if table == "" {
 		return ""
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -24,17 +24,17 @@
 		if err != nil {
 			return Settings{}, oops.In("settings").With("step", "settings.read").Wrap(err)
 		}
-		loader.readFile(path, content)
+		loader.parseFile(path, content)
 	}
-	return loader.finish(overrides)
+	return loader.complete(overrides)
 }
 
 // Parse is Load for a file that has been read already; name stands for it in
 // errors.
 func Parse(name string, content []byte, overrides ...Override) (Settings, error) {
 	loader := newLoader()
-	loader.readFile(name, content)
-	return loader.finish(overrides)
+	loader.parseFile(name, content)
+	return loader.complete(overrides)
 }
 
 // loader collects the settings and what is wrong with them.
@@ -48,31 +48,31 @@
 	return &loader{settings: Defaults(), origins: map[string]Origin{}}
 }
 
-func (l *loader) finish(overrides []Override) (Settings, error) {
+func (l *loader) complete(overrides []Override) (Settings, error) {
 	for _, override := range overrides {
-		l.override(override)
+		l.applyOverride(override)
 	}
 	if len(l.problems) == 0 {
-		l.problems = check(l.settings, l.origins)
+		l.problems = validate(l.settings, l.origins)
 	}
-	if err := l.problems.orNil(); err != nil {
+	if err := l.problems.asError(); err != nil {
 		return Settings{}, oops.In("settings").With("step", "settings.check").Wrap(err)
 	}
 	return l.settings, nil
 }
 
-func (l *loader) add(origin Origin, key, expected, found string) {
-	l.problems = append(l.problems, Problem{Origin: origin, Key: key, Expected: expected, Found: found})
+func (l *loader) addProblem(origin Origin, key, expected, actual string) {
+	l.problems = append(l.problems, Problem{Origin: origin, Key: key, Expected: expected, Found: actual})
 }
 
 // readFile takes the keys of the file one by one, so that every problem is
 // found in one go.
-func (l *loader) readFile(name string, content []byte) {
+func (l *loader) parseFile(name string, content []byte) {
 	if len(content) > maximumFileBytes {
-		l.add(Origin{File: name}, "", "at most 1 MiB", "more")
+		l.addProblem(Origin{File: name}, "", "at most 1 MiB", "more")
 		return
 	}
-	if problem, bad := checkSyntax(name, content); bad {
+	if problem, invalid := checkSyntax(name, content); invalid {
 		l.problems = append(l.problems, problem)
 		return
 	}
@@ -81,32 +81,32 @@
 	table := ""
 	for parser.NextExpression() {
 		expression := parser.Expression()
-		key, line := keyOf(parser, expression)
+		key, line := parseKey(parser, expression)
 		origin := Origin{File: name, Line: line}
 		switch expression.Kind {
 		case unstable.Table:
 			table = key
-			l.enterTable(origin, key)
+			l.checkTable(origin, key)
 		case unstable.ArrayTable:
 			table = key
-			l.add(origin, key, "a table, not a list of tables", "[["+key+"]]")
+			l.addProblem(origin, key, "a table, not a list of tables", "[["+key+"]]")
 		case unstable.KeyValue:
-			l.readKey(origin, table, prefixOf(table)+key, string(parser.Raw(expression.Raw)))
+			l.decodeKey(origin, table, keyPrefix(table)+key, string(parser.Raw(expression.Raw)))
 		}
 	}
 }
 
-func (l *loader) enterTable(origin Origin, key string) {
-	if known, found := findField(key); !found {
-		l.add(origin, key, describeKnown(key), "")
-	} else if !known.table {
-		l.add(origin, key, known.expect, "a table")
+func (l *loader) checkTable(origin Origin, key string) {
+	if settingsField, exists := findField(key); !exists {
+		l.addProblem(origin, key, describeValidKeys(key), "")
+	} else if !settingsField.table {
+		l.addProblem(origin, key, settingsField.expected, "a table")
 	}
 }
 
 // readKey decodes one "key = value" of a table into the settings.
-func (l *loader) readKey(origin Origin, table, key, text string) {
-	if known, found := findField(table); table != "" && (!found || !known.table) {
+func (l *loader) decodeKey(origin Origin, table, key, text string) {
+	if settingsField, exists := findField(table); table != "" && (!exists || !settingsField.table) {
 		return // reported with the table
 	}
 	document := text + "\n"
@@ -118,12 +118,12 @@
 		l.origins[key] = origin
 		return
 	}
-	key = failedKey(err, key)
-	found := valueText(text)
-	if known, isKnown := findField(key); isKnown {
-		l.add(origin, key, known.expect, found)
+	key = findErrorKey(err, key)
+	value := extractValue(text)
+	if settingsField, exists := findField(key); exists {
+		l.addProblem(origin, key, settingsField.expected, value)
 	} else {
-		l.add(origin, key, describeKnown(key), "")
+		l.addProblem(origin, key, describeValidKeys(key), "")
 	}
 }
 
@@ -136,7 +136,7 @@
 	if err := toml.Unmarshal([]byte(document), &values); err != nil {
 		return err
 	}
-	if err := checkDurations(values, ""); err != nil {
+	if err := rejectUnitlessDurations(values, ""); err != nil {
 		return err
 	}
 	*target = decoded
@@ -145,21 +145,21 @@
 
 // bareDurationError is a duration that is a number. The decoder would take it
 // as nanoseconds, since that is how Go holds a duration.
-type bareDurationError struct{ key string }
+type unitlessDurationError struct{ key string }
 
 // Error names the key.
-func (e *bareDurationError) Error() string { return e.key + " is a number without a unit" }
+func (e *unitlessDurationError) Error() string { return e.key + " is a number without a unit" }
 
-func checkDurations(values map[string]any, prefix string) error {
+func rejectUnitlessDurations(values map[string]any, prefix string) error {
 	for name, value := range values {
 		switch value := value.(type) {
 		case map[string]any:
-			if err := checkDurations(value, prefix+name+"."); err != nil {
+			if err := rejectUnitlessDurations(value, prefix+name+"."); err != nil {
 				return err
 			}
 		case int64:
-			if known, _ := findField(prefix + name); known.duration {
-				return &bareDurationError{key: known.key}
+			if settingsField, _ := findField(prefix + name); settingsField.duration {
+				return &unitlessDurationError{key: settingsField.key}
 			}
 		}
 	}
@@ -167,10 +167,10 @@
 }
 
 // failedKey is the full key at which decoding stopped, or fallback.
-func failedKey(err error, fallback string) string {
-	var bare *bareDurationError
-	if errors.As(err, &bare) {
-		return bare.key
+func findErrorKey(err error, fallback string) string {
+	var unitless *unitlessDurationError
+	if errors.As(err, &unitless) {
+		return unitless.key
 	}
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -200,7 +200,7 @@
 	return problem, true
 }
 
-func keyOf(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
+func parseKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for iterator := expression.Key(); iterator.Next(); {
 		node := iterator.Node()
@@ -213,7 +213,7 @@
 }
 
 // valueText is the part of "key = value" after the sign, on one line.
-func valueText(text string) string {
+func extractValue(text string) string {
 	_, value, _ := strings.Cut(text, "=")
 	return strings.Join(strings.Fields(value), " ")
 }
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -17,18 +17,18 @@
 
 // override sets one key. Text that is no TOML value of the right type is
 // tried again as a TOML string.
-func (l *loader) override(override Override) {
+func (l *loader) applyOverride(override Override) {
 	origin := Origin{Flag: override.Flag}
-	known, found := findField(override.Key)
-	if !found || known.table {
+	settingsField, exists := findField(override.Key)
+	if !exists || settingsField.table {
 		expected := "a key of the table, such as " + override.Key + ".KEY"
-		if !found {
-			expected = describeKnown(override.Key)
+		if !exists {
+			expected = describeValidKeys(override.Key)
 		}
-		l.add(origin, override.Key, expected, "")
+		l.addProblem(origin, override.Key, expected, "")
 		return
 	}
-	for _, value := range []string{override.Value, quote(override.Value)} {
+	for _, value := range []string{override.Value, quoteTOML(override.Value)} {
 		if strings.ContainsAny(value, "\n\r") {
 			continue
 		}
@@ -41,25 +41,25 @@
 	}
 	value := override.Value
 	if !strings.HasPrefix(value, `"`) && !strings.HasPrefix(value, "[") {
-		value = quote(value)
+		value = quoteTOML(value)
 	}
-	l.add(origin, override.Key, known.expect, value)
+	l.addProblem(origin, override.Key, settingsField.expected, value)
 }
 
-var escaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\r", `\r`)
+var tomlEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\r", `\r`)
 
 // quote writes a text as a TOML string.
-func quote(text string) string {
-	return `"` + escaper.Replace(text) + `"`
+func quoteTOML(text string) string {
+	return `"` + tomlEscaper.Replace(text) + `"`
 }
 
 // Flags are the flags of a node process that override the file. Register them
 // before the command line is parsed, and pass Overrides to Load afterwards.
 type Flags struct {
-	name, zone, region, advertise string
-	listenHTTP, listenPeer        string
-	machines, logFormat, logLevel string
-	seeds, stores, set            []string
+	name, zone, region, advertise      string
+	listenHTTP, listenPeer             string
+	machines, logFormat, logLevel      string
+	seeds, storeEndpoints, assignments []string
 }
 
 // Register adds the flags to a command.
@@ -71,48 +71,48 @@
 	command.String(&f.listenHTTP, "", "listen-http", "Address for callers and operators (listen.http).")
 	command.String(&f.listenPeer, "", "listen-peer", "Address for other nodes (listen.peer).")
 	command.StringSlice(&f.seeds, "", "seed", "Peer address of another node; may be repeated (peers.seeds).")
-	command.StringSlice(&f.stores, "", "store", "Address of the configuration store; may be repeated (store.endpoints).")
+	command.StringSlice(&f.storeEndpoints, "", "store", "Address of the configuration store; may be repeated (store.endpoints).")
 	command.String(&f.machines, "", "machines", "Address of the machine list (machines.address).")
 	command.String(&f.logFormat, "", "log-format", "text or json (log.format).")
 	command.String(&f.logLevel, "", "log-level", "debug, info, warn or error (log.level).")
-	command.StringSlice(&f.set, "", "set", "Any setting, as key=value, such as limits.concurrency=100; may be repeated.")
+	command.StringSlice(&f.assignments, "", "set", "Any setting, as key=value, such as limits.concurrency=100; may be repeated.")
 }
 
 // Overrides returns what the flags set.
 func (f *Flags) Overrides() []Override {
 	var overrides []Override
-	single := func(flag, key, value string) {
+	addString := func(flag, key, value string) {
 		if value != "" {
-			overrides = append(overrides, Override{Flag: flag, Key: key, Value: quote(value)})
+			overrides = append(overrides, Override{Flag: flag, Key: key, Value: quoteTOML(value)})
 		}
 	}
-	several := func(flag, key string, values []string) {
+	addList := func(flag, key string, values []string) {
 		if len(values) > 0 {
-			overrides = append(overrides, Override{Flag: flag, Key: key, Value: quoteAll(values)})
+			overrides = append(overrides, Override{Flag: flag, Key: key, Value: formatTOMLList(values)})
 		}
 	}
-	single("--name", "name", f.name)
-	single("--zone", "zone", f.zone)
-	single("--region", "region", f.region)
-	single("--advertise", "advertise", f.advertise)
-	single("--listen-http", "listen.http", f.listenHTTP)
-	single("--listen-peer", "listen.peer", f.listenPeer)
-	several("--seed", "peers.seeds", f.seeds)
-	several("--store", "store.endpoints", f.stores)
-	single("--machines", "machines.address", f.machines)
-	single("--log-format", "log.format", f.logFormat)
-	single("--log-level", "log.level", f.logLevel)
-	for _, assignment := range f.set {
+	addString("--name", "name", f.name)
+	addString("--zone", "zone", f.zone)
+	addString("--region", "region", f.region)
+	addString("--advertise", "advertise", f.advertise)
+	addString("--listen-http", "listen.http", f.listenHTTP)
+	addString("--listen-peer", "listen.peer", f.listenPeer)
+	addList("--seed", "peers.seeds", f.seeds)
+	addList("--store", "store.endpoints", f.storeEndpoints)
+	addString("--machines", "machines.address", f.machines)
+	addString("--log-format", "log.format", f.logFormat)
+	addString("--log-level", "log.level", f.logLevel)
+	for _, assignment := range f.assignments {
 		key, value, _ := strings.Cut(assignment, "=")
 		overrides = append(overrides, Override{Flag: "--set", Key: strings.TrimSpace(key), Value: strings.TrimSpace(value)})
 	}
 	return overrides
 }
 
-func quoteAll(values []string) string {
+func formatTOMLList(values []string) string {
 	quoted := make([]string, 0, len(values))
 	for _, value := range values {
-		quoted = append(quoted, quote(value))
+		quoted = append(quoted, quoteTOML(value))
 	}
 	return "[" + strings.Join(quoted, ", ") + "]"
 }
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -66,7 +66,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func (p Problems) orNil() error {
+func (p Problems) asError() error {
 	if len(p) == 0 {
 		return nil
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,10 +15,10 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-const minimal = "name = \"node-a1\"\nzone = \"a\"\n"
+const minimalFile = "name = \"node-a1\"\nzone = \"a\"\n"
 
 // Each testdata/*.toml is a file with mistakes; its .golden is the error.
-func TestProblemsAreGolden(t *testing.T) {
+func TestFileErrorsMatchGolden(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no test data: %v", err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFlagsOverrideTheFile(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	var flags settings.Flags
 	parser := flaggy.NewParser("micaplank")
 	flags.Register(&parser.Subcommand)
@@ -46,7 +46,7 @@
 	if err := parser.ParseArgs(arguments); err != nil {
 		t.Fatal(err)
 	}
-	loaded, err := settings.Parse("file", []byte(minimal+"[limits]\nconcurrency = 5\n"), flags.Overrides()...)
+	loaded, err := settings.Parse("file", []byte(minimalFile+"[limits]\nconcurrency = 5\n"), flags.Overrides()...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-func TestProblemsOfFlagsAreGolden(t *testing.T) {
-	_, err := settings.Parse("file", []byte(minimal),
+func TestFlagErrorsMatchGolden(t *testing.T) {
+	_, err := settings.Parse("file", []byte(minimalFile),
 		settings.Override{Flag: "--set", Key: "limits.concurrency", Value: "many"},
 		settings.Override{Flag: "--set", Key: "limits.concurency", Value: "1"},
 		settings.Override{Flag: "--set", Key: "limits", Value: "1"},
@@ -70,7 +70,7 @@
 	goldie.New(t).Assert(t, "flags", []byte(problems.Error()+"\n"))
 }
 
-func TestExampleIsCommittedAndLoads(t *testing.T) {
+func TestExampleFileIsCurrentAndLoads(t *testing.T) {
 	var printed bytes.Buffer
 	if err := settings.Print(&printed, settings.Example()); err != nil {
 		t.Fatal(err)
@@ -81,29 +81,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again bytes.Buffer
-	if err := settings.Print(&again, loaded); err != nil || again.String() != printed.String() {
-		t.Fatalf("the example changes when it is loaded and printed: %v\n%s", err, again.String())
+	var reprinted bytes.Buffer
+	if err := settings.Print(&reprinted, loaded); err != nil || reprinted.String() != printed.String() {
+		t.Fatalf("the example changes when it is loaded and printed: %v\n%s", err, reprinted.String())
 	}
 }
 
-func TestMissingFileIsAnError(t *testing.T) {
+func TestLoadReportsMissingFile(t *testing.T) {
 	if _, err := settings.Load("testdata/none"); !errors.Is(err, os.ErrNotExist) {
 		t.Fatalf("expected a missing file, got %v", err)
 	}
 }
 
-func TestMembershipDefaultsAreThoseOfThePackage(t *testing.T) {
-	ours, theirs := settings.Defaults().Membership, membership.DefaultConfig()
-	same := ours.ProbeInterval.Duration() == theirs.ProbeInterval &&
-		ours.ProbeTimeout.Duration() == theirs.ProbeTimeout &&
-		ours.IndirectProbes == theirs.IndirectProbes &&
-		ours.SuspicionMultiplier == theirs.SuspicionMultiplier &&
-		ours.SuspicionMaximumFactor == theirs.SuspicionMaximumFactor &&
-		ours.GossipInterval.Duration() == theirs.GossipInterval &&
-		ours.GossipFanout == theirs.GossipFanout
+func TestMembershipDefaultsMatchPackage(t *testing.T) {
+	defaults, packageDefaults := settings.Defaults().Membership, membership.DefaultConfig()
+	same := defaults.ProbeInterval.Duration() == packageDefaults.ProbeInterval &&
+		defaults.ProbeTimeout.Duration() == packageDefaults.ProbeTimeout &&
+		defaults.IndirectProbes == packageDefaults.IndirectProbes &&
+		defaults.SuspicionMultiplier == packageDefaults.SuspicionMultiplier &&
+		defaults.SuspicionMaximumFactor == packageDefaults.SuspicionMaximumFactor &&
+		defaults.GossipInterval.Duration() == packageDefaults.GossipInterval &&
+		defaults.GossipFanout == packageDefaults.GossipFanout
 	if !same {
-		t.Fatalf("the defaults differ: %+v and %+v", ours, theirs)
+		t.Fatalf("the defaults differ: %+v and %+v", defaults, packageDefaults)
 	}
 }
 
@@ -116,7 +116,7 @@
 		}
 		f.Add(content)
 	}
-	f.Add([]byte(minimal))
+	f.Add([]byte(minimalFile))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		loaded, err := settings.Parse("fuzz.toml", content)
 		var problems settings.Problems
@@ -142,7 +142,7 @@
 }
 
 // TestNamesCanBeVoters takes only names that the command language can name.
-func TestNamesCanBeVoters(t *testing.T) {
+func TestNodeNamesAreVoterNames(t *testing.T) {
 	for name, valid := range map[string]bool{
 		"a": true, "node-a1": true, strings.Repeat("n", 63): true,
 		"1a": false, "-a": false, "Node": false, "node.a": false, strings.Repeat("n", 64): false,
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -12,31 +12,31 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-var checker = newChecker()
+var structValidator = newValidator()
 
-func check(settings Settings, origins map[string]Origin) Problems {
+func validate(settings Settings, origins map[string]Origin) Problems {
 	var problems Problems
 	var failures validator.ValidationErrors
-	if errors.As(checker.Struct(settings), &failures) {
+	if errors.As(structValidator.Struct(settings), &failures) {
 		for _, failure := range failures {
-			problems = append(problems, problemOf(failure, origins))
+			problems = append(problems, newProblem(failure, origins))
 		}
 	}
 	if len(problems) > 0 {
 		return problems
 	}
-	return checkTogether(settings, origins)
+	return checkDependentFields(settings, origins)
 }
 
-func newChecker() *validator.Validate {
+func newValidator() *validator.Validate {
 	checker := validator.New(validator.WithRequiredStructEnabled())
-	checker.RegisterTagNameFunc(func(member reflect.StructField) string { return member.Tag.Get(tagTOML) })
-	checker.RegisterCustomTypeFunc(addressText, netip.Addr{}, netip.AddrPort{})
+	checker.RegisterTagNameFunc(func(structField reflect.StructField) string { return structField.Tag.Get(tagTOML) })
+	checker.RegisterCustomTypeFunc(convertAddress, netip.Addr{}, netip.AddrPort{})
 	rules := map[string]validator.Func{
-		"slot":            func(level validator.FieldLevel) bool { return catalog.ValidName(level.Field().String()) },
-		"concrete":        func(level validator.FieldLevel) bool { return isConcrete(level.Field().String()) },
-		"remote":          func(level validator.FieldLevel) bool { return isRemote(level.Field().String()) },
-		"remote_or_empty": func(level validator.FieldLevel) bool { return isRemoteOrEmpty(level.Field().String()) },
+		"slot":            func(fieldLevel validator.FieldLevel) bool { return catalog.ValidName(fieldLevel.Field().String()) },
+		"concrete":        func(fieldLevel validator.FieldLevel) bool { return isSpecifiedOrEmpty(fieldLevel.Field().String()) },
+		"remote":          func(fieldLevel validator.FieldLevel) bool { return isDialable(fieldLevel.Field().String()) },
+		"remote_or_empty": func(fieldLevel validator.FieldLevel) bool { return isDialableOrEmpty(fieldLevel.Field().String()) },
 	}
 	for name, rule := range rules {
 		if err := checker.RegisterValidation(name, rule, true); err != nil {
@@ -47,7 +47,7 @@
 }
 
 // addressText lets the rules see addresses as text; an unset one is empty.
-func addressText(value reflect.Value) any {
+func convertAddress(value reflect.Value) any {
 	switch address := value.Interface().(type) {
 	case netip.Addr:
 		if address.IsValid() {
@@ -61,46 +61,46 @@
 	return ""
 }
 
-func isConcrete(text string) bool {
+func isSpecifiedOrEmpty(text string) bool {
 	address, err := netip.ParseAddr(text)
 	return text == "" || (err == nil && !address.IsUnspecified())
 }
 
-func isRemote(text string) bool {
+func isDialable(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Port() != 0 && !address.Addr().IsUnspecified()
 }
 
-func isRemoteOrEmpty(text string) bool { return text == "" || isRemote(text) }
+func isDialableOrEmpty(text string) bool { return text == "" || isDialable(text) }
 
-func problemOf(failure validator.FieldError, origins map[string]Origin) Problem {
+func newProblem(failure validator.FieldError, origins map[string]Origin) Problem {
 	_, key, _ := strings.Cut(failure.Namespace(), ".")
 	key, _, _ = strings.Cut(key, "[")
-	known, _ := findField(key)
-	problem := Problem{Origin: origins[key], Key: key, Expected: known.expect, Found: describe(failure.Value())}
+	settingsField, _ := findField(key)
+	problem := Problem{Origin: origins[key], Key: key, Expected: settingsField.expected, Found: formatValue(failure.Value())}
 	if problem.Origin == (Origin{}) && failure.Tag() == "required" {
 		problem.Found = "nothing"
 	}
 	return problem
 }
 
-func describe(value any) string {
+func formatValue(value any) string {
 	switch value := value.(type) {
 	case string:
-		return quote(value)
+		return quoteTOML(value)
 	case fmt.Stringer:
-		return quote(value.String())
+		return quoteTOML(value.String())
 	default:
 		return fmt.Sprint(value)
 	}
 }
 
 // checkTogether looks at values that depend on each other.
-func checkTogether(settings Settings, origins map[string]Origin) Problems {
+func checkDependentFields(settings Settings, origins map[string]Origin) Problems {
 	var problems Problems
-	require := func(holds bool, key, expected string, found any) {
+	require := func(holds bool, key, expected string, value any) {
 		if !holds {
-			problems = append(problems, Problem{Origin: origins[key], Key: key, Expected: expected, Found: describe(found)})
+			problems = append(problems, Problem{Origin: origins[key], Key: key, Expected: expected, Found: formatValue(value)})
 		}
 	}
 	require(!settings.AdvertisedAddress().IsUnspecified(), "advertise",
