--- a/internal/rows/extract_table.go
+++ b/internal/rows/extract_table.go
@@ -8,22 +8,22 @@
 func ExtractTable(object []byte, field string) (table Table, rest []byte, err error) {
 	s := &tableScanner{text: string(object)}
 	start, end := -1, -1
-	s.list('{', '}', func() {
-		key := s.string()
-		if !s.take(':') {
+	s.readList('{', '}', func() {
+		key := s.readString()
+		if !s.consume(':') {
 			s.fail("a colon")
 			return
 		}
 		if key != field {
-			s.skip()
+			s.skipValue()
 			return
 		}
-		s.space()
-		start = s.at
-		s.table(&table)
-		end = s.at
+		s.skipSpace()
+		start = s.offset
+		s.readTable(&table)
+		end = s.offset
 	})
-	s.end()
+	s.expectEnd()
 	switch {
 	case s.err != nil:
 		return Table{}, nil, s.err
@@ -36,22 +36,22 @@
 }
 
 // skip passes over one value without a check of what is in it.
-func (s *tableScanner) skip() {
+func (s *tableScanner) skipValue() {
 	for depth := 0; s.err == nil; {
 		switch s.peek() {
 		case 0:
 			s.fail("a value")
 		case '"':
-			s.string()
+			s.readString()
 		case '{', '[':
 			depth++
-			s.at++
+			s.offset++
 			continue
 		case '}', ']':
 			depth--
-			s.at++
+			s.offset++
 		default:
-			s.scalar(depth)
+			s.skipScalar(depth)
 		}
 		if depth <= 0 {
 			return
@@ -61,22 +61,22 @@
 
 // scalar passes over a number or a word; within brackets, also over a comma or
 // a colon.
-func (s *tableScanner) scalar(depth int) {
-	start := s.at
-	for s.at < len(s.text) && !endsScalar(s.text[s.at]) {
-		s.at++
+func (s *tableScanner) skipScalar(depth int) {
+	start := s.offset
+	for s.offset < len(s.text) && !isScalarEnd(s.text[s.offset]) {
+		s.offset++
 	}
-	if s.at > start {
+	if s.offset > start {
 		return
 	}
 	if depth == 0 {
 		s.fail("a value")
 		return
 	}
-	s.at++
+	s.offset++
 }
 
-func endsScalar(c byte) bool {
+func isScalarEnd(c byte) bool {
 	switch c {
 	case ',', ':', '}', ']', '{', '[', '"', ' ', '\t', '\n', '\r':
 		return true
--- a/internal/rows/hash.go
+++ b/internal/rows/hash.go
@@ -18,14 +18,14 @@
 		if number == 0 {
 			number = 0 // -0 and 0 are equal
 		}
-		var form [9]byte
-		form[0] = byte(Number)
-		binary.BigEndian.PutUint64(form[1:], math.Float64bits(number))
-		return xxhash.Sum64(form[:])
+		var encoded [9]byte
+		encoded[0] = byte(Number)
+		binary.BigEndian.PutUint64(encoded[1:], math.Float64bits(number))
+		return xxhash.Sum64(encoded[:])
 	case Text:
-		form := make([]byte, 0, 1+len(value.Text))
-		form = append(form, byte(Text))
-		return xxhash.Sum64(append(form, value.Text...))
+		encoded := make([]byte, 0, 1+len(value.Text))
+		encoded = append(encoded, byte(Text))
+		return xxhash.Sum64(append(encoded, value.Text...))
 	default:
 		return xxhash.Sum64([]byte{byte(Null)})
 	}
--- a/internal/rows/rows_test.go
+++ b/internal/rows/rows_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func valueGenerator() *rapid.Generator[Value] {
+func newValueGenerator() *rapid.Generator[Value] {
 	return rapid.OneOf(
 		rapid.Just(Value{}),
 		rapid.Map(rapid.Float64Range(-math.MaxFloat64, math.MaxFloat64), NumberOf),
@@ -20,20 +20,20 @@
 	)
 }
 
-func tableGenerator() *rapid.Generator[Table] {
+func newTableGenerator() *rapid.Generator[Table] {
 	return rapid.Custom(func(t *rapid.T) Table {
 		table := Table{Columns: rapid.SliceOfN(rapid.String(), 1, 4).Draw(t, "columns"), Rows: []Row{}}
 		width := len(table.Columns)
 		for range rapid.IntRange(0, 5).Draw(t, "rows") {
-			table.Rows = append(table.Rows, rapid.SliceOfN(valueGenerator(), width, width).Draw(t, "row"))
+			table.Rows = append(table.Rows, rapid.SliceOfN(newValueGenerator(), width, width).Draw(t, "row"))
 		}
 		return table
 	})
 }
 
-func TestTableSurvivesJSON(t *testing.T) {
+func TestTableJSONRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := tableGenerator().Draw(t, "table")
+		table := newTableGenerator().Draw(t, "table")
 		encoded, err := json.Marshal(table)
 		if err != nil {
 			t.Fatal(err)
@@ -49,11 +49,11 @@
 }
 
 // plainTable has the fields of a Table and none of its methods.
-type plainTable Table
+type tableWithoutMethods Table
 
-func TestTableReadsAsEncodingJSONDoes(t *testing.T) {
+func TestTableDecodesLikeEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain := plainTable(tableGenerator().Draw(t, "table"))
+		plain := tableWithoutMethods(newTableGenerator().Draw(t, "table"))
 		encoded, err := json.MarshalIndent(plain, " ", "\t")
 		if err != nil {
 			t.Fatal(err)
@@ -76,25 +76,25 @@
 	After  []any          `json:"after"`
 }
 
-func TestExtractTableLeavesTheRest(t *testing.T) {
+func TestExtractTableKeepsOtherFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := envelope{
+		object := envelope{
 			Before: rapid.String().Draw(t, "before"),
 			Load:   map[string]any{"a": []any{1.5, "]", map[string]any{"table": nil}}, "b": rapid.String().Draw(t, "load")},
-			Table:  tableGenerator().Draw(t, "table"),
+			Table:  newTableGenerator().Draw(t, "table"),
 			After:  []any{true, map[string]any{"x": []any{}}},
 		}
-		encoded, err := json.MarshalIndent(whole, "", rapid.SampledFrom([]string{"", " "}).Draw(t, "indent"))
+		encoded, err := json.MarshalIndent(object, "", rapid.SampledFrom([]string{"", " "}).Draw(t, "indent"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		table, rest, err := ExtractTable(encoded, "table")
-		if err != nil || !table.Equal(whole.Table) {
+		if err != nil || !table.Equal(object.Table) {
 			t.Fatalf("%s: %v, %v", encoded, table, err)
 		}
-		whole.Table = Table{}
+		object.Table = Table{}
 		var decoded, expected envelope
-		withoutTable, _ := json.Marshal(whole)
+		withoutTable, _ := json.Marshal(object)
 		if json.Unmarshal(rest, &decoded) != nil || json.Unmarshal(withoutTable, &expected) != nil {
 			t.Fatalf("%s", rest)
 		}
@@ -117,7 +117,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if extracted, _, err := ExtractTable(data, "table"); err == nil && json.Valid(data) {
-			var whole struct{ Table plainTable }
+			var whole struct{ Table tableWithoutMethods }
 			if err := json.Unmarshal(data, &whole); err == nil && bytes.Count(data, []byte("table")) == 1 && !extracted.Equal(Table(whole.Table)) {
 				t.Fatalf("extracted %v, expected %v", extracted, whole.Table)
 			}
@@ -126,18 +126,18 @@
 		if table.UnmarshalJSON(data) != nil || !json.Valid(data) {
 			return
 		}
-		var plain plainTable
+		var plain tableWithoutMethods
 		if err := json.Unmarshal(data, &plain); err != nil || !table.Equal(Table(plain)) {
 			t.Fatalf("read %v, expected %v, %v", table, plain, err)
 		}
 	})
 }
 
-func TestCompareIsTotalOrderAndKeysAgree(t *testing.T) {
+func TestCompareIsTotalOrderConsistentWithKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := valueGenerator().Draw(t, "a")
-		b := valueGenerator().Draw(t, "b")
-		c := valueGenerator().Draw(t, "c")
+		a := newValueGenerator().Draw(t, "a")
+		b := newValueGenerator().Draw(t, "b")
+		c := newValueGenerator().Draw(t, "c")
 		if Compare(a, b) != -Compare(b, a) {
 			t.Fatal("not antisymmetric")
 		}
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestBadValuesAreRefused(t *testing.T) {
+func TestInvalidValuesAreRefused(t *testing.T) {
 	for _, text := range []string{`true`, `{}`, `[]`} {
 		var value Value
 		var valueError *ValueError
@@ -173,7 +173,7 @@
 }
 
 // benchmarkTable is the size of a shard's reply to a top-20 query.
-func benchmarkTable() Table {
+func newBenchmarkTable() Table {
 	table := Table{Columns: []string{"lane", "carrier", "weight", "price"}}
 	for i := range 20 {
 		table.Rows = append(table.Rows, Row{
@@ -184,7 +184,7 @@
 }
 
 func BenchmarkDecodeTable(b *testing.B) {
-	encoded, err := json.Marshal(benchmarkTable())
+	encoded, err := json.Marshal(newBenchmarkTable())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 }
 
 func BenchmarkEncodeTable(b *testing.B) {
-	table := benchmarkTable()
+	table := newBenchmarkTable()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := json.Marshal(table); err != nil {
--- a/internal/rows/table.go
+++ b/internal/rows/table.go
@@ -4,8 +4,8 @@
 
 // The sizes that Size assumes, in bytes of memory.
 const (
-	valueSize = 32 // kind, number and text header
-	rowSize   = 24 // slice header
+	valueBytes = 32 // kind, number and text header
+	rowBytes   = 24 // slice header
 )
 
 // Column returns the index of the named column, or -1.
@@ -17,10 +17,10 @@
 func (t Table) Size() int {
 	size := 0
 	for _, column := range t.Columns {
-		size += valueSize + len(column)
+		size += valueBytes + len(column)
 	}
 	for _, row := range t.Rows {
-		size += rowSize + len(row)*valueSize
+		size += rowBytes + len(row)*valueBytes
 		for _, value := range row {
 			size += len(value.Text)
 		}
--- a/internal/rows/table_decoder.go
+++ b/internal/rows/table_decoder.go
@@ -23,8 +23,8 @@
 func (t *Table) UnmarshalJSON(data []byte) error {
 	s := &tableScanner{text: string(data)}
 	var table Table
-	s.table(&table)
-	s.end()
+	s.readTable(&table)
+	s.expectEnd()
 	if s.err != nil {
 		return s.err
 	}
@@ -35,25 +35,25 @@
 // tableScanner reads a table from left to right. After a failure it does
 // nothing more.
 type tableScanner struct {
-	text string
-	at   int
-	err  error
+	text   string
+	offset int
+	err    error
 	// slab is room for the values of the next rows.
-	slab []Value
+	valueBuffer []Value
 }
 
 func (s *tableScanner) fail(expected string) {
 	if s.err == nil {
-		s.err = &TableError{Offset: s.at, Expected: expected}
-		s.at = len(s.text)
+		s.err = &TableError{Offset: s.offset, Expected: expected}
+		s.offset = len(s.text)
 	}
 }
 
-func (s *tableScanner) space() {
-	for s.at < len(s.text) {
-		switch s.text[s.at] {
+func (s *tableScanner) skipSpace() {
+	for s.offset < len(s.text) {
+		switch s.text[s.offset] {
 		case ' ', '\t', '\n', '\r':
-			s.at++
+			s.offset++
 		default:
 			return
 		}
@@ -62,120 +62,120 @@
 
 // peek returns the next byte that is not white space, or 0 at the end.
 func (s *tableScanner) peek() byte {
-	s.space()
-	if s.at == len(s.text) {
+	s.skipSpace()
+	if s.offset == len(s.text) {
 		return 0
 	}
-	return s.text[s.at]
+	return s.text[s.offset]
 }
 
-func (s *tableScanner) take(c byte) bool {
+func (s *tableScanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
 	}
-	s.at++
+	s.offset++
 	return true
 }
 
-func (s *tableScanner) takeWord(word string) bool {
-	s.space()
-	if !strings.HasPrefix(s.text[s.at:], word) {
+func (s *tableScanner) consumeWord(word string) bool {
+	s.skipSpace()
+	if !strings.HasPrefix(s.text[s.offset:], word) {
 		return false
 	}
-	s.at += len(word)
+	s.offset += len(word)
 	return true
 }
 
 // list reads elements between two brackets, with commas between them.
-func (s *tableScanner) list(open, end byte, element func()) {
-	if !s.take(open) {
+func (s *tableScanner) readList(open, end byte, element func()) {
+	if !s.consume(open) {
 		s.fail(string(open))
 		return
 	}
-	if s.take(end) {
+	if s.consume(end) {
 		return
 	}
 	for s.err == nil {
 		element()
-		if s.take(end) {
+		if s.consume(end) {
 			return
 		}
-		if !s.take(',') {
+		if !s.consume(',') {
 			s.fail("a comma or " + string(end))
 		}
 	}
 }
 
 // end fails unless all is read.
-func (s *tableScanner) end() {
-	if s.peek() != 0 || s.at < len(s.text) {
+func (s *tableScanner) expectEnd() {
+	if s.peek() != 0 || s.offset < len(s.text) {
 		s.fail("the end")
 	}
 }
 
 // table reads an object of columns and rows, or null.
-func (s *tableScanner) table(table *Table) {
-	if s.takeWord("null") {
+func (s *tableScanner) readTable(table *Table) {
+	if s.consumeWord("null") {
 		return
 	}
-	s.list('{', '}', func() {
-		key := s.string()
-		if !s.take(':') {
+	s.readList('{', '}', func() {
+		key := s.readString()
+		if !s.consume(':') {
 			s.fail("a colon")
 		}
 		switch key {
 		case "columns":
-			table.Columns = s.columns()
+			table.Columns = s.readColumns()
 		case "rows":
-			table.Rows = s.rows(len(table.Columns))
+			table.Rows = s.readRows(len(table.Columns))
 		default:
 			s.fail("the key columns or rows")
 		}
 	})
 }
 
-func (s *tableScanner) columns() []string {
-	if s.takeWord("null") {
+func (s *tableScanner) readColumns() []string {
+	if s.consumeWord("null") {
 		return nil
 	}
 	columns := []string{}
-	s.list('[', ']', func() { columns = append(columns, s.string()) })
+	s.readList('[', ']', func() { columns = append(columns, s.readString()) })
 	return columns
 }
 
-func (s *tableScanner) rows(width int) []Row {
-	if s.takeWord("null") {
+func (s *tableScanner) readRows(width int) []Row {
+	if s.consumeWord("null") {
 		return nil
 	}
-	const likelyRows = 16 // that there is room for at first; not measured
-	read := make([]Row, 0, likelyRows)
-	s.list('[', ']', func() { read = append(read, s.row(width)) })
-	return read
+	const initialRows = 16 // that there is room for at first; not measured
+	decoded := make([]Row, 0, initialRows)
+	s.readList('[', ']', func() { decoded = append(decoded, s.readRow(width)) })
+	return decoded
 }
 
 // slabRows is the number of rows whose values share one allocation. Not measured by itself;
 // a table of 20 rows of 4 values took 18.6 us and 12 allocations to read, where a call for
 // each value took 33.3 us and 120.
-const slabRows = 32
+const rowsPerBuffer = 32
 
-func (s *tableScanner) row(width int) Row {
-	if len(s.slab) < width {
-		s.slab = make([]Value, slabRows*width)
+func (s *tableScanner) readRow(width int) Row {
+	if len(s.valueBuffer) < width {
+		s.valueBuffer = make([]Value, rowsPerBuffer*width)
 	}
 	// A row longer than the columns outgrows its part of the slab by append.
-	row := Row(s.slab[:0:width])
-	s.slab = s.slab[width:]
-	s.list('[', ']', func() { row = append(row, s.value()) })
+	row := Row(s.valueBuffer[:0:width])
+	s.valueBuffer = s.valueBuffer[width:]
+	s.readList('[', ']', func() { row = append(row, s.readValue()) })
 	return row
 }
 
-func (s *tableScanner) value() Value {
+func (s *tableScanner) readValue() Value {
 	switch c := s.peek(); {
 	case c == '"':
-		return TextOf(s.string())
+		return TextOf(s.readString())
 	case c == '-' || (c >= '0' && c <= '9'):
-		return NumberOf(s.number())
-	case s.takeWord("null"):
+		return NumberOf(s.readNumber())
+	case s.consumeWord("null"):
 		return Value{}
 	default:
 		s.fail("a number, a string or null")
@@ -183,14 +183,14 @@
 	}
 }
 
-func (s *tableScanner) number() float64 {
-	start := s.at
-	for s.at < len(s.text) && isNumberByte(s.text[s.at]) {
-		s.at++
+func (s *tableScanner) readNumber() float64 {
+	start := s.offset
+	for s.offset < len(s.text) && isNumberByte(s.text[s.offset]) {
+		s.offset++
 	}
-	number, err := strconv.ParseFloat(s.text[start:s.at], 64)
+	number, err := strconv.ParseFloat(s.text[start:s.offset], 64)
 	if err != nil {
-		s.at = start
+		s.offset = start
 		s.fail("a number in range")
 	}
 	return number
@@ -202,19 +202,19 @@
 
 // string reads a JSON string. One without escapes and with plain bytes only is
 // a part of the text.
-func (s *tableScanner) string() string {
+func (s *tableScanner) readString() string {
 	if s.peek() != '"' {
 		s.fail("a string")
 		return ""
 	}
-	start := s.at
-	for s.at++; s.at < len(s.text); s.at++ {
-		switch c := s.text[s.at]; {
+	start := s.offset
+	for s.offset++; s.offset < len(s.text); s.offset++ {
+		switch c := s.text[s.offset]; {
 		case c == '"':
-			s.at++
-			return s.text[start+1 : s.at-1]
+			s.offset++
+			return s.text[start+1 : s.offset-1]
 		case c == '\\' || c < ' ' || c > '~':
-			return s.quoted(start)
+			return s.readEscapedString(start)
 		}
 	}
 	s.fail("a closing quote")
@@ -222,22 +222,22 @@
 }
 
 // quoted reads the string that begins at start by the library.
-func (s *tableScanner) quoted(start int) string {
-	for ; s.at < len(s.text); s.at++ {
-		if s.text[s.at] == '\\' {
-			s.at++
+func (s *tableScanner) readEscapedString(start int) string {
+	for ; s.offset < len(s.text); s.offset++ {
+		if s.text[s.offset] == '\\' {
+			s.offset++
 			continue
 		}
-		if s.text[s.at] == '"' {
-			s.at++
+		if s.text[s.offset] == '"' {
+			s.offset++
 			var text string
-			if err := json.Unmarshal([]byte(s.text[start:s.at]), &text); err != nil {
+			if err := json.Unmarshal([]byte(s.text[start:s.offset]), &text); err != nil {
 				s.fail("a string")
 			}
 			return text
 		}
 	}
-	s.at = min(s.at, len(s.text))
+	s.offset = min(s.offset, len(s.text))
 	s.fail("a closing quote")
 	return ""
 }
--- a/internal/rows/table_encoder.go
+++ b/internal/rows/table_encoder.go
@@ -4,14 +4,14 @@
 // measured by themselves; one call for a table of 20 rows of 4 values took 12.2 us and 3
 // allocations, where one for each value took 25.0 us and 102.
 const (
-	likelyValue = 12
-	likelyTable = 32
+	estimatedValueBytes = 12
+	estimatedTableBytes = 32
 )
 
 // MarshalJSON implements json.Marshaler: one call writes the whole table. A
 // table without rows has an empty array.
 func (t Table) MarshalJSON() ([]byte, error) {
-	encoded := make([]byte, 0, likelyTable+likelyValue*len(t.Columns)*(len(t.Rows)+1))
+	encoded := make([]byte, 0, estimatedTableBytes+estimatedValueBytes*len(t.Columns)*(len(t.Rows)+1))
 	encoded = append(encoded, `{"columns":[`...)
 	var err error
 	for i, column := range t.Columns {
--- a/internal/rows/value_codec.go
+++ b/internal/rows/value_codec.go
@@ -31,7 +31,7 @@
 
 // shownJSON is the longest piece of JSON that an error repeats, in bytes. Not measured:
 // chosen to keep a line of the log readable.
-const shownJSON = 40
+const maximumQuotedJSON = 40
 
 // MarshalJSON implements json.Marshaler. Texts must be valid UTF-8; other
 // bytes are replaced, as encoding/json does. Numbers must be finite.
@@ -57,7 +57,7 @@
 		*v = NumberOf(number)
 		return err
 	default:
-		return &ValueError{JSON: string(data[:min(len(data), shownJSON)])}
+		return &ValueError{JSON: string(data[:min(len(data), maximumQuotedJSON)])}
 	}
 }
 
@@ -75,8 +75,8 @@
 // The bounds between which a number is written without an exponent, as
 // encoding/json does.
 const (
-	smallestPlain = 1e-6
-	largestPlain  = 1e21
+	minimumPlainNumber = 1e-6
+	plainNumberLimit   = 1e21
 )
 
 func appendNumber(destination []byte, number float64) ([]byte, error) {
@@ -84,14 +84,14 @@
 		return destination, &NumberError{Number: number}
 	}
 	format := byte('f')
-	if size := math.Abs(number); size != 0 && (size < smallestPlain || size >= largestPlain) {
+	if magnitude := math.Abs(number); magnitude != 0 && (magnitude < minimumPlainNumber || magnitude >= plainNumberLimit) {
 		format = 'e'
 	}
 	return strconv.AppendFloat(destination, number, format, -1, 64), nil
 }
 
 func appendText(destination []byte, text string) ([]byte, error) {
-	if isPlain(text) {
+	if needsNoEscape(text) {
 		destination = append(destination, '"')
 		destination = append(destination, text...)
 		return append(destination, '"'), nil
@@ -101,7 +101,7 @@
 }
 
 // isPlain reports whether the text stands for itself between JSON quotes.
-func isPlain[T string | []byte](text T) bool {
+func needsNoEscape[T string | []byte](text T) bool {
 	for i := 0; i < len(text); i++ {
 		c := text[i]
 		if c < ' ' || c > '~' || c == '"' || c == '\\' || c == '<' || c == '>' || c == '&' {
@@ -112,7 +112,7 @@
 }
 
 func decodeText(data []byte) (string, error) {
-	if inner := data[1:max(len(data)-1, 1)]; isPlain(inner) {
+	if inner := data[1:max(len(data)-1, 1)]; needsNoEscape(inner) {
 		return string(inner), nil
 	}
 	var text string
