--- a/internal/selfhosted/language/canonical.go
+++ b/internal/selfhosted/language/canonical.go
@@ -32,7 +32,7 @@
 	if len(s.Items) == 0 {
 		text.WriteString("*")
 	}
-	text.WriteString(join(s.Items, Item.String))
+	text.WriteString(joinFormatted(s.Items, Item.String))
 	text.WriteString(" from " + s.Service)
 	if s.Where != nil {
 		text.WriteString(" where " + s.Where.String())
@@ -41,7 +41,7 @@
 		text.WriteString(" group by " + strings.Join(s.GroupBy, ", "))
 	}
 	if len(s.OrderBy) > 0 {
-		text.WriteString(" order by " + join(s.OrderBy, Order.String))
+		text.WriteString(" order by " + joinFormatted(s.OrderBy, Order.String))
 	}
 	if s.Limit > 0 {
 		text.WriteString(" limit " + strconv.Itoa(s.Limit))
@@ -68,7 +68,7 @@
 
 // String implements Statement.
 func (i *Insert) String() string {
-	return fmt.Sprintf("insert into %s (%s) values (%s)", i.Service, strings.Join(i.Columns, ", "), join(i.Values, FormatValue))
+	return fmt.Sprintf("insert into %s (%s) values (%s)", i.Service, strings.Join(i.Columns, ", "), joinFormatted(i.Values, FormatValue))
 }
 
 // String implements Where.
@@ -94,12 +94,12 @@
 
 // String implements Where.
 func (i *In) String() string {
-	return fmt.Sprintf("%s in (%s)", i.Column, join(i.Values, FormatValue))
+	return fmt.Sprintf("%s in (%s)", i.Column, joinFormatted(i.Values, FormatValue))
 }
 
 // String implements Where.
 func (l *Like) String() string {
-	return fmt.Sprintf("%s like %s", l.Column, quote(l.Pattern))
+	return fmt.Sprintf("%s like %s", l.Column, quoteText(l.Pattern))
 }
 
 // String implements Where.
@@ -117,7 +117,7 @@
 	case rows.Number:
 		return formatNumber(value.Number)
 	case rows.Text:
-		return quote(value.Text)
+		return quoteText(value.Text)
 	default:
 		return "null"
 	}
@@ -125,23 +125,23 @@
 
 // Bounds outside of which a number is written with an exponent.
 const (
-	leastPlainNumber = 1e-6
-	mostPlainNumber  = 1e15
+	minimumPlainNumber = 1e-6
+	plainNumberLimit   = 1e15
 )
 
 func formatNumber(number float64) string {
-	size := math.Abs(number)
-	if size == 0 || (size >= leastPlainNumber && size < mostPlainNumber) {
+	magnitude := math.Abs(number)
+	if magnitude == 0 || (magnitude >= minimumPlainNumber && magnitude < plainNumberLimit) {
 		return strconv.FormatFloat(number, 'f', -1, 64)
 	}
 	return strconv.FormatFloat(number, 'e', -1, 64)
 }
 
-func quote(text string) string {
+func quoteText(text string) string {
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
-func join[T any](items []T, format func(T) string) string {
+func joinFormatted[T any](items []T, format func(T) string) string {
 	texts := make([]string, len(items))
 	for i, item := range items {
 		texts[i] = format(item)
--- a/internal/selfhosted/language/convert.go
+++ b/internal/selfhosted/language/convert.go
@@ -20,57 +20,57 @@
 
 func convert(node *statementNode, start lexer.Position) (Statement, *SyntaxError) {
 	c := &converter{}
-	statement := c.statement(node, start)
+	statement := c.convertStatement(node, start)
 	if c.err != nil {
 		return nil, c.err
 	}
 	return statement, nil
 }
 
-func (c *converter) statement(node *statementNode, start lexer.Position) Statement {
+func (c *converter) convertStatement(node *statementNode, start lexer.Position) Statement {
 	switch {
 	case node.Change != nil:
-		return &ChangeStatement{Command: c.command(node.Change), IfRevision: c.revision(node.IfRevision)}
+		return &ChangeStatement{Command: c.convertCommand(node.Change), IfRevision: c.convertRevision(node.IfRevision)}
 	case node.Show != nil:
-		return c.show(node.Show)
+		return c.convertShow(node.Show)
 	case node.Select != nil:
-		return c.selection(node.Select, start)
+		return c.convertSelect(node.Select, start)
 	default:
-		return c.insert(node.Insert, start)
+		return c.convertInsert(node.Insert, start)
 	}
 }
 
 func (c *converter) fail(position lexer.Position, token, format string, arguments ...any) {
 	if c.err == nil {
-		c.err = invalidAt(position, token, format, arguments...)
+		c.err = newInvalidStatementError(position, token, format, arguments...)
 	}
 }
 
 // expect fails with the words for what should stand in the token's place.
-func (c *converter) expect(position lexer.Position, token, expected string) {
+func (c *converter) failExpecting(position lexer.Position, token, expected string) {
 	if c.err == nil {
-		c.err = unexpected(lexer.Token{Pos: position, Value: token, Type: identType}, expected)
+		c.err = newUnexpectedTokenError(lexer.Token{Pos: position, Value: token, Type: identType}, expected)
 	}
 }
 
-func (c *converter) name(node nameNode) string {
+func (c *converter) convertName(node nameNode) string {
 	if !catalog.ValidName(node.Text) {
-		c.expect(node.Pos, node.Text, "a name: a lower-case letter followed by at most 62 letters, digits and hyphens")
+		c.failExpecting(node.Pos, node.Text, "a name: a lower-case letter followed by at most 62 letters, digits and hyphens")
 	}
 	return node.Text
 }
 
-func (c *converter) column(node columnNode) string {
+func (c *converter) convertColumn(node columnNode) string {
 	if !catalog.ValidColumn(node.Text) || Reserved(node.Text) {
-		c.expect(node.Pos, node.Text, "a column: a letter followed by at most 62 letters, digits and underscores, and no keyword")
+		c.failExpecting(node.Pos, node.Text, "a column: a letter followed by at most 62 letters, digits and underscores, and no keyword")
 	}
 	return node.Text
 }
 
-func (c *converter) columns(nodes []columnNode) []string {
+func (c *converter) convertColumns(nodes []columnNode) []string {
 	var names []string
 	for _, node := range nodes {
-		name := c.column(node)
+		name := c.convertColumn(node)
 		for _, earlier := range names {
 			if earlier == name {
 				c.fail(node.Pos, node.Text, "column %q is listed twice", name)
@@ -82,75 +82,75 @@
 }
 
 // maximumWhole bounds whole numbers so that they fit into an int anywhere.
-const maximumWhole = math.MaxInt32
+const maximumInteger = math.MaxInt32
 
-func (c *converter) whole(node wholeNode) int {
+func (c *converter) convertInteger(node wholeNode) int {
 	value, err := strconv.Atoi(node.Text)
-	if err != nil || value < 0 || value > maximumWhole {
-		c.expect(node.Pos, node.Text, "a whole number from 0 to "+strconv.Itoa(maximumWhole))
+	if err != nil || value < 0 || value > maximumInteger {
+		c.failExpecting(node.Pos, node.Text, "a whole number from 0 to "+strconv.Itoa(maximumInteger))
 	}
 	return value
 }
 
-func (c *converter) revision(node *wholeNode) *uint64 {
+func (c *converter) convertRevision(node *wholeNode) *uint64 {
 	if node == nil {
 		return nil
 	}
 	value, err := strconv.ParseUint(node.Text, 10, 64)
 	if err != nil {
-		c.expect(node.Pos, node.Text, "a revision: a whole number")
+		c.failExpecting(node.Pos, node.Text, "a revision: a whole number")
 	}
 	return &value
 }
 
 // share reads plain digits times ten to the power of exponent, which must be
 // from 0 to 1.
-func (c *converter) share(position lexer.Position, text string, exponent int, expected string) float64 {
-	value, ok := shiftedShare(text, exponent)
+func (c *converter) convertShare(position lexer.Position, text string, exponent int, expected string) float64 {
+	value, ok := parseScaledShare(text, exponent)
 	if !ok {
-		c.expect(position, text, expected)
+		c.failExpecting(position, text, expected)
 	}
 	return value
 }
 
 // shiftedShare moves the point in the text, so that no rounding comes in.
-func shiftedShare(text string, exponent int) (float64, bool) {
+func parseScaledShare(text string, exponent int) (float64, bool) {
 	value, err := strconv.ParseFloat(text+"e"+strconv.Itoa(exponent), 64)
 	return value, err == nil && value >= 0 && value <= 1 && !strings.HasPrefix(text, "-")
 }
 
-func (c *converter) percentile(node percentileNode) float64 {
+func (c *converter) convertPercentile(node percentileNode) float64 {
 	const expected = "a percentile from p0 to p100 such as p95"
 	if text := node.Text; text[0] != 'p' && text[0] != 'P' {
-		c.expect(node.Pos, node.Text, expected)
+		c.failExpecting(node.Pos, node.Text, expected)
 	}
-	share, ok := shiftedShare(node.Text[1:], -2)
+	share, ok := parseScaledShare(node.Text[1:], -2)
 	if !ok {
-		c.expect(node.Pos, node.Text, expected)
+		c.failExpecting(node.Pos, node.Text, expected)
 	}
 	return share
 }
 
-func (c *converter) duration(node durationNode) time.Duration {
+func (c *converter) convertDuration(node durationNode) time.Duration {
 	duration, err := time.ParseDuration(node.Text)
 	if err != nil {
-		c.expect(node.Pos, node.Text, "a duration such as 150ms")
+		c.failExpecting(node.Pos, node.Text, "a duration such as 150ms")
 	}
 	return duration
 }
 
-func (c *converter) address(node addressNode) netip.AddrPort {
+func (c *converter) convertAddress(node addressNode) netip.AddrPort {
 	address, err := netip.ParseAddrPort(node.Text)
 	if err != nil || address.Port() == 0 || address.Addr().Is4In6() {
-		c.expect(node.Pos, node.Text, phrases["AddressNode"])
+		c.failExpecting(node.Pos, node.Text, productionPhrases["AddressNode"])
 	}
 	return address
 }
 
-func (c *converter) number(node numberNode) rows.Value {
+func (c *converter) convertNumber(node numberNode) rows.Value {
 	number, err := strconv.ParseFloat(node.Text, 64)
 	if err != nil {
-		c.expect(node.Pos, node.Text, "a number of at most 308 digits")
+		c.failExpecting(node.Pos, node.Text, "a number of at most 308 digits")
 	}
 	if number == 0 {
 		number = 0 // without the sign of -0
@@ -158,20 +158,20 @@
 	return rows.Value{Kind: rows.Number, Number: number}
 }
 
-func (c *converter) literal(node literalNode) rows.Value {
+func (c *converter) convertLiteral(node literalNode) rows.Value {
 	if node.Number != nil {
-		return c.number(*node.Number)
+		return c.convertNumber(*node.Number)
 	}
-	return rows.Value{Kind: rows.Text, Text: unquote(node.Text.Text)}
+	return rows.Value{Kind: rows.Text, Text: unquoteText(node.Text.Text)}
 }
 
-func (c *converter) value(node valueNode) rows.Value {
+func (c *converter) convertValue(node valueNode) rows.Value {
 	if node.Null {
 		return rows.Value{}
 	}
-	return c.literal(*node.Literal)
+	return c.convertLiteral(*node.Literal)
 }
 
-func unquote(text string) string {
+func unquoteText(text string) string {
 	return strings.ReplaceAll(text[1:len(text)-1], "''", "'")
 }
--- a/internal/selfhosted/language/convert_query.go
+++ b/internal/selfhosted/language/convert_query.go
@@ -9,33 +9,33 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-func (c *converter) selection(node *selectNode, start lexer.Position) *Select {
-	statement := &Select{Service: c.name(node.Service), GroupBy: c.columns(node.GroupBy)}
+func (c *converter) convertSelect(node *selectNode, start lexer.Position) *Select {
+	statement := &Select{Service: c.convertName(node.Service), GroupBy: c.convertColumns(node.GroupBy)}
 	for _, itemNode := range node.Items {
-		item := c.item(itemNode)
+		item := c.convertItem(itemNode)
 		if slices.Contains(statement.Items, item) {
 			c.fail(itemNode.Pos, item.String(), "%s is selected twice", item)
 		}
 		statement.Items = append(statement.Items, item)
 	}
 	if node.Where != nil {
-		statement.Where = c.or(node.Where)
+		statement.Where = c.convertOr(node.Where)
 	}
 	if node.Limit != nil {
-		statement.Limit = c.whole(*node.Limit)
+		statement.Limit = c.convertInteger(*node.Limit)
 		if statement.Limit == 0 {
-			c.expect(node.Limit.Pos, node.Limit.Text, "a whole number of at least 1")
+			c.failExpecting(node.Limit.Pos, node.Limit.Text, "a whole number of at least 1")
 		}
 	}
-	c.checkGroups(statement, node, start)
+	c.checkGroupedColumns(statement, node, start)
 	for _, orderNode := range node.OrderBy {
-		statement.OrderBy = append(statement.OrderBy, c.order(statement, orderNode))
+		statement.OrderBy = append(statement.OrderBy, c.convertOrder(statement, orderNode))
 	}
 	return statement
 }
 
 // checkGroups refuses plain columns that are not the same in a whole group.
-func (c *converter) checkGroups(statement *Select, node *selectNode, start lexer.Position) {
+func (c *converter) checkGroupedColumns(statement *Select, node *selectNode, start lexer.Position) {
 	if !statement.Grouped() {
 		return
 	}
@@ -52,8 +52,8 @@
 // order resolves a term of the order by to an item of the result. A column
 // that is not selected stands for the only selected function of it, as in
 // "select min(price) ... order by price".
-func (c *converter) order(statement *Select, node orderNode) Order {
-	order := Order{Item: c.item(node.Item), Descending: node.Descending}
+func (c *converter) convertOrder(statement *Select, node orderNode) Order {
+	order := Order{Item: c.convertItem(node.Item), Descending: node.Descending}
 	if slices.Contains(statement.Items, order.Item) {
 		return order
 	}
@@ -74,23 +74,23 @@
 	return order
 }
 
-func (c *converter) item(node itemNode) Item {
+func (c *converter) convertItem(node itemNode) Item {
 	switch {
 	case node.Function != "":
-		return Item{Function: Function(strings.ToLower(node.Function)), Column: c.column(*node.Argument)}
+		return Item{Function: Function(strings.ToLower(node.Function)), Column: c.convertColumn(*node.Argument)}
 	case node.Count && node.Counted == AllColumns:
 		return Item{Function: Count, Column: AllColumns}
 	case node.Count:
-		return Item{Function: Count, Column: c.column(columnNode{Pos: node.Pos, Text: node.Counted})}
+		return Item{Function: Count, Column: c.convertColumn(columnNode{Pos: node.Pos, Text: node.Counted})}
 	default:
-		return Item{Column: c.column(*node.Column)}
+		return Item{Column: c.convertColumn(*node.Column)}
 	}
 }
 
-func (c *converter) or(node *orNode) Where {
+func (c *converter) convertOr(node *orNode) Where {
 	terms := make([]Where, len(node.Terms))
 	for i := range node.Terms {
-		terms[i] = c.and(&node.Terms[i])
+		terms[i] = c.convertAnd(&node.Terms[i])
 	}
 	if len(terms) == 1 {
 		return terms[0]
@@ -98,10 +98,10 @@
 	return &Or{Terms: terms}
 }
 
-func (c *converter) and(node *andNode) Where {
+func (c *converter) convertAnd(node *andNode) Where {
 	terms := make([]Where, len(node.Terms))
 	for i := range node.Terms {
-		terms[i] = c.not(&node.Terms[i])
+		terms[i] = c.convertNot(&node.Terms[i])
 	}
 	if len(terms) == 1 {
 		return terms[0]
@@ -109,12 +109,12 @@
 	return &And{Terms: terms}
 }
 
-func (c *converter) not(node *notNode) Where {
+func (c *converter) convertNot(node *notNode) Where {
 	var term Where
 	if node.Group != nil {
-		term = c.or(node.Group)
+		term = c.convertOr(node.Group)
 	} else {
-		term = c.condition(node.Condition)
+		term = c.convertCondition(node.Condition)
 	}
 	if node.Not {
 		return &Not{Term: term}
@@ -122,39 +122,39 @@
 	return term
 }
 
-func (c *converter) condition(node *conditionNode) Where {
-	column := c.column(node.Column)
+func (c *converter) convertCondition(node *conditionNode) Where {
+	column := c.convertColumn(node.Column)
 	switch {
 	case node.Like != nil:
-		return &Like{Column: column, Pattern: unquote(node.Like.Text)}
+		return &Like{Column: column, Pattern: unquoteText(node.Like.Text)}
 	case node.Is != nil:
 		return &IsNull{Column: column, Negated: node.Is.Not}
 	case node.Operator != nil:
-		return &Comparison{Column: column, Operator: operator(node.Operator.Text), Value: c.literal(*node.Value)}
+		return &Comparison{Column: column, Operator: parseOperator(node.Operator.Text), Value: c.convertLiteral(*node.Value)}
 	default:
-		return &In{Column: column, Values: c.literals(node.In)}
+		return &In{Column: column, Values: c.convertLiterals(node.In)}
 	}
 }
 
-func (c *converter) literals(nodes []literalNode) []rows.Value {
+func (c *converter) convertLiterals(nodes []literalNode) []rows.Value {
 	values := make([]rows.Value, len(nodes))
 	for i, node := range nodes {
-		values[i] = c.literal(node)
+		values[i] = c.convertLiteral(node)
 	}
 	return values
 }
 
-func operator(text string) Operator {
+func parseOperator(text string) Operator {
 	if text == "<>" {
 		return NotEqual
 	}
 	return Operator(text)
 }
 
-func (c *converter) insert(node *insertNode, start lexer.Position) *Insert {
-	statement := &Insert{Service: c.name(node.Service), Columns: c.columns(node.Columns)}
+func (c *converter) convertInsert(node *insertNode, start lexer.Position) *Insert {
+	statement := &Insert{Service: c.convertName(node.Service), Columns: c.convertColumns(node.Columns)}
 	for _, value := range node.Values {
-		statement.Values = append(statement.Values, c.value(value))
+		statement.Values = append(statement.Values, c.convertValue(value))
 	}
 	if len(statement.Columns) != len(statement.Values) {
 		c.fail(start, "", "there are %d columns and %d values", len(statement.Columns), len(statement.Values))
--- a/internal/selfhosted/language/documentation_test.go
+++ b/internal/selfhosted/language/documentation_test.go
@@ -9,7 +9,7 @@
 
 // TestLanguagePage parses every example of docs/LANGUAGE.md, and wants one of
 // each kind of statement and clause.
-func TestLanguagePage(t *testing.T) {
+func TestDocumentedExamplesParse(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/LANGUAGE.md")
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 			continue
 		}
 		requireRoundTrip(t, statement)
-		for _, kind := range kindsOf(statement) {
+		for _, kind := range statementKinds(statement) {
 			delete(missing, kind)
 		}
 	}
@@ -64,7 +64,7 @@
 	return append(kinds, "show of a service", "*language.And", "*language.Or", "*language.Not", "*language.Comparison", "*language.In", "*language.Like", "*language.IsNull")
 }
 
-func kindsOf(statement Statement) []string {
+func statementKinds(statement Statement) []string {
 	switch statement := statement.(type) {
 	case *ChangeStatement:
 		return changeKinds(statement)
--- a/internal/selfhosted/language/grammar.go
+++ b/internal/selfhosted/language/grammar.go
@@ -11,7 +11,7 @@
 // convert.go.
 
 var parser = participle.MustBuild[statementNode](
-	participle.Lexer(definition),
+	participle.Lexer(lexerDefinition),
 	participle.CaseInsensitive("Ident"),
 	participle.UseLookahead(2),
 )
@@ -89,9 +89,9 @@
 }
 
 type showNode struct {
-	Plain   string    `parser:"@( 'services' | 'changes' | 'voters' | 'nodes' )"`
-	Subject string    `parser:"| @( 'leaves' | 'classes' )"`
-	Service *nameNode `parser:"( 'of' @@ )?"`
+	GlobalSubject  string    `parser:"@( 'services' | 'changes' | 'voters' | 'nodes' )"`
+	ServiceSubject string    `parser:"| @( 'leaves' | 'classes' )"`
+	Service        *nameNode `parser:"( 'of' @@ )?"`
 }
 
 type selectNode struct {
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -42,7 +42,7 @@
 
 // TestGolden holds the canonical text or the error of every statement of the
 // two files of examples.
-func TestGolden(t *testing.T) {
+func TestStatementsMatchGolden(t *testing.T) {
 	for _, name := range []string{"valid", "invalid"} {
 		var report strings.Builder
 		for _, line := range readStatements(t, "testdata/"+name+".txt") {
@@ -75,7 +75,7 @@
 
 var columnNames = rapid.SampledFrom([]string{"lane", "price", "Weight_2", "count", "p95", "_"})
 
-func TestRoundTrip(t *testing.T) {
+func TestDrawnStatementsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requireRoundTrip(t, drawSelect(t))
 		insert := &Insert{Service: "filing-vault", Columns: rapid.SliceOfNDistinct(columnNames, 1, 4, rapid.ID[string]).Draw(t, "columns")}
@@ -90,24 +90,24 @@
 }
 
 // TestKeyEqualityIsSound checks that a row that matches has the pinned value.
-func TestKeyEqualityIsSound(t *testing.T) {
-	pinnedAndMatched := 0
+func TestKeyEqualityImpliesMatch(t *testing.T) {
+	matchedRows := 0
 	rapid.Check(t, func(t *rapid.T) {
 		statement := &Select{Service: "x", Where: drawWhere(t, 2)}
-		value, pinned := statement.KeyEquality("lane")
-		if !pinned {
+		value, hasKey := statement.KeyEquality("lane")
+		if !hasKey {
 			return
 		}
 		row := map[string]rows.Value{"lane": rapid.OneOf(rapid.Just(value), rapid.Custom(drawValue)).Draw(t, "lane")}
 		columns := func(name string) (rows.Value, bool) { v, found := row[name]; return v, found }
 		if statement.Matches(columns) {
-			pinnedAndMatched++
+			matchedRows++
 			if row["lane"] != value {
 				t.Fatalf("%s matches %v though the key is pinned to %v", statement, row["lane"], value)
 			}
 		}
 	})
-	if pinnedAndMatched == 0 {
+	if matchedRows == 0 {
 		t.Error("no drawn row was pinned and matched")
 	}
 }
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestLimits(t *testing.T) {
+func TestParseLimits(t *testing.T) {
 	cases := map[string]string{
 		"length":  "stop service " + strings.Repeat("x", MaximumStatement),
 		"nesting": "select * from x where " + strings.Repeat("(", maximumNesting+1) + "a = 1" + strings.Repeat(")", maximumNesting+1),
@@ -168,7 +168,7 @@
 // there may be none. Its errors are of type *SyntaxError.
 func parseAll(text string) ([]Statement, error) {
 	if len(text) > MaximumStatement {
-		return nil, tooLong(len(text), MaximumStatement)
+		return nil, newLengthError(len(text), MaximumStatement)
 	}
 	located, err := parseText(text)
 	if err != nil {
@@ -198,9 +198,9 @@
 			t.Fatalf("the error has no place or message: %#v", err)
 		}
 		for _, statement := range statements {
-			again, err := ParseOne(statement.String())
-			if err != nil || again.String() != statement.String() {
-				t.Fatalf("%q became %v, %v", statement, again, err)
+			reparsed, err := ParseOne(statement.String())
+			if err != nil || reparsed.String() != statement.String() {
+				t.Fatalf("%q became %v, %v", statement, reparsed, err)
 			}
 		}
 	})
@@ -213,7 +213,7 @@
 	if !utf8.ValidString(text) {
 		return
 	}
-	lexed, err := definition.LexString("", text)
+	lexed, err := lexerDefinition.LexString("", text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/selfhosted/language/parse.go
+++ b/internal/selfhosted/language/parse.go
@@ -21,7 +21,7 @@
 // more than one is an error. Its errors are of type *SyntaxError.
 func ParseOne(text string) (Statement, error) {
 	if len(text) > MaximumStatement {
-		return nil, tooLong(len(text), MaximumStatement)
+		return nil, newLengthError(len(text), MaximumStatement)
 	}
 	located, err := parseText(text)
 	if err != nil {
@@ -29,11 +29,11 @@
 	}
 	switch len(located) {
 	case 0:
-		return nil, invalidAt(lexer.Position{Line: 1, Column: 1}, "", "there is no statement")
+		return nil, newInvalidStatementError(lexer.Position{Line: 1, Column: 1}, "", "there is no statement")
 	case 1:
 		return located[0].Statement, nil
 	default:
-		return nil, invalidAt(lexer.Position{Line: located[1].Line, Column: 1}, "", "there is more than one statement")
+		return nil, newInvalidStatementError(lexer.Position{Line: located[1].Line, Column: 1}, "", "there is more than one statement")
 	}
 }
 
@@ -41,47 +41,47 @@
 // their lines. Its errors are of type *SyntaxError.
 func ParseFile(text string) ([]Located, error) {
 	if len(text) > MaximumFile {
-		return nil, tooLong(len(text), MaximumFile)
+		return nil, newLengthError(len(text), MaximumFile)
 	}
 	return parseText(text)
 }
 
-func tooLong(length, limit int) *SyntaxError {
-	return invalidAt(lexer.Position{Line: 1, Column: 1}, "", "the text has %d bytes, the limit is %d", length, limit)
+func newLengthError(length, limit int) *SyntaxError {
+	return newInvalidStatementError(lexer.Position{Line: 1, Column: 1}, "", "the text has %d bytes, the limit is %d", length, limit)
 }
 
 func parseText(text string) ([]Located, error) {
-	lines, syntaxError := tokenize(text)
+	tokenized, syntaxError := tokenize(text)
 	if syntaxError != nil {
 		return nil, syntaxError
 	}
-	located := make([]Located, 0, len(lines))
-	for i := range lines {
-		statement, syntaxError := parseLine(&lines[i])
+	located := make([]Located, 0, len(tokenized))
+	for i := range tokenized {
+		statement, syntaxError := parseStatement(&tokenized[i])
 		if syntaxError != nil {
 			return nil, syntaxError
 		}
-		located = append(located, Located{Statement: statement, Line: lines[i].tokens[0].Pos.Line})
+		located = append(located, Located{Statement: statement, Line: tokenized[i].tokens[0].Pos.Line})
 	}
 	return located, nil
 }
 
-func parseLine(line *tokenLine) (Statement, *SyntaxError) {
-	first := line.tokens[0].Pos
-	if length := line.end.Pos.Offset - first.Offset; length > MaximumStatement {
-		return nil, invalidAt(first, "", "the statement has %d bytes, the limit is %d", length, MaximumStatement)
+func parseStatement(statement *statementTokens) (Statement, *SyntaxError) {
+	first := statement.tokens[0].Pos
+	if length := statement.end.Pos.Offset - first.Offset; length > MaximumStatement {
+		return nil, newInvalidStatementError(first, "", "the statement has %d bytes, the limit is %d", length, MaximumStatement)
 	}
-	if err := checkNesting(line.tokens); err != nil {
+	if err := checkNesting(statement.tokens); err != nil {
 		return nil, err
 	}
-	markKeywords(line.tokens)
-	source, err := lexer.Upgrade(&tokenSource{line: line})
+	markKeywords(statement.tokens)
+	source, err := lexer.Upgrade(&tokenSource{statement: statement})
 	if err != nil {
-		return nil, invalidAt(first, "", "%s", err)
+		return nil, newInvalidStatementError(first, "", "%s", err)
 	}
 	node, err := parser.ParseFromLexer(source)
 	if err != nil {
-		return nil, explain(line)
+		return nil, newParseError(statement)
 	}
 	return convert(node, first)
 }
--- a/internal/selfhosted/language/parse_error.go
+++ b/internal/selfhosted/language/parse_error.go
@@ -16,7 +16,7 @@
 
 // phrases are the words for productions; one that fails at its first token is
 // named by its phrase.
-var phrases = map[string]string{
+var productionPhrases = map[string]string{
 	"NameNode":       "a name",
 	"ColumnNode":     "a column",
 	"ItemNode":       "a column or a function of one",
@@ -35,12 +35,12 @@
 const (
 	endOfStatement = "the end of the statement"
 	// rootName is the production of a whole statement.
-	rootName = "StatementNode"
+	rootProduction = "StatementNode"
 )
 
 var (
-	productions = parseProductions(parser.String())
-	tokenNames  = lowerTokenNames()
+	productions         = parseProductions(parser.String())
+	lowerCaseTokenNames = collectTokenNames()
 )
 
 func parseProductions(text string) map[string]*ebnf.Expression {
@@ -55,25 +55,25 @@
 	return byName
 }
 
-func lowerTokenNames() map[lexer.TokenType]string {
+func collectTokenNames() map[lexer.TokenType]string {
 	names := make(map[lexer.TokenType]string)
-	for name, tokenType := range definition.Symbols() {
+	for name, tokenType := range lexerDefinition.Symbols() {
 		names[tokenType] = strings.ToLower(name)
 	}
 	return names
 }
 
 // explain returns the syntax error of a statement that does not parse.
-func explain(line *tokenLine) *SyntaxError {
-	m := &matcher{tokens: line.tokens, memory: make(map[visit][]int)}
-	for _, end := range m.production(rootName, 0) {
-		m.miss(end, endOfStatement)
+func newParseError(statement *statementTokens) *SyntaxError {
+	m := &matcher{tokens: statement.tokens, memo: make(map[memoKey][]int)}
+	for _, end := range m.matchProduction(rootProduction, 0) {
+		m.recordMissing(end, endOfStatement)
 	}
-	found := line.end
-	if m.furthest < len(line.tokens) {
-		found = line.tokens[m.furthest]
+	actual := statement.end
+	if m.furthest < len(statement.tokens) {
+		actual = statement.tokens[m.furthest]
 	}
-	return unexpected(found, m.expectation())
+	return newUnexpectedTokenError(actual, m.formatExpectation())
 }
 
 // matcher matches tokens against the grammar, following all alternatives at
@@ -81,7 +81,7 @@
 // the places, in order, at which what it matched can end.
 type matcher struct {
 	tokens   []lexer.Token
-	memory   map[visit][]int
+	memo     map[memoKey][]int
 	furthest int
 	missing  []string
 	// phrase names what starts at phraseStart, if it is not empty.
@@ -89,118 +89,118 @@
 	phraseStart int
 }
 
-type visit struct {
+type memoKey struct {
 	production string
 	start      int
 }
 
-func (m *matcher) production(name string, start int) []int {
-	key := visit{production: name, start: start}
-	if ends, known := m.memory[key]; known {
+func (m *matcher) matchProduction(name string, start int) []int {
+	key := memoKey{production: name, start: start}
+	if ends, cached := m.memo[key]; cached {
 		return ends
 	}
-	phrase, named := phrases[name]
-	outermost := named && (m.phrase == "" || m.phraseStart != start)
+	phrase, hasPhrase := productionPhrases[name]
+	outermost := hasPhrase && (m.phrase == "" || m.phraseStart != start)
 	if outermost {
 		defer func(phrase string, start int) { m.phrase, m.phraseStart = phrase, start }(m.phrase, m.phraseStart)
 		m.phrase, m.phraseStart = phrase, start
 	}
-	ends := m.expression(productions[name], start)
-	m.memory[key] = ends
+	ends := m.matchExpression(productions[name], start)
+	m.memo[key] = ends
 	return ends
 }
 
-func (m *matcher) expression(expression *ebnf.Expression, start int) []int {
+func (m *matcher) matchExpression(expression *ebnf.Expression, start int) []int {
 	var ends []int
 	for _, alternative := range expression.Alternatives {
-		ends = append(ends, m.sequence(alternative, start)...)
+		ends = append(ends, m.matchSequence(alternative, start)...)
 	}
-	return unique(ends)
+	return sortUnique(ends)
 }
 
-func (m *matcher) sequence(sequence *ebnf.Sequence, start int) []int {
-	places := []int{start}
+func (m *matcher) matchSequence(sequence *ebnf.Sequence, start int) []int {
+	positions := []int{start}
 	for _, term := range sequence.Terms {
 		var next []int
-		for _, place := range places {
-			next = append(next, m.term(term, place)...)
+		for _, position := range positions {
+			next = append(next, m.matchTerm(term, position)...)
 		}
-		places = unique(next)
+		positions = sortUnique(next)
 	}
-	return places
+	return positions
 }
 
-func (m *matcher) term(term *ebnf.Term, start int) []int {
+func (m *matcher) matchTerm(term *ebnf.Term, start int) []int {
 	switch term.Repetition {
 	case "?":
-		return unique(append(m.single(term, start), start))
+		return sortUnique(append(m.matchOnce(term, start), start))
 	case "*":
-		return m.repeat(term, []int{start})
+		return m.matchRepeated(term, []int{start})
 	case "+":
-		return m.repeat(term, m.single(term, start))
+		return m.matchRepeated(term, m.matchOnce(term, start))
 	default:
-		return m.single(term, start)
+		return m.matchOnce(term, start)
 	}
 }
 
 // repeat returns all places reached from places by any number of matches.
-func (m *matcher) repeat(term *ebnf.Term, places []int) []int {
-	reached := make(map[int]bool, len(places))
-	for _, place := range places {
-		reached[place] = true
+func (m *matcher) matchRepeated(term *ebnf.Term, positions []int) []int {
+	reached := make(map[int]bool, len(positions))
+	for _, position := range positions {
+		reached[position] = true
 	}
-	for i := 0; i < len(places); i++ {
-		for _, end := range m.single(term, places[i]) {
+	for i := 0; i < len(positions); i++ {
+		for _, end := range m.matchOnce(term, positions[i]) {
 			if !reached[end] {
 				reached[end] = true
-				places = append(places, end)
+				positions = append(positions, end)
 			}
 		}
 	}
-	return unique(places)
+	return sortUnique(positions)
 }
 
-func (m *matcher) single(term *ebnf.Term, start int) []int {
+func (m *matcher) matchOnce(term *ebnf.Term, start int) []int {
 	switch {
 	case term.Name != "":
-		return m.production(term.Name, start)
+		return m.matchProduction(term.Name, start)
 	case term.Group != nil:
-		return m.expression(term.Group.Expr, start)
+		return m.matchExpression(term.Group.Expr, start)
 	case term.Literal != "":
 		literal, _ := strconv.Unquote(term.Literal)
-		return m.token(start, strconv.Quote(literal), func(token lexer.Token) bool {
+		return m.matchToken(start, strconv.Quote(literal), func(token lexer.Token) bool {
 			return token.Value == literal || (token.Type == identType && strings.EqualFold(token.Value, literal))
 		})
 	default:
-		return m.token(start, "a "+term.Token, func(token lexer.Token) bool {
-			return tokenNames[token.Type] == term.Token
+		return m.matchToken(start, "a "+term.Token, func(token lexer.Token) bool {
+			return lowerCaseTokenNames[token.Type] == term.Token
 		})
 	}
 }
 
-func (m *matcher) token(place int, description string, matches func(lexer.Token) bool) []int {
-	if place < len(m.tokens) && matches(m.tokens[place]) {
-		return []int{place + 1}
+func (m *matcher) matchToken(position int, description string, matches func(lexer.Token) bool) []int {
+	if position < len(m.tokens) && matches(m.tokens[position]) {
+		return []int{position + 1}
 	}
-	if m.phrase != "" && m.phraseStart == place {
+	if m.phrase != "" && m.phraseStart == position {
 		description = m.phrase
 	}
-	m.miss(place, description)
+	m.recordMissing(position, description)
 	return nil
 }
 
-func (m *matcher) miss(place int, description string) {
-	if place > m.furthest {
-		m.furthest = place
+func (m *matcher) recordMissing(position int, description string) {
+	if position > m.furthest {
+		m.furthest = position
 		m.missing = nil
 	}
-	if place == m.furthest && !slices.Contains(m.missing, description) {
+	if position == m.furthest && !slices.Contains(m.missing, description) {
 		m.missing = append(m.missing, description)
 	}
 }
 
 // expectation joins what was missing: "a", "b" or "c", phrases last.
-func (m *matcher) expectation() string {
+func (m *matcher) formatExpectation() string {
 	slices.SortFunc(m.missing, func(a, b string) int {
 		quotedA, quotedB := strings.HasPrefix(a, `"`), strings.HasPrefix(b, `"`)
 		if quotedA != quotedB {
@@ -218,7 +218,7 @@
 	return strings.Join(m.missing[:last], ", ") + " or " + m.missing[last]
 }
 
-func unique(places []int) []int {
-	slices.Sort(places)
-	return slices.Compact(places)
+func sortUnique(positions []int) []int {
+	slices.Sort(positions)
+	return slices.Compact(positions)
 }
--- a/internal/selfhosted/language/scanner.go
+++ b/internal/selfhosted/language/scanner.go
@@ -11,32 +11,32 @@
 // the rules that can match the next character, which definition does not know
 // to do.
 type scanner struct {
-	rest     string
-	position lexer.Position
+	remaining string
+	position  lexer.Position
 }
 
 func newScanner(text string) *scanner {
-	return &scanner{rest: text, position: lexer.Position{Line: 1, Column: 1}}
+	return &scanner{remaining: text, position: lexer.Position{Line: 1, Column: 1}}
 }
 
 // candidate is a rule that can match.
-type candidate struct {
+type compiledRule struct {
 	pattern   *regexp.Regexp
 	tokenType lexer.TokenType
 }
 
 // candidates lists, for each first byte of a token, the rules that can match.
-var candidates = listCandidates()
+var rulesByFirstByte = compileRules()
 
-func listCandidates() [256][]candidate {
-	var byStart [256][]candidate
+func compileRules() [256][]compiledRule {
+	var byStart [256][]compiledRule
 	for _, rule := range tokenRules {
-		compiled := candidate{
+		compiled := compiledRule{
 			pattern:   regexp.MustCompile(`^(?:` + rule.pattern + `)`),
-			tokenType: definition.Symbols()[rule.name],
+			tokenType: lexerDefinition.Symbols()[rule.name],
 		}
 		for start := range byStart {
-			if rule.starts == "" || strings.IndexByte(rule.starts, byte(start)) >= 0 {
+			if rule.firstBytes == "" || strings.IndexByte(rule.firstBytes, byte(start)) >= 0 {
 				byStart[start] = append(byStart[start], compiled)
 			}
 		}
@@ -46,13 +46,13 @@
 
 // next returns the next token; at the end of the text, one that is EOF.
 func (s *scanner) next() lexer.Token {
-	if s.rest == "" {
+	if s.remaining == "" {
 		return lexer.EOFToken(s.position)
 	}
-	for _, candidate := range candidates[s.rest[0]] {
-		if place := candidate.pattern.FindStringIndex(s.rest); place != nil {
-			token := lexer.Token{Type: candidate.tokenType, Value: s.rest[:place[1]], Pos: s.position}
-			s.rest = s.rest[place[1]:]
+	for _, rule := range rulesByFirstByte[s.remaining[0]] {
+		if location := rule.pattern.FindStringIndex(s.remaining); location != nil {
+			token := lexer.Token{Type: rule.tokenType, Value: s.remaining[:location[1]], Pos: s.position}
+			s.remaining = s.remaining[location[1]:]
 			s.position.Advance(token.Value)
 			return token
 		}
--- a/internal/selfhosted/language/statement.go
+++ b/internal/selfhosted/language/statement.go
@@ -128,7 +128,7 @@
 // KeyEquality returns the value to which the where clause pins the column: the
 // clause is, or is a conjunction that contains, "column = value".
 func (s *Select) KeyEquality(column string) (rows.Value, bool) {
-	return pinnedValue(s.Where, column)
+	return findEqualityValue(s.Where, column)
 }
 
 // Value returns the value that is inserted into the column.
--- a/internal/selfhosted/language/syntax_error.go
+++ b/internal/selfhosted/language/syntax_error.go
@@ -29,7 +29,7 @@
 // message.
 const maximumQuotedToken = 40
 
-func unexpected(token lexer.Token, expected string) *SyntaxError {
+func newUnexpectedTokenError(token lexer.Token, expected string) *SyntaxError {
 	return &SyntaxError{
 		Line:     token.Pos.Line,
 		Column:   token.Pos.Column,
@@ -39,7 +39,7 @@
 	}
 }
 
-func invalidAt(position lexer.Position, token, format string, arguments ...any) *SyntaxError {
+func newInvalidStatementError(position lexer.Position, token, format string, arguments ...any) *SyntaxError {
 	return &SyntaxError{
 		Line:    position.Line,
 		Column:  position.Column,
--- a/internal/selfhosted/language/tokens.go
+++ b/internal/selfhosted/language/tokens.go
@@ -13,7 +13,7 @@
 	pattern string
 	// starts holds the characters that a token can start with; empty means
 	// any.
-	starts string
+	firstBytes string
 }
 
 const (
@@ -41,9 +41,9 @@
 }
 
 // definition is the lexer that the grammar is built with.
-var definition = lexer.MustSimple(simpleRules())
+var lexerDefinition = lexer.MustSimple(convertTokenRules())
 
-func simpleRules() []lexer.SimpleRule {
+func convertTokenRules() []lexer.SimpleRule {
 	rules := make([]lexer.SimpleRule, len(tokenRules))
 	for i, rule := range tokenRules {
 		rules[i] = lexer.SimpleRule{Name: rule.name, Pattern: rule.pattern}
@@ -53,12 +53,12 @@
 
 // The token types that the code asks for.
 var (
-	commentType  = definition.Symbols()["Comment"]
-	newlineType  = definition.Symbols()["Newline"]
-	spaceType    = definition.Symbols()["Space"]
-	identType    = definition.Symbols()["Ident"]
-	keywordType  = definition.Symbols()["Keyword"]
-	unclosedType = definition.Symbols()["Unclosed"]
+	commentType  = lexerDefinition.Symbols()["Comment"]
+	newlineType  = lexerDefinition.Symbols()["Newline"]
+	spaceType    = lexerDefinition.Symbols()["Space"]
+	identType    = lexerDefinition.Symbols()["Ident"]
+	keywordType  = lexerDefinition.Symbols()["Keyword"]
+	unclosedType = lexerDefinition.Symbols()["Unclosed"]
 )
 
 // reserved words cannot be column names, so that a forgotten column shows.
@@ -73,33 +73,33 @@
 func Reserved(word string) bool { return reserved[strings.ToLower(word)] }
 
 // tokenLine is the tokens of one statement; end stands for its end.
-type tokenLine struct {
+type statementTokens struct {
 	tokens []lexer.Token
 	end    lexer.Token
 }
 
 // tokenize splits text into the tokens of its statements, without spaces,
 // comments and empty statements.
-func tokenize(text string) ([]tokenLine, *SyntaxError) {
+func tokenize(text string) ([]statementTokens, *SyntaxError) {
 	if err := checkUTF8(text); err != nil {
 		return nil, err
 	}
 	source := newScanner(text)
-	var lines []tokenLine
+	var statements []statementTokens
 	var current []lexer.Token
 	for {
 		token := source.next()
 		switch {
 		case token.EOF(), token.Type == newlineType, token.Value == ";":
 			if len(current) > 0 {
-				lines = append(lines, tokenLine{tokens: current, end: lexer.EOFToken(token.Pos)})
+				statements = append(statements, statementTokens{tokens: current, end: lexer.EOFToken(token.Pos)})
 			}
 			if token.EOF() {
-				return lines, nil
+				return statements, nil
 			}
 			current = nil
 		case token.Type == unclosedType:
-			return nil, invalidAt(token.Pos, token.Value, "the text that starts here has no closing quote")
+			return nil, newInvalidStatementError(token.Pos, token.Value, "the text that starts here has no closing quote")
 		case token.Type != spaceType && token.Type != commentType:
 			current = append(current, token)
 		}
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	return invalidAt(position, "", "the text is not valid UTF-8 here")
+	return newInvalidStatementError(position, "", "the text is not valid UTF-8 here")
 }
 
 // markKeywords turns the reserved words of a select or insert into keywords
@@ -150,7 +150,7 @@
 			depth--
 		}
 		if depth > maximumNesting {
-			return invalidAt(token.Pos, token.Value, "parentheses are nested more than %d deep", maximumNesting)
+			return newInvalidStatementError(token.Pos, token.Value, "parentheses are nested more than %d deep", maximumNesting)
 		}
 	}
 	return nil
@@ -158,15 +158,15 @@
 
 // tokenSource feeds the tokens of one statement to the parser.
 type tokenSource struct {
-	line *tokenLine
-	next int
+	statement *statementTokens
+	next      int
 }
 
 // Next implements lexer.Lexer.
 func (s *tokenSource) Next() (lexer.Token, error) {
-	if s.next >= len(s.line.tokens) {
-		return s.line.end, nil
+	if s.next >= len(s.statement.tokens) {
+		return s.statement.end, nil
 	}
 	s.next++
-	return s.line.tokens[s.next-1], nil
+	return s.statement.tokens[s.next-1], nil
 }
--- a/internal/selfhosted/language/where.go
+++ b/internal/selfhosted/language/where.go
@@ -146,32 +146,32 @@
 // matchesPattern returns to the last "%" on a mismatch, so that its time is at
 // most the product of the two lengths.
 func matchesPattern(text, pattern string) bool {
-	textAt, patternAt := 0, 0
+	textOffset, patternOffset := 0, 0
 	resumeText, resumePattern := 0, -1
-	for textAt < len(text) {
-		_, width := utf8.DecodeRuneInString(text[textAt:])
+	for textOffset < len(text) {
+		_, width := utf8.DecodeRuneInString(text[textOffset:])
 		switch {
-		case patternAt < len(pattern) && pattern[patternAt] == '%':
-			resumeText, resumePattern = textAt, patternAt+1
-			patternAt++
-		case patternAt < len(pattern) && pattern[patternAt] == '_':
-			textAt += width
-			patternAt++
-		case patternAt < len(pattern) && strings.HasPrefix(pattern[patternAt:], text[textAt:textAt+width]):
-			textAt += width
-			patternAt += width
+		case patternOffset < len(pattern) && pattern[patternOffset] == '%':
+			resumeText, resumePattern = textOffset, patternOffset+1
+			patternOffset++
+		case patternOffset < len(pattern) && pattern[patternOffset] == '_':
+			textOffset += width
+			patternOffset++
+		case patternOffset < len(pattern) && strings.HasPrefix(pattern[patternOffset:], text[textOffset:textOffset+width]):
+			textOffset += width
+			patternOffset += width
 		case resumePattern >= 0:
 			_, skipped := utf8.DecodeRuneInString(text[resumeText:])
 			resumeText += skipped
-			textAt, patternAt = resumeText, resumePattern
+			textOffset, patternOffset = resumeText, resumePattern
 		default:
 			return false
 		}
 	}
-	return strings.Trim(pattern[patternAt:], "%") == ""
+	return strings.Trim(pattern[patternOffset:], "%") == ""
 }
 
-func pinnedValue(where Where, column string) (rows.Value, bool) {
+func findEqualityValue(where Where, column string) (rows.Value, bool) {
 	switch condition := where.(type) {
 	case *Comparison:
 		if condition.Column == column && condition.Operator == Equal {
@@ -179,7 +179,7 @@
 		}
 	case *And:
 		for _, term := range condition.Terms {
-			if value, pinned := pinnedValue(term, column); pinned {
+			if value, exists := findEqualityValue(term, column); exists {
 				return value, true
 			}
 		}
