--- a/internal/catalog/apply.go
+++ b/internal/catalog/apply.go
@@ -6,29 +6,28 @@
 	"slices"
 )
 
-// maximumRecordedStatement is the length in bytes to which a statement is cut
-// when it is remembered in Recent.
+// maximumStatementBytes is the length to which the statement of an AppliedChange is truncated.
 const maximumStatementBytes = 1024
 
-// Empty returns the catalog of revision zero, before any change.
+// Empty returns the catalog at revision zero, to which no change has been applied.
 func Empty() *Catalog { return &Catalog{} }
 
-// Apply returns the catalog that follows current in the log. It neither
-// modifies current nor keeps references into change; the two catalogs share
-// what did not change. The same log gives the same catalog everywhere: Apply
-// reads no clock and no random source.
+// Apply returns the catalog that results from applying change to current. Apply leaves current
+// unmodified and keeps no references into change. Both catalogs share their unchanged parts.
+// Every node that applies the same log gets the same catalog, because Apply reads no clock and no
+// random source.
 //
-// It refuses, with an *Error, a change that is invalid, is not the next
-// revision, repeats an id still remembered, or would change nothing.
+// Apply returns an *Error if the change is invalid, is not the next revision, has the same ID as a
+// change listed in Recent, or has no effect.
 func Apply(current *Catalog, change Change) (*Catalog, error) {
 	if err := change.Validate(); err != nil {
 		return nil, err
 	}
 	if change.Revision != current.Revision+1 {
-		return nil, newError(CodeRevision, change.ID, "change %s is for revision %d, the catalog is at %d", change.ID, change.Revision, current.Revision)
+		return nil, newError(CodeRevision, change.ID, "change %s has revision %d, but the catalog is at revision %d", change.ID, change.Revision, current.Revision)
 	}
 	if earlier, applied := current.Lookup(change.ID); applied {
-		return nil, newError(CodeDuplicate, change.ID, "change %s took effect at revision %d", change.ID, earlier.Revision)
+		return nil, newError(CodeDuplicate, change.ID, "change %s was already applied at revision %d", change.ID, earlier.Revision)
 	}
 	op, err := change.Command.selectOperation()
 	if err != nil {
@@ -42,8 +41,8 @@
 	return editor.next, nil
 }
 
-// editor is a catalog under change: a shallow copy, in which only what is
-// modified is copied further.
+// editor builds the next catalog by copy-on-write: it starts from a shallow copy and copies a map
+// before modifying it.
 type editor struct {
 	next *Catalog
 }
@@ -54,7 +53,7 @@
 	return &editor{next: &next}
 }
 
-// remember notes the change, dropping the oldest beyond RetainedChanges.
+// recordChange appends the change to Recent and drops the oldest entries beyond RetainedChanges.
 func (e *editor) recordChange(change Change) {
 	recent := e.next.Recent
 	if excess := len(recent) + 1 - RetainedChanges; excess > 0 {
@@ -75,7 +74,7 @@
 	})
 }
 
-// service returns a copy of the service; its maps are still shared.
+// lookupService returns a shallow copy of the service. The copy shares its maps with the catalog.
 func (e *editor) lookupService(name string) (Service, error) {
 	service, exists := e.next.Services[name]
 	if !exists {
@@ -88,7 +87,7 @@
 	e.next.Services = copyWith(e.next.Services, service.Name, service)
 }
 
-// with returns a copy of the map in which key has the value.
+// copyWith returns a copy of the map in which key has the value.
 func copyWith[K comparable, V any](original map[K]V, key K, value V) map[K]V {
 	copied := maps.Clone(original)
 	if copied == nil {
@@ -98,7 +97,7 @@
 	return copied
 }
 
-// without returns a copy of the map without the key; nil when it is empty.
+// copyWithout returns a copy of the map without the key, or nil if no other key is left.
 func copyWithout[K comparable, V any](original map[K]V, key K) map[K]V {
 	if len(original) <= 1 {
 		return nil
@@ -108,8 +107,7 @@
 	return copied
 }
 
-// servicesWithLeaf returns the names of the services that have the leaf, in
-// order.
+// findServicesWithLeaf returns the names of the services that have the leaf, in ascending order.
 func (e *editor) findServicesWithLeaf(address netip.AddrPort) []string {
 	var names []string
 	for name, service := range e.next.Services {
--- a/internal/catalog/apply_benchmark_test.go
+++ b/internal/catalog/apply_benchmark_test.go
@@ -8,7 +8,8 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// largeCatalog has services of 760 leaves each, and a full memory of changes.
+// largeCatalog returns a catalog with the given number of services of 760 leaves each and with
+// RetainedChanges entries in Recent.
 func largeCatalog(b *testing.B, services int) *catalog.Catalog {
 	const leaves = 760
 	current := catalog.Empty()
@@ -30,7 +31,7 @@
 	return current
 }
 
-// BenchmarkApply is one change on a catalog of 19,000 leaves.
+// BenchmarkApply applies one change to a catalog of 19,000 leaves.
 func BenchmarkApply(b *testing.B) {
 	current := largeCatalog(b, 25)
 	commands := map[string]catalog.Command{
@@ -50,7 +51,7 @@
 	}
 }
 
-// BenchmarkEncode is a checkpoint of a catalog of 19,000 leaves.
+// BenchmarkEncode encodes a checkpoint of a catalog of 19,000 leaves.
 func BenchmarkEncode(b *testing.B) {
 	current := largeCatalog(b, 25)
 	b.ReportAllocs()
--- a/internal/catalog/apply_leaf_voter.go
+++ b/internal/catalog/apply_leaf_voter.go
@@ -6,11 +6,10 @@
 	"slices"
 )
 
-// apply adds a leaf that is new. A retiring leaf is added again and gets a new
-// AddedAt, which clears the mark that it is leaving. A leaf in use gets the new
-// zone and shards and keeps its AddedAt: the statement says what the leaf is to
-// hold, not that it has come back. A leaf in use that is so already is refused
-// with CodeUnchanged.
+// apply adds a new leaf or updates an existing one. Adding a retiring leaf clears Retiring and sets a
+// new AddedAt. Updating an active leaf replaces its zone and shards and keeps its AddedAt, because
+// the statement describes the leaf's configuration and does not report that the leaf returned. An
+// update without a difference is refused with CodeUnchanged.
 func (o *AddLeaf) apply(e *editor) error {
 	service, err := e.lookupService(o.Service)
 	if err != nil {
@@ -25,12 +24,12 @@
 	existing, exists := service.Leaves[o.Address]
 	if exists && !existing.Retiring {
 		if existing.Zone == o.Zone && slices.Equal(existing.Shards, shards) {
-			return newError(CodeUnchanged, o.Address.String(), "leaf %s of service %q is so already", o.Address, o.Service)
+			return newError(CodeUnchanged, o.Address.String(), "leaf %s of service %q already has this zone and these shards", o.Address, o.Service)
 		}
 		addedAt = existing.AddedAt
 	}
 	if !exists && len(service.Leaves) >= MaximumLeaves {
-		return newError(CodeLimit, o.Service, "service %q has %d leaves already, which is the limit", o.Service, MaximumLeaves)
+		return newError(CodeLimit, o.Service, "service %q already has the maximum of %d leaves", o.Service, MaximumLeaves)
 	}
 	service.Leaves = copyWith(service.Leaves, o.Address, Leaf{Address: o.Address, Zone: o.Zone, Shards: shards, AddedAt: addedAt})
 	e.putService(service)
@@ -55,7 +54,7 @@
 		changed = true
 	}
 	if !changed {
-		return newError(CodeUnchanged, o.Address.String(), "leaf %s is retiring already", o.Address)
+		return newError(CodeUnchanged, o.Address.String(), "leaf %s is already retiring", o.Address)
 	}
 	return nil
 }
@@ -79,13 +78,13 @@
 func (o *AddVoter) apply(e *editor) error {
 	existing, exists := e.next.Voters[o.Voter.Name]
 	if exists && existing == o.Voter {
-		return newError(CodeUnchanged, o.Voter.Name, "voter %q is there already", o.Voter.Name)
+		return newError(CodeUnchanged, o.Voter.Name, "voter %q already exists", o.Voter.Name)
 	}
 	if exists {
-		return newError(CodeDuplicate, o.Voter.Name, "there is a voter %q in zone %q", existing.Name, existing.Zone)
+		return newError(CodeDuplicate, o.Voter.Name, "voter %q already exists in zone %q", existing.Name, existing.Zone)
 	}
 	if len(e.next.Voters) >= MaximumVoters {
-		return newError(CodeLimit, o.Voter.Name, "there are %d voters already, which is the limit", MaximumVoters)
+		return newError(CodeLimit, o.Voter.Name, "the catalog already has the maximum of %d voters", MaximumVoters)
 	}
 	e.next.Voters = copyWith(e.next.Voters, o.Voter.Name, o.Voter)
 	e.next.VotersRevision = e.next.Revision
@@ -97,14 +96,14 @@
 		return newError(CodeUnknownVoter, o.Name, "there is no voter %q", o.Name)
 	}
 	if len(e.next.Voters) == 1 {
-		return newError(CodeInUse, o.Name, "voter %q is the last one and stays", o.Name)
+		return newError(CodeInUse, o.Name, "voter %q is the last voter and cannot be removed", o.Name)
 	}
 	e.next.Voters = copyWithout(e.next.Voters, o.Name)
 	e.next.VotersRevision = e.next.Revision
 	return nil
 }
 
-// restrictShards returns a copy of the leaves without the shards from count on.
+// restrictShards returns a copy of the leaves in which each leaf lists only shards below count.
 func restrictShards(leaves map[netip.AddrPort]Leaf, count int) map[netip.AddrPort]Leaf {
 	restricted := maps.Clone(leaves)
 	for address, leaf := range restricted {
--- a/internal/catalog/apply_service.go
+++ b/internal/catalog/apply_service.go
@@ -5,7 +5,7 @@
 		return o.newDuplicateError(existing)
 	}
 	if len(e.next.Services) >= MaximumServices {
-		return newError(CodeLimit, o.Name, "there are %d services already, which is the limit", MaximumServices)
+		return newError(CodeLimit, o.Name, "the catalog already has the maximum of %d services", MaximumServices)
 	}
 	e.putService(Service{
 		Name:       o.Name,
@@ -16,14 +16,14 @@
 	return nil
 }
 
-// alreadyThere tells a repeated statement from one that contradicts what is
-// there.
+// newDuplicateError distinguishes a repeated statement (CodeUnchanged) from one that contradicts the
+// existing service (CodeDuplicate).
 func (o *CreateService) newDuplicateError(existing Service) error {
 	same := existing.Replicas == o.Replicas && existing.KeyColumn == o.KeyColumn && existing.Newest().Shards == o.Shards
 	if same {
-		return newError(CodeUnchanged, o.Name, "service %q is there already", o.Name)
+		return newError(CodeUnchanged, o.Name, "service %q already exists", o.Name)
 	}
-	return newError(CodeDuplicate, o.Name, "there is another service %q", o.Name)
+	return newError(CodeDuplicate, o.Name, "service %q already exists with different properties", o.Name)
 }
 
 func (o *DropService) apply(e *editor) error {
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// apply keeps, for each leaf, those of its shards that the new partition has;
-// "add leaf" gives it others.
+// apply appends a partition and removes from each leaf the shards that the new partition lacks. The
+// "add leaf" statement assigns other shards.
 func (o *Repartition) apply(e *editor) error {
 	service, err := e.lookupService(o.Service)
 	if err != nil {
@@ -71,10 +71,10 @@
 	}
 	existing, exists := service.Classes[class.Name]
 	if exists && existing == class {
-		return newError(CodeUnchanged, class.Name, "class %q of service %q is so already", class.Name, class.Service)
+		return newError(CodeUnchanged, class.Name, "class %q of service %q already has this definition", class.Name, class.Service)
 	}
 	if !exists && len(service.Classes) >= MaximumClasses {
-		return newError(CodeLimit, class.Name, "service %q has %d classes already, which is the limit", class.Service, MaximumClasses)
+		return newError(CodeLimit, class.Name, "service %q already has the maximum of %d classes", class.Service, MaximumClasses)
 	}
 	service.Classes = copyWith(service.Classes, class.Name, class)
 	e.putService(service)
@@ -100,7 +100,7 @@
 		return err
 	}
 	if service.Concurrency == o.Concurrency {
-		return newError(CodeUnchanged, o.Service, "the limit of service %q is %d already", o.Service, o.Concurrency)
+		return newError(CodeUnchanged, o.Service, "the concurrency limit of service %q is already %d", o.Service, o.Concurrency)
 	}
 	service.Concurrency = o.Concurrency
 	e.putService(service)
@@ -120,7 +120,7 @@
 		if stopped {
 			state = "stopped"
 		}
-		return newError(CodeUnchanged, name, "service %q is %s already", name, state)
+		return newError(CodeUnchanged, name, "service %q is already %s", name, state)
 	}
 	service.Stopped = stopped
 	e.putService(service)
--- a/internal/catalog/apply_test.go
+++ b/internal/catalog/apply_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", "20261202"); err != nil { // deterministic unless a flag says otherwise
+	if err := flag.Set("rapid.seed", "20261202"); err != nil { // a -rapid.seed flag overrides this seed
 		panic(err)
 	}
 	os.Exit(m.Run())
@@ -37,7 +37,7 @@
 
 var leafAddress = netip.MustParseAddrPort("127.0.0.1:7101")
 
-// build applies the commands to the empty catalog, one revision each.
+// buildCatalog applies the commands to the empty catalog, each as one revision.
 func buildCatalog(t *testing.T, commands ...catalog.Command) *catalog.Catalog {
 	t.Helper()
 	current := catalog.Empty()
@@ -67,12 +67,12 @@
 	updated := buildCatalog(t, createService(8), addLeaf("a", 1, 0), addLeaf("b", 2))
 	leaf := updated.Services["rate-desk"].Leaves[leafAddress]
 	if leaf.AddedAt != 2 || leaf.Zone != "b" || !slices.Equal(leaf.Shards, []int{2}) {
-		t.Errorf("an update of a leaf in use gave %+v", leaf)
+		t.Errorf("leaf after an update = %+v, want added_at 2, zone b and shard 2", leaf)
 	}
 	returned := buildCatalog(t, createService(8), addLeaf("a", 1, 0), retireLeaf(), addLeaf("a", 0, 1))
 	leaf = returned.Services["rate-desk"].Leaves[leafAddress]
 	if leaf.AddedAt != 4 || leaf.Retiring {
-		t.Errorf("a retired leaf that was added again is %+v", leaf)
+		t.Errorf("retired leaf after it was added again = %+v, want added_at 4 and not retiring", leaf)
 	}
 }
 
@@ -84,10 +84,10 @@
 	service := buildCatalog(t, commands...).Services["rate-desk"]
 	want := []catalog.Partition{{Epoch: 2, Shards: 7}, {Epoch: 3, Shards: 6}, {Epoch: 4, Shards: 5}}
 	if !slices.Equal(service.Partitions, want) {
-		t.Errorf("partitions are %v, want %v", service.Partitions, want)
+		t.Errorf("partitions = %v, want %v", service.Partitions, want)
 	}
 	if got := service.Leaves[leafAddress].Shards; !slices.Equal(got, []int{1}) {
-		t.Errorf("the leaf keeps shards %v, want those that still exist", got)
+		t.Errorf("leaf has shards %v, want only shard 1, which the new partition still has", got)
 	}
 }
 
@@ -119,24 +119,24 @@
 		}
 	}
 	if _, err := catalog.Apply(base, newChange(base.Revision, retireLeaf())); !errors.Is(err, catalog.CodeRevision) {
-		t.Errorf("an old revision: got %v", err)
+		t.Errorf("change with an old revision: got %v, want code %s", err, catalog.CodeRevision)
 	}
 	repeated := newChange(base.Revision+1, retireLeaf())
 	repeated.ID = "1-x"
 	if _, err := catalog.Apply(base, repeated); !errors.Is(err, catalog.CodeDuplicate) {
-		t.Errorf("a repeated id: got %v", err)
+		t.Errorf("change with a repeated id: got %v, want code %s", err, catalog.CodeDuplicate)
 	}
 }
 
 func TestDecodeRefusesInvalidInput(t *testing.T) {
 	for _, text := range []string{`{"revision":1,"colour":2}`, `{"revision":1} {}`, `[]`, ``} {
 		if _, err := catalog.Decode([]byte(text)); err == nil {
-			t.Errorf("Decode took %q", text)
+			t.Errorf("Decode(%q) returned no error", text)
 		}
 	}
 	for _, text := range []string{`{"revision":1,"id":"1-x","command":{}}`, `{"revision":0,"id":"1-x","command":{"stop_service":{"name":"a"}}}`} {
 		if _, err := catalog.DecodeChange([]byte(text)); err == nil {
-			t.Errorf("DecodeChange took %q", text)
+			t.Errorf("DecodeChange(%q) returned no error", text)
 		}
 	}
 }
@@ -152,6 +152,6 @@
 		current = next
 	}
 	if len(current.Recent) != catalog.RetainedChanges || current.Recent[0].Revision != 6 {
-		t.Errorf("%d changes are remembered from revision %d on", len(current.Recent), current.Recent[0].Revision)
+		t.Errorf("Recent has %d changes from revision %d, want %d from revision 6", len(current.Recent), current.Recent[0].Revision, catalog.RetainedChanges)
 	}
 }
--- a/internal/catalog/codec.go
+++ b/internal/catalog/codec.go
@@ -10,12 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Encode returns the canonical JSON of a catalog: equal catalogs give equal
-// bytes.
+// Encode returns the canonical JSON of a catalog. Equal catalogs have equal encodings.
 func Encode(c *Catalog) ([]byte, error) { return json.Marshal(c) }
 
-// Decode reads what Encode wrote. It refuses unknown members and trailing
-// data.
+// Decode parses the output of Encode. It refuses unknown fields and trailing data.
 func Decode(data []byte) (*Catalog, error) {
 	decoded := new(Catalog)
 	if err := decodeStrict(data, decoded); err != nil {
@@ -24,14 +22,14 @@
 	return decoded, nil
 }
 
-// EncodeChange returns the canonical JSON of a change, as the log stores it.
+// EncodeChange returns the canonical JSON of a change, which is its stored form in the log.
 func EncodeChange(change Change) ([]byte, error) {
 	change.At = change.At.UTC().Round(0)
 	return json.Marshal(change)
 }
 
-// DecodeChange reads what EncodeChange wrote. It refuses unknown members,
-// trailing data and an invalid change.
+// DecodeChange parses the output of EncodeChange. It refuses unknown fields, trailing data and
+// invalid changes.
 func DecodeChange(data []byte) (Change, error) {
 	var change Change
 	if err := decodeStrict(data, &change); err != nil {
@@ -43,13 +41,12 @@
 	return change, nil
 }
 
-// Digest returns a hash of the canonical JSON. Nodes that hold the same
-// revision have the same digest. It encodes the whole catalog, so it is not
-// for every heartbeat.
+// Digest returns a hash of the canonical JSON. Nodes at the same revision have the same digest. Digest
+// encodes the whole catalog, which is too expensive for every heartbeat.
 func (c *Catalog) Digest() uint64 {
 	data, err := Encode(c)
 	if err != nil {
-		return 0 // cannot happen: every field has a JSON form
+		return 0 // unreachable: every field has a JSON form
 	}
 	return xxhash.Sum64(data)
 }
@@ -61,7 +58,7 @@
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("there is data after the end")
+		return errors.New("unexpected data after the JSON value")
 	}
 	return nil
 }
--- a/internal/catalog/codec_test.go
+++ b/internal/catalog/codec_test.go
@@ -6,7 +6,8 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestStoredReadsAsRecorded: the store keeps changes and checkpoints of other versions.
+// TestStoredFormsMatchRecordings guards against an incompatible change of the stored JSON: the store
+// holds changes and checkpoints that other versions wrote.
 func TestStoredFormsMatchRecordings(t *testing.T) {
 	wiretest.JSON[Catalog](t, "catalog")
 	wiretest.JSON[Change](t, "change")
--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Code says why a command was refused. It is an error, so that callers can
-// write errors.Is(err, catalog.CodeUnknownService).
+// Code is the reason for refusing a command. It implements error, so that callers can write
+// errors.Is(err, catalog.CodeUnknownService).
 type Code string
 
-// The codes.
+// Codes of Error.
 const (
-	// CodeInvalid means that the command is malformed whatever the catalog.
+	// CodeInvalid means that the command is malformed, independent of the catalog.
 	CodeInvalid Code = "invalid"
-	// CodeLimit means that a number is outside its limits.
+	// CodeLimit means that a number is out of range or that a collection is full.
 	CodeLimit Code = "limit"
 	// CodeUnknownService means that the service does not exist.
 	CodeUnknownService Code = "unknown_service"
@@ -22,23 +22,23 @@
 	CodeUnknownShard Code = "unknown_shard"
 	// CodeUnknownVoter means that the voting set has no such slot.
 	CodeUnknownVoter Code = "unknown_voter"
-	// CodeDuplicate means that the name or the change id is taken.
+	// CodeDuplicate means that the name or the change ID is already in use.
 	CodeDuplicate Code = "duplicate"
-	// CodeUnchanged means that the command would change nothing.
+	// CodeUnchanged means that the command has no effect.
 	CodeUnchanged Code = "unchanged"
-	// CodeInUse means that something else still needs what is to be removed.
+	// CodeInUse means that the object cannot be removed because it is still in use.
 	CodeInUse Code = "in_use"
-	// CodeRevision means that the change is not the next one in the log.
+	// CodeRevision means that the change does not have the next revision of the log.
 	CodeRevision Code = "revision"
 )
 
-// Error returns the code itself.
+// Error returns the code as text.
 func (c Code) Error() string { return string(c) }
 
-// Error is a refused command. It unwraps to its Code.
+// Error describes why a command was refused. It unwraps to its Code.
 type Error struct {
 	Code Code
-	// Subject is the name, address or field that the error is about.
+	// Subject is the name, address or field that caused the error.
 	Subject string
 	Message string
 }
--- a/internal/catalog/operation.go
+++ b/internal/catalog/operation.go
@@ -1,16 +1,16 @@
 package catalog
 
-// operation is what every member of the Command union can do.
+// operation is implemented by every member of the Command union.
 type operation interface {
-	// validate checks what can be checked without a catalog.
+	// validate checks the operation independent of a catalog.
 	validate() error
-	// statement returns the canonical text in the command language.
+	// formatStatement returns the canonical text in the command language.
 	formatStatement() string
-	// apply makes the change on a copy of the catalog.
+	// apply performs the operation on the editor's catalog.
 	apply(*editor) error
 }
 
-// operation returns the member that is set, or an error if not exactly one is.
+// selectOperation returns the member that is set. It returns an error unless exactly one member is set.
 func (c Command) selectOperation() (operation, error) {
 	var members []operation
 	add := func(set bool, member operation) {
@@ -32,14 +32,13 @@
 	add(c.AddVoter != nil, c.AddVoter)
 	add(c.RemoveVoter != nil, c.RemoveVoter)
 	if len(members) != 1 {
-		return nil, newError(CodeInvalid, "command", "a command must have exactly one member, this one has %d", len(members))
+		return nil, newError(CodeInvalid, "command", "a command must have exactly one member, got %d", len(members))
 	}
 	return members[0], nil
 }
 
-// Validate checks what can be checked without a catalog: that exactly one
-// member is set, the syntax of names and the limits of numbers. Its errors are
-// of type *Error.
+// Validate checks the command independent of a catalog: exactly one member is set, names are well
+// formed and numbers are in range. Its errors are of type *Error.
 func (c Command) Validate() error {
 	op, err := c.selectOperation()
 	if err != nil {
@@ -48,8 +47,8 @@
 	return op.validate()
 }
 
-// String returns the canonical text of the command in the command language;
-// for a valid command, the language parses it back to the same value.
+// String returns the canonical text of the command in the command language. The text of a valid
+// command parses to an equal command.
 func (c Command) String() string {
 	op, err := c.selectOperation()
 	if err != nil {
--- a/internal/catalog/properties_test.go
+++ b/internal/catalog/properties_test.go
@@ -14,8 +14,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// drawCommand draws a command over a small set of names, so that commands of
-// one log meet each other; a few of its numbers are out of range.
+// drawCommand draws a command from a small set of names, so that commands of the same log refer to
+// the same objects. Some of its numbers are out of range.
 func drawCommand(t *rapid.T) catalog.Command {
 	service := rapid.SampledFrom([]string{"rate-desk", "filing-vault", "Bad"}).Draw(t, "service")
 	name := rapid.SampledFrom([]string{"a", "b", "c-1", "", "x y"}).Draw(t, "name")
@@ -50,9 +50,9 @@
 	}).Draw(t, "command")
 }
 
-// TestApplyProperties checks along a random log that Apply never modifies its
-// input, grows the revision by one, refuses with a typed error, and that the
-// accepted changes, encoded and replayed, give the same digest.
+// TestApplyProperties checks with random logs that Apply leaves its input unmodified, increases the
+// revision by one and refuses with a typed error, and that replaying the encoded changes results in
+// the same digest.
 func TestApplyProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current := catalog.Empty()
@@ -62,17 +62,17 @@
 			change := newChange(current.Revision+1, drawCommand(t))
 			next, err := catalog.Apply(current, change)
 			if !bytes.Equal(before, mustEncode(t, current)) {
-				t.Fatalf("%s modified the catalog that it was applied to", change.Command)
+				t.Fatalf("Apply(%s) modified its input catalog", change.Command)
 			}
 			if err != nil {
 				requireTypedError(t, next, err)
 				continue
 			}
 			if next.Revision != current.Revision+1 {
-				t.Fatalf("revision went from %d to %d", current.Revision, next.Revision)
+				t.Fatalf("revision changed from %d to %d, want an increase by one", current.Revision, next.Revision)
 			}
 			if applied, remembered := next.Lookup(change.ID); !remembered || applied.Revision != next.Revision {
-				t.Fatalf("change %s is not remembered: %+v", change.ID, applied)
+				t.Fatalf("Lookup(%q) = %+v, want the applied change", change.ID, applied)
 			}
 			encoded, err := catalog.EncodeChange(change)
 			if err != nil {
@@ -85,8 +85,8 @@
 	})
 }
 
-// TestStatementProperties checks that the text of a valid command is read back
-// as the same command, with shares of every precision.
+// TestStatementRoundTrip checks that the text of a valid command parses to an equal command, with
+// shares of any precision.
 func TestStatementRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1)
@@ -104,21 +104,21 @@
 	})
 }
 
-// requireStatement checks that the language reads the command's text back.
+// requireStatementRoundTrip checks that the text of the command parses to an equal command.
 func requireStatementRoundTrip(t *rapid.T, command catalog.Command) {
 	statement, err := language.ParseOne(command.String())
 	if err != nil {
 		t.Fatalf("%s: %v", command, err)
 	}
 	if change := statement.(*language.ChangeStatement); !reflect.DeepEqual(change.Command, command) {
-		t.Fatalf("%s parsed to %s", command, change.Command)
+		t.Fatalf("%s parsed to %s, want an equal command", command, change.Command)
 	}
 }
 
 func requireTypedError(t *rapid.T, next *catalog.Catalog, err error) {
 	var refused *catalog.Error
 	if next != nil || !errors.As(err, &refused) || !errors.Is(err, refused.Code) || refused.Message == "" {
-		t.Fatalf("refused with %#v and catalog %v", err, next)
+		t.Fatalf("Apply returned catalog %v and error %#v, want no catalog and a typed error", next, err)
 	}
 }
 
--- a/internal/catalog/read.go
+++ b/internal/catalog/read.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Lookup returns the record of a change that took effect, if it is among the
-// last RetainedChanges.
+// Lookup returns the record of an applied change if the change is one of the last RetainedChanges
+// changes.
 func (c *Catalog) Lookup(changeID string) (AppliedChange, bool) {
 	for i := len(c.Recent) - 1; i >= 0; i-- {
 		if c.Recent[i].ID == changeID {
@@ -17,13 +17,13 @@
 	return AppliedChange{}, false
 }
 
-// ServiceNames returns the names of the services in order.
+// ServiceNames returns the names of the services in ascending order.
 func (c *Catalog) ServiceNames() []string { return slices.Sorted(maps.Keys(c.Services)) }
 
-// VoterNames returns the names of the voting set in order.
+// VoterNames returns the names of the voters in ascending order.
 func (c *Catalog) VoterNames() []string { return slices.Sorted(maps.Keys(c.Voters)) }
 
-// Newest returns the newest partition; the zero Partition if there is none.
+// Newest returns the newest partition, or the zero Partition if the service has no partition.
 func (s Service) Newest() Partition {
 	if len(s.Partitions) == 0 {
 		return Partition{}
@@ -31,7 +31,7 @@
 	return s.Partitions[len(s.Partitions)-1]
 }
 
-// ClassNames returns the names of the classes in order.
+// ClassNames returns the names of the classes in ascending order.
 func (s Service) ClassNames() []string { return slices.Sorted(maps.Keys(s.Classes)) }
 
 // SortedLeaves returns the leaves ordered by address.
--- a/internal/catalog/statement.go
+++ b/internal/catalog/statement.go
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("add voter %s zone %s", o.Voter.Name, o.Voter.Zone)
 }
 
-// FormatShards returns the numbers separated by commas, as in a statement.
+// FormatShards returns the shard numbers separated by commas, as they appear in a statement.
 func FormatShards(shards []int) string {
 	numbers := make([]string, len(shards))
 	for i, shard := range shards {
@@ -65,9 +65,9 @@
 	return strings.Join(numbers, ",")
 }
 
-// formatDecimal returns value times ten to the power of places in plain
-// decimal notation, exactly: reading the digits with the point moved back
-// gives the same value, which a multiplication in floating point would not.
+// formatDecimal returns value times ten to the power of places in plain decimal notation. It shifts
+// the decimal point in the text, so that shifting it back restores exactly the same value. A
+// floating-point multiplication would round.
 func formatDecimal(value float64, places int) string {
 	if value == 0 {
 		return "0"
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -8,21 +8,20 @@
 	"unicode/utf8"
 )
 
-// Limits of a catalog; a change beyond one is refused.
-// Not measured: chosen because they catch mistyped numbers and bound what one
-// change can make every node hold.
+// Limits of a catalog. A change that exceeds a limit is refused. The limits catch mistyped numbers and
+// bound the memory that a change can occupy on every node.
 const (
-	MaximumShards        = 65536     // of a partition
-	MaximumReplicas      = 64        // of a shard
-	MaximumServices      = 4096      // of a catalog
-	MaximumClasses       = 256       // of a service
-	MaximumLeaves        = 65536     // of a service
-	MaximumShardsPerLeaf = 4096      // of a leaf
-	MaximumVoters        = 255       // of a catalog
-	MaximumPriority      = 100       // the least urgent
-	MaximumConcurrency   = 1_000_000 // queries of a service at once in one node
-	MaximumDeadline      = time.Hour // of a class
-	MaximumOperator      = 128       // bytes of an operator's name
+	MaximumShards        = 65536     // per partition
+	MaximumReplicas      = 64        // per shard
+	MaximumServices      = 4096      // per catalog
+	MaximumClasses       = 256       // per service
+	MaximumLeaves        = 65536     // per service
+	MaximumShardsPerLeaf = 4096      // per leaf
+	MaximumVoters        = 255       // per catalog
+	MaximumPriority      = 100       // least urgent priority
+	MaximumConcurrency   = 1_000_000 // concurrent queries of a service per node
+	MaximumDeadline      = time.Hour // per class
+	MaximumOperator      = 128       // bytes in an operator's name
 )
 
 var (
@@ -31,39 +30,39 @@
 	changeIDPattern = regexp.MustCompile(`^[0-9A-Za-z._-]{1,128}$`)
 )
 
-// ValidName says whether the text may name a service, class, zone or voter: a
-// lower-case letter followed by at most 62 letters, digits and hyphens.
+// ValidName reports whether name is a valid name of a service, class, zone or voter: a lower-case
+// letter followed by at most 62 lower-case letters, digits and hyphens.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// ValidColumn says whether the text may name a column: a letter or underscore
-// followed by at most 62 letters, digits and underscores.
+// ValidColumn reports whether name is a valid column name: a letter or underscore followed by at most
+// 62 letters, digits and underscores.
 func ValidColumn(name string) bool { return columnPattern.MatchString(name) }
 
-// ValidChangeID says whether the text may be the id of a change: 1 to 128
-// letters, digits, dots, underscores and hyphens.
+// ValidChangeID reports whether id is a valid change ID: 1 to 128 letters, digits, dots, underscores
+// and hyphens.
 func ValidChangeID(id string) bool { return changeIDPattern.MatchString(id) }
 
-// Validate checks the identity of the change and its command. Its errors are
-// of type *Error.
+// Validate checks the revision, ID, operator, time and command of the change. Its errors are of type
+// *Error.
 func (c Change) Validate() error {
 	if c.Revision == 0 {
-		return newError(CodeInvalid, "revision", "the revision of a change counts from 1")
+		return newError(CodeInvalid, "revision", "the revision of a change must be at least 1")
 	}
 	if !ValidChangeID(c.ID) {
-		return newError(CodeInvalid, c.ID, "%q is no change id", c.ID)
+		return newError(CodeInvalid, c.ID, "%q is not a valid change id", c.ID)
 	}
 	if len(c.Operator) > MaximumOperator || !utf8.ValidString(c.Operator) {
 		return newError(CodeInvalid, "operator", "the operator's name must be UTF-8 of at most %d bytes", MaximumOperator)
 	}
 	if year := c.At.UTC().Year(); year < 1 || year > 9999 {
-		return newError(CodeInvalid, "at", "the time of a change must lie in the years 1 to 9999")
+		return newError(CodeInvalid, "at", "the time of a change must be in the years 1 to 9999")
 	}
 	return c.Command.Validate()
 }
 
 func (o *CreateService) validate() error {
 	if o.KeyColumn != "" && !ValidColumn(o.KeyColumn) {
-		return newError(CodeInvalid, o.KeyColumn, "%q is no column name", o.KeyColumn)
+		return newError(CodeInvalid, o.KeyColumn, "%q is not a valid column name", o.KeyColumn)
 	}
 	return firstError(
 		checkName("service", o.Name),
@@ -133,7 +132,7 @@
 	return firstError(checkName("voter", o.Voter.Name), checkName("zone", o.Voter.Zone))
 }
 
-// firstError returns the first error that is not nil, as a plain error.
+// firstError returns the first non-nil *Error, or an untyped nil error if all are nil.
 func firstError(errors ...*Error) error {
 	for _, err := range errors {
 		if err != nil {
@@ -147,7 +146,7 @@
 	if ValidName(name) {
 		return nil
 	}
-	return newError(CodeInvalid, name, "%q is no %s name: it must be a lower-case letter followed by at most 62 letters, digits and hyphens", name, kind)
+	return newError(CodeInvalid, name, "%q is not a valid %s name: it must be a lower-case letter followed by at most 62 letters, digits and hyphens", name, kind)
 }
 
 func checkRange(quantity string, value, minimum, maximum int) *Error {
@@ -168,5 +167,5 @@
 	if address.IsValid() && address.Port() != 0 && address.Addr().Zone() == "" && !address.Addr().Is4In6() {
 		return nil
 	}
-	return newError(CodeInvalid, "address", "%q is no IP address with a port", address)
+	return newError(CodeInvalid, "address", "%q is not an IP address with a port", address)
 }
