--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Defaults returns the settings of a node on this machine, without a name and
-// zone: those have no default.
+// Defaults returns the settings of a node that runs on the local host. Name and Zone are empty because
+// they have no default.
 func Defaults() Settings {
 	return Settings{
 		Region: "local",
@@ -39,49 +39,47 @@
 // defaultForward returns the defaults of micaplank-edge.
 func defaultForward() Forward {
 	return Forward{
-		// Paired trials, worth: 0.7585 with these three; 0.7566 with a settle_share of 0.95,
-		// 0.7554 and 0.7569 with a hedge_share of 0.18 and 0.35, 0.7569 and 0.7582 with a
-		// hedge_percentile of 0.8 and 0.95.
-		SettleShare:     0.9,
-		HedgeShare:      0.25,
+		// A settle_share of 0.95 gave worse results.
+		SettleShare: 0.9,
+		// A hedge_share of 0.18 or of 0.35 gave worse results.
+		HedgeShare: 0.25,
+		// A hedge_percentile of 0.8 or of 0.95 gave worse results.
 		HedgePercentile: 0.9,
-		// Not measured by itself: it stands for the way between client and node.
+		// The allowance covers the network latency between the client and the node.
 		ClientAllowance: Duration(6 * time.Millisecond),
-		// Package linger has the figures.
+		// Package linger explains the value.
 		Linger: Duration(100 * time.Millisecond),
-		// What all nodes together may cause by the bounds of the platform.
+		// The platform limits the extra attempts of all nodes together to these values.
 		ExtraRatio:  0.2,
 		ExtraSlack:  56,
 		ExtraWindow: Duration(10 * time.Second),
-		// Exactly what a service declares. Package warmup has the rule.
+		// 1 allows exactly the rate that a service declares. Package warmup implements the rule.
 		ColdOvershoot: 1,
-		// Package quarantine has the rule and the reason.
+		// Package quarantine implements the rule and explains the value.
 		QuarantineAfter: 3,
-		// Not measured: chosen so that a node that has not counted the others spends a small
-		// share.
+		// A node that does not yet know the number of nodes uses only a twelfth of extra_slack.
 		ExtraNodes: 12,
-		// With executors, 40, 24 and 16 nodes of one size earned 0.12, 0.09 and 0.06 more on
-		// one day with trouble.
+		// Running the requests of many shards on two executors in each zone improved the results of
+		// deployments with 16, 24 and 40 nodes of one size. Larger deployments gained more.
 		EqualNodes: 16,
-		// Silence of the store counts as loss after 3.5 s, below the 4 s after which a node
-		// counts as in touch with it.
+		// A watch must respond before 3.5 s of silence, after which the node treats the store as
+		// lost. That limit is below the 4 s after which a node counts as connected to the store.
 		WatchWait: Duration(2800 * time.Millisecond),
-		// Not measured: chosen so that changes in quick succession come together.
+		// The pause combines changes in quick succession into one watch response.
 		WatchGather: Duration(500 * time.Millisecond),
-		// Package removal has the reasons of both.
+		// Package removal explains both values.
 		LeafDoubt:    Duration(2 * time.Second),
 		LeafSettling: Duration(3 * time.Second),
-		// That of the deployments that the product was run with.
+		// Leaves of the supported deployments announce themselves at this interval.
 		LeafHeartbeat: Duration(1200 * time.Millisecond),
-		// Not measured: chosen to leave time for what is in flight within the 6 s that a
-		// planned stop has.
+		// A planned stop may last 6 s, so this delay leaves 2.5 s for requests in flight.
 		DrainDelay: Duration(3500 * time.Millisecond),
-		// Not measured: chosen for configurations that do not say.
+		// The timeout applies if the installed configuration does not specify one.
 		IdleTimeout: Duration(time.Minute),
 	}
 }
 
-// defaultMembership returns the defaults of failure detection in micaplank.
+// defaultMembership returns the defaults of micaplank's failure detection.
 func defaultMembership() Membership {
 	return Membership{
 		ProbeInterval:          Duration(time.Second),
--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Duration is a time.Duration that is written as text, such as "250ms".
+// Duration is a time.Duration that TOML represents as text, such as "250ms".
 type Duration time.Duration
 
 // Duration returns the value as a time.Duration.
 func (d Duration) Duration() time.Duration { return time.Duration(d) }
 
-// String implements fmt.Stringer. It leaves out zero minutes and seconds.
+// String implements fmt.Stringer. It omits trailing zero minutes and seconds: "1h" instead of
+// "1h0m0s".
 func (d Duration) String() string {
 	text := time.Duration(d).String()
 	if strings.HasSuffix(text, "m0s") {
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -9,22 +9,24 @@
 const (
 	tagTOML   = "toml"
 	tagExpect = "expect"
-	// maximumEdits is how far an unknown key may be from the known one that
-	// an error suggests.
+	// maximumSuggestionDistance is the maximum edit distance between an unknown key and the valid key
+	// that the error suggests.
 	maximumSuggestionDistance = 2
 )
 
-// field is one key that the settings know.
+// field describes one valid key of the settings.
 type field struct {
-	// key is dotted; table is true for a section such as "listen".
-	key      string
+	// key is the dotted key, such as "listen.http".
+	key string
+	// expected describes the valid values in words.
 	expected string
-	table    bool
-	// duration is true for a value that is written as text with a unit.
+	// table is true for a table such as "listen".
+	table bool
+	// duration is true for a value of type Duration, which is text with a unit.
 	duration bool
 }
 
-// knownFields lists every key, in the order of the settings.
+// allFields lists every valid key in the order of the fields of Settings.
 var allFields = collectFields(reflect.TypeFor[Settings](), "")
 
 func collectFields(structure reflect.Type, prefix string) []field {
@@ -51,7 +53,8 @@
 	return allFields[index], true
 }
 
-// describeKnown says in words which keys may stand where the unknown key does.
+// describeValidKeys describes the valid keys of the table in which the unknown key stands. It suggests
+// the nearest valid key if there is a similar one.
 func describeValidKeys(key string) string {
 	table, name := "", key
 	if dot := strings.LastIndex(key, "."); dot >= 0 {
@@ -89,7 +92,7 @@
 	return table + "."
 }
 
-// editDistance is the Levenshtein distance of two short texts.
+// editDistance returns the Levenshtein distance of two texts.
 func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for column := range row {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,12 +11,12 @@
 	"github.com/samber/oops"
 )
 
-// maximumFileBytes bounds the settings file.
+// maximumFileBytes is the maximum size of the settings file.
 const maximumFileBytes = 1 << 20
 
-// Load returns the defaults, overridden by the file (none if path is empty),
-// overridden by the flags in their order, and checked. The error is Problems,
-// wrapped, unless the file cannot be read.
+// Load returns the defaults, overridden by the file and then by the flags in their order. An empty path
+// means no file. Load validates the result. Its error wraps Problems, unless the file cannot be
+// read.
 func Load(path string, overrides ...Override) (Settings, error) {
 	loader := newLoader()
 	if path != "" {
@@ -29,15 +29,14 @@
 	return loader.complete(overrides)
 }
 
-// Parse is Load for a file that has been read already; name stands for it in
-// errors.
+// Parse is like Load, but takes the content of the file. Errors use name as the name of the file.
 func Parse(name string, content []byte, overrides ...Override) (Settings, error) {
 	loader := newLoader()
 	loader.parseFile(name, content)
 	return loader.complete(overrides)
 }
 
-// loader collects the settings and what is wrong with them.
+// loader collects the settings, the origin of each value and the problems.
 type loader struct {
 	settings Settings
 	origins  map[string]Origin
@@ -48,6 +47,7 @@
 	return &loader{settings: Defaults(), origins: map[string]Origin{}}
 }
 
+// complete applies the overrides and validates the settings if there are no problems so far.
 func (l *loader) complete(overrides []Override) (Settings, error) {
 	for _, override := range overrides {
 		l.applyOverride(override)
@@ -65,8 +65,7 @@
 	l.problems = append(l.problems, Problem{Origin: origin, Key: key, Expected: expected, Found: actual})
 }
 
-// readFile takes the keys of the file one by one, so that every problem is
-// found in one go.
+// parseFile decodes the keys of the file separately, so that one run reports every problem.
 func (l *loader) parseFile(name string, content []byte) {
 	if len(content) > maximumFileBytes {
 		l.addProblem(Origin{File: name}, "", "at most 1 MiB", "more")
@@ -96,6 +95,7 @@
 	}
 }
 
+// checkTable reports a table header whose key is unknown or is not a table.
 func (l *loader) checkTable(origin Origin, key string) {
 	if settingsField, exists := findField(key); !exists {
 		l.addProblem(origin, key, describeValidKeys(key), "")
@@ -104,10 +104,10 @@
 	}
 }
 
-// readKey decodes one "key = value" of a table into the settings.
+// decodeKey decodes one "key = value" expression of a table into the settings.
 func (l *loader) decodeKey(origin Origin, table, key, text string) {
 	if settingsField, exists := findField(table); table != "" && (!exists || !settingsField.table) {
-		return // reported with the table
+		return // checkTable has already reported the table
 	}
 	document := text + "\n"
 	if table != "" {
@@ -127,6 +127,8 @@
 	}
 }
 
+// decodeStrict decodes the document into target. It refuses unknown keys and durations without a unit,
+// and leaves target unmodified on an error.
 func decodeStrict(document string, target *Settings) error {
 	decoded := *target
 	if err := toml.NewDecoder(strings.NewReader(document)).DisallowUnknownFields().Decode(&decoded); err != nil {
@@ -143,11 +145,11 @@
 	return nil
 }
 
-// bareDurationError is a duration that is a number. The decoder would take it
-// as nanoseconds, since that is how Go holds a duration.
+// unitlessDurationError reports a duration that is written as a number. The TOML decoder would read the
+// number as nanoseconds.
 type unitlessDurationError struct{ key string }
 
-// Error names the key.
+// Error implements error.
 func (e *unitlessDurationError) Error() string { return e.key + " is a number without a unit" }
 
 func rejectUnitlessDurations(values map[string]any, prefix string) error {
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// failedKey is the full key at which decoding stopped, or fallback.
+// findErrorKey returns the dotted key that caused the decoding error, or fallback if err names no key.
 func findErrorKey(err error, fallback string) string {
 	var unitless *unitlessDurationError
 	if errors.As(err, &unitless) {
@@ -183,7 +185,8 @@
 	return fallback
 }
 
-// checkSyntax finds errors of the TOML text itself, and keys set twice.
+// checkSyntax reports whether the content is invalid TOML, including keys that are set twice, and
+// returns the problem.
 func checkSyntax(name string, content []byte) (Problem, bool) {
 	var document map[string]any
 	err := toml.NewDecoder(bytes.NewReader(content)).Decode(&document)
@@ -200,6 +203,7 @@
 	return problem, true
 }
 
+// parseKey returns the dotted key of the expression and the line on which the key starts.
 func parseKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for iterator := expression.Key(); iterator.Next(); {
@@ -212,7 +216,7 @@
 	return strings.Join(parts, "."), line
 }
 
-// valueText is the part of "key = value" after the sign, on one line.
+// extractValue returns the value of "key = value" with its white space collapsed to one line.
 func extractValue(text string) string {
 	_, value, _ := strings.Cut(text, "=")
 	return strings.Join(strings.Fields(value), " ")
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -6,17 +6,17 @@
 	"github.com/integrii/flaggy"
 )
 
-// Override is one key set by a flag.
+// Override is a key and its value from a command-line flag.
 type Override struct {
-	// Flag is how the flag is called in errors, such as "--zone".
+	// Flag is the flag's name in errors, such as "--zone".
 	Flag string
 	Key  string
-	// Value is TOML, or plain text where the key takes a text.
+	// Value is a TOML value. For a text, the quotes may be omitted.
 	Value string
 }
 
-// override sets one key. Text that is no TOML value of the right type is
-// tried again as a TOML string.
+// applyOverride sets one key. If the value is not valid TOML of the key's type, applyOverride
+// retries the value as a quoted TOML string.
 func (l *loader) applyOverride(override Override) {
 	origin := Origin{Flag: override.Flag}
 	settingsField, exists := findField(override.Key)
@@ -48,13 +48,13 @@
 
 var tomlEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\r", `\r`)
 
-// quote writes a text as a TOML string.
+// quoteTOML returns the text as a TOML string.
 func quoteTOML(text string) string {
 	return `"` + tomlEscaper.Replace(text) + `"`
 }
 
-// Flags are the flags of a node process that override the file. Register them
-// before the command line is parsed, and pass Overrides to Load afterwards.
+// Flags holds the command-line flags of a node process that override the settings file. Call Register
+// before the command line is parsed, and pass the result of Overrides to Load afterwards.
 type Flags struct {
 	name, zone, region, advertise      string
 	listenHTTP, listenPeer             string
@@ -78,7 +78,7 @@
 	command.StringSlice(&f.assignments, "", "set", "Any setting, as key=value, such as limits.concurrency=100; may be repeated.")
 }
 
-// Overrides returns what the flags set.
+// Overrides returns the values of the flags that are set.
 func (f *Flags) Overrides() []Override {
 	var overrides []Override
 	addString := func(flag, key, value string) {
@@ -109,6 +109,7 @@
 	return overrides
 }
 
+// formatTOMLList returns the values as a TOML array of strings.
 func formatTOMLList(values []string) string {
 	quoted := make([]string, 0, len(values))
 	for _, value := range values {
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Origin is where a value was set: a line of a file, a flag, or neither for a
+// Origin identifies the source of a value: a line of a file or a flag. The zero Origin stands for a
 // default.
 type Origin struct {
 	File string
-	// Line is counted from 1.
+	// Line numbers start at 1.
 	Line int
 	Flag string
 }
@@ -28,14 +28,16 @@
 	}
 }
 
-// Problem is one thing that is wrong with the settings.
+// Problem describes one invalid setting.
 type Problem struct {
 	Origin Origin
-	// Key is the dotted key, such as "listen.http"; empty for a syntax error.
+	// Key is the dotted key, such as "listen.http". It is empty for a syntax error that concerns no
+	// key.
 	Key string
-	// Expected says in words what was expected; Found is the text that is there.
+	// Expected describes the valid values in words.
 	Expected string
-	Found    string
+	// Found is the invalid text.
+	Found string
 }
 
 // Error implements error.
@@ -52,12 +54,11 @@
 	return text.String()
 }
 
-// Problems is everything that is wrong with the settings: in the order of the
-// file and the flags if a value could not be read, otherwise in the order of
-// the fields.
+// Problems lists all invalid settings. Decoding problems are in the order of the file and the flags.
+// Validation problems are in the order of the fields.
 type Problems []Problem
 
-// Error implements error: one line for each problem.
+// Error implements error. It returns one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
 	for _, problem := range p {
@@ -66,6 +67,7 @@
 	return strings.Join(lines, "\n")
 }
 
+// asError returns the problems as an error, or an untyped nil error if there are none.
 func (p Problems) asError() error {
 	if len(p) == 0 {
 		return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,15 +1,16 @@
-// Package settings holds the settings of one node process, of either node
-// program: a TOML file, overridden by flags. It owns the names, forms, defaults
-// and ranges of all keys. Unknown keys, wrong types and values out of range are
-// errors that name the file, line and key, and what was expected there. It relies on
-// internal/catalog for the form of names; what a setting does is in the package that
-// takes it.
+// Package settings loads the settings of a node process from a TOML file and from command-line flags
+// that override the file. Both node programs have the same settings.
+//
+// The package defines the names, types, defaults and ranges of all keys. Unknown keys, wrong types
+// and values out of range result in errors that name the file, the line, the key and the expected
+// value. Package catalog defines the syntax of names. The package that uses a setting implements its
+// effect.
 package settings
 
 import "net/netip"
 
-// Settings is everything that a node process is configured with at its start. The tags
-// "expect" say in words what a value must be, "comment" what it does.
+// Settings is the startup configuration of a node process. The tag "expect" describes the valid values
+// of a key in error messages, and the tag "comment" describes its effect in printed settings.
 type Settings struct {
 	Name      string     `toml:"name" comment:"Slot of this node, unique among the nodes. A replacement machine takes its predecessor's." validate:"required,slot" expect:"a lower-case letter and at most 62 more lower-case letters, digits and hyphens, such as \"node-a1\""`
 	Zone      string     `toml:"zone" comment:"Zone and region of this machine." validate:"required,slot" expect:"a lower-case letter and at most 62 more lower-case letters, digits and hyphens, such as \"a\""`
@@ -30,14 +31,14 @@
 	Log        Log        `toml:"log"`
 }
 
-// Process bounds what the process uses of its machine.
+// Process declares the machine resources that the process may use.
 type Process struct {
 	Cores       float64 `toml:"cores" comment:"Processor of the machine, as cores of ordinary speed, and the share of each that the process gets." validate:"gt=0" expect:"a number above 0"`
 	CoreShare   float64 `toml:"core_share" validate:"gt=0,lte=1" expect:"a number above 0, at most 1"`
 	MemoryBytes int64   `toml:"memory_bytes" comment:"Memory that the process may use; the garbage collector keeps below nine tenths of it. 0: no limit." validate:"gte=0" expect:"a whole number of bytes, 0 or above"`
 }
 
-// Forward says how a node serves opaque requests by a declared configuration.
+// Forward configures how micaplank-edge forwards opaque requests by a declared configuration.
 type Forward struct {
 	SettleShare     float64  `toml:"settle_share" comment:"Share of a route's objective after which an answer with enough coverage is given." validate:"gt=0,lte=1" expect:"a number above 0, at most 1"`
 	ClientAllowance Duration `toml:"client_allowance" comment:"Time on the way between a caller and the node that counts for the objective and is not seen here." validate:"gte=0" expect:"a duration, 0 or above, such as \"6ms\""`
@@ -63,7 +64,7 @@
 	IdleTimeout     Duration `toml:"idle_timeout" comment:"How long a caller's connection may rest, unless the configuration in force says." validate:"gt=0" expect:"a duration above 0, such as \"1m\""`
 }
 
-// Listen says where the node listens.
+// Listen holds the addresses on which the node listens.
 type Listen struct {
 	HTTP    netip.AddrPort `toml:"http" comment:"Callers and operators." validate:"required" expect:"an IP address with a port, such as \"127.0.0.1:7201\""`
 	Ready   netip.AddrPort `toml:"ready" comment:"Questions whether the node takes work. Empty: none are served apart." validate:"remote_or_empty" expect:"an IP address with a port, or \"\""`
@@ -71,12 +72,12 @@
 	Peer    netip.AddrPort `toml:"peer" comment:"Other nodes, over TCP and UDP on the same port." validate:"required" expect:"an IP address with a port, such as \"127.0.0.1:7301\""`
 }
 
-// Peers says where other nodes are.
+// Peers configures how the node discovers other nodes.
 type Peers struct {
 	Seeds []netip.AddrPort `toml:"seeds" comment:"Peer addresses of some other nodes, to find the rest." validate:"dive,remote" expect:"a list of IP addresses with ports, such as [\"127.0.0.1:7301\"]"`
 }
 
-// Store says how the configuration store is called.
+// Store configures the calls to the configuration store.
 type Store struct {
 	Endpoints []netip.AddrPort `toml:"endpoints" comment:"Addresses of the configuration store (etcd v3 HTTP/JSON gateway)." validate:"required,min=1,dive,remote" expect:"a list of one or more IP addresses with ports, such as [\"127.0.0.1:7001\"]"`
 	Timeout   Duration         `toml:"timeout" comment:"Longest time of one call." validate:"gt=0" expect:"a duration above 0, such as \"2s\""`
@@ -84,41 +85,41 @@
 	Burst     int              `toml:"burst" validate:"gte=1" expect:"a whole number, 1 or above"`
 }
 
-// Machines says how the platform's machine list is read.
+// Machines configures how the node polls the platform's machine list.
 type Machines struct {
 	Address  netip.AddrPort `toml:"address" comment:"Address of the machine list. Empty: none is read." validate:"remote_or_empty" expect:"an IP address with a port, such as \"127.0.0.1:7002\", or \"\""`
 	Interval Duration       `toml:"interval" comment:"Time between two readings, and longest time of one." validate:"gt=0" expect:"a duration above 0, such as \"1s\""`
 	Timeout  Duration       `toml:"timeout" validate:"gt=0" expect:"a duration above 0, such as \"1s\""`
 }
 
-// Leaf says how leaves are called.
+// Leaf configures the connections to leaves.
 type Leaf struct {
 	ConnectionsPerLeaf int      `toml:"connections_per_leaf" comment:"Connections that this node keeps to each leaf." validate:"gte=1,lte=64" expect:"a whole number from 1 to 64"`
 	LoadInterval       Duration `toml:"load_interval" comment:"Time between two load reports asked of a leaf." validate:"gt=0" expect:"a duration above 0, such as \"250ms\""`
 	DialTimeout        Duration `toml:"dial_timeout" comment:"Longest time to open a connection." validate:"gt=0" expect:"a duration above 0, such as \"500ms\""`
 }
 
-// Limits bounds what callers may ask of the node.
+// Limits holds the limits on requests from callers and on shutdown.
 type Limits struct {
 	BodyBytes    int64    `toml:"body_bytes" comment:"Largest body of a request." validate:"gte=1024" expect:"a whole number of bytes, 1024 or above"`
 	Concurrency  int      `toml:"concurrency" comment:"Queries of callers that are in this node at once at most, waiting or running; more are refused." validate:"gte=1" expect:"a whole number, 1 or above"`
 	DrainTimeout Duration `toml:"drain_timeout" comment:"Longest wait for requests in flight at a planned stop." validate:"gt=0" expect:"a duration above 0, such as \"30s\""`
 }
 
-// Once holds the settings of requests that may run at most once.
+// Once configures the handling of requests that may run at most once.
 type Once struct {
 	Window   Duration `toml:"window" comment:"How long the outcome of such a request is remembered." validate:"gt=0" expect:"a duration above 0, such as \"5m\""`
 	Skew     Duration `toml:"skew" comment:"How far a caller's clock may be from this machine's." validate:"gt=0" expect:"a duration above 0, such as \"5s\""`
 	Capacity int      `toml:"capacity" comment:"How many such requests are remembered at most; more are refused." validate:"gte=1" expect:"a whole number, 1 or above"`
 }
 
-// Freshness says when a node may serve.
+// Freshness configures how recently a majority of voters must have confirmed a node's revision.
 type Freshness struct {
 	Window           Duration `toml:"window" comment:"A node serves only if a majority of voters confirmed its revision within this time." validate:"gt=0" expect:"a duration above 0, such as \"5s\""`
 	ExchangeInterval Duration `toml:"exchange_interval" comment:"Time between two exchanges of revisions." validate:"gt=0" expect:"a duration above 0, such as \"500ms\""`
 }
 
-// Membership holds the settings of failure detection between nodes.
+// Membership configures the failure detection between nodes.
 type Membership struct {
 	ProbeInterval          Duration `toml:"probe_interval" comment:"Period in which each node probes one other." validate:"gt=0" expect:"a duration above 0, such as \"1s\""`
 	ProbeTimeout           Duration `toml:"probe_timeout" comment:"Longest time of a direct probe; above the largest round trip." validate:"gt=0" expect:"a duration above 0, such as \"200ms\""`
@@ -129,13 +130,14 @@
 	GossipFanout           int      `toml:"gossip_fanout" validate:"gte=0" expect:"a whole number, 0 or above"`
 }
 
-// Log says how the log is written.
+// Log configures the log output.
 type Log struct {
 	Format string `toml:"format" comment:"text or json." validate:"oneof=text json" expect:"\"text\" or \"json\""`
 	Level  string `toml:"level" comment:"debug, info, warn or error." validate:"oneof=debug info warn error" expect:"\"debug\", \"info\", \"warn\" or \"error\""`
 }
 
-// AdvertisedAddress is the IP address at which other nodes reach this one.
+// AdvertisedAddress returns the IP address at which other nodes reach this node. It defaults to the
+// address of Listen.Peer.
 func (s Settings) AdvertisedAddress() netip.Addr {
 	if s.Advertise.IsValid() {
 		return s.Advertise
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,11 +17,12 @@
 
 const minimalFile = "name = \"node-a1\"\nzone = \"a\"\n"
 
-// Each testdata/*.toml is a file with mistakes; its .golden is the error.
+// TestFileErrorsMatchGolden loads each testdata/*.toml, all of which contain mistakes, and compares the
+// error with the .golden file of the same name.
 func TestFileErrorsMatchGolden(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no test data: %v", err)
+		t.Fatalf("glob testdata/*.toml: got no files, error %v", err)
 	}
 	golden := goldie.New(t)
 	for _, file := range files {
@@ -30,7 +31,7 @@
 			_, err := settings.Load(file)
 			var problems settings.Problems
 			if !errors.As(err, &problems) {
-				t.Fatalf("expected problems, got %v", err)
+				t.Fatalf("got error %v, want Problems", err)
 			}
 			golden.Assert(t, name, []byte(problems.Error()+"\n"))
 		})
@@ -52,7 +53,7 @@
 	}
 	if loaded.Name != "node-a1" || loaded.Zone != "b" || len(loaded.Peers.Seeds) != 2 ||
 		loaded.Limits.Concurrency != 7 || loaded.Limits.DrainTimeout.String() != "3s" || loaded.Listen.HTTP.Port() != 0 {
-		t.Fatalf("the flags did not win: %+v", loaded)
+		t.Fatalf("flags did not override the file: got %+v", loaded)
 	}
 }
 
@@ -65,7 +66,7 @@
 		settings.Override{Flag: "--store", Key: "store.endpoints", Value: `["localhost:7001"]`})
 	var problems settings.Problems
 	if !errors.As(err, &problems) {
-		t.Fatalf("expected problems, got %v", err)
+		t.Fatalf("got error %v, want Problems", err)
 	}
 	goldie.New(t).Assert(t, "flags", []byte(problems.Error()+"\n"))
 }
@@ -83,13 +84,13 @@
 	}
 	var reprinted bytes.Buffer
 	if err := settings.Print(&reprinted, loaded); err != nil || reprinted.String() != printed.String() {
-		t.Fatalf("the example changes when it is loaded and printed: %v\n%s", err, reprinted.String())
+		t.Fatalf("loading and printing the example changed it: error %v, got:\n%s", err, reprinted.String())
 	}
 }
 
 func TestLoadReportsMissingFile(t *testing.T) {
 	if _, err := settings.Load("testdata/none"); !errors.Is(err, os.ErrNotExist) {
-		t.Fatalf("expected a missing file, got %v", err)
+		t.Fatalf("Load of a missing file: got error %v, want os.ErrNotExist", err)
 	}
 }
 
@@ -103,7 +104,7 @@
 		defaults.GossipInterval.Duration() == packageDefaults.GossipInterval &&
 		defaults.GossipFanout == packageDefaults.GossipFanout
 	if !same {
-		t.Fatalf("the defaults differ: %+v and %+v", defaults, packageDefaults)
+		t.Fatalf("membership defaults = %+v, want those of package membership: %+v", defaults, packageDefaults)
 	}
 }
 
@@ -121,11 +122,11 @@
 		loaded, err := settings.Parse("fuzz.toml", content)
 		var problems settings.Problems
 		if err != nil && !errors.As(err, &problems) {
-			t.Fatalf("an error that is no problem: %v", err)
+			t.Fatalf("Parse: got error %v, want Problems", err)
 		}
 		for _, problem := range problems {
 			if problem.Expected == "" {
-				t.Fatalf("a problem that does not say what is expected: %+v", problem)
+				t.Fatalf("problem without an expectation: %+v", problem)
 			}
 		}
 		if err != nil {
@@ -136,19 +137,20 @@
 			t.Fatal(err)
 		}
 		if _, err := settings.Parse("printed.toml", printed.Bytes()); err != nil {
-			t.Fatalf("accepted settings do not load again: %v\n%s", err, printed.String())
+			t.Fatalf("Parse refused printed settings: %v\n%s", err, printed.String())
 		}
 	})
 }
 
-// TestNamesCanBeVoters takes only names that the command language can name.
+// TestNodeNamesAreVoterNames checks that a node name is accepted only if the command language
+// accepts it as the name of a voter.
 func TestNodeNamesAreVoterNames(t *testing.T) {
 	for name, valid := range map[string]bool{
 		"a": true, "node-a1": true, strings.Repeat("n", 63): true,
 		"1a": false, "-a": false, "Node": false, "node.a": false, strings.Repeat("n", 64): false,
 	} {
 		if _, err := settings.Parse("file", []byte("name = \""+name+"\"\nzone = \"a\"\n")); (err == nil) != valid {
-			t.Errorf("%q: %v", name, err)
+			t.Errorf("Parse with name %q: got error %v, want valid = %t", name, err, valid)
 		}
 	}
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,6 +14,8 @@
 
 var structValidator = newValidator()
 
+// validate checks each field against its validation tag and then the rules between fields. The rules
+// between fields are checked only if every field is valid.
 func validate(settings Settings, origins map[string]Origin) Problems {
 	var problems Problems
 	var failures validator.ValidationErrors
@@ -46,7 +48,7 @@
 	return checker
 }
 
-// addressText lets the rules see addresses as text; an unset one is empty.
+// convertAddress passes an address to the validation rules as text. An unset address is empty.
 func convertAddress(value reflect.Value) any {
 	switch address := value.Interface().(type) {
 	case netip.Addr:
@@ -95,7 +97,7 @@
 	}
 }
 
-// checkTogether looks at values that depend on each other.
+// checkDependentFields checks the rules that involve more than one field.
 func checkDependentFields(settings Settings, origins map[string]Origin) Problems {
 	var problems Problems
 	require := func(holds bool, key, expected string, value any) {
