--- a/internal/catalog/apply_leaf_voter.go
+++ b/internal/catalog/apply_leaf_voter.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// apply adds a new leaf or updates an existing one. Adding a retiring leaf clears Retiring and sets a
-// new AddedAt. Updating an active leaf replaces its zone and shards and keeps its AddedAt, because
-// the statement describes the leaf's configuration and does not report that the leaf returned. An
-// update without a difference is refused with CodeUnchanged.
+// apply adds a new leaf or updates an existing one. Adding a retiring leaf clears Retiring and sets
+// a new AddedAt. Updating an active leaf replaces its zone and shards and keeps its AddedAt,
+// because the statement describes the leaf's configuration and does not report that the leaf
+// returned. An update without a difference is refused with CodeUnchanged.
 func (o *AddLeaf) apply(e *editor) error {
 	service, err := e.lookupService(o.Service)
 	if err != nil {
--- a/internal/catalog/apply_service.go
+++ b/internal/catalog/apply_service.go
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// newDuplicateError distinguishes a repeated statement (CodeUnchanged) from one that contradicts the
-// existing service (CodeDuplicate).
+// newDuplicateError distinguishes a repeated statement (CodeUnchanged) from one that contradicts
+// the existing service (CodeDuplicate).
 func (o *CreateService) newDuplicateError(existing Service) error {
 	same := existing.Replicas == o.Replicas && existing.KeyColumn == o.KeyColumn && existing.Newest().Shards == o.Shards
 	if same {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,7 @@
 // Package catalog defines the operators' configuration as an immutable value.
 //
-// A Catalog is the result of applying a totally ordered log of changes to the empty catalog. Apply is
-// pure and deterministic, so all nodes at the same revision hold the same catalog. The package
+// A Catalog is the result of applying a totally ordered log of changes to the empty catalog. Apply
+// is pure and deterministic, so all nodes at the same revision hold the same catalog. The package
 // defines the operations that a change can contain and their stored form. It keeps no state.
 package catalog
 
@@ -57,14 +57,14 @@
 	Priority int `json:"priority"`
 	// Deadline is the maximum duration of a request of this class.
 	Deadline time.Duration `json:"deadline"`
-	// Coverage is the share of shards, from 0 to 1, that must have replied before the node may answer
-	// ahead of the deadline. Below this share the node keeps waiting.
+	// Coverage is the share of shards, from 0 to 1, that must have replied before the node may
+	// answer ahead of the deadline. Below this share the node keeps waiting.
 	Coverage float64 `json:"coverage"`
-	// HedgePercentile is the quantile of recent latency, from 0 to 1, after which the node may send a
-	// second attempt. Zero disables hedging.
+	// HedgePercentile is the quantile of recent latency, from 0 to 1, after which the node may send
+	// a second attempt. Zero disables hedging.
 	HedgePercentile float64 `json:"hedge_percentile,omitempty"`
-	// ExtraLoad is the maximum ratio, from 0 to 1, of extra attempts (hedges and retries) to required
-	// attempts.
+	// ExtraLoad is the maximum ratio, from 0 to 1, of extra attempts (hedges and retries) to
+	// required attempts.
 	ExtraLoad float64 `json:"extra_load,omitempty"`
 	// Repeatable reports whether a request may run more than once. Classes declared "once" are not
 	// repeatable.
@@ -75,11 +75,11 @@
 type Service struct {
 	Name     string `json:"name"`
 	Replicas int    `json:"replicas"`
-	// KeyColumn is the column whose hash determines the shard of a row. It is empty if every query of
-	// the service visits every shard.
+	// KeyColumn is the column whose hash determines the shard of a row. It is empty if every query
+	// of the service visits every shard.
 	KeyColumn string `json:"key_column,omitempty"`
-	// Partitions lists at most RetainedPartitions partitions, the newest last. Older partitions serve
-	// queries that run on an older snapshot.
+	// Partitions lists at most RetainedPartitions partitions, the newest last. Older partitions
+	// serve queries that run on an older snapshot.
 	Partitions []Partition `json:"partitions"`
 	Stopped    bool        `json:"stopped,omitempty"`
 	// Concurrency limits the concurrent requests of one node to the service. Zero means no limit.
@@ -104,8 +104,8 @@
 	Voters   map[string]Voter   `json:"voters,omitempty"`
 	// VotersRevision is the revision of the newest change to Voters.
 	VotersRevision uint64 `json:"voters_revision,omitempty"`
-	// Recent lists the last RetainedChanges changes, oldest first. Apply refuses a change whose ID is
-	// in this list.
+	// Recent lists the last RetainedChanges changes, oldest first. Apply refuses a change whose ID
+	// is in this list.
 	Recent []AppliedChange `json:"recent,omitempty"`
 }
 
@@ -125,9 +125,9 @@
 	Statement string `json:"statement"`
 }
 
-// Change is one log entry: a command with its revision, ID, operator and time. The configuration store
-// holds the change of revision n under the key of n, which is written only if the key does not
-// exist.
+// Change is one log entry: a command with its revision, ID, operator and time. The configuration
+// store holds the change of revision n under the key of n, which is written only if the key does
+// not exist.
 type Change struct {
 	// Revision is the position in the log. Revisions start at 1 and have no gaps.
 	Revision uint64 `json:"revision"`
--- a/internal/catalog/codec.go
+++ b/internal/catalog/codec.go
@@ -41,8 +41,8 @@
 	return change, nil
 }
 
-// Digest returns a hash of the canonical JSON. Nodes at the same revision have the same digest. Digest
-// encodes the whole catalog, which is too expensive for every heartbeat.
+// Digest returns a hash of the canonical JSON. Nodes at the same revision have the same digest.
+// Digest encodes the whole catalog, which is too expensive for every heartbeat.
 func (c *Catalog) Digest() uint64 {
 	data, err := Encode(c)
 	if err != nil {
--- a/internal/catalog/codec_test.go
+++ b/internal/catalog/codec_test.go
@@ -6,8 +6,8 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestStoredFormsMatchRecordings guards against an incompatible change of the stored JSON: the store
-// holds changes and checkpoints that other versions wrote.
+// TestStoredFormsMatchRecordings guards against an incompatible change of the stored JSON: the
+// store holds changes and checkpoints that other versions wrote.
 func TestStoredFormsMatchRecordings(t *testing.T) {
 	wiretest.JSON[Catalog](t, "catalog")
 	wiretest.JSON[Change](t, "change")
--- a/internal/catalog/operation.go
+++ b/internal/catalog/operation.go
@@ -10,7 +10,8 @@
 	apply(*editor) error
 }
 
-// selectOperation returns the member that is set. It returns an error unless exactly one member is set.
+// selectOperation returns the member that is set. It returns an error unless exactly one member is
+// set.
 func (c Command) selectOperation() (operation, error) {
 	var members []operation
 	add := func(set bool, member operation) {
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 )
 
-// Limits of a catalog. A change that exceeds a limit is refused. The limits catch mistyped numbers and
-// bound the memory that a change can occupy on every node.
+// Limits of a catalog. A change that exceeds a limit is refused. The limits catch mistyped numbers
+// and bound the memory that a change can occupy on every node.
 const (
 	MaximumShards        = 65536     // per partition
 	MaximumReplicas      = 64        // per shard
@@ -34,16 +34,16 @@
 // letter followed by at most 62 lower-case letters, digits and hyphens.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// ValidColumn reports whether name is a valid column name: a letter or underscore followed by at most
-// 62 letters, digits and underscores.
+// ValidColumn reports whether name is a valid column name: a letter or underscore followed by at
+// most 62 letters, digits and underscores.
 func ValidColumn(name string) bool { return columnPattern.MatchString(name) }
 
-// ValidChangeID reports whether id is a valid change ID: 1 to 128 letters, digits, dots, underscores
-// and hyphens.
+// ValidChangeID reports whether id is a valid change ID: 1 to 128 letters, digits, dots,
+// underscores and hyphens.
 func ValidChangeID(id string) bool { return changeIDPattern.MatchString(id) }
 
-// Validate checks the revision, ID, operator, time and command of the change. Its errors are of type
-// *Error.
+// Validate checks the revision, ID, operator, time and command of the change. Its errors are of
+// type *Error.
 func (c Change) Validate() error {
 	if c.Revision == 0 {
 		return newError(CodeInvalid, "revision", "the revision of a change must be at least 1")
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Defaults returns the settings of a node that runs on the local host. Name and Zone are empty because
-// they have no default.
+// Defaults returns the settings of a node that runs on the local host. Name and Zone are empty
+// because they have no default.
 func Defaults() Settings {
 	return Settings{
 		Region: "local",
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -9,8 +9,8 @@
 const (
 	tagTOML   = "toml"
 	tagExpect = "expect"
-	// maximumSuggestionDistance is the maximum edit distance between an unknown key and the valid key
-	// that the error suggests.
+	// maximumSuggestionDistance is the maximum edit distance between an unknown key and the valid
+	// key that the error suggests.
 	maximumSuggestionDistance = 2
 )
 
@@ -53,8 +53,8 @@
 	return allFields[index], true
 }
 
-// describeValidKeys describes the valid keys of the table in which the unknown key stands. It suggests
-// the nearest valid key if there is a similar one.
+// describeValidKeys describes the valid keys of the table in which the unknown key stands. It
+// suggests the nearest valid key if there is a similar one.
 func describeValidKeys(key string) string {
 	table, name := "", key
 	if dot := strings.LastIndex(key, "."); dot >= 0 {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -14,9 +14,9 @@
 // maximumFileBytes is the maximum size of the settings file.
 const maximumFileBytes = 1 << 20
 
-// Load returns the defaults, overridden by the file and then by the flags in their order. An empty path
-// means no file. Load validates the result. Its error wraps Problems, unless the file cannot be
-// read.
+// Load returns the defaults, overridden by the file and then by the flags in their order. An empty
+// path means no file. Load validates the result. Its error wraps Problems, unless the file cannot
+// be read.
 func Load(path string, overrides ...Override) (Settings, error) {
 	loader := newLoader()
 	if path != "" {
@@ -127,8 +127,8 @@
 	}
 }
 
-// decodeStrict decodes the document into target. It refuses unknown keys and durations without a unit,
-// and leaves target unmodified on an error.
+// decodeStrict decodes the document into target. It refuses unknown keys and durations without a
+// unit, and leaves target unmodified on an error.
 func decodeStrict(document string, target *Settings) error {
 	decoded := *target
 	if err := toml.NewDecoder(strings.NewReader(document)).DisallowUnknownFields().Decode(&decoded); err != nil {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// unitlessDurationError reports a duration that is written as a number. The TOML decoder would read the
-// number as nanoseconds.
+// unitlessDurationError reports a duration that is written as a number. The TOML decoder would read
+// the number as nanoseconds.
 type unitlessDurationError struct{ key string }
 
 // Error implements error.
@@ -168,7 +168,8 @@
 	return nil
 }
 
-// findErrorKey returns the dotted key that caused the decoding error, or fallback if err names no key.
+// findErrorKey returns the dotted key that caused the decoding error, or fallback if err names no
+// key.
 func findErrorKey(err error, fallback string) string {
 	var unitless *unitlessDurationError
 	if errors.As(err, &unitless) {
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -53,8 +53,8 @@
 	return `"` + tomlEscaper.Replace(text) + `"`
 }
 
-// Flags holds the command-line flags of a node process that override the settings file. Call Register
-// before the command line is parsed, and pass the result of Overrides to Load afterwards.
+// Flags holds the command-line flags of a node process that override the settings file. Call
+// Register before the command line is parsed, and pass the result of Overrides to Load afterwards.
 type Flags struct {
 	name, zone, region, advertise      string
 	listenHTTP, listenPeer             string
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -54,8 +54,8 @@
 	return text.String()
 }
 
-// Problems lists all invalid settings. Decoding problems are in the order of the file and the flags.
-// Validation problems are in the order of the fields.
+// Problems lists all invalid settings. Decoding problems are in the order of the file and the
+// flags. Validation problems are in the order of the fields.
 type Problems []Problem
 
 // Error implements error. It returns one line per problem.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,16 +1,17 @@
-// Package settings loads the settings of a node process from a TOML file and from command-line flags
-// that override the file. Both node programs have the same settings.
+// Package settings loads the settings of a node process from a TOML file and from command-line
+// flags that override the file. Both node programs have the same settings.
 //
 // The package defines the names, types, defaults and ranges of all keys. Unknown keys, wrong types
 // and values out of range result in errors that name the file, the line, the key and the expected
-// value. Package catalog defines the syntax of names. The package that uses a setting implements its
-// effect.
+// value. Package catalog defines the syntax of names. The package that uses a setting implements
+// its effect.
 package settings
 
 import "net/netip"
 
-// Settings is the startup configuration of a node process. The tag "expect" describes the valid values
-// of a key in error messages, and the tag "comment" describes its effect in printed settings.
+// Settings is the startup configuration of a node process. The tag "expect" describes the valid
+// values of a key in error messages, and the tag "comment" describes its effect in printed
+// settings.
 type Settings struct {
 	Name      string     `toml:"name" comment:"Slot of this node, unique among the nodes. A replacement machine takes its predecessor's." validate:"required,slot" expect:"a lower-case letter and at most 62 more lower-case letters, digits and hyphens, such as \"node-a1\""`
 	Zone      string     `toml:"zone" comment:"Zone and region of this machine." validate:"required,slot" expect:"a lower-case letter and at most 62 more lower-case letters, digits and hyphens, such as \"a\""`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,8 +17,8 @@
 
 const minimalFile = "name = \"node-a1\"\nzone = \"a\"\n"
 
-// TestFileErrorsMatchGolden loads each testdata/*.toml, all of which contain mistakes, and compares the
-// error with the .golden file of the same name.
+// TestFileErrorsMatchGolden loads each testdata/*.toml, all of which contain mistakes, and compares
+// the error with the .golden file of the same name.
 func TestFileErrorsMatchGolden(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,8 +14,8 @@
 
 var structValidator = newValidator()
 
-// validate checks each field against its validation tag and then the rules between fields. The rules
-// between fields are checked only if every field is valid.
+// validate checks each field against its validation tag and then the rules between fields. The
+// rules between fields are checked only if every field is valid.
 func validate(settings Settings, origins map[string]Origin) Problems {
 	var problems Problems
 	var failures validator.ValidationErrors
