--- a/internal/selfhosted/language/canonical.go
+++ b/internal/selfhosted/language/canonical.go
@@ -49,8 +49,7 @@
 	return text.String()
 }
 
-// String returns the text of the item, which is also its column's name in the
-// result.
+// String returns the text of the item. The result's column has this text as its name.
 func (i Item) String() string {
 	if i.Function == NoFunction {
 		return i.Column
@@ -58,7 +57,7 @@
 	return string(i.Function) + "(" + i.Column + ")"
 }
 
-// String returns the text of one term of an order by.
+// String returns the text of one term of an order by clause.
 func (o Order) String() string {
 	if o.Descending {
 		return o.Item.String() + " desc"
@@ -110,8 +109,7 @@
 	return n.Column + " is null"
 }
 
-// FormatValue returns a value as the language writes it. A number must be
-// finite.
+// FormatValue returns the canonical text of a value. A number must be finite.
 func FormatValue(value rows.Value) string {
 	switch value.Kind {
 	case rows.Number:
@@ -123,7 +121,8 @@
 	}
 }
 
-// Bounds outside of which a number is written with an exponent.
+// A number from minimumPlainNumber up to but excluding plainNumberLimit is formatted without an
+// exponent.
 const (
 	minimumPlainNumber = 1e-6
 	plainNumberLimit   = 1e15
@@ -149,8 +148,8 @@
 	return strings.Join(texts, ", ")
 }
 
-// joinTerms puts parentheses around conjunctions and disjunctions, so that the
-// text keeps the nesting of the value.
+// joinTerms joins the texts of the terms. It encloses conjunctions and disjunctions in parentheses,
+// so that parsing the text restores the nesting.
 func joinTerms(terms []Where, separator string) string {
 	texts := make([]string, len(terms))
 	for i, term := range terms {
--- a/internal/selfhosted/language/convert.go
+++ b/internal/selfhosted/language/convert.go
@@ -13,11 +13,12 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// converter turns nodes of the grammar into values and keeps the first error.
+// converter converts syntax nodes to statements and records the first error.
 type converter struct {
 	err *SyntaxError
 }
 
+// convert returns the statement of a syntax tree whose first token is at start.
 func convert(node *statementNode, start lexer.Position) (Statement, *SyntaxError) {
 	c := &converter{}
 	statement := c.convertStatement(node, start)
@@ -46,7 +47,7 @@
 	}
 }
 
-// expect fails with the words for what should stand in the token's place.
+// failExpecting records an error that names the token and the text expected in its place.
 func (c *converter) failExpecting(position lexer.Position, token, expected string) {
 	if c.err == nil {
 		c.err = newUnexpectedTokenError(lexer.Token{Pos: position, Value: token, Type: identType}, expected)
@@ -81,7 +82,7 @@
 	return names
 }
 
-// maximumWhole bounds whole numbers so that they fit into an int anywhere.
+// maximumInteger limits integers so that they fit into an int on every platform.
 const maximumInteger = math.MaxInt32
 
 func (c *converter) convertInteger(node wholeNode) int {
@@ -103,8 +104,8 @@
 	return &value
 }
 
-// share reads plain digits times ten to the power of exponent, which must be
-// from 0 to 1.
+// convertShare parses a decimal number times ten to the power of exponent. The result must be from
+// 0 to 1.
 func (c *converter) convertShare(position lexer.Position, text string, exponent int, expected string) float64 {
 	value, ok := parseScaledShare(text, exponent)
 	if !ok {
@@ -113,7 +114,8 @@
 	return value
 }
 
-// shiftedShare moves the point in the text, so that no rounding comes in.
+// parseScaledShare scales the number by appending the exponent to its text, because a
+// floating-point multiplication would round. It reports whether the result is from 0 to 1.
 func parseScaledShare(text string, exponent int) (float64, bool) {
 	value, err := strconv.ParseFloat(text+"e"+strconv.Itoa(exponent), 64)
 	return value, err == nil && value >= 0 && value <= 1 && !strings.HasPrefix(text, "-")
@@ -153,7 +155,7 @@
 		c.failExpecting(node.Pos, node.Text, "a number of at most 308 digits")
 	}
 	if number == 0 {
-		number = 0 // without the sign of -0
+		number = 0 // replaces -0
 	}
 	return rows.Value{Kind: rows.Number, Number: number}
 }
--- a/internal/selfhosted/language/convert_change.go
+++ b/internal/selfhosted/language/convert_change.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// DefaultExtraLoad is the share of extra attempts of a class that names none.
+// DefaultExtraLoad is the ExtraLoad of a class whose statement has no extra clause.
 const DefaultExtraLoad = 0.03
 
 func (c *converter) convertCommand(node *changeNode) catalog.Command {
@@ -32,6 +32,8 @@
 	}
 }
 
+// convertLeafOrVoterCommand converts the changes of leaves and voters, which convertCommand leaves
+// to it.
 func (c *converter) convertLeafOrVoterCommand(node *changeNode) catalog.Command {
 	switch {
 	case node.AddLeaf != nil:
--- a/internal/selfhosted/language/convert_query.go
+++ b/internal/selfhosted/language/convert_query.go
@@ -34,7 +34,7 @@
 	return statement
 }
 
-// checkGroups refuses plain columns that are not the same in a whole group.
+// checkGroupedColumns refuses plain columns that can have different values within a group.
 func (c *converter) checkGroupedColumns(statement *Select, node *selectNode, start lexer.Position) {
 	if !statement.Grouped() {
 		return
@@ -49,9 +49,9 @@
 	}
 }
 
-// order resolves a term of the order by to an item of the result. A column
-// that is not selected stands for the only selected function of it, as in
-// "select min(price) ... order by price".
+// convertOrder resolves a term of an order by clause to an item of the result. A plain column that
+// is not selected resolves to the only selected function of that column, as in "select min(price)
+// ... order by price".
 func (c *converter) convertOrder(statement *Select, node orderNode) Order {
 	order := Order{Item: c.convertItem(node.Item), Descending: node.Descending}
 	if slices.Contains(statement.Items, order.Item) {
--- a/internal/selfhosted/language/documentation_test.go
+++ b/internal/selfhosted/language/documentation_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestLanguagePage parses every example of docs/LANGUAGE.md, and wants one of
-// each kind of statement and clause.
+// TestDocumentedExamplesParse parses every example in docs/LANGUAGE.md and checks that there is an
+// example of every kind of statement and clause.
 func TestDocumentedExamplesParse(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/LANGUAGE.md")
 	if err != nil {
@@ -21,7 +21,7 @@
 	for number, line := range exampleLines(string(page)) {
 		statement, err := ParseOne(line)
 		if err != nil {
-			t.Errorf("line %d: %s: %v", number, line, err)
+			t.Errorf("docs/LANGUAGE.md line %d: ParseOne(%q): %v", number, line, err)
 			continue
 		}
 		requireRoundTrip(t, statement)
@@ -30,11 +30,11 @@
 		}
 	}
 	for kind := range missing {
-		t.Errorf("there is no example of %s", kind)
+		t.Errorf("docs/LANGUAGE.md has no example of %s", kind)
 	}
 }
 
-// exampleLines returns the lines of the blocks marked "mica" by their number.
+// exampleLines returns the lines of the code blocks marked "mica", with their line numbers as keys.
 func exampleLines(page string) map[int]string {
 	lines := make(map[int]string)
 	inside := false
--- a/internal/selfhosted/language/grammar.go
+++ b/internal/selfhosted/language/grammar.go
@@ -5,10 +5,9 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The types of this file are the grammar. The field tags are what the parser
-// reads, and also what the expectations of a syntax error are derived from
-// (see expectation.go). The code that turns them into statements is in
-// convert.go.
+// The types in this file define the grammar. The parser is built from the field tags, and so are
+// the expectations in syntax errors (see parse_error.go), which contain the type names. convert.go
+// converts the nodes to statements.
 
 var parser = participle.MustBuild[statementNode](
 	participle.Lexer(lexerDefinition),
@@ -16,8 +15,8 @@
 	participle.UseLookahead(2),
 )
 
-// statementNode has the frequent statements first: the parser tries the
-// alternatives in order.
+// statementNode lists the most frequent statements first, because the parser tries the alternatives
+// in order.
 type statementNode struct {
 	Select     *selectNode `parser:"'select' @@"`
 	Insert     *insertNode `parser:"| 'insert' 'into' @@"`
@@ -163,7 +162,7 @@
 	Text   *textNode   `parser:"| @@"`
 }
 
-// The nodes below are single tokens with their place.
+// The nodes below are single tokens. Most have the token's position for error messages.
 
 type nameNode struct {
 	Pos  lexer.Position
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -18,13 +18,13 @@
 )
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", "20261202"); err != nil { // deterministic unless a flag says otherwise
+	if err := flag.Set("rapid.seed", "20261202"); err != nil { // a -rapid.seed flag overrides this seed
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// readStatements returns the lines of a file of statements.
+// readStatements returns the lines of a file that has one statement per line.
 func readStatements(t testing.TB, path string) []string {
 	t.Helper()
 	file, err := os.Open(path)
@@ -40,8 +40,8 @@
 	return lines
 }
 
-// TestGolden holds the canonical text or the error of every statement of the
-// two files of examples.
+// TestStatementsMatchGolden compares the canonical texts of testdata/valid.txt and the errors of
+// testdata/invalid.txt with golden files.
 func TestStatementsMatchGolden(t *testing.T) {
 	for _, name := range []string{"valid", "invalid"} {
 		var report strings.Builder
@@ -49,7 +49,7 @@
 			fmt.Fprintf(&report, "> %s\n", line)
 			statement, err := ParseOne(line)
 			if (err == nil) != (name == "valid") {
-				t.Errorf("%q: error %v", line, err)
+				t.Errorf("ParseOne(%q): got error %v, want valid = %t", line, err, name == "valid")
 			}
 			if err != nil {
 				fmt.Fprintf(&report, "  %s\n", err)
@@ -84,12 +84,13 @@
 		}
 		requireRoundTrip(t, insert)
 		if value, found := insert.Value(insert.Columns[0]); !found || value != insert.Values[0] {
-			t.Fatalf("Value gave %v, want %v", value, insert.Values[0])
+			t.Fatalf("Value = %v, want %v", value, insert.Values[0])
 		}
 	})
 }
 
-// TestKeyEqualityIsSound checks that a row that matches has the pinned value.
+// TestKeyEqualityImpliesMatch checks that every row that matches a where clause has the value that
+// KeyEquality returns for it. Otherwise, a query would skip shards that hold matching rows.
 func TestKeyEqualityImpliesMatch(t *testing.T) {
 	matchedRows := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,12 +104,12 @@
 		if statement.Matches(columns) {
 			matchedRows++
 			if row["lane"] != value {
-				t.Fatalf("%s matches %v though the key is pinned to %v", statement, row["lane"], value)
+				t.Fatalf("%s matches a row with key %v, but KeyEquality returned %v", statement, row["lane"], value)
 			}
 		}
 	})
 	if matchedRows == 0 {
-		t.Error("no drawn row was pinned and matched")
+		t.Error("no drawn row matched a where clause with a key value, want at least one")
 	}
 }
 
@@ -140,7 +141,7 @@
 			t.Fatal(err)
 		}
 		if got := statement.(*Select).Matches(columns); got != want {
-			t.Errorf("%s: got %v, want %v", text, got, want)
+			t.Errorf("Matches for %q = %v, want %v", text, got, want)
 		}
 	}
 }
@@ -156,16 +157,16 @@
 	for name, text := range cases {
 		var syntaxError *SyntaxError
 		if _, err := ParseOne(text); !errors.As(err, &syntaxError) || syntaxError.Line == 0 || syntaxError.Column == 0 {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("ParseOne of case %q: got error %v, want a *SyntaxError with line and column", name, err)
 		}
 	}
 	if located, err := ParseFile("-- first\n\nstop service x; start service x\r\nshow nodes"); err != nil || len(located) != 3 || located[2].Line != 4 {
-		t.Errorf("ParseFile gave %v, %v", located, err)
+		t.Errorf("ParseFile = %v, error %v, want 3 statements with the last on line 4", located, err)
 	}
 }
 
-// parseAll returns the statements of a text of at most MaximumStatement bytes;
-// there may be none. Its errors are of type *SyntaxError.
+// parseAll returns the statements, possibly none, of a text of at most MaximumStatement bytes. Its
+// errors are of type *SyntaxError.
 func parseAll(text string) ([]Statement, error) {
 	if len(text) > MaximumStatement {
 		return nil, newLengthError(len(text), MaximumStatement)
@@ -181,8 +182,8 @@
 	return statements, nil
 }
 
-// FuzzParse checks that no text panics, that errors carry a place, and that
-// what is taken has a canonical text that parses to the same text.
+// FuzzParse checks that parsing never panics, that errors have a position and a message, and that
+// the canonical text of a parsed statement parses to a statement with the same text.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"valid", "invalid"} {
 		for _, line := range readStatements(f, "testdata/"+name+".txt") {
@@ -195,19 +196,19 @@
 		statements, err := parseAll(text)
 		var syntaxError *SyntaxError
 		if err != nil && (!errors.As(err, &syntaxError) || syntaxError.Line < 1 || syntaxError.Column < 1 || syntaxError.Message == "") {
-			t.Fatalf("the error has no place or message: %#v", err)
+			t.Fatalf("error without a position or message: %#v", err)
 		}
 		for _, statement := range statements {
 			reparsed, err := ParseOne(statement.String())
 			if err != nil || reparsed.String() != statement.String() {
-				t.Fatalf("%q became %v, %v", statement, reparsed, err)
+				t.Fatalf("%q was parsed again as %v, error %v, want the same text", statement, reparsed, err)
 			}
 		}
 	})
 }
 
-// requireSameTokens checks that the scanner splits a text as the lexer that
-// the grammar is built with does.
+// requireSameTokens checks that the scanner returns the same tokens as the lexer with which the
+// grammar is built.
 func requireSameTokens(t *testing.T, text string) {
 	t.Helper()
 	if !utf8.ValidString(text) {
@@ -224,7 +225,7 @@
 			t.Fatal(err)
 		}
 		if got := scanned.next(); got != want {
-			t.Fatalf("the scanner gave %#v, the lexer %#v", got, want)
+			t.Fatalf("scanner returned token %#v, want the lexer's token %#v", got, want)
 		}
 		if want.EOF() {
 			return
--- a/internal/selfhosted/language/parse.go
+++ b/internal/selfhosted/language/parse.go
@@ -4,21 +4,19 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaximumStatement is the largest length of a statement in bytes, and of a
-// text that Parse takes.
+// MaximumStatement is the maximum length in bytes of a statement and of a text passed to ParseOne.
 const MaximumStatement = 64 << 10
 
-// MaximumFile is the largest length in bytes of a text that ParseFile takes.
+// MaximumFile is the maximum length in bytes of a text passed to ParseFile.
 const MaximumFile = 8 << 20
 
-// Located is a statement with the line, counted from 1, on which it starts.
+// Located is a statement and the line on which it starts. Line numbers start at 1.
 type Located struct {
 	Statement Statement
 	Line      int
 }
 
-// ParseOne returns the only statement of a text; a text with none or with
-// more than one is an error. Its errors are of type *SyntaxError.
+// ParseOne parses a text that contains exactly one statement. Its errors are of type *SyntaxError.
 func ParseOne(text string) (Statement, error) {
 	if len(text) > MaximumStatement {
 		return nil, newLengthError(len(text), MaximumStatement)
@@ -37,8 +35,8 @@
 	}
 }
 
-// ParseFile returns the statements of a text of at most MaximumFile bytes with
-// their lines. Its errors are of type *SyntaxError.
+// ParseFile parses the statements of a text of at most MaximumFile bytes. Its errors are of type
+// *SyntaxError.
 func ParseFile(text string) ([]Located, error) {
 	if len(text) > MaximumFile {
 		return nil, newLengthError(len(text), MaximumFile)
--- a/internal/selfhosted/language/parse_error.go
+++ b/internal/selfhosted/language/parse_error.go
@@ -9,13 +9,12 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The parser's own errors tell the rest of one production. For people, this
-// file works out everything that could stand at the furthest place that the
-// tokens reach, from the grammar's own EBNF, so that the grammar is written
-// once.
+// The errors of the parser library name only the remainder of one production. This file derives all
+// tokens that are valid at the furthest position that the statement's tokens reach. It uses the
+// EBNF that the parser generates, so that the grammar has a single definition.
 
-// phrases are the words for productions; one that fails at its first token is
-// named by its phrase.
+// productionPhrases describes productions in error messages. A production that fails at its first
+// token is described by its phrase.
 var productionPhrases = map[string]string{
 	"NameNode":       "a name",
 	"ColumnNode":     "a column",
@@ -34,7 +33,7 @@
 
 const (
 	endOfStatement = "the end of the statement"
-	// rootName is the production of a whole statement.
+	// rootProduction is the production of a whole statement.
 	rootProduction = "StatementNode"
 )
 
@@ -63,7 +62,7 @@
 	return names
 }
 
-// explain returns the syntax error of a statement that does not parse.
+// newParseError returns the syntax error of a statement that the parser refused.
 func newParseError(statement *statementTokens) *SyntaxError {
 	m := &matcher{tokens: statement.tokens, memo: make(map[memoKey][]int)}
 	for _, end := range m.matchProduction(rootProduction, 0) {
@@ -76,19 +75,21 @@
 	return newUnexpectedTokenError(actual, m.formatExpectation())
 }
 
-// matcher matches tokens against the grammar, following all alternatives at
-// once, and notes what was missing at the furthest place. Each method returns
-// the places, in order, at which what it matched can end.
+// matcher matches tokens against the grammar. It follows all alternatives and records which tokens
+// were missing at the furthest position. Each match method returns the positions, in ascending
+// order, at which its match can end.
 type matcher struct {
 	tokens   []lexer.Token
 	memo     map[memoKey][]int
 	furthest int
 	missing  []string
-	// phrase names what starts at phraseStart, if it is not empty.
+	// phrase describes the outermost production that is being matched from phraseStart. It is empty
+	// outside of the productions in productionPhrases.
 	phrase      string
 	phraseStart int
 }
 
+// memoKey identifies a match of a production at a position.
 type memoKey struct {
 	production string
 	start      int
@@ -143,7 +144,8 @@
 	}
 }
 
-// repeat returns all places reached from places by any number of matches.
+// matchRepeated returns all positions that zero or more matches of the term reach from the given
+// positions.
 func (m *matcher) matchRepeated(term *ebnf.Term, positions []int) []int {
 	reached := make(map[int]bool, len(positions))
 	for _, position := range positions {
@@ -199,7 +201,8 @@
 	}
 }
 
-// expectation joins what was missing: "a", "b" or "c", phrases last.
+// formatExpectation joins the descriptions of the missing tokens, as in "a", "b" or c. Quoted
+// literals come first and phrases last.
 func (m *matcher) formatExpectation() string {
 	slices.SortFunc(m.missing, func(a, b string) int {
 		quotedA, quotedB := strings.HasPrefix(a, `"`), strings.HasPrefix(b, `"`)
@@ -218,6 +221,7 @@
 	return strings.Join(m.missing[:last], ", ") + " or " + m.missing[last]
 }
 
+// sortUnique sorts the positions and removes duplicates.
 func sortUnique(positions []int) []int {
 	slices.Sort(positions)
 	return slices.Compact(positions)
--- a/internal/selfhosted/language/scanner.go
+++ b/internal/selfhosted/language/scanner.go
@@ -7,9 +7,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// scanner splits text into the same tokens as definition does. It tries only
-// the rules that can match the next character, which definition does not know
-// to do.
+// scanner splits a text into the same tokens as lexerDefinition. It is faster, because it tries
+// only the rules that can match the next byte.
 type scanner struct {
 	remaining string
 	position  lexer.Position
@@ -19,13 +18,13 @@
 	return &scanner{remaining: text, position: lexer.Position{Line: 1, Column: 1}}
 }
 
-// candidate is a rule that can match.
+// compiledRule is a token rule with its compiled pattern and its token type.
 type compiledRule struct {
 	pattern   *regexp.Regexp
 	tokenType lexer.TokenType
 }
 
-// candidates lists, for each first byte of a token, the rules that can match.
+// rulesByFirstByte lists, for each byte, the rules of tokens that can start with the byte.
 var rulesByFirstByte = compileRules()
 
 func compileRules() [256][]compiledRule {
@@ -44,7 +43,7 @@
 	return byStart
 }
 
-// next returns the next token; at the end of the text, one that is EOF.
+// next returns the next token, or an EOF token at the end of the text.
 func (s *scanner) next() lexer.Token {
 	if s.remaining == "" {
 		return lexer.EOFToken(s.position)
@@ -57,6 +56,6 @@
 			return token
 		}
 	}
-	// Not reached for valid UTF-8: the last rule matches any character.
+	// Unreachable for valid UTF-8, because the last rule matches any character.
 	return lexer.EOFToken(s.position)
 }
--- a/internal/selfhosted/language/statement.go
+++ b/internal/selfhosted/language/statement.go
@@ -1,11 +1,11 @@
-// Package language is the query and command language: it turns text into
-// typed statements and typed statements into canonical text.
+// Package language implements the query and command language. It parses text to typed statements
+// and formats statements as canonical text.
 //
-// A statement ends at the end of its line or at a semicolon; a comment runs
-// from "--" to the end of the line. Keywords may be written in either case.
+// A statement ends at the end of its line or at a semicolon. A comment extends from "--" to the end
+// of the line. Keywords are case-insensitive.
 //
-// The package is pure. It owns grammar and error texts, and relies on catalog for
-// the commands that change it and on rows for values.
+// The package performs no I/O and keeps no state. It defines the grammar and the error texts.
+// Package catalog defines the commands and package rows the values.
 package language
 
 import (
@@ -15,7 +15,7 @@
 
 // Statement is one of *ChangeStatement, *ShowStatement, *Select and *Insert.
 type Statement interface {
-	// String returns the canonical text, which parses back to an equal value.
+	// String returns the canonical text, which parses to an equal statement.
 	String() string
 	statement()
 }
@@ -23,12 +23,12 @@
 // ChangeStatement changes the catalog.
 type ChangeStatement struct {
 	Command catalog.Command
-	// IfRevision, if not nil, is the only revision of the catalog on which the
-	// change may be made.
+	// IfRevision, if not nil, is the revision that the catalog must have for the change to be
+	// applied.
 	IfRevision *uint64
 }
 
-// ShowSubject says what a show statement lists.
+// ShowSubject names the objects that a show statement lists.
 type ShowSubject string
 
 // The subjects of show statements.
@@ -41,32 +41,32 @@
 	ShowNodes    ShowSubject = "nodes"
 )
 
-// ShowStatement lists a part of the catalog or of the membership.
+// ShowStatement lists objects of the catalog or the members of the cluster.
 type ShowStatement struct {
 	Subject ShowSubject
-	// Service restricts leaves and classes to one service; empty means all.
+	// Service restricts leaves and classes to one service. Empty means all services.
 	Service string
 }
 
-// Select reads rows of a service.
+// Select queries the rows of a service.
 type Select struct {
-	// Items are the columns of the result; none means every column ("*").
+	// Items are the columns of the result. An empty list means all columns ("*").
 	Items   []Item
 	Service string
-	// Where restricts the rows; nil means all. See Select.Matches.
+	// Where is the condition on the rows. Nil matches all rows.
 	Where Where
-	// GroupBy lists the columns of the groups.
+	// GroupBy lists the columns by which rows are grouped.
 	GroupBy []string
-	// OrderBy sorts the result by some of its columns.
+	// OrderBy lists the items by which the result is sorted.
 	OrderBy []Order
-	// Limit is the largest number of rows of the result; zero means no limit.
+	// Limit is the maximum number of rows in the result. Zero means no limit.
 	Limit int
 }
 
 // Function is an aggregate function.
 type Function string
 
-// The aggregate functions. NoFunction marks a plain column.
+// Aggregate functions. NoFunction stands for a plain column.
 const (
 	NoFunction Function = ""
 	Count      Function = "count"
@@ -76,28 +76,27 @@
 	Average    Function = "avg"
 )
 
-// AllColumns stands for the argument of count(*).
+// AllColumns is the argument of count(*).
 const AllColumns = "*"
 
-// Item is one column of a result: a plain column or an aggregate of one. Only
-// Count may have AllColumns as its column; count(column) counts the values
-// that are not null.
+// Item is one column of a result: a plain column or an aggregate of a column. Only Count may have
+// AllColumns as its column. Count of any other column counts the values that are not null.
 type Item struct {
 	Function Function
 	Column   string
 }
 
-// Order sorts by one item of the result.
+// Order is one term of an order by clause.
 type Order struct {
 	Item       Item
 	Descending bool
 }
 
-// Insert adds one row to a service.
+// Insert inserts one row into a service.
 type Insert struct {
 	Service string
 	Columns []string
-	// Values are in the order of Columns, and as many.
+	// Values has one value for each column, in the order of Columns.
 	Values []rows.Value
 }
 
@@ -106,8 +105,8 @@
 func (*Select) statement()          {}
 func (*Insert) statement()          {}
 
-// Grouped says whether the result has one row for each group: there is an
-// aggregate or a group by. Without group by, all rows form one group.
+// Grouped reports whether the result has one row for each group, which is the case if the statement
+// has an aggregate or a group by clause. Without a group by clause, all rows form one group.
 func (s *Select) Grouped() bool {
 	if len(s.GroupBy) > 0 {
 		return true
@@ -120,18 +119,19 @@
 	return false
 }
 
-// Matches says whether the where clause takes the row; without one, it does.
+// Matches reports whether the row satisfies the where clause. Without a where clause, every row
+// matches.
 func (s *Select) Matches(columns Columns) bool {
 	return s.Where == nil || s.Where.Matches(columns)
 }
 
-// KeyEquality returns the value to which the where clause pins the column: the
-// clause is, or is a conjunction that contains, "column = value".
+// KeyEquality returns the value that the column has in every matching row, if the where clause is
+// "column = value" or a conjunction that contains this comparison.
 func (s *Select) KeyEquality(column string) (rows.Value, bool) {
 	return findEqualityValue(s.Where, column)
 }
 
-// Value returns the value that is inserted into the column.
+// Value returns the value for the named column and reports whether the statement has that column.
 func (i *Insert) Value(column string) (rows.Value, bool) {
 	for position, name := range i.Columns {
 		if name == column {
--- a/internal/selfhosted/language/syntax_error.go
+++ b/internal/selfhosted/language/syntax_error.go
@@ -6,27 +6,26 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// SyntaxError says where a text stops being a statement, and why.
+// SyntaxError describes an invalid statement and the position of the error.
 type SyntaxError struct {
-	// Line and Column count from 1; columns are counted in characters.
+	// Line and Column start at 1. Column counts characters.
 	Line   int
 	Column int
-	// Token is the text found there; empty at the end of the statement.
+	// Token is the text at the position. It is empty at the end of the statement.
 	Token string
-	// Expected says in words what could stand there instead; empty if the
-	// error is not about the token alone.
+	// Expected describes the tokens that are valid at the position. It is empty if the error
+	// concerns more than the token.
 	Expected string
-	// Message says what is wrong, without the place.
+	// Message describes the error without its position.
 	Message string
 }
 
-// Error returns the place and the message.
+// Error returns the position and the message.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// maximumQuotedToken is the length in characters to which a token is cut in a
-// message.
+// maximumQuotedToken is the number of characters to which a message truncates a token.
 const maximumQuotedToken = 40
 
 func newUnexpectedTokenError(token lexer.Token, expected string) *SyntaxError {
--- a/internal/selfhosted/language/tokens.go
+++ b/internal/selfhosted/language/tokens.go
@@ -7,12 +7,11 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// tokenRule is one kind of token.
+// tokenRule defines one kind of token.
 type tokenRule struct {
 	name    string
 	pattern string
-	// starts holds the characters that a token can start with; empty means
-	// any.
+	// firstBytes lists the bytes with which a token can start. Empty means any byte.
 	firstBytes string
 }
 
@@ -21,8 +20,8 @@
 	letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_"
 )
 
-// tokenRules are the kinds of tokens; the first that matches wins. Other takes
-// what no other rule knows, so that the error names the place.
+// tokenRules lists the kinds of tokens in order of precedence. Other matches any character that no
+// rule before it matches, so that the error has the position of the character.
 var tokenRules = []tokenRule{
 	{"Space", `[ \t\r]+`, " \t\r"},
 	{"Percentile", `[pP][0-9]+\.[0-9]+`, "pP"},
@@ -36,11 +35,11 @@
 	{"Newline", `\n`, "\n"},
 	{"Comment", `--[^\n]*`, "-"},
 	{"Unclosed", `'[^\n]*`, "'"},
-	{"Keyword", `\x00keyword`, "\x00"}, // made of Ident by markKeywords
+	{"Keyword", `\x00keyword`, "\x00"}, // markKeywords converts Ident to Keyword
 	{"Other", `(?s).`, ""},
 }
 
-// definition is the lexer that the grammar is built with.
+// lexerDefinition is the lexer with which the grammar is built.
 var lexerDefinition = lexer.MustSimple(convertTokenRules())
 
 func convertTokenRules() []lexer.SimpleRule {
@@ -51,7 +50,7 @@
 	return rules
 }
 
-// The token types that the code asks for.
+// Token types to which the code refers.
 var (
 	commentType  = lexerDefinition.Symbols()["Comment"]
 	newlineType  = lexerDefinition.Symbols()["Newline"]
@@ -61,7 +60,8 @@
 	unclosedType = lexerDefinition.Symbols()["Unclosed"]
 )
 
-// reserved words cannot be column names, so that a forgotten column shows.
+// reserved lists the words that are not valid column names. Reserving them makes a missing column a
+// syntax error.
 var reserved = map[string]bool{
 	"select": true, "from": true, "where": true, "and": true, "or": true,
 	"not": true, "in": true, "like": true, "is": true, "null": true,
@@ -69,17 +69,18 @@
 	"limit": true, "insert": true, "into": true, "values": true,
 }
 
-// Reserved says whether a word cannot be the name of a column.
+// Reserved reports whether the word is reserved and is therefore not a valid column name.
 func Reserved(word string) bool { return reserved[strings.ToLower(word)] }
 
-// tokenLine is the tokens of one statement; end stands for its end.
+// statementTokens holds the tokens of one statement. end is an EOF token with the position of its
+// end.
 type statementTokens struct {
 	tokens []lexer.Token
 	end    lexer.Token
 }
 
-// tokenize splits text into the tokens of its statements, without spaces,
-// comments and empty statements.
+// tokenize splits a text into statements and their tokens. It drops spaces, comments and empty
+// statements.
 func tokenize(text string) ([]statementTokens, *SyntaxError) {
 	if err := checkUTF8(text); err != nil {
 		return nil, err
@@ -122,8 +123,8 @@
 	return newInvalidStatementError(position, "", "the text is not valid UTF-8 here")
 }
 
-// markKeywords turns the reserved words of a select or insert into keywords
-// in lower case, so that they are not taken for columns.
+// markKeywords converts the reserved words of a select or insert statement to keywords in lower
+// case, so that the parser does not accept them as columns.
 func markKeywords(tokens []lexer.Token) {
 	first := strings.ToLower(tokens[0].Value)
 	if first != "select" && first != "insert" {
@@ -137,7 +138,7 @@
 	}
 }
 
-// maximumNesting is how deep parentheses may be nested.
+// maximumNesting is the maximum nesting depth of parentheses.
 const maximumNesting = 64
 
 func checkNesting(tokens []lexer.Token) *SyntaxError {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// tokenSource feeds the tokens of one statement to the parser.
+// tokenSource implements lexer.Lexer with the tokens of one statement.
 type tokenSource struct {
 	statement *statementTokens
 	next      int
--- a/internal/selfhosted/language/where.go
+++ b/internal/selfhosted/language/where.go
@@ -7,32 +7,32 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// Columns returns the value of a column of one row, and whether it has one.
+// Columns returns the value of a row's column and reports whether the row has the column.
 type Columns func(name string) (rows.Value, bool)
 
-// Where is a condition on a row: one of *And, *Or, *Not, *Comparison, *In,
-// *Like and *IsNull. A column that is missing counts as null. A comparison
-// with null, or of a number with a text, is false, and its negation true.
+// Where is a condition on a row: one of *And, *Or, *Not, *Comparison, *In, *Like and *IsNull. A
+// missing column is treated as null. A comparison with null or of a number with a text is false,
+// and its negation with "not" is true.
 type Where interface {
-	// Matches says whether the condition holds for the row.
+	// Matches reports whether the row satisfies the condition.
 	Matches(columns Columns) bool
 	// String returns the canonical text.
 	String() string
 }
 
-// And holds if all of its two or more terms hold.
+// And is true if all of its terms are true. It has at least two terms.
 type And struct{ Terms []Where }
 
-// Or holds if any of its two or more terms holds.
+// Or is true if at least one of its terms is true. It has at least two terms.
 type Or struct{ Terms []Where }
 
-// Not holds if its term does not.
+// Not is true if its term is false.
 type Not struct{ Term Where }
 
-// Operator compares two values.
+// Operator is a comparison operator.
 type Operator string
 
-// The operators.
+// Comparison operators.
 const (
 	Equal          Operator = "="
 	NotEqual       Operator = "!="
@@ -42,28 +42,27 @@
 	GreaterOrEqual Operator = ">="
 )
 
-// Comparison compares a column with a value that is not null. Texts are
-// ordered by their bytes.
+// Comparison compares a column with a number or a text. Texts are ordered by bytes.
 type Comparison struct {
 	Column   string
 	Operator Operator
 	Value    rows.Value
 }
 
-// In holds if the column equals one of the values.
+// In is true if the column equals one of the values.
 type In struct {
 	Column string
 	Values []rows.Value
 }
 
-// Like holds if the column is a text of the pattern, in which "%" stands for
-// any characters and "_" for one.
+// Like is true if the column is a text that matches the pattern. In the pattern, "%" matches any
+// number of characters and "_" matches one character.
 type Like struct {
 	Column  string
 	Pattern string
 }
 
-// IsNull holds if the column is null, or if it is not null when Negated.
+// IsNull is true if the column is null. If Negated is set, it is true if the column is not null.
 type IsNull struct {
 	Column  string
 	Negated bool
@@ -143,8 +142,8 @@
 	return (value.Kind == rows.Null) != n.Negated
 }
 
-// matchesPattern returns to the last "%" on a mismatch, so that its time is at
-// most the product of the two lengths.
+// matchesPattern reports whether the text matches the Like pattern. On a mismatch it backtracks
+// only to the last "%", so its running time is at most proportional to the product of both lengths.
 func matchesPattern(text, pattern string) bool {
 	textOffset, patternOffset := 0, 0
 	resumeText, resumePattern := 0, -1
@@ -171,6 +170,7 @@
 	return strings.Trim(pattern[patternOffset:], "%") == ""
 }
 
+// findEqualityValue implements Select.KeyEquality for one condition.
 func findEqualityValue(where Where, column string) (rows.Value, bool) {
 	switch condition := where.(type) {
 	case *Comparison:
