--- a/internal/selfhosted/language/canonical.go
+++ b/internal/selfhosted/language/canonical.go
@@ -70,13 +70,13 @@
 	return fmt.Sprintf("insert into %s (%s) values (%s)", i.Service, strings.Join(i.Columns, ", "), joinFormatted(i.Values, FormatValue))
 }
 
-// String implements Where.
-func (a *And) String() string { return joinTerms(a.Terms, " and ") }
+// String implements Condition.
+func (a *And) String() string { return formatTerms(a.Terms, " and ") }
 
-// String implements Where.
-func (o *Or) String() string { return joinTerms(o.Terms, " or ") }
+// String implements Condition.
+func (o *Or) String() string { return formatTerms(o.Terms, " or ") }
 
-// String implements Where.
+// String implements Condition.
 func (n *Not) String() string {
 	switch n.Term.(type) {
 	case *And, *Or, *Not:
@@ -86,22 +86,22 @@
 	}
 }
 
-// String implements Where.
+// String implements Condition.
 func (c *Comparison) String() string {
 	return fmt.Sprintf("%s %s %s", c.Column, c.Operator, FormatValue(c.Value))
 }
 
-// String implements Where.
+// String implements Condition.
 func (i *In) String() string {
 	return fmt.Sprintf("%s in (%s)", i.Column, joinFormatted(i.Values, FormatValue))
 }
 
-// String implements Where.
+// String implements Condition.
 func (l *Like) String() string {
 	return fmt.Sprintf("%s like %s", l.Column, quoteText(l.Pattern))
 }
 
-// String implements Where.
+// String implements Condition.
 func (n *IsNull) String() string {
 	if n.Negated {
 		return n.Column + " is not null"
@@ -148,9 +148,9 @@
 	return strings.Join(texts, ", ")
 }
 
-// joinTerms joins the texts of the terms. It encloses conjunctions and disjunctions in parentheses,
-// so that parsing the text restores the nesting.
-func joinTerms(terms []Where, separator string) string {
+// formatTerms joins the texts of the terms. It encloses conjunctions and disjunctions in
+// parentheses, so that parsing the text restores the nesting.
+func formatTerms(terms []Condition, separator string) string {
 	texts := make([]string, len(terms))
 	for i, term := range terms {
 		texts[i] = term.String()
--- a/internal/selfhosted/language/where.go
+++ b/internal/selfhosted/language/condition.go
@@ -7,27 +7,27 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// Columns returns the value of a row's column and reports whether the row has the column.
-type Columns func(name string) (rows.Value, bool)
+// ColumnLookup returns the value of a row's column and reports whether the row has the column.
+type ColumnLookup func(name string) (rows.Value, bool)
 
-// Where is a condition on a row: one of *And, *Or, *Not, *Comparison, *In, *Like and *IsNull. A
-// missing column is treated as null. A comparison with null or of a number with a text is false,
-// and its negation with "not" is true.
-type Where interface {
+// Condition is a where clause or a part of one. It is one of *And, *Or, *Not, *Comparison, *In,
+// *Like and *IsNull. A missing column is treated as null. A comparison with null or of a number
+// with a text is false, and its negation with "not" is true.
+type Condition interface {
 	// Matches reports whether the row satisfies the condition.
-	Matches(columns Columns) bool
+	Matches(columns ColumnLookup) bool
 	// String returns the canonical text.
 	String() string
 }
 
 // And is true if all of its terms are true. It has at least two terms.
-type And struct{ Terms []Where }
+type And struct{ Terms []Condition }
 
 // Or is true if at least one of its terms is true. It has at least two terms.
-type Or struct{ Terms []Where }
+type Or struct{ Terms []Condition }
 
 // Not is true if its term is false.
-type Not struct{ Term Where }
+type Not struct{ Term Condition }
 
 // Operator is a comparison operator.
 type Operator string
@@ -68,8 +68,8 @@
 	Negated bool
 }
 
-// Matches implements Where.
-func (a *And) Matches(columns Columns) bool {
+// Matches implements Condition.
+func (a *And) Matches(columns ColumnLookup) bool {
 	for _, term := range a.Terms {
 		if !term.Matches(columns) {
 			return false
@@ -78,8 +78,8 @@
 	return true
 }
 
-// Matches implements Where.
-func (o *Or) Matches(columns Columns) bool {
+// Matches implements Condition.
+func (o *Or) Matches(columns ColumnLookup) bool {
 	for _, term := range o.Terms {
 		if term.Matches(columns) {
 			return true
@@ -88,11 +88,11 @@
 	return false
 }
 
-// Matches implements Where.
-func (n *Not) Matches(columns Columns) bool { return !n.Term.Matches(columns) }
+// Matches implements Condition.
+func (n *Not) Matches(columns ColumnLookup) bool { return !n.Term.Matches(columns) }
 
-// Matches implements Where.
-func (c *Comparison) Matches(columns Columns) bool {
+// Matches implements Condition.
+func (c *Comparison) Matches(columns ColumnLookup) bool {
 	value, _ := columns(c.Column)
 	if value.Kind != c.Value.Kind || value.Kind == rows.Null {
 		return false
@@ -116,8 +116,8 @@
 	}
 }
 
-// Matches implements Where.
-func (i *In) Matches(columns Columns) bool {
+// Matches implements Condition.
+func (i *In) Matches(columns ColumnLookup) bool {
 	value, _ := columns(i.Column)
 	if value.Kind == rows.Null {
 		return false
@@ -130,14 +130,14 @@
 	return false
 }
 
-// Matches implements Where.
-func (l *Like) Matches(columns Columns) bool {
+// Matches implements Condition.
+func (l *Like) Matches(columns ColumnLookup) bool {
 	value, _ := columns(l.Column)
 	return value.Kind == rows.Text && matchesPattern(value.Text, l.Pattern)
 }
 
-// Matches implements Where.
-func (n *IsNull) Matches(columns Columns) bool {
+// Matches implements Condition.
+func (n *IsNull) Matches(columns ColumnLookup) bool {
 	value, _ := columns(n.Column)
 	return (value.Kind == rows.Null) != n.Negated
 }
@@ -171,7 +171,7 @@
 }
 
 // findEqualityValue implements Select.KeyEquality for one condition.
-func findEqualityValue(where Where, column string) (rows.Value, bool) {
+func findEqualityValue(where Condition, column string) (rows.Value, bool) {
 	switch condition := where.(type) {
 	case *Comparison:
 		if condition.Column == column && condition.Operator == Equal {
--- a/internal/selfhosted/language/convert.go
+++ b/internal/selfhosted/language/convert.go
@@ -62,7 +62,7 @@
 }
 
 func (c *converter) convertColumn(node columnNode) string {
-	if !catalog.ValidColumn(node.Text) || Reserved(node.Text) {
+	if !catalog.ValidColumn(node.Text) || IsReserved(node.Text) {
 		c.failExpecting(node.Pos, node.Text, "a column: a letter followed by at most 62 letters, digits and underscores, and no keyword")
 	}
 	return node.Text
--- a/internal/selfhosted/language/convert_query.go
+++ b/internal/selfhosted/language/convert_query.go
@@ -87,8 +87,8 @@
 	}
 }
 
-func (c *converter) convertOr(node *orNode) Where {
-	terms := make([]Where, len(node.Terms))
+func (c *converter) convertOr(node *orNode) Condition {
+	terms := make([]Condition, len(node.Terms))
 	for i := range node.Terms {
 		terms[i] = c.convertAnd(&node.Terms[i])
 	}
@@ -98,8 +98,8 @@
 	return &Or{Terms: terms}
 }
 
-func (c *converter) convertAnd(node *andNode) Where {
-	terms := make([]Where, len(node.Terms))
+func (c *converter) convertAnd(node *andNode) Condition {
+	terms := make([]Condition, len(node.Terms))
 	for i := range node.Terms {
 		terms[i] = c.convertNot(&node.Terms[i])
 	}
@@ -109,8 +109,8 @@
 	return &And{Terms: terms}
 }
 
-func (c *converter) convertNot(node *notNode) Where {
-	var term Where
+func (c *converter) convertNot(node *notNode) Condition {
+	var term Condition
 	if node.Group != nil {
 		term = c.convertOr(node.Group)
 	} else {
@@ -122,7 +122,7 @@
 	return term
 }
 
-func (c *converter) convertCondition(node *conditionNode) Where {
+func (c *converter) convertCondition(node *conditionNode) Condition {
 	column := c.convertColumn(node.Column)
 	switch {
 	case node.Like != nil:
--- a/internal/selfhosted/language/documentation_test.go
+++ b/internal/selfhosted/language/documentation_test.go
@@ -75,7 +75,7 @@
 		}
 		return kinds
 	case *Select:
-		return append(selectKinds(statement), whereKinds(statement.Where)...)
+		return append(selectKinds(statement), conditionKinds(statement.Where)...)
 	default:
 		return []string{"insert"}
 	}
@@ -116,22 +116,22 @@
 	return kinds
 }
 
-func whereKinds(where Where) []string {
+func conditionKinds(where Condition) []string {
 	if where == nil {
 		return nil
 	}
 	kinds := []string{reflect.TypeOf(where).String()}
-	var terms []Where
+	var terms []Condition
 	switch where := where.(type) {
 	case *And:
 		terms = where.Terms
 	case *Or:
 		terms = where.Terms
 	case *Not:
-		terms = []Where{where.Term}
+		terms = []Condition{where.Term}
 	}
 	for _, term := range terms {
-		kinds = append(kinds, whereKinds(term)...)
+		kinds = append(kinds, conditionKinds(term)...)
 	}
 	return kinds
 }
--- a/internal/selfhosted/language/generators_test.go
+++ b/internal/selfhosted/language/generators_test.go
@@ -14,7 +14,7 @@
 	return rows.Value{Kind: rows.Text, Text: rapid.OneOf(rapid.SampledFrom([]string{"a", "it's", "x\ny;--z", ""}), rapid.String()).Draw(t, "text")}
 }
 
-func drawWhere(t *rapid.T, depth int) Where {
+func drawCondition(t *rapid.T, depth int) Condition {
 	kind := rapid.IntRange(0, 6).Draw(t, "kind")
 	column := columnNames.Draw(t, "column")
 	if depth == 0 && kind < 3 {
@@ -26,7 +26,7 @@
 	case 1:
 		return &Or{Terms: drawTerms(t, depth)}
 	case 2:
-		return &Not{Term: drawWhere(t, depth-1)}
+		return &Not{Term: drawCondition(t, depth-1)}
 	case 3:
 		operator := rapid.SampledFrom([]Operator{Equal, Equal, NotEqual, Less, LessOrEqual, Greater, GreaterOrEqual}).Draw(t, "operator")
 		return &Comparison{Column: column, Operator: operator, Value: drawValue(t)}
@@ -39,10 +39,10 @@
 	}
 }
 
-func drawTerms(t *rapid.T, depth int) []Where {
-	terms := make([]Where, rapid.IntRange(2, 3).Draw(t, "terms"))
+func drawTerms(t *rapid.T, depth int) []Condition {
+	terms := make([]Condition, rapid.IntRange(2, 3).Draw(t, "terms"))
 	for i := range terms {
-		terms[i] = drawWhere(t, depth-1)
+		terms[i] = drawCondition(t, depth-1)
 	}
 	return terms
 }
@@ -62,7 +62,7 @@
 		}
 	}
 	if rapid.Bool().Draw(t, "restricted") {
-		statement.Where = drawWhere(t, 3)
+		statement.Where = drawCondition(t, 3)
 	}
 	return statement
 }
--- a/internal/selfhosted/language/grammar.go
+++ b/internal/selfhosted/language/grammar.go
@@ -5,9 +5,9 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The types in this file define the grammar. The parser is built from the field tags, and so are
-// the expectations in syntax errors (see parse_error.go), which contain the type names. convert.go
-// converts the nodes to statements.
+// The types in this file define the grammar. The parser is built from the field tags. The
+// expectations in syntax errors are derived from the same tags and refer to the type names (see
+// parse_error.go). The converter in convert.go converts the nodes to statements.
 
 var parser = participle.MustBuild[statementNode](
 	participle.Lexer(lexerDefinition),
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -83,24 +83,25 @@
 			insert.Values = append(insert.Values, rapid.OneOf(rapid.Custom(drawValue), rapid.Just(rows.Value{})).Draw(t, "value"))
 		}
 		requireRoundTrip(t, insert)
-		if value, found := insert.Value(insert.Columns[0]); !found || value != insert.Values[0] {
+		if value, ok := insert.Value(insert.Columns[0]); !ok || value != insert.Values[0] {
 			t.Fatalf("Value = %v, want %v", value, insert.Values[0])
 		}
 	})
 }
 
-// TestKeyEqualityImpliesMatch checks that every row that matches a where clause has the value that
-// KeyEquality returns for it. Otherwise, a query would skip shards that hold matching rows.
-func TestKeyEqualityImpliesMatch(t *testing.T) {
+// TestKeyEqualityHoldsForMatchingRows checks that every row that matches a where clause has the
+// value that KeyEquality returns for it. Otherwise, a query would skip shards that hold matching
+// rows.
+func TestKeyEqualityHoldsForMatchingRows(t *testing.T) {
 	matchedRows := 0
 	rapid.Check(t, func(t *rapid.T) {
-		statement := &Select{Service: "x", Where: drawWhere(t, 2)}
+		statement := &Select{Service: "x", Where: drawCondition(t, 2)}
 		value, hasKey := statement.KeyEquality("lane")
 		if !hasKey {
 			return
 		}
 		row := map[string]rows.Value{"lane": rapid.OneOf(rapid.Just(value), rapid.Custom(drawValue)).Draw(t, "lane")}
-		columns := func(name string) (rows.Value, bool) { v, found := row[name]; return v, found }
+		columns := func(name string) (rows.Value, bool) { v, ok := row[name]; return v, ok }
 		if statement.Matches(columns) {
 			matchedRows++
 			if row["lane"] != value {
@@ -119,7 +120,7 @@
 		"weight": {Kind: rows.Number, Number: 900},
 		"note":   {},
 	}
-	columns := func(name string) (rows.Value, bool) { v, found := row[name]; return v, found }
+	columns := func(name string) (rows.Value, bool) { v, ok := row[name]; return v, ok }
 	cases := map[string]bool{
 		"lane = 'OTR-SPK' and weight <= 900":                   true,
 		"lane <> 'OTR-SPK' or weight > 900":                    false,
@@ -148,7 +149,7 @@
 
 func TestParseLimits(t *testing.T) {
 	cases := map[string]string{
-		"length":  "stop service " + strings.Repeat("x", MaximumStatement),
+		"length":  "stop service " + strings.Repeat("x", MaximumStatementBytes),
 		"nesting": "select * from x where " + strings.Repeat("(", maximumNesting+1) + "a = 1" + strings.Repeat(")", maximumNesting+1),
 		"bytes":   "stop service x\nstop service \xff",
 		"two":     "stop service x; start service x",
@@ -165,11 +166,11 @@
 	}
 }
 
-// parseAll returns the statements, possibly none, of a text of at most MaximumStatement bytes. Its
-// errors are of type *SyntaxError.
+// parseAll returns the statements, possibly none, of a text of at most MaximumStatementBytes bytes.
+// Its errors are of type *SyntaxError.
 func parseAll(text string) ([]Statement, error) {
-	if len(text) > MaximumStatement {
-		return nil, newLengthError(len(text), MaximumStatement)
+	if len(text) > MaximumStatementBytes {
+		return nil, newLengthError(len(text), MaximumStatementBytes)
 	}
 	located, err := parseText(text)
 	if err != nil {
--- a/internal/selfhosted/language/parse.go
+++ b/internal/selfhosted/language/parse.go
@@ -4,8 +4,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaximumStatement is the maximum length in bytes of a statement and of a text passed to ParseOne.
-const MaximumStatement = 64 << 10
+// MaximumStatementBytes is the maximum length of a statement and of a text passed to ParseOne.
+const MaximumStatementBytes = 64 << 10
 
 // MaximumFile is the maximum length in bytes of a text passed to ParseFile.
 const MaximumFile = 8 << 20
@@ -18,8 +18,8 @@
 
 // ParseOne parses a text that contains exactly one statement. Its errors are of type *SyntaxError.
 func ParseOne(text string) (Statement, error) {
-	if len(text) > MaximumStatement {
-		return nil, newLengthError(len(text), MaximumStatement)
+	if len(text) > MaximumStatementBytes {
+		return nil, newLengthError(len(text), MaximumStatementBytes)
 	}
 	located, err := parseText(text)
 	if err != nil {
@@ -49,37 +49,37 @@
 }
 
 func parseText(text string) ([]Located, error) {
-	tokenized, syntaxError := tokenize(text)
+	statements, syntaxError := tokenize(text)
 	if syntaxError != nil {
 		return nil, syntaxError
 	}
-	located := make([]Located, 0, len(tokenized))
-	for i := range tokenized {
-		statement, syntaxError := parseStatement(&tokenized[i])
+	located := make([]Located, 0, len(statements))
+	for i := range statements {
+		statement, syntaxError := parseStatement(&statements[i])
 		if syntaxError != nil {
 			return nil, syntaxError
 		}
-		located = append(located, Located{Statement: statement, Line: tokenized[i].tokens[0].Pos.Line})
+		located = append(located, Located{Statement: statement, Line: statements[i].tokens[0].Pos.Line})
 	}
 	return located, nil
 }
 
-func parseStatement(statement *statementTokens) (Statement, *SyntaxError) {
-	first := statement.tokens[0].Pos
-	if length := statement.end.Pos.Offset - first.Offset; length > MaximumStatement {
-		return nil, newInvalidStatementError(first, "", "the statement has %d bytes, the limit is %d", length, MaximumStatement)
+func parseStatement(tokenized *statementTokens) (Statement, *SyntaxError) {
+	first := tokenized.tokens[0].Pos
+	if length := tokenized.end.Pos.Offset - first.Offset; length > MaximumStatementBytes {
+		return nil, newInvalidStatementError(first, "", "the statement has %d bytes, the limit is %d", length, MaximumStatementBytes)
 	}
-	if err := checkNesting(statement.tokens); err != nil {
+	if err := checkNesting(tokenized.tokens); err != nil {
 		return nil, err
 	}
-	markKeywords(statement.tokens)
-	source, err := lexer.Upgrade(&tokenSource{statement: statement})
+	markKeywords(tokenized.tokens)
+	source, err := lexer.Upgrade(&tokenSource{statement: tokenized})
 	if err != nil {
 		return nil, newInvalidStatementError(first, "", "%s", err)
 	}
 	node, err := parser.ParseFromLexer(source)
 	if err != nil {
-		return nil, newParseError(statement)
+		return nil, newParseError(tokenized)
 	}
 	return convert(node, first)
 }
--- a/internal/selfhosted/language/statement.go
+++ b/internal/selfhosted/language/statement.go
@@ -54,7 +54,7 @@
 	Items   []Item
 	Service string
 	// Where is the condition on the rows. Nil matches all rows.
-	Where Where
+	Where Condition
 	// GroupBy lists the columns by which rows are grouped.
 	GroupBy []string
 	// OrderBy lists the items by which the result is sorted.
@@ -121,7 +121,7 @@
 
 // Matches reports whether the row satisfies the where clause. Without a where clause, every row
 // matches.
-func (s *Select) Matches(columns Columns) bool {
+func (s *Select) Matches(columns ColumnLookup) bool {
 	return s.Where == nil || s.Where.Matches(columns)
 }
 
--- a/internal/selfhosted/language/tokens.go
+++ b/internal/selfhosted/language/tokens.go
@@ -69,8 +69,8 @@
 	"limit": true, "insert": true, "into": true, "values": true,
 }
 
-// Reserved reports whether the word is reserved and is therefore not a valid column name.
-func Reserved(word string) bool { return reserved[strings.ToLower(word)] }
+// IsReserved reports whether the word is reserved and is therefore not a valid column name.
+func IsReserved(word string) bool { return reserved[strings.ToLower(word)] }
 
 // statementTokens holds the tokens of one statement. end is an EOF token with the position of its
 // end.
@@ -131,7 +131,7 @@
 		return
 	}
 	for i, token := range tokens {
-		if token.Type == identType && Reserved(token.Value) {
+		if token.Type == identType && IsReserved(token.Value) {
 			tokens[i].Type = keywordType
 			tokens[i].Value = strings.ToLower(token.Value)
 		}
