--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -27,7 +27,7 @@
 			ConnectionsPerLeaf: 2, LoadInterval: Duration(250 * time.Millisecond), DialTimeout: Duration(500 * time.Millisecond),
 		},
 		Limits:     Limits{BodyBytes: 1 << 20, Concurrency: 4096, DrainTimeout: Duration(30 * time.Second)},
-		Once:       Once{Window: Duration(5 * time.Minute), Skew: Duration(5 * time.Second), Capacity: 1 << 20},
+		Once:       AtMostOnce{Window: Duration(5 * time.Minute), Skew: Duration(5 * time.Second), Capacity: 1 << 20},
 		Freshness:  Freshness{Window: Duration(5 * time.Second), ExchangeInterval: Duration(500 * time.Millisecond)},
 		Membership: defaultMembership(),
 		Process:    Process{Cores: 1, CoreShare: 1},
@@ -62,8 +62,9 @@
 		// Running the requests of many shards on two executors in each zone improved the results of
 		// deployments with 16, 24 and 40 nodes of one size. Larger deployments gained more.
 		EqualNodes: 16,
-		// A watch must respond before 3.5 s of silence, after which the node treats the store as
-		// lost. That limit is below the 4 s after which a node counts as connected to the store.
+		// The node treats the store as lost after 3.5 s of silence, so a watch must respond
+		// earlier. The 3.5 s are in turn less than the 4 s that decide whether a node counts as
+		// connected to the store.
 		WatchWait: Duration(2800 * time.Millisecond),
 		// The pause combines changes in quick succession into one watch response.
 		WatchGather: Duration(500 * time.Millisecond),
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -29,10 +29,10 @@
 // allFields lists every valid key in the order of the fields of Settings.
 var allFields = collectFields(reflect.TypeFor[Settings](), "")
 
-func collectFields(structure reflect.Type, prefix string) []field {
+func collectFields(structType reflect.Type, prefix string) []field {
 	var fields []field
-	for index := range structure.NumField() {
-		structField := structure.Field(index)
+	for index := range structType.NumField() {
+		structField := structType.Field(index)
 		key := prefix + structField.Tag.Get(tagTOML)
 		expect := structField.Tag.Get(tagExpect)
 		if expect == "" {
@@ -60,19 +60,19 @@
 	if dot := strings.LastIndex(key, "."); dot >= 0 {
 		table, name = key[:dot], key[dot+1:]
 	}
-	if section, exists := findField(table); table != "" && (!exists || !section.table) {
+	if parent, exists := findField(table); table != "" && (!exists || !parent.table) {
 		return describeValidKeys(table)
 	}
 	nearest, distance := "", len(name)
 	var names []string
 	for _, candidate := range allFields {
-		rest, inTable := strings.CutPrefix(candidate.key, keyPrefix(table))
-		if !inTable || strings.Contains(rest, ".") {
+		childKey, inTable := strings.CutPrefix(candidate.key, keyPrefix(table))
+		if !inTable || strings.Contains(childKey, ".") {
 			continue
 		}
-		names = append(names, rest)
-		if d := editDistance(name, rest); d < distance {
-			nearest, distance = rest, d
+		names = append(names, childKey)
+		if d := editDistance(name, childKey); d < distance {
+			nearest, distance = childKey, d
 		}
 	}
 	if nearest != "" && distance <= maximumSuggestionDistance {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -175,13 +175,13 @@
 	if errors.As(err, &unitless) {
 		return unitless.key
 	}
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
-		return strings.Join(unknown.Errors[0].Key(), ".")
+	var strictError *toml.StrictMissingError
+	if errors.As(err, &strictError) && len(strictError.Errors) > 0 {
+		return strings.Join(strictError.Errors[0].Key(), ".")
 	}
-	var failure *toml.DecodeError
-	if errors.As(err, &failure) && len(failure.Key()) > 0 {
-		return strings.Join(failure.Key(), ".")
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) && len(decodeError.Key()) > 0 {
+		return strings.Join(decodeError.Key(), ".")
 	}
 	return fallback
 }
@@ -195,11 +195,11 @@
 		return Problem{}, false
 	}
 	problem := Problem{Origin: Origin{File: name}, Expected: "a TOML document", Found: err.Error()}
-	var failure *toml.DecodeError
-	if errors.As(err, &failure) {
-		problem.Origin.Line, _ = failure.Position()
-		problem.Key = strings.Join(failure.Key(), ".")
-		problem.Found = strings.TrimPrefix(failure.Error(), "toml: ")
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		problem.Origin.Line, _ = decodeError.Position()
+		problem.Key = strings.Join(decodeError.Key(), ".")
+		problem.Found = strings.TrimPrefix(decodeError.Error(), "toml: ")
 	}
 	return problem, true
 }
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -32,9 +32,9 @@
 		if strings.ContainsAny(value, "\n\r") {
 			continue
 		}
-		changed := l.settings
-		if decodeStrict(override.Key+" = "+value+"\n", &changed) == nil {
-			l.settings = changed
+		updated := l.settings
+		if decodeStrict(override.Key+" = "+value+"\n", &updated) == nil {
+			l.settings = updated
 			l.origins[override.Key] = origin
 			return
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -24,7 +24,7 @@
 	Machines   Machines   `toml:"machines"`
 	Leaf       Leaf       `toml:"leaf"`
 	Limits     Limits     `toml:"limits"`
-	Once       Once       `toml:"once"`
+	Once       AtMostOnce `toml:"once"`
 	Freshness  Freshness  `toml:"freshness"`
 	Membership Membership `toml:"membership"`
 	Process    Process    `toml:"process"`
@@ -107,8 +107,8 @@
 	DrainTimeout Duration `toml:"drain_timeout" comment:"Longest wait for requests in flight at a planned stop." validate:"gt=0" expect:"a duration above 0, such as \"30s\""`
 }
 
-// Once configures the handling of requests that may run at most once.
-type Once struct {
+// AtMostOnce configures the handling of requests that may run at most once.
+type AtMostOnce struct {
 	Window   Duration `toml:"window" comment:"How long the outcome of such a request is remembered." validate:"gt=0" expect:"a duration above 0, such as \"5m\""`
 	Skew     Duration `toml:"skew" comment:"How far a caller's clock may be from this machine's." validate:"gt=0" expect:"a duration above 0, such as \"5s\""`
 	Capacity int      `toml:"capacity" comment:"How many such requests are remembered at most; more are refused." validate:"gte=1" expect:"a whole number, 1 or above"`
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -31,21 +31,21 @@
 }
 
 func newValidator() *validator.Validate {
-	checker := validator.New(validator.WithRequiredStructEnabled())
-	checker.RegisterTagNameFunc(func(structField reflect.StructField) string { return structField.Tag.Get(tagTOML) })
-	checker.RegisterCustomTypeFunc(convertAddress, netip.Addr{}, netip.AddrPort{})
+	instance := validator.New(validator.WithRequiredStructEnabled())
+	instance.RegisterTagNameFunc(func(structField reflect.StructField) string { return structField.Tag.Get(tagTOML) })
+	instance.RegisterCustomTypeFunc(convertAddress, netip.Addr{}, netip.AddrPort{})
 	rules := map[string]validator.Func{
-		"slot":            func(fieldLevel validator.FieldLevel) bool { return catalog.ValidName(fieldLevel.Field().String()) },
-		"concrete":        func(fieldLevel validator.FieldLevel) bool { return isSpecifiedOrEmpty(fieldLevel.Field().String()) },
-		"remote":          func(fieldLevel validator.FieldLevel) bool { return isDialable(fieldLevel.Field().String()) },
-		"remote_or_empty": func(fieldLevel validator.FieldLevel) bool { return isDialableOrEmpty(fieldLevel.Field().String()) },
+		"slot":            func(level validator.FieldLevel) bool { return catalog.ValidName(level.Field().String()) },
+		"concrete":        func(level validator.FieldLevel) bool { return isSpecifiedOrEmpty(level.Field().String()) },
+		"remote":          func(level validator.FieldLevel) bool { return isDialable(level.Field().String()) },
+		"remote_or_empty": func(level validator.FieldLevel) bool { return isDialableOrEmpty(level.Field().String()) },
 	}
 	for name, rule := range rules {
-		if err := checker.RegisterValidation(name, rule, true); err != nil {
+		if err := instance.RegisterValidation(name, rule, true); err != nil {
 			panic(err)
 		}
 	}
-	return checker
+	return instance
 }
 
 // convertAddress passes an address to the validation rules as text. An unset address is empty.
