--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -38,8 +38,8 @@
 type Leaf struct {
 	Address netip.AddrPort `json:"address"`
 	Zone    string         `json:"zone"`
-	// Shards lists the shards of the newest partition that the leaf is configured to hold. The
-	// leaf's own reports say which shards it actually holds.
+	// Shards lists the shards of the newest partition that the leaf is configured to hold. A leaf
+	// reports the shards that it actually holds.
 	Shards []int `json:"shards"`
 	// AddedAt is the revision of the change that added the leaf. A leaf that was retired and added
 	// again has a new AddedAt, which invalidates earlier notices that the leaf is leaving.
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -21,7 +21,7 @@
 	MaximumPriority      = 100       // least urgent priority
 	MaximumConcurrency   = 1_000_000 // concurrent queries of a service per node
 	MaximumDeadline      = time.Hour // per class
-	MaximumOperator      = 128       // bytes in an operator's name
+	MaximumOperatorBytes = 128       // bytes in an operator's name
 )
 
 var (
@@ -51,8 +51,8 @@
 	if !ValidChangeID(c.ID) {
 		return newError(CodeInvalid, c.ID, "%q is not a valid change id", c.ID)
 	}
-	if len(c.Operator) > MaximumOperator || !utf8.ValidString(c.Operator) {
-		return newError(CodeInvalid, "operator", "the operator's name must be UTF-8 of at most %d bytes", MaximumOperator)
+	if len(c.Operator) > MaximumOperatorBytes || !utf8.ValidString(c.Operator) {
+		return newError(CodeInvalid, "operator", "the operator's name must be UTF-8 of at most %d bytes", MaximumOperatorBytes)
 	}
 	if year := c.At.UTC().Year(); year < 1 || year > 9999 {
 		return newError(CodeInvalid, "at", "the time of a change must be in the years 1 to 9999")
@@ -133,8 +133,8 @@
 }
 
 // firstError returns the first non-nil *Error, or an untyped nil error if all are nil.
-func firstError(errors ...*Error) error {
-	for _, err := range errors {
+func firstError(candidates ...*Error) error {
+	for _, err := range candidates {
 		if err != nil {
 			return err
 		}
