--- a/internal/catalog/apply_test.go
+++ b/internal/catalog/apply_test.go
@@ -44,7 +44,7 @@
 	for _, command := range commands {
 		next, err := catalog.Apply(current, newChange(current.Revision+1, command))
 		if err != nil {
-			t.Fatalf("%s: %v", command, err)
+			t.Fatalf("Apply(%s): %v", command, err)
 		}
 		current = next
 	}
@@ -115,7 +115,7 @@
 	}
 	for _, c := range cases {
 		if _, err := catalog.Apply(base, newChange(base.Revision+1, c.command)); !errors.Is(err, c.code) {
-			t.Errorf("%s: got %v, want code %s", c.command, err, c.code)
+			t.Errorf("Apply(%s): got %v, want code %s", c.command, err, c.code)
 		}
 	}
 	if _, err := catalog.Apply(base, newChange(base.Revision, retireLeaf())); !errors.Is(err, catalog.CodeRevision) {
--- a/internal/catalog/properties_test.go
+++ b/internal/catalog/properties_test.go
@@ -108,7 +108,7 @@
 func requireStatementRoundTrip(t *rapid.T, command catalog.Command) {
 	statement, err := language.ParseOne(command.String())
 	if err != nil {
-		t.Fatalf("%s: %v", command, err)
+		t.Fatalf("ParseOne(%q): %v", command, err)
 	}
 	if change := statement.(*language.ChangeStatement); !reflect.DeepEqual(change.Command, command) {
 		t.Fatalf("%s parsed to %s, want an equal command", command, change.Command)
--- a/internal/rows/rows_test.go
+++ b/internal/rows/rows_test.go
@@ -40,7 +40,7 @@
 		}
 		var decoded Table
 		if err := json.Unmarshal(encoded, &decoded); err != nil {
-			t.Fatalf("%s: %v", encoded, err)
+			t.Fatalf("decode %s: %v", encoded, err)
 		}
 		if !table.Equal(decoded) {
 			t.Fatalf("decoded %[2]v from %[3]s, want %[1]v", table, decoded, encoded)
@@ -61,7 +61,7 @@
 		}
 		var table Table
 		if err := json.Unmarshal(encoded, &table); err != nil {
-			t.Fatalf("%s: %v", encoded, err)
+			t.Fatalf("decode %s: %v", encoded, err)
 		}
 		if !table.Equal(Table(plain)) {
 			t.Fatalf("decoded %[2]v from %[1]s, want the encoded table", encoded, table)
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	parsed, err := ParseOne(statement.String())
 	if err != nil {
-		t.Fatalf("%s: %v", statement, err)
+		t.Fatalf("ParseOne(%q): %v", statement, err)
 	}
 	if !reflect.DeepEqual(parsed, statement) {
 		t.Fatalf("%s parsed to %#v, want %#v", statement, parsed, statement)
