--- a/internal/rows/table_encoder.go
+++ b/internal/rows/table_encoder.go
@@ -1,7 +1,7 @@
 package rows
 
 // Estimated JSON sizes in bytes of one value and of a table without rows. MarshalJSON uses them to
-// allocate its buffer once.
+// preallocate its buffer.
 const (
 	estimatedValueBytes = 12
 	estimatedTableBytes = 32
--- a/internal/selfhosted/language/canonical.go
+++ b/internal/selfhosted/language/canonical.go
@@ -140,6 +140,7 @@
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
+// joinFormatted formats the items and joins the results with commas.
 func joinFormatted[T any](items []T, format func(T) string) string {
 	texts := make([]string, len(items))
 	for i, item := range items {
--- a/internal/selfhosted/language/scanner.go
+++ b/internal/selfhosted/language/scanner.go
@@ -28,19 +28,19 @@
 var rulesByFirstByte = compileRules()
 
 func compileRules() [256][]compiledRule {
-	var byStart [256][]compiledRule
+	var byFirstByte [256][]compiledRule
 	for _, rule := range tokenRules {
 		compiled := compiledRule{
 			pattern:   regexp.MustCompile(`^(?:` + rule.pattern + `)`),
 			tokenType: lexerDefinition.Symbols()[rule.name],
 		}
-		for start := range byStart {
+		for start := range byFirstByte {
 			if rule.firstBytes == "" || strings.IndexByte(rule.firstBytes, byte(start)) >= 0 {
-				byStart[start] = append(byStart[start], compiled)
+				byFirstByte[start] = append(byFirstByte[start], compiled)
 			}
 		}
 	}
-	return byStart
+	return byFirstByte
 }
 
 // next returns the next token, or an EOF token at the end of the text.
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -75,6 +75,7 @@
 
 func isDialableOrEmpty(text string) bool { return text == "" || isDialable(text) }
 
+// newProblem converts a validation failure to a Problem with the origin of the value.
 func newProblem(failure validator.FieldError, origins map[string]Origin) Problem {
 	_, key, _ := strings.Cut(failure.Namespace(), ".")
 	key, _, _ = strings.Cut(key, "[")
