--- a/cmd/micactl/main.go
+++ b/cmd/micactl/main.go
@@ -1,8 +1,9 @@
-// Command micactl is the operators' command line: it sends statements of the
-// command language to a node, waits until a change is in force, and shows the
-// state of the deployment.
+// Command micactl is the command-line client for operators. It sends statements of the command
+// language to a node, waits until changes are in force, runs queries, shows the state of the
+// deployment, and evaluates the logs of nodes.
 //
-// Exit codes: 0 done, 1 failed or not accepted or not known, 2 wrong usage.
+// The exit code is 0 on success, 1 if the command failed, was not accepted or has an unknown
+// result, and 2 for wrong usage.
 package main
 
 import (
@@ -20,27 +21,27 @@
 )
 
 const (
-	// nodesVariable names the nodes if --node does not.
+	// nodesVariable is the environment variable that lists the nodes if --node is not given.
 	nodesVariable = "MICAPLANK_NODES"
-	// defaultNode is the node of last resort.
+	// defaultNode is used if neither --node nor nodesVariable is set.
 	defaultNode = "127.0.0.1:7201"
-	// defaultTimeout is how long a command waits unless it says otherwise.
+	// defaultTimeout is the default of --timeout.
 	defaultTimeout = 10 * time.Second
 )
 
-// globals are the flags of every command.
-type globals struct {
+// globalFlags are the flags that all commands share.
+type globalFlags struct {
 	nodes    []string
 	output   string
 	timeout  time.Duration
 	operator string
 }
 
-// command is one subcommand.
+// command is a subcommand of micactl.
 type command interface {
-	// attach declares the subcommand with its flags and arguments.
-	attach() *flaggy.Subcommand
-	// run carries it out.
+	// declare returns the subcommand with its flags and arguments.
+	declare() *flaggy.Subcommand
+	// run executes the subcommand after its flags and arguments were parsed.
 	run(ctx context.Context, session *operator.Session) error
 }
 
@@ -71,24 +72,24 @@
 	os.Exit(operator.ExitCode(err))
 }
 
-// run parses the arguments and runs the chosen command. The library ends the
-// process by itself for help, version and unknown arguments.
+// run parses the arguments and runs the selected command. For --help, --version and unknown
+// arguments, the flag library exits the process itself.
 func run(ctx context.Context, arguments []string) error {
-	flags := globals{output: string(operator.FormatText), timeout: defaultTimeout, operator: os.Getenv("USER")}
+	flags := globalFlags{output: string(operator.FormatText), timeout: defaultTimeout, operator: os.Getenv("USER")}
 	parser := newParser(&flags)
-	all := commands()
-	subcommands := make([]*flaggy.Subcommand, len(all))
-	for i, candidate := range all {
-		subcommands[i] = candidate.attach()
+	list := commands()
+	subcommands := make([]*flaggy.Subcommand, len(list))
+	for i, cmd := range list {
+		subcommands[i] = cmd.declare()
 		parser.AttachSubcommand(subcommands[i], 1)
-		if completion, ok := candidate.(*completionCommand); ok {
+		if completion, ok := cmd.(*completionCommand); ok {
 			completion.root = &parser.Subcommand
 		}
 	}
 	if err := parser.ParseArgs(arguments); err != nil {
 		return &operator.UsageError{Message: "wrong value of a flag: " + err.Error()}
 	}
-	for i, candidate := range all {
+	for i, cmd := range list {
 		if !subcommands[i].Used {
 			continue
 		}
@@ -96,17 +97,17 @@
 		if err != nil {
 			return err
 		}
-		return session.Finish(candidate.run(ctx, session))
+		return session.Finish(cmd.run(ctx, session))
 	}
 	parser.ShowHelp()
 	return &operator.UsageError{Message: "name a command"}
 }
 
-func newParser(flags *globals) *flaggy.Parser {
+func newParser(flags *globalFlags) *flaggy.Parser {
 	parser := flaggy.NewParser("micactl")
 	parser.Description = "Operates micaplank: runs statements, shows state, runs queries."
 	parser.Version = version.Version
-	parser.ShowCompletion = false // completionCommand takes its place
+	parser.ShowCompletion = false // replaced by completionCommand
 	parser.AdditionalHelpAppend = "Exit codes: 0 done, 1 failed, not accepted or not known, 2 wrong usage."
 	parser.StringSlice(&flags.nodes, "n", "node", "Address of a node; may be repeated or a comma list; the next is tried if one cannot be reached. Default: $"+nodesVariable+" or "+defaultNode+".")
 	parser.String(&flags.output, "o", "output", "Output format: text or json.")
@@ -115,15 +116,16 @@
 	return parser
 }
 
-func newSession(flags globals) (*operator.Session, error) {
-	texts := flags.nodes
-	if len(texts) == 0 {
-		texts = []string{os.Getenv(nodesVariable)}
+// newSession returns a session for the nodes from --node, the environment or the default.
+func newSession(flags globalFlags) (*operator.Session, error) {
+	addresses := flags.nodes
+	if len(addresses) == 0 {
+		addresses = []string{os.Getenv(nodesVariable)}
 	}
-	if len(texts) == 1 && texts[0] == "" {
-		texts = []string{defaultNode}
+	if len(addresses) == 1 && addresses[0] == "" {
+		addresses = []string{defaultNode}
 	}
-	nodes, err := operator.ParseNodes(texts)
+	nodes, err := operator.ParseNodes(addresses)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/edge/combine/combine_test.go
+++ b/internal/edge/combine/combine_test.go
@@ -12,91 +12,91 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-func TestWhatGoesDirectly(t *testing.T) {
-	r := newRig(t, answers(1))
-	whole := query()
-	whole.TopK = 0
+func TestDirectAttempts(t *testing.T) {
+	h := newTestHarness(t, leavesAnswering(1))
+	singleLeaf := newQuery()
+	singleLeaf.TopK = 0
 	for name, attempt := range map[string]scatter.Attempt[*forward.Request]{
-		"own zone":                 attemptAt("a", query()),
-		"a zone without combiners": attemptAt("c", query()),
-		"a request of one leaf":    attemptAt("b", whole),
+		"own zone":                 newAttempt("a", newQuery()),
+		"a zone without combiners": newAttempt("c", newQuery()),
+		"a request of one leaf":    newAttempt("b", singleLeaf),
 	} {
-		before := r.direct.count()
-		if _, err := r.execute(attempt); err != nil || r.direct.count() != before+1 || r.combined.count() != 0 {
-			t.Errorf("%s: %v, %d sent directly", name, err, r.direct.count()-before)
+		before := h.direct.count()
+		if _, err := h.execute(attempt); err != nil || h.direct.count() != before+1 || h.combined.count() != 0 {
+			t.Errorf("%s: error %v, %d sent directly, want 1 and none by the combiner", name, err, h.direct.count()-before)
 		}
 	}
 }
 
-// TestLossOfTheCombiner ends an attempt that the combiner has in hand: it may
-// have run, and the leaf is not to blame. The next ones go directly.
-func TestLossOfTheCombiner(t *testing.T) {
+// TestCombinerLoss checks that an attempt is ended when the combiner that runs it is lost. The
+// attempt may have run, and the failure is not attributed to the leaf. Later attempts go directly.
+func TestCombinerLoss(t *testing.T) {
 	taken := make(chan struct{})
-	r := newRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		close(taken)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}})
 	ended := make(chan error)
 	go func() {
-		_, err := r.execute(attemptAt("b", query()))
+		_, err := h.execute(newAttempt("b", newQuery()))
 		ended <- err
 	}()
 	<-taken
-	r.closeServer()
+	h.closeServer()
 	var transport *leaf.TransportError
 	if err := <-ended; !errors.As(err, &transport) || !transport.Sent || !transport.OnTheWay {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("attempt ended with %v, want a TransportError with Sent and OnTheWay", err)
 	}
-	if r.direct.count() != 0 {
-		t.Error("the attempt was sent twice")
+	if h.direct.count() != 0 {
+		t.Error("the attempt was also sent directly, want it sent once")
 	}
-	if _, err := r.execute(attemptAt("b", query())); err != nil || r.direct.count() != 1 {
-		t.Errorf("the next attempt: %v, %d sent directly", err, r.direct.count())
+	if _, err := h.execute(newAttempt("b", newQuery())); err != nil || h.direct.count() != 1 {
+		t.Errorf("next attempt: error %v, %d sent directly, want 1", err, h.direct.count())
 	}
 }
 
-// TestCombinerThatStopsFinishesWhatItHasInHand refuses a new attempt, which goes
-// directly, while an earlier one is answered.
-func TestCombinerThatStopsFinishesWhatItHasInHand(t *testing.T) {
+// TestStoppingCombinerFinishesInFlightAttempt checks that a stopping combiner refuses a new
+// attempt, which then goes directly, while it completes an earlier one.
+func TestStoppingCombinerFinishesInFlightAttempt(t *testing.T) {
 	taken, release := make(chan struct{}), make(chan struct{})
 	var held atomic.Bool
-	r := newRig(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(context.Context, scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		if held.CompareAndSwap(false, true) {
 			close(taken)
 			<-release
 		}
-		return part(9), nil
+		return newPart(9), nil
 	}})
 	ended := make(chan error)
 	go func() {
-		_, err := r.execute(attemptAt("b", query()))
+		_, err := h.execute(newAttempt("b", newQuery()))
 		ended <- err
 	}()
 	<-taken
 	stopped := make(chan struct{})
 	go func() {
-		_ = r.server.Close(context.Background())
+		_ = h.server.Close(context.Background())
 		close(stopped)
 	}()
-	for r.direct.count() == 0 {
-		if _, err := r.execute(attemptAt("b", query())); err != nil {
+	for h.direct.count() == 0 {
+		if _, err := h.execute(newAttempt("b", newQuery())); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	close(release)
 	if err := <-ended; err != nil {
-		t.Errorf("the attempt in hand: %v", err)
+		t.Errorf("in-flight attempt: %v", err)
 	}
 	<-stopped
 }
 
-// TestGivingUpFreesTheLeaf ends the attempt at the leaf with that of the caller,
-// and does not count the combiner as lost.
-func TestGivingUpFreesTheLeaf(t *testing.T) {
+// TestCancellationReachesLeaf checks that the attempt at the leaf ends with that of the caller, and
+// that the combiner is not marked as lost.
+func TestCancellationReachesLeaf(t *testing.T) {
 	taken, freed := make(chan struct{}), make(chan struct{})
-	r := newRig(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
+	h := newTestHarness(t, &fakeLeaves{run: func(ctx context.Context, _ scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
 		close(taken)
 		<-ctx.Done()
 		close(freed)
@@ -107,62 +107,64 @@
 		<-taken
 		cancel()
 	}()
-	_, err := r.client.Execute(ctx, attemptAt("b", query()))
+	_, err := h.client.Execute(ctx, newAttempt("b", newQuery()))
 	var transport *leaf.TransportError
 	if !errors.As(err, &transport) || transport.OnTheWay {
-		t.Errorf("ended with %v", err)
+		t.Errorf("attempt ended with %v, want a TransportError without OnTheWay", err)
 	}
 	select {
 	case <-freed:
-	case <-time.After(patient):
-		t.Fatal("the leaf still works")
+	case <-time.After(testTimeout):
+		t.Fatal("the attempt at the leaf was not cancelled")
 	}
-	r.await("a combiner in touch", func() bool { return r.client.combiners.Choose("b") != nil })
+	h.await("a connected combiner", func() bool { return h.client.combiners.Choose("b") != nil })
 }
 
-// TestUnknownSession sends an attempt directly, once, whose query the combiner
-// does not know.
-func TestUnknownSession(t *testing.T) {
-	r := newRig(t, answers(1))
-	asked := query()
-	r.client.mutex.Lock()
-	chosen := r.client.combiners.Choose("b")
-	r.client.sessions[sessionKey{asked, "b"}] = &clientSession{number: 77, combiner: chosen, inFlight: 1}
-	r.client.mutex.Unlock()
-	if _, err := r.execute(attemptAt("b", asked)); err != nil {
+// TestUnknownSessionFallsBackToDirect checks that an attempt is sent directly, once, if the
+// combiner does not know its query.
+func TestUnknownSessionFallsBackToDirect(t *testing.T) {
+	h := newTestHarness(t, leavesAnswering(1))
+	query := newQuery()
+	h.client.mutex.Lock()
+	combiner := h.client.combiners.Choose("b")
+	h.client.sessions[sessionKey{query, "b"}] = &clientSession{number: 77, combiner: combiner, inFlight: 1}
+	h.client.mutex.Unlock()
+	if _, err := h.execute(newAttempt("b", query)); err != nil {
 		t.Fatal(err)
 	}
-	if r.direct.count() != 1 || r.combined.count() != 0 {
-		t.Errorf("%d sent directly, %d by the combiner", r.direct.count(), r.combined.count())
+	if h.direct.count() != 1 || h.combined.count() != 0 {
+		t.Errorf("%d sent directly, %d by the combiner, want 1 and 0", h.direct.count(), h.combined.count())
 	}
 }
 
-// TestLeafThatLeaves is not sent an attempt by a combiner that knows of it.
-func TestLeafThatLeaves(t *testing.T) {
-	r := newRig(t, answers(1))
-	r.leaving.Store(true)
-	if _, err := r.execute(attemptAt("b", query())); err != nil || r.direct.count() != 1 || r.combined.count() != 0 {
-		t.Errorf("%v, %d sent directly, %d by the combiner", err, r.direct.count(), r.combined.count())
+// TestCombinerRefusesLeavingLeaf checks that a combiner does not send an attempt to a leaf that it
+// knows to be leaving.
+func TestCombinerRefusesLeavingLeaf(t *testing.T) {
+	h := newTestHarness(t, leavesAnswering(1))
+	h.leaving.Store(true)
+	if _, err := h.execute(newAttempt("b", newQuery())); err != nil || h.direct.count() != 1 || h.combined.count() != 0 {
+		t.Errorf("error %v, %d sent directly, %d by the combiner, want 1 and 0", err, h.direct.count(), h.combined.count())
 	}
 }
 
-// TestSessionsEnd forgets the queries of other nodes.
-func TestSessionsEnd(t *testing.T) {
-	c := &combiner{leaves: answers(1), sessions: make(map[remoteKey]*session)}
-	known := c.session(remoteKey{number: 1}, headOf(query(), time.Microsecond))
-	unknown := c.session(remoteKey{number: 2}, nil)
-	if known.query == nil || unknown.query != nil {
-		t.Fatal("a query is where it does not belong")
+// TestSessionsExpire checks that a combiner removes sessions, with and without a query, after their
+// time limit.
+func TestSessionsExpire(t *testing.T) {
+	c := &combiner{leaves: leavesAnswering(1), sessions: make(map[remoteSessionKey]*session)}
+	withQuery := c.session(remoteSessionKey{number: 1}, newQueryHead(newQuery(), time.Microsecond))
+	withoutQuery := c.session(remoteSessionKey{number: 2}, nil)
+	if withQuery.query == nil || withoutQuery.query != nil {
+		t.Fatal("want a query in the first session only")
 	}
-	for deadline := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c.mutex.Lock()
-		left := len(c.sessions)
+		remaining := len(c.sessions)
 		c.mutex.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d sessions are left", left)
+			t.Fatalf("%d sessions remain, want 0", remaining)
 		}
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -11,16 +11,17 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// ClientOptions are the limits of a Client. Zero fields take the defaults.
+// ClientOptions configures a Client. A field that is zero or negative takes its default.
 type ClientOptions struct {
-	// ConnectionsPerPeer is how many connections calls to one peer share.
-	// Default 1.
+	// ConnectionsPerPeer is the number of connections that the calls to one peer share; 1 by
+	// default.
 	ConnectionsPerPeer int
-	// DialTimeout bounds the connect and the handshake together. Default 1 s.
+	// DialTimeout is the timeout of a dial, including the handshake; 1 s by default.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection without calls is kept. Default 60 s.
+	// IdleTimeout is how long a connection without calls is kept open; 60 s by default.
 	IdleTimeout time.Duration
-	// CallTimeout bounds calls whose context has no deadline. Default 30 s.
+	// CallTimeout is the timeout of a call, also if the deadline of its context is later; 30 s by
+	// default.
 	CallTimeout time.Duration
 }
 
@@ -40,62 +41,61 @@
 	return o
 }
 
-// slotKey names one of the connections to a peer.
-type slotKey struct {
+// poolKey identifies one of the connections to a peer.
+type poolKey struct {
 	peer  netip.AddrPort
 	index int
 }
 
-// Client calls peers over pooled connections. It is safe for concurrent use.
+// Client calls peers over a connection pool. It is safe for concurrent use.
 type Client struct {
-	options ClientOptions
-	metrics *callMetrics
-	dialing context.Context
-	stop    context.CancelFunc
-
-	mutex  sync.Mutex
-	slots  map[slotKey]*clientLink
-	turn   int
-	closed bool
-
-	calls sync.WaitGroup // running calls
-	links sync.WaitGroup // goroutines of links
+	options     ClientOptions
+	metrics     *callMetrics
+	dialCtx     context.Context
+	cancelDials context.CancelFunc
+
+	mutex     sync.Mutex
+	pool      map[poolKey]*clientConn
+	nextIndex int
+	closed    bool
+
+	activeCalls    sync.WaitGroup
+	connGoroutines sync.WaitGroup
 }
 
-// NewClient returns a client without connections; they are opened by calls.
+// NewClient returns a client without connections. Calls open connections when they need them.
 func NewClient(options ClientOptions, registerer prometheus.Registerer) *Client {
-	dialing, stop := context.WithCancel(context.Background())
+	dialCtx, cancelDials := context.WithCancel(context.Background())
 	return &Client{
-		options: options.withDefaults(),
-		metrics: newCallMetrics(registerer, clientSide),
-		dialing: dialing,
-		stop:    stop,
-		slots:   map[slotKey]*clientLink{},
+		options:     options.withDefaults(),
+		metrics:     newCallMetrics(registerer, clientSide),
+		dialCtx:     dialCtx,
+		cancelDials: cancelDials,
+		pool:        map[poolKey]*clientConn{},
 	}
 }
 
-// linkRetries is how often a call is tried again on another connection after
-// one that ended before anything was sent on it.
-// Not measured: chosen because each try needs a connection that ends just then.
-const linkRetries = 3
+// maxUnsentRetries is how often a call is retried on another connection if its connection is lost
+// before any byte of the request is sent. It is small because each retry requires another
+// connection that is lost at that moment.
+const maxUnsentRetries = 3
 
-// Call sends request to a method of a peer and waits for its response, which
-// it stores into response, a pointer to a struct. It never sends a request
-// twice: it tries again only if no byte of it was sent. It blocks until the
-// response, the end of ctx or the loss of the connection. Its errors are of type
-// *Error (use errors.As).
+// Call sends request to a method of a peer and stores the reply in response, a pointer to a struct.
+// It blocks until the response arrives, ctx ends or the connection is lost. It sends a request at
+// most once: it retries only if no byte of the request was sent. Errors wrap an *Error; use
+// errors.As.
 func (c *Client) Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
 	failure := c.call(ctx, to, method, request, response)
-	for range linkRetries {
+	for range maxUnsentRetries {
 		if failure == nil || failure.Sent || !errors.Is(failure.Err, ErrLost) {
 			break
 		}
-		// The pooled connection had just ended; nothing was sent on it.
+		// The pooled connection was lost before anything was sent on it.
 		failure = c.call(ctx, to, method, request, response)
 	}
-	c.metrics.calls.WithLabelValues(method, resultOf(failure)).Inc()
+	c.metrics.calls.WithLabelValues(method, resultLabel(failure)).Inc()
 	if failure == nil {
 		return nil
 	}
@@ -104,7 +104,8 @@
 	return wrap(failure)
 }
 
-func resultOf(failure *Error) string {
+// resultLabel returns the value of the label "result" of the metric of calls.
+func resultLabel(failure *Error) string {
 	if failure == nil {
 		return "answered"
 	}
@@ -112,92 +113,91 @@
 }
 
 func (c *Client) call(ctx context.Context, to netip.AddrPort, method string, request, response any) *Error {
-	l, err := c.link(to)
+	conn, err := c.acquire(to)
 	if err != nil {
 		return &Error{Step: StepDial, Err: err}
 	}
-	defer c.calls.Done()
+	defer c.activeCalls.Done()
 	select {
-	case <-l.ready:
+	case <-conn.ready:
 	case <-ctx.Done():
 		return &Error{Step: StepDial, Err: ctx.Err()}
 	}
-	if l.failure != nil {
-		return &Error{Step: l.failure.Step, Err: l.failure.Err}
+	if conn.dialErr != nil {
+		return &Error{Step: conn.dialErr.Step, Err: conn.dialErr.Err}
 	}
-	failure := l.exchange(ctx, method, request, response)
+	failure := conn.call(ctx, method, request, response)
 	if failure != nil && errors.Is(failure.Err, ErrLost) {
-		c.forget(l)
+		c.remove(conn)
 	}
 	return failure
 }
 
-// link returns a usable connection or one that is being opened, and counts a
-// running call.
-func (c *Client) link(to netip.AddrPort) (*clientLink, error) {
+// acquire returns a pooled connection, which may still be dialing, and counts one more active call.
+func (c *Client) acquire(to netip.AddrPort) (*clientConn, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed {
 		return nil, ErrClosed
 	}
-	c.calls.Add(1)
-	c.turn = (c.turn + 1) % c.options.ConnectionsPerPeer
-	key := slotKey{peer: to, index: c.turn}
-	if l, ok := c.slots[key]; ok {
-		return l, nil
-	}
-	l := newClientLink(c, key)
-	c.slots[key] = l
-	c.links.Add(1)
-	go l.run()
-	return l, nil
+	c.activeCalls.Add(1)
+	c.nextIndex = (c.nextIndex + 1) % c.options.ConnectionsPerPeer
+	key := poolKey{peer: to, index: c.nextIndex}
+	if conn, ok := c.pool[key]; ok {
+		return conn, nil
+	}
+	conn := newClientConn(c, key)
+	c.pool[key] = conn
+	c.connGoroutines.Add(1)
+	go conn.run()
+	return conn, nil
 }
 
-// forget removes a link that takes no more calls, so that the next call opens
+// remove removes a connection that accepts no more calls from the pool, so that the next call opens
 // a new one.
-func (c *Client) forget(l *clientLink) {
+func (c *Client) remove(conn *clientConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.slots[l.key] == l {
-		delete(c.slots, l.key)
+	if c.pool[conn.key] == conn {
+		delete(c.pool, conn.key)
 	}
 }
 
-// Close refuses new calls, waits until the running ones have ended, and closes
-// all connections.
+// Close rejects new calls, waits until the active calls have ended, and closes all connections.
 func (c *Client) Close() error {
 	c.mutex.Lock()
 	c.closed = true
 	c.mutex.Unlock()
-	c.calls.Wait()
-	c.stop()
+	c.activeCalls.Wait()
+	c.cancelDials()
 	c.mutex.Lock()
-	for _, l := range c.slots {
-		l.shut()
+	for _, conn := range c.pool {
+		conn.close()
 	}
 	c.mutex.Unlock()
-	c.links.Wait()
+	c.connGoroutines.Wait()
 	return nil
 }
 
+// dial opens a connection to a peer and performs the handshake.
 func (c *Client) dial(to netip.AddrPort) (net.Conn, *Error) {
-	ctx, cancel := context.WithTimeout(c.dialing, c.options.DialTimeout)
+	ctx, cancel := context.WithTimeout(c.dialCtx, c.options.DialTimeout)
 	defer cancel()
 	var dialer net.Dialer
-	connection, err := dialer.DialContext(ctx, "tcp", to.String())
+	netConn, err := dialer.DialContext(ctx, "tcp", to.String())
 	if err != nil {
 		return nil, &Error{Step: StepDial, Err: err}
 	}
 	deadline, _ := ctx.Deadline()
-	_ = connection.SetDeadline(deadline)
-	err = greet(connection)
+	_ = netConn.SetDeadline(deadline)
+	err = writeGreeting(netConn)
 	if err == nil {
-		err = expectGreeting(connection)
+		err = readGreeting(netConn)
 	}
 	if err != nil {
-		_ = connection.Close()
+		_ = netConn.Close()
 		return nil, &Error{Step: StepHandshake, Err: err}
 	}
-	_ = connection.SetDeadline(time.Time{})
-	return connection, nil
+	_ = netConn.SetDeadline(time.Time{})
+	return netConn, nil
 }
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -17,8 +17,8 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// BenchmarkExecute runs queries of eight shards on one leaf without service
-// time, over a real connection, from several callers at once.
+// BenchmarkExecute runs concurrent queries over eight shards of one leaf with zero service time,
+// over a real connection.
 func BenchmarkExecute(b *testing.B) {
 	config := standin.DefaultConfig()
 	config.Service, config.Versions = "rate-desk", []uint64{1}
@@ -34,7 +34,7 @@
 	b.Cleanup(client.Close)
 	conn := NewConn(Config[string, rows.Table]{
 		Service: "rate-desk", AttemptPrefix: "benchmark", Leaves: Statements{client}, Clock: clock.NewMonotonic(),
-		Guard: always, Metrics: NewMetrics(prometheus.NewRegistry()),
+		Guard: allowAlways, Metrics: NewMetrics(prometheus.NewRegistry()),
 	}, dispatch.New(dispatch.DefaultConfig(), rand.New(rand.NewPCG(1, 2))))
 	conn.SetTopology(dispatch.Topology{
 		Revision: 1, Partitions: []catalog.Partition{{Epoch: 1, Shards: 8}},
@@ -51,7 +51,7 @@
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			if result := conn.Execute(context.Background(), request); result.Outcome == dispatch.OutcomeFailed {
-				b.Error(result.Outcome, result.Reason)
+				b.Errorf("got outcome %s with reason %s, want no failure", result.Outcome, result.Reason)
 			}
 		}
 	})
