--- a/internal/catalog/codec_test.go
+++ b/internal/catalog/codec_test.go
@@ -9,6 +9,6 @@
 // TestStoredFormsMatchRecordings guards against an incompatible change of the stored JSON: the
 // store holds changes and checkpoints that other versions wrote.
 func TestStoredFormsMatchRecordings(t *testing.T) {
-	wiretest.JSON[Catalog](t, "catalog")
-	wiretest.JSON[Change](t, "change")
+	wiretest.CheckJSON[Catalog](t, "catalog")
+	wiretest.CheckJSON[Change](t, "change")
 }
--- a/internal/selfhosted/node/peers.go
+++ b/internal/selfhosted/node/peers.go
@@ -141,7 +141,7 @@
 // datagramsOf sends the datagrams of one kind.
 type datagramsOf struct {
 	datagrams *peer.Datagrams
-	kind      peer.Kind
+	kind      peer.DatagramKind
 }
 
 // Send sends one datagram; it may be lost.
--- a/internal/selfhosted/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -28,7 +28,7 @@
 // another process takes over its slot. It then stops as planned: nothing in
 // flight is cut off within the drain timeout. It returns nil if so.
 func (n *Node) Run(ctx context.Context) error {
-	n.peerServer.Serve()
+	n.peerServer.Start()
 	n.membership.Start()
 	n.dissemination.Start()
 	n.background.Go(n.followCatalog)
--- a/internal/selfhosted/node/services.go
+++ b/internal/selfhosted/node/services.go
@@ -25,7 +25,7 @@
 	seed uint64
 
 	mutex sync.Mutex
-	conns map[string]*scatter.Conn[string, rows.Table]
+	conns map[string]*scatter.QueryRunner[string, rows.Table]
 	// ending counts connections of dropped services that still finish.
 	ending sync.WaitGroup
 }
@@ -35,7 +35,7 @@
 		dispatch: dispatchConfig,
 		scatter:  scatterConfig,
 		seed:     seed,
-		conns:    make(map[string]*scatter.Conn[string, rows.Table]),
+		conns:    make(map[string]*scatter.QueryRunner[string, rows.Table]),
 	}
 }
 
@@ -45,7 +45,7 @@
 	return conn, ok
 }
 
-func (s *services) conn(service string) (*scatter.Conn[string, rows.Table], bool) {
+func (s *services) conn(service string) (*scatter.QueryRunner[string, rows.Table], bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	conn, ok := s.conns[service]
@@ -65,12 +65,12 @@
 	conn.SetTopology(topology)
 }
 
-func (s *services) newConn(service string) *scatter.Conn[string, rows.Table] {
+func (s *services) newConn(service string) *scatter.QueryRunner[string, rows.Table] {
 	config := s.scatter
 	config.Service = service
 	config.AttemptPrefix = fmt.Sprintf("%s/%s", s.scatter.AttemptPrefix, service)
 	random := rand.New(rand.NewPCG(s.seed, xxhash.Sum64String(service)))
-	return scatter.NewConn(config, dispatch.New(s.dispatch, random))
+	return scatter.NewQueryRunner(config, dispatch.New(s.dispatch, random))
 }
 
 // Observe hands a load report to the connection of a service.
@@ -109,7 +109,7 @@
 func (s *services) close() {
 	s.mutex.Lock()
 	conns := s.conns
-	s.conns = make(map[string]*scatter.Conn[string, rows.Table])
+	s.conns = make(map[string]*scatter.QueryRunner[string, rows.Table])
 	s.mutex.Unlock()
 	for _, conn := range conns {
 		conn.Close()
--- a/internal/selfhosted/node/wire_test.go
+++ b/internal/selfhosted/node/wire_test.go
@@ -9,12 +9,12 @@
 
 // TestMessagesReadAsRecorded guards a fleet of two versions.
 func TestMessagesReadAsRecorded(t *testing.T) {
-	wiretest.Gob[query.Forward](t, "query.owner.request")
-	wiretest.Gob[queryReply](t, "query.owner.response")
-	wiretest.Gob[leavingCall](t, "topology.leaving.request")
-	wiretest.Gob[leavingReply](t, "topology.leaving.response")
-	wiretest.Gob[marksCall](t, "topology.marks.request")
-	wiretest.Gob[marksReply](t, "topology.marks.response")
-	wiretest.Gob[drainCall](t, "node.drain.request")
-	wiretest.Gob[drainReply](t, "node.drain.response")
+	wiretest.CheckGob[query.Forward](t, "query.owner.request")
+	wiretest.CheckGob[queryReply](t, "query.owner.response")
+	wiretest.CheckGob[leavingCall](t, "topology.leaving.request")
+	wiretest.CheckGob[leavingReply](t, "topology.leaving.response")
+	wiretest.CheckGob[marksCall](t, "topology.marks.request")
+	wiretest.CheckGob[marksReply](t, "topology.marks.response")
+	wiretest.CheckGob[drainCall](t, "node.drain.request")
+	wiretest.CheckGob[drainReply](t, "node.drain.response")
 }
