--- a/internal/catalog/apply_test.go
+++ b/internal/catalog/apply_test.go
@@ -16,13 +16,13 @@
 )
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", "20261202"); err != nil { // deterministic unless a flag says otherwise
+	if err := flag.Set("rapid.seed", "20261202"); err != nil { // a -rapid.seed flag overrides this seed
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-func changeAt(revision uint64, command catalog.Command) catalog.Change {
+func newChange(revision uint64, command catalog.Command) catalog.Change {
 	at := time.Date(2026, 1, 2, 3, 4, 5, int(revision), time.FixedZone("JST", 9*3600))
 	return catalog.Change{Revision: revision, ID: fmt.Sprintf("%d-x", revision), Operator: "mori", At: at, Command: command}
 }
@@ -37,14 +37,14 @@
 
 var leafAddress = netip.MustParseAddrPort("127.0.0.1:7101")
 
-// build applies the commands to the empty catalog, one revision each.
-func build(t *testing.T, commands ...catalog.Command) *catalog.Catalog {
+// buildCatalog applies the commands to the empty catalog, each as one revision.
+func buildCatalog(t *testing.T, commands ...catalog.Command) *catalog.Catalog {
 	t.Helper()
 	current := catalog.Empty()
 	for _, command := range commands {
-		next, err := catalog.Apply(current, changeAt(current.Revision+1, command))
+		next, err := catalog.Apply(current, newChange(current.Revision+1, command))
 		if err != nil {
-			t.Fatalf("%s: %v", command, err)
+			t.Fatalf("Apply(%s): %v", command, err)
 		}
 		current = next
 	}
@@ -63,36 +63,36 @@
 	return catalog.Command{RetireLeaf: &catalog.RetireLeaf{Address: leafAddress}}
 }
 
-func TestAddLeafAgain(t *testing.T) {
-	updated := build(t, createService(8), addLeaf("a", 1, 0), addLeaf("b", 2))
+func TestAddExistingLeaf(t *testing.T) {
+	updated := buildCatalog(t, createService(8), addLeaf("a", 1, 0), addLeaf("b", 2))
 	leaf := updated.Services["rate-desk"].Leaves[leafAddress]
 	if leaf.AddedAt != 2 || leaf.Zone != "b" || !slices.Equal(leaf.Shards, []int{2}) {
-		t.Errorf("an update of a leaf in use gave %+v", leaf)
+		t.Errorf("leaf after an update = %+v, want added_at 2, zone b and shard 2", leaf)
 	}
-	returned := build(t, createService(8), addLeaf("a", 1, 0), retireLeaf(), addLeaf("a", 0, 1))
+	returned := buildCatalog(t, createService(8), addLeaf("a", 1, 0), retireLeaf(), addLeaf("a", 0, 1))
 	leaf = returned.Services["rate-desk"].Leaves[leafAddress]
 	if leaf.AddedAt != 4 || leaf.Retiring {
-		t.Errorf("a retired leaf that was added again is %+v", leaf)
+		t.Errorf("retired leaf after it was added again = %+v, want added_at 4 and not retiring", leaf)
 	}
 }
 
-func TestRepartition(t *testing.T) {
+func TestRepartitionKeepsNewestPartitions(t *testing.T) {
 	commands := []catalog.Command{createService(8), addLeaf("a", 1, 7)}
 	for shards := 7; shards > 7-catalog.RetainedPartitions; shards-- {
 		commands = append(commands, catalog.Command{Repartition: &catalog.Repartition{Service: "rate-desk", Shards: shards}})
 	}
-	service := build(t, commands...).Services["rate-desk"]
+	service := buildCatalog(t, commands...).Services["rate-desk"]
 	want := []catalog.Partition{{Epoch: 2, Shards: 7}, {Epoch: 3, Shards: 6}, {Epoch: 4, Shards: 5}}
 	if !slices.Equal(service.Partitions, want) {
-		t.Errorf("partitions are %v, want %v", service.Partitions, want)
+		t.Errorf("partitions = %v, want %v", service.Partitions, want)
 	}
 	if got := service.Leaves[leafAddress].Shards; !slices.Equal(got, []int{1}) {
-		t.Errorf("the leaf keeps shards %v, want those that still exist", got)
+		t.Errorf("leaf has shards %v, want only shard 1, which the new partition still has", got)
 	}
 }
 
-func TestRefusals(t *testing.T) {
-	base := build(t, createService(8), addLeaf("a", 0), catalog.Command{AddVoter: &catalog.AddVoter{Voter: catalog.Voter{Name: "n1", Zone: "a"}}})
+func TestApplyRefusals(t *testing.T) {
+	base := buildCatalog(t, createService(8), addLeaf("a", 0), catalog.Command{AddVoter: &catalog.AddVoter{Voter: catalog.Voter{Name: "n1", Zone: "a"}}})
 	cases := []struct {
 		command catalog.Command
 		code    catalog.Code
@@ -114,44 +114,44 @@
 		{catalog.Command{}, catalog.CodeInvalid},
 	}
 	for _, c := range cases {
-		if _, err := catalog.Apply(base, changeAt(base.Revision+1, c.command)); !errors.Is(err, c.code) {
-			t.Errorf("%s: got %v, want code %s", c.command, err, c.code)
+		if _, err := catalog.Apply(base, newChange(base.Revision+1, c.command)); !errors.Is(err, c.code) {
+			t.Errorf("Apply(%s): got %v, want code %s", c.command, err, c.code)
 		}
 	}
-	if _, err := catalog.Apply(base, changeAt(base.Revision, retireLeaf())); !errors.Is(err, catalog.CodeRevision) {
-		t.Errorf("an old revision: got %v", err)
+	if _, err := catalog.Apply(base, newChange(base.Revision, retireLeaf())); !errors.Is(err, catalog.CodeRevision) {
+		t.Errorf("change with an old revision: got %v, want code %s", err, catalog.CodeRevision)
 	}
-	repeated := changeAt(base.Revision+1, retireLeaf())
+	repeated := newChange(base.Revision+1, retireLeaf())
 	repeated.ID = "1-x"
 	if _, err := catalog.Apply(base, repeated); !errors.Is(err, catalog.CodeDuplicate) {
-		t.Errorf("a repeated id: got %v", err)
+		t.Errorf("change with a repeated id: got %v, want code %s", err, catalog.CodeDuplicate)
 	}
 }
 
-func TestDecodeIsStrict(t *testing.T) {
+func TestDecodeRefusesInvalidInput(t *testing.T) {
 	for _, text := range []string{`{"revision":1,"colour":2}`, `{"revision":1} {}`, `[]`, ``} {
 		if _, err := catalog.Decode([]byte(text)); err == nil {
-			t.Errorf("Decode took %q", text)
+			t.Errorf("Decode(%q) returned no error", text)
 		}
 	}
 	for _, text := range []string{`{"revision":1,"id":"1-x","command":{}}`, `{"revision":0,"id":"1-x","command":{"stop_service":{"name":"a"}}}`} {
 		if _, err := catalog.DecodeChange([]byte(text)); err == nil {
-			t.Errorf("DecodeChange took %q", text)
+			t.Errorf("DecodeChange(%q) returned no error", text)
 		}
 	}
 }
 
-func TestRecentIsBounded(t *testing.T) {
-	current := build(t, createService(8))
+func TestRecentChangesAreBounded(t *testing.T) {
+	current := buildCatalog(t, createService(8))
 	for revision := uint64(2); revision <= catalog.RetainedChanges+5; revision++ {
 		limit := catalog.Command{LimitService: &catalog.LimitService{Service: "rate-desk", Concurrency: int(revision)}}
-		next, err := catalog.Apply(current, changeAt(revision, limit))
+		next, err := catalog.Apply(current, newChange(revision, limit))
 		if err != nil {
 			t.Fatal(err)
 		}
 		current = next
 	}
 	if len(current.Recent) != catalog.RetainedChanges || current.Recent[0].Revision != 6 {
-		t.Errorf("%d changes are remembered from revision %d on", len(current.Recent), current.Recent[0].Revision)
+		t.Errorf("Recent has %d changes from revision %d, want %d from revision 6", len(current.Recent), current.Recent[0].Revision, catalog.RetainedChanges)
 	}
 }
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -18,13 +18,13 @@
 )
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", "20261202"); err != nil { // deterministic unless a flag says otherwise
+	if err := flag.Set("rapid.seed", "20261202"); err != nil { // a -rapid.seed flag overrides this seed
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// readStatements returns the lines of a file of statements.
+// readStatements returns the lines of a file that has one statement per line.
 func readStatements(t testing.TB, path string) []string {
 	t.Helper()
 	file, err := os.Open(path)
@@ -40,16 +40,16 @@
 	return lines
 }
 
-// TestGolden holds the canonical text or the error of every statement of the
-// two files of examples.
-func TestGolden(t *testing.T) {
+// TestStatementsMatchGolden compares the canonical texts of testdata/valid.txt and the errors of
+// testdata/invalid.txt with golden files.
+func TestStatementsMatchGolden(t *testing.T) {
 	for _, name := range []string{"valid", "invalid"} {
 		var report strings.Builder
 		for _, line := range readStatements(t, "testdata/"+name+".txt") {
 			fmt.Fprintf(&report, "> %s\n", line)
 			statement, err := ParseOne(line)
 			if (err == nil) != (name == "valid") {
-				t.Errorf("%q: error %v", line, err)
+				t.Errorf("ParseOne(%q): got error %v, want valid = %t", line, err, name == "valid")
 			}
 			if err != nil {
 				fmt.Fprintf(&report, "  %s\n", err)
@@ -66,7 +66,7 @@
 	t.Helper()
 	parsed, err := ParseOne(statement.String())
 	if err != nil {
-		t.Fatalf("%s: %v", statement, err)
+		t.Fatalf("ParseOne(%q): %v", statement, err)
 	}
 	if !reflect.DeepEqual(parsed, statement) {
 		t.Fatalf("%s parsed to %#v, want %#v", statement, parsed, statement)
@@ -75,7 +75,7 @@
 
 var columnNames = rapid.SampledFrom([]string{"lane", "price", "Weight_2", "count", "p95", "_"})
 
-func TestRoundTrip(t *testing.T) {
+func TestDrawnStatementsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requireRoundTrip(t, drawSelect(t))
 		insert := &Insert{Service: "filing-vault", Columns: rapid.SliceOfNDistinct(columnNames, 1, 4, rapid.ID[string]).Draw(t, "columns")}
@@ -83,32 +83,34 @@
 			insert.Values = append(insert.Values, rapid.OneOf(rapid.Custom(drawValue), rapid.Just(rows.Value{})).Draw(t, "value"))
 		}
 		requireRoundTrip(t, insert)
-		if value, found := insert.Value(insert.Columns[0]); !found || value != insert.Values[0] {
-			t.Fatalf("Value gave %v, want %v", value, insert.Values[0])
+		if value, ok := insert.Value(insert.Columns[0]); !ok || value != insert.Values[0] {
+			t.Fatalf("Value = %v, want %v", value, insert.Values[0])
 		}
 	})
 }
 
-// TestKeyEqualityIsSound checks that a row that matches has the pinned value.
-func TestKeyEqualityIsSound(t *testing.T) {
-	pinnedAndMatched := 0
+// TestKeyEqualityHoldsForMatchingRows checks that every row that matches a where clause has the
+// value that KeyEquality returns for it. Otherwise, a query would skip shards that hold matching
+// rows.
+func TestKeyEqualityHoldsForMatchingRows(t *testing.T) {
+	matchedRows := 0
 	rapid.Check(t, func(t *rapid.T) {
-		statement := &Select{Service: "x", Where: drawWhere(t, 2)}
-		value, pinned := statement.KeyEquality("lane")
-		if !pinned {
+		statement := &Select{Service: "x", Where: drawCondition(t, 2)}
+		value, hasKey := statement.KeyEquality("lane")
+		if !hasKey {
 			return
 		}
 		row := map[string]rows.Value{"lane": rapid.OneOf(rapid.Just(value), rapid.Custom(drawValue)).Draw(t, "lane")}
-		columns := func(name string) (rows.Value, bool) { v, found := row[name]; return v, found }
+		columns := func(name string) (rows.Value, bool) { v, ok := row[name]; return v, ok }
 		if statement.Matches(columns) {
-			pinnedAndMatched++
+			matchedRows++
 			if row["lane"] != value {
-				t.Fatalf("%s matches %v though the key is pinned to %v", statement, row["lane"], value)
+				t.Fatalf("%s matches a row with key %v, but KeyEquality returned %v", statement, row["lane"], value)
 			}
 		}
 	})
-	if pinnedAndMatched == 0 {
-		t.Error("no drawn row was pinned and matched")
+	if matchedRows == 0 {
+		t.Error("no drawn row matched a where clause with a key value, want at least one")
 	}
 }
 
@@ -118,7 +120,7 @@
 		"weight": {Kind: rows.Number, Number: 900},
 		"note":   {},
 	}
-	columns := func(name string) (rows.Value, bool) { v, found := row[name]; return v, found }
+	columns := func(name string) (rows.Value, bool) { v, ok := row[name]; return v, ok }
 	cases := map[string]bool{
 		"lane = 'OTR-SPK' and weight <= 900":                   true,
 		"lane <> 'OTR-SPK' or weight > 900":                    false,
@@ -140,14 +142,14 @@
 			t.Fatal(err)
 		}
 		if got := statement.(*Select).Matches(columns); got != want {
-			t.Errorf("%s: got %v, want %v", text, got, want)
+			t.Errorf("Matches for %q = %v, want %v", text, got, want)
 		}
 	}
 }
 
-func TestLimits(t *testing.T) {
+func TestParseLimits(t *testing.T) {
 	cases := map[string]string{
-		"length":  "stop service " + strings.Repeat("x", MaximumStatement),
+		"length":  "stop service " + strings.Repeat("x", MaximumStatementBytes),
 		"nesting": "select * from x where " + strings.Repeat("(", maximumNesting+1) + "a = 1" + strings.Repeat(")", maximumNesting+1),
 		"bytes":   "stop service x\nstop service \xff",
 		"two":     "stop service x; start service x",
@@ -156,19 +158,19 @@
 	for name, text := range cases {
 		var syntaxError *SyntaxError
 		if _, err := ParseOne(text); !errors.As(err, &syntaxError) || syntaxError.Line == 0 || syntaxError.Column == 0 {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("ParseOne of case %q: got error %v, want a *SyntaxError with line and column", name, err)
 		}
 	}
 	if located, err := ParseFile("-- first\n\nstop service x; start service x\r\nshow nodes"); err != nil || len(located) != 3 || located[2].Line != 4 {
-		t.Errorf("ParseFile gave %v, %v", located, err)
+		t.Errorf("ParseFile = %v, error %v, want 3 statements with the last on line 4", located, err)
 	}
 }
 
-// parseAll returns the statements of a text of at most MaximumStatement bytes;
-// there may be none. Its errors are of type *SyntaxError.
+// parseAll returns the statements, possibly none, of a text of at most MaximumStatementBytes bytes.
+// Its errors are of type *SyntaxError.
 func parseAll(text string) ([]Statement, error) {
-	if len(text) > MaximumStatement {
-		return nil, tooLong(len(text), MaximumStatement)
+	if len(text) > MaximumStatementBytes {
+		return nil, newLengthError(len(text), MaximumStatementBytes)
 	}
 	located, err := parseText(text)
 	if err != nil {
@@ -181,8 +183,8 @@
 	return statements, nil
 }
 
-// FuzzParse checks that no text panics, that errors carry a place, and that
-// what is taken has a canonical text that parses to the same text.
+// FuzzParse checks that parsing never panics, that errors have a position and a message, and that
+// the canonical text of a parsed statement parses to a statement with the same text.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"valid", "invalid"} {
 		for _, line := range readStatements(f, "testdata/"+name+".txt") {
@@ -195,25 +197,25 @@
 		statements, err := parseAll(text)
 		var syntaxError *SyntaxError
 		if err != nil && (!errors.As(err, &syntaxError) || syntaxError.Line < 1 || syntaxError.Column < 1 || syntaxError.Message == "") {
-			t.Fatalf("the error has no place or message: %#v", err)
+			t.Fatalf("error without a position or message: %#v", err)
 		}
 		for _, statement := range statements {
-			again, err := ParseOne(statement.String())
-			if err != nil || again.String() != statement.String() {
-				t.Fatalf("%q became %v, %v", statement, again, err)
+			reparsed, err := ParseOne(statement.String())
+			if err != nil || reparsed.String() != statement.String() {
+				t.Fatalf("%q was parsed again as %v, error %v, want the same text", statement, reparsed, err)
 			}
 		}
 	})
 }
 
-// requireSameTokens checks that the scanner splits a text as the lexer that
-// the grammar is built with does.
+// requireSameTokens checks that the scanner returns the same tokens as the lexer with which the
+// grammar is built.
 func requireSameTokens(t *testing.T, text string) {
 	t.Helper()
 	if !utf8.ValidString(text) {
 		return
 	}
-	lexed, err := definition.LexString("", text)
+	lexed, err := lexerDefinition.LexString("", text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +226,7 @@
 			t.Fatal(err)
 		}
 		if got := scanned.next(); got != want {
-			t.Fatalf("the scanner gave %#v, the lexer %#v", got, want)
+			t.Fatalf("scanner returned token %#v, want the lexer's token %#v", got, want)
 		}
 		if want.EOF() {
 			return
--- a/internal/selfhosted/language/parse.go
+++ b/internal/selfhosted/language/parse.go
@@ -4,24 +4,22 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaximumStatement is the largest length of a statement in bytes, and of a
-// text that Parse takes.
-const MaximumStatement = 64 << 10
+// MaximumStatementBytes is the maximum length of a statement and of a text passed to ParseOne.
+const MaximumStatementBytes = 64 << 10
 
-// MaximumFile is the largest length in bytes of a text that ParseFile takes.
+// MaximumFile is the maximum length in bytes of a text passed to ParseFile.
 const MaximumFile = 8 << 20
 
-// Located is a statement with the line, counted from 1, on which it starts.
+// Located is a statement and the line on which it starts. Line numbers start at 1.
 type Located struct {
 	Statement Statement
 	Line      int
 }
 
-// ParseOne returns the only statement of a text; a text with none or with
-// more than one is an error. Its errors are of type *SyntaxError.
+// ParseOne parses a text that contains exactly one statement. Its errors are of type *SyntaxError.
 func ParseOne(text string) (Statement, error) {
-	if len(text) > MaximumStatement {
-		return nil, tooLong(len(text), MaximumStatement)
+	if len(text) > MaximumStatementBytes {
+		return nil, newLengthError(len(text), MaximumStatementBytes)
 	}
 	located, err := parseText(text)
 	if err != nil {
@@ -29,59 +27,59 @@
 	}
 	switch len(located) {
 	case 0:
-		return nil, invalidAt(lexer.Position{Line: 1, Column: 1}, "", "there is no statement")
+		return nil, newInvalidStatementError(lexer.Position{Line: 1, Column: 1}, "", "there is no statement")
 	case 1:
 		return located[0].Statement, nil
 	default:
-		return nil, invalidAt(lexer.Position{Line: located[1].Line, Column: 1}, "", "there is more than one statement")
+		return nil, newInvalidStatementError(lexer.Position{Line: located[1].Line, Column: 1}, "", "there is more than one statement")
 	}
 }
 
-// ParseFile returns the statements of a text of at most MaximumFile bytes with
-// their lines. Its errors are of type *SyntaxError.
+// ParseFile parses the statements of a text of at most MaximumFile bytes. Its errors are of type
+// *SyntaxError.
 func ParseFile(text string) ([]Located, error) {
 	if len(text) > MaximumFile {
-		return nil, tooLong(len(text), MaximumFile)
+		return nil, newLengthError(len(text), MaximumFile)
 	}
 	return parseText(text)
 }
 
-func tooLong(length, limit int) *SyntaxError {
-	return invalidAt(lexer.Position{Line: 1, Column: 1}, "", "the text has %d bytes, the limit is %d", length, limit)
+func newLengthError(length, limit int) *SyntaxError {
+	return newInvalidStatementError(lexer.Position{Line: 1, Column: 1}, "", "the text has %d bytes, the limit is %d", length, limit)
 }
 
 func parseText(text string) ([]Located, error) {
-	lines, syntaxError := tokenize(text)
+	statements, syntaxError := tokenize(text)
 	if syntaxError != nil {
 		return nil, syntaxError
 	}
-	located := make([]Located, 0, len(lines))
-	for i := range lines {
-		statement, syntaxError := parseLine(&lines[i])
+	located := make([]Located, 0, len(statements))
+	for i := range statements {
+		statement, syntaxError := parseStatement(&statements[i])
 		if syntaxError != nil {
 			return nil, syntaxError
 		}
-		located = append(located, Located{Statement: statement, Line: lines[i].tokens[0].Pos.Line})
+		located = append(located, Located{Statement: statement, Line: statements[i].tokens[0].Pos.Line})
 	}
 	return located, nil
 }
 
-func parseLine(line *tokenLine) (Statement, *SyntaxError) {
-	first := line.tokens[0].Pos
-	if length := line.end.Pos.Offset - first.Offset; length > MaximumStatement {
-		return nil, invalidAt(first, "", "the statement has %d bytes, the limit is %d", length, MaximumStatement)
+func parseStatement(tokenized *statementTokens) (Statement, *SyntaxError) {
+	first := tokenized.tokens[0].Pos
+	if length := tokenized.end.Pos.Offset - first.Offset; length > MaximumStatementBytes {
+		return nil, newInvalidStatementError(first, "", "the statement has %d bytes, the limit is %d", length, MaximumStatementBytes)
 	}
-	if err := checkNesting(line.tokens); err != nil {
+	if err := checkNesting(tokenized.tokens); err != nil {
 		return nil, err
 	}
-	markKeywords(line.tokens)
-	source, err := lexer.Upgrade(&tokenSource{line: line})
+	markKeywords(tokenized.tokens)
+	source, err := lexer.Upgrade(&tokenSource{statement: tokenized})
 	if err != nil {
-		return nil, invalidAt(first, "", "%s", err)
+		return nil, newInvalidStatementError(first, "", "%s", err)
 	}
 	node, err := parser.ParseFromLexer(source)
 	if err != nil {
-		return nil, explain(line)
+		return nil, newParseError(tokenized)
 	}
 	return convert(node, first)
 }
--- a/internal/selfhosted/language/tokens.go
+++ b/internal/selfhosted/language/tokens.go
@@ -7,13 +7,12 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// tokenRule is one kind of token.
+// tokenRule defines one kind of token.
 type tokenRule struct {
 	name    string
 	pattern string
-	// starts holds the characters that a token can start with; empty means
-	// any.
-	starts string
+	// firstBytes lists the bytes with which a token can start. Empty means any byte.
+	firstBytes string
 }
 
 const (
@@ -21,8 +20,8 @@
 	letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_"
 )
 
-// tokenRules are the kinds of tokens; the first that matches wins. Other takes
-// what no other rule knows, so that the error names the place.
+// tokenRules lists the kinds of tokens in order of precedence. Other matches any character that no
+// rule before it matches, so that the error has the position of the character.
 var tokenRules = []tokenRule{
 	{"Space", `[ \t\r]+`, " \t\r"},
 	{"Percentile", `[pP][0-9]+\.[0-9]+`, "pP"},
@@ -36,14 +35,14 @@
 	{"Newline", `\n`, "\n"},
 	{"Comment", `--[^\n]*`, "-"},
 	{"Unclosed", `'[^\n]*`, "'"},
-	{"Keyword", `\x00keyword`, "\x00"}, // made of Ident by markKeywords
+	{"Keyword", `\x00keyword`, "\x00"}, // markKeywords converts Ident to Keyword
 	{"Other", `(?s).`, ""},
 }
 
-// definition is the lexer that the grammar is built with.
-var definition = lexer.MustSimple(simpleRules())
+// lexerDefinition is the lexer with which the grammar is built.
+var lexerDefinition = lexer.MustSimple(convertTokenRules())
 
-func simpleRules() []lexer.SimpleRule {
+func convertTokenRules() []lexer.SimpleRule {
 	rules := make([]lexer.SimpleRule, len(tokenRules))
 	for i, rule := range tokenRules {
 		rules[i] = lexer.SimpleRule{Name: rule.name, Pattern: rule.pattern}
@@ -51,17 +50,18 @@
 	return rules
 }
 
-// The token types that the code asks for.
+// Token types to which the code refers.
 var (
-	commentType  = definition.Symbols()["Comment"]
-	newlineType  = definition.Symbols()["Newline"]
-	spaceType    = definition.Symbols()["Space"]
-	identType    = definition.Symbols()["Ident"]
-	keywordType  = definition.Symbols()["Keyword"]
-	unclosedType = definition.Symbols()["Unclosed"]
+	commentType  = lexerDefinition.Symbols()["Comment"]
+	newlineType  = lexerDefinition.Symbols()["Newline"]
+	spaceType    = lexerDefinition.Symbols()["Space"]
+	identType    = lexerDefinition.Symbols()["Ident"]
+	keywordType  = lexerDefinition.Symbols()["Keyword"]
+	unclosedType = lexerDefinition.Symbols()["Unclosed"]
 )
 
-// reserved words cannot be column names, so that a forgotten column shows.
+// reserved lists the words that are not valid column names. Reserving them makes a missing column a
+// syntax error.
 var reserved = map[string]bool{
 	"select": true, "from": true, "where": true, "and": true, "or": true,
 	"not": true, "in": true, "like": true, "is": true, "null": true,
@@ -69,37 +69,38 @@
 	"limit": true, "insert": true, "into": true, "values": true,
 }
 
-// Reserved says whether a word cannot be the name of a column.
-func Reserved(word string) bool { return reserved[strings.ToLower(word)] }
+// IsReserved reports whether the word is reserved and is therefore not a valid column name.
+func IsReserved(word string) bool { return reserved[strings.ToLower(word)] }
 
-// tokenLine is the tokens of one statement; end stands for its end.
-type tokenLine struct {
+// statementTokens holds the tokens of one statement. end is an EOF token with the position of its
+// end.
+type statementTokens struct {
 	tokens []lexer.Token
 	end    lexer.Token
 }
 
-// tokenize splits text into the tokens of its statements, without spaces,
-// comments and empty statements.
-func tokenize(text string) ([]tokenLine, *SyntaxError) {
+// tokenize splits a text into statements and their tokens. It drops spaces, comments and empty
+// statements.
+func tokenize(text string) ([]statementTokens, *SyntaxError) {
 	if err := checkUTF8(text); err != nil {
 		return nil, err
 	}
 	source := newScanner(text)
-	var lines []tokenLine
+	var statements []statementTokens
 	var current []lexer.Token
 	for {
 		token := source.next()
 		switch {
 		case token.EOF(), token.Type == newlineType, token.Value == ";":
 			if len(current) > 0 {
-				lines = append(lines, tokenLine{tokens: current, end: lexer.EOFToken(token.Pos)})
+				statements = append(statements, statementTokens{tokens: current, end: lexer.EOFToken(token.Pos)})
 			}
 			if token.EOF() {
-				return lines, nil
+				return statements, nil
 			}
 			current = nil
 		case token.Type == unclosedType:
-			return nil, invalidAt(token.Pos, token.Value, "the text that starts here has no closing quote")
+			return nil, newInvalidStatementError(token.Pos, token.Value, "the text that starts here has no closing quote")
 		case token.Type != spaceType && token.Type != commentType:
 			current = append(current, token)
 		}
@@ -119,25 +120,25 @@
 			}
 		}
 	}
-	return invalidAt(position, "", "the text is not valid UTF-8 here")
+	return newInvalidStatementError(position, "", "the text is not valid UTF-8 here")
 }
 
-// markKeywords turns the reserved words of a select or insert into keywords
-// in lower case, so that they are not taken for columns.
+// markKeywords converts the reserved words of a select or insert statement to keywords in lower
+// case, so that the parser does not accept them as columns.
 func markKeywords(tokens []lexer.Token) {
 	first := strings.ToLower(tokens[0].Value)
 	if first != "select" && first != "insert" {
 		return
 	}
 	for i, token := range tokens {
-		if token.Type == identType && Reserved(token.Value) {
+		if token.Type == identType && IsReserved(token.Value) {
 			tokens[i].Type = keywordType
 			tokens[i].Value = strings.ToLower(token.Value)
 		}
 	}
 }
 
-// maximumNesting is how deep parentheses may be nested.
+// maximumNesting is the maximum nesting depth of parentheses.
 const maximumNesting = 64
 
 func checkNesting(tokens []lexer.Token) *SyntaxError {
@@ -150,23 +151,23 @@
 			depth--
 		}
 		if depth > maximumNesting {
-			return invalidAt(token.Pos, token.Value, "parentheses are nested more than %d deep", maximumNesting)
+			return newInvalidStatementError(token.Pos, token.Value, "parentheses are nested more than %d deep", maximumNesting)
 		}
 	}
 	return nil
 }
 
-// tokenSource feeds the tokens of one statement to the parser.
+// tokenSource implements lexer.Lexer with the tokens of one statement.
 type tokenSource struct {
-	line *tokenLine
-	next int
+	statement *statementTokens
+	next      int
 }
 
 // Next implements lexer.Lexer.
 func (s *tokenSource) Next() (lexer.Token, error) {
-	if s.next >= len(s.line.tokens) {
-		return s.line.end, nil
+	if s.next >= len(s.statement.tokens) {
+		return s.statement.end, nil
 	}
 	s.next++
-	return s.line.tokens[s.next-1], nil
+	return s.statement.tokens[s.next-1], nil
 }
