--- a/internal/selfhosted/node/benchmark_test.go
+++ b/internal/selfhosted/node/benchmark_test.go
@@ -26,24 +26,24 @@
 // directly by the leaf protocol and through an idle node. The difference of
 // the medians is the time that a node adds.
 func BenchmarkAddedLatency(b *testing.B) {
-	stand := startBenchmarkLeaf(b)
+	leafServer := startBenchmarkLeaf(b)
 	running := startNode(b)
-	running.awaitReady(b)
+	running.waitUntilReady(b)
 	for _, statement := range []string{
 		"add voter node-a1 zone a",
 		"create service filing-vault shards 1 replicas 1 key quote",
 		"class pull on filing-vault priority 1 deadline 2s coverage 1.0 repeatable",
-		fmt.Sprintf("add leaf %s to filing-vault zone a shards 0", stand.Address()),
+		fmt.Sprintf("add leaf %s to filing-vault zone a shards 0", leafServer.Address()),
 	} {
 		if output, err := running.exec(statement, operator.ExecOptions{}); err != nil {
 			b.Fatal(statement, output, err)
 		}
 	}
-	running.awaitReady(b)
-	b.Run("direct", func(b *testing.B) { measureMedian(b, directCall(b, stand)) })
-	b.Run("through-node", func(b *testing.B) { measureMedian(b, queryCall(b, running)) })
+	running.waitUntilReady(b)
+	b.Run("direct", func(b *testing.B) { benchmarkMedian(b, newDirectCall(b, leafServer)) })
+	b.Run("through-node", func(b *testing.B) { benchmarkMedian(b, newNodeCall(b, running)) })
 	running.node.beginDrain()
-	<-running.ended
+	<-running.runResult
 }
 
 func startBenchmarkLeaf(b *testing.B) *standinleaf.Server {
@@ -61,20 +61,20 @@
 }
 
 // measureMedian reports the median time of a call, in microseconds.
-func measureMedian(b *testing.B, call func()) {
+func benchmarkMedian(b *testing.B, call func()) {
 	call()
-	var took []time.Duration
+	var durations []time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
 		started := time.Now()
 		call()
-		took = append(took, time.Since(started))
+		durations = append(durations, time.Since(started))
 	}
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "median-us")
+	slices.Sort(durations)
+	b.ReportMetric(float64(durations[len(durations)/2].Microseconds()), "median-us")
 }
 
-func directCall(b *testing.B, stand *standinleaf.Server) func() {
+func newDirectCall(b *testing.B, leafServer *standinleaf.Server) func() {
 	client := leaf.New(leaf.Config{}, nil)
 	b.Cleanup(client.Close)
 	request := leaf.ExecuteRequest{
@@ -82,14 +82,14 @@
 		Statement: benchmarkStatement, RemainingMilliseconds: 2000, Repeatable: true,
 	}
 	return func() {
-		response, err := client.Execute(context.Background(), stand.Address(), request)
+		response, err := client.Execute(context.Background(), leafServer.Address(), request)
 		if err != nil || !response.Executed {
 			b.Fatal(response, err)
 		}
 	}
 }
 
-func queryCall(b *testing.B, running *runningNode) func() {
+func newNodeCall(b *testing.B, running *runningNode) func() {
 	client := &http.Client{}
 	b.Cleanup(client.CloseIdleConnections)
 	url := "http://" + running.node.HTTPAddress().String() + strings.Replace(api.QueryPath, "{service}", "filing-vault", 1)
--- a/internal/selfhosted/node/build.go
+++ b/internal/selfhosted/node/build.go
@@ -22,34 +22,34 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-func (n *Node) openPeer() (err error) {
+func (n *Node) listenPeer() (err error) {
 	n.peerServer, n.datagrams, err = peer.ListenPair(n.settings.Listen.Peer, n.registry)
 	if err != nil {
 		return err
 	}
-	n.calls = peer.NewClient(peer.ClientOptions{}, n.registry)
+	n.peerClient = peer.NewClient(peer.ClientOptions{}, n.registry)
 	return nil
 }
 
-func (n *Node) openHTTP() (err error) {
-	n.listener, err = net.Listen("tcp", n.settings.Listen.HTTP.String())
+func (n *Node) listenHTTP() (err error) {
+	n.httpListener, err = net.Listen("tcp", n.settings.Listen.HTTP.String())
 	if err != nil {
 		return oops.With("step", "listen", "peer", n.settings.Listen.HTTP.String()).Wrap(err)
 	}
 	return nil
 }
 
-func (n *Node) openStore() (err error) {
+func (n *Node) createStoreClient() (err error) {
 	n.store, err = store.New(storeConfig(n.settings.Store), n.registry)
 	return err
 }
 
 // buildControl makes the parts that keep the catalog and the members.
-func (n *Node) buildControl() {
+func (n *Node) buildControlPlane() {
 	n.buildMembership()
 	n.buildDissemination()
 	if n.settings.Machines.Address.IsValid() {
-		n.machines = machines.NewPoller(machinesConfig(n.settings.Machines), n.random(), n.registry)
+		n.machinePoller = machines.NewPoller(machinesConfig(n.settings.Machines), n.newRandom(), n.registry)
 	}
 }
 
@@ -65,7 +65,7 @@
 			Incarnation: n.incarnation,
 		},
 		Seeds:      n.settings.Peers.Seeds,
-		Datagrams:  datagramsOf{n.datagrams, peer.KindMembership},
+		Datagrams:  datagramSender{n.datagrams, peer.KindMembership},
 		Logger:     n.logger,
 		Registerer: n.registry,
 	})
@@ -83,7 +83,7 @@
 		},
 		Members:    n.disseminationMembers,
 		Store:      dissemination.NewStoreAdapter(n.store),
-		Transport:  dissemination.NewPeerTransport(n.datagrams, n.calls),
+		Transport:  dissemination.NewPeerTransport(n.datagrams, n.peerClient),
 		Clock:      n.clock,
 		Logger:     n.logger,
 		Registerer: n.registry,
@@ -100,41 +100,41 @@
 }
 
 func (n *Node) buildLeaves() {
-	leaves := leafConfig(n.settings.Leaf)
+	clientConfig := leafConfig(n.settings.Leaf)
 	// Scatter asks before it hands an attempt over; the client asks again
 	// directly before the first byte, since a freeze may lie in between.
-	leaves.Guard = n.mayAct
-	n.leaves = leaf.New(leaves, n.registry)
+	clientConfig.Guard = n.checkSend
+	n.leafClient = leaf.New(clientConfig, n.registry)
 	dispatchConfig := dispatch.DefaultConfig()
 	dispatchConfig.Zone = n.settings.Zone
-	n.services = newServices(dispatchConfig, scatter.Config[string, rows.Table]{
+	n.services = newServiceConns(dispatchConfig, scatter.Config[string, rows.Table]{
 		AttemptPrefix: fmt.Sprintf("%s/%d", n.settings.Name, n.incarnation),
-		Leaves:        scatter.Statements{Executor: n.leaves},
+		Leaves:        scatter.Statements{Executor: n.leafClient},
 		Clock:         n.clock,
 		Guard:         n.admit,
-		OnDraining:    n.leafDraining,
+		OnDraining:    n.handleLeafDraining,
 		Metrics:       scatter.NewMetrics(n.registry),
 	}, n.incarnation)
-	n.health = topology.NewHealthCheck(topology.HealthCheckConfig{
+	n.healthCheck = topology.NewHealthCheck(topology.HealthCheckConfig{
 		Table:    topology.DefaultConfig(),
-		Client:   n.leaves,
-		Sink:     sink{n.services, n},
+		Client:   n.leafClient,
+		Sink:     healthSink{n.services, n},
 		Clock:    n.clock,
 		Logger:   n.logger,
 		Interval: n.settings.Leaf.LoadInterval.Duration(),
-		Timeout:  loadTimeout,
+		Timeout:  loadPollTimeout,
 	})
 }
 
 func (n *Node) buildQueries() {
-	n.ledger = query.NewLedger(onceConfig(n.settings), n.clock, n.ownershipProved)
-	n.queries = query.New(query.Config{
+	n.ledger = query.NewLedger(onceConfig(n.settings), n.clock, n.isOwnershipProved)
+	n.queryRunner = query.New(query.Config{
 		Self:           n.settings.Name,
-		Catalogs:       catalogs{n},
+		Catalogs:       catalogSource{n},
 		Scatterers:     n.services,
 		Forwarder:      forwarder{n},
 		Ledger:         n.ledger,
-		Acknowledged:   n.acknowledged,
+		Acknowledged:   n.isAcknowledgedByMajority,
 		Clock:          n.clock,
 		Metrics:        query.NewMetrics(n.registry),
 		RetryWhenStale: n.settings.Freshness.ExchangeInterval.Duration(),
@@ -143,16 +143,16 @@
 
 func (n *Node) buildGateway() {
 	n.gateway = gateway.New(gateway.Config{
-		Queries:    newIntake(n.queries, n.draining, n.settings.Limits.Concurrency),
+		Queries:    newQueryLimiter(n.queryRunner, n.draining, n.settings.Limits.Concurrency),
 		Operations: &operations{n},
 		Metrics:    n.registry.Handler(),
 		Logger:     n.logger,
 		BodyBytes:  n.settings.Limits.BodyBytes,
-		Ready:      n.ready,
+		Ready:      n.checkReady,
 	})
-	n.http = &http.Server{Handler: n.gateway, ReadHeaderTimeout: headerTimeout}
+	n.httpServer = &http.Server{Handler: n.gateway, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-func (n *Node) random() *rand.Rand {
+func (n *Node) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(n.incarnation, uint64(n.PeerAddress().Port())))
 }
--- a/internal/selfhosted/node/collector.go
+++ b/internal/selfhosted/node/collector.go
@@ -16,11 +16,11 @@
 // collector shows, when the metrics are read, what the dispatchers and the
 // topology know. Both keep their own counts, since they are pure.
 type collector struct {
-	node     *Node
-	attempts *prometheus.Desc
-	won      *prometheus.Desc
-	inFlight *prometheus.Desc
-	leaves   *prometheus.Desc
+	node      *Node
+	attempts  *prometheus.Desc
+	hedgesWon *prometheus.Desc
+	inFlight  *prometheus.Desc
+	leaves    *prometheus.Desc
 }
 
 var _ prometheus.Collector = (*collector)(nil)
@@ -32,7 +32,7 @@
 		attempts: prometheus.NewDesc("micaplank_dispatch_attempts_total",
 			"Attempts sent to leaves, by service and cause: needed, resend (the former did not execute), or extra: hedge, probe, retry or restart.",
 			[]string{"service", "cause"}, nil),
-		won: prometheus.NewDesc("micaplank_dispatch_hedges_won_total",
+		hedgesWon: prometheus.NewDesc("micaplank_dispatch_hedges_won_total",
 			"Shards answered by a hedge or a probe, by service.", service, nil),
 		inFlight: prometheus.NewDesc("micaplank_dispatch_queries",
 			"Queries that have not ended, waiting or running, by service.", service, nil),
@@ -53,7 +53,7 @@
 
 // Describe implements prometheus.Collector.
 func (c *collector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{c.attempts, c.won, c.inFlight, c.leaves} {
+	for _, description := range []*prometheus.Desc{c.attempts, c.hedgesWon, c.inFlight, c.leaves} {
 		descriptions <- description
 	}
 }
@@ -61,12 +61,12 @@
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
 	for _, service := range c.node.dissemination.Current().ServiceNames() {
-		if conn, installed := c.node.services.conn(service); installed {
+		if conn, ok := c.node.services.conn(service); ok {
 			c.collectCounters(metrics, service, conn.Counters())
 			metrics <- prometheus.MustNewConstMetric(c.inFlight, prometheus.GaugeValue, float64(conn.InFlight()), service)
 		}
 	}
-	for service, counts := range countLeaves(c.node.leafStatuses()) {
+	for service, counts := range countLeaves(c.node.listLeafStatuses()) {
 		for _, state := range leafStates {
 			metrics <- prometheus.MustNewConstMetric(c.leaves, prometheus.GaugeValue, float64(counts[state]), service, string(state))
 		}
@@ -74,10 +74,10 @@
 }
 
 func (c *collector) collectCounters(metrics chan<- prometheus.Metric, service string, counters dispatch.Counters) {
-	for _, sent := range counters.ByCause() {
-		metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(sent.Count), service, string(sent.Cause))
+	for _, causeCount := range counters.ByCause() {
+		metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(causeCount.Count), service, string(causeCount.Cause))
 	}
-	metrics <- prometheus.MustNewConstMetric(c.won, prometheus.CounterValue, float64(counters.HedgesWon), service)
+	metrics <- prometheus.MustNewConstMetric(c.hedgesWon, prometheus.CounterValue, float64(counters.HedgesWon), service)
 }
 
 // countLeaves counts the leaves of each service by state.
--- a/internal/selfhosted/node/collector_test.go
+++ b/internal/selfhosted/node/collector_test.go
@@ -6,7 +6,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-func TestLeavesAreCountedByState(t *testing.T) {
+func TestCountLeaves(t *testing.T) {
 	counts := countLeaves([]api.LeafStatus{
 		{Service: "a", State: api.LeafUsable}, {Service: "a", State: api.LeafUsable},
 		{Service: "a", State: api.LeafCold}, {Service: "b", State: api.LeafLeaving},
--- a/internal/selfhosted/node/members.go
+++ b/internal/selfhosted/node/dissemination.go
@@ -9,9 +9,9 @@
 
 // disseminationMembers lists the members as the dissemination needs them.
 func (n *Node) disseminationMembers() []dissemination.Member {
-	known := n.membership.Members()
-	members := make([]dissemination.Member, len(known))
-	for i, member := range known {
+	listed := n.membership.Members()
+	members := make([]dissemination.Member, len(listed))
+	for i, member := range listed {
 		members[i] = dissemination.Member{
 			Name:        member.Name,
 			Zone:        member.Zone,
@@ -26,7 +26,7 @@
 // ownershipProved reports whether this node is fresh, and a majority of the
 // voters that know this process answered, to requests sent after the given
 // reading of the clock, that they hold the revision.
-func (n *Node) ownershipProved(after time.Duration, revision uint64) bool {
+func (n *Node) isOwnershipProved(after time.Duration, revision uint64) bool {
 	held, proved := n.dissemination.HeldAt(revision)
 	return proved && held > after && n.dissemination.Fresh()
 }
@@ -36,7 +36,7 @@
 // taken over learns of it from them; reading the store alone, it would not.
 // The time of sending counts: after a freeze, answers that waited in the socket
 // prove nothing.
-func (n *Node) acknowledged() bool {
+func (n *Node) isAcknowledgedByMajority() bool {
 	held, proved := n.dissemination.HeldAt(0)
 	return proved && held > n.clock.Now()-n.settings.Freshness.Window.Duration()
 }
--- a/internal/selfhosted/node/install.go
+++ b/internal/selfhosted/node/install_catalog.go
@@ -7,7 +7,7 @@
 
 // installation is the revision up to which the parts that act on the catalog
 // have received it.
-type installation struct {
+type installState struct {
 	revision atomic.Uint64
 	mutex    sync.Mutex
 }
@@ -16,18 +16,18 @@
 // have it. It returns when they do. Freshness is a statement about the newest catalog,
 // so whoever relies on it calls install: a node that has just resumed is fresh
 // again before followCatalog has run.
-func (n *Node) install() {
-	if n.installed.revision.Load() >= n.dissemination.Current().Revision {
+func (n *Node) installCatalog() {
+	if n.installState.revision.Load() >= n.dissemination.Current().Revision {
 		return
 	}
-	n.installed.mutex.Lock()
-	defer n.installed.mutex.Unlock()
+	n.installState.mutex.Lock()
+	defer n.installState.mutex.Unlock()
 	current := n.dissemination.Current()
-	if n.installed.revision.Load() >= current.Revision {
+	if n.installState.revision.Load() >= current.Revision {
 		return
 	}
-	n.health.SetCatalog(current)
-	n.services.setCatalog(current)
-	n.queries.SetVoters(current)
-	n.installed.revision.Store(current.Revision)
+	n.healthCheck.SetCatalog(current)
+	n.services.removeDroppedServices(current)
+	n.queryRunner.SetVoters(current)
+	n.installState.revision.Store(current.Revision)
 }
--- a/internal/selfhosted/node/marks.go
+++ b/internal/selfhosted/node/mark_sync.go
@@ -16,63 +16,63 @@
 // all marks, regularly, and sends no work unless it has done so of late.
 const (
 	// marksInterval is the time between two such questions.
-	marksInterval = time.Second
+	markSyncInterval = time.Second
 	// marksRetry is the time after which a failed question is repeated.
-	marksRetry = 200 * time.Millisecond
+	markSyncRetryDelay = 200 * time.Millisecond
 	// marksTimeout bounds one question.
-	marksTimeout = 500 * time.Millisecond
+	markSyncTimeout = 500 * time.Millisecond
 	// marksLifetime is how long a node sends work after its last question
 	// that was answered. A leaf that is called leaving gets no new work after
 	// this time plus a few round trips, by no node.
-	marksLifetime = 3 * time.Second
+	markSyncValidity = 3 * time.Second
 	// marksAsked is how many members are asked at most in one round.
-	marksAsked = 5
+	markSyncMaximumPeers = 5
 )
 
 // marksCall asks for the marks in force.
-type marksCall struct {
+type marksRequest struct {
 	From string
 }
 
 // marksReply holds them. InStep says that the answering node has been in touch
 // with others of late itself.
-type marksReply struct {
+type marksResponse struct {
 	Notices []topology.Notice
 	InStep  bool
 }
 
 // marksClock remembers when this node last was in step with the marks of
 // others. It is safe for concurrent use.
-type marksClock struct {
+type markSyncState struct {
 	// at is a reading of the node's clock, in nanoseconds; zero means never.
-	at atomic.Int64
+	syncedAt atomic.Int64
 }
 
-func (c *marksClock) set(now time.Duration) { c.at.Store(int64(now)) }
+func (c *markSyncState) recordSync(now time.Duration) { c.syncedAt.Store(int64(now)) }
 
-func (c *marksClock) inStep(now time.Duration) bool {
-	at := time.Duration(c.at.Load())
-	return at > 0 && now-at < marksLifetime
+func (c *markSyncState) isCurrent(now time.Duration) bool {
+	at := time.Duration(c.syncedAt.Load())
+	return at > 0 && now-at < markSyncValidity
 }
 
-func (n *Node) takeMarks(context.Context, netip.AddrPort, *marksCall) (*marksReply, error) {
-	return &marksReply{Notices: n.health.Marks(), InStep: n.marks.inStep(n.clock.Now())}, nil
+func (n *Node) handleMarks(context.Context, netip.AddrPort, *marksRequest) (*marksResponse, error) {
+	return &marksResponse{Notices: n.healthCheck.Marks(), InStep: n.markSync.isCurrent(n.clock.Now())}, nil
 }
 
 // followMarks keeps the marks of leaving leaves in step with other nodes.
-func (n *Node) followMarks() {
-	started := n.clock.Now()
+func (n *Node) runMarkSync() {
+	startedAt := n.clock.Now()
 	for {
-		pause := marksInterval
-		if asked := n.clock.Now(); n.askForMarks(started) {
-			n.marks.set(asked)
+		delay := markSyncInterval
+		if requestedAt := n.clock.Now(); n.syncMarks(startedAt) {
+			n.markSync.recordSync(requestedAt)
 		} else {
-			pause = marksRetry
+			delay = markSyncRetryDelay
 		}
 		select {
-		case <-n.running.Done():
+		case <-n.backgroundContext.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
@@ -80,41 +80,41 @@
 // askForMarks asks members, one after the other, until one that is in step
 // answers, or some have answered and none is: then nobody knows more. It
 // reports whether this node is in step now.
-func (n *Node) askForMarks(started time.Duration) bool {
-	others := n.otherMembers()
+func (n *Node) syncMarks(startedAt time.Duration) bool {
+	others := n.listOtherMembers()
 	if len(others) == 0 {
 		// A node without company is alone, or has just started and does
 		// not know the others yet.
-		return n.isOnlyVoter() || n.clock.Now()-started >= marksLifetime
+		return n.isOnlyVoter() || n.clock.Now()-startedAt >= markSyncValidity
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	failed := false
-	for _, member := range others[:min(len(others), marksAsked)] {
-		reply, err := n.callForMarks(member)
+	for _, member := range others[:min(len(others), markSyncMaximumPeers)] {
+		response, err := n.fetchMarks(member)
 		if err != nil {
 			failed = true
 			continue
 		}
-		for _, notice := range reply.Notices {
-			n.health.Apply(notice)
+		for _, notice := range response.Notices {
+			n.healthCheck.Apply(notice)
 		}
-		if reply.InStep {
+		if response.InStep {
 			return true
 		}
 	}
 	return !failed
 }
 
-func (n *Node) callForMarks(member membership.Member) (*marksReply, error) {
-	ctx, cancel := context.WithTimeout(n.running, marksTimeout)
+func (n *Node) fetchMarks(member membership.Member) (*marksResponse, error) {
+	ctx, cancel := context.WithTimeout(n.backgroundContext, markSyncTimeout)
 	defer cancel()
-	reply := new(marksReply)
-	err := n.calls.Call(ctx, member.Address, methodMarks, &marksCall{From: n.settings.Name}, reply)
-	return reply, err
+	response := new(marksResponse)
+	err := n.peerClient.Call(ctx, member.Address, methodMarks, &marksRequest{From: n.settings.Name}, response)
+	return response, err
 }
 
 // otherMembers returns the members that may be up, without this node.
-func (n *Node) otherMembers() []membership.Member {
+func (n *Node) listOtherMembers() []membership.Member {
 	var others []membership.Member
 	for _, member := range n.membership.Members() {
 		if member.Name != n.settings.Name && member.State != membership.StateGone {
--- a/internal/selfhosted/node/metrics_page_test.go
+++ b/internal/selfhosted/node/metrics_page_test.go
@@ -26,26 +26,26 @@
 `
 
 // buildNode makes a node with all its parts; it does not run.
-func buildNode(t *testing.T) (*Node, *telemetry.Registry) {
+func newTestNode(t *testing.T) (*Node, *telemetry.Registry) {
 	t.Helper()
 	configured := settings.Example()
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 	configured.Listen.HTTP, configured.Listen.Peer = loopback, loopback
 	registry := telemetry.NewRegistry("test")
-	built, err := New(configured, registry, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	node, err := New(configured, registry, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		built.closeSockets()
-		_ = built.peerServer.Close(context.Background())
+		node.closeSockets()
+		_ = node.peerServer.Close(context.Background())
 	})
-	return built, registry
+	return node, registry
 }
 
 // TestMetricsPage keeps docs/METRICS.md equal to what a node registers.
 func TestMetricsPage(t *testing.T) {
-	_, registry := buildNode(t)
+	_, registry := newTestNode(t)
 	metrics, err := registry.Metrics("micaplank_")
 	if err != nil {
 		t.Fatal(err)
@@ -62,31 +62,31 @@
 	nameWithUnit = regexp.MustCompile(`^micaplank_[a-z]+_[a-z_]*(_seconds|_bytes|_info|_total)$`)
 	// countedThings is the name of a gauge that counts things: they are its
 	// unit.
-	countedThings = regexp.MustCompile(`^micaplank(_[a-z]+)+_(members|leaves|queries|connections|zones|watches_open)$`)
+	countGaugeName = regexp.MustCompile(`^micaplank(_[a-z]+)+_(members|leaves|queries|connections|zones|watches_open)$`)
 	// truth is the text of a gauge that is 1 or 0.
-	truth = regexp.MustCompile(`^Whether .*\(1\) or not \(0\)\.$`)
+	booleanGaugeHelp = regexp.MustCompile(`^Whether .*\(1\) or not \(0\)\.$`)
 	// plainNumbers are neither: an ordinal and a score.
-	plainNumbers = []string{"micaplank_build_info", "micaplank_dissemination_revision", "micaplank_membership_health_score"}
+	unitlessMetrics = []string{"micaplank_build_info", "micaplank_dissemination_revision", "micaplank_membership_health_score"}
 )
 
 // hasUnit says whether a name tells the unit, or the text that there is none.
 func hasUnit(metric telemetry.Metric) bool {
-	if nameWithUnit.MatchString(metric.Name) || slices.Contains(plainNumbers, metric.Name) {
+	if nameWithUnit.MatchString(metric.Name) || slices.Contains(unitlessMetrics, metric.Name) {
 		return true
 	}
-	return metric.Type == telemetry.TypeGauge && (countedThings.MatchString(metric.Name) || truth.MatchString(metric.Help))
+	return metric.Type == telemetry.TypeGauge && (countGaugeName.MatchString(metric.Name) || booleanGaugeHelp.MatchString(metric.Help))
 }
 
 // TestEveryMetricHasItsUnitInItsName checks names, types and texts.
-func TestEveryMetricHasItsUnitInItsName(t *testing.T) {
-	_, registry := buildNode(t)
+func TestMetricNamesIncludeUnits(t *testing.T) {
+	_, registry := newTestNode(t)
 	metrics, err := registry.Metrics("micaplank_")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, metric := range metrics {
-		total := strings.HasSuffix(metric.Name, "_total")
-		if (metric.Type == telemetry.TypeCounter) != total {
+		isTotal := strings.HasSuffix(metric.Name, "_total")
+		if (metric.Type == telemetry.TypeCounter) != isTotal {
 			t.Errorf("%s is a %s", metric.Name, metric.Type)
 		}
 		if !hasUnit(metric) {
--- a/internal/selfhosted/node/node.go
+++ b/internal/selfhosted/node/node.go
@@ -39,74 +39,74 @@
 	registry    *telemetry.Registry
 	incarnation uint64
 
-	calls         *peer.Client
+	peerClient    *peer.Client
 	peerServer    *peer.Server
 	datagrams     *peer.Datagrams
 	store         *store.Client
-	leaves        *leaf.Client
-	machines      *machines.Poller
+	leafClient    *leaf.Client
+	machinePoller *machines.Poller
 	membership    *membership.Service
 	dissemination *dissemination.Service
-	health        *topology.HealthCheck
-	marks         marksClock
-	installed     installation
-	services      *services
+	healthCheck   *topology.HealthCheck
+	markSync      markSyncState
+	installState  installState
+	services      *serviceConns
 	ledger        *query.Ledger
-	queries       *query.Runner
+	queryRunner   *query.Runner
 	gateway       *gateway.Gateway
-	http          *http.Server
-	listener      net.Listener
+	httpServer    *http.Server
+	httpListener  net.Listener
 
 	drainOnce sync.Once
 	// draining is closed when the planned stop begins.
-	draining   chan struct{}
-	background sync.WaitGroup
+	draining        chan struct{}
+	backgroundTasks sync.WaitGroup
 	// running ends the background work when it is cancelled.
-	running context.Context
-	stop    context.CancelFunc
+	backgroundContext context.Context
+	cancelBackground  context.CancelFunc
 }
 
 // New opens the node's sockets and builds its parts; nothing runs yet. After
 // an error nothing stays open.
-func New(configured settings.Settings, registry *telemetry.Registry, logger *slog.Logger) (*Node, error) {
+func New(config settings.Settings, registry *telemetry.Registry, logger *slog.Logger) (*Node, error) {
 	n := &Node{
-		settings:    configured,
+		settings:    config,
 		logger:      logger,
 		clock:       clock.NewMonotonic(),
 		registry:    registry,
 		incarnation: uint64(time.Now().UnixMilli()),
 		draining:    make(chan struct{}),
 	}
-	n.running, n.stop = context.WithCancel(context.Background())
-	steps := []func() error{n.openPeer, n.openHTTP, n.openStore}
+	n.backgroundContext, n.cancelBackground = context.WithCancel(context.Background())
+	steps := []func() error{n.listenPeer, n.listenHTTP, n.createStoreClient}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			n.closeSockets()
 			return nil, err
 		}
 	}
-	n.buildControl()
+	n.buildControlPlane()
 	n.buildQueryPath()
-	n.registerCalls()
+	n.registerHandlers()
 	return n, nil
 }
 
 // closeSockets closes what New had opened.
 func (n *Node) closeSockets() {
-	n.stop()
-	if n.listener != nil {
-		n.listener.Close()
+	n.cancelBackground()
+	if n.httpListener != nil {
+		n.httpListener.Close()
 	}
-	if n.calls != nil {
-		n.calls.Close()
+	if n.peerClient != nil {
+		n.peerClient.Close()
 		n.datagrams.Close()
-		n.peerServer.Close(n.running)
+		n.peerServer.Close(n.backgroundContext)
 	}
 }
 
 // HTTPAddress is where callers and operators reach the node.
 func (n *Node) HTTPAddress() netip.AddrPort {
-	return netip.MustParseAddrPort(n.listener.Addr().String())
+	return netip.MustParseAddrPort(n.httpListener.Addr().String())
 }
 
 // PeerAddress is where other nodes reach the node, as advertised.
@@ -114,6 +114,6 @@
 	return netip.AddrPortFrom(n.settings.AdvertisedAddress(), n.peerServer.Address().Port())
 }
 
-func (n *Node) leafDraining(address netip.AddrPort, bootID string) {
-	n.health.Draining(address, bootID)
+func (n *Node) handleLeafDraining(address netip.AddrPort, bootID string) {
+	n.healthCheck.Draining(address, bootID)
 }
--- a/internal/selfhosted/node/run_test.go
+++ b/internal/selfhosted/node/node_test.go
@@ -21,14 +21,14 @@
 )
 
 // patience bounds every wait of these tests; nothing is measured by it.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // runningNode is a node that runs against a stand-in of the store.
 type runningNode struct {
-	node    *Node
-	session *operator.Session
-	output  *strings.Builder
-	ended   chan error
+	node      *Node
+	session   *operator.Session
+	output    *strings.Builder
+	runResult chan error
 }
 
 func startNode(t testing.TB) *runningNode {
@@ -43,18 +43,18 @@
 	configured.Listen.HTTP, configured.Listen.Peer = loopback, loopback
 	configured.Store.Endpoints = []netip.AddrPort{netip.MustParseAddrPort(store.Address())}
 	configured.Machines.Address = netip.AddrPort{}
-	started, err := New(configured, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
+	node, err := New(configured, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	running := &runningNode{node: started, output: new(strings.Builder), ended: make(chan error, 1)}
+	running := &runningNode{node: node, output: new(strings.Builder), runResult: make(chan error, 1)}
 	running.session = &operator.Session{
-		Client:  operator.NewClient([]netip.AddrPort{started.HTTPAddress()}, patience, "mori"),
+		Client:  operator.NewClient([]netip.AddrPort{node.HTTPAddress()}, testTimeout, "mori"),
 		Output:  running.output,
 		Format:  operator.FormatText,
-		Timeout: patience,
+		Timeout: testTimeout,
 	}
-	go func() { running.ended <- started.Run(context.Background()) }()
+	go func() { running.runResult <- node.Run(context.Background()) }()
 	return running
 }
 
@@ -66,10 +66,10 @@
 }
 
 // awaitReady waits until the node takes work.
-func (r *runningNode) awaitReady(t testing.TB) {
+func (r *runningNode) waitUntilReady(t testing.TB) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		response, err := client.Get("http://" + r.node.HTTPAddress().String() + "/readyz")
 		if err != nil {
 			continue
@@ -85,11 +85,11 @@
 
 // TestOperatorsAtARunningNode goes the whole way of the operators: language,
 // HTTP, log of changes, and the planned stop.
-func TestOperatorsAtARunningNode(t *testing.T) {
+func TestOperatorCommandsOnRunningNode(t *testing.T) {
 	ignored := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, ignored) }) // runs after the stand-in is closed
 	running := startNode(t)
-	running.awaitReady(t)
+	running.waitUntilReady(t)
 	steps := []struct {
 		statement string
 		options   operator.ExecOptions
@@ -130,19 +130,19 @@
 		t.Errorf("drain: %v", err)
 	}
 	select {
-	case err := <-running.ended:
+	case err := <-running.runResult:
 		if err != nil {
 			t.Errorf("the planned stop ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the node did not stop")
 	}
 }
 
 // TestStatusNamesVotersThatAreGone asks a running node.
-func TestStatusNamesVotersThatAreGone(t *testing.T) {
+func TestStatusListsVoters(t *testing.T) {
 	running := startNode(t)
-	running.awaitReady(t)
+	running.waitUntilReady(t)
 	if _, err := running.exec("add voter node-a1 zone a", operator.ExecOptions{}); err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 		t.Errorf("got %+v, %v", status, err)
 	}
 	running.node.beginDrain()
-	if err := <-running.ended; err != nil {
+	if err := <-running.runResult; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/selfhosted/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -42,50 +42,50 @@
 		DryRun:     request.DryRun,
 	})
 	if err != nil {
-		return nil, changeProblem(err)
+		return nil, newChangeProblem(err)
 	}
 	if result.Refusal != nil {
-		return nil, refusalProblem(result.Refusal, statement.Command)
+		return nil, newRefusalProblem(result.Refusal, statement.Command)
 	}
-	return changeResponse(result), nil
+	return newChangeResponse(result), nil
 }
 
 // Change returns the fate of an earlier change, named by its id or only by its
 // token.
 func (o *operations) Change(ctx context.Context, id string) (*api.StatementResponse, error) {
-	id, problem := completeChangeID(o.node.dissemination.Current(), id)
+	id, problem := resolveChangeID(o.node.dissemination.Current(), id)
 	if problem != nil {
 		return nil, problem
 	}
 	result, err := o.node.dissemination.Fate(ctx, id)
 	if err != nil {
-		return nil, changeProblem(err)
+		return nil, newChangeProblem(err)
 	}
 	if result.Refusal != nil {
 		return nil, api.NewProblem(api.ProblemUnknownChange, result.Refusal.Error())
 	}
-	return changeResponse(result), nil
+	return newChangeResponse(result), nil
 }
 
 // completeChangeID returns the id of the change that an id or a token names. A
 // token is looked up among the changes that the catalog remembers.
-func completeChangeID(current *catalog.Catalog, text string) (string, *api.Problem) {
-	if !catalog.ValidChangeID(text) {
-		return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf("%q is no change id.", text))
+func resolveChangeID(current *catalog.Catalog, idOrToken string) (string, *api.Problem) {
+	if !catalog.ValidChangeID(idOrToken) {
+		return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf("%q is no change id.", idOrToken))
 	}
-	if _, _, err := dissemination.ParseChangeID(text); err == nil {
-		return text, nil
+	if _, _, err := dissemination.ParseChangeID(idOrToken); err == nil {
+		return idOrToken, nil
 	}
 	for _, applied := range slices.Backward(current.Recent) {
-		if _, token, err := dissemination.ParseChangeID(applied.ID); err == nil && token == text {
+		if _, token, err := dissemination.ParseChangeID(applied.ID); err == nil && token == idOrToken {
 			return applied.ID, nil
 		}
 	}
 	return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf(
-		"No change with the token %s has taken effect up to revision %d; one that is under way may still do so.", text, current.Revision))
+		"No change with the token %s has taken effect up to revision %d; one that is under way may still do so.", idOrToken, current.Revision))
 }
 
-func changeResponse(result dissemination.Result) *api.StatementResponse {
+func newChangeResponse(result dissemination.Result) *api.StatementResponse {
 	return &api.StatementResponse{
 		Kind:      api.KindChange,
 		ChangeID:  result.ChangeID,
@@ -101,12 +101,12 @@
 // refusalProblem names the problem of a change that the catalog as it is does
 // not admit. Repeating the same change is of no use, so it is never a problem
 // of availability.
-func refusalProblem(refusal error, command catalog.Command) *api.Problem {
+func newRefusalProblem(refusal error, command catalog.Command) *api.Problem {
 	var code catalog.Code
 	var conflict *dissemination.ConflictError
 	switch {
 	case errors.As(refusal, &code):
-		return api.NewProblem(changeProblemType(code), refusal.Error())
+		return api.NewProblem(selectProblemType(code), refusal.Error())
 	case errors.As(refusal, &conflict):
 		return api.NewProblem(api.ProblemConflict, refusal.Error())
 	case command.AddVoter != nil:
@@ -116,7 +116,7 @@
 }
 
 // changeProblem names the problem of a change that could not be proposed.
-func changeProblem(err error) *api.Problem {
+func newChangeProblem(err error) *api.Problem {
 	var problem *api.Problem
 	if errors.As(err, &problem) {
 		return problem
@@ -124,7 +124,7 @@
 	return api.NewProblem(api.ProblemUnavailable, err.Error())
 }
 
-func changeProblemType(code catalog.Code) api.ProblemType {
+func selectProblemType(code catalog.Code) api.ProblemType {
 	switch code {
 	case catalog.CodeUnknownService:
 		return api.ProblemUnknownService
@@ -151,12 +151,12 @@
 		o.node.beginDrain()
 		return &api.DrainResponse{Node: name, State: api.NodeLeaving}, nil
 	}
-	member, known := o.node.membership.Lookup(name)
-	if !known {
+	member, ok := o.node.membership.Lookup(name)
+	if !ok {
 		return nil, api.NewProblem(api.ProblemUnknownNode, fmt.Sprintf("There is no node %q.", name))
 	}
-	var reply drainReply
-	if err := o.node.calls.Call(ctx, member.Address, methodDrain, &drainCall{Node: name}, &reply); err != nil {
+	var response drainResponse
+	if err := o.node.peerClient.Call(ctx, member.Address, methodDrain, &drainRequest{Node: name}, &response); err != nil {
 		return nil, api.NewProblem(api.ProblemUnavailable, err.Error())
 	}
 	return &api.DrainResponse{Node: name, State: api.NodeLeaving}, nil
--- a/internal/selfhosted/node/operations_test.go
+++ b/internal/selfhosted/node/operations_test.go
@@ -13,7 +13,7 @@
 
 // TestProblemsOfRefusedChanges checks that a refused change is never reported
 // as a part that cannot be reached: the operator would repeat it in vain.
-func TestProblemsOfRefusedChanges(t *testing.T) {
+func TestRefusalProblemTypes(t *testing.T) {
 	addVoter := catalog.Command{AddVoter: &catalog.AddVoter{Voter: catalog.Voter{Name: "node-x1", Zone: "x"}}}
 	removeVoter := catalog.Command{RemoveVoter: &catalog.RemoveVoter{Name: "node-a1"}}
 	stop := catalog.Command{StopService: &catalog.StopService{Name: "rate-desk"}}
@@ -32,24 +32,24 @@
 		{"in use", stop, &catalog.Error{Code: catalog.CodeInUse, Message: "in use"}, api.ProblemConflict},
 		{"unchanged", stop, &catalog.Error{Code: catalog.CodeUnchanged, Message: "it is so"}, api.ProblemConflict},
 	}
-	for _, test := range cases {
-		problem := refusalProblem(test.refusal, test.command)
-		if problem.Type != test.want || problem.Detail != test.refusal.Error() {
-			t.Errorf("%s: got %s (%s), want %s", test.name, problem.Type, problem.Detail, test.want)
+	for _, testCase := range cases {
+		problem := newRefusalProblem(testCase.refusal, testCase.command)
+		if problem.Type != testCase.want || problem.Detail != testCase.refusal.Error() {
+			t.Errorf("%s: got %s (%s), want %s", testCase.name, problem.Type, problem.Detail, testCase.want)
 		}
 		if problem.Status >= http.StatusInternalServerError {
-			t.Errorf("%s: status %d asks for a repetition", test.name, problem.Status)
+			t.Errorf("%s: status %d asks for a repetition", testCase.name, problem.Status)
 		}
 	}
 }
 
-func TestClosedNodeIsUnavailable(t *testing.T) {
-	if got := changeProblem(dissemination.ErrClosed).Type; got != api.ProblemUnavailable {
+func TestChangeProblemAfterClose(t *testing.T) {
+	if got := newChangeProblem(dissemination.ErrClosed).Type; got != api.ProblemUnavailable {
 		t.Errorf("got %s", got)
 	}
 }
 
-func TestChangeIsFoundByItsToken(t *testing.T) {
+func TestResolveChangeID(t *testing.T) {
 	current := catalog.Empty()
 	current.Recent = []catalog.AppliedChange{{ID: "16-01JOTHER", Revision: 16}, {ID: "17-01JEXAMPLE", Revision: 17}}
 	for given, want := range map[string]string{
@@ -58,12 +58,12 @@
 		"99-01JEXAMPLE": "99-01JEXAMPLE", // an id says of which revision it speaks
 		"16-01JOTHER":   "16-01JOTHER",
 	} {
-		if got, problem := completeChangeID(current, given); problem != nil || got != want {
+		if got, problem := resolveChangeID(current, given); problem != nil || got != want {
 			t.Errorf("%q: got %q, %v", given, got, problem)
 		}
 	}
 	for _, given := range []string{"01JNONE", "EXAMPLE", "", "a/b", "17-"} {
-		if got, problem := completeChangeID(current, given); problem == nil || problem.Type != api.ProblemUnknownChange {
+		if got, problem := resolveChangeID(current, given); problem == nil || problem.Type != api.ProblemUnknownChange {
 			t.Errorf("%q: got %q, %v", given, got, problem)
 		}
 	}
--- a/internal/selfhosted/node/intake_test.go
+++ b/internal/selfhosted/node/query_limiter_test.go
@@ -26,40 +26,40 @@
 
 // TestLimitOfConcurrency fills the node: one more is refused, and taken again
 // once another has ended.
-func TestLimitOfConcurrency(t *testing.T) {
+func TestQueryLimiterRefusesExcessAndDrain(t *testing.T) {
 	const limit = 3
 	runner := &blockingRunner{entered: make(chan struct{}), release: make(chan struct{})}
 	draining := make(chan struct{})
-	taken := newIntake(runner, draining, limit)
-	ended := make(chan error, limit+1)
+	limiter := newQueryLimiter(runner, draining, limit)
+	results := make(chan error, limit+1)
 	query := func() {
-		_, err := taken.Query(context.Background(), "rate-desk", api.QueryRequest{})
-		ended <- err
+		_, err := limiter.Query(context.Background(), "rate-desk", api.QueryRequest{})
+		results <- err
 	}
 	for range limit {
 		go query()
 		<-runner.entered
 	}
 	query()
-	requireType(t, <-ended, api.ProblemNotRunOverload)
+	requireProblemType(t, <-results, api.ProblemNotRunOverload)
 	runner.release <- struct{}{}
-	if err := <-ended; err != nil {
+	if err := <-results; err != nil {
 		t.Fatal(err)
 	}
 	go query()
 	<-runner.entered
 	close(draining)
 	query()
-	requireType(t, <-ended, api.ProblemNotRunDraining)
+	requireProblemType(t, <-results, api.ProblemNotRunDraining)
 	close(runner.release)
 	for range limit {
-		if err := <-ended; err != nil {
+		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func requireType(t *testing.T, err error, want api.ProblemType) {
+func requireProblemType(t *testing.T, err error, want api.ProblemType) {
 	t.Helper()
 	var problem *api.Problem
 	if !errors.As(err, &problem) || problem.Type != want {
--- a/internal/selfhosted/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -12,14 +12,14 @@
 
 const (
 	// headerTimeout bounds the time that a caller may take for its headers.
-	headerTimeout = 10 * time.Second
+	readHeaderTimeout = 10 * time.Second
 	// loadTimeout bounds one poll of a leaf's load.
-	loadTimeout = time.Second
+	loadPollTimeout = time.Second
 	// drainGrace is the time between the announcement of a planned stop and
 	// the closing of idle connections: callers and peers need it to move.
-	drainGrace = time.Second
+	drainAnnouncementDelay = time.Second
 	// slotInterval is the time between two looks at who holds this node's slot.
-	slotInterval = 500 * time.Millisecond
+	slotCheckInterval = 500 * time.Millisecond
 	// leaveTimeout bounds the announcement to the other nodes.
 	leaveTimeout = 2 * time.Second
 )
@@ -31,19 +31,19 @@
 	n.peerServer.Serve()
 	n.membership.Start()
 	n.dissemination.Start()
-	n.background.Go(n.followCatalog)
-	n.background.Go(n.followSlot)
-	n.background.Go(n.followMachines)
-	n.background.Go(n.followMarks)
-	n.background.Go(func() { n.ledger.Run(n.running) })
-	failed := make(chan error, 1)
-	n.background.Go(func() { failed <- ignoreClosed(n.http.Serve(n.listener)) })
+	n.backgroundTasks.Go(n.watchCatalog)
+	n.backgroundTasks.Go(n.watchSlot)
+	n.backgroundTasks.Go(n.watchMachines)
+	n.backgroundTasks.Go(n.runMarkSync)
+	n.backgroundTasks.Go(func() { n.ledger.Run(n.backgroundContext) })
+	serveError := make(chan error, 1)
+	n.backgroundTasks.Go(func() { serveError <- ignoreServerClosed(n.httpServer.Serve(n.httpListener)) })
 	n.logger.Info("listening", "http", n.HTTPAddress(), "peer", n.PeerAddress())
 	select {
 	case <-ctx.Done():
 		n.beginDrain()
 	case <-n.draining:
-	case err := <-failed:
+	case err := <-serveError:
 		n.beginDrain()
 		return errors.Join(err, n.drain())
 	}
@@ -58,15 +58,15 @@
 // drain ends the node: first the announcement, then the callers' connections
 // as they become idle, then everything that the queries needed.
 func (n *Node) drain() error {
-	n.logger.Info("draining", "queries_in_flight", n.services.inFlight())
+	n.logger.Info("draining", "queries_in_flight", n.services.countInFlight())
 	n.gateway.Drain()
-	announcing, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	leaveContext, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	leaveErr := n.membership.Leave(announcing)
-	time.Sleep(drainGrace)
-	finishing, cancel := context.WithTimeout(context.Background(), n.settings.Limits.DrainTimeout.Duration())
+	leaveErr := n.membership.Leave(leaveContext)
+	time.Sleep(drainAnnouncementDelay)
+	drainContext, cancel := context.WithTimeout(context.Background(), n.settings.Limits.DrainTimeout.Duration())
 	defer cancel()
-	err := errors.Join(n.http.Shutdown(finishing), n.peerServer.Close(finishing))
+	err := errors.Join(n.httpServer.Shutdown(drainContext), n.peerServer.Close(drainContext))
 	if leaveErr != nil {
 		n.logger.Warn("leaving was not acknowledged", telemetry.Error(leaveErr))
 	}
@@ -80,46 +80,46 @@
 }
 
 func (n *Node) close() {
-	n.stop()
+	n.cancelBackground()
 	n.services.close()
-	n.health.Close()
+	n.healthCheck.Close()
 	n.dissemination.Close()
 	n.membership.Close()
-	n.background.Wait()
-	n.leaves.Close()
-	n.calls.Close()
+	n.backgroundTasks.Wait()
+	n.leafClient.Close()
+	n.peerClient.Close()
 	n.datagrams.Close()
 	n.store.Close()
 }
 
 // followCatalog installs each new catalog.
-func (n *Node) followCatalog() {
+func (n *Node) watchCatalog() {
 	changes, cancel := n.dissemination.Subscribe()
 	defer cancel()
-	n.install()
+	n.installCatalog()
 	for {
 		select {
-		case <-n.running.Done():
+		case <-n.backgroundContext.Done():
 			return
 		case <-changes:
-			n.install()
+			n.installCatalog()
 		}
 	}
 }
 
 // followSlot ends the node when another process has taken over its slot. The
 // members or the voters may be the first to report it.
-func (n *Node) followSlot() {
+func (n *Node) watchSlot() {
 	events, cancel := n.membership.Subscribe()
 	defer cancel()
-	ticker := time.NewTicker(slotInterval)
+	ticker := time.NewTicker(slotCheckInterval)
 	defer ticker.Stop()
-	for !n.superseded() {
+	for !n.isSuperseded() {
 		select {
-		case <-n.running.Done():
+		case <-n.backgroundContext.Done():
 			return
-		case _, open := <-events:
-			if !open {
+		case _, ok := <-events:
+			if !ok {
 				events = nil // the ticker goes on
 			}
 		case <-ticker.C:
@@ -129,26 +129,26 @@
 	n.beginDrain()
 }
 
-func (n *Node) superseded() bool {
+func (n *Node) isSuperseded() bool {
 	return n.membership.Superseded() || n.dissemination.Superseded()
 }
 
 // followMachines marks the leaves that the machine list calls leaving.
-func (n *Node) followMachines() {
-	if n.machines == nil {
+func (n *Node) watchMachines() {
+	if n.machinePoller == nil {
 		return
 	}
-	n.machines.Run(n.running, func(list machines.List) {
+	n.machinePoller.Run(n.backgroundContext, func(list machines.List) {
 		for _, machine := range list.Machines {
 			if machine.Kind == machines.KindLeaf && machine.State != machines.StateLive {
-				n.health.MachineLeaving(machine.Address, machine.BootID)
+				n.healthCheck.MachineLeaving(machine.Address, machine.BootID)
 			}
 		}
 	})
 }
 
 // ignoreClosed hides the error of a server that was shut down as planned.
-func ignoreClosed(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/selfhosted/node/services.go
+++ b/internal/selfhosted/node/service_conns.go
@@ -18,34 +18,34 @@
 
 // services holds one scatter connection for each service of the catalog. It is
 // safe for concurrent use.
-type services struct {
-	dispatch dispatch.Config
-	scatter  scatter.Config[string, rows.Table]
+type serviceConns struct {
+	dispatchConfig dispatch.Config
+	scatterConfig  scatter.Config[string, rows.Table]
 	// seed fixes the random choices of the dispatchers.
 	seed uint64
 
 	mutex sync.Mutex
 	conns map[string]*scatter.Conn[string, rows.Table]
 	// ending counts connections of dropped services that still finish.
-	ending sync.WaitGroup
+	closing sync.WaitGroup
 }
 
-func newServices(dispatchConfig dispatch.Config, scatterConfig scatter.Config[string, rows.Table], seed uint64) *services {
-	return &services{
-		dispatch: dispatchConfig,
-		scatter:  scatterConfig,
-		seed:     seed,
-		conns:    make(map[string]*scatter.Conn[string, rows.Table]),
+func newServiceConns(dispatchConfig dispatch.Config, scatterConfig scatter.Config[string, rows.Table], seed uint64) *serviceConns {
+	return &serviceConns{
+		dispatchConfig: dispatchConfig,
+		scatterConfig:  scatterConfig,
+		seed:           seed,
+		conns:          make(map[string]*scatter.Conn[string, rows.Table]),
 	}
 }
 
 // Scatterer returns the connection of a service.
-func (s *services) Scatterer(service string) (query.Scatterer, bool) {
+func (s *serviceConns) Scatterer(service string) (query.Scatterer, bool) {
 	conn, ok := s.conn(service)
 	return conn, ok
 }
 
-func (s *services) conn(service string) (*scatter.Conn[string, rows.Table], bool) {
+func (s *serviceConns) conn(service string) (*scatter.Conn[string, rows.Table], bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	conn, ok := s.conns[service]
@@ -54,7 +54,7 @@
 
 // SetTopology hands a service's leaves to its connection, which is made if the
 // service is new.
-func (s *services) SetTopology(service string, topology dispatch.Topology) {
+func (s *serviceConns) SetTopology(service string, topology dispatch.Topology) {
 	s.mutex.Lock()
 	conn, ok := s.conns[service]
 	if !ok {
@@ -65,16 +65,16 @@
 	conn.SetTopology(topology)
 }
 
-func (s *services) newConn(service string) *scatter.Conn[string, rows.Table] {
-	config := s.scatter
+func (s *serviceConns) newConn(service string) *scatter.Conn[string, rows.Table] {
+	config := s.scatterConfig
 	config.Service = service
-	config.AttemptPrefix = fmt.Sprintf("%s/%s", s.scatter.AttemptPrefix, service)
+	config.AttemptPrefix = fmt.Sprintf("%s/%s", s.scatterConfig.AttemptPrefix, service)
 	random := rand.New(rand.NewPCG(s.seed, xxhash.Sum64String(service)))
-	return scatter.NewConn(config, dispatch.New(s.dispatch, random))
+	return scatter.NewConn(config, dispatch.New(s.dispatchConfig, random))
 }
 
 // Observe hands a load report to the connection of a service.
-func (s *services) Observe(service string, address netip.AddrPort, load leaf.LoadSummary) {
+func (s *serviceConns) Observe(service string, address netip.AddrPort, load leaf.LoadSummary) {
 	if conn, ok := s.conn(service); ok {
 		conn.Observe(address, load)
 	}
@@ -82,20 +82,20 @@
 
 // setCatalog drops the connections of services that the catalog no longer has.
 // Their running queries finish in the background.
-func (s *services) setCatalog(current *catalog.Catalog) {
+func (s *serviceConns) removeDroppedServices(current *catalog.Catalog) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name, conn := range s.conns {
-		if _, exists := current.Services[name]; exists {
+		if _, ok := current.Services[name]; ok {
 			continue
 		}
 		delete(s.conns, name)
-		s.ending.Go(conn.Close)
+		s.closing.Go(conn.Close)
 	}
 }
 
 // inFlight returns the number of queries that have not ended.
-func (s *services) inFlight() int {
+func (s *serviceConns) countInFlight() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	total := 0
@@ -106,7 +106,7 @@
 }
 
 // close blocks until every query has ended.
-func (s *services) close() {
+func (s *serviceConns) close() {
 	s.mutex.Lock()
 	conns := s.conns
 	s.conns = make(map[string]*scatter.Conn[string, rows.Table])
@@ -114,5 +114,5 @@
 	for _, conn := range conns {
 		conn.Close()
 	}
-	s.ending.Wait()
+	s.closing.Wait()
 }
--- a/internal/selfhosted/node/show.go
+++ b/internal/selfhosted/node/show.go
@@ -38,11 +38,11 @@
 	return o.showNodes(current)
 }
 
-func text(value any) rows.Value {
+func textValue(value any) rows.Value {
 	return rows.Value{Kind: rows.Text, Text: fmt.Sprint(value)}
 }
 
-func number[N int | uint64](value N) rows.Value {
+func numberValue[N int | uint64](value N) rows.Value {
 	return rows.Value{Kind: rows.Number, Number: float64(value)}
 }
 
@@ -56,31 +56,31 @@
 		}
 		newest := service.Newest()
 		table.Rows = append(table.Rows, rows.Row{
-			text(name), number(newest.Shards), number(newest.Epoch), number(service.Replicas), text(service.KeyColumn),
-			text(state), number(service.Concurrency), number(len(service.Classes)), number(len(service.Leaves)),
+			textValue(name), numberValue(newest.Shards), numberValue(newest.Epoch), numberValue(service.Replicas), textValue(service.KeyColumn),
+			textValue(state), numberValue(service.Concurrency), numberValue(len(service.Classes)), numberValue(len(service.Leaves)),
 		})
 	}
 	return table
 }
 
-func (o *operations) showLeaves(service string) rows.Table {
+func (o *operations) showLeaves(serviceName string) rows.Table {
 	table := rows.Table{Columns: []string{"service", "leaf", "zone", "shards", "state", "reason"}}
-	for _, status := range o.node.leafStatuses() {
-		if service != "" && status.Service != service {
+	for _, status := range o.node.listLeafStatuses() {
+		if serviceName != "" && status.Service != serviceName {
 			continue
 		}
 		table.Rows = append(table.Rows, rows.Row{
-			text(status.Service), text(status.Address), text(status.Zone),
-			text(catalog.FormatShards(status.Shards)), text(status.State), text(status.Reason),
+			textValue(status.Service), textValue(status.Address), textValue(status.Zone),
+			textValue(catalog.FormatShards(status.Shards)), textValue(status.State), textValue(status.Reason),
 		})
 	}
 	return table
 }
 
-func showClasses(current *catalog.Catalog, service string) rows.Table {
+func showClasses(current *catalog.Catalog, serviceName string) rows.Table {
 	table := rows.Table{Columns: []string{"service", "class", "priority", "deadline", "coverage", "hedge_after", "extra_load", "runs"}}
 	for _, name := range current.ServiceNames() {
-		if service != "" && name != service {
+		if serviceName != "" && name != serviceName {
 			continue
 		}
 		for _, className := range current.Services[name].ClassNames() {
@@ -96,8 +96,8 @@
 		runs = "once"
 	}
 	return rows.Row{
-		text(class.Service), text(class.Name), number(class.Priority), text(class.Deadline),
-		text(class.Coverage), text(class.HedgePercentile), text(class.ExtraLoad), text(runs),
+		textValue(class.Service), textValue(class.Name), numberValue(class.Priority), textValue(class.Deadline),
+		textValue(class.Coverage), textValue(class.HedgePercentile), textValue(class.ExtraLoad), textValue(runs),
 	}
 }
 
@@ -105,8 +105,8 @@
 	table := rows.Table{Columns: []string{"revision", "change", "at", "operator", "statement"}}
 	for _, change := range current.Recent {
 		table.Rows = append(table.Rows, rows.Row{
-			number(change.Revision), text(change.ID), text(change.At.UTC().Format(time.RFC3339)),
-			text(change.Operator), text(change.Statement),
+			numberValue(change.Revision), textValue(change.ID), textValue(change.At.UTC().Format(time.RFC3339)),
+			textValue(change.Operator), textValue(change.Statement),
 		})
 	}
 	return table
@@ -115,17 +115,17 @@
 func showVoters(current *catalog.Catalog) rows.Table {
 	table := rows.Table{Columns: []string{"voter", "zone"}}
 	for _, name := range current.VoterNames() {
-		table.Rows = append(table.Rows, rows.Row{text(name), text(current.Voters[name].Zone)})
+		table.Rows = append(table.Rows, rows.Row{textValue(name), textValue(current.Voters[name].Zone)})
 	}
 	return table
 }
 
 func (o *operations) showNodes(current *catalog.Catalog) rows.Table {
 	table := rows.Table{Columns: []string{"node", "zone", "address", "state", "revision", "voter"}}
-	for _, status := range o.node.nodeStatuses(current) {
+	for _, status := range o.node.listNodeStatuses(current) {
 		table.Rows = append(table.Rows, rows.Row{
-			text(status.Name), text(status.Zone), text(status.Address), text(status.State),
-			number(status.Revision), text(status.Voter),
+			textValue(status.Name), textValue(status.Zone), textValue(status.Address), textValue(status.State),
+			numberValue(status.Revision), textValue(status.Voter),
 		})
 	}
 	return table
--- a/internal/selfhosted/node/status.go
+++ b/internal/selfhosted/node/status.go
@@ -16,18 +16,18 @@
 	// all that was accepted by then.
 	fresh := o.node.dissemination.Fresh()
 	current := o.node.dissemination.Current()
-	nodes := o.node.nodeStatuses(current)
+	nodes := o.node.listNodeStatuses(current)
 	return &api.StatusResponse{
 		Revision: current.Revision,
 		Fresh:    fresh,
 		Nodes:    nodes,
-		Voters:   voterStatuses(current, nodes),
-		Leaves:   o.node.leafStatuses(),
-		Services: o.node.serviceStatuses(current),
+		Voters:   listVoterStatuses(current, nodes),
+		Leaves:   o.node.listLeafStatuses(),
+		Services: o.node.listServiceStatuses(current),
 	}, nil
 }
 
-func (n *Node) nodeStatuses(current *catalog.Catalog) []api.NodeStatus {
+func (n *Node) listNodeStatuses(current *catalog.Catalog) []api.NodeStatus {
 	revisions := make(map[string]uint64)
 	for _, peer := range n.dissemination.PeerRevisions() {
 		revisions[peer.Name] = peer.Revision
@@ -47,27 +47,27 @@
 		}
 		if member.Name == n.settings.Name {
 			status.Revision = current.Revision
-			status.Serving = n.ready() == nil
+			status.Serving = n.checkReady() == nil
 		}
 		statuses = append(statuses, status)
 	}
 	return statuses
 }
 
-func (n *Node) leafStatuses() []api.LeafStatus {
-	states := n.dispatchStates()
+func (n *Node) listLeafStatuses() []api.LeafStatus {
+	states := n.collectDispatchStates()
 	statuses := []api.LeafStatus{}
-	for _, seen := range n.health.Statuses() {
-		decided := states[leafKey{seen.Service, seen.Leaf.Address.String()}]
+	for _, health := range n.healthCheck.Statuses() {
+		dispatchState := states[leafKey{health.Service, health.Leaf.Address.String()}]
 		statuses = append(statuses, api.LeafStatus{
-			Service:  seen.Service,
-			Address:  seen.Leaf.Address.String(),
-			Zone:     seen.Leaf.Zone,
-			State:    leafState(seen.Status, decided.Probation),
-			Reason:   seen.Reason,
-			Shards:   seen.Leaf.Shards,
-			InFlight: decided.InFlight,
-			Limit:    decided.Limit,
+			Service:  health.Service,
+			Address:  health.Leaf.Address.String(),
+			Zone:     health.Leaf.Zone,
+			State:    combineLeafState(health.Status, dispatchState.Probation),
+			Reason:   health.Reason,
+			Shards:   health.Leaf.Shards,
+			InFlight: dispatchState.InFlight,
+			Limit:    dispatchState.Limit,
 		})
 	}
 	return statuses
@@ -80,7 +80,7 @@
 }
 
 // dispatchStates gathers what the dispatchers think of their leaves.
-func (n *Node) dispatchStates() map[leafKey]dispatch.LeafState {
+func (n *Node) collectDispatchStates() map[leafKey]dispatch.LeafState {
 	states := make(map[leafKey]dispatch.LeafState)
 	for _, service := range n.dissemination.Current().ServiceNames() {
 		conn, ok := n.services.conn(service)
@@ -94,7 +94,7 @@
 	return states
 }
 
-func leafState(status topology.Status, probation bool) api.LeafState {
+func combineLeafState(status topology.Status, probation bool) api.LeafState {
 	switch status {
 	case topology.StatusUsable:
 		if probation {
@@ -109,7 +109,7 @@
 	return api.LeafUnreachable
 }
 
-func (n *Node) serviceStatuses(current *catalog.Catalog) []api.ServiceStatus {
+func (n *Node) listServiceStatuses(current *catalog.Catalog) []api.ServiceStatus {
 	statuses := []api.ServiceStatus{}
 	for _, name := range current.ServiceNames() {
 		service := current.Services[name]
--- a/internal/selfhosted/node/voters.go
+++ b/internal/selfhosted/node/voters.go
@@ -8,15 +8,15 @@
 // voterStatuses describes the voting set of a catalog by what is known of the
 // nodes. A voter that is no member any more is gone, and still counts towards
 // the majority that a change needs.
-func voterStatuses(current *catalog.Catalog, nodes []api.NodeStatus) []api.VoterStatus {
-	known := make(map[string]api.NodeStatus, len(nodes))
+func listVoterStatuses(current *catalog.Catalog, nodes []api.NodeStatus) []api.VoterStatus {
+	nodesByName := make(map[string]api.NodeStatus, len(nodes))
 	for _, node := range nodes {
-		known[node.Name] = node
+		nodesByName[node.Name] = node
 	}
 	statuses := []api.VoterStatus{}
 	for _, name := range current.VoterNames() {
 		status := api.VoterStatus{Name: name, Zone: current.Voters[name].Zone, State: api.NodeGone}
-		if node, listed := known[name]; listed {
+		if node, ok := nodesByName[name]; ok {
 			status.State = node.State
 			status.Revision = node.Revision
 		}
--- a/internal/selfhosted/node/voters_test.go
+++ b/internal/selfhosted/node/voters_test.go
@@ -8,14 +8,14 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-func TestVotersThatLeftAreListed(t *testing.T) {
+func TestVoterStatusesIncludeGoneVoters(t *testing.T) {
 	current := catalog.Empty()
 	current.Voters = map[string]catalog.Voter{
 		"node-c1": {Name: "node-c1", Zone: "c"},
 		"node-a1": {Name: "node-a1", Zone: "a"},
 		"node-b1": {Name: "node-b1", Zone: "b"},
 	}
-	got := voterStatuses(current, []api.NodeStatus{
+	got := listVoterStatuses(current, []api.NodeStatus{
 		{Name: "node-a1", State: api.NodeAlive, Revision: 9},
 		{Name: "node-b1", State: api.NodeLeaving, Revision: 8},
 		{Name: "node-d1", State: api.NodeAlive, Revision: 9},
--- a/internal/selfhosted/node/wire_test.go
+++ b/internal/selfhosted/node/wire_test.go
@@ -8,13 +8,13 @@
 )
 
 // TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
+func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.Gob[query.Forward](t, "query.owner.request")
-	wiretest.Gob[queryReply](t, "query.owner.response")
-	wiretest.Gob[leavingCall](t, "topology.leaving.request")
-	wiretest.Gob[leavingReply](t, "topology.leaving.response")
-	wiretest.Gob[marksCall](t, "topology.marks.request")
-	wiretest.Gob[marksReply](t, "topology.marks.response")
-	wiretest.Gob[drainCall](t, "node.drain.request")
-	wiretest.Gob[drainReply](t, "node.drain.response")
+	wiretest.Gob[queryResponse](t, "query.owner.response")
+	wiretest.Gob[leavingRequest](t, "topology.leaving.request")
+	wiretest.Gob[leavingResponse](t, "topology.leaving.response")
+	wiretest.Gob[marksRequest](t, "topology.marks.request")
+	wiretest.Gob[marksResponse](t, "topology.marks.response")
+	wiretest.Gob[drainRequest](t, "node.drain.request")
+	wiretest.Gob[drainResponse](t, "node.drain.response")
 }
