--- a/internal/rehearsal/cluster/calls.go
+++ b/internal/rehearsal/cluster/calls.go
@@ -15,12 +15,12 @@
 )
 
 // connectionsPerProcess is how many idle connections are kept to one process.
-const connectionsPerProcess = 64
+const maximumIdleConnections = 64
 
 func newClient() *http.Client {
 	return &http.Client{
 		Timeout:   time.Minute,
-		Transport: &http.Transport{MaxIdleConnsPerHost: connectionsPerProcess},
+		Transport: &http.Transport{MaxIdleConnsPerHost: maximumIdleConnections},
 	}
 }
 
--- a/internal/rehearsal/cluster/cluster.go
+++ b/internal/rehearsal/cluster/cluster.go
@@ -21,7 +21,7 @@
 )
 
 // startsAtOnce bounds how many processes start side by side.
-const startsAtOnce = 8
+const maximumConcurrentStarts = 8
 
 // anyPort lets a process pick a free port of the loopback address.
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
@@ -33,20 +33,20 @@
 	Leaves   []*Leaf
 	Nodes    []*Node
 
-	plan   Plan
-	folder string
-	client *http.Client
+	plan      Plan
+	directory string
+	client    *http.Client
 }
 
 // Start starts all processes of a plan and configures the catalog. It blocks
 // until every node is ready. The caller has to Close the cluster; after an
 // error everything is closed already.
 func Start(ctx context.Context, plan Plan) (*Cluster, error) {
-	folder, err := os.MkdirTemp("", "micaplank-cluster-")
+	directory, err := os.MkdirTemp("", "micaplank-cluster-")
 	if err != nil {
 		return nil, oops.With("step", "start cluster").Wrap(err)
 	}
-	cluster := &Cluster{plan: plan, folder: folder, client: newClient()}
+	cluster := &Cluster{plan: plan, directory: directory, client: newClient()}
 	if err := cluster.start(ctx); err != nil {
 		cluster.Close()
 		return nil, err
@@ -55,7 +55,7 @@
 }
 
 func (c *Cluster) start(ctx context.Context) error {
-	steps := []func(context.Context) error{c.startPlatform, c.startLeaves, c.startNodes, c.configure, c.AwaitReady}
+	steps := []func(context.Context) error{c.startPlatform, c.startLeaves, c.startNodes, c.configureCatalog, c.AwaitReady}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
@@ -64,29 +64,29 @@
 	return nil
 }
 
-func (c *Cluster) binary(name string) string {
+func (c *Cluster) programPath(name string) string {
 	return filepath.Join(c.plan.Binaries, name)
 }
 
 func (c *Cluster) startPlatform(ctx context.Context) (err error) {
-	if c.Store, err = startProcess(ctx, "store", c.binary(rehearsalProgram), "store"); err != nil {
+	if c.Store, err = startProcess(ctx, "store", c.programPath(rehearsalProgram), "store"); err != nil {
 		return err
 	}
-	c.Machines, err = startProcess(ctx, "machines", c.binary(rehearsalProgram), "machines")
+	c.Machines, err = startProcess(ctx, "machines", c.programPath(rehearsalProgram), "machines")
 	return err
 }
 
 func (c *Cluster) startLeaves(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(startsAtOnce)
+	group.SetLimit(maximumConcurrentStarts)
 	for _, service := range c.plan.Services {
 		for index := range service.Leaves {
 			leaf := &Leaf{
 				Service: service.Name,
 				Zone:    c.plan.Zones[index%len(c.plan.Zones)],
-				Shards:  service.shardsOf(index),
+				Shards:  service.assignShards(index),
 
-				executionLog: filepath.Join(c.folder, fmt.Sprintf("%s-%d.executions", service.Name, index)),
+				executionLog: filepath.Join(c.directory, fmt.Sprintf("%s-%d.executions", service.Name, index)),
 			}
 			c.Leaves = append(c.Leaves, leaf)
 			group.Go(func() error { return c.startLeaf(ctx, service, leaf, anyPort) })
@@ -96,11 +96,11 @@
 }
 
 func (c *Cluster) startLeaf(ctx context.Context, service Service, leaf *Leaf, listen netip.AddrPort) (err error) {
-	leaf.Process, err = startProcess(ctx, service.Name, c.binary(rehearsalProgram), "leaf",
+	leaf.Process, err = startProcess(ctx, service.Name, c.programPath(rehearsalProgram), "leaf",
 		"--listen", listen.String(),
 		"--service", service.Name,
 		"--zone", leaf.Zone,
-		"--shards", joinShards(leaf.Shards),
+		"--shards", formatShards(leaf.Shards),
 		"--shard-count", fmt.Sprint(service.Shards),
 		"--slots", fmt.Sprint(service.Slots),
 		"--execution-log", leaf.executionLog)
@@ -114,12 +114,12 @@
 		statements = append(statements, fmt.Sprintf("add voter %s zone %s", node.Name, node.Zone))
 	}
 	for _, service := range c.plan.Services {
-		statements = append(statements, service.statements(c.Leaves)...)
+		statements = append(statements, service.buildStatements(c.Leaves)...)
 	}
 	return statements
 }
 
-func (c *Cluster) configure(ctx context.Context) error {
+func (c *Cluster) configureCatalog(ctx context.Context) error {
 	for _, statement := range c.Statements() {
 		response, err := c.Change(ctx, c.Nodes[0], statement)
 		if err != nil {
@@ -134,24 +134,24 @@
 
 // Close ends all processes and removes the settings files.
 func (c *Cluster) Close() {
-	for _, process := range c.processes() {
+	for _, process := range c.startedProcesses() {
 		process.Kill()
 	}
 	c.client.CloseIdleConnections()
-	_ = os.RemoveAll(c.folder) // a temporary folder that stays does no harm
+	_ = os.RemoveAll(c.directory) // a temporary folder that stays does no harm
 }
 
-func (c *Cluster) processes() []*Process {
-	var all []*Process
+func (c *Cluster) startedProcesses() []*Process {
+	var processes []*Process
 	for _, node := range c.Nodes {
-		all = append(all, node.Process)
+		processes = append(processes, node.Process)
 	}
 	for _, leaf := range c.Leaves {
-		all = append(all, leaf.Process)
+		processes = append(processes, leaf.Process)
 	}
-	all = append(all, c.Store, c.Machines)
+	processes = append(processes, c.Store, c.Machines)
 	var started []*Process
-	for _, process := range all {
+	for _, process := range processes {
 		if process != nil {
 			started = append(started, process)
 		}
--- a/internal/rehearsal/cluster/demo.go
+++ b/internal/rehearsal/cluster/demo.go
@@ -17,7 +17,7 @@
 )
 
 // maximumRowsShown bounds the rows that the demo prints of one answer.
-const maximumRowsShown = 8
+const maximumPrintedRows = 8
 
 // DemoPlan is the deployment of the demo: 16 leaves and 3 nodes in 3 zones.
 func DemoPlan(binaries string) Plan {
@@ -68,36 +68,36 @@
 }
 
 // filing is the request of the demo that must run at most once.
-var filing = demoQuery{
+var filingQuery = demoQuery{
 	"Filing of a quote, at most once", "filing-vault", "file-quote",
 	"insert into filing-vault (quote, lane, price) values ('Q-90018', 'OTR-SPK', 4100)",
 }
 
 // maximumFilingTries bounds how often the demo submits its filing: after a
 // start, the owners of request ids refuse them until the fence has passed.
-const maximumFilingTries = 20
+const maximumFilingAttempts = 20
 
 // Demo runs the queries of the demo against a cluster, each at another node,
 // and prints the answers. It fails if an answer does not cover every shard.
 func (c *Cluster) Demo(ctx context.Context, output io.Writer) error {
 	for index, query := range demoQueries {
-		if _, err := c.demoQuery(ctx, output, c.nodeNumber(index), query, ulid.Make()); err != nil {
+		if _, err := c.runDemoQuery(ctx, output, c.nodeAt(index), query, ulid.Make()); err != nil {
 			return fmt.Errorf("%s: %w", query.title, err)
 		}
 	}
-	return c.demoFiling(ctx, output)
+	return c.runFiling(ctx, output)
 }
 
-func (c *Cluster) nodeNumber(index int) *Node {
+func (c *Cluster) nodeAt(index int) *Node {
 	return c.Nodes[index%len(c.Nodes)]
 }
 
 // demoFiling files a quote, and submits the same request again at another
 // node: it must not run a second time.
-func (c *Cluster) demoFiling(ctx context.Context, output io.Writer) error {
-	for range maximumFilingTries {
+func (c *Cluster) runFiling(ctx context.Context, output io.Writer) error {
+	for range maximumFilingAttempts {
 		id := ulid.Make()
-		_, err := c.demoQuery(ctx, output, c.nodeNumber(0), filing, id)
+		_, err := c.runDemoQuery(ctx, output, c.nodeAt(0), filingQuery, id)
 		var problem *api.Problem
 		if errors.As(err, &problem) && problem.RetryAfterMilliseconds > 0 {
 			fmt.Fprintf(output, "  refused: %s\n  again in %d ms\n", problem.Detail, problem.RetryAfterMilliseconds)
@@ -107,18 +107,18 @@
 			continue
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %w", filing.title, err)
+			return fmt.Errorf("%s: %w", filingQuery.title, err)
 		}
-		return c.demoRepeat(ctx, output, id)
+		return c.repeatFiling(ctx, output, id)
 	}
-	return fmt.Errorf("%s: refused %d times", filing.title, maximumFilingTries)
+	return fmt.Errorf("%s: refused %d times", filingQuery.title, maximumFilingAttempts)
 }
 
-func (c *Cluster) demoRepeat(ctx context.Context, output io.Writer, id ulid.ULID) error {
-	again := filing
-	again.title = "The same request once more, at another node"
-	if _, err := c.demoQuery(ctx, output, c.nodeNumber(1), again, id); err != nil {
-		return fmt.Errorf("%s: %w", again.title, err)
+func (c *Cluster) repeatFiling(ctx context.Context, output io.Writer, id ulid.ULID) error {
+	repeated := filingQuery
+	repeated.title = "The same request once more, at another node"
+	if _, err := c.runDemoQuery(ctx, output, c.nodeAt(1), repeated, id); err != nil {
+		return fmt.Errorf("%s: %w", repeated.title, err)
 	}
 	executions, err := c.Executions(ctx, id.String())
 	if err != nil {
@@ -131,9 +131,9 @@
 	return nil
 }
 
-func (c *Cluster) demoQuery(ctx context.Context, output io.Writer, node *Node, query demoQuery, id ulid.ULID) (*api.QueryResponse, error) {
+func (c *Cluster) runDemoQuery(ctx context.Context, output io.Writer, node *Node, query demoQuery, id ulid.ULID) (*api.QueryResponse, error) {
 	fmt.Fprintf(output, "\n%s (%s, at %s)\n  %s\n", query.title, query.class, node.Name, query.statement)
-	answer, err := c.Query(ctx, node, query.service, api.QueryRequest{
+	response, err := c.Query(ctx, node, query.service, api.QueryRequest{
 		RequestID: id.String(),
 		Class:     query.class,
 		Statement: query.statement,
@@ -141,30 +141,30 @@
 	if err != nil {
 		return nil, err
 	}
-	coverage := answer.Coverage
+	coverage := response.Coverage
 	fmt.Fprintf(output, "  %s, snapshot version %d epoch %d, coverage %d of %d shards\n",
-		answer.Outcome, answer.Snapshot.Version, answer.Snapshot.Epoch, coverage.Answered, coverage.Total)
-	printRows(output, answer)
+		response.Outcome, response.Snapshot.Version, response.Snapshot.Epoch, coverage.Answered, coverage.Total)
+	printRows(output, response)
 	if coverage.Answered != coverage.Total {
 		return nil, errors.New("the answer does not cover every shard")
 	}
-	return answer, nil
+	return response, nil
 }
 
-func printRows(output io.Writer, answer *api.QueryResponse) {
+func printRows(output io.Writer, response *api.QueryResponse) {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	defer table.Flush()
-	fmt.Fprintf(table, "  %s\n", strings.Join(answer.Columns, "\t"))
-	for index, row := range answer.Rows {
-		if index == maximumRowsShown {
-			fmt.Fprintf(table, "  (%d more rows)\n", len(answer.Rows)-index)
+	fmt.Fprintf(table, "  %s\n", strings.Join(response.Columns, "\t"))
+	for index, row := range response.Rows {
+		if index == maximumPrintedRows {
+			fmt.Fprintf(table, "  (%d more rows)\n", len(response.Rows)-index)
 			return
 		}
-		fmt.Fprintf(table, "  %s\n", strings.Join(texts(row), "\t"))
+		fmt.Fprintf(table, "  %s\n", strings.Join(formatRow(row), "\t"))
 	}
 }
 
-func texts(row rows.Row) []string {
+func formatRow(row rows.Row) []string {
 	cells := make([]string, len(row))
 	for i, value := range row {
 		cells[i] = value.String()
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -20,28 +20,28 @@
 // Executions returns what the leaves executed of a request; all requests if the
 // id is empty. Leaves that are frozen or gone count too.
 func (c *Cluster) Executions(_ context.Context, requestID string) ([]leaf.Execution, error) {
-	var found []leaf.Execution
-	for _, each := range c.Leaves {
-		executions, err := c.LeafExecutions(each)
+	var executed []leaf.Execution
+	for _, leafProcess := range c.Leaves {
+		executions, err := c.LeafExecutions(leafProcess)
 		if err != nil {
 			return nil, err
 		}
 		for _, execution := range executions {
-			wanted := requestID == "" || execution.RequestID == requestID
-			if wanted && execution.Outcome == leaf.OutcomeExecuted {
-				found = append(found, execution)
+			matches := requestID == "" || execution.RequestID == requestID
+			if matches && execution.Outcome == leaf.OutcomeExecuted {
+				executed = append(executed, execution)
 			}
 		}
 	}
-	return found, nil
+	return executed, nil
 }
 
 // LeafExecutions returns the whole execution log of one leaf, which may be
 // frozen or gone.
-func (c *Cluster) LeafExecutions(from *Leaf) ([]leaf.Execution, error) {
-	file, err := os.Open(from.executionLog)
+func (c *Cluster) LeafExecutions(leafProcess *Leaf) ([]leaf.Execution, error) {
+	file, err := os.Open(leafProcess.executionLog)
 	if err != nil {
-		return nil, oops.With("step", "read executions", "peer", from.Name).Wrap(err)
+		return nil, oops.With("step", "read executions", "peer", leafProcess.Name).Wrap(err)
 	}
 	defer file.Close()
 	var executions []leaf.Execution
@@ -53,7 +53,7 @@
 			return executions, nil // a line may be cut off by the leaf's end
 		}
 		if err != nil {
-			return nil, oops.With("step", "read executions", "peer", from.Name).Wrap(err)
+			return nil, oops.With("step", "read executions", "peer", leafProcess.Name).Wrap(err)
 		}
 		executions = append(executions, execution)
 	}
@@ -78,38 +78,38 @@
 	return response, c.get(ctx, node.Process, api.CatalogPath, response)
 }
 
-func (c *Cluster) get(ctx context.Context, from *Process, path string, target any) error {
-	return c.control(ctx, http.MethodGet, from, path, nil, target)
+func (c *Cluster) get(ctx context.Context, process *Process, path string, target any) error {
+	return c.sendControl(ctx, http.MethodGet, process, path, nil, target)
 }
 
 // ControlLeaf injects faults into a leaf.
-func (c *Cluster) ControlLeaf(ctx context.Context, to *Leaf, request any) error {
-	return c.control(ctx, http.MethodPost, to.Process, leaf.ControlPath, request, nil)
+func (c *Cluster) ControlLeaf(ctx context.Context, leafProcess *Leaf, request any) error {
+	return c.sendControl(ctx, http.MethodPost, leafProcess.Process, leaf.ControlPath, request, nil)
 }
 
 // Control sends a control request to a stand-in of the platform.
-func (c *Cluster) Control(ctx context.Context, to *Process, path string, request any) error {
-	return c.control(ctx, http.MethodPost, to, path, request, nil)
+func (c *Cluster) Control(ctx context.Context, process *Process, path string, request any) error {
+	return c.sendControl(ctx, http.MethodPost, process, path, request, nil)
 }
 
-func (c *Cluster) control(ctx context.Context, method string, to *Process, path string, body, target any) error {
-	failed := oops.With("step", "control", "peer", to.Name)
+func (c *Cluster) sendControl(ctx context.Context, method string, process *Process, path string, body, target any) error {
+	errorBuilder := oops.With("step", "control", "peer", process.Name)
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return failed.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+to.HTTP.String()+path, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+process.HTTP.String()+path, bytes.NewReader(encoded))
 	if err != nil {
-		return failed.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
 	if err != nil {
-		return failed.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest {
-		return failed.Errorf("%s %s: status %d", method, path, response.StatusCode)
+		return errorBuilder.Errorf("%s %s: status %d", method, path, response.StatusCode)
 	}
 	if target == nil {
 		return nil
--- a/internal/rehearsal/cluster/nodes.go
+++ b/internal/rehearsal/cluster/nodes.go
@@ -36,8 +36,8 @@
 // StartNode starts one more node, or a replacement that takes the slot of the
 // node of that name.
 func (c *Cluster) StartNode(ctx context.Context, name, zone string) (*Node, error) {
-	node := &Node{Zone: zone, settings: c.nodeSettings(name, zone)}
-	file := filepath.Join(c.folder, name+".toml")
+	node := &Node{Zone: zone, settings: c.buildNodeSettings(name, zone)}
+	file := filepath.Join(c.directory, name+".toml")
 	var content bytes.Buffer
 	if err := settings.Print(&content, node.settings); err != nil {
 		return nil, err
@@ -49,36 +49,36 @@
 	if c.plan.ProfileFolder != "" {
 		arguments = append(arguments, "--cpu-profile", filepath.Join(c.plan.ProfileFolder, name+".pprof"))
 	}
-	process, err := startProcess(ctx, name, c.binary(nodeProgram), arguments...)
+	process, err := startProcess(ctx, name, c.programPath(nodeProgram), arguments...)
 	if err != nil {
 		return nil, err
 	}
 	node.Process = process
-	c.replaceNode(node)
+	c.addOrReplaceNode(node)
 	return node, nil
 }
 
-func (c *Cluster) nodeSettings(name, zone string) settings.Settings {
-	configured := settings.Defaults()
-	configured.Name = name
-	configured.Zone = zone
-	configured.Listen.HTTP = anyPort
-	configured.Listen.Peer = anyPort
-	configured.Store.Endpoints = []netip.AddrPort{c.Store.HTTP}
-	configured.Machines.Address = c.Machines.HTTP
-	configured.Log.Format = "json"
+func (c *Cluster) buildNodeSettings(name, zone string) settings.Settings {
+	config := settings.Defaults()
+	config.Name = name
+	config.Zone = zone
+	config.Listen.HTTP = anyPort
+	config.Listen.Peer = anyPort
+	config.Store.Endpoints = []netip.AddrPort{c.Store.HTTP}
+	config.Machines.Address = c.Machines.HTTP
+	config.Log.Format = "json"
 	// All clocks of the deployment are those of one machine.
-	configured.Once.Skew = settings.Duration(time.Second)
+	config.Once.Skew = settings.Duration(time.Second)
 	for _, node := range c.Nodes {
-		configured.Peers.Seeds = append(configured.Peers.Seeds, node.Peer)
+		config.Peers.Seeds = append(config.Peers.Seeds, node.Peer)
 	}
 	if c.plan.Tune != nil {
-		c.plan.Tune(&configured)
+		c.plan.Tune(&config)
 	}
-	return configured
+	return config
 }
 
-func (c *Cluster) replaceNode(node *Node) {
+func (c *Cluster) addOrReplaceNode(node *Node) {
 	for i, existing := range c.Nodes {
 		if existing.Name == node.Name {
 			c.Nodes[i] = node
--- a/internal/rehearsal/cluster/plan.go
+++ b/internal/rehearsal/cluster/plan.go
@@ -38,7 +38,7 @@
 }
 
 // shardsOf returns the shards that leaf number index of a service holds.
-func (s Service) shardsOf(index int) []int {
+func (s Service) assignShards(index int) []int {
 	perLeaf := s.Shards * s.Replicas / s.Leaves
 	shards := make([]int, perLeaf)
 	for i := range shards {
@@ -47,7 +47,7 @@
 	return shards
 }
 
-func joinShards(shards []int) string {
+func formatShards(shards []int) string {
 	texts := make([]string, len(shards))
 	for i, shard := range shards {
 		texts[i] = fmt.Sprint(shard)
@@ -56,7 +56,7 @@
 }
 
 // statements returns the commands that describe a service with its leaves.
-func (s Service) statements(leaves []*Leaf) []string {
+func (s Service) buildStatements(leaves []*Leaf) []string {
 	create := fmt.Sprintf("create service %s shards %d replicas %d", s.Name, s.Shards, s.Replicas)
 	if s.KeyColumn != "" {
 		create += " key " + s.KeyColumn
@@ -64,7 +64,7 @@
 	statements := append([]string{create}, s.Classes...)
 	for _, leaf := range leaves {
 		if leaf.Service == s.Name {
-			statements = append(statements, leaf.addStatement())
+			statements = append(statements, leaf.buildAddStatement())
 		}
 	}
 	return statements
@@ -85,8 +85,8 @@
 	return l.HTTP
 }
 
-func (l *Leaf) addStatement() string {
-	return fmt.Sprintf("add leaf %s to %s zone %s shards %s", l.HTTP, l.Service, l.Zone, joinShards(l.Shards))
+func (l *Leaf) buildAddStatement() string {
+	return fmt.Sprintf("add leaf %s to %s zone %s shards %s", l.HTTP, l.Service, l.Zone, formatShards(l.Shards))
 }
 
 // Holds reports whether the leaf holds a shard.
--- a/internal/rehearsal/cluster/process.go
+++ b/internal/rehearsal/cluster/process.go
@@ -25,10 +25,10 @@
 const listeningMessage = "listening"
 
 // logBytes is how much of a process's newest log is kept.
-const logBytes = 64 << 10
+const maximumLogBytes = 64 << 10
 
 // announcement is the part of a log line that holds addresses.
-type announcement struct {
+type listeningLine struct {
 	Message string         `json:"msg"`
 	HTTP    netip.AddrPort `json:"http"`
 	Peer    netip.AddrPort `json:"peer"`
@@ -42,9 +42,9 @@
 	Peer netip.AddrPort
 
 	command   *exec.Cmd
-	announced chan announcement
+	addresses chan listeningLine
 	exited    chan struct{}
-	waitErr   error
+	exitErr   error
 
 	mutex sync.Mutex
 	log   []byte
@@ -56,7 +56,7 @@
 	process := &Process{
 		Name:      name,
 		command:   exec.Command(binary, arguments...),
-		announced: make(chan announcement, 1),
+		addresses: make(chan listeningLine, 1),
 		exited:    make(chan struct{}),
 	}
 	output, err := process.command.StderrPipe()
@@ -66,7 +66,7 @@
 	if err := process.command.Start(); err != nil {
 		return nil, oops.With("step", "start process", "peer", name).Wrap(err)
 	}
-	go process.follow(output)
+	go process.readLog(output)
 	return process, process.awaitListening(ctx)
 }
 
@@ -74,12 +74,12 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	select {
-	case announced := <-p.announced:
-		p.HTTP = announced.HTTP
-		p.Peer = announced.Peer
+	case addresses := <-p.addresses:
+		p.HTTP = addresses.HTTP
+		p.Peer = addresses.Peer
 		return nil
 	case <-p.exited:
-		return oops.With("step", "await listening", "peer", p.Name).Errorf("%s exited at start: %v\n%s", p.Name, p.waitErr, p.Log())
+		return oops.With("step", "await listening", "peer", p.Name).Errorf("%s exited at start: %v\n%s", p.Name, p.exitErr, p.Log())
 	case <-ctx.Done():
 		p.Kill()
 		return oops.With("step", "await listening", "peer", p.Name).Errorf("%s does not listen: %w\n%s", p.Name, ctx.Err(), p.Log())
@@ -87,29 +87,29 @@
 }
 
 // follow keeps the newest log lines and picks out the announcement.
-func (p *Process) follow(output io.Reader) {
+func (p *Process) readLog(output io.Reader) {
 	scanner := bufio.NewScanner(output)
-	scanner.Buffer(nil, logBytes)
-	seen := false
+	scanner.Buffer(nil, maximumLogBytes)
+	reported := false
 	for scanner.Scan() {
 		line := scanner.Bytes()
-		p.keep(line)
-		var announced announcement
-		if !seen && json.Unmarshal(line, &announced) == nil && announced.Message == listeningMessage {
-			seen = true
-			p.announced <- announced
+		p.appendLog(line)
+		var parsed listeningLine
+		if !reported && json.Unmarshal(line, &parsed) == nil && parsed.Message == listeningMessage {
+			reported = true
+			p.addresses <- parsed
 		}
 	}
-	p.waitErr = p.command.Wait()
+	p.exitErr = p.command.Wait()
 	close(p.exited)
 }
 
-func (p *Process) keep(line []byte) {
+func (p *Process) appendLog(line []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.log = append(p.log, line...)
 	p.log = append(p.log, '\n')
-	if excess := len(p.log) - logBytes; excess > 0 {
+	if excess := len(p.log) - maximumLogBytes; excess > 0 {
 		p.log = append([]byte(nil), p.log[excess:]...)
 	}
 }
--- a/internal/rehearsal/cluster/ready.go
+++ b/internal/rehearsal/cluster/ready.go
@@ -9,7 +9,7 @@
 )
 
 // readyPoll is the time between two looks at a node's readiness.
-const readyPoll = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
 // AwaitReady blocks until the readiness page of every node says that it takes
 // work.
@@ -29,7 +29,7 @@
 		select {
 		case <-ctx.Done():
 			return oops.With("step", "await ready", "peer", node.Name).Errorf("%s is not ready\n%s", node.Name, node.Log())
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil
