--- a/internal/rehearsal/history/attempts.go
+++ b/internal/rehearsal/history/attempts.go
@@ -12,10 +12,10 @@
 func CheckLeaving(name string, attempts []leaf.Execution, notice time.Time, bound time.Duration) []Violation {
 	var violations []Violation
 	for _, attempt := range attempts {
-		if late := time.UnixMicro(attempt.Arrived).Sub(notice); late > bound {
+		if delay := time.UnixMicro(attempt.Arrived).Sub(notice); delay > bound {
 			violations = append(violations, Violation{
 				Promise: "leaving leaf", Subject: name,
-				Detail: fmt.Sprintf("attempt %s arrived %s after the word", attempt.AttemptID, late),
+				Detail: fmt.Sprintf("attempt %s arrived %s after the word", attempt.AttemptID, delay),
 			})
 		}
 	}
@@ -37,29 +37,29 @@
 func CheckNothingCutOff(submissions []Submission) []Violation {
 	var violations []Violation
 	for _, submission := range submissions {
-		whole := submission.Answer != nil && len(submission.Answer.Coverage.Missing) == 0
-		if whole || submission.NotRun() || submission.Refused() {
+		complete := submission.Answer != nil && len(submission.Answer.Coverage.Missing) == 0
+		if complete || submission.NotRun() || submission.Refused() {
 			continue
 		}
-		violations = append(violations, Violation{Promise: "cut off", Subject: submission.Request.RequestID, Detail: submission.Node + ": " + endOf(submission)})
+		violations = append(violations, Violation{Promise: "cut off", Subject: submission.Request.RequestID, Detail: submission.Node + ": " + describeEnd(submission)})
 	}
 	return violations
 }
 
 // endOf says how a submission ended, for the one who looks into a broken promise.
-func endOf(submission Submission) string {
-	took := submission.Returned.Sub(submission.Called).Round(time.Millisecond)
+func describeEnd(submission Submission) string {
+	duration := submission.Returned.Sub(submission.Called).Round(time.Millisecond)
 	switch {
 	case submission.Err != nil:
-		return fmt.Sprintf("%s after %v: %v", submission.Fate(), took, submission.Err)
+		return fmt.Sprintf("%s after %v: %v", submission.Fate(), duration, submission.Err)
 	case submission.Problem != nil:
-		return fmt.Sprintf("%s of class %s after %v: %s, %s", submission.Fate(), submission.Request.Class, took, submission.Problem.Reason, submission.Problem.Detail)
+		return fmt.Sprintf("%s of class %s after %v: %s, %s", submission.Fate(), submission.Request.Class, duration, submission.Problem.Reason, submission.Problem.Detail)
 	}
-	return fmt.Sprintf("%s after %v", submission.Fate(), took)
+	return fmt.Sprintf("%s after %v", submission.Fate(), duration)
 }
 
 // piece is the work of one request on one shard.
-type piece struct {
+type requestShard struct {
 	request string
 	shard   int
 }
@@ -68,16 +68,16 @@
 // unless another attempt did the same work: then it was not cut off, but not
 // needed any more.
 func CheckNoneCancelled(attempts []leaf.Execution) []Violation {
-	done := make(map[piece]bool)
+	executed := make(map[requestShard]bool)
 	for _, attempt := range attempts {
 		if attempt.Outcome == leaf.OutcomeExecuted {
-			done[piece{attempt.RequestID, attempt.Shard}] = true
+			executed[requestShard{attempt.RequestID, attempt.Shard}] = true
 		}
 	}
 	var violations []Violation
 	for _, attempt := range attempts {
 		cancelled := attempt.Outcome == leaf.OutcomeCancelledQueued || attempt.Outcome == leaf.OutcomeCancelledRunning
-		if cancelled && !done[piece{attempt.RequestID, attempt.Shard}] {
+		if cancelled && !executed[requestShard{attempt.RequestID, attempt.Shard}] {
 			violations = append(violations, Violation{Promise: "cut off", Subject: attempt.RequestID, Detail: string(attempt.Outcome)})
 		}
 	}
--- a/internal/rehearsal/history/changes.go
+++ b/internal/rehearsal/history/changes.go
@@ -30,16 +30,16 @@
 // Base is the revision before the first of the changes. No other changes may
 // have been made.
 func CheckLog(changes []Change, base uint64, log []catalog.AppliedChange) []Violation {
-	revisions := revisionsOf(changes, log)
+	revisions := matchRevisions(changes, log)
 	var violations []Violation
 	var operations []porcupine.Operation
 	for index, change := range changes {
 		revision, applied := revisions[index]
-		if detail := falseFate(change, revision, applied); detail != "" {
+		if detail := describeFateMismatch(change, revision, applied); detail != "" {
 			violations = append(violations, Violation{Promise: "log", Subject: change.Statement, Detail: detail})
 		}
 		if applied {
-			operations = append(operations, appendOperation(change, revision))
+			operations = append(operations, newAppendOperation(change, revision))
 		}
 	}
 	switch porcupine.CheckOperationsTimeout(logModel(base), operations, checkTimeout) {
@@ -54,7 +54,7 @@
 // revisionsOf returns the revision of each change that is in the log, by its
 // index. A change whose caller got no reply has an id that nobody was told: it
 // is the entry with its statement whose id no reply names.
-func revisionsOf(changes []Change, log []catalog.AppliedChange) map[int]uint64 {
+func matchRevisions(changes []Change, log []catalog.AppliedChange) map[int]uint64 {
 	entries := make(map[string]catalog.AppliedChange, len(log))
 	for _, applied := range log {
 		entries[applied.ID] = applied
@@ -64,7 +64,7 @@
 		if change.Response == nil {
 			continue
 		}
-		if applied, found := entries[change.Response.ChangeID]; found {
+		if applied, ok := entries[change.Response.ChangeID]; ok {
 			revisions[index] = applied.Revision
 			delete(entries, applied.ID)
 		}
@@ -74,7 +74,7 @@
 			continue
 		}
 		for _, applied := range entries {
-			if unconditional(change.Statement) == unconditional(applied.Statement) {
+			if trimCondition(change.Statement) == trimCondition(applied.Statement) {
 				revisions[index] = applied.Revision
 				delete(entries, applied.ID)
 				break
@@ -86,12 +86,12 @@
 
 // unconditional returns a statement without its condition on the revision,
 // which the log does not keep.
-func unconditional(statement string) string {
-	bare, _, _ := strings.Cut(statement, " if revision ")
-	return bare
+func trimCondition(statement string) string {
+	command, _, _ := strings.Cut(statement, " if revision ")
+	return command
 }
 
-func falseFate(change Change, revision uint64, applied bool) string {
+func describeFateMismatch(change Change, revision uint64, applied bool) string {
 	switch {
 	case change.Accepted() && !applied:
 		return "accepted, but not in the log"
@@ -103,7 +103,7 @@
 	return ""
 }
 
-func appendOperation(change Change, revision uint64) porcupine.Operation {
+func newAppendOperation(change Change, revision uint64) porcupine.Operation {
 	operation := porcupine.Operation{
 		ClientId: change.Operator,
 		Input:    revision,
@@ -124,14 +124,14 @@
 	var violations []Violation
 	last := make(map[string]Sighting)
 	for _, sighting := range sightings {
-		if before := last[sighting.Process]; sighting.Revision < before.Revision {
+		if previous := last[sighting.Process]; sighting.Revision < previous.Revision {
 			violations = append(violations, Violation{
 				Promise: "revision", Subject: sighting.Process,
-				Detail: fmt.Sprintf("fell from %d to %d", before.Revision, sighting.Revision),
+				Detail: fmt.Sprintf("fell from %d to %d", previous.Revision, sighting.Revision),
 			})
 		}
 		last[sighting.Process] = sighting
-		if required := requiredRevision(changes, sighting.Called.Add(-bound)); sighting.Fresh && sighting.Revision < required {
+		if required := newestAcceptedRevision(changes, sighting.Called.Add(-bound)); sighting.Fresh && sighting.Revision < required {
 			violations = append(violations, Violation{
 				Promise: "in force", Subject: sighting.Process,
 				Detail: fmt.Sprintf("takes work at revision %d, %s after %d was accepted", sighting.Revision, bound, required),
@@ -142,10 +142,10 @@
 }
 
 // requiredRevision returns the newest revision accepted before a moment.
-func requiredRevision(changes []Change, before time.Time) uint64 {
+func newestAcceptedRevision(changes []Change, deadline time.Time) uint64 {
 	var required uint64
 	for _, change := range changes {
-		if change.Accepted() && change.Returned.Before(before) {
+		if change.Accepted() && change.Returned.Before(deadline) {
 			required = max(required, change.Response.Revision)
 		}
 	}
--- a/internal/rehearsal/history/history_test.go
+++ b/internal/rehearsal/history/history_test.go
@@ -12,7 +12,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-const testService = "filing-vault"
+const testServiceName = "filing-vault"
 
 var (
 	origin       = time.Unix(1_800_000_000, 0)
@@ -20,50 +20,50 @@
 	testSnapshot = catalog.Snapshot{Version: 2, Epoch: 1}
 )
 
-func at(milliseconds int) time.Time {
+func timeAt(milliseconds int) time.Time {
 	return origin.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-func submission(id string, from, to int) Submission {
-	return Submission{Request: api.QueryRequest{RequestID: id}, Service: testService, Called: at(from), Returned: at(to)}
+func newSubmission(id string, from, to int) Submission {
+	return Submission{Request: api.QueryRequest{RequestID: id}, Service: testServiceName, Called: timeAt(from), Returned: timeAt(to)}
 }
 
-func answered(id string, from, to int) Submission {
-	s := submission(id, from, to)
+func newAnswered(id string, from, to int) Submission {
+	s := newSubmission(id, from, to)
 	s.Answer = &api.QueryResponse{RequestID: id, Outcome: dispatch.OutcomeAnswered}
 	return s
 }
 
-func problem(id string, problemType api.ProblemType, from, to int) Submission {
-	s := submission(id, from, to)
+func newProblem(id string, problemType api.ProblemType, from, to int) Submission {
+	s := newSubmission(id, from, to)
 	s.Problem = api.NewProblem(problemType, "")
 	return s
 }
 
-func lost(id string, from, to int) Submission {
-	s := submission(id, from, to)
+func newLost(id string, from, to int) Submission {
+	s := newSubmission(id, from, to)
 	s.Err = errors.New("connection reset")
 	return s
 }
 
-func executed(id string) leaf.Execution {
+func newExecution(id string) leaf.Execution {
 	return leaf.Execution{RequestID: id, Outcome: leaf.OutcomeExecuted, Started: 1}
 }
 
 // wholeAnswer is a true answer over 4 shards, without the missing ones.
-func wholeAnswer(missing ...int) Submission {
-	s := answered("r", 0, 1)
+func newSelect(missing ...int) Submission {
+	s := newAnswered("r", 0, 1)
 	s.Filter = &testFilter
 	s.Answer.Snapshot = testSnapshot
 	s.Answer.Coverage = api.Coverage{Answered: 4 - len(missing), Total: 4, Missing: missing}
-	s.Answer.Rows = NewTruth(4).expected(s)
+	s.Answer.Rows = NewTruth(4).expectedRows(s)
 	return s
 }
 
-func TestRowsAreChecked(t *testing.T) {
+func TestCheckRows(t *testing.T) {
 	cases := map[string]struct {
-		spoil func(*api.QueryResponse)
-		holds bool
+		corrupt func(*api.QueryResponse)
+		valid   bool
 	}{
 		"true":           {func(*api.QueryResponse) {}, true},
 		"row lost":       {func(r *api.QueryResponse) { r.Rows = r.Rows[1:] }, false},
@@ -75,144 +75,144 @@
 		"shards hidden":  {func(r *api.QueryResponse) { r.Coverage = api.Coverage{Answered: 3, Total: 3} }, false},
 		"empty":          {func(r *api.QueryResponse) { r.Rows = nil }, false},
 	}
-	for name, each := range cases {
-		s := wholeAnswer()
-		each.spoil(s.Answer)
-		if violations := NewTruth(4).CheckRows([]Submission{s}); (len(violations) == 0) != each.holds {
+	for name, testCase := range cases {
+		s := newSelect()
+		testCase.corrupt(s.Answer)
+		if violations := NewTruth(4).CheckRows([]Submission{s}); (len(violations) == 0) != testCase.valid {
 			t.Errorf("%s: %v", name, violations)
 		}
 	}
-	if violations := NewTruth(4).CheckRows([]Submission{wholeAnswer(2)}); len(violations) > 0 {
+	if violations := NewTruth(4).CheckRows([]Submission{newSelect(2)}); len(violations) > 0 {
 		t.Error(violations)
 	}
 }
 
-func TestOnceIsChecked(t *testing.T) {
+func TestCheckOnce(t *testing.T) {
 	cases := map[string]struct {
 		submissions []Submission
 		executions  int
-		holds       bool
+		valid       bool
 	}{
-		"ran once":                {[]Submission{answered("r", 0, 1), answered("r", 2, 3)}, 1, true},
-		"ran twice":               {[]Submission{answered("r", 0, 1), answered("r", 2, 3)}, 2, false},
-		"answered, ran nowhere":   {[]Submission{answered("r", 0, 1)}, 0, false},
-		"not run, then ran":       {[]Submission{problem("r", api.ProblemNotRunOverload, 0, 1), answered("r", 2, 3)}, 1, true},
-		"ran, then not run":       {[]Submission{answered("r", 0, 1), problem("r", api.ProblemNotRunOverload, 2, 3)}, 1, false},
-		"ran and not run at once": {[]Submission{answered("r", 0, 5), problem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
-		"not run, but ran":        {[]Submission{problem("r", api.ProblemNotRunOverload, 0, 1)}, 1, false},
-		"refused, but ran":        {[]Submission{problem("r", api.ProblemUnavailable, 0, 1)}, 1, false},
-		"unknown, ran":            {[]Submission{problem("r", api.ProblemOutcomeUnknown, 0, 1)}, 1, true},
-		"unknown, ran nowhere":    {[]Submission{lost("r", 0, 1)}, 0, true},
-		"lost, then refused":      {[]Submission{lost("r", 0, 1), problem("r", api.ProblemUnavailable, 2, 3)}, 1, true},
-		"lost, then not run":      {[]Submission{lost("r", 0, 1), problem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
-		"unknown, ran twice":      {[]Submission{lost("r", 0, 1), lost("r", 0, 1)}, 2, false},
-	}
-	for name, each := range cases {
-		attempts := []leaf.Execution{executed("other")}
-		for range each.executions {
-			attempts = append(attempts, executed("r"))
+		"ran once":                {[]Submission{newAnswered("r", 0, 1), newAnswered("r", 2, 3)}, 1, true},
+		"ran twice":               {[]Submission{newAnswered("r", 0, 1), newAnswered("r", 2, 3)}, 2, false},
+		"answered, ran nowhere":   {[]Submission{newAnswered("r", 0, 1)}, 0, false},
+		"not run, then ran":       {[]Submission{newProblem("r", api.ProblemNotRunOverload, 0, 1), newAnswered("r", 2, 3)}, 1, true},
+		"ran, then not run":       {[]Submission{newAnswered("r", 0, 1), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, false},
+		"ran and not run at once": {[]Submission{newAnswered("r", 0, 5), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
+		"not run, but ran":        {[]Submission{newProblem("r", api.ProblemNotRunOverload, 0, 1)}, 1, false},
+		"refused, but ran":        {[]Submission{newProblem("r", api.ProblemUnavailable, 0, 1)}, 1, false},
+		"unknown, ran":            {[]Submission{newProblem("r", api.ProblemOutcomeUnknown, 0, 1)}, 1, true},
+		"unknown, ran nowhere":    {[]Submission{newLost("r", 0, 1)}, 0, true},
+		"lost, then refused":      {[]Submission{newLost("r", 0, 1), newProblem("r", api.ProblemUnavailable, 2, 3)}, 1, true},
+		"lost, then not run":      {[]Submission{newLost("r", 0, 1), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
+		"unknown, ran twice":      {[]Submission{newLost("r", 0, 1), newLost("r", 0, 1)}, 2, false},
+	}
+	for name, testCase := range cases {
+		attempts := []leaf.Execution{newExecution("other")}
+		for range testCase.executions {
+			attempts = append(attempts, newExecution("r"))
 		}
-		if violations := CheckOnce(each.submissions, attempts); (len(violations) == 0) != each.holds {
+		if violations := CheckOnce(testCase.submissions, attempts); (len(violations) == 0) != testCase.valid {
 			t.Errorf("%s: %v", name, violations)
 		}
 	}
 }
 
-func TestNotRunIsChecked(t *testing.T) {
-	refused := []Submission{problem("r", api.ProblemNotRunStale, 0, 1)}
+func TestCheckNotRun(t *testing.T) {
+	refused := []Submission{newProblem("r", api.ProblemNotRunStale, 0, 1)}
 	cancelled := leaf.Execution{RequestID: "r", Outcome: leaf.OutcomeCancelledRunning, Started: 1}
 	if len(CheckNotRun(refused, []leaf.Execution{cancelled})) != 1 {
 		t.Error("a started attempt is not noticed")
 	}
-	if violations := CheckNotRun(refused, []leaf.Execution{{RequestID: "r", Outcome: leaf.OutcomeRefused}, executed("q")}); len(violations) > 0 {
+	if violations := CheckNotRun(refused, []leaf.Execution{{RequestID: "r", Outcome: leaf.OutcomeRefused}, newExecution("q")}); len(violations) > 0 {
 		t.Error(violations)
 	}
 }
 
-func change(id string, fate api.Fate, revision uint64, from, to int) Change {
+func newChange(id string, fate api.Fate, revision uint64, from, to int) Change {
 	return Change{
-		Statement: id, Called: at(from), Returned: at(to),
+		Statement: id, Called: timeAt(from), Returned: timeAt(to),
 		Response: &api.StatementResponse{ChangeID: id, Fate: fate, Revision: revision},
 	}
 }
 
 // unanswered is a change whose caller got no reply.
-func unanswered(statement string, from int) Change {
-	return Change{Statement: statement, Called: at(from), Returned: at(from + 5), Err: errors.New("connection reset")}
+func newChangeWithoutReply(statement string, from int) Change {
+	return Change{Statement: statement, Called: timeAt(from), Returned: timeAt(from + 5), Err: errors.New("connection reset")}
 }
 
-func TestLogIsChecked(t *testing.T) {
+func TestCheckLog(t *testing.T) {
 	log := []catalog.AppliedChange{{ID: "a", Revision: 5}, {ID: "b", Revision: 6, Statement: "limit x concurrency 7"}, {ID: "c", Revision: 7}}
-	b := change("b", api.FateUnknown, 0, 10, 20)
+	b := newChange("b", api.FateUnknown, 0, 10, 20)
 	cases := map[string]struct {
 		changes []Change
-		holds   bool
+		valid   bool
 	}{
-		"in order":          {[]Change{change("a", api.FateInForce, 5, 0, 9), b, change("c", api.FateAccepted, 7, 21, 30)}, true},
-		"unknown came late": {[]Change{change("c", api.FateInForce, 7, 30, 40), b, change("a", api.FateInForce, 5, 0, 9)}, true},
-		"accepted, but lost": {[]Change{change("a", api.FateInForce, 5, 0, 9), b, change("c", api.FateInForce, 7, 21, 30),
-			change("d", api.FateAccepted, 8, 31, 40)}, false},
-		"other revision": {[]Change{change("a", api.FateInForce, 6, 0, 9), b, change("c", api.FateInForce, 7, 21, 30)}, false},
-		"not accepted, but there": {[]Change{change("a", api.FateInForce, 5, 0, 9), change("b", api.FateNotAccepted, 6, 10, 20),
-			change("c", api.FateInForce, 7, 21, 30)}, false},
-		"against time": {[]Change{change("a", api.FateInForce, 5, 40, 50), b, change("c", api.FateInForce, 7, 21, 30)}, false},
-		"no reply, but there": {[]Change{change("a", api.FateInForce, 5, 0, 9), unanswered("limit x concurrency 7 if revision 5", 10),
-			change("c", api.FateInForce, 7, 21, 30)}, true},
-		"no reply, made too late": {[]Change{change("a", api.FateInForce, 5, 0, 9), unanswered("limit x concurrency 7", 31),
-			change("c", api.FateInForce, 7, 21, 30)}, false},
-		"no reply, another there": {[]Change{change("a", api.FateInForce, 5, 0, 9), unanswered("limit x concurrency 8", 10),
-			change("c", api.FateInForce, 7, 21, 30)}, false},
-	}
-	for name, each := range cases {
-		if violations := CheckLog(each.changes, 4, log); (len(violations) == 0) != each.holds {
+		"in order":          {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateAccepted, 7, 21, 30)}, true},
+		"unknown came late": {[]Change{newChange("c", api.FateInForce, 7, 30, 40), b, newChange("a", api.FateInForce, 5, 0, 9)}, true},
+		"accepted, but lost": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateInForce, 7, 21, 30),
+			newChange("d", api.FateAccepted, 8, 31, 40)}, false},
+		"other revision": {[]Change{newChange("a", api.FateInForce, 6, 0, 9), b, newChange("c", api.FateInForce, 7, 21, 30)}, false},
+		"not accepted, but there": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChange("b", api.FateNotAccepted, 6, 10, 20),
+			newChange("c", api.FateInForce, 7, 21, 30)}, false},
+		"against time": {[]Change{newChange("a", api.FateInForce, 5, 40, 50), b, newChange("c", api.FateInForce, 7, 21, 30)}, false},
+		"no reply, but there": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7 if revision 5", 10),
+			newChange("c", api.FateInForce, 7, 21, 30)}, true},
+		"no reply, made too late": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7", 31),
+			newChange("c", api.FateInForce, 7, 21, 30)}, false},
+		"no reply, another there": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 8", 10),
+			newChange("c", api.FateInForce, 7, 21, 30)}, false},
+	}
+	for name, testCase := range cases {
+		if violations := CheckLog(testCase.changes, 4, log); (len(violations) == 0) != testCase.valid {
 			t.Errorf("%s: %v", name, violations)
 		}
 	}
 }
 
-func TestSightingsAreChecked(t *testing.T) {
-	accepted := []Change{change("a", api.FateAccepted, 5, 0, 10)}
+func TestCheckSightingsAndStopped(t *testing.T) {
+	accepted := []Change{newChange("a", api.FateAccepted, 5, 0, 10)}
 	bound := 100 * time.Millisecond
 	cases := map[string]struct {
 		sightings []Sighting
-		holds     bool
+		valid     bool
 	}{
-		"in time":        {[]Sighting{{Process: "n", Called: at(50), Revision: 4, Fresh: true}, {Process: "n", Called: at(120), Revision: 5, Fresh: true}}, true},
-		"late, no work":  {[]Sighting{{Process: "n", Called: at(120), Revision: 4}}, true},
-		"late":           {[]Sighting{{Process: "n", Called: at(120), Revision: 4, Fresh: true}}, false},
-		"falls":          {[]Sighting{{Process: "n", Called: at(5), Revision: 5}, {Process: "n", Called: at(6), Revision: 4}}, false},
-		"other starts":   {[]Sighting{{Process: "n", Called: at(5), Revision: 5}, {Process: "m", Called: at(6), Revision: 4}}, true},
+		"in time":        {[]Sighting{{Process: "n", Called: timeAt(50), Revision: 4, Fresh: true}, {Process: "n", Called: timeAt(120), Revision: 5, Fresh: true}}, true},
+		"late, no work":  {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4}}, true},
+		"late":           {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4, Fresh: true}}, false},
+		"falls":          {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "n", Called: timeAt(6), Revision: 4}}, false},
+		"other starts":   {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "m", Called: timeAt(6), Revision: 4}}, true},
 		"nothing at all": {nil, true},
 	}
-	for name, each := range cases {
-		if violations := CheckSightings(each.sightings, accepted, bound); (len(violations) == 0) != each.holds {
+	for name, testCase := range cases {
+		if violations := CheckSightings(testCase.sightings, accepted, bound); (len(violations) == 0) != testCase.valid {
 			t.Errorf("%s: %v", name, violations)
 		}
 	}
-	late := []Submission{answered("r", 111, 112)}
-	if len(CheckStopped(late, accepted[0], at(200), bound)) != 1 || len(CheckStopped(late, accepted[0], at(105), bound)) != 0 {
+	late := []Submission{newAnswered("r", 111, 112)}
+	if len(CheckStopped(late, accepted[0], timeAt(200), bound)) != 1 || len(CheckStopped(late, accepted[0], timeAt(105), bound)) != 0 {
 		t.Error("answers of a stopped service")
 	}
 }
 
-func TestWorkIsChecked(t *testing.T) {
-	late := leaf.Execution{AttemptID: "a", Outcome: leaf.OutcomeRefused, Arrived: at(5001).UnixMicro()}
+func TestCheckLeavingCutOffAndCancelled(t *testing.T) {
+	late := leaf.Execution{AttemptID: "a", Outcome: leaf.OutcomeRefused, Arrived: timeAt(5001).UnixMicro()}
 	if len(CheckLeaving("leaf", []leaf.Execution{late}, origin, 5*time.Second)) != 1 {
 		t.Error("a late arrival is not noticed")
 	}
 	if len(CheckLeaving("leaf", []leaf.Execution{late}, origin, 6*time.Second)) != 0 {
 		t.Error("an arrival in time is a violation")
 	}
-	whole := []Submission{wholeAnswer(), problem("r", api.ProblemNotRunDraining, 0, 1)}
-	cut := []Submission{wholeAnswer(1), lost("r", 0, 1), problem("r", api.ProblemFailed, 0, 1), problem("r", api.ProblemOutcomeUnknown, 0, 1)}
-	if violations := CheckNothingCutOff(append(whole, cut...)); len(violations) != len(cut) {
+	complete := []Submission{newSelect(), newProblem("r", api.ProblemNotRunDraining, 0, 1)}
+	incomplete := []Submission{newSelect(1), newLost("r", 0, 1), newProblem("r", api.ProblemFailed, 0, 1), newProblem("r", api.ProblemOutcomeUnknown, 0, 1)}
+	if violations := CheckNothingCutOff(append(complete, incomplete...)); len(violations) != len(incomplete) {
 		t.Error(violations)
 	}
 	cancelled := leaf.Execution{RequestID: "r", Shard: 1, Outcome: leaf.OutcomeCancelledQueued}
-	if len(CheckNoneCancelled([]leaf.Execution{cancelled, executed("r"), late})) != 1 {
+	if len(CheckNoneCancelled([]leaf.Execution{cancelled, newExecution("r"), late})) != 1 {
 		t.Error("a cancelled attempt is not noticed")
 	}
-	replaced := executed("r")
+	replaced := newExecution("r")
 	replaced.Shard = 1
 	if len(CheckNoneCancelled([]leaf.Execution{cancelled, replaced})) != 0 {
 		t.Error("an attempt that was replaced counts as cut off")
--- a/internal/rehearsal/history/once.go
+++ b/internal/rehearsal/history/once.go
@@ -28,8 +28,8 @@
 	}
 	var violations []Violation
 	for _, submission := range submissions {
-		attempt, ran := started[submission.Request.RequestID]
-		if submission.NotRun() && ran {
+		attempt, ok := started[submission.Request.RequestID]
+		if submission.NotRun() && ok {
 			violations = append(violations, Violation{
 				Promise: "not run", Subject: submission.Request.RequestID,
 				Detail: fmt.Sprintf("%s by %s, but shard %d: %s", submission.Fate(), submission.Node, attempt.Shard, attempt.Outcome),
@@ -40,10 +40,10 @@
 }
 
 // onceKind is what one operation on a request id is.
-type onceKind int
+type onceOperationKind int
 
 const (
-	onceAnswered onceKind = iota
+	onceAnswered onceOperationKind = iota
 	onceNotRun
 	onceRefused
 	onceUnknown
@@ -53,7 +53,7 @@
 
 type onceInput struct {
 	id   string
-	kind onceKind
+	kind onceOperationKind
 	// executions is what an audit found.
 	executions int
 }
@@ -62,15 +62,15 @@
 // request has run. A submission takes effect at one moment between its call
 // and its return; one that is unknown, at any later moment or never.
 var onceModel = porcupine.NondeterministicModel{
-	Partition: partitionByID,
+	Partition: partitionByRequestID,
 	Init:      func() []any { return []any{false} },
-	Step:      stepOnce,
+	Step:      stepOnceModel,
 	DescribeOperation: func(input, _ any) string {
 		return fmt.Sprintf("%+v", input)
 	},
 }
 
-func stepOnce(state, input, _ any) []any {
+func stepOnceModel(state, input, _ any) []any {
 	ran := state.(bool)
 	operation := input.(onceInput)
 	switch operation.kind {
@@ -86,11 +86,11 @@
 		}
 		return []any{false, true}
 	}
-	wanted := 0
+	expected := 0
 	if ran {
-		wanted = 1
+		expected = 1
 	}
-	return statesIf(operation.executions == wanted, ran)
+	return statesIf(operation.executions == expected, ran)
 }
 
 func statesIf(allowed, state bool) []any {
@@ -100,7 +100,7 @@
 	return []any{state}
 }
 
-func partitionByID(history []porcupine.Operation) [][]porcupine.Operation {
+func partitionByRequestID(history []porcupine.Operation) [][]porcupine.Operation {
 	slices.SortStableFunc(history, func(a, b porcupine.Operation) int {
 		return cmp.Compare(a.Input.(onceInput).id, b.Input.(onceInput).id)
 	})
@@ -128,26 +128,26 @@
 	histories := make(map[string][]porcupine.Operation)
 	for _, submission := range submissions {
 		id := submission.Request.RequestID
-		histories[id] = append(histories[id], onceOperation(submission))
+		histories[id] = append(histories[id], newOnceOperation(submission))
 	}
 	var violations []Violation
 	for id, operations := range histories {
-		operations = append(operations, onceAuditOf(id, executions[id]))
+		operations = append(operations, newOnceAudit(id, executions[id]))
 		if porcupine.CheckOperationsTimeout(onceModel.ToModel(), operations, checkTimeout) == porcupine.Ok {
 			continue
 		}
 		violations = append(violations, Violation{
 			Promise: "at most once", Subject: id,
-			Detail: fmt.Sprintf("%d executions; submissions: %s", executions[id], fatesOf(submissions, id)),
+			Detail: fmt.Sprintf("%d executions; submissions: %s", executions[id], describeSubmissions(submissions, id)),
 		})
 	}
 	return violations
 }
 
-func onceOperation(submission Submission) porcupine.Operation {
+func newOnceOperation(submission Submission) porcupine.Operation {
 	operation := porcupine.Operation{
 		ClientId: submission.Caller,
-		Input:    onceInput{id: submission.Request.RequestID, kind: onceKindOf(submission)},
+		Input:    onceInput{id: submission.Request.RequestID, kind: classifySubmission(submission)},
 		Call:     submission.Called.UnixNano(),
 		Return:   submission.Returned.UnixNano(),
 	}
@@ -157,7 +157,7 @@
 	return operation
 }
 
-func onceAuditOf(id string, executions int) porcupine.Operation {
+func newOnceAudit(id string, executions int) porcupine.Operation {
 	return porcupine.Operation{
 		Input:  onceInput{id: id, kind: onceAudit, executions: executions},
 		Call:   math.MaxInt64 - 1,
@@ -165,7 +165,7 @@
 	}
 }
 
-func onceKindOf(submission Submission) onceKind {
+func classifySubmission(submission Submission) onceOperationKind {
 	switch {
 	case submission.Answer != nil && submission.Answer.Outcome == dispatch.OutcomeAnswered:
 		return onceAnswered
@@ -177,7 +177,7 @@
 	return onceUnknown
 }
 
-func fatesOf(submissions []Submission, id string) string {
+func describeSubmissions(submissions []Submission, id string) string {
 	var text string
 	for _, submission := range submissions {
 		if submission.Request.RequestID == id {
--- a/internal/rehearsal/history/rows.go
+++ b/internal/rehearsal/history/rows.go
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("select * from %s where lane = '%s' and weight <= %g", service, f.Lane, f.Weight)
 }
 
-func (f Filter) keeps(row rows.Row) bool {
+func (f Filter) matches(row rows.Row) bool {
 	return row[laneColumn].Text == f.Lane && row[weightColumn].Number <= f.Weight
 }
 
@@ -57,8 +57,8 @@
 	return truth
 }
 
-func (t *Truth) table(key shardKey) []rows.Row {
-	if table, known := t.tables[key]; known {
+func (t *Truth) generateTable(key shardKey) []rows.Row {
+	if table, ok := t.tables[key]; ok {
 		return table
 	}
 	table := leaf.Rows(key.service, key.snapshot, key.shard, t.shards[key.snapshot.Epoch]).Rows
@@ -97,18 +97,18 @@
 	if coverage.Total != total || coverage.Answered+len(coverage.Missing) != total {
 		return fmt.Sprintf("coverage %+v of %d shards in epoch %d", coverage, total, answer.Snapshot.Epoch)
 	}
-	return difference(answer.Rows, t.expected(submission))
+	return describeDifference(answer.Rows, t.expectedRows(submission))
 }
 
-func (t *Truth) expected(submission Submission) []rows.Row {
+func (t *Truth) expectedRows(submission Submission) []rows.Row {
 	answer := submission.Answer
 	var expected []rows.Row
 	for shard := range answer.Coverage.Total {
 		if slices.Contains(answer.Coverage.Missing, shard) {
 			continue
 		}
-		for _, row := range t.table(shardKey{submission.Service, answer.Snapshot, shard}) {
-			if submission.Filter.keeps(row) {
+		for _, row := range t.generateTable(shardKey{submission.Service, answer.Snapshot, shard}) {
+			if submission.Filter.matches(row) {
 				expected = append(expected, row)
 			}
 		}
@@ -118,21 +118,21 @@
 
 // difference describes how the rows found differ from those expected, as sets
 // of the key; empty if they do not.
-func difference(found, expected []rows.Row) string {
-	found, expected = byQuote(found), byQuote(expected)
-	if len(found) != len(expected) {
-		return fmt.Sprintf("%d rows, expected %d", len(found), len(expected))
+func describeDifference(got, want []rows.Row) string {
+	got, want = sortByQuote(got), sortByQuote(want)
+	if len(got) != len(want) {
+		return fmt.Sprintf("%d rows, expected %d", len(got), len(want))
 	}
-	for index := range found {
-		if !slices.Equal(found[index], expected[index]) {
-			return fmt.Sprintf("row %v, expected %v", found[index], expected[index])
+	for index := range got {
+		if !slices.Equal(got[index], want[index]) {
+			return fmt.Sprintf("row %v, expected %v", got[index], want[index])
 		}
 	}
 	return ""
 }
 
-func byQuote(unordered []rows.Row) []rows.Row {
-	ordered := slices.Clone(unordered)
-	slices.SortFunc(ordered, func(a, b rows.Row) int { return cmp.Compare(a[quoteColumn].Text, b[quoteColumn].Text) })
-	return ordered
+func sortByQuote(table []rows.Row) []rows.Row {
+	sorted := slices.Clone(table)
+	slices.SortFunc(sorted, func(a, b rows.Row) int { return cmp.Compare(a[quoteColumn].Text, b[quoteColumn].Text) })
+	return sorted
 }
