--- a/internal/selfhosted/node/admission.go
+++ b/internal/selfhosted/node/admission.go
@@ -7,16 +7,16 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-// Reasons for which a node does not take work.
+// Reasons for which a node refuses to start or send work.
 var (
-	errNotFresh        = errors.New("the catalog may be out of date")
-	errDraining        = errors.New("the node is leaving")
+	errNotFresh        = errors.New("the catalog may be outdated")
+	errDraining        = errors.New("the node is draining")
 	errSuperseded      = errors.New("another process has taken over the slot of this node")
-	errMarksOutdated   = errors.New("other nodes have not been asked of late which leaves are leaving")
-	errLeavesNotPolled = errors.New("some leaves have not been asked for their load yet")
+	errMarksOutdated   = errors.New("the marks of leaving leaves have not been synchronized recently")
+	errLeavesNotPolled = errors.New("some leaves have not been polled for their load yet")
 )
 
-// catalogs gives the runner of queries what is in force.
+// catalogSource gives the query runner the installed catalog and its freshness.
 type catalogSource struct {
 	node *Node
 }
@@ -24,10 +24,11 @@
 // Current returns the installed catalog.
 func (c catalogSource) Current() *catalog.Catalog { return c.node.dissemination.Current() }
 
-// Fresh reports whether the node may take work now.
+// Fresh reports whether the node may start work now.
 func (c catalogSource) Fresh() bool { return c.node.admit() == nil }
 
-// mayAct says directly before a send whether the node may still send work.
+// checkSend returns an error if the node must not send work to leaves. Guards call it directly
+// before each send.
 func (n *Node) checkSend() error {
 	if n.membership.Superseded() {
 		return errSuperseded
@@ -41,8 +42,8 @@
 	return nil
 }
 
-// admit says whether work may begin now. It installs the newest catalog first,
-// so that what is decided from here on follows it.
+// admit returns an error if the node must not start work. Otherwise it installs the newest catalog,
+// so that later decisions are based on it.
 func (n *Node) admit() error {
 	if err := n.checkSend(); err != nil {
 		return err
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// ready says whether the node takes work from callers.
+// checkReady returns an error if the node does not accept queries from callers.
 func (n *Node) checkReady() error {
 	select {
 	case <-n.draining:
--- a/internal/selfhosted/node/benchmark_test.go
+++ b/internal/selfhosted/node/benchmark_test.go
@@ -15,16 +15,16 @@
 
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/leaf"
-	standinleaf "github.com/micaplank/micaplank/internal/rehearsal/leaf"
+	rehearsalleaf "github.com/micaplank/micaplank/internal/rehearsal/leaf"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 const benchmarkStatement = "select * from filing-vault where quote = 'Q-17'"
 
-// BenchmarkAddedLatency asks one idle leaf without service time for one key,
-// directly by the leaf protocol and through an idle node. The difference of
-// the medians is the time that a node adds.
+// BenchmarkAddedLatency reads one key from an idle leaf without service time, directly over the
+// leaf protocol and through an idle node. The difference of the medians is the latency that a node
+// adds.
 func BenchmarkAddedLatency(b *testing.B) {
 	leafServer := startBenchmarkLeaf(b)
 	running := startNode(b)
@@ -36,7 +36,7 @@
 		fmt.Sprintf("add leaf %s to filing-vault zone a shards 0", leafServer.Address()),
 	} {
 		if output, err := running.exec(statement, operator.ExecOptions{}); err != nil {
-			b.Fatal(statement, output, err)
+			b.Fatalf("%s: got output %q and error %v, want success", statement, output, err)
 		}
 	}
 	running.waitUntilReady(b)
@@ -46,13 +46,14 @@
 	<-running.runResult
 }
 
-func startBenchmarkLeaf(b *testing.B) *standinleaf.Server {
-	config := standinleaf.DefaultConfig()
+// startBenchmarkLeaf starts a leaf that holds one shard and answers without delay.
+func startBenchmarkLeaf(b *testing.B) *rehearsalleaf.Server {
+	config := rehearsalleaf.DefaultConfig()
 	config.Service, config.Zone = "filing-vault", "a"
 	config.Versions = []uint64{1}
-	config.Partitions = []standinleaf.Partition{{Epoch: 1, Shards: 1, Hold: []int{0}}}
-	config.Select = standinleaf.ServiceTime{}
-	server, err := standinleaf.Start(config, slog.New(slog.DiscardHandler))
+	config.Partitions = []rehearsalleaf.Partition{{Epoch: 1, Shards: 1, Hold: []int{0}}}
+	config.Select = rehearsalleaf.ServiceTime{}
+	server, err := rehearsalleaf.Start(config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -60,7 +61,7 @@
 	return server
 }
 
-// measureMedian reports the median time of a call, in microseconds.
+// benchmarkMedian reports the median duration of a call in microseconds.
 func benchmarkMedian(b *testing.B, call func()) {
 	call()
 	var durations []time.Duration
@@ -74,7 +75,8 @@
 	b.ReportMetric(float64(durations[len(durations)/2].Microseconds()), "median-us")
 }
 
-func newDirectCall(b *testing.B, leafServer *standinleaf.Server) func() {
+// newDirectCall returns a function that runs the statement on the leaf itself.
+func newDirectCall(b *testing.B, leafServer *rehearsalleaf.Server) func() {
 	client := leaf.New(leaf.Config{}, nil)
 	b.Cleanup(client.Close)
 	request := leaf.ExecuteRequest{
@@ -84,11 +86,12 @@
 	return func() {
 		response, err := client.Execute(context.Background(), leafServer.Address(), request)
 		if err != nil || !response.Executed {
-			b.Fatal(response, err)
+			b.Fatalf("execute: got %+v and error %v, want an executed statement", response, err)
 		}
 	}
 }
 
+// newNodeCall returns a function that runs the statement through the HTTP interface of a node.
 func newNodeCall(b *testing.B, running *runningNode) func() {
 	client := &http.Client{}
 	b.Cleanup(client.CloseIdleConnections)
@@ -105,7 +108,7 @@
 		content, _ := io.ReadAll(response.Body)
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			b.Fatalf("%s", content)
+			b.Fatalf("query: got status %d with body %s, want %d", response.StatusCode, content, http.StatusOK)
 		}
 	}
 }
--- a/internal/selfhosted/node/build.go
+++ b/internal/selfhosted/node/build.go
@@ -22,6 +22,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
+// listenPeer opens the peer server and the datagram socket, and creates the client for calls to
+// other nodes.
 func (n *Node) listenPeer() (err error) {
 	n.peerServer, n.datagrams, err = peer.ListenPair(n.settings.Listen.Peer, n.registry)
 	if err != nil {
@@ -31,6 +33,7 @@
 	return nil
 }
 
+// listenHTTP opens the listener of the HTTP interface.
 func (n *Node) listenHTTP() (err error) {
 	n.httpListener, err = net.Listen("tcp", n.settings.Listen.HTTP.String())
 	if err != nil {
@@ -39,12 +42,13 @@
 	return nil
 }
 
+// createStoreClient creates the client of the external store.
 func (n *Node) createStoreClient() (err error) {
 	n.store, err = store.New(storeConfig(n.settings.Store), n.registry)
 	return err
 }
 
-// buildControl makes the parts that keep the catalog and the members.
+// buildControlPlane creates the parts that maintain the catalog and the member list.
 func (n *Node) buildControlPlane() {
 	n.buildMembership()
 	n.buildDissemination()
@@ -90,8 +94,7 @@
 	})
 }
 
-// buildQueryPath makes the parts that run queries, from the leaves up to the
-// interface of callers.
+// buildQueryPath creates the parts that run queries, from the leaf client up to the HTTP interface.
 func (n *Node) buildQueryPath() {
 	n.buildLeaves()
 	n.buildQueries()
@@ -101,8 +104,8 @@
 
 func (n *Node) buildLeaves() {
 	clientConfig := leafConfig(n.settings.Leaf)
-	// Scatter asks before it hands an attempt over; the client asks again
-	// directly before the first byte, since a freeze may lie in between.
+	// Scatter checks before it hands an attempt over. The client checks again directly before it
+	// writes the first byte, because the process may have been suspended in between.
 	clientConfig.Guard = n.checkSend
 	n.leafClient = leaf.New(clientConfig, n.registry)
 	dispatchConfig := dispatch.DefaultConfig()
@@ -153,6 +156,7 @@
 	n.httpServer = &http.Server{Handler: n.gateway, ReadHeaderTimeout: readHeaderTimeout}
 }
 
+// newRandom returns a random generator seeded with the incarnation and the peer port.
 func (n *Node) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(n.incarnation, uint64(n.PeerAddress().Port())))
 }
--- a/internal/selfhosted/node/collector.go
+++ b/internal/selfhosted/node/collector.go
@@ -8,13 +8,13 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// leafStates are the states that a leaf can be in, in the order of the metric.
+// leafStates lists all states of a leaf in the order in which the metric reports them.
 var leafStates = []api.LeafState{
 	api.LeafUsable, api.LeafProbation, api.LeafCold, api.LeafDraining, api.LeafLeaving, api.LeafUnreachable,
 }
 
-// collector shows, when the metrics are read, what the dispatchers and the
-// topology know. Both keep their own counts, since they are pure.
+// collector exports the counters of the dispatchers and the leaf states of the topology at each
+// scrape. Those packages perform no I/O and keep their own counts, so they do not register metrics.
 type collector struct {
 	node      *Node
 	attempts  *prometheus.Desc
@@ -30,18 +30,18 @@
 	return &collector{
 		node: node,
 		attempts: prometheus.NewDesc("micaplank_dispatch_attempts_total",
-			"Attempts sent to leaves, by service and cause: needed, resend (the former did not execute), or extra: hedge, probe, retry or restart.",
+			"Attempts sent to leaves, by service and cause: needed, resend (the previous attempt did not execute), or extra: hedge, probe, retry or restart.",
 			[]string{"service", "cause"}, nil),
 		hedgesWon: prometheus.NewDesc("micaplank_dispatch_hedges_won_total",
 			"Shards answered by a hedge or a probe, by service.", service, nil),
 		inFlight: prometheus.NewDesc("micaplank_dispatch_queries",
-			"Queries that have not ended, waiting or running, by service.", service, nil),
+			"Queries in progress, waiting or running, by service.", service, nil),
 		leaves: prometheus.NewDesc("micaplank_topology_leaves",
-			"Leaves of the catalog, by service and state as this node sees them.", []string{"service", "state"}, nil),
+			"Leaves of the catalog, by service and state, as observed by this node.", []string{"service", "state"}, nil),
 	}
 }
 
-// MetricTypes returns the types of the metrics, also before there is a sample.
+// MetricTypes returns the type of each metric. It is needed for metrics that have no sample yet.
 func (c *collector) MetricTypes() map[string]telemetry.MetricType {
 	return map[string]telemetry.MetricType{
 		"micaplank_dispatch_attempts_total":   telemetry.TypeCounter,
@@ -80,7 +80,7 @@
 	metrics <- prometheus.MustNewConstMetric(c.hedgesWon, prometheus.CounterValue, float64(counters.HedgesWon), service)
 }
 
-// countLeaves counts the leaves of each service by state.
+// countLeaves returns the number of leaves by service and state.
 func countLeaves(statuses []api.LeafStatus) map[string]map[api.LeafState]int {
 	counts := make(map[string]map[api.LeafState]int)
 	for _, status := range statuses {
--- a/internal/selfhosted/node/collector_test.go
+++ b/internal/selfhosted/node/collector_test.go
@@ -12,6 +12,6 @@
 		{Service: "a", State: api.LeafCold}, {Service: "b", State: api.LeafLeaving},
 	})
 	if counts["a"][api.LeafUsable] != 2 || counts["a"][api.LeafCold] != 1 || counts["b"][api.LeafLeaving] != 1 || len(counts) != 2 {
-		t.Errorf("got %v", counts)
+		t.Errorf("got %v, want 2 usable and 1 cold in service a, 1 leaving in service b", counts)
 	}
 }
--- a/internal/selfhosted/node/dissemination.go
+++ b/internal/selfhosted/node/dissemination.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/membership"
 )
 
-// disseminationMembers lists the members as the dissemination needs them.
+// disseminationMembers converts the member list to the form that package dissemination uses.
 func (n *Node) disseminationMembers() []dissemination.Member {
 	listed := n.membership.Members()
 	members := make([]dissemination.Member, len(listed))
@@ -23,19 +23,18 @@
 	return members
 }
 
-// ownershipProved reports whether this node is fresh, and a majority of the
-// voters that know this process answered, to requests sent after the given
-// reading of the clock, that they hold the revision.
+// isOwnershipProved reports whether this node is fresh and a majority of the voters that recognize
+// this process confirmed, in response to requests sent after the given clock reading, that they
+// hold the revision.
 func (n *Node) isOwnershipProved(after time.Duration, revision uint64) bool {
 	held, proved := n.dissemination.HeldAt(revision)
 	return proved && held > after && n.dissemination.Fresh()
 }
 
-// acknowledged reports whether a majority of the voters that know this process
-// answered requests sent within the freshness window. A process whose slot was
-// taken over learns of it from them; reading the store alone, it would not.
-// The time of sending counts: after a freeze, answers that waited in the socket
-// prove nothing.
+// isAcknowledgedByMajority reports whether a majority of the voters that recognize this process
+// responded to requests sent within the freshness window. The voters tell a process that its slot
+// was taken over; the store alone would not. The time of sending counts, because responses that
+// were buffered in the socket while the process was suspended prove nothing.
 func (n *Node) isAcknowledgedByMajority() bool {
 	held, proved := n.dissemination.HeldAt(0)
 	return proved && held > n.clock.Now()-n.settings.Freshness.Window.Duration()
--- a/internal/selfhosted/node/install_catalog.go
+++ b/internal/selfhosted/node/install_catalog.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// installation is the revision up to which the parts that act on the catalog
-// have received it.
+// installState holds the newest catalog revision that has been passed to all parts that use the
+// catalog. The mutex serializes installations.
 type installState struct {
 	revision atomic.Uint64
 	mutex    sync.Mutex
 }
 
-// install hands the newest catalog to the parts that act on it, unless they
-// have it. It returns when they do. Freshness is a statement about the newest catalog,
-// so whoever relies on it calls install: a node that has just resumed is fresh
-// again before followCatalog has run.
+// installCatalog passes the newest catalog to the parts that use it, unless they already have it,
+// and returns when they have it. Freshness refers to the newest catalog, so code that relies on
+// freshness calls installCatalog first: a node that has just resumed can be fresh again before
+// watchCatalog has run.
 func (n *Node) installCatalog() {
 	if n.installState.revision.Load() >= n.dissemination.Current().Revision {
 		return
--- a/internal/selfhosted/node/mark_sync.go
+++ b/internal/selfhosted/node/mark_sync.go
@@ -11,45 +11,47 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-// Notices of leaving leaves are pushed once. A node that was frozen or cut off
-// at that time would go on sending work, so each node also asks another one for
-// all marks, regularly, and sends no work unless it has done so of late.
+// A notice of a leaving leaf is pushed to the other nodes. A node that is suspended or partitioned at
+// that time misses the push and would continue to send work to the leaf. Each node therefore also
+// fetches all marks from another node periodically, and sends no work unless a fetch succeeded
+// recently.
 const (
-	// marksInterval is the time between two such questions.
+	// markSyncInterval is the time between two synchronizations.
 	markSyncInterval = time.Second
-	// marksRetry is the time after which a failed question is repeated.
+	// markSyncRetryDelay is the time until a failed synchronization is retried.
 	markSyncRetryDelay = 200 * time.Millisecond
-	// marksTimeout bounds one question.
+	// markSyncTimeout bounds one call for the marks.
 	markSyncTimeout = 500 * time.Millisecond
-	// marksLifetime is how long a node sends work after its last question
-	// that was answered. A leaf that is called leaving gets no new work after
-	// this time plus a few round trips, by no node.
+	// markSyncValidity is how long a node may send work after the start of its last successful
+	// synchronization. A leaf that is marked as leaving receives no new work from any node after
+	// this time plus a few round trips.
 	markSyncValidity = 3 * time.Second
-	// marksAsked is how many members are asked at most in one round.
+	// markSyncMaximumPeers bounds the members that one synchronization calls.
 	markSyncMaximumPeers = 5
 )
 
-// marksCall asks for the marks in force.
+// marksRequest asks a node for its marks of leaving leaves.
 type marksRequest struct {
 	From string
 }
 
-// marksReply holds them. InStep says that the answering node has been in touch
-// with others of late itself.
+// marksResponse holds the marks of the responding node. InStep reports whether its own last
+// synchronization is still valid.
 type marksResponse struct {
 	Notices []topology.Notice
 	InStep  bool
 }
 
-// marksClock remembers when this node last was in step with the marks of
-// others. It is safe for concurrent use.
+// markSyncState records when this node last synchronized its marks with other nodes. It is safe for
+// concurrent use.
 type markSyncState struct {
-	// at is a reading of the node's clock, in nanoseconds; zero means never.
+	// syncedAt is a reading of the node's clock in nanoseconds; zero means never.
 	syncedAt atomic.Int64
 }
 
 func (c *markSyncState) recordSync(now time.Duration) { c.syncedAt.Store(int64(now)) }
 
+// isCurrent reports whether the last synchronization is still valid.
 func (c *markSyncState) isCurrent(now time.Duration) bool {
 	at := time.Duration(c.syncedAt.Load())
 	return at > 0 && now-at < markSyncValidity
@@ -59,7 +61,8 @@
 	return &marksResponse{Notices: n.healthCheck.Marks(), InStep: n.markSync.isCurrent(n.clock.Now())}, nil
 }
 
-// followMarks keeps the marks of leaving leaves in step with other nodes.
+// runMarkSync synchronizes the marks of leaving leaves until the node closes. The start of a
+// synchronization counts as its time, since its responses may miss marks that were set later.
 func (n *Node) runMarkSync() {
 	startedAt := n.clock.Now()
 	for {
@@ -77,14 +80,14 @@
 	}
 }
 
-// askForMarks asks members, one after the other, until one that is in step
-// answers, or some have answered and none is: then nobody knows more. It
-// reports whether this node is in step now.
+// syncMarks calls members one after the other until a member whose marks are current responds. If
+// all called members respond and none is current, no member has newer marks and the synchronization
+// counts as successful too. It reports success.
 func (n *Node) syncMarks(startedAt time.Duration) bool {
 	others := n.listOtherMembers()
 	if len(others) == 0 {
-		// A node without company is alone, or has just started and does
-		// not know the others yet.
+		// Without other members, the node is either the only one or has just started and has not
+		// discovered the others yet.
 		return n.isOnlyVoter() || n.clock.Now()-startedAt >= markSyncValidity
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -113,7 +116,7 @@
 	return response, err
 }
 
-// otherMembers returns the members that may be up, without this node.
+// listOtherMembers returns the members, except for this node, that are not known to be gone.
 func (n *Node) listOtherMembers() []membership.Member {
 	var others []membership.Member
 	for _, member := range n.membership.Members() {
@@ -124,6 +127,7 @@
 	return others
 }
 
+// isOnlyVoter reports whether the catalog has no voter besides this node.
 func (n *Node) isOnlyVoter() bool {
 	voters := n.dissemination.Current().VoterNames()
 	return len(voters) == 0 || len(voters) == 1 && voters[0] == n.settings.Name
--- a/internal/selfhosted/node/metrics_page_test.go
+++ b/internal/selfhosted/node/metrics_page_test.go
@@ -25,7 +25,7 @@
 
 `
 
-// buildNode makes a node with all its parts; it does not run.
+// newTestNode builds a node without starting it.
 func newTestNode(t *testing.T) (*Node, *telemetry.Registry) {
 	t.Helper()
 	configured := settings.Example()
@@ -43,7 +43,7 @@
 	return node, registry
 }
 
-// TestMetricsPage keeps docs/METRICS.md equal to what a node registers.
+// TestMetricsPage checks that docs/METRICS.md describes exactly the metrics that a node registers.
 func TestMetricsPage(t *testing.T) {
 	_, registry := newTestNode(t)
 	metrics, err := registry.Metrics("micaplank_")
@@ -60,16 +60,16 @@
 
 var (
 	nameWithUnit = regexp.MustCompile(`^micaplank_[a-z]+_[a-z_]*(_seconds|_bytes|_info|_total)$`)
-	// countedThings is the name of a gauge that counts things: they are its
-	// unit.
+	// countGaugeName matches gauges that are named after what they count.
 	countGaugeName = regexp.MustCompile(`^micaplank(_[a-z]+)+_(members|leaves|queries|connections|zones|watches_open)$`)
-	// truth is the text of a gauge that is 1 or 0.
+	// booleanGaugeHelp matches the help text of a gauge that is 1 or 0.
 	booleanGaugeHelp = regexp.MustCompile(`^Whether .*\(1\) or not \(0\)\.$`)
-	// plainNumbers are neither: an ordinal and a score.
+	// unitlessMetrics are the metrics that have no unit: a constant, an ordinal and a score.
 	unitlessMetrics = []string{"micaplank_build_info", "micaplank_dissemination_revision", "micaplank_membership_health_score"}
 )
 
-// hasUnit says whether a name tells the unit, or the text that there is none.
+// hasUnit reports whether the name of a metric contains its unit, or the metric is one that needs
+// none.
 func hasUnit(metric telemetry.Metric) bool {
 	if nameWithUnit.MatchString(metric.Name) || slices.Contains(unitlessMetrics, metric.Name) {
 		return true
@@ -77,7 +77,8 @@
 	return metric.Type == telemetry.TypeGauge && (countGaugeName.MatchString(metric.Name) || booleanGaugeHelp.MatchString(metric.Help))
 }
 
-// TestEveryMetricHasItsUnitInItsName checks names, types and texts.
+// TestMetricNamesIncludeUnits checks that counters, and only they, end in _total, that names
+// contain units, and that each metric has a type and a help text.
 func TestMetricNamesIncludeUnits(t *testing.T) {
 	_, registry := newTestNode(t)
 	metrics, err := registry.Metrics("micaplank_")
@@ -87,13 +88,13 @@
 	for _, metric := range metrics {
 		isTotal := strings.HasSuffix(metric.Name, "_total")
 		if (metric.Type == telemetry.TypeCounter) != isTotal {
-			t.Errorf("%s is a %s", metric.Name, metric.Type)
+			t.Errorf("%s: got type %s, want a counter exactly if the name ends in _total", metric.Name, metric.Type)
 		}
 		if !hasUnit(metric) {
-			t.Errorf("%s (%s) has no unit in its name", metric.Name, metric.Type)
+			t.Errorf("%s: got a %s without a unit, want the unit in the name", metric.Name, metric.Type)
 		}
 		if metric.Type == telemetry.TypeUnknown || !strings.HasSuffix(metric.Help, ".") {
-			t.Errorf("%s: type %s, help %q", metric.Name, metric.Type, metric.Help)
+			t.Errorf("%s: got type %s and help %q, want a known type and a help text that ends with a period", metric.Name, metric.Type, metric.Help)
 		}
 	}
 }
--- a/internal/selfhosted/node/node.go
+++ b/internal/selfhosted/node/node.go
@@ -1,11 +1,10 @@
-// Package node wires one query node of micaplank together, starts it, drains it
-// and stops it. It holds no decisions of its own.
+// Package node assembles the parts of a micaplank query node, starts and drains the node, and stops
+// it.
 //
-// It owns the sockets, the background work and the planned stop. It relies on
-// membership for the other nodes, on dissemination for the catalog and the proof
-// that it is current, on topology for the leaves, on query for callers' requests,
-// and on gateway for the HTTP interface; what they need of each other is passed
-// here.
+// It owns the sockets, the background tasks and the planned stop. Package membership tracks the other
+// nodes, dissemination replicates the catalog and proves that it is current, topology tracks the
+// leaves, query runs callers' requests, and gateway serves the HTTP interface. This package passes
+// each of them what it needs from the others.
 package node
 
 import (
@@ -31,7 +30,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// Node is one running query node.
+// Node is a query node.
 type Node struct {
 	settings    settings.Settings
 	logger      *slog.Logger
@@ -61,13 +60,13 @@
 	// draining is closed when the planned stop begins.
 	draining        chan struct{}
 	backgroundTasks sync.WaitGroup
-	// running ends the background work when it is cancelled.
+	// backgroundContext is cancelled to end the background tasks.
 	backgroundContext context.Context
 	cancelBackground  context.CancelFunc
 }
 
-// New opens the node's sockets and builds its parts; nothing runs yet. After
-// an error nothing stays open.
+// New opens the node's sockets and builds its parts without starting them. It closes all sockets if
+// it returns an error.
 func New(config settings.Settings, registry *telemetry.Registry, logger *slog.Logger) (*Node, error) {
 	n := &Node{
 		settings:    config,
@@ -91,7 +90,7 @@
 	return n, nil
 }
 
-// closeSockets closes what New had opened.
+// closeSockets closes what New opened.
 func (n *Node) closeSockets() {
 	n.cancelBackground()
 	if n.httpListener != nil {
@@ -104,16 +103,17 @@
 	}
 }
 
-// HTTPAddress is where callers and operators reach the node.
+// HTTPAddress returns the address of the HTTP interface for callers and operators.
 func (n *Node) HTTPAddress() netip.AddrPort {
 	return netip.MustParseAddrPort(n.httpListener.Addr().String())
 }
 
-// PeerAddress is where other nodes reach the node, as advertised.
+// PeerAddress returns the advertised address at which other nodes reach this one.
 func (n *Node) PeerAddress() netip.AddrPort {
 	return netip.AddrPortFrom(n.settings.AdvertisedAddress(), n.peerServer.Address().Port())
 }
 
+// handleLeafDraining records that a leaf process reported that it is draining.
 func (n *Node) handleLeafDraining(address netip.AddrPort, bootID string) {
 	n.healthCheck.Draining(address, bootID)
 }
--- a/internal/selfhosted/node/node_test.go
+++ b/internal/selfhosted/node/node_test.go
@@ -13,17 +13,17 @@
 
 	"go.uber.org/goleak"
 
-	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	rehearsalstore "github.com/micaplank/micaplank/internal/rehearsal/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 	"github.com/micaplank/micaplank/internal/settings"
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// patience bounds every wait of these tests; nothing is measured by it.
+// testTimeout bounds every wait of these tests. It is generous, since no test asserts a duration.
 const testTimeout = 30 * time.Second
 
-// runningNode is a node that runs against a stand-in of the store.
+// runningNode is a running node that uses the rehearsal store.
 type runningNode struct {
 	node      *Node
 	session   *operator.Session
@@ -31,9 +31,10 @@
 	runResult chan error
 }
 
+// startNode starts a node together with a rehearsal store.
 func startNode(t testing.TB) *runningNode {
 	t.Helper()
-	store, err := standin.Start(standin.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+	store, err := rehearsalstore.Start(rehearsalstore.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,14 +59,14 @@
 	return running
 }
 
-// exec runs a statement and returns what the operator receives.
+// exec runs a statement and returns the operator's output.
 func (r *runningNode) exec(text string, options operator.ExecOptions) (string, error) {
 	r.output.Reset()
 	err := r.session.Exec(context.Background(), text, options)
 	return r.output.String(), err
 }
 
-// awaitReady waits until the node takes work.
+// waitUntilReady waits until the node reports that it is ready.
 func (r *runningNode) waitUntilReady(t testing.TB) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -80,20 +81,21 @@
 			return
 		}
 	}
-	t.Fatal("the node is not ready")
+	t.Fatalf("the node is not ready after %s", testTimeout)
 }
 
-// TestOperatorsAtARunningNode goes the whole way of the operators: language,
-// HTTP, log of changes, and the planned stop.
+// TestOperatorCommandsOnRunningNode runs operators' commands from end to end: statement language,
+// HTTP interface, change log and planned stop.
 func TestOperatorCommandsOnRunningNode(t *testing.T) {
 	ignored := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, ignored) }) // runs after the stand-in is closed
+	// Cleanups run in reverse order, so this check runs after the store is closed.
+	t.Cleanup(func() { goleak.VerifyNone(t, ignored) })
 	running := startNode(t)
 	running.waitUntilReady(t)
 	steps := []struct {
 		statement string
 		options   operator.ExecOptions
-		// want is part of the output, or the type of the problem.
+		// want is a part of the output or the type of the problem.
 		want string
 	}{
 		{"add voter node-a1 zone a", operator.ExecOptions{}, "in force on 1 of 1 members, revision 1"},
@@ -124,22 +126,23 @@
 	}
 	running.output.Reset()
 	if err := running.session.Change(context.Background(), "token-7"); err != nil || !strings.Contains(running.output.String(), "revision 2") {
-		t.Errorf("change by its token: %v, %q", err, running.output)
+		t.Errorf("look up change by token: got output %q and error %v, want revision 2", running.output, err)
 	}
 	if err := running.session.Drain(context.Background(), "node-a1"); err != nil {
-		t.Errorf("drain: %v", err)
+		t.Errorf("drain node: got error %v, want none", err)
 	}
 	select {
 	case err := <-running.runResult:
 		if err != nil {
-			t.Errorf("the planned stop ended with %v", err)
+			t.Errorf("planned stop: got error %v, want none", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the node did not stop")
+		t.Fatalf("planned stop: the node still runs after %s", testTimeout)
 	}
 }
 
-// TestStatusNamesVotersThatAreGone asks a running node.
+// TestStatusListsVoters checks the state and the revision of a voter in the status of a running
+// node.
 func TestStatusListsVoters(t *testing.T) {
 	running := startNode(t)
 	running.waitUntilReady(t)
@@ -148,10 +151,10 @@
 	}
 	status, err := running.session.Client.Status(context.Background())
 	if err != nil || len(status.Voters) != 1 || status.Voters[0].State != api.NodeAlive || status.Voters[0].Revision != 1 {
-		t.Errorf("got %+v, %v", status, err)
+		t.Errorf("got status %+v and error %v, want one alive voter at revision 1", status, err)
 	}
 	running.node.beginDrain()
 	if err := <-running.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("planned stop: got error %v, want none", err)
 	}
 }
--- a/internal/selfhosted/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -13,13 +13,13 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/query"
 )
 
-// operations carries out operators' commands on this node.
+// operations implements the operators' commands on this node.
 type operations struct {
 	node *Node
 }
 
-// Statement runs one statement. A change is answered when it is in force, or
-// when ctx ends, with what is known by then.
+// Statement runs one statement. For a change, it returns when the change is in force on all members
+// or when ctx ends; the response then holds the state known at that time.
 func (o *operations) Statement(ctx context.Context, request api.StatementRequest) (*api.StatementResponse, error) {
 	statement, err := language.ParseOne(request.Statement)
 	if err != nil {
@@ -31,7 +31,7 @@
 	case *language.ShowStatement:
 		return o.show(statement)
 	}
-	return nil, api.NewProblem(api.ProblemInvalidRequest, "A query goes to the path of its service.")
+	return nil, api.NewProblem(api.ProblemInvalidRequest, "Queries must be sent to the path of their service.")
 }
 
 func (o *operations) propose(ctx context.Context, statement *language.ChangeStatement, request api.StatementRequest) (*api.StatementResponse, error) {
@@ -50,8 +50,7 @@
 	return newChangeResponse(result), nil
 }
 
-// Change returns the fate of an earlier change, named by its id or only by its
-// token.
+// Change returns the fate of an earlier change, which is identified by its id or by its token.
 func (o *operations) Change(ctx context.Context, id string) (*api.StatementResponse, error) {
 	id, problem := resolveChangeID(o.node.dissemination.Current(), id)
 	if problem != nil {
@@ -67,11 +66,11 @@
 	return newChangeResponse(result), nil
 }
 
-// completeChangeID returns the id of the change that an id or a token names. A
-// token is looked up among the changes that the catalog remembers.
+// resolveChangeID returns the change id for an id or a token. A token is looked up among the recent
+// changes of the catalog.
 func resolveChangeID(current *catalog.Catalog, idOrToken string) (string, *api.Problem) {
 	if !catalog.ValidChangeID(idOrToken) {
-		return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf("%q is no change id.", idOrToken))
+		return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf("%q is not a change id.", idOrToken))
 	}
 	if _, _, err := dissemination.ParseChangeID(idOrToken); err == nil {
 		return idOrToken, nil
@@ -82,7 +81,7 @@
 		}
 	}
 	return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf(
-		"No change with the token %s has taken effect up to revision %d; one that is under way may still do so.", idOrToken, current.Revision))
+		"No change with the token %s has taken effect up to revision %d; a change in progress may still take effect.", idOrToken, current.Revision))
 }
 
 func newChangeResponse(result dissemination.Result) *api.StatementResponse {
@@ -98,9 +97,8 @@
 	}
 }
 
-// refusalProblem names the problem of a change that the catalog as it is does
-// not admit. Repeating the same change is of no use, so it is never a problem
-// of availability.
+// newRefusalProblem returns the problem for a change that is invalid for the current catalog.
+// Repeating the same change cannot succeed, so the problem never has a type that asks for a retry.
 func newRefusalProblem(refusal error, command catalog.Command) *api.Problem {
 	var code catalog.Code
 	var conflict *dissemination.ConflictError
@@ -115,7 +113,7 @@
 	return api.NewProblem(api.ProblemInvalidChange, refusal.Error())
 }
 
-// changeProblem names the problem of a change that could not be proposed.
+// newChangeProblem returns the problem for a change that could not be proposed.
 func newChangeProblem(err error) *api.Problem {
 	var problem *api.Problem
 	if errors.As(err, &problem) {
@@ -124,6 +122,7 @@
 	return api.NewProblem(api.ProblemUnavailable, err.Error())
 }
 
+// selectProblemType returns the problem type for the code of a catalog error.
 func selectProblemType(code catalog.Code) api.ProblemType {
 	switch code {
 	case catalog.CodeUnknownService:
@@ -145,7 +144,7 @@
 	return o.node.dissemination.Current()
 }
 
-// Drain starts the planned stop of a node, here or on the node of that name.
+// Drain starts the planned stop of this node or, by a call to its peer address, of another node.
 func (o *operations) Drain(ctx context.Context, name string) (*api.DrainResponse, error) {
 	if name == o.node.settings.Name {
 		o.node.beginDrain()
--- a/internal/selfhosted/node/operations_page_test.go
+++ b/internal/selfhosted/node/operations_page_test.go
@@ -16,8 +16,8 @@
 	headingPattern = regexp.MustCompile(`(?m)^#+ (.*)$`)
 )
 
-// metricsOfThePlatformsNode returns the metrics on the page that a test of
-// package platform keeps equal to its registry.
+// readEdgeMetricNames returns the metrics of docs/METRICS-EDGE.md. A test of package platform
+// checks that page against the registry of the edge node.
 func readEdgeMetricNames(t *testing.T) []string {
 	t.Helper()
 	content, err := os.ReadFile("../../../docs/METRICS-EDGE.md")
@@ -27,11 +27,11 @@
 	return metricPattern.FindAllString(string(content), -1)
 }
 
-// operatingPages are the pages for operators, one for each deployment.
+// operationsPages are the pages for operators, one for each kind of deployment.
 var operationsPages = []string{"OPERATIONS.md", "OPERATIONS-SELFHOSTED.md"}
 
-// TestOperatingPageNamesWhatExists checks the metrics, problem types and
-// sections that the pages for operators name.
+// TestOperationsPageReferences checks that the metrics, problem types and sections that the pages
+// for operators refer to exist.
 func TestOperationsPageReferences(t *testing.T) {
 	_, registry := newTestNode(t)
 	metrics, err := registry.Metrics("micaplank_")
@@ -53,8 +53,7 @@
 	}
 }
 
-// checkOperatingPage checks one page. Known holds the metrics and problem types that
-// there are.
+// checkOperationsPage checks one page against the set of existing metrics and problem types.
 func checkOperationsPage(t *testing.T, file string, existing map[string]bool) {
 	content, err := os.ReadFile("../../../docs/" + file)
 	if err != nil {
@@ -63,7 +62,7 @@
 	page := string(content)
 	for _, name := range append(metricPattern.FindAllString(page, -1), problemPattern.FindAllString(page, -1)...) {
 		if !existing[name] {
-			t.Errorf("there is no %s", name)
+			t.Errorf("%s: got a reference to %s, want an existing metric or problem type", file, name)
 		}
 	}
 	sections := make(map[string]bool)
@@ -72,7 +71,7 @@
 	}
 	for _, link := range linkPattern.FindAllStringSubmatch(page, -1) {
 		if !sections[link[1]] {
-			t.Errorf("there is no section %s", link[1])
+			t.Errorf("%s: got a link to section %q, want an existing section", file, link[1])
 		}
 	}
 }
--- a/internal/selfhosted/node/peers.go
+++ b/internal/selfhosted/node/peers.go
@@ -14,7 +14,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-// Methods of the calls between nodes.
+// Names of the methods that nodes call on each other.
 const (
 	methodQuery   = "query.owner"
 	methodLeaving = "topology.leaving"
@@ -23,38 +23,41 @@
 )
 
 const (
-	// noticeTimeout bounds one call that spreads a notice.
+	// noticeTimeout bounds one call that sends notices.
 	noticeTimeout = time.Second
-	// noticeTries is how often a notice is sent to a member that does not
-	// answer. Repeating it is safe: a notice only sets a mark.
+	// noticeAttempts is the maximum number of calls to a member that does not respond. Notices are
+	// idempotent, so repeating a call is safe.
 	noticeAttempts = 3
 )
 
-// queryReply is the answer of the owner: exactly one field is set.
+// queryResponse is the owner's response to a forwarded query. Exactly one field is set.
 type queryResponse struct {
 	Answer  *api.QueryResponse
 	Problem *api.Problem
 }
 
-// leavingCall spreads marks of leaving leaves.
+// leavingRequest carries notices of leaving leaves.
 type leavingRequest struct {
 	From    string
 	Notices []topology.Notice
 }
 
+// leavingResponse acknowledges the notices.
 type leavingResponse struct {
 	Accepted bool
 }
 
+// drainRequest asks a node to start its planned stop. Node must be the name of the receiver.
 type drainRequest struct {
 	Node string
 }
 
+// drainResponse confirms that the planned stop has begun.
 type drainResponse struct {
 	Draining bool
 }
 
-// registerCalls offers this node's methods to its peers.
+// registerHandlers registers the handlers of peer calls and datagrams.
 func (n *Node) registerHandlers() {
 	peer.Register(n.peerServer, methodQuery, n.handleQuery)
 	peer.Register(n.peerServer, methodLeaving, n.handleNotices)
@@ -64,6 +67,8 @@
 	n.dissemination.Serve(n.datagrams, n.peerServer)
 }
 
+// handleQuery runs a forwarded query that this node owns. Problems are part of the response; other
+// errors fail the call.
 func (n *Node) handleQuery(ctx context.Context, _ netip.AddrPort, request *query.Forward) (*queryResponse, error) {
 	response, err := n.queryRunner.Own(ctx, *request)
 	if err == nil {
@@ -76,6 +81,7 @@
 	return nil, err
 }
 
+// handleNotices applies notices of leaving leaves.
 func (n *Node) handleNotices(_ context.Context, _ netip.AddrPort, request *leavingRequest) (*leavingResponse, error) {
 	for _, notice := range request.Notices {
 		n.healthCheck.Apply(notice)
@@ -83,25 +89,26 @@
 	return &leavingResponse{Accepted: true}, nil
 }
 
+// handleDrain starts the planned stop of this node.
 func (n *Node) handleDrain(_ context.Context, _ netip.AddrPort, request *drainRequest) (*drainResponse, error) {
 	if request.Node != n.settings.Name {
-		return nil, fmt.Errorf("this is node %s, not %s", n.settings.Name, request.Node)
+		return nil, fmt.Errorf("drain node %q: this is node %q", request.Node, n.settings.Name)
 	}
 	n.beginDrain()
 	return &drainResponse{Draining: true}, nil
 }
 
-// forwarder sends queries to their owners.
+// forwarder sends queries to the nodes that own them.
 type forwarder struct {
 	node *Node
 }
 
-// Forward calls the owner once. A lost answer is not asked for again: the
-// query may have run.
+// Forward calls the owner once. It never retries after a lost response, because the query may have
+// run.
 func (f forwarder) Forward(ctx context.Context, name string, request query.Forward) (*api.QueryResponse, error) {
 	member, ok := f.node.membership.Lookup(name)
 	if !ok || member.State == membership.StateGone {
-		return nil, &query.ForwardError{Node: name, Sent: false, Err: errors.New("the owner is not a member now")}
+		return nil, &query.ForwardError{Node: name, Sent: false, Err: errors.New("the owner is not a current member")}
 	}
 	var response queryResponse
 	if err := f.node.peerClient.Call(ctx, member.Address, methodQuery, &request, &response); err != nil {
@@ -111,12 +118,12 @@
 		return nil, response.Problem
 	}
 	if response.Answer == nil {
-		return nil, &query.ForwardError{Node: name, Sent: true, Err: errors.New("empty reply")}
+		return nil, &query.ForwardError{Node: name, Sent: true, Err: errors.New("the response has neither an answer nor a problem")}
 	}
 	return response.Answer, nil
 }
 
-// spread notifies the other members of leaving leaves. It returns at once.
+// broadcastNotices sends notices of leaving leaves to all other members in the background.
 func (n *Node) broadcastNotices(notices []topology.Notice) {
 	for _, member := range n.membership.Members() {
 		if member.Name == n.settings.Name || member.State == membership.StateGone {
@@ -126,6 +133,7 @@
 	}
 }
 
+// sendNotices sends notices to one member, with retries.
 func (n *Node) sendNotices(member membership.Member, notices []topology.Notice) {
 	request := leavingRequest{From: n.settings.Name, Notices: notices}
 	for range noticeAttempts {
@@ -138,24 +146,25 @@
 	}
 }
 
-// datagramsOf sends the datagrams of one kind.
+// datagramSender sends datagrams of one kind.
 type datagramSender struct {
 	datagrams *peer.Datagrams
 	kind      peer.Kind
 }
 
-// Send sends one datagram; it may be lost.
+// Send sends one datagram without a guarantee of delivery.
 func (d datagramSender) Send(to netip.AddrPort, payload []byte) error {
 	return d.datagrams.Send(d.kind, to, payload)
 }
 
-// sink takes what the health check learns.
+// healthSink passes the results of the health check to the service connections and to the other
+// nodes.
 type healthSink struct {
 	*serviceConns
 	node *Node
 }
 
-// Notify spreads marks to the other nodes.
+// Notify sends notices of leaving leaves to the other nodes.
 func (s healthSink) Notify(notices []topology.Notice) {
 	s.node.broadcastNotices(notices)
 }
--- a/internal/selfhosted/node/query_limiter.go
+++ b/internal/selfhosted/node/query_limiter.go
@@ -7,19 +7,19 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// queryRunner runs callers' queries, or refuses them.
+// callerQueryRunner runs queries of callers and builds the problems for refused ones.
 type callerQueryRunner interface {
 	Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error)
 	Refuse(service string, request api.QueryRequest, notRun api.ProblemType) *api.Problem
 }
 
-// intake takes callers' queries, unless the node is draining or has as many as
-// it may. It is safe for concurrent use.
+// queryLimiter passes queries of callers to a runner. It refuses them while the node is draining
+// and when the concurrency limit is reached. It is safe for concurrent use.
 type queryLimiter struct {
 	runner callerQueryRunner
 	// draining is closed when the planned stop begins.
 	draining <-chan struct{}
-	// limit is the number of queries that may be in the node at once.
+	// limit is the maximum number of queries in progress.
 	limit    int64
 	inFlight atomic.Int64
 }
@@ -28,7 +28,7 @@
 	return &queryLimiter{runner: runner, draining: draining, limit: int64(limit)}
 }
 
-// Query runs one query of a caller.
+// Query runs a query, or refuses it with a "not run" problem.
 func (i *queryLimiter) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	select {
 	case <-i.draining:
--- a/internal/selfhosted/node/query_limiter_test.go
+++ b/internal/selfhosted/node/query_limiter_test.go
@@ -8,7 +8,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// blockingRunner holds each query until it is released.
+// blockingRunner blocks each query until the test releases it.
 type blockingRunner struct {
 	entered chan struct{}
 	release chan struct{}
@@ -24,8 +24,9 @@
 	return api.NewProblem(notRun, "")
 }
 
-// TestLimitOfConcurrency fills the node: one more is refused, and taken again
-// once another has ended.
+// TestQueryLimiterRefusesExcessAndDrain fills the limiter and checks that one more query is
+// refused, that a query is accepted once another has ended, and that a draining node refuses
+// queries while those in progress complete.
 func TestQueryLimiterRefusesExcessAndDrain(t *testing.T) {
 	const limit = 3
 	runner := &blockingRunner{entered: make(chan struct{}), release: make(chan struct{})}
--- a/internal/selfhosted/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// headerTimeout bounds the time that a caller may take for its headers.
+	// readHeaderTimeout bounds the time in which a caller sends its request headers.
 	readHeaderTimeout = 10 * time.Second
-	// loadTimeout bounds one poll of a leaf's load.
+	// loadPollTimeout bounds one poll of a leaf's load.
 	loadPollTimeout = time.Second
-	// drainGrace is the time between the announcement of a planned stop and
-	// the closing of idle connections: callers and peers need it to move.
+	// drainAnnouncementDelay is the time between the announcement of a planned stop and the closing
+	// of idle connections. Callers and peers use it to switch to other nodes.
 	drainAnnouncementDelay = time.Second
-	// slotInterval is the time between two looks at who holds this node's slot.
+	// slotCheckInterval is the time between two checks whether another process has taken over this
+	// node's slot.
 	slotCheckInterval = 500 * time.Millisecond
 	// leaveTimeout bounds the announcement to the other nodes.
 	leaveTimeout = 2 * time.Second
 )
 
-// Run starts the node and blocks until ctx ends, an operator drains it or
-// another process takes over its slot. It then stops as planned: nothing in
-// flight is cut off within the drain timeout. It returns nil if so.
+// Run starts the node and blocks until ctx ends, an operator drains the node or another process
+// takes over its slot. It then stops the node as planned and returns nil if all requests in flight
+// completed within the drain timeout.
 func (n *Node) Run(ctx context.Context) error {
 	n.peerServer.Serve()
 	n.membership.Start()
@@ -50,13 +51,13 @@
 	return n.drain()
 }
 
-// beginDrain announces the planned stop; it returns at once.
+// beginDrain starts the planned stop and returns without waiting for it.
 func (n *Node) beginDrain() {
 	n.drainOnce.Do(func() { close(n.draining) })
 }
 
-// drain ends the node: first the announcement, then the callers' connections
-// as they become idle, then everything that the queries needed.
+// drain stops the node in order: it announces the stop, closes the callers' connections as they
+// become idle, and then closes the parts that queries depend on.
 func (n *Node) drain() error {
 	n.logger.Info("draining", "queries_in_flight", n.services.countInFlight())
 	n.gateway.Drain()
@@ -68,17 +69,18 @@
 	defer cancel()
 	err := errors.Join(n.httpServer.Shutdown(drainContext), n.peerServer.Close(drainContext))
 	if leaveErr != nil {
-		n.logger.Warn("leaving was not acknowledged", telemetry.Error(leaveErr))
+		n.logger.Warn("no member acknowledged the planned stop", telemetry.Error(leaveErr))
 	}
 	n.close()
 	if err != nil {
-		n.logger.Error("requests were cut off", telemetry.Error(err))
+		n.logger.Error("planned stop aborted requests in flight", telemetry.Error(err))
 		return err
 	}
 	n.logger.Info("stopped")
 	return nil
 }
 
+// close stops the background tasks and closes all parts.
 func (n *Node) close() {
 	n.cancelBackground()
 	n.services.close()
@@ -92,7 +94,7 @@
 	n.store.Close()
 }
 
-// followCatalog installs each new catalog.
+// watchCatalog installs each new catalog.
 func (n *Node) watchCatalog() {
 	changes, cancel := n.dissemination.Subscribe()
 	defer cancel()
@@ -107,8 +109,8 @@
 	}
 }
 
-// followSlot ends the node when another process has taken over its slot. The
-// members or the voters may be the first to report it.
+// watchSlot drains the node when another process has taken over its slot. Either the members or the
+// voters may report that first.
 func (n *Node) watchSlot() {
 	events, cancel := n.membership.Subscribe()
 	defer cancel()
@@ -120,7 +122,7 @@
 			return
 		case _, ok := <-events:
 			if !ok {
-				events = nil // the ticker goes on
+				events = nil // from here on, only the ticker triggers checks
 			}
 		case <-ticker.C:
 		}
@@ -129,11 +131,13 @@
 	n.beginDrain()
 }
 
+// isSuperseded reports whether the members or the voters recognize another process in this node's
+// slot.
 func (n *Node) isSuperseded() bool {
 	return n.membership.Superseded() || n.dissemination.Superseded()
 }
 
-// followMachines marks the leaves that the machine list calls leaving.
+// watchMachines marks the leaves that the machine list reports as leaving.
 func (n *Node) watchMachines() {
 	if n.machinePoller == nil {
 		return
@@ -147,7 +151,7 @@
 	})
 }
 
-// ignoreClosed hides the error of a server that was shut down as planned.
+// ignoreServerClosed returns nil for the error that a server returns after a planned shutdown.
 func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/selfhosted/node/service_conns.go
+++ b/internal/selfhosted/node/service_conns.go
@@ -16,17 +16,18 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/query"
 )
 
-// services holds one scatter connection for each service of the catalog. It is
-// safe for concurrent use.
+// serviceConns holds one scatter connection for each service of the catalog. It is safe for
+// concurrent use.
 type serviceConns struct {
 	dispatchConfig dispatch.Config
 	scatterConfig  scatter.Config[string, rows.Table]
-	// seed fixes the random choices of the dispatchers.
+	// seed is combined with the service name to seed the random choices of its dispatcher.
 	seed uint64
 
 	mutex sync.Mutex
 	conns map[string]*scatter.Conn[string, rows.Table]
-	// ending counts connections of dropped services that still finish.
+	// closing waits for the connections of dropped services, which close once their queries have
+	// ended.
 	closing sync.WaitGroup
 }
 
@@ -52,8 +53,8 @@
 	return conn, ok
 }
 
-// SetTopology hands a service's leaves to its connection, which is made if the
-// service is new.
+// SetTopology passes the leaves of a service to its connection, which is created if the service is
+// new.
 func (s *serviceConns) SetTopology(service string, topology dispatch.Topology) {
 	s.mutex.Lock()
 	conn, ok := s.conns[service]
@@ -73,15 +74,15 @@
 	return scatter.NewConn(config, dispatch.New(s.dispatchConfig, random))
 }
 
-// Observe hands a load report to the connection of a service.
+// Observe passes a leaf's load report to the connection of a service.
 func (s *serviceConns) Observe(service string, address netip.AddrPort, load leaf.LoadSummary) {
 	if conn, ok := s.conn(service); ok {
 		conn.Observe(address, load)
 	}
 }
 
-// setCatalog drops the connections of services that the catalog no longer has.
-// Their running queries finish in the background.
+// removeDroppedServices closes the connections of services that are no longer in the catalog. Their
+// running queries complete in the background.
 func (s *serviceConns) removeDroppedServices(current *catalog.Catalog) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -94,7 +95,7 @@
 	}
 }
 
-// inFlight returns the number of queries that have not ended.
+// countInFlight returns the number of queries in progress on all connections.
 func (s *serviceConns) countInFlight() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -105,7 +106,7 @@
 	return total
 }
 
-// close blocks until every query has ended.
+// close closes all connections and blocks until their queries have ended.
 func (s *serviceConns) close() {
 	s.mutex.Lock()
 	conns := s.conns
--- a/internal/selfhosted/node/show.go
+++ b/internal/selfhosted/node/show.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// show answers a show statement from the installed catalog.
+// show runs a show statement on the installed catalog.
 func (o *operations) show(statement *language.ShowStatement) (*api.StatementResponse, error) {
 	current := o.node.dissemination.Current()
 	if statement.Service != "" {
--- a/internal/selfhosted/node/status.go
+++ b/internal/selfhosted/node/status.go
@@ -10,10 +10,10 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-// Status describes the deployment as this node sees it.
+// Status returns the state of the deployment as observed by this node.
 func (o *operations) Status(_ context.Context) (*api.StatusResponse, error) {
-	// In this order: a node that was fresh before its catalog was read holds
-	// all that was accepted by then.
+	// Freshness is read first. If the node is fresh at that time, the catalog that is read afterwards
+	// contains every change that had been accepted by then.
 	fresh := o.node.dissemination.Fresh()
 	current := o.node.dissemination.Current()
 	nodes := o.node.listNodeStatuses(current)
@@ -73,13 +73,13 @@
 	return statuses
 }
 
-// leafKey names one leaf of one service.
+// leafKey identifies a leaf of a service.
 type leafKey struct {
 	service string
 	address string
 }
 
-// dispatchStates gathers what the dispatchers think of their leaves.
+// collectDispatchStates returns the dispatchers' states of their leaves.
 func (n *Node) collectDispatchStates() map[leafKey]dispatch.LeafState {
 	states := make(map[leafKey]dispatch.LeafState)
 	for _, service := range n.dissemination.Current().ServiceNames() {
@@ -94,6 +94,7 @@
 	return states
 }
 
+// combineLeafState combines the health of a leaf with the dispatcher's probation.
 func combineLeafState(status topology.Status, probation bool) api.LeafState {
 	switch status {
 	case topology.StatusUsable:
--- a/internal/selfhosted/node/voters.go
+++ b/internal/selfhosted/node/voters.go
@@ -5,9 +5,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// voterStatuses describes the voting set of a catalog by what is known of the
-// nodes. A voter that is no member any more is gone, and still counts towards
-// the majority that a change needs.
+// listVoterStatuses returns the state of each voter of the catalog. A voter that is no longer a
+// member is reported as gone; it still counts towards the majority that a change needs.
 func listVoterStatuses(current *catalog.Catalog, nodes []api.NodeStatus) []api.VoterStatus {
 	nodesByName := make(map[string]api.NodeStatus, len(nodes))
 	for _, node := range nodes {
--- a/internal/selfhosted/node/voters_test.go
+++ b/internal/selfhosted/node/voters_test.go
@@ -8,6 +8,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
+// TestVoterStatusesIncludeGoneVoters checks that voters without a member are listed as gone, and
+// that members that are not voters are left out.
 func TestVoterStatusesIncludeGoneVoters(t *testing.T) {
 	current := catalog.Empty()
 	current.Voters = map[string]catalog.Voter{
@@ -26,6 +28,6 @@
 		{Name: "node-c1", Zone: "c", State: api.NodeGone},
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/selfhosted/node/wire_test.go
+++ b/internal/selfhosted/node/wire_test.go
@@ -7,7 +7,8 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions.
+// TestRecordedMessagesDecode checks that messages recorded by an earlier version still decode,
+// because nodes of two versions exchange messages during an upgrade.
 func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.Gob[query.Forward](t, "query.owner.request")
 	wiretest.Gob[queryResponse](t, "query.owner.response")
