--- a/internal/rehearsal/cluster/calls.go
+++ b/internal/rehearsal/cluster/calls.go
@@ -14,7 +14,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// connectionsPerProcess is how many idle connections are kept to one process.
+// maximumIdleConnections bounds the idle connections that the client keeps to each process.
 const maximumIdleConnections = 64
 
 func newClient() *http.Client {
@@ -24,20 +24,20 @@
 	}
 }
 
-// Change sends one statement of an operator to a node.
+// Change runs an operator's statement on a node.
 func (c *Cluster) Change(ctx context.Context, node *Node, statement string) (*api.StatementResponse, error) {
 	return c.Statement(ctx, node, api.StatementRequest{Statement: statement, Operator: "cluster"})
 }
 
-// Statement sends a request of an operator to a node.
+// Statement sends an operator's statement request, with all its options, to a node.
 func (c *Cluster) Statement(ctx context.Context, node *Node, request api.StatementRequest) (*api.StatementResponse, error) {
 	response := new(api.StatementResponse)
 	err := c.post(ctx, node, api.StatementsPath, request, response)
 	return response, err
 }
 
-// Query sends one query of a caller to a node. A problem document comes back
-// as a *api.Problem.
+// Query sends a caller's query to a node. If the response is a problem document, the error is an
+// *api.Problem.
 func (c *Cluster) Query(ctx context.Context, node *Node, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	response := new(api.QueryResponse)
 	path := strings.Replace(api.QueryPath, "{service}", service, 1)
@@ -68,7 +68,7 @@
 	if response.StatusCode >= http.StatusBadRequest {
 		problem := new(api.Problem)
 		if err := json.Unmarshal(content, problem); err != nil {
-			return oops.With("step", "read problem", "peer", node.Name).Errorf("status %d: %s", response.StatusCode, content)
+			return oops.With("step", "read problem", "peer", node.Name).Errorf("post %s: status %d: %s", path, response.StatusCode, content)
 		}
 		return problem
 	}
--- a/internal/rehearsal/cluster/cluster.go
+++ b/internal/rehearsal/cluster/cluster.go
@@ -20,13 +20,13 @@
 	rehearsalProgram = "micarehearse"
 )
 
-// startsAtOnce bounds how many processes start side by side.
+// maximumConcurrentStarts bounds how many leaf processes start at the same time.
 const maximumConcurrentStarts = 8
 
-// anyPort lets a process pick a free port of the loopback address.
+// anyPort is the loopback address with a port that the process selects.
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// Cluster is a running deployment.
+// Cluster is a running deployment of nodes, leaves and a simulated platform.
 type Cluster struct {
 	Store    *Process
 	Machines *Process
@@ -38,9 +38,8 @@
 	client    *http.Client
 }
 
-// Start starts all processes of a plan and configures the catalog. It blocks
-// until every node is ready. The caller has to Close the cluster; after an
-// error everything is closed already.
+// Start starts all processes of a plan, configures the catalog and blocks until every node is
+// ready. The caller must Close the cluster. After an error, Start has already closed it.
 func Start(ctx context.Context, plan Plan) (*Cluster, error) {
 	directory, err := os.MkdirTemp("", "micaplank-cluster-")
 	if err != nil {
@@ -64,10 +63,12 @@
 	return nil
 }
 
+// programPath returns the path of a program of the plan.
 func (c *Cluster) programPath(name string) string {
 	return filepath.Join(c.plan.Binaries, name)
 }
 
+// startPlatform starts the stand-ins of the platform: the store and the machine list.
 func (c *Cluster) startPlatform(ctx context.Context) (err error) {
 	if c.Store, err = startProcess(ctx, "store", c.programPath(rehearsalProgram), "store"); err != nil {
 		return err
@@ -76,6 +77,7 @@
 	return err
 }
 
+// startLeaves starts the leaves of all services and distributes them over the zones in turn.
 func (c *Cluster) startLeaves(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maximumConcurrentStarts)
@@ -107,7 +109,7 @@
 	return err
 }
 
-// Statements returns the commands that configure the deployment.
+// Statements returns the statements that configure the catalog of the plan.
 func (c *Cluster) Statements() []string {
 	var statements []string
 	for _, node := range c.Nodes {
@@ -119,6 +121,7 @@
 	return statements
 }
 
+// configureCatalog runs the statements on the first node and fails unless each of them is accepted.
 func (c *Cluster) configureCatalog(ctx context.Context) error {
 	for _, statement := range c.Statements() {
 		response, err := c.Change(ctx, c.Nodes[0], statement)
@@ -132,15 +135,16 @@
 	return nil
 }
 
-// Close ends all processes and removes the settings files.
+// Close kills all processes and removes the settings files and the execution logs.
 func (c *Cluster) Close() {
 	for _, process := range c.startedProcesses() {
 		process.Kill()
 	}
 	c.client.CloseIdleConnections()
-	_ = os.RemoveAll(c.directory) // a temporary folder that stays does no harm
+	_ = os.RemoveAll(c.directory) // a temporary directory that cannot be removed is harmless
 }
 
+// startedProcesses returns the processes that have been started, the nodes first.
 func (c *Cluster) startedProcesses() []*Process {
 	var processes []*Process
 	for _, node := range c.Nodes {
--- a/internal/rehearsal/cluster/demo.go
+++ b/internal/rehearsal/cluster/demo.go
@@ -16,10 +16,10 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// maximumRowsShown bounds the rows that the demo prints of one answer.
+// maximumPrintedRows bounds the rows that the demo prints of each answer.
 const maximumPrintedRows = 8
 
-// DemoPlan is the deployment of the demo: 16 leaves and 3 nodes in 3 zones.
+// DemoPlan returns the plan of the demo: 16 leaves and 3 nodes in 3 zones.
 func DemoPlan(binaries string) Plan {
 	return Plan{
 		Binaries: binaries,
@@ -44,7 +44,7 @@
 	}
 }
 
-// demoQuery is one request of the demo.
+// demoQuery is a query that the demo submits.
 type demoQuery struct {
 	title     string
 	service   string
@@ -67,18 +67,18 @@
 	},
 }
 
-// filing is the request of the demo that must run at most once.
+// filingQuery must run at most once.
 var filingQuery = demoQuery{
 	"Filing of a quote, at most once", "filing-vault", "file-quote",
 	"insert into filing-vault (quote, lane, price) values ('Q-90018', 'OTR-SPK', 4100)",
 }
 
-// maximumFilingTries bounds how often the demo submits its filing: after a
-// start, the owners of request ids refuse them until the fence has passed.
+// maximumFilingAttempts bounds how often the demo submits its filing. After a start, an owner
+// refuses the request ids that a previous owner may have admitted, up to the fence of package once.
 const maximumFilingAttempts = 20
 
-// Demo runs the queries of the demo against a cluster, each at another node,
-// and prints the answers. It fails if an answer does not cover every shard.
+// Demo runs each query of the demo on a different node and prints the answers. It fails if an
+// answer does not cover every shard.
 func (c *Cluster) Demo(ctx context.Context, output io.Writer) error {
 	for index, query := range demoQueries {
 		if _, err := c.runDemoQuery(ctx, output, c.nodeAt(index), query, ulid.Make()); err != nil {
@@ -88,12 +88,13 @@
 	return c.runFiling(ctx, output)
 }
 
+// nodeAt returns the node with the given index modulo the number of nodes.
 func (c *Cluster) nodeAt(index int) *Node {
 	return c.Nodes[index%len(c.Nodes)]
 }
 
-// demoFiling files a quote, and submits the same request again at another
-// node: it must not run a second time.
+// runFiling files a quote and submits the same request again to another node. It fails if the
+// request runs a second time.
 func (c *Cluster) runFiling(ctx context.Context, output io.Writer) error {
 	for range maximumFilingAttempts {
 		id := ulid.Make()
@@ -114,9 +115,10 @@
 	return fmt.Errorf("%s: refused %d times", filingQuery.title, maximumFilingAttempts)
 }
 
+// repeatFiling submits the filing again with the same id and checks the executions of the leaves.
 func (c *Cluster) repeatFiling(ctx context.Context, output io.Writer, id ulid.ULID) error {
 	repeated := filingQuery
-	repeated.title = "The same request once more, at another node"
+	repeated.title = "The same request again, at another node"
 	if _, err := c.runDemoQuery(ctx, output, c.nodeAt(1), repeated, id); err != nil {
 		return fmt.Errorf("%s: %w", repeated.title, err)
 	}
@@ -126,11 +128,12 @@
 	}
 	fmt.Fprintf(output, "  The leaves executed request %s %d time(s).\n", id, len(executions))
 	if len(executions) != 1 {
-		return fmt.Errorf("request %s ran %d times", id, len(executions))
+		return fmt.Errorf("request %s ran %d times, want 1", id, len(executions))
 	}
 	return nil
 }
 
+// runDemoQuery runs a query on a node and prints the answer.
 func (c *Cluster) runDemoQuery(ctx context.Context, output io.Writer, node *Node, query demoQuery, id ulid.ULID) (*api.QueryResponse, error) {
 	fmt.Fprintf(output, "\n%s (%s, at %s)\n  %s\n", query.title, query.class, node.Name, query.statement)
 	response, err := c.Query(ctx, node, query.service, api.QueryRequest{
@@ -146,11 +149,12 @@
 		response.Outcome, response.Snapshot.Version, response.Snapshot.Epoch, coverage.Answered, coverage.Total)
 	printRows(output, response)
 	if coverage.Answered != coverage.Total {
-		return nil, errors.New("the answer does not cover every shard")
+		return nil, fmt.Errorf("the answer covers %d of %d shards", coverage.Answered, coverage.Total)
 	}
 	return response, nil
 }
 
+// printRows prints the first rows of an answer as a table.
 func printRows(output io.Writer, response *api.QueryResponse) {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	defer table.Flush()
@@ -164,6 +168,7 @@
 	}
 }
 
+// formatRow returns the printed form of each value of a row.
 func formatRow(row rows.Row) []string {
 	cells := make([]string, len(row))
 	for i, value := range row {
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -17,8 +17,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Executions returns what the leaves executed of a request; all requests if the
-// id is empty. Leaves that are frozen or gone count too.
+// Executions returns the executions of a request on all leaves, or those of all requests if the id
+// is empty. It reads the log files, so frozen and exited leaves are included.
 func (c *Cluster) Executions(_ context.Context, requestID string) ([]leaf.Execution, error) {
 	var executed []leaf.Execution
 	for _, leafProcess := range c.Leaves {
@@ -36,8 +36,7 @@
 	return executed, nil
 }
 
-// LeafExecutions returns the whole execution log of one leaf, which may be
-// frozen or gone.
+// LeafExecutions returns all entries of a leaf's execution log. The leaf may be frozen or exited.
 func (c *Cluster) LeafExecutions(leafProcess *Leaf) ([]leaf.Execution, error) {
 	file, err := os.Open(leafProcess.executionLog)
 	if err != nil {
@@ -50,7 +49,7 @@
 		var execution leaf.Execution
 		err := decoder.Decode(&execution)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return executions, nil // a line may be cut off by the leaf's end
+			return executions, nil // a killed leaf can leave an incomplete last line
 		}
 		if err != nil {
 			return nil, oops.With("step", "read executions", "peer", leafProcess.Name).Wrap(err)
@@ -59,14 +58,14 @@
 	}
 }
 
-// Fate asks a node for the fate of an earlier change.
+// Fate returns a node's information about an earlier change.
 func (c *Cluster) Fate(ctx context.Context, node *Node, changeID string) (*api.StatementResponse, error) {
 	response := new(api.StatementResponse)
 	path := strings.Replace(api.ChangePath, "{id}", changeID, 1)
 	return response, c.get(ctx, node.Process, path, response)
 }
 
-// Status returns what a node knows of the deployment.
+// Status returns the state of the deployment as observed by a node.
 func (c *Cluster) Status(ctx context.Context, node *Node) (*api.StatusResponse, error) {
 	response := new(api.StatusResponse)
 	return response, c.get(ctx, node.Process, api.StatusPath, response)
@@ -92,6 +91,8 @@
 	return c.sendControl(ctx, http.MethodPost, process, path, request, nil)
 }
 
+// sendControl sends a request with a JSON body to a process. It decodes the response into target
+// unless target is nil.
 func (c *Cluster) sendControl(ctx context.Context, method string, process *Process, path string, body, target any) error {
 	errorBuilder := oops.With("step", "control", "peer", process.Name)
 	encoded, err := json.Marshal(body)
--- a/internal/rehearsal/cluster/nodes.go
+++ b/internal/rehearsal/cluster/nodes.go
@@ -14,14 +14,14 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// Node is one node process of a deployment.
+// Node is a node process of a deployment.
 type Node struct {
 	*Process
 	Zone     string
 	settings settings.Settings
 }
 
-// startNodes starts the first node alone, since it is the seed of the others.
+// startNodes starts the nodes one after the other, because each uses the earlier ones as its seeds.
 func (c *Cluster) startNodes(ctx context.Context) error {
 	for index := range c.plan.Nodes {
 		zone := c.plan.Zones[index%len(c.plan.Zones)]
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// StartNode starts one more node, or a replacement that takes the slot of the
-// node of that name.
+// StartNode starts a node. If a node of that name exists, the new process takes over its slot and
+// replaces it in Nodes.
 func (c *Cluster) StartNode(ctx context.Context, name, zone string) (*Node, error) {
 	node := &Node{Zone: zone, settings: c.buildNodeSettings(name, zone)}
 	file := filepath.Join(c.directory, name+".toml")
@@ -58,6 +58,7 @@
 	return node, nil
 }
 
+// buildNodeSettings returns the settings of a node, with all current nodes as its seeds.
 func (c *Cluster) buildNodeSettings(name, zone string) settings.Settings {
 	config := settings.Defaults()
 	config.Name = name
@@ -67,7 +68,7 @@
 	config.Store.Endpoints = []netip.AddrPort{c.Store.HTTP}
 	config.Machines.Address = c.Machines.HTTP
 	config.Log.Format = "json"
-	// All clocks of the deployment are those of one machine.
+	// All processes run on the same machine and share its clock, so a small clock skew suffices.
 	config.Once.Skew = settings.Duration(time.Second)
 	for _, node := range c.Nodes {
 		config.Peers.Seeds = append(config.Peers.Seeds, node.Peer)
@@ -78,6 +79,7 @@
 	return config
 }
 
+// addOrReplaceNode replaces the node of the same name in Nodes, or appends the node.
 func (c *Cluster) addOrReplaceNode(node *Node) {
 	for i, existing := range c.Nodes {
 		if existing.Name == node.Name {
--- a/internal/rehearsal/cluster/plan.go
+++ b/internal/rehearsal/cluster/plan.go
@@ -8,36 +8,35 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// Service describes one service of a deployment and its leaves.
+// Service describes a service of a deployment and its leaves.
 type Service struct {
 	Name      string
 	Shards    int
 	Replicas  int
 	KeyColumn string
-	// Leaves is the number of leaves; leaf i holds Shards*Replicas/Leaves
-	// shards, so that each shard has Replicas leaves.
+	// Leaves is the number of leaves. Each leaf holds Shards*Replicas/Leaves shards, so that each
+	// shard is on Replicas leaves.
 	Leaves int
 	Slots  int
-	// Classes are statements that define the classes.
+	// Classes are the statements that define the query classes.
 	Classes []string
 }
 
 // Plan describes a deployment.
 type Plan struct {
-	// Binaries is the folder of the programs.
+	// Binaries is the directory of the built programs.
 	Binaries string
 	Zones    []string
-	// Nodes is the number of nodes; node i is in zone i modulo the zones.
+	// Nodes is the number of nodes. They are distributed over the zones in turn.
 	Nodes    int
 	Services []Service
-	// Tune changes the settings of every node before it starts; nil changes
-	// nothing.
+	// Tune modifies the settings of each node before it starts, unless it is nil.
 	Tune func(*settings.Settings)
-	// ProfileFolder, if set, takes a processor profile of each node.
+	// ProfileFolder, if set, is the directory for the CPU profiles of the nodes.
 	ProfileFolder string
 }
 
-// shardsOf returns the shards that leaf number index of a service holds.
+// assignShards returns the shards of the leaf with the given index.
 func (s Service) assignShards(index int) []int {
 	perLeaf := s.Shards * s.Replicas / s.Leaves
 	shards := make([]int, perLeaf)
@@ -47,6 +46,7 @@
 	return shards
 }
 
+// formatShards joins shard numbers by commas.
 func formatShards(shards []int) string {
 	texts := make([]string, len(shards))
 	for i, shard := range shards {
@@ -55,7 +55,7 @@
 	return strings.Join(texts, ",")
 }
 
-// statements returns the commands that describe a service with its leaves.
+// buildStatements returns the statements that create a service, its classes and its leaves.
 func (s Service) buildStatements(leaves []*Leaf) []string {
 	create := fmt.Sprintf("create service %s shards %d replicas %d", s.Name, s.Shards, s.Replicas)
 	if s.KeyColumn != "" {
@@ -70,21 +70,23 @@
 	return statements
 }
 
-// Leaf is one leaf process of a deployment.
+// Leaf is a leaf process of a deployment.
 type Leaf struct {
 	*Process
 	Service string
 	Zone    string
 	Shards  []int
-	// executionLog is the file that the leaf logs its executions to.
+	// executionLog is the path of the leaf's execution log.
 	executionLog string
 }
 
-// Address is where the leaf serves.
+// Address returns the address of the leaf protocol, which a leaf process announces as its HTTP
+// address.
 func (l *Leaf) Address() netip.AddrPort {
 	return l.HTTP
 }
 
+// buildAddStatement returns the statement that adds the leaf to its service.
 func (l *Leaf) buildAddStatement() string {
 	return fmt.Sprintf("add leaf %s to %s zone %s shards %s", l.HTTP, l.Service, l.Zone, formatShards(l.Shards))
 }
--- a/internal/rehearsal/cluster/process.go
+++ b/internal/rehearsal/cluster/process.go
@@ -1,7 +1,8 @@
-// Package cluster runs a whole deployment as real processes on loopback: the
-// stand-ins of the platform, the leaves and the nodes. The demo and the tests
-// use it. It injects faults: kill, freeze and planned stop. It owns the processes
-// and their files, and relies on the built programs micaplank and micarehearse.
+// Package cluster runs a complete deployment as processes on the loopback interface: stand-ins of the
+// platform, leaves and nodes. The demo and the tests of the deployment use it.
+//
+// It can kill, freeze and terminate processes to inject faults. It owns the processes and their files,
+// and needs the built programs micaplank and micarehearse.
 package cluster
 
 import (
@@ -21,20 +22,20 @@
 // startTimeout bounds the time from the start of a process until it listens.
 const startTimeout = 20 * time.Second
 
-// listeningMessage is the log line in which a process reports its addresses.
+// listeningMessage is the message of the log line in which a process announces its addresses.
 const listeningMessage = "listening"
 
-// logBytes is how much of a process's newest log is kept.
+// maximumLogBytes bounds the most recent log output that is kept of each process.
 const maximumLogBytes = 64 << 10
 
-// announcement is the part of a log line that holds addresses.
+// listeningLine holds the fields of the log line that announces the addresses.
 type listeningLine struct {
 	Message string         `json:"msg"`
 	HTTP    netip.AddrPort `json:"http"`
 	Peer    netip.AddrPort `json:"peer"`
 }
 
-// Process is one running program of the deployment.
+// Process is a process of the deployment.
 type Process struct {
 	Name string
 	// HTTP and Peer are the addresses that the process announced.
@@ -50,8 +51,8 @@
 	log   []byte
 }
 
-// startProcess starts a program and blocks until it listens, exits or the time
-// to start is over. The process is killed if it does not listen in time.
+// startProcess starts a program and blocks until it listens. It returns an error if the process
+// exits first or does not listen in time; in the latter case, it kills the process.
 func startProcess(ctx context.Context, name, binary string, arguments ...string) (*Process, error) {
 	process := &Process{
 		Name:      name,
@@ -70,6 +71,7 @@
 	return process, process.awaitListening(ctx)
 }
 
+// awaitListening waits for the announced addresses and stores them.
 func (p *Process) awaitListening(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -86,7 +88,8 @@
 	}
 }
 
-// follow keeps the newest log lines and picks out the announcement.
+// readLog keeps the most recent log lines and extracts the first announcement. At the end of the
+// log, it collects the exit status.
 func (p *Process) readLog(output io.Reader) {
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(nil, maximumLogBytes)
@@ -104,6 +107,7 @@
 	close(p.exited)
 }
 
+// appendLog appends a line and discards the oldest output beyond maximumLogBytes.
 func (p *Process) appendLog(line []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -114,36 +118,36 @@
 	}
 }
 
-// Log returns the newest log lines.
+// Log returns the most recent log output.
 func (p *Process) Log() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return string(p.log)
 }
 
-// Kill ends the process without warning and blocks until it is gone.
+// Kill sends SIGKILL and blocks until the process has exited.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill() // it may have exited already
 	<-p.exited
 }
 
-// Freeze stops the process from running until Thaw.
+// Freeze suspends the process with SIGSTOP until Thaw.
 func (p *Process) Freeze() error {
 	return p.command.Process.Signal(syscall.SIGSTOP)
 }
 
-// Thaw lets a frozen process run again.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() error {
 	return p.command.Process.Signal(syscall.SIGCONT)
 }
 
-// Terminate asks for a planned stop and returns at once.
+// Terminate requests a planned stop with SIGTERM and returns without waiting for it.
 func (p *Process) Terminate() error {
 	return p.command.Process.Signal(syscall.SIGTERM)
 }
 
-// Wait blocks until the process has exited and returns its exit code; it is -1
-// if a signal ended the process or ctx ended first.
+// Wait blocks until the process has exited and returns its exit code. It returns -1 if a signal
+// ended the process or if ctx ends first.
 func (p *Process) Wait(ctx context.Context) int {
 	select {
 	case <-p.exited:
@@ -153,7 +157,7 @@
 	}
 }
 
-// ProcessID returns the id of the process.
+// ProcessID returns the process id in the operating system.
 func (p *Process) ProcessID() int {
 	return p.command.Process.Pid
 }
--- a/internal/rehearsal/cluster/ready.go
+++ b/internal/rehearsal/cluster/ready.go
@@ -8,11 +8,11 @@
 	"github.com/samber/oops"
 )
 
-// readyPoll is the time between two looks at a node's readiness.
+// readyPollInterval is the time between two readiness requests to a node.
 const readyPollInterval = 20 * time.Millisecond
 
-// AwaitReady blocks until the readiness page of every node says that it takes
-// work.
+// AwaitReady blocks until the readiness endpoint of every node reports that the node accepts
+// queries.
 func (c *Cluster) AwaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
