--- a/internal/rehearsal/history/attempts.go
+++ b/internal/rehearsal/history/attempts.go
@@ -7,23 +7,23 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/leaf"
 )
 
-// CheckLeaving checks that no attempt arrived at a leaf, not even one that it
-// refused, once the bound had passed after the notice that it is leaving.
+// CheckLeaving checks that no attempt, not even a refused one, arrived at a leaf after the bound
+// had passed since the notice that it is leaving.
 func CheckLeaving(name string, attempts []leaf.Execution, notice time.Time, bound time.Duration) []Violation {
 	var violations []Violation
 	for _, attempt := range attempts {
 		if delay := time.UnixMicro(attempt.Arrived).Sub(notice); delay > bound {
 			violations = append(violations, Violation{
 				Promise: "leaving leaf", Subject: name,
-				Detail: fmt.Sprintf("attempt %s arrived %s after the word", attempt.AttemptID, delay),
+				Detail: fmt.Sprintf("attempt %s arrived %s after the notice", attempt.AttemptID, delay),
 			})
 		}
 	}
 	return violations
 }
 
-// LastArrival returns how long after the notice the last attempt arrived; zero
-// if none did.
+// LastArrival returns the time from the notice to the last arrival of an attempt, or zero if no
+// attempt arrived after the notice.
 func LastArrival(attempts []leaf.Execution, notice time.Time) time.Duration {
 	var last time.Duration
 	for _, attempt := range attempts {
@@ -32,8 +32,8 @@
 	return last
 }
 
-// CheckNothingCutOff checks that every request got its whole answer, or was
-// told that it ran nowhere: none was lost on its way, on either side.
+// CheckNothingCutOff checks that every request received a complete answer or a response that
+// guarantees that it did not run, so that no request or response was lost.
 func CheckNothingCutOff(submissions []Submission) []Violation {
 	var violations []Violation
 	for _, submission := range submissions {
@@ -46,7 +46,7 @@
 	return violations
 }
 
-// endOf says how a submission ended, for the one who looks into a broken promise.
+// describeEnd describes the result of a submission for a violation report.
 func describeEnd(submission Submission) string {
 	duration := submission.Returned.Sub(submission.Called).Round(time.Millisecond)
 	switch {
@@ -58,15 +58,15 @@
 	return fmt.Sprintf("%s after %v", submission.Fate(), duration)
 }
 
-// piece is the work of one request on one shard.
+// requestShard identifies the part of a request that runs on one shard.
 type requestShard struct {
 	request string
 	shard   int
 }
 
-// CheckNoneCancelled checks that no leaf saw the caller of an attempt go away,
-// unless another attempt did the same work: then it was not cut off, but not
-// needed any more.
+// CheckNoneCancelled checks that no leaf observed the cancellation of an attempt, unless another
+// attempt of the same request executed on the same shard. In that case, the cancelled attempt was
+// no longer needed.
 func CheckNoneCancelled(attempts []leaf.Execution) []Violation {
 	executed := make(map[requestShard]bool)
 	for _, attempt := range attempts {
--- a/internal/rehearsal/history/changes.go
+++ b/internal/rehearsal/history/changes.go
@@ -12,8 +12,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// logModel is the log of changes as a sequential object: its state is the
-// newest revision, and an append makes the next one.
+// logModel is the sequential specification of the change log for porcupine. The state is the newest
+// revision, and each append must produce the next one.
 func logModel(base uint64) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return base },
@@ -24,11 +24,10 @@
 	}
 }
 
-// CheckLog checks what operators were told against the log that the nodes hold
-// at the end: an accepted change is in it at the revision told, one that was
-// not accepted is not, and the log is a linearizable order of the commands.
-// Base is the revision before the first of the changes. No other changes may
-// have been made.
+// CheckLog checks the responses that operators received against the log that the nodes hold at the
+// end. Each accepted change must be in the log at the revision of its response, a change that was
+// not accepted must be absent, and the log must be a linearizable order of the changes. Base is the
+// revision before the first change. The log must not contain changes from other sources.
 func CheckLog(changes []Change, base uint64, log []catalog.AppliedChange) []Violation {
 	revisions := matchRevisions(changes, log)
 	var violations []Violation
@@ -44,16 +43,16 @@
 	}
 	switch porcupine.CheckOperationsTimeout(logModel(base), operations, checkTimeout) {
 	case porcupine.Illegal:
-		violations = append(violations, Violation{Promise: "log", Subject: "order", Detail: "the log is no order of the commands in which each takes effect between its call and its return"})
+		violations = append(violations, Violation{Promise: "log", Subject: "order", Detail: "the log is not linearizable: no order lets each change take effect between its call and its return"})
 	case porcupine.Unknown:
-		violations = append(violations, Violation{Promise: "log", Subject: "order", Detail: "not known: the check of the order took over " + checkTimeout.String()})
+		violations = append(violations, Violation{Promise: "log", Subject: "order", Detail: "unknown: the linearizability check exceeded " + checkTimeout.String()})
 	}
 	return violations
 }
 
-// revisionsOf returns the revision of each change that is in the log, by its
-// index. A change whose caller got no reply has an id that nobody was told: it
-// is the entry with its statement whose id no reply names.
+// matchRevisions returns the revision of each change that is in the log, by the index of the
+// change. The id of a change without a response is unknown to its operator. Such a change is
+// matched with an entry that has its statement and whose id occurs in no response.
 func matchRevisions(changes []Change, log []catalog.AppliedChange) map[int]uint64 {
 	entries := make(map[string]catalog.AppliedChange, len(log))
 	for _, applied := range log {
@@ -84,25 +83,29 @@
 	return revisions
 }
 
-// unconditional returns a statement without its condition on the revision,
-// which the log does not keep.
+// trimCondition returns a statement without its revision condition, which the log does not store.
 func trimCondition(statement string) string {
 	command, _, _ := strings.Cut(statement, " if revision ")
 	return command
 }
 
+// describeFateMismatch describes how the response to a change contradicts the log; it returns an
+// empty string if they agree.
 func describeFateMismatch(change Change, revision uint64, applied bool) string {
 	switch {
 	case change.Accepted() && !applied:
-		return "accepted, but not in the log"
+		return "accepted, but missing from the log"
 	case change.Accepted() && change.Response.Revision != revision:
-		return fmt.Sprintf("accepted as revision %d, but is %d", change.Response.Revision, revision)
+		return fmt.Sprintf("accepted at revision %d, but the log has it at revision %d", change.Response.Revision, revision)
 	case change.Response != nil && change.Response.Fate == api.FateNotAccepted && applied:
-		return fmt.Sprintf("not accepted, but is revision %d", revision)
+		return fmt.Sprintf("not accepted, but the log has it at revision %d", revision)
 	}
 	return ""
 }
 
+// newAppendOperation returns the porcupine operation of a change in the log. A change that was not
+// acknowledged as accepted may take effect at any time after its call, so its operation never
+// returns.
 func newAppendOperation(change Change, revision uint64) porcupine.Operation {
 	operation := porcupine.Operation{
 		ClientId: change.Operator,
@@ -116,10 +119,9 @@
 	return operation
 }
 
-// CheckSightings checks that the revision of no process ever fell, and that no
-// process took work with an older revision once the bound had passed since an
-// operator was told that a change is accepted. Sightings of one process must
-// be in order.
+// CheckSightings checks that the revision of each process never decreases, and that no process
+// accepts work at an outdated revision once the bound has passed since an operator's change was
+// acknowledged as accepted. The sightings of each process must be in order.
 func CheckSightings(sightings []Sighting, changes []Change, bound time.Duration) []Violation {
 	var violations []Violation
 	last := make(map[string]Sighting)
@@ -127,21 +129,22 @@
 		if previous := last[sighting.Process]; sighting.Revision < previous.Revision {
 			violations = append(violations, Violation{
 				Promise: "revision", Subject: sighting.Process,
-				Detail: fmt.Sprintf("fell from %d to %d", previous.Revision, sighting.Revision),
+				Detail: fmt.Sprintf("the revision decreased from %d to %d", previous.Revision, sighting.Revision),
 			})
 		}
 		last[sighting.Process] = sighting
 		if required := newestAcceptedRevision(changes, sighting.Called.Add(-bound)); sighting.Fresh && sighting.Revision < required {
 			violations = append(violations, Violation{
 				Promise: "in force", Subject: sighting.Process,
-				Detail: fmt.Sprintf("takes work at revision %d, %s after %d was accepted", sighting.Revision, bound, required),
+				Detail: fmt.Sprintf("accepts work at revision %d, more than %s after revision %d was accepted", sighting.Revision, bound, required),
 			})
 		}
 	}
 	return violations
 }
 
-// requiredRevision returns the newest revision accepted before a moment.
+// newestAcceptedRevision returns the newest revision whose acceptance was acknowledged before the
+// deadline.
 func newestAcceptedRevision(changes []Change, deadline time.Time) uint64 {
 	var required uint64
 	for _, change := range changes {
@@ -152,9 +155,9 @@
 	return required
 }
 
-// CheckStopped checks that no request was answered that was called once the
-// bound had passed after an accepted "stop service", and before the service
-// was started again. Commands must be in order.
+// CheckStopped checks that no request was answered if it was called after the bound had passed
+// since the acknowledgment of "stop service" and before the given time, at which the service is
+// started again.
 func CheckStopped(submissions []Submission, stopped Change, until time.Time, bound time.Duration) []Violation {
 	var violations []Violation
 	from := stopped.Returned.Add(bound)
--- a/internal/rehearsal/history/history.go
+++ b/internal/rehearsal/history/history.go
@@ -1,7 +1,9 @@
-// Package history is test support: no program imports it. It records what callers,
-// operators and leaves saw of a deployment, and checks the recorded history against the promises that
-// micaplank gives. It knows nothing of how a node works: the checkers use only
-// requests, answers, the leaves' execution logs and the generated data.
+// Package history is test support: no program imports it. It records the operations of callers,
+// operators and leaves on a deployment and checks the recorded history against the guarantees of
+// micaplank.
+//
+// The checkers are independent of the implementation of a node. They use only requests, answers, the
+// execution logs of the leaves and the generated data.
 package history
 
 import (
@@ -15,45 +17,44 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// notRunPrefix is common to all problem types that promise that a request ran
-// nowhere.
+// notRunPrefix is the common prefix of the problem types that guarantee that a request did not run
+// on any leaf.
 const notRunPrefix = "urn:micaplank:problem:not-run-"
 
-// Violation is one promise found broken.
+// Violation is a guarantee that the history violates.
 type Violation struct {
-	// Promise is the name of the checker.
+	// Promise names the violated guarantee.
 	Promise string
-	// Subject is the request, change, leaf or process concerned.
+	// Subject identifies the request, change, leaf or process.
 	Subject string
 	Detail  string
 }
 
-// String names the promise, the subject and what was found.
+// String returns the guarantee, the subject and the detail.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s: %s: %s", v.Promise, v.Subject, v.Detail)
 }
 
-// Submission is one request of a caller, with what came of it: exactly one of
-// Answer, Problem and Err is set.
+// Submission is a caller's request and its result. Exactly one of Answer, Problem and Err is set.
 type Submission struct {
-	// Caller names the caller; it submits one request after the other.
+	// Caller identifies the caller, which submits its requests sequentially.
 	Caller int
 	// Node is the name of the node that the request was sent to.
 	Node    string
 	Service string
 	Request api.QueryRequest
-	// Filter says which rows a select asks for; nil for an insert.
+	// Filter is the condition of a select; it is nil for an insert.
 	Filter   *Filter
 	Called   time.Time
 	Returned time.Time
 	Answer   *api.QueryResponse
 	Problem  *api.Problem
-	// Err means that no reply came.
+	// Err is set if the caller received no response.
 	Err error
 }
 
-// End notes the reply. An error that is not a problem document counts as no
-// reply.
+// End records the result and the time of its arrival. An error that is not a problem document
+// counts as a missing response.
 func (s *Submission) End(answer *api.QueryResponse, err error) {
 	s.Returned = time.Now()
 	switch {
@@ -65,18 +66,18 @@
 	}
 }
 
-// NotRun reports whether the caller received the answer that the request ran nowhere.
+// NotRun reports whether the response guarantees that the request did not run on any leaf.
 func (s Submission) NotRun() bool {
 	return s.Problem != nil && (s.Problem.Outcome == dispatch.OutcomeNotRun || strings.HasPrefix(string(s.Problem.Type), notRunPrefix))
 }
 
-// Refused reports whether the caller received the answer that this submission ran
-// nowhere; an earlier one of the same id may have.
+// Refused reports whether the response guarantees that this submission did not run on any leaf. An
+// earlier submission of the same id may have run.
 func (s Submission) Refused() bool {
 	return s.Problem != nil && s.Problem.Type == api.ProblemUnavailable
 }
 
-// Fate is one word for the answer that the caller received.
+// Fate returns a short name of the result for reports.
 func (s Submission) Fate() string {
 	switch {
 	case s.Answer != nil:
@@ -87,8 +88,8 @@
 	return strings.TrimPrefix(string(s.Problem.Type), "urn:micaplank:problem:")
 }
 
-// Change is one command of an operator, with what came of it: exactly one of
-// Response, Problem and Err is set.
+// Change is an operator's statement and its result. Exactly one of Response, Problem and Err is
+// set.
 type Change struct {
 	Operator  int
 	Node      string
@@ -100,7 +101,8 @@
 	Err       error
 }
 
-// End notes the reply.
+// End records the result and the time of its arrival. An error that is not a problem document
+// counts as a missing response.
 func (c *Change) End(response *api.StatementResponse, err error) {
 	c.Returned = time.Now()
 	switch {
@@ -112,31 +114,30 @@
 	}
 }
 
-// Accepted reports whether the operator received the answer that the change took effect
-// and never reverts.
+// Accepted reports whether the response guarantees that the change took effect and never reverts.
 func (c Change) Accepted() bool {
 	return c.Response != nil && (c.Response.Fate == api.FateInForce || c.Response.Fate == api.FateAccepted)
 }
 
-// Unsettled reports whether the operator received, with an id, the answer that the change
-// may or may not take effect.
+// Unsettled reports whether the response contains the id of a change that may or may not take
+// effect.
 func (c Change) Unsettled() bool {
 	return c.Response != nil && c.Response.Fate == api.FateUnknown
 }
 
-// Sighting is one look at the status of a node process.
+// Sighting is an observation of the status of a node process.
 type Sighting struct {
-	// Process names the process, so that a replacement of the same slot is
-	// told from its predecessor.
+	// Process identifies the process. A replacement in the same slot has another value than its
+	// predecessor.
 	Process  string
 	Called   time.Time
 	Returned time.Time
 	Revision uint64
-	// Fresh says that the node takes work.
+	// Fresh reports whether the node accepts work.
 	Fresh bool
 }
 
-// Recorder gathers a history. It is safe for concurrent use.
+// Recorder collects a history. It is safe for concurrent use.
 type Recorder struct {
 	mutex       sync.Mutex
 	submissions []Submission
@@ -144,49 +145,49 @@
 	sightings   []Sighting
 }
 
-// Submitted records a request that has ended.
+// Submitted records a request with its result.
 func (r *Recorder) Submitted(submission Submission) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.submissions = append(r.submissions, submission)
 }
 
-// Changed records a command that has ended.
+// Changed records a change with its result.
 func (r *Recorder) Changed(change Change) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes = append(r.changes, change)
 }
 
-// Saw records a look at a node.
+// Saw records an observation of a node.
 func (r *Recorder) Saw(sighting Sighting) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.sightings = append(r.sightings, sighting)
 }
 
-// Submissions returns the requests recorded so far.
+// Submissions returns a copy of the recorded requests.
 func (r *Recorder) Submissions() []Submission {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]Submission(nil), r.submissions...)
 }
 
-// Changes returns the commands recorded so far.
+// Changes returns a copy of the recorded changes.
 func (r *Recorder) Changes() []Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]Change(nil), r.changes...)
 }
 
-// Sightings returns the looks at nodes recorded so far.
+// Sightings returns a copy of the recorded observations.
 func (r *Recorder) Sightings() []Sighting {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]Sighting(nil), r.sightings...)
 }
 
-// Fates counts the requests by what their callers were told.
+// Fates returns the number of recorded requests by Submission.Fate.
 func (r *Recorder) Fates() map[string]int {
 	fates := make(map[string]int)
 	for _, submission := range r.Submissions() {
--- a/internal/rehearsal/history/history_test.go
+++ b/internal/rehearsal/history/history_test.go
@@ -20,6 +20,7 @@
 	testSnapshot = catalog.Snapshot{Version: 2, Epoch: 1}
 )
 
+// timeAt returns the time of the history at an offset in milliseconds.
 func timeAt(milliseconds int) time.Time {
 	return origin.Add(time.Duration(milliseconds) * time.Millisecond)
 }
@@ -28,19 +29,22 @@
 	return Submission{Request: api.QueryRequest{RequestID: id}, Service: testServiceName, Called: timeAt(from), Returned: timeAt(to)}
 }
 
+// newAnswered returns a submission that received an answer.
 func newAnswered(id string, from, to int) Submission {
 	s := newSubmission(id, from, to)
 	s.Answer = &api.QueryResponse{RequestID: id, Outcome: dispatch.OutcomeAnswered}
 	return s
 }
 
+// newProblem returns a submission that received a problem.
 func newProblem(id string, problemType api.ProblemType, from, to int) Submission {
 	s := newSubmission(id, from, to)
 	s.Problem = api.NewProblem(problemType, "")
 	return s
 }
 
-func newLost(id string, from, to int) Submission {
+// newSubmissionWithoutReply returns a submission whose caller received no response.
+func newSubmissionWithoutReply(id string, from, to int) Submission {
 	s := newSubmission(id, from, to)
 	s.Err = errors.New("connection reset")
 	return s
@@ -50,8 +54,9 @@
 	return leaf.Execution{RequestID: id, Outcome: leaf.OutcomeExecuted, Started: 1}
 }
 
-// wholeAnswer is a true answer over 4 shards, without the missing ones.
-func newSelect(missing ...int) Submission {
+// newSelectSubmission returns a submission with the correct answer over 4 shards, of which the given ones are
+// missing.
+func newSelectSubmission(missing ...int) Submission {
 	s := newAnswered("r", 0, 1)
 	s.Filter = &testFilter
 	s.Answer.Snapshot = testSnapshot
@@ -60,52 +65,54 @@
 	return s
 }
 
+// TestCheckRows corrupts a correct answer in one way for each case.
 func TestCheckRows(t *testing.T) {
 	cases := map[string]struct {
 		corrupt func(*api.QueryResponse)
 		valid   bool
 	}{
-		"true":           {func(*api.QueryResponse) {}, true},
-		"row lost":       {func(r *api.QueryResponse) { r.Rows = r.Rows[1:] }, false},
-		"row twice":      {func(r *api.QueryResponse) { r.Rows = append(r.Rows, r.Rows[0]) }, false},
-		"other version":  {func(r *api.QueryResponse) { r.Rows[0][versionColumn] = rows.NumberOf(1) }, false},
-		"other price":    {func(r *api.QueryResponse) { r.Rows[0][4] = rows.NumberOf(1) }, false},
-		"other request":  {func(r *api.QueryResponse) { r.RequestID = "other" }, false},
-		"shard uncalled": {func(r *api.QueryResponse) { r.Coverage = api.Coverage{Answered: 3, Total: 4, Missing: []int{1}} }, false},
-		"shards hidden":  {func(r *api.QueryResponse) { r.Coverage = api.Coverage{Answered: 3, Total: 3} }, false},
-		"empty":          {func(r *api.QueryResponse) { r.Rows = nil }, false},
+		"correct":                   {func(*api.QueryResponse) {}, true},
+		"row missing":               {func(r *api.QueryResponse) { r.Rows = r.Rows[1:] }, false},
+		"row duplicated":            {func(r *api.QueryResponse) { r.Rows = append(r.Rows, r.Rows[0]) }, false},
+		"other version":             {func(r *api.QueryResponse) { r.Rows[0][versionColumn] = rows.NumberOf(1) }, false},
+		"other price":               {func(r *api.QueryResponse) { r.Rows[0][4] = rows.NumberOf(1) }, false},
+		"other request":             {func(r *api.QueryResponse) { r.RequestID = "other" }, false},
+		"shard reported as missing": {func(r *api.QueryResponse) { r.Coverage = api.Coverage{Answered: 3, Total: 4, Missing: []int{1}} }, false},
+		"shard omitted from total":  {func(r *api.QueryResponse) { r.Coverage = api.Coverage{Answered: 3, Total: 3} }, false},
+		"empty":                     {func(r *api.QueryResponse) { r.Rows = nil }, false},
 	}
 	for name, testCase := range cases {
-		s := newSelect()
+		s := newSelectSubmission()
 		testCase.corrupt(s.Answer)
 		if violations := NewTruth(4).CheckRows([]Submission{s}); (len(violations) == 0) != testCase.valid {
-			t.Errorf("%s: %v", name, violations)
+			t.Errorf("%s: got violations %v, want valid = %t", name, violations, testCase.valid)
 		}
 	}
-	if violations := NewTruth(4).CheckRows([]Submission{newSelect(2)}); len(violations) > 0 {
-		t.Error(violations)
+	if violations := NewTruth(4).CheckRows([]Submission{newSelectSubmission(2)}); len(violations) > 0 {
+		t.Errorf("answer without one shard: got violations %v, want none", violations)
 	}
 }
 
+// TestCheckOnce checks histories of one request id against its number of executions.
 func TestCheckOnce(t *testing.T) {
 	cases := map[string]struct {
 		submissions []Submission
 		executions  int
 		valid       bool
 	}{
-		"ran once":                {[]Submission{newAnswered("r", 0, 1), newAnswered("r", 2, 3)}, 1, true},
-		"ran twice":               {[]Submission{newAnswered("r", 0, 1), newAnswered("r", 2, 3)}, 2, false},
-		"answered, ran nowhere":   {[]Submission{newAnswered("r", 0, 1)}, 0, false},
-		"not run, then ran":       {[]Submission{newProblem("r", api.ProblemNotRunOverload, 0, 1), newAnswered("r", 2, 3)}, 1, true},
-		"ran, then not run":       {[]Submission{newAnswered("r", 0, 1), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, false},
-		"ran and not run at once": {[]Submission{newAnswered("r", 0, 5), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
-		"not run, but ran":        {[]Submission{newProblem("r", api.ProblemNotRunOverload, 0, 1)}, 1, false},
-		"refused, but ran":        {[]Submission{newProblem("r", api.ProblemUnavailable, 0, 1)}, 1, false},
-		"unknown, ran":            {[]Submission{newProblem("r", api.ProblemOutcomeUnknown, 0, 1)}, 1, true},
-		"unknown, ran nowhere":    {[]Submission{newLost("r", 0, 1)}, 0, true},
-		"lost, then refused":      {[]Submission{newLost("r", 0, 1), newProblem("r", api.ProblemUnavailable, 2, 3)}, 1, true},
-		"lost, then not run":      {[]Submission{newLost("r", 0, 1), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
-		"unknown, ran twice":      {[]Submission{newLost("r", 0, 1), newLost("r", 0, 1)}, 2, false},
+		"ran once":                    {[]Submission{newAnswered("r", 0, 1), newAnswered("r", 2, 3)}, 1, true},
+		"ran twice":                   {[]Submission{newAnswered("r", 0, 1), newAnswered("r", 2, 3)}, 2, false},
+		"answered, but never ran":     {[]Submission{newAnswered("r", 0, 1)}, 0, false},
+		"not run, then ran":           {[]Submission{newProblem("r", api.ProblemNotRunOverload, 0, 1), newAnswered("r", 2, 3)}, 1, true},
+		"ran, then not run":           {[]Submission{newAnswered("r", 0, 1), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, false},
+		"ran and not run, concurrent": {[]Submission{newAnswered("r", 0, 5), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
+		"not run, but executed":       {[]Submission{newProblem("r", api.ProblemNotRunOverload, 0, 1)}, 1, false},
+		"refused, but executed":       {[]Submission{newProblem("r", api.ProblemUnavailable, 0, 1)}, 1, false},
+		"unknown, ran":                {[]Submission{newProblem("r", api.ProblemOutcomeUnknown, 0, 1)}, 1, true},
+		"no reply, never ran":         {[]Submission{newSubmissionWithoutReply("r", 0, 1)}, 0, true},
+		"no reply, then refused":      {[]Submission{newSubmissionWithoutReply("r", 0, 1), newProblem("r", api.ProblemUnavailable, 2, 3)}, 1, true},
+		"no reply, then not run":      {[]Submission{newSubmissionWithoutReply("r", 0, 1), newProblem("r", api.ProblemNotRunOverload, 2, 3)}, 1, true},
+		"no reply, ran twice":         {[]Submission{newSubmissionWithoutReply("r", 0, 1), newSubmissionWithoutReply("r", 0, 1)}, 2, false},
 	}
 	for name, testCase := range cases {
 		attempts := []leaf.Execution{newExecution("other")}
@@ -113,19 +120,21 @@
 			attempts = append(attempts, newExecution("r"))
 		}
 		if violations := CheckOnce(testCase.submissions, attempts); (len(violations) == 0) != testCase.valid {
-			t.Errorf("%s: %v", name, violations)
+			t.Errorf("%s: got violations %v, want valid = %t", name, violations, testCase.valid)
 		}
 	}
 }
 
+// TestCheckNotRun checks that any started attempt contradicts "not run", also one that was
+// cancelled.
 func TestCheckNotRun(t *testing.T) {
 	refused := []Submission{newProblem("r", api.ProblemNotRunStale, 0, 1)}
 	cancelled := leaf.Execution{RequestID: "r", Outcome: leaf.OutcomeCancelledRunning, Started: 1}
 	if len(CheckNotRun(refused, []leaf.Execution{cancelled})) != 1 {
-		t.Error("a started attempt is not noticed")
+		t.Error("got no violation for a started attempt, want 1")
 	}
 	if violations := CheckNotRun(refused, []leaf.Execution{{RequestID: "r", Outcome: leaf.OutcomeRefused}, newExecution("q")}); len(violations) > 0 {
-		t.Error(violations)
+		t.Errorf("refused attempt: got violations %v, want none", violations)
 	}
 }
 
@@ -136,11 +145,12 @@
 	}
 }
 
-// unanswered is a change whose caller got no reply.
+// newChangeWithoutReply returns a change whose caller received no response.
 func newChangeWithoutReply(statement string, from int) Change {
 	return Change{Statement: statement, Called: timeAt(from), Returned: timeAt(from + 5), Err: errors.New("connection reset")}
 }
 
+// TestCheckLog checks changes against a log of three entries after revision 4.
 func TestCheckLog(t *testing.T) {
 	log := []catalog.AppliedChange{{ID: "a", Revision: 5}, {ID: "b", Revision: 6, Statement: "limit x concurrency 7"}, {ID: "c", Revision: 7}}
 	b := newChange("b", api.FateUnknown, 0, 10, 20)
@@ -148,28 +158,30 @@
 		changes []Change
 		valid   bool
 	}{
-		"in order":          {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateAccepted, 7, 21, 30)}, true},
-		"unknown came late": {[]Change{newChange("c", api.FateInForce, 7, 30, 40), b, newChange("a", api.FateInForce, 5, 0, 9)}, true},
-		"accepted, but lost": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateInForce, 7, 21, 30),
+		"in order":              {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateAccepted, 7, 21, 30)}, true},
+		"recorded out of order": {[]Change{newChange("c", api.FateInForce, 7, 30, 40), b, newChange("a", api.FateInForce, 5, 0, 9)}, true},
+		"accepted, but not in the log": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateInForce, 7, 21, 30),
 			newChange("d", api.FateAccepted, 8, 31, 40)}, false},
 		"other revision": {[]Change{newChange("a", api.FateInForce, 6, 0, 9), b, newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"not accepted, but there": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChange("b", api.FateNotAccepted, 6, 10, 20),
+		"not accepted, but in the log": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChange("b", api.FateNotAccepted, 6, 10, 20),
 			newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"against time": {[]Change{newChange("a", api.FateInForce, 5, 40, 50), b, newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"no reply, but there": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7 if revision 5", 10),
+		"against real-time order": {[]Change{newChange("a", api.FateInForce, 5, 40, 50), b, newChange("c", api.FateInForce, 7, 21, 30)}, false},
+		"no reply, but in the log": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7 if revision 5", 10),
 			newChange("c", api.FateInForce, 7, 21, 30)}, true},
-		"no reply, made too late": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7", 31),
+		"no reply, called too late": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7", 31),
 			newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"no reply, another there": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 8", 10),
+		"no reply, log has other statement": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 8", 10),
 			newChange("c", api.FateInForce, 7, 21, 30)}, false},
 	}
 	for name, testCase := range cases {
 		if violations := CheckLog(testCase.changes, 4, log); (len(violations) == 0) != testCase.valid {
-			t.Errorf("%s: %v", name, violations)
+			t.Errorf("%s: got violations %v, want valid = %t", name, violations, testCase.valid)
 		}
 	}
 }
 
+// TestCheckSightingsAndStopped checks both checkers against a change that is acknowledged at 10 ms,
+// with a bound of 100 ms.
 func TestCheckSightingsAndStopped(t *testing.T) {
 	accepted := []Change{newChange("a", api.FateAccepted, 5, 0, 10)}
 	bound := 100 * time.Millisecond
@@ -177,44 +189,45 @@
 		sightings []Sighting
 		valid     bool
 	}{
-		"in time":        {[]Sighting{{Process: "n", Called: timeAt(50), Revision: 4, Fresh: true}, {Process: "n", Called: timeAt(120), Revision: 5, Fresh: true}}, true},
-		"late, no work":  {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4}}, true},
-		"late":           {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4, Fresh: true}}, false},
-		"falls":          {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "n", Called: timeAt(6), Revision: 4}}, false},
-		"other starts":   {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "m", Called: timeAt(6), Revision: 4}}, true},
-		"nothing at all": {nil, true},
+		"in time":                {[]Sighting{{Process: "n", Called: timeAt(50), Revision: 4, Fresh: true}, {Process: "n", Called: timeAt(120), Revision: 5, Fresh: true}}, true},
+		"late, but not fresh":    {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4}}, true},
+		"late":                   {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4, Fresh: true}}, false},
+		"revision decreases":     {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "n", Called: timeAt(6), Revision: 4}}, false},
+		"other process is older": {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "m", Called: timeAt(6), Revision: 4}}, true},
+		"no sightings":           {nil, true},
 	}
 	for name, testCase := range cases {
 		if violations := CheckSightings(testCase.sightings, accepted, bound); (len(violations) == 0) != testCase.valid {
-			t.Errorf("%s: %v", name, violations)
+			t.Errorf("%s: got violations %v, want valid = %t", name, violations, testCase.valid)
 		}
 	}
 	late := []Submission{newAnswered("r", 111, 112)}
 	if len(CheckStopped(late, accepted[0], timeAt(200), bound)) != 1 || len(CheckStopped(late, accepted[0], timeAt(105), bound)) != 0 {
-		t.Error("answers of a stopped service")
+		t.Error("got wrong violations for an answer called 101 ms after the stop, want 1 before the service is started and none after")
 	}
 }
 
+// TestCheckLeavingCutOffAndCancelled checks the checkers of attempts and of incomplete answers.
 func TestCheckLeavingCutOffAndCancelled(t *testing.T) {
 	late := leaf.Execution{AttemptID: "a", Outcome: leaf.OutcomeRefused, Arrived: timeAt(5001).UnixMicro()}
 	if len(CheckLeaving("leaf", []leaf.Execution{late}, origin, 5*time.Second)) != 1 {
-		t.Error("a late arrival is not noticed")
+		t.Error("got no violation for a late arrival, want 1")
 	}
 	if len(CheckLeaving("leaf", []leaf.Execution{late}, origin, 6*time.Second)) != 0 {
-		t.Error("an arrival in time is a violation")
+		t.Error("got a violation for an arrival within the bound, want none")
 	}
-	complete := []Submission{newSelect(), newProblem("r", api.ProblemNotRunDraining, 0, 1)}
-	incomplete := []Submission{newSelect(1), newLost("r", 0, 1), newProblem("r", api.ProblemFailed, 0, 1), newProblem("r", api.ProblemOutcomeUnknown, 0, 1)}
+	complete := []Submission{newSelectSubmission(), newProblem("r", api.ProblemNotRunDraining, 0, 1)}
+	incomplete := []Submission{newSelectSubmission(1), newSubmissionWithoutReply("r", 0, 1), newProblem("r", api.ProblemFailed, 0, 1), newProblem("r", api.ProblemOutcomeUnknown, 0, 1)}
 	if violations := CheckNothingCutOff(append(complete, incomplete...)); len(violations) != len(incomplete) {
-		t.Error(violations)
+		t.Errorf("got violations %v, want one for each of %d incomplete submissions", violations, len(incomplete))
 	}
 	cancelled := leaf.Execution{RequestID: "r", Shard: 1, Outcome: leaf.OutcomeCancelledQueued}
 	if len(CheckNoneCancelled([]leaf.Execution{cancelled, newExecution("r"), late})) != 1 {
-		t.Error("a cancelled attempt is not noticed")
+		t.Error("got no violation for a cancelled attempt, want 1")
 	}
 	replaced := newExecution("r")
 	replaced.Shard = 1
 	if len(CheckNoneCancelled([]leaf.Execution{cancelled, replaced})) != 0 {
-		t.Error("an attempt that was replaced counts as cut off")
+		t.Error("got a violation for an attempt that was replaced by another, want none")
 	}
 }
--- a/internal/rehearsal/history/once.go
+++ b/internal/rehearsal/history/once.go
@@ -13,12 +13,11 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/leaf"
 )
 
-// checkTimeout bounds the search for an order of one history.
+// checkTimeout bounds the linearizability check of one history.
 const checkTimeout = 20 * time.Second
 
-// CheckNotRun checks that no request of which a caller was told "not run" was
-// started on any leaf, whatever became of it there. Request ids must not
-// repeat; CheckOnce is for those that do.
+// CheckNotRun checks that no leaf started a request whose caller received "not run", regardless of
+// how the attempt ended. Request ids must be unique; CheckOnce handles repeated ids.
 func CheckNotRun(submissions []Submission, attempts []leaf.Execution) []Violation {
 	started := make(map[string]leaf.Execution)
 	for _, attempt := range attempts {
@@ -32,14 +31,14 @@
 		if submission.NotRun() && ok {
 			violations = append(violations, Violation{
 				Promise: "not run", Subject: submission.Request.RequestID,
-				Detail: fmt.Sprintf("%s by %s, but shard %d: %s", submission.Fate(), submission.Node, attempt.Shard, attempt.Outcome),
+				Detail: fmt.Sprintf("%s reported %s, but the attempt on shard %d was started: %s", submission.Node, submission.Fate(), attempt.Shard, attempt.Outcome),
 			})
 		}
 	}
 	return violations
 }
 
-// onceKind is what one operation on a request id is.
+// onceOperationKind is the kind of an operation on a request id.
 type onceOperationKind int
 
 const (
@@ -47,20 +46,21 @@
 	onceNotRun
 	onceRefused
 	onceUnknown
-	// onceAudit reads the leaves' logs when everything is over.
+	// onceAudit reads the execution logs of the leaves at the end of the history.
 	onceAudit
 )
 
+// onceInput is the input of a porcupine operation on a request id.
 type onceInput struct {
 	id   string
 	kind onceOperationKind
-	// executions is what an audit found.
+	// executions is the number of executions that an audit read from the logs.
 	executions int
 }
 
-// onceModel is a request id as a sequential object: its state says whether the
-// request has run. A submission takes effect at one moment between its call
-// and its return; one that is unknown, at any later moment or never.
+// onceModel is the sequential specification of a request id. The state records whether the request
+// has run. A submission takes effect at one point between its call and its return. A submission
+// whose outcome is unknown takes effect at any later point or never.
 var onceModel = porcupine.NondeterministicModel{
 	Partition: partitionByRequestID,
 	Init:      func() []any { return []any{false} },
@@ -70,12 +70,14 @@
 	},
 }
 
+// stepOnceModel returns the possible states after an operation, or none if the operation
+// contradicts the state.
 func stepOnceModel(state, input, _ any) []any {
 	ran := state.(bool)
 	operation := input.(onceInput)
 	switch operation.kind {
 	case onceAnswered:
-		return []any{true} // it runs now, or the recorded answer is replayed
+		return []any{true} // the request runs now, or its recorded answer is replayed
 	case onceNotRun:
 		return statesIf(!ran, ran)
 	case onceRefused:
@@ -93,6 +95,7 @@
 	return statesIf(operation.executions == expected, ran)
 }
 
+// statesIf returns the state if the operation is allowed in it, otherwise no state.
 func statesIf(allowed, state bool) []any {
 	if !allowed {
 		return nil
@@ -100,6 +103,7 @@
 	return []any{state}
 }
 
+// partitionByRequestID splits a history into one history for each request id.
 func partitionByRequestID(history []porcupine.Operation) [][]porcupine.Operation {
 	slices.SortStableFunc(history, func(a, b porcupine.Operation) int {
 		return cmp.Compare(a.Input.(onceInput).id, b.Input.(onceInput).id)
@@ -114,10 +118,10 @@
 	return parts
 }
 
-// CheckOnce checks requests that may run at most once, by porcupine: for each
-// id there is an order of its submissions in which it runs at most once, each
-// "answered" after it ran, each "not run" before, and the leaves' logs agree.
-// The attempts must have been read when no submission could run any more.
+// CheckOnce checks with porcupine that requests ran at most once. For each id, there must be an
+// order of the submissions in which the request runs at most once, each answer follows its run,
+// each "not run" precedes it, and the number of executions agrees with the execution logs. The
+// attempts must have been read when no submission could run any more.
 func CheckOnce(submissions []Submission, attempts []leaf.Execution) []Violation {
 	executions := make(map[string]int)
 	for _, attempt := range attempts {
@@ -144,6 +148,8 @@
 	return violations
 }
 
+// newOnceOperation returns the porcupine operation of a submission. An operation with unknown
+// outcome returns just before the audit, since it may take effect at any time after its call.
 func newOnceOperation(submission Submission) porcupine.Operation {
 	operation := porcupine.Operation{
 		ClientId: submission.Caller,
@@ -157,6 +163,7 @@
 	return operation
 }
 
+// newOnceAudit returns the operation that reads the number of executions after all submissions.
 func newOnceAudit(id string, executions int) porcupine.Operation {
 	return porcupine.Operation{
 		Input:  onceInput{id: id, kind: onceAudit, executions: executions},
@@ -165,6 +172,7 @@
 	}
 }
 
+// classifySubmission returns the kind of operation for the reply that the caller received.
 func classifySubmission(submission Submission) onceOperationKind {
 	switch {
 	case submission.Answer != nil && submission.Answer.Outcome == dispatch.OutcomeAnswered:
@@ -177,6 +185,7 @@
 	return onceUnknown
 }
 
+// describeSubmissions lists the fates and the times of the submissions of a request id.
 func describeSubmissions(submissions []Submission, id string) string {
 	var text string
 	for _, submission := range submissions {
--- a/internal/rehearsal/history/rows.go
+++ b/internal/rehearsal/history/rows.go
@@ -24,31 +24,32 @@
 	Weight float64
 }
 
-// Statement is the select with this condition.
+// Statement returns the select statement with this condition.
 func (f Filter) Statement(service string) string {
 	return fmt.Sprintf("select * from %s where lane = '%s' and weight <= %g", service, f.Lane, f.Weight)
 }
 
+// matches reports whether a row satisfies the condition.
 func (f Filter) matches(row rows.Row) bool {
 	return row[laneColumn].Text == f.Lane && row[weightColumn].Number <= f.Weight
 }
 
-// shardKey names the rows of one shard.
+// shardKey identifies the rows of a shard in a snapshot.
 type shardKey struct {
 	service  string
 	snapshot catalog.Snapshot
 	shard    int
 }
 
-// Truth is the generated data, by shard. It is not safe for concurrent use.
+// Truth is the generated data that answers are compared with, by shard. It is not safe for
+// concurrent use.
 type Truth struct {
-	// shards is the number of shards of each partition epoch.
+	// shards is the number of shards by partition epoch.
 	shards map[uint64]int
 	tables map[shardKey][]rows.Row
 }
 
-// NewTruth returns the data of partitions with these numbers of shards, for
-// epochs counted from 1.
+// NewTruth returns the data of partitions with the given numbers of shards, for the epochs from 1.
 func NewTruth(shards ...int) *Truth {
 	truth := &Truth{shards: make(map[uint64]int), tables: make(map[shardKey][]rows.Row)}
 	for index, count := range shards {
@@ -57,6 +58,7 @@
 	return truth
 }
 
+// generateTable returns the rows of a shard, which are generated once and then cached.
 func (t *Truth) generateTable(key shardKey) []rows.Row {
 	if table, ok := t.tables[key]; ok {
 		return table
@@ -66,9 +68,9 @@
 	return table
 }
 
-// CheckRows checks that every answer to a select holds exactly the rows that
-// its caller asked for, of the one snapshot that it names and of the shards
-// that it claims: all but the missing ones.
+// CheckRows checks that every answer to a select contains exactly the requested rows of the shards
+// that it covers, from the single snapshot that it names. It covers all shards except for those
+// that it lists as missing.
 func (t *Truth) CheckRows(submissions []Submission) []Violation {
 	var violations []Violation
 	for _, submission := range submissions {
@@ -82,24 +84,28 @@
 	return violations
 }
 
+// checkAnswer describes the first error of an answer; it returns an empty string if the answer is
+// correct.
 func (t *Truth) checkAnswer(submission Submission) string {
 	answer := submission.Answer
 	if answer.RequestID != submission.Request.RequestID {
-		return "the answer is that of request " + answer.RequestID
+		return "got the answer to request " + answer.RequestID
 	}
 	for _, row := range answer.Rows {
 		if row[versionColumn].Number != float64(answer.Snapshot.Version) {
-			return fmt.Sprintf("a row of version %g in an answer of version %d", row[versionColumn].Number, answer.Snapshot.Version)
+			return fmt.Sprintf("got a row of version %g in an answer of version %d", row[versionColumn].Number, answer.Snapshot.Version)
 		}
 	}
 	coverage := answer.Coverage
 	total := t.shards[answer.Snapshot.Epoch]
 	if coverage.Total != total || coverage.Answered+len(coverage.Missing) != total {
-		return fmt.Sprintf("coverage %+v of %d shards in epoch %d", coverage, total, answer.Snapshot.Epoch)
+		return fmt.Sprintf("got coverage %+v, want %d shards in epoch %d", coverage, total, answer.Snapshot.Epoch)
 	}
 	return describeDifference(answer.Rows, t.expectedRows(submission))
 }
 
+// expectedRows returns the rows that the answer must contain for its snapshot and its covered
+// shards.
 func (t *Truth) expectedRows(submission Submission) []rows.Row {
 	answer := submission.Answer
 	var expected []rows.Row
@@ -116,21 +122,22 @@
 	return expected
 }
 
-// difference describes how the rows found differ from those expected, as sets
-// of the key; empty if they do not.
+// describeDifference describes the first difference of two lists of rows, ignoring their order; it
+// returns an empty string if they are equal.
 func describeDifference(got, want []rows.Row) string {
 	got, want = sortByQuote(got), sortByQuote(want)
 	if len(got) != len(want) {
-		return fmt.Sprintf("%d rows, expected %d", len(got), len(want))
+		return fmt.Sprintf("got %d rows, want %d", len(got), len(want))
 	}
 	for index := range got {
 		if !slices.Equal(got[index], want[index]) {
-			return fmt.Sprintf("row %v, expected %v", got[index], want[index])
+			return fmt.Sprintf("got row %v, want %v", got[index], want[index])
 		}
 	}
 	return ""
 }
 
+// sortByQuote returns a copy of the rows, sorted by their key column.
 func sortByQuote(table []rows.Row) []rows.Row {
 	sorted := slices.Clone(table)
 	slices.SortFunc(sorted, func(a, b rows.Row) int { return cmp.Compare(a[quoteColumn].Text, b[quoteColumn].Text) })
