--- a/internal/selfhosted/node/build.go
+++ b/internal/selfhosted/node/build.go
@@ -44,7 +44,7 @@
 
 // createStoreClient creates the client of the external store.
 func (n *Node) createStoreClient() (err error) {
-	n.store, err = store.New(storeConfig(n.settings.Store), n.registry)
+	n.store, err = store.New(newStoreConfig(n.settings.Store), n.registry)
 	return err
 }
 
@@ -53,13 +53,13 @@
 	n.buildMembership()
 	n.buildDissemination()
 	if n.settings.Machines.Address.IsValid() {
-		n.machinePoller = machines.NewPoller(machinesConfig(n.settings.Machines), n.newRandom(), n.registry)
+		n.machinePoller = machines.NewPoller(newMachinesConfig(n.settings.Machines), n.newRandom(), n.registry)
 	}
 }
 
 func (n *Node) buildMembership() {
 	n.membership = membership.NewService(membership.Options{
-		Config: membershipConfig(n.settings.Membership),
+		Config: newMembershipConfig(n.settings.Membership),
 		Self: membership.Member{
 			Name:        n.settings.Name,
 			Zone:        n.settings.Zone,
@@ -77,7 +77,7 @@
 
 func (n *Node) buildDissemination() {
 	n.dissemination = dissemination.NewService(dissemination.ServiceOptions{
-		Config: disseminationConfig(n.settings.Freshness),
+		Config: newDisseminationConfig(n.settings.Freshness),
 		Self: dissemination.Member{
 			Name:        n.settings.Name,
 			Zone:        n.settings.Zone,
@@ -85,7 +85,7 @@
 			Incarnation: n.incarnation,
 			Alive:       true,
 		},
-		Members:    n.disseminationMembers,
+		Members:    n.listDisseminationMembers,
 		Store:      dissemination.NewStoreAdapter(n.store),
 		Transport:  dissemination.NewPeerTransport(n.datagrams, n.peerClient),
 		Clock:      n.clock,
@@ -102,8 +102,9 @@
 	n.registry.MustRegister(newCollector(n))
 }
 
+// buildLeaves creates the leaf client, the scatter connections that use it and the health check.
 func (n *Node) buildLeaves() {
-	clientConfig := leafConfig(n.settings.Leaf)
+	clientConfig := newLeafConfig(n.settings.Leaf)
 	// Scatter checks before it hands an attempt over. The client checks again directly before it
 	// writes the first byte, because the process may have been suspended in between.
 	clientConfig.Guard = n.checkSend
@@ -130,7 +131,7 @@
 }
 
 func (n *Node) buildQueries() {
-	n.ledger = query.NewLedger(onceConfig(n.settings), n.clock, n.isOwnershipProved)
+	n.ledger = query.NewLedger(newOnceConfig(n.settings), n.clock, n.isOwnershipProved)
 	n.queryRunner = query.New(query.Config{
 		Self:           n.settings.Name,
 		Catalogs:       catalogSource{n},
--- a/internal/selfhosted/node/config.go
+++ b/internal/selfhosted/node/config.go
@@ -10,7 +10,10 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-func storeConfig(from settings.Store) store.Config {
+// The functions in this file convert sections of the settings to the configurations of the parts;
+// values that the settings do not contain keep the defaults of the parts.
+
+func newStoreConfig(from settings.Store) store.Config {
 	config := store.DefaultConfig()
 	config.Endpoints = from.Endpoints
 	config.Timeout = from.Timeout.Duration()
@@ -19,7 +22,7 @@
 	return config
 }
 
-func machinesConfig(from settings.Machines) machines.Config {
+func newMachinesConfig(from settings.Machines) machines.Config {
 	config := machines.DefaultConfig()
 	config.Address = from.Address
 	config.Interval = from.Interval.Duration()
@@ -27,14 +30,14 @@
 	return config
 }
 
-func leafConfig(from settings.Leaf) leaf.Config {
+func newLeafConfig(from settings.Leaf) leaf.Config {
 	return leaf.Config{
 		ConnectionsPerLeaf: from.ConnectionsPerLeaf,
 		ConnectTimeout:     from.DialTimeout.Duration(),
 	}
 }
 
-func membershipConfig(from settings.Membership) membership.Config {
+func newMembershipConfig(from settings.Membership) membership.Config {
 	config := membership.DefaultConfig()
 	config.ProbeInterval = from.ProbeInterval.Duration()
 	config.ProbeTimeout = from.ProbeTimeout.Duration()
@@ -46,14 +49,14 @@
 	return config
 }
 
-func disseminationConfig(from settings.Freshness) dissemination.Config {
+func newDisseminationConfig(from settings.Freshness) dissemination.Config {
 	config := dissemination.DefaultConfig()
 	config.Window = from.Window.Duration()
 	config.ExchangeInterval = from.ExchangeInterval.Duration()
 	return config
 }
 
-func onceConfig(from settings.Settings) once.Config {
+func newOnceConfig(from settings.Settings) once.Config {
 	config := once.DefaultConfig()
 	config.Window = from.Once.Window.Duration()
 	config.Skew = from.Once.Skew.Duration()
--- a/internal/selfhosted/node/dissemination.go
+++ b/internal/selfhosted/node/dissemination.go
@@ -7,8 +7,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/membership"
 )
 
-// disseminationMembers converts the member list to the form that package dissemination uses.
-func (n *Node) disseminationMembers() []dissemination.Member {
+// listDisseminationMembers converts the member list to the form that package dissemination uses.
+func (n *Node) listDisseminationMembers() []dissemination.Member {
 	listed := n.membership.Members()
 	members := make([]dissemination.Member, len(listed))
 	for i, member := range listed {
--- a/internal/selfhosted/node/mark_sync.go
+++ b/internal/selfhosted/node/mark_sync.go
@@ -49,14 +49,16 @@
 	syncedAt atomic.Int64
 }
 
-func (c *markSyncState) recordSync(now time.Duration) { c.syncedAt.Store(int64(now)) }
+// recordSync records a successful synchronization that began at the given clock reading.
+func (s *markSyncState) recordSync(now time.Duration) { s.syncedAt.Store(int64(now)) }
 
 // isCurrent reports whether the last synchronization is still valid.
-func (c *markSyncState) isCurrent(now time.Duration) bool {
-	at := time.Duration(c.syncedAt.Load())
+func (s *markSyncState) isCurrent(now time.Duration) bool {
+	at := time.Duration(s.syncedAt.Load())
 	return at > 0 && now-at < markSyncValidity
 }
 
+// handleMarks returns the marks of this node.
 func (n *Node) handleMarks(context.Context, netip.AddrPort, *marksRequest) (*marksResponse, error) {
 	return &marksResponse{Notices: n.healthCheck.Marks(), InStep: n.markSync.isCurrent(n.clock.Now())}, nil
 }
@@ -108,6 +110,7 @@
 	return !failed
 }
 
+// fetchMarks calls one member for its marks.
 func (n *Node) fetchMarks(member membership.Member) (*marksResponse, error) {
 	ctx, cancel := context.WithTimeout(n.backgroundContext, markSyncTimeout)
 	defer cancel()
--- a/internal/selfhosted/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -34,6 +34,7 @@
 	return nil, api.NewProblem(api.ProblemInvalidRequest, "Queries must be sent to the path of their service.")
 }
 
+// propose proposes a change and returns its fate, or the problem if the change was refused.
 func (o *operations) propose(ctx context.Context, statement *language.ChangeStatement, request api.StatementRequest) (*api.StatementResponse, error) {
 	result, err := o.node.dissemination.Propose(ctx, statement.Command, dissemination.ProposeOptions{
 		IfRevision: statement.IfRevision,
--- a/internal/selfhosted/node/query_limiter.go
+++ b/internal/selfhosted/node/query_limiter.go
@@ -29,15 +29,15 @@
 }
 
 // Query runs a query, or refuses it with a "not run" problem.
-func (i *queryLimiter) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
+func (l *queryLimiter) Query(ctx context.Context, service string, request api.QueryRequest) (*api.QueryResponse, error) {
 	select {
-	case <-i.draining:
-		return nil, i.runner.Refuse(service, request, api.ProblemNotRunDraining)
+	case <-l.draining:
+		return nil, l.runner.Refuse(service, request, api.ProblemNotRunDraining)
 	default:
 	}
-	defer i.inFlight.Add(-1)
-	if i.inFlight.Add(1) > i.limit {
-		return nil, i.runner.Refuse(service, request, api.ProblemNotRunOverload)
+	defer l.inFlight.Add(-1)
+	if l.inFlight.Add(1) > l.limit {
+		return nil, l.runner.Refuse(service, request, api.ProblemNotRunOverload)
 	}
-	return i.runner.Query(ctx, service, request)
+	return l.runner.Query(ctx, service, request)
 }
--- a/internal/selfhosted/node/status.go
+++ b/internal/selfhosted/node/status.go
@@ -27,6 +27,8 @@
 	}, nil
 }
 
+// listNodeStatuses returns the state of each member. The revisions of other nodes are those that
+// they last reported.
 func (n *Node) listNodeStatuses(current *catalog.Catalog) []api.NodeStatus {
 	revisions := make(map[string]uint64)
 	for _, peer := range n.dissemination.PeerRevisions() {
@@ -54,6 +56,8 @@
 	return statuses
 }
 
+// listLeafStatuses returns the state of each leaf as the health check and the dispatchers of this
+// node observe it.
 func (n *Node) listLeafStatuses() []api.LeafStatus {
 	states := n.collectDispatchStates()
 	statuses := []api.LeafStatus{}
@@ -110,6 +114,7 @@
 	return api.LeafUnreachable
 }
 
+// listServiceStatuses returns the state of each service of the catalog.
 func (n *Node) listServiceStatuses(current *catalog.Catalog) []api.ServiceStatus {
 	statuses := []api.ServiceStatus{}
 	for _, name := range current.ServiceNames() {
