--- a/internal/rehearsal/cluster/cluster.go
+++ b/internal/rehearsal/cluster/cluster.go
@@ -109,8 +109,8 @@
 	return err
 }
 
-// Statements returns the statements that configure the catalog of the plan.
-func (c *Cluster) Statements() []string {
+// buildCatalogStatements returns the statements that configure the catalog of the plan.
+func (c *Cluster) buildCatalogStatements() []string {
 	var statements []string
 	for _, node := range c.Nodes {
 		statements = append(statements, fmt.Sprintf("add voter %s zone %s", node.Name, node.Zone))
@@ -123,7 +123,7 @@
 
 // configureCatalog runs the statements on the first node and fails unless each of them is accepted.
 func (c *Cluster) configureCatalog(ctx context.Context) error {
-	for _, statement := range c.Statements() {
+	for _, statement := range c.buildCatalogStatements() {
 		response, err := c.Change(ctx, c.Nodes[0], statement)
 		if err != nil {
 			return oops.With("step", "configure").Wrapf(err, "%s", statement)
--- a/internal/rehearsal/cluster/demo.go
+++ b/internal/rehearsal/cluster/demo.go
@@ -122,7 +122,7 @@
 	if _, err := c.runDemoQuery(ctx, output, c.nodeAt(1), repeated, id); err != nil {
 		return fmt.Errorf("%s: %w", repeated.title, err)
 	}
-	executions, err := c.Executions(ctx, id.String())
+	executions, err := c.ReadExecutions(ctx, id.String())
 	if err != nil {
 		return err
 	}
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -17,9 +17,9 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Executions returns the executions of a request on all leaves, or those of all requests if the id
-// is empty. It reads the log files, so frozen and exited leaves are included.
-func (c *Cluster) Executions(_ context.Context, requestID string) ([]leaf.Execution, error) {
+// ReadExecutions returns the executions of a request on all leaves, or those of all requests if the
+// id is empty. It reads the log files, so frozen and exited leaves are included.
+func (c *Cluster) ReadExecutions(_ context.Context, requestID string) ([]leaf.Execution, error) {
 	var executed []leaf.Execution
 	for _, leafProcess := range c.Leaves {
 		executions, err := c.LeafExecutions(leafProcess)
--- a/internal/rehearsal/history/attempts.go
+++ b/internal/rehearsal/history/attempts.go
@@ -14,7 +14,7 @@
 	for _, attempt := range attempts {
 		if delay := time.UnixMicro(attempt.Arrived).Sub(notice); delay > bound {
 			violations = append(violations, Violation{
-				Promise: "leaving leaf", Subject: name,
+				Guarantee: "leaving leaf", Subject: name,
 				Detail: fmt.Sprintf("attempt %s arrived %s after the notice", attempt.AttemptID, delay),
 			})
 		}
@@ -33,7 +33,8 @@
 }
 
 // CheckNothingCutOff checks that every request received a complete answer or a response that
-// guarantees that it did not run, so that no request or response was lost.
+// guarantees that it did not run. Every other result means that a request or a response was lost or
+// aborted.
 func CheckNothingCutOff(submissions []Submission) []Violation {
 	var violations []Violation
 	for _, submission := range submissions {
@@ -41,7 +42,7 @@
 		if complete || submission.NotRun() || submission.Refused() {
 			continue
 		}
-		violations = append(violations, Violation{Promise: "cut off", Subject: submission.Request.RequestID, Detail: submission.Node + ": " + describeEnd(submission)})
+		violations = append(violations, Violation{Guarantee: "cut off", Subject: submission.Request.RequestID, Detail: submission.Node + ": " + describeEnd(submission)})
 	}
 	return violations
 }
@@ -78,7 +79,7 @@
 	for _, attempt := range attempts {
 		cancelled := attempt.Outcome == leaf.OutcomeCancelledQueued || attempt.Outcome == leaf.OutcomeCancelledRunning
 		if cancelled && !executed[requestShard{attempt.RequestID, attempt.Shard}] {
-			violations = append(violations, Violation{Promise: "cut off", Subject: attempt.RequestID, Detail: string(attempt.Outcome)})
+			violations = append(violations, Violation{Guarantee: "cut off", Subject: attempt.RequestID, Detail: string(attempt.Outcome)})
 		}
 	}
 	return violations
--- a/internal/rehearsal/history/changes.go
+++ b/internal/rehearsal/history/changes.go
@@ -35,7 +35,7 @@
 	for index, change := range changes {
 		revision, applied := revisions[index]
 		if detail := describeFateMismatch(change, revision, applied); detail != "" {
-			violations = append(violations, Violation{Promise: "log", Subject: change.Statement, Detail: detail})
+			violations = append(violations, Violation{Guarantee: "log", Subject: change.Statement, Detail: detail})
 		}
 		if applied {
 			operations = append(operations, newAppendOperation(change, revision))
@@ -43,9 +43,9 @@
 	}
 	switch porcupine.CheckOperationsTimeout(logModel(base), operations, checkTimeout) {
 	case porcupine.Illegal:
-		violations = append(violations, Violation{Promise: "log", Subject: "order", Detail: "the log is not linearizable: no order lets each change take effect between its call and its return"})
+		violations = append(violations, Violation{Guarantee: "log", Subject: "order", Detail: "the log is not linearizable: no order lets each change take effect between its call and its return"})
 	case porcupine.Unknown:
-		violations = append(violations, Violation{Promise: "log", Subject: "order", Detail: "unknown: the linearizability check exceeded " + checkTimeout.String()})
+		violations = append(violations, Violation{Guarantee: "log", Subject: "order", Detail: "unknown: the linearizability check exceeded " + checkTimeout.String()})
 	}
 	return violations
 }
@@ -128,14 +128,14 @@
 	for _, sighting := range sightings {
 		if previous := last[sighting.Process]; sighting.Revision < previous.Revision {
 			violations = append(violations, Violation{
-				Promise: "revision", Subject: sighting.Process,
+				Guarantee: "revision", Subject: sighting.Process,
 				Detail: fmt.Sprintf("the revision decreased from %d to %d", previous.Revision, sighting.Revision),
 			})
 		}
 		last[sighting.Process] = sighting
 		if required := newestAcceptedRevision(changes, sighting.Called.Add(-bound)); sighting.Fresh && sighting.Revision < required {
 			violations = append(violations, Violation{
-				Promise: "in force", Subject: sighting.Process,
+				Guarantee: "in force", Subject: sighting.Process,
 				Detail: fmt.Sprintf("accepts work at revision %d, more than %s after revision %d was accepted", sighting.Revision, bound, required),
 			})
 		}
@@ -164,7 +164,7 @@
 	for _, submission := range submissions {
 		if submission.Answer != nil && submission.Called.After(from) && submission.Called.Before(until) {
 			violations = append(violations, Violation{
-				Promise: "in force", Subject: submission.Request.RequestID,
+				Guarantee: "in force", Subject: submission.Request.RequestID,
 				Detail: fmt.Sprintf("%s answered %s after the service was stopped", submission.Node, submission.Called.Sub(stopped.Returned)),
 			})
 		}
--- a/internal/rehearsal/history/history.go
+++ b/internal/rehearsal/history/history.go
@@ -23,8 +23,8 @@
 
 // Violation is a guarantee that the history violates.
 type Violation struct {
-	// Promise names the violated guarantee.
-	Promise string
+	// Guarantee names the violated guarantee.
+	Guarantee string
 	// Subject identifies the request, change, leaf or process.
 	Subject string
 	Detail  string
@@ -32,7 +32,7 @@
 
 // String returns the guarantee, the subject and the detail.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s: %s: %s", v.Promise, v.Subject, v.Detail)
+	return fmt.Sprintf("%s: %s: %s", v.Guarantee, v.Subject, v.Detail)
 }
 
 // Submission is a caller's request and its result. Exactly one of Answer, Problem and Err is set.
--- a/internal/rehearsal/history/once.go
+++ b/internal/rehearsal/history/once.go
@@ -30,7 +30,7 @@
 		attempt, ok := started[submission.Request.RequestID]
 		if submission.NotRun() && ok {
 			violations = append(violations, Violation{
-				Promise: "not run", Subject: submission.Request.RequestID,
+				Guarantee: "not run", Subject: submission.Request.RequestID,
 				Detail: fmt.Sprintf("%s reported %s, but the attempt on shard %d was started: %s", submission.Node, submission.Fate(), attempt.Shard, attempt.Outcome),
 			})
 		}
@@ -141,7 +141,7 @@
 			continue
 		}
 		violations = append(violations, Violation{
-			Promise: "at most once", Subject: id,
+			Guarantee: "at most once", Subject: id,
 			Detail: fmt.Sprintf("%d executions; submissions: %s", executions[id], describeSubmissions(submissions, id)),
 		})
 	}
--- a/internal/rehearsal/history/rows.go
+++ b/internal/rehearsal/history/rows.go
@@ -41,17 +41,18 @@
 	shard    int
 }
 
-// Truth is the generated data that answers are compared with, by shard. It is not safe for
+// ReferenceData is the generated data that answers are compared with, by shard. It is not safe for
 // concurrent use.
-type Truth struct {
+type ReferenceData struct {
 	// shards is the number of shards by partition epoch.
 	shards map[uint64]int
 	tables map[shardKey][]rows.Row
 }
 
-// NewTruth returns the data of partitions with the given numbers of shards, for the epochs from 1.
-func NewTruth(shards ...int) *Truth {
-	truth := &Truth{shards: make(map[uint64]int), tables: make(map[shardKey][]rows.Row)}
+// NewTruth returns the reference data of partitions with the given numbers of shards, for the
+// epochs from 1.
+func NewTruth(shards ...int) *ReferenceData {
+	truth := &ReferenceData{shards: make(map[uint64]int), tables: make(map[shardKey][]rows.Row)}
 	for index, count := range shards {
 		truth.shards[uint64(index+1)] = count
 	}
@@ -59,7 +60,7 @@
 }
 
 // generateTable returns the rows of a shard, which are generated once and then cached.
-func (t *Truth) generateTable(key shardKey) []rows.Row {
+func (t *ReferenceData) generateTable(key shardKey) []rows.Row {
 	if table, ok := t.tables[key]; ok {
 		return table
 	}
@@ -71,14 +72,14 @@
 // CheckRows checks that every answer to a select contains exactly the requested rows of the shards
 // that it covers, from the single snapshot that it names. It covers all shards except for those
 // that it lists as missing.
-func (t *Truth) CheckRows(submissions []Submission) []Violation {
+func (t *ReferenceData) CheckRows(submissions []Submission) []Violation {
 	var violations []Violation
 	for _, submission := range submissions {
 		if submission.Answer == nil || submission.Filter == nil {
 			continue
 		}
 		if detail := t.checkAnswer(submission); detail != "" {
-			violations = append(violations, Violation{Promise: "rows", Subject: submission.Request.RequestID, Detail: detail})
+			violations = append(violations, Violation{Guarantee: "rows", Subject: submission.Request.RequestID, Detail: detail})
 		}
 	}
 	return violations
@@ -86,7 +87,7 @@
 
 // checkAnswer describes the first error of an answer; it returns an empty string if the answer is
 // correct.
-func (t *Truth) checkAnswer(submission Submission) string {
+func (t *ReferenceData) checkAnswer(submission Submission) string {
 	answer := submission.Answer
 	if answer.RequestID != submission.Request.RequestID {
 		return "got the answer to request " + answer.RequestID
@@ -106,7 +107,7 @@
 
 // expectedRows returns the rows that the answer must contain for its snapshot and its covered
 // shards.
-func (t *Truth) expectedRows(submission Submission) []rows.Row {
+func (t *ReferenceData) expectedRows(submission Submission) []rows.Row {
 	answer := submission.Answer
 	var expected []rows.Row
 	for shard := range answer.Coverage.Total {
