--- a/internal/rehearsal/cluster/process.go
+++ b/internal/rehearsal/cluster/process.go
@@ -38,27 +38,29 @@
 // Process is a process of the deployment.
 type Process struct {
 	Name string
-	// HTTP and Peer are the addresses that the process announced.
+	// HTTP is the announced address of the HTTP interface.
 	HTTP netip.AddrPort
+	// Peer is the announced address for other nodes. Only a node announces one.
 	Peer netip.AddrPort
 
-	command   *exec.Cmd
-	addresses chan listeningLine
-	exited    chan struct{}
-	exitErr   error
+	command      *exec.Cmd
+	announcement chan listeningLine
+	exited       chan struct{}
+	exitErr      error
 
 	mutex sync.Mutex
 	log   []byte
 }
 
 // startProcess starts a program and blocks until it listens. It returns an error if the process
-// exits first or does not listen in time; in the latter case, it kills the process.
+// exits first. If the process does not listen in time or ctx ends, startProcess kills it and
+// returns an error.
 func startProcess(ctx context.Context, name, binary string, arguments ...string) (*Process, error) {
 	process := &Process{
-		Name:      name,
-		command:   exec.Command(binary, arguments...),
-		addresses: make(chan listeningLine, 1),
-		exited:    make(chan struct{}),
+		Name:         name,
+		command:      exec.Command(binary, arguments...),
+		announcement: make(chan listeningLine, 1),
+		exited:       make(chan struct{}),
 	}
 	output, err := process.command.StderrPipe()
 	if err != nil {
@@ -76,9 +78,9 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	select {
-	case addresses := <-p.addresses:
-		p.HTTP = addresses.HTTP
-		p.Peer = addresses.Peer
+	case line := <-p.announcement:
+		p.HTTP = line.HTTP
+		p.Peer = line.Peer
 		return nil
 	case <-p.exited:
 		return oops.With("step", "await listening", "peer", p.Name).Errorf("%s exited at start: %v\n%s", p.Name, p.exitErr, p.Log())
@@ -100,7 +102,7 @@
 		var parsed listeningLine
 		if !reported && json.Unmarshal(line, &parsed) == nil && parsed.Message == listeningMessage {
 			reported = true
-			p.addresses <- parsed
+			p.announcement <- parsed
 		}
 	}
 	p.exitErr = p.command.Wait()
