--- a/internal/edge/http1/pool.go
+++ b/internal/edge/http1/pool.go
@@ -12,19 +12,19 @@
 	client *Client
 	target Target
 
-	mutex   sync.Mutex
-	idle    []*connection
-	open    int             // idle, in use, or being opened
-	waiters []chan struct{} // each receives once, and may try again then
-	closed  bool
-	maxIdle int // how many may be idle
+	mutex     sync.Mutex
+	idle      []*connection
+	openCount int             // idle, in use, or being opened
+	waiters   []chan struct{} // each receives one value and may then retry
+	closed    bool
+	maxIdle   int // maximum number of idle connections
 }
 
 func newPool(client *Client, target Target) *pool {
 	return &pool{client: client, target: target, maxIdle: client.config.ConnectionsPerTarget}
 }
 
-// setMaxIdle changes how many connections may be idle; it closes those beyond.
+// setMaxIdle sets how many connections may be idle, and closes surplus idle connections.
 func (p *pool) setMaxIdle(maxIdle int) {
 	p.mutex.Lock()
 	p.maxIdle = maxIdle
@@ -36,13 +36,13 @@
 	}
 }
 
-// limit returns how many connections there may be.
+// limit returns the maximum number of open connections.
 func (p *pool) limit() int {
 	return min(max(p.maxIdle, 1), p.client.config.ConnectionsPerTarget)
 }
 
-// idleTime returns how long a connection may be idle.
-func (p *pool) idleTime() time.Duration {
+// idleTimeout returns how long a connection may be idle.
+func (p *pool) idleTimeout() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.maxIdle == 0 {
@@ -51,31 +51,33 @@
 	return p.client.config.IdleTimeout
 }
 
-// acquire returns a connection that nobody else uses. It opens one if none is
-// idle and there may be more, and otherwise waits. For a request that may run once
-// it looks whether the connection is still open.
+// acquire returns a connection for exclusive use. It opens one if none is idle and the limit allows
+// it, and otherwise waits. For a request that may run at most once, it checks that the connection
+// is still open.
 func (p *pool) acquire(ctx context.Context, once bool) (*connection, error) {
 	for {
-		found, wait, mayOpen := p.take()
+		claimed, wait, mayOpen := p.claimOrWait()
 		switch {
-		case found != nil && once && !found.reusable():
-			found.close()
+		case claimed != nil && once && !claimed.hasNoPendingInput():
+			claimed.close()
 			continue
-		case found != nil:
-			return found, nil
+		case claimed != nil:
+			return claimed, nil
 		case mayOpen:
-			return p.connect(ctx)
+			return p.dial(ctx)
 		}
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			p.leave(wait)
+			p.cancelWait(wait)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (p *pool) take() (found *connection, wait chan struct{}, mayOpen bool) {
+// claimOrWait claims an idle connection. If there is none, it either allows the caller to open one
+// or enqueues a waiter.
+func (p *pool) claimOrWait() (claimed *connection, wait chan struct{}, mayOpen bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for len(p.idle) > 0 {
@@ -86,8 +88,8 @@
 			return candidate, nil, false
 		}
 	}
-	if p.open < p.limit() {
-		p.open++
+	if p.openCount < p.limit() {
+		p.openCount++
 		return nil, nil, true
 	}
 	wait = make(chan struct{}, 1)
@@ -95,55 +97,55 @@
 	return nil, wait, false
 }
 
-// leave takes back a waiter; if it was woken already, the next one is.
-func (p *pool) leave(wait chan struct{}) {
+// cancelWait removes a waiter. If the waiter was already woken, the next one is woken instead.
+func (p *pool) cancelWait(wait chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if at := slices.Index(p.waiters, wait); at >= 0 {
-		p.waiters = slices.Delete(p.waiters, at, at+1)
+	if index := slices.Index(p.waiters, wait); index >= 0 {
+		p.waiters = slices.Delete(p.waiters, index, index+1)
 		return
 	}
-	p.wake()
+	p.wakeNext()
 }
 
-// wake wakes the first waiter, which may try again.
-func (p *pool) wake() {
+// wakeNext wakes the first waiter, which may then retry.
+func (p *pool) wakeNext() {
 	if len(p.waiters) > 0 {
 		p.waiters[0] <- struct{}{}
 		p.waiters = p.waiters[1:]
 	}
 }
 
-func (p *pool) connect(ctx context.Context) (*connection, error) {
-	dialed, err := p.client.dial(ctx, p.target)
+func (p *pool) dial(ctx context.Context) (*connection, error) {
+	socket, err := p.client.dial(ctx, p.target)
 	if err != nil {
-		p.ended(nil)
+		p.remove(nil)
 		return nil, err
 	}
-	return newConnection(p, dialed), nil
+	return newConnection(p, socket), nil
 }
 
-// put takes back a connection, and reports whether it is kept.
-func (p *pool) put(c *connection) bool {
+// putIdle adds an idle connection and reports whether the pool keeps it.
+func (p *pool) putIdle(c *connection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return false
 	}
 	p.idle = append(p.idle, c)
-	p.wake()
+	p.wakeNext()
 	return true
 }
 
-// ended takes a connection out of the count; nil is one that was never open.
-func (p *pool) ended(c *connection) {
+// remove removes a connection from the count; nil stands for a connection that was never opened.
+func (p *pool) remove(c *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open--
-	if at := slices.Index(p.idle, c); at >= 0 {
-		p.idle = slices.Delete(p.idle, at, at+1)
+	p.openCount--
+	if index := slices.Index(p.idle, c); index >= 0 {
+		p.idle = slices.Delete(p.idle, index, index+1)
 	}
-	p.wake()
+	p.wakeNext()
 }
 
 func (p *pool) close() {
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -1,11 +1,10 @@
-// Package wiretest is test support: it holds messages between nodes and values of
-// the store against recorded ones, so that nodes of two versions understand each
-// other.
+// Package wiretest is a test helper that compares messages between nodes, and values in the
+// store, with recorded ones. It ensures that nodes of different versions can communicate.
 //
-// A renamed or retyped field breaks neither the build nor a node of one version
-// alone: gob drops what it does not know, without an error. So a type of the wire is
-// recorded with every field set to a value that follows from the field's name, and
-// today's type must read exactly that.
+// Renaming a field or changing its type breaks neither the build nor a deployment of a single
+// version, because gob ignores unknown fields without an error. Therefore each type on the wire
+// is recorded with all fields set to values that are derived from the names of the fields. The
+// current type must decode the recording to exactly these values.
 package wiretest
 
 import (
@@ -28,112 +27,112 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// folder is where the recordings lie, beside the test.
-const folder = "testdata/wire"
+// fixtureDir is the directory of the recordings, relative to the package under test.
+const fixtureDir = "testdata/wire"
 
-// Gob checks a type that nodes exchange in encoding/gob: a recorded message is read
-// whole, and the fields that are sent have the names and kinds that they had.
+// Gob checks a type that nodes exchange in encoding/gob. The recorded message must decode without
+// loss, and the names and kinds of the encoded fields must match the recording.
 func Gob[T any](t *testing.T, name string) {
 	t.Helper()
-	want := filled[T](t, goName)
-	if recording() {
+	want := newFilled[T](t, goFieldName)
+	if updating() {
 		var encoded bytes.Buffer
 		if err := gob.NewEncoder(&encoded).Encode(&want); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		record(t, name+".gob", []byte(hex.EncodeToString(encoded.Bytes())))
+		writeRecording(t, name+".gob", []byte(hex.EncodeToString(encoded.Bytes())))
 	}
 	var got T
-	if err := gob.NewDecoder(bytes.NewReader(recorded(t, name+".gob"))).Decode(&got); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(readRecording(t, name+".gob"))).Decode(&got); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the recorded message reads as\n%+v\nand not as\n%+v", name, got, want)
+		t.Errorf("%s: recorded message: got\n%+v\nwant\n%+v", name, got, want)
 	}
-	compare(t, name+".fields", []byte(fieldsOf(reflect.TypeFor[T]())))
+	assertRecording(t, name+".fields", []byte(gobFields(reflect.TypeFor[T]())))
 }
 
-// FormerGob reads a message as a former version recorded it: fields that were added since
-// are zero.
+// FormerGob decodes a message that a previous version recorded. Fields that were added later are
+// zero.
 func FormerGob[T any](t *testing.T, name string) T {
 	t.Helper()
 	var got T
-	if err := gob.NewDecoder(bytes.NewReader(recorded(t, name+".former.gob"))).Decode(&got); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(readRecording(t, name+".former.gob"))).Decode(&got); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	return got
 }
 
-// JSON checks a type that the store holds as JSON: a recorded value is read whole, and
-// the same value is written byte for byte.
+// JSON checks a type that is stored as JSON. A filled value must encode to the recorded bytes, and
+// decoding and encoding these bytes must reproduce them.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
-	want := filled[T](t, jsonName)
+	want := newFilled[T](t, jsonFieldName)
 	encoded, err := json.Marshal(want)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	compare(t, name+".json", encoded)
+	assertRecording(t, name+".json", encoded)
 	var got T
 	if err := json.Unmarshal(encoded, &got); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if again, err := json.Marshal(got); err != nil || !bytes.Equal(again, encoded) {
-		t.Errorf("%s: read and written again as %s (%v), at first %s", name, again, err, encoded)
+	if reencoded, err := json.Marshal(got); err != nil || !bytes.Equal(reencoded, encoded) {
+		t.Errorf("%s: decoded and encoded again: got %s (error %v), want %s", name, reencoded, err, encoded)
 	}
 }
 
-// Encoded checks a form of our own: the bytes of a filled value are the recorded ones,
-// and decode reads the recorded ones as that value.
+// Encoded checks a custom encoding. A filled value must encode to the recorded bytes, and the
+// recorded bytes must decode to that value.
 func Encoded[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Helper()
-	want := filled[T](t, goName)
+	want := newFilled[T](t, goFieldName)
 	encoded, err := encode(want)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if recording() {
-		record(t, name+".bytes", []byte(hex.EncodeToString(encoded)))
+	if updating() {
+		writeRecording(t, name+".bytes", []byte(hex.EncodeToString(encoded)))
 	}
-	former := recorded(t, name+".bytes")
-	if !bytes.Equal(former, encoded) {
-		t.Errorf("%s: written as\n%x\nand not as\n%x", name, encoded, former)
+	previous := readRecording(t, name+".bytes")
+	if !bytes.Equal(previous, encoded) {
+		t.Errorf("%s: encoded value: got\n%x\nwant\n%x", name, encoded, previous)
 	}
-	got, err := decode(former)
+	got, err := decode(previous)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the recorded message reads as\n%+v\nand not as\n%+v", name, got, want)
+		t.Errorf("%s: recorded message: got\n%+v\nwant\n%+v", name, got, want)
 	}
 }
 
-// recording reports whether the test was started with -update.
-func recording() bool {
+// updating reports whether the test was started with -update.
+func updating() bool {
 	update := flag.Lookup("update")
 	return update != nil && update.Value.String() == "true"
 }
 
-func golden(t *testing.T) *goldie.Goldie {
-	return goldie.New(t, goldie.WithFixtureDir(folder), goldie.WithNameSuffix(""))
+func newGoldie(t *testing.T) *goldie.Goldie {
+	return goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(""))
 }
 
-func record(t *testing.T, file string, content []byte) {
+func writeRecording(t *testing.T, file string, content []byte) {
 	t.Helper()
-	if err := golden(t).Update(t, file, content); err != nil {
+	if err := newGoldie(t).Update(t, file, content); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func compare(t *testing.T, file string, content []byte) {
+func assertRecording(t *testing.T, file string, content []byte) {
 	t.Helper()
-	golden(t).Assert(t, file, content)
+	newGoldie(t).Assert(t, file, content)
 }
 
-// recorded returns the bytes of a recording in hexadecimal digits.
-func recorded(t *testing.T, file string) []byte {
+// readRecording decodes a recording, which is stored as hexadecimal digits.
+func readRecording(t *testing.T, file string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(folder, file))
+	text, err := os.ReadFile(filepath.Join(fixtureDir, file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,66 +143,67 @@
 	return content
 }
 
-// filled returns a value whose exported fields are all set, each by its path of names.
-func filled[T any](t *testing.T, nameOf naming) T {
+// newFilled returns a value whose exported fields are set to values derived from their paths.
+func newFilled[T any](t *testing.T, namer fieldNamer) T {
 	t.Helper()
 	var value T
-	if err := nameOf.fill(reflect.ValueOf(&value).Elem(), "", 0); err != nil {
+	if err := namer.fill(reflect.ValueOf(&value).Elem(), "", 0); err != nil {
 		t.Fatal(err)
 	}
 	return value
 }
 
-// naming returns the name that a field has in a form.
-type naming func(field reflect.StructField) string
+// fieldNamer returns the name of a field in an encoding.
+type fieldNamer func(field reflect.StructField) string
 
-func goName(field reflect.StructField) string { return field.Name }
+func goFieldName(field reflect.StructField) string { return field.Name }
 
-func jsonName(field reflect.StructField) string {
+func jsonFieldName(field reflect.StructField) string {
 	if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
 		return name
 	}
 	return field.Name
 }
 
-// maxDepth bounds types that hold themselves.
+// maxDepth limits the nesting of recursive types.
 const maxDepth = 8
 
-// number returns a number from 1 to 100 that follows from a path.
-func number(path string) uint64 {
+// hashNumber returns a number from 1 to 100 that depends only on the path.
+func hashNumber(path string) uint64 {
 	hash := fnv.New32a()
 	hash.Write([]byte(path))
 	return 1 + uint64(hash.Sum32())%100
 }
 
-func (n naming) fill(value reflect.Value, path string, depth int) error {
+// fill sets a value, and recursively its elements and fields, to values derived from the path.
+func (n fieldNamer) fill(value reflect.Value, path string, depth int) error {
 	if depth > maxDepth {
 		return nil
 	}
 	switch value.Interface().(type) {
 	case netip.Addr:
-		value.Set(reflect.ValueOf(netip.AddrFrom4([4]byte{10, 0, 0, byte(number(path))})))
+		value.Set(reflect.ValueOf(netip.AddrFrom4([4]byte{10, 0, 0, byte(hashNumber(path))})))
 		return nil
 	case netip.AddrPort:
-		value.Set(reflect.ValueOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(number(path)))))
+		value.Set(reflect.ValueOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(hashNumber(path)))))
 		return nil
 	case time.Time:
-		value.Set(reflect.ValueOf(time.Unix(int64(number(path)), 0).UTC()))
+		value.Set(reflect.ValueOf(time.Unix(int64(hashNumber(path)), 0).UTC()))
 		return nil
 	}
 	switch value.Kind() {
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(int64(number(path)))
+		value.SetInt(int64(hashNumber(path)))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(number(path))
+		value.SetUint(hashNumber(path))
 	case reflect.Float32, reflect.Float64:
-		value.SetFloat(float64(number(path)) + 0.5)
+		value.SetFloat(float64(hashNumber(path)) + 0.5)
 	case reflect.String:
-		value.SetString(fmt.Sprintf("s%d", number(path)))
+		value.SetString(fmt.Sprintf("s%d", hashNumber(path)))
 	case reflect.Func, reflect.Chan, reflect.Interface:
-		// not sent
+		// These kinds are not encoded.
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
 		return n.fill(value.Elem(), path, depth+1)
@@ -217,12 +217,12 @@
 	case reflect.Struct:
 		return n.fillFields(value, path, depth)
 	default:
-		return fmt.Errorf("%s: kind %s is not known", path, value.Kind())
+		return fmt.Errorf("fill %s: unsupported kind %s", path, value.Kind())
 	}
 	return nil
 }
 
-func (n naming) fillElements(value reflect.Value, path string, depth int) error {
+func (n fieldNamer) fillElements(value reflect.Value, path string, depth int) error {
 	for index := range value.Len() {
 		if err := n.fill(value.Index(index), fmt.Sprintf("%s[%d]", path, index), depth+1); err != nil {
 			return err
@@ -231,7 +231,7 @@
 	return nil
 }
 
-func (n naming) fillMap(value reflect.Value, path string, depth int) error {
+func (n fieldNamer) fillMap(value reflect.Value, path string, depth int) error {
 	key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 	if err := n.fill(key, path+".key", depth+1); err != nil {
 		return err
@@ -244,7 +244,7 @@
 	return nil
 }
 
-func (n naming) fillFields(value reflect.Value, path string, depth int) error {
+func (n fieldNamer) fillFields(value reflect.Value, path string, depth int) error {
 	for index := range value.NumField() {
 		field := value.Type().Field(index)
 		if !field.IsExported() {
@@ -257,56 +257,59 @@
 	return nil
 }
 
-// fieldsOf lists the fields of a type as gob sends them: a line each with its path and
-// the class of its kind.
-func fieldsOf(of reflect.Type) string {
+// gobFields lists the fields of a type that gob encodes. Each line has the path of a field and its
+// class, as returned by gobClass.
+func gobFields(goType reflect.Type) string {
 	var text strings.Builder
-	writeFields(&text, of, "value", nil)
+	writeGobFields(&text, goType, "value", nil)
 	return text.String()
 }
 
-func writeFields(text *strings.Builder, of reflect.Type, path string, within []reflect.Type) {
-	for of.Kind() == reflect.Pointer {
-		of = of.Elem()
+// writeGobFields writes the fields of a type below path. A type that occurs within itself is
+// written as a reference to the line of the outer occurrence.
+func writeGobFields(text *strings.Builder, goType reflect.Type, path string, enclosing []reflect.Type) {
+	for goType.Kind() == reflect.Pointer {
+		goType = goType.Elem()
 	}
-	for _, outer := range within {
-		if outer == of {
+	for _, outer := range enclosing {
+		if outer == goType {
 			fmt.Fprintf(text, "%s as above\n", path)
 			return
 		}
 	}
-	if class, plain := classOf(of); plain {
+	if class, isLeaf := gobClass(goType); isLeaf {
 		fmt.Fprintf(text, "%s %s\n", path, class)
 		return
 	}
-	within = append(within, of)
-	switch of.Kind() {
+	enclosing = append(enclosing, goType)
+	switch goType.Kind() {
 	case reflect.Slice, reflect.Array:
-		writeFields(text, of.Elem(), path+"[]", within)
+		writeGobFields(text, goType.Elem(), path+"[]", enclosing)
 	case reflect.Map:
-		writeFields(text, of.Key(), path+".key", within)
-		writeFields(text, of.Elem(), path+".element", within)
+		writeGobFields(text, goType.Key(), path+".key", enclosing)
+		writeGobFields(text, goType.Elem(), path+".element", enclosing)
 	case reflect.Struct:
-		for index := range of.NumField() {
-			field := of.Field(index)
+		for index := range goType.NumField() {
+			field := goType.Field(index)
 			kind := field.Type.Kind()
 			if field.IsExported() && kind != reflect.Func && kind != reflect.Chan {
-				writeFields(text, field.Type, path+"."+field.Name, within)
+				writeGobFields(text, field.Type, path+"."+field.Name, enclosing)
 			}
 		}
 	default:
-		fmt.Fprintf(text, "%s %s\n", path, of.Kind())
+		fmt.Fprintf(text, "%s %s\n", path, goType.Kind())
 	}
 }
 
-// classOf returns what gob calls a type that has no parts.
-func classOf(of reflect.Type) (string, bool) {
+// gobClass returns the gob class of a type without elements or fields. It returns false for other
+// types.
+func gobClass(goType reflect.Type) (string, bool) {
 	marshaler := reflect.TypeFor[encoding.BinaryMarshaler]()
 	encoder := reflect.TypeFor[gob.GobEncoder]()
-	if of.Implements(encoder) || of.Implements(marshaler) {
+	if goType.Implements(encoder) || goType.Implements(marshaler) {
 		return "binary", true
 	}
-	switch of.Kind() {
+	switch goType.Kind() {
 	case reflect.Bool:
 		return "bool", true
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
@@ -318,7 +321,7 @@
 	case reflect.String:
 		return "string", true
 	case reflect.Slice:
-		return "bytes", of.Elem().Kind() == reflect.Uint8
+		return "bytes", goType.Elem().Kind() == reflect.Uint8
 	default:
 		return "", false
 	}
