--- a/internal/catalog/wire_test.go
+++ b/internal/catalog/wire_test.go
@@ -8,6 +8,6 @@
 
 // TestStoredReadsAsRecorded: the store keeps changes and checkpoints of other versions.
 func TestStoredReadsAsRecorded(t *testing.T) {
-	wiretest.JSON[Catalog](t, "catalog")
-	wiretest.JSON[Change](t, "change")
+	wiretest.CheckJSON[Catalog](t, "catalog")
+	wiretest.CheckJSON[Change](t, "change")
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -128,11 +128,11 @@
 
 // Failures returns how often the boot clock could not be read. Suspensions are not detected
 // while it cannot be read.
-func (m *Monotonic) Failures() int64 { return m.bootReadErrors.Load() }
+func (m *Monotonic) BootClockErrors() int64 { return m.bootReadErrors.Load() }
 
 // Watch calls onResume with the length of each suspension until ctx ends. It checks once per
 // interval of steady time, because timers stop during a suspension and cannot fire at its end.
-func (m *Monotonic) Watch(ctx context.Context, interval time.Duration, onResume func(length time.Duration)) {
+func (m *Monotonic) WatchSuspensions(ctx context.Context, interval time.Duration, onResume func(length time.Duration)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	recorded := m.Suspended()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -80,8 +80,8 @@
 	machine.bootReadFails = false
 	machine.advance(time.Second)
 	machine.suspend(time.Minute)
-	if now := clock.Now(); now != time.Second || clock.Failures() == 0 {
-		t.Errorf("got %v and %d failures, want 1s and at least one failure", now, clock.Failures())
+	if now := clock.Now(); now != time.Second || clock.BootClockErrors() == 0 {
+		t.Errorf("got %v and %d failures, want 1s and at least one failure", now, clock.BootClockErrors())
 	}
 }
 
@@ -106,8 +106,8 @@
 	clock := NewMonotonic()
 	before := clock.Now()
 	clock.detectSuspension()
-	if after := clock.Now(); after <= before || clock.Failures() != 0 {
-		t.Errorf("got %v, then %v with %d failures, want a later time and no failures", before, after, clock.Failures())
+	if after := clock.Now(); after <= before || clock.BootClockErrors() != 0 {
+		t.Errorf("got %v, then %v with %d failures, want a later time and no failures", before, after, clock.BootClockErrors())
 	}
 }
 
@@ -121,7 +121,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		clock.Watch(ctx, time.Millisecond, func(length time.Duration) {
+		clock.WatchSuspensions(ctx, time.Millisecond, func(length time.Duration) {
 			reported <- length
 			cancel()
 		})
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -64,7 +64,7 @@
 	// Saturated is set if no leaf of the service has a free slot.
 	Saturated bool
 	// Left is the share of completed work, from 0 to 1, that was not of the most urgent class.
-	Left float64
+	NonUrgentShare float64
 }
 
 // Admit reports whether the query is admitted.
@@ -82,7 +82,7 @@
 	case p.Urgent:
 		return c.UrgentShare
 	case p.Saturated:
-		return min(c.SaturatedShare+c.NonUrgentFactor*p.Left, c.UrgentShare)
+		return min(c.SaturatedShare+c.NonUrgentFactor*p.NonUrgentShare, c.UrgentShare)
 	default:
 		return c.NormalShare
 	}
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -17,7 +17,7 @@
 		{"long wait", Prediction{Wait: second, Service: second / 100, Remaining: second}, false},
 		{"saturated, urgent", Prediction{Wait: second / 2, Remaining: second, Saturated: true, Urgent: true}, true},
 		{"saturated, no non-urgent work", Prediction{Wait: second / 2, Remaining: second, Saturated: true}, false},
-		{"saturated, mostly non-urgent work", Prediction{Wait: second / 2, Remaining: second, Saturated: true, Left: 0.8}, true},
+		{"saturated, mostly non-urgent work", Prediction{Wait: second / 2, Remaining: second, Saturated: true, NonUrgentShare: 0.8}, true},
 	} {
 		if got := DefaultConfig().Admit(test.prediction); got != test.want {
 			t.Errorf("%s: admitted = %v, want %v", test.name, got, test.want)
--- a/internal/decide/combiners/combiners.go
+++ b/internal/decide/combiners/combiners.go
@@ -70,11 +70,11 @@
 
 // Answered records the answer to a heartbeat and reports whether the combiner was lost before. The
 // round trip from before the loss is discarded.
-func (c *Combiner) Answered(now, roundTrip time.Duration) (regained bool) {
+func (c *Combiner) RecordAnswer(now, roundTrip time.Duration) (regained bool) {
 	if c.Alive() == nil {
 		c.RoundTrip = 0
 	}
-	return c.State.Answered(now, roundTrip)
+	return c.State.RecordAnswer(now, roundTrip)
 }
 
 // EndHeartbeat ends the heartbeat that Due began, whether answered or not.
@@ -102,7 +102,7 @@
 		previous[combiner.Name] = combiner
 	}
 	t.zones = make(map[string][]*Combiner)
-	for _, member := range roster.Preferred(self, members) {
+	for _, member := range roster.OrderByZone(self, members) {
 		if member.Zone == self.Zone || member.Name == self.Name || !member.Peer.IsValid() || len(t.zones[member.Zone]) >= t.config.CombinersPerZone {
 			continue
 		}
@@ -114,7 +114,7 @@
 		t.zones[member.Zone] = append(t.zones[member.Zone], combiner)
 	}
 	for _, dropped := range previous {
-		dropped.Avoid()
+		dropped.MarkUnused()
 	}
 }
 
@@ -140,9 +140,9 @@
 
 // Due returns the combiners to which a heartbeat is due, which EndHeartbeat ends, and those that
 // count as lost from now on.
-func (t *Table) Due(now time.Duration) (due, lost []*Combiner) {
+func (t *Table) DueHeartbeats(now time.Duration) (due, lost []*Combiner) {
 	for _, combiner := range t.list() {
-		if combiner.IsSilent(now, t.config.HeartbeatTimeout) && combiner.Lose() {
+		if combiner.IsSilent(now, t.config.HeartbeatTimeout) && combiner.MarkLost() {
 			lost = append(lost, combiner)
 		}
 		if !combiner.heartbeatPending && (now-combiner.LastHeard >= t.config.HeartbeatInterval || combiner.Alive() == nil) {
--- a/internal/decide/combiners/combiners_test.go
+++ b/internal/decide/combiners/combiners_test.go
@@ -43,25 +43,25 @@
 		t.Fatal("a combiner is chosen before its first answer")
 	}
 	now := time.Second
-	combiner.Answered(now, time.Millisecond)
+	combiner.RecordAnswer(now, time.Millisecond)
 	alive := combiner.Alive()
-	if due, _ := table.Due(now + table.config.HeartbeatInterval/2); len(due) != 0 || table.Choose("b") != combiner {
+	if due, _ := table.DueHeartbeats(now + table.config.HeartbeatInterval/2); len(due) != 0 || table.Choose("b") != combiner {
 		t.Fatalf("heartbeats due to %v and chosen %v right after an answer, want none due and the combiner chosen", due, table.Choose("b"))
 	}
-	if due, lost := table.Due(now + table.config.HeartbeatInterval); len(due) != 1 || len(lost) != 0 {
+	if due, lost := table.DueHeartbeats(now + table.config.HeartbeatInterval); len(due) != 1 || len(lost) != 0 {
 		t.Fatalf("after HeartbeatInterval: due %v and lost %v, want one due and none lost", due, lost)
 	}
-	if due, lost := table.Due(now + table.config.HeartbeatTimeout + 1); len(due) != 0 || len(lost) != 1 || alive.Err() == nil {
+	if due, lost := table.DueHeartbeats(now + table.config.HeartbeatTimeout + 1); len(due) != 0 || len(lost) != 1 || alive.Err() == nil {
 		t.Fatalf("after HeartbeatTimeout: due %v and lost %v, want none due, one lost and its context ended", due, lost)
 	}
 	if table.Choose("b") != nil {
 		t.Error("a lost combiner is chosen")
 	}
-	combiner.Heard(2 * time.Second)
+	combiner.RecordMessage(2 * time.Second)
 	if table.Choose("b") != nil {
 		t.Error("a combiner is chosen after a message that is not an answer to a heartbeat")
 	}
-	combiner.Answered(2*time.Second, time.Millisecond)
+	combiner.RecordAnswer(2*time.Second, time.Millisecond)
 	if table.Choose("b") != combiner {
 		t.Error("a combiner is not chosen after it answered again")
 	}
@@ -70,15 +70,15 @@
 func TestSlowCombinerIsNotUsed(t *testing.T) {
 	table := newTable("a", "b")
 	combiner := table.zones["b"][0]
-	combiner.Answered(1, time.Millisecond)
+	combiner.RecordAnswer(1, time.Millisecond)
 	for range 20 {
-		combiner.Answered(1, 4*table.config.MaxRoundTrip)
+		combiner.RecordAnswer(1, 4*table.config.MaxRoundTrip)
 	}
 	if table.Choose("b") != nil {
 		t.Error("a slow combiner is chosen")
 	}
 	for range 20 {
-		combiner.Answered(1, time.Millisecond)
+		combiner.RecordAnswer(1, time.Millisecond)
 	}
 	if table.Choose("b") != combiner {
 		t.Error("a combiner is not chosen after it became fast again")
@@ -90,7 +90,7 @@
 func TestReplacedCombinerFinishesItsAttempts(t *testing.T) {
 	table := newTable("a", "b")
 	combiner := table.zones["b"][0]
-	combiner.Answered(1, time.Millisecond)
+	combiner.RecordAnswer(1, time.Millisecond)
 	alive := combiner.Alive()
 	table.Replace(newMembers("a")[0], newMembers("a"))
 	if alive.Err() != nil {
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -56,7 +56,7 @@
 
 // Changes returns the changes that lead to a list of all zones that are out of service. It applies
 // none of them. A stale list may lack the newest changes, so it returns no zone to service.
-func (z *Zones) Changes(listed []string, stale bool) []Change {
+func (z *Zones) Diff(listed []string, stale bool) []Change {
 	var changes []Change
 	for index, zone := range listed {
 		if !z.cordoned[zone] && !slices.Contains(listed[:index], zone) {
--- a/internal/decide/cordon/cordon_test.go
+++ b/internal/decide/cordon/cordon_test.go
@@ -12,10 +12,10 @@
 	zones.Set(Change{Zone: "north", Cordoned: true})
 	listed := []string{"south", "south", "east"}
 	added := []Change{{"south", true}, {"east", true}}
-	if got := zones.Changes(listed, true); !slices.Equal(got, added) {
+	if got := zones.Diff(listed, true); !slices.Equal(got, added) {
 		t.Errorf("stale list: got changes %v, want %v", got, added)
 	}
-	if got := zones.Changes(listed, false); !slices.Equal(got, append(added, Change{"north", false})) {
+	if got := zones.Diff(listed, false); !slices.Equal(got, append(added, Change{"north", false})) {
 		t.Errorf("complete list: got changes %v, want the additions and the return of north", got)
 	}
 	if got := zones.Names(); !slices.Equal(got, []string{"north"}) {
--- a/internal/decide/coverage/coverage.go
+++ b/internal/decide/coverage/coverage.go
@@ -54,18 +54,18 @@
 }
 
 // Whole reports whether every shard is answered.
-func (p Progress) Whole() bool {
+func (p Progress) Complete() bool {
 	return p.Answered == p.Total
 }
 
 // Hopeless reports whether all shards are unavailable, so that no answer is possible.
-func (p Progress) Hopeless() bool {
+func (p Progress) Unanswerable() bool {
 	return p.Unavailable == p.Total
 }
 
 // Enough reports whether the share of answered shards reaches the minimum. Zero answered shards
 // are never enough.
-func (p Progress) Enough(minimum float64) bool {
+func (p Progress) MeetsMinimum(minimum float64) bool {
 	return p.Answered > 0 && float64(p.Answered) >= minimum*float64(p.Total)-roundingError
 }
 
@@ -74,12 +74,12 @@
 const roundingError = 1e-9
 
 // Attainable reports whether the share of answered shards can still reach the minimum.
-func (p Progress) Attainable(minimum float64) bool {
+func (p Progress) CanMeetMinimum(minimum float64) bool {
 	reachable := Progress{Total: p.Total, Answered: p.Total - p.Unavailable}
-	return reachable.Enough(minimum)
+	return reachable.MeetsMinimum(minimum)
 }
 
 // Exhausted reports whether no awaited shard is left.
-func (p Progress) Exhausted() bool {
+func (p Progress) NoneAwaited() bool {
 	return p.Answered+p.Unavailable == p.Total
 }
--- a/internal/decide/coverage/coverage_test.go
+++ b/internal/decide/coverage/coverage_test.go
@@ -12,16 +12,16 @@
 		total := rapid.IntRange(1, 30).Draw(t, "total")
 		answered := rapid.IntRange(0, total).Draw(t, "answered")
 		p := Progress{Total: total, Answered: answered, Unavailable: rapid.IntRange(0, total-answered).Draw(t, "unavailable")}
-		if p.Whole() && (!p.Enough(1) || p.Hopeless()) {
+		if p.Complete() && (!p.MeetsMinimum(1) || p.Unanswerable()) {
 			t.Fatalf("%+v is whole, but not enough or hopeless", p)
 		}
-		if p.Enough(1) && !p.Whole() || answered > 0 && !p.Enough(float64(answered)/float64(total)) {
+		if p.MeetsMinimum(1) && !p.Complete() || answered > 0 && !p.MeetsMinimum(float64(answered)/float64(total)) {
 			t.Fatalf("rounding changes whether %+v is enough", p)
 		}
-		if answered == 0 && p.Enough(0) {
+		if answered == 0 && p.MeetsMinimum(0) {
 			t.Fatalf("%+v has no answer, but is enough", p)
 		}
-		if p.Hopeless() && !p.Exhausted() {
+		if p.Unanswerable() && !p.NoneAwaited() {
 			t.Fatalf("%+v is hopeless, but a shard is awaited", p)
 		}
 	})
--- a/internal/decide/dispatch/actions.go
+++ b/internal/decide/dispatch/actions.go
@@ -30,17 +30,17 @@
 
 // The reasons of a Finish.
 const (
-	ReasonNone       Reason = ""
-	ReasonOverload   Reason = "overload"        // the predicted wait exceeds the remaining time
-	ReasonDeadline   Reason = "deadline"        // the deadline passed
-	ReasonStopped    Reason = "service_stopped" // the service is stopped
-	ReasonNoLeaf     Reason = "no_leaf"         // no usable leaf holds a needed shard
-	ReasonNoSnapshot Reason = "no_snapshot"     // the topology has no snapshot yet
-	ReasonCancelled  Reason = "cancelled"       // the caller cancelled the query
-	ReasonLost       Reason = "connection_lost" // the request was sent and no reply arrived
-	ReasonRefused    Reason = "refused"         // the leaves refused the attempts
-	ReasonInvalid    Reason = "invalid"         // the leaves cannot run the statement
-	ReasonBudget     Reason = "extra_load"      // another attempt would exceed the budget of extra load
+	ReasonNone           Reason = ""
+	ReasonOverload       Reason = "overload"        // the predicted wait exceeds the remaining time
+	ReasonDeadline       Reason = "deadline"        // the deadline passed
+	ReasonStopped        Reason = "service_stopped" // the service is stopped
+	ReasonNoLeaf         Reason = "no_leaf"         // no usable leaf holds a needed shard
+	ReasonNoSnapshot     Reason = "no_snapshot"     // the topology has no snapshot yet
+	ReasonCancelled      Reason = "cancelled"       // the caller cancelled the query
+	ReasonConnectionLost Reason = "connection_lost" // the request was sent and no reply arrived
+	ReasonRefused        Reason = "refused"         // the leaves refused the attempts
+	ReasonInvalid        Reason = "invalid"         // the leaves cannot run the statement
+	ReasonExtraLoad      Reason = "extra_load"      // another attempt would exceed the budget of extra load
 )
 
 // Action is an instruction to the driver: a Send, an Abort or a Finish.
@@ -67,18 +67,18 @@
 	// Cause is the reason for the attempt.
 	Cause Cause
 	// Basis is the estimate of the leaf's state on which the choice of the leaf was based.
-	Basis Basis
+	Basis LeafEstimate
 }
 
 // Basis is a Dispatcher's estimate of the state of a leaf at the time of a Send.
-type Basis struct {
+type LeafEstimate struct {
 	// InFlight is the number of this node's attempts on the leaf, and Limit the maximum of that
 	// number.
 	InFlight, Limit int
 	// Others is the estimated number of attempts of other nodes on the leaf, derived from a load
 	// report of the given Age.
-	Others float64
-	Age    time.Duration
+	OthersInFlight float64
+	ReportAge      time.Duration
 	// Pace is the time that work takes on the leaf's machine, in percent of the usual time, as in
 	// the last load report that contained it; zero if none did.
 	Pace int
--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -57,7 +57,7 @@
 			reachable.Unavailable++
 		}
 	}
-	return reachable.Attainable(q.MinimumCoverage)
+	return reachable.CanMeetMinimum(q.MinimumCoverage)
 }
 
 // admit predicts the wait of the query's slowest shard and reports whether the query is admitted.
@@ -77,12 +77,12 @@
 		}
 	}
 	return wait, d.config.Admission.Admit(admission.Prediction{
-		Wait:      wait,
-		Service:   seconds(q.class.serviceTime),
-		Remaining: q.Deadline - d.now,
-		Urgent:    urgent,
-		Saturated: d.load.saturation.saturated(),
-		Left:      d.load.shareLeftByUrgent(d.now),
+		Wait:           wait,
+		Service:        seconds(q.class.serviceTime),
+		Remaining:      q.Deadline - d.now,
+		Urgent:         urgent,
+		Saturated:      d.load.saturation.saturated(),
+		NonUrgentShare: d.load.shareLeftByUrgent(d.now),
 	})
 }
 
--- a/internal/decide/dispatch/attempt_ends.go
+++ b/internal/decide/dispatch/attempt_ends.go
@@ -34,14 +34,14 @@
 	l, q := ended.leaf, ended.query
 	latency := d.now - ended.sentAt
 	ratio := latency.Seconds() / ended.expectedTime
-	l.speed.Completed(d.now, ratio)
+	l.speed.RecordCompleted(d.now, ratio)
 	l.probation.recovering = ratio < d.config.Probation.SlownessThreshold
 	l.backoff = backoff{}
 	d.setDown(l, false)
 	l.recordLatency(latency)
-	l.losses.Ended(&d.config.Losses, d.now, false)
+	l.losses.RecordEnd(&d.config.Losses, d.now, false)
 	q.class.recordLatency(latency, ended.expectedTime/q.class.serviceTime)
-	l.limiter.Succeeded(d.now, len(l.running)+1, reply.Load.Queue)
+	l.limiter.RecordSuccess(d.now, len(l.running)+1, reply.Load.Queue)
 	d.applyLoadReport(l, reply.BootID, reply.Load, len(l.running))
 }
 
@@ -132,22 +132,22 @@
 	}
 	l, q := ended.leaf, ended.query
 	ratio := (d.now - ended.sentAt).Seconds() / ended.expectedTime
-	if failure.Closed {
+	if failure.ConnectionClosed {
 		q.crashes++
 	}
 	if failure.Sent {
 		d.counters.FailedSent++
 		q.executed = true
-		if !failure.OnTheWay {
-			l.speed.GaveUp(ratio)
+		if !failure.LostAtRelay {
+			l.speed.RecordAbandoned(ratio)
 		}
 	} else {
 		d.counters.FailedUnsent++
 	}
-	if ended.wanted && !failure.Aborted && !failure.OnTheWay {
+	if ended.wanted && !failure.Aborted && !failure.LostAtRelay {
 		l.backoff.recordFailure(d.now, d.config.Backoff)
-		l.losses.Ended(&d.config.Losses, d.now, true)
-		d.setDown(l, failure.Refused)
+		l.losses.RecordEnd(&d.config.Losses, d.now, true)
+		d.setDown(l, failure.ConnectionRefused)
 	}
 	if ended.wanted && q.shards[ended.position].status != shardAnswered {
 		d.recordFailure(&ended, failure)
@@ -167,7 +167,7 @@
 	}
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.findings.lastReason = ReasonLost
+	q.findings.lastReason = ReasonConnectionLost
 	shard.resend = true
 	shard.unexecutedAttempts++
 	shard.markDue()
@@ -177,7 +177,7 @@
 func (d *Dispatcher) recordLoss(ended *attempt) {
 	q := ended.query
 	shard := &q.shards[ended.position]
-	q.findings.lastReason = ReasonLost
+	q.findings.lastReason = ReasonConnectionLost
 	if !q.Class.Repeatable {
 		q.findings.unknown = true
 		return
--- a/internal/decide/dispatch/backoff.go
+++ b/internal/decide/dispatch/backoff.go
@@ -24,11 +24,11 @@
 	l := ended.leaf
 	switch refusal.Reason {
 	case leaf.RefusedShed:
-		l.losses.Ended(&d.config.Losses, d.now, true)
-		l.limiter.Refused(d.now)
+		l.losses.RecordEnd(&d.config.Losses, d.now, true)
+		l.limiter.RecordRefusal(d.now)
 		l.backoff.extend(d.now + d.requestedPause(refusal.RetryAfter, d.config.Backoff.ShedPause))
 	case leaf.RefusedCold:
-		l.limiter.Restart(true)
+		l.limiter.Reset(true)
 		l.backoff.extend(d.now + d.requestedPause(refusal.RetryAfter, d.config.Backoff.Initial))
 	case leaf.RefusedDraining:
 		if l.recordDraining(refusal.BootID) {
--- a/internal/decide/dispatch/backoff_test.go
+++ b/internal/decide/dispatch/backoff_test.go
@@ -13,8 +13,8 @@
 func TestRefusingLeafGetsFewAttempts(t *testing.T) {
 	r := newRig(t, 2, func(c *Config) {
 		c.ChargeRefusals, c.EndWithoutBudget = true, true
-		c.Score.LossPrice = 5
-		c.Budget.Initial, c.Budget.Capacity, c.Budget.Debt = 4, 4, 0
+		c.Score.LossCost = 5
+		c.Budget.Initial, c.Budget.Capacity, c.Budget.MaxDebt = 4, 4, 0
 	})
 	const queries = 100
 	answered := 0
--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -13,7 +13,7 @@
 func TestQueryWaitsForLastAllowedAttempt(t *testing.T) {
 	r := newRig(t, 2, withoutProbes)
 	r.submitEvery10ms(60)
-	r.modifyQuery = func(query *Query) { query.MaximumSends = 1 }
+	r.modifyQuery = func(query *Query) { query.MaximumAttempts = 1 }
 	r.latency[0], r.latency[1] = 150*time.Millisecond, 150*time.Millisecond
 	id := r.submit(1)
 	r.run(160 * time.Millisecond)
@@ -25,7 +25,7 @@
 // Refused attempts did not execute and must not count towards the query's bound on attempts.
 func TestMaximumAttemptsIgnoresUnexecutedAttempts(t *testing.T) {
 	r := newRig(t, 3, nil)
-	r.modifyQuery = func(query *Query) { query.MaximumSends = 1 }
+	r.modifyQuery = func(query *Query) { query.MaximumAttempts = 1 }
 	id := r.submit(1)
 	r.refuse(leaf.RefusedMoved)
 	r.refuse(leaf.RefusedMoved)
@@ -87,7 +87,7 @@
 func TestShardBudgetBoundsItsRetries(t *testing.T) {
 	r := newRig(t, 2, func(config *Config) {
 		config.BudgetByShard, config.ChargeRefusals = true, true
-		config.Budget.Capacity, config.Budget.Initial, config.Budget.Debt, config.Budget.Reserve = 4, 4, 0, 1
+		config.Budget.Capacity, config.Budget.Initial, config.Budget.MaxDebt, config.Budget.Reserve = 4, 4, 0, 1
 	})
 	const queries = 200
 	retries := 0
@@ -116,12 +116,12 @@
 	r := newRig(t, 2, func(config *Config) {
 		config.BudgetByShard, config.ChargeRefusals = true, true
 		config.EndWithoutBudget, config.RequireCoverage = true, true
-		config.Budget.Initial, config.Budget.Debt = 0, 0
+		config.Budget.Initial, config.Budget.MaxDebt = 0, 0
 	})
 	id := r.submit(1)
 	r.refuse(leaf.RefusedShed)
 	finish, ended := r.finishes[id]
-	if !ended || finish.Outcome != OutcomeNotRun || finish.Reason != ReasonBudget {
+	if !ended || finish.Outcome != OutcomeNotRun || finish.Reason != ReasonExtraLoad {
 		t.Errorf("got %+v, ended %v, want outcome not_run with reason extra_load", finish, ended)
 	}
 	if finish.RetryAfter <= 0 {
--- a/internal/decide/dispatch/budget.go
+++ b/internal/decide/dispatch/budget.go
@@ -38,7 +38,7 @@
 	if b.byShard {
 		budget = b.getShard(shard)
 	}
-	budget.Pass(now)
+	budget.Refill(now)
 	return budget
 }
 
--- a/internal/decide/dispatch/canary_test.go
+++ b/internal/decide/dispatch/canary_test.go
@@ -92,7 +92,7 @@
 // No request may go to the canary while the budget does not pay for a retry.
 func TestCanaryGetsNoAttemptWithoutRetryBudget(t *testing.T) {
 	r := newCanaryRig(t, func(config *Config) {
-		config.Budget.Initial, config.Budget.Capacity, config.Budget.Debt = 0, 0, 0
+		config.Budget.Initial, config.Budget.Capacity, config.Budget.MaxDebt = 0, 0, 0
 	})
 	r.grantAllowance()
 	for range 20 {
--- a/internal/decide/dispatch/choose.go
+++ b/internal/decide/dispatch/choose.go
@@ -63,7 +63,7 @@
 	if waiting {
 		ahead = 0
 	}
-	work := replica.Work{Base: q.class.serviceTime, Mean: d.meanWorkAt(shard.group.leaves[0]), Ahead: ahead}
+	work := replica.Work{Base: q.class.serviceTime, Mean: d.meanWorkAt(shard.group.leaves[0]), Queued: ahead}
 	index := d.chooser.Choose(d.scratch.candidates, work)
 	chosen := d.scratch.leaves[index]
 	if d.scratch.candidates[index].Full() {
@@ -120,13 +120,13 @@
 func (d *Dispatcher) describeCandidate(l *leafState, priority int) replica.Candidate {
 	others := l.loadReports.estimateOthers(d.now)
 	return replica.Candidate{
-		InFlight: len(l.running),
-		Others:   others,
-		Slots:    l.slots,
-		Limit:    d.limitFor(l, priority, others),
-		Slowness: d.slowness(l),
-		Loss:     l.losses.Share(&d.config.Losses, d.now),
-		Near:     l.sameZone,
+		InFlight:       len(l.running),
+		OthersInFlight: others,
+		Slots:          l.slots,
+		Limit:          d.limitFor(l, priority, others),
+		Slowness:       d.slowness(l),
+		LossRate:       l.losses.LossRate(&d.config.Losses, d.now),
+		SameZone:       l.sameZone,
 	}
 }
 
@@ -163,7 +163,7 @@
 		running += len(l.running)
 	}
 	budget := d.budgets.get(g.shard, d.now)
-	return budget.CanRetry() && budget.Tokens()+d.config.Budget.Debt >= float64(running+1)
+	return budget.CanRetry() && budget.Tokens()+d.config.Budget.MaxDebt >= float64(running+1)
 }
 
 // replicaBits is the width of the replica masks.
--- a/internal/decide/dispatch/class.go
+++ b/internal/decide/dispatch/class.go
@@ -18,7 +18,7 @@
 	serviceTime float64
 	samples     int
 	// latency holds the latencies of individual attempts.
-	latency hedge.Quantiles
+	latency hedge.LatencyHistogram
 }
 
 // With these weights serviceTime averages over about fifty attempts, and an attempt that met a
--- a/internal/decide/dispatch/config.go
+++ b/internal/decide/dispatch/config.go
@@ -18,7 +18,7 @@
 	// Score is the policy of the choice between replicas.
 	Score replica.ScoreConfig
 	// Speed configures the estimate of a leaf's slowness.
-	Speed replica.SpeedConfig
+	Speed replica.SlownessConfig
 	// Losses configures the estimate of the share of attempts that a leaf loses.
 	Losses replica.LossConfig
 	// Limit bounds the attempts in flight on each leaf.
@@ -82,7 +82,7 @@
 	// to the budget as retries.
 	ChargeAsRetryAfter float64
 	// Queue is the maximum estimated queue length on a leaf that gets a hedge.
-	Queue float64
+	MaximumQueue float64
 	// MinimumSamples is the number of latencies of the class required for a hedge delay from the
 	// quantile.
 	MinimumSamples int
@@ -115,7 +115,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Score:     replica.DefaultScoreConfig(),
-		Speed:     replica.DefaultSpeedConfig(),
+		Speed:     replica.DefaultSlownessConfig(),
 		Losses:    replica.DefaultLossConfig(),
 		Limit:     limit.DefaultConfig(),
 		Admission: admission.DefaultConfig(),
@@ -151,7 +151,7 @@
 		// queries without a complete answer.
 		ChargeAsRetryAfter: 0.5,
 		// A hedge must start immediately.
-		Queue: 0,
+		MaximumQueue: 0,
 		// With 50 samples, a quantile of 0.95 rests on more than two of them.
 		MinimumSamples: 50,
 	}
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -68,7 +68,7 @@
 	HedgeDelay time.Duration
 	// MaximumSends bounds the attempts of each shard that may execute; zero means that only
 	// Config.MaximumAttempts applies, which counts all attempts.
-	MaximumSends int
+	MaximumAttempts int
 	// MinimumCoverage is the share of needed shards, from 0 to 1, below which the query waits until
 	// its deadline instead of settling.
 	MinimumCoverage float64
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -45,7 +45,7 @@
 // New returns a Dispatcher without a topology. It answers every query with OutcomeNotRun until
 // SetTopology is called. The Dispatcher keeps random.
 func New(config Config, random *rand.Rand) *Dispatcher {
-	config.Budget.Chance = random.Float64
+	config.Budget.Random = random.Float64
 	return &Dispatcher{
 		config:  config,
 		chooser: replica.NewChooser(config.Score, random),
--- a/internal/decide/dispatch/dispatcher_test.go
+++ b/internal/decide/dispatch/dispatcher_test.go
@@ -243,7 +243,7 @@
 	before := r.d.LeafStates()[r.leafOf(send)]
 	r.now += 150 * time.Millisecond
 	r.open = nil
-	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true, OnTheWay: true}))
+	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true, LostAtRelay: true}))
 	if len(r.open) != 1 || !r.open[0].Extra {
 		t.Fatalf("got attempts %+v, want one retry", r.open)
 	}
--- a/internal/decide/dispatch/down.go
+++ b/internal/decide/dispatch/down.go
@@ -59,7 +59,7 @@
 			reachable.Unavailable++
 		}
 	}
-	return !reachable.Attainable(q.MinimumCoverage)
+	return !reachable.CanMeetMinimum(q.MinimumCoverage)
 }
 
 // endQueriesBlockedBy ends the queries that cannot reach their coverage without a leaf that has
--- a/internal/decide/dispatch/down_test.go
+++ b/internal/decide/dispatch/down_test.go
@@ -29,7 +29,7 @@
 		for at := 0; at < len(r.open); at++ {
 			if send := r.open[at]; r.leafOf(send) == index {
 				r.open = append(r.open[:at:at], r.open[at+1:]...)
-				r.perform(r.d.Fail(r.now, send.Attempt, Failure{Refused: true}))
+				r.perform(r.d.Fail(r.now, send.Attempt, Failure{ConnectionRefused: true}))
 				at = -1
 			}
 		}
--- a/internal/decide/dispatch/events.go
+++ b/internal/decide/dispatch/events.go
@@ -33,10 +33,10 @@
 	Aborted bool
 	// OnTheWay is set if the attempt was lost together with the node that forwarded it. Such a loss
 	// does not count against the leaf.
-	OnTheWay bool
+	LostAtRelay bool
 	// Closed is set if the leaf closed the connection before the first byte of its answer, for
 	// example because its process ended.
-	Closed bool
+	ConnectionClosed bool
 	// Refused is set if the leaf's address refused the connection because nothing listens there.
-	Refused bool
+	ConnectionRefused bool
 }
--- a/internal/decide/dispatch/golden_attempts_test.go
+++ b/internal/decide/dispatch/golden_attempts_test.go
@@ -26,7 +26,7 @@
 	},
 	{
 		Class:    catalog.Class{Name: "look-up", Priority: 1, Deadline: 80 * time.Millisecond, HedgePercentile: 0.9, ExtraLoad: 0.3, Repeatable: true},
-		Deadline: 80 * time.Millisecond, HasKey: true, HedgeDelay: 10 * time.Millisecond, MaximumSends: 2, MinimumCoverage: 1,
+		Deadline: 80 * time.Millisecond, HasKey: true, HedgeDelay: 10 * time.Millisecond, MaximumAttempts: 2, MinimumCoverage: 1,
 	},
 	{
 		Class:    catalog.Class{Name: "file", Priority: 1, Deadline: 100 * time.Millisecond},
@@ -160,8 +160,8 @@
 	id := entry.send.Attempt
 	failure := Failure{Sent: s.random.IntN(3) > 0, Aborted: entry.aborted}
 	if failure.Sent {
-		failure.Closed = s.random.IntN(2) == 0
-		failure.OnTheWay = !failure.Closed && s.random.IntN(3) == 0
+		failure.ConnectionClosed = s.random.IntN(2) == 0
+		failure.LostAtRelay = !failure.ConnectionClosed && s.random.IntN(3) == 0
 	}
-	s.perform(fmt.Sprintf("fail %x sent=%t closed=%t", id, failure.Sent, failure.Closed), s.d.Fail(s.now, id, failure))
+	s.perform(fmt.Sprintf("fail %x sent=%t closed=%t", id, failure.Sent, failure.ConnectionClosed), s.d.Fail(s.now, id, failure))
 }
--- a/internal/decide/dispatch/golden_simulator_test.go
+++ b/internal/decide/dispatch/golden_simulator_test.go
@@ -271,9 +271,9 @@
 	scale := s.random.Float64()
 	s.d.ResizeBudgets(func(shard int) hedge.Bounds {
 		if shard%2 == 0 {
-			return hedge.Bounds{Initial: 0.4, Capacity: 0.6 + scale, Reserve: 0.15, Refill: 3}
+			return hedge.Bounds{Initial: 0.4, Capacity: 0.6 + scale, Reserve: 0.15, RefillRate: 3}
 		}
-		return hedge.Bounds{Initial: 2, Capacity: 2 + 6*scale, Reserve: 0.5, Refill: 8}
+		return hedge.Bounds{Initial: 2, Capacity: 2 + 6*scale, Reserve: 0.5, RefillRate: 8}
 	})
 }
 
--- a/internal/decide/dispatch/golden_test.go
+++ b/internal/decide/dispatch/golden_test.go
@@ -32,31 +32,31 @@
 	config.ChargeRefusals = true
 	config.WorkByLeaf = true
 	config.EqualSlots = true
-	config.Score.Tie = 0.2
-	config.Score.LossPrice = 5
-	config.Hedge.Queue = 1
+	config.Score.TieMargin = 0.2
+	config.Score.LossCost = 5
+	config.Hedge.MaximumQueue = 1
 	config.Probation.ProbeInterval = 2 * time.Second
-	config.Score.Crowding = 0.6
+	config.Score.UtilizationCost = 0.6
 	config.EndWithoutBudget = true
 	config.RequireCoverage = true
 	config.Settle.ObjectiveShare = 0.9
-	config.Budget.Earned = 0.9
-	config.Budget.Resize(hedge.Bounds{Initial: 1, Capacity: 3, Reserve: 0.75, Refill: 2})
-	config.Budget.Debt = 0
+	config.Budget.EarnedShare = 0.9
+	config.Budget.Resize(hedge.Bounds{Initial: 1, Capacity: 3, Reserve: 0.75, RefillRate: 2})
+	config.Budget.MaxDebt = 0
 	return config
 }
 
 // The actions for random events must equal the recorded ones. This guards against changes of
 // behaviour that no other test covers.
 func TestActionsOfRandomEvents(t *testing.T) {
-	reasons := []Reason{ReasonNone, ReasonOverload, ReasonDeadline, ReasonStopped, ReasonNoLeaf, ReasonNoSnapshot, ReasonCancelled, ReasonLost, ReasonRefused, ReasonInvalid}
+	reasons := []Reason{ReasonNone, ReasonOverload, ReasonDeadline, ReasonStopped, ReasonNoLeaf, ReasonNoSnapshot, ReasonCancelled, ReasonConnectionLost, ReasonRefused, ReasonInvalid}
 	for _, play := range []struct {
 		name    string
 		config  Config
 		reasons []Reason
 	}{
 		{name: "actions-default", config: DefaultConfig(), reasons: reasons},
-		{name: "actions-edge", config: edgeConfig(), reasons: append(slices.Clone(reasons), ReasonBudget)},
+		{name: "actions-edge", config: edgeConfig(), reasons: append(slices.Clone(reasons), ReasonExtraLoad)},
 	} {
 		t.Run(play.name, func(t *testing.T) {
 			play.config.Zone = "a"
@@ -105,7 +105,7 @@
 
 // closeBlock writes the digest of a block, including the exported state of the Dispatcher.
 func (r *recorder) closeBlock(name string, d *Dispatcher) {
-	fmt.Fprintf(r.block, "%+v waiting %d\n", d.Counters(), d.Load().Waiting)
+	fmt.Fprintf(r.block, "%+v waiting %d\n", d.Counters(), d.Load().WaitingShards)
 	for _, state := range d.LeafStates() {
 		fmt.Fprintf(r.block, "%s %s %s %t %t %d/%d others %.6g pace %d latency %s slowness %.6g %t %s\n", state.Address, state.Zone, state.BootID,
 			state.Usable, state.Draining, state.InFlight, state.Limit, state.Others, state.Pace, state.Latency, state.Slowness, state.Probation, state.BackoffUntil)
@@ -155,7 +155,7 @@
 	basis := &send.Basis
 	return fmt.Sprintf("send %x q%d shard %d to %s %s %s at %d/%d, left %s, %s %t; %d of %d, others %.6g %s, pace %d, slowness %.6g, budget %.6g",
 		send.Attempt, send.Query, send.Shard, send.Leaf, send.Zone, send.BootID, send.Snapshot.Epoch, send.Snapshot.Version, send.Remaining, send.Cause, send.Extra,
-		basis.InFlight, basis.Limit, basis.Others, basis.Age, basis.Pace, basis.Slowness, basis.Budget)
+		basis.InFlight, basis.Limit, basis.OthersInFlight, basis.ReportAge, basis.Pace, basis.Slowness, basis.Budget)
 }
 
 // requireAll fails if a cause, an outcome or one of the reasons did not occur, because the golden
--- a/internal/decide/dispatch/hedge.go
+++ b/internal/decide/dispatch/hedge.go
@@ -81,7 +81,7 @@
 // hedgeDelay returns the age from which an attempt of the query counts as late. It returns false if
 // the delay is unknown.
 func (d *Dispatcher) hedgeDelay(q *query) (time.Duration, bool) {
-	if q.class.latency.Samples() < d.config.Hedge.MinimumSamples {
+	if q.class.latency.SampleCount() < d.config.Hedge.MinimumSamples {
 		return q.HedgeDelay, q.HedgeDelay > 0
 	}
 	delay := q.class.latency.Quantile(q.Class.HedgePercentile)
@@ -104,11 +104,11 @@
 	work := replica.Work{Base: q.class.serviceTime, Mean: d.meanWorkAt(shard.group.leaves[0])}
 	index := d.chooser.Choose(d.scratch.candidates, work)
 	chosen := &d.scratch.candidates[index]
-	queue := float64(chosen.InFlight) + chosen.Others + 1 - float64(chosen.Slots)
-	if chosen.Full() || queue > d.config.Hedge.Queue {
+	queue := float64(chosen.InFlight) + chosen.OthersInFlight + 1 - float64(chosen.Slots)
+	if chosen.Full() || queue > d.config.Hedge.MaximumQueue {
 		return false
 	}
-	if d.config.Score.Expected(chosen, work) > d.expectedRemainingTime(q, first)*hedgeTolerance || !d.spendHedge(q, position) {
+	if d.config.Score.WeightedCompletion(chosen, work) > d.expectedRemainingTime(q, first)*hedgeTolerance || !d.spendHedge(q, position) {
 		return false
 	}
 	d.send(q, position, d.scratch.leaves[index], CauseHedge)
@@ -119,7 +119,7 @@
 // on: the larger one of the time of an attempt that starts now on the same leaf and the age of the
 // attempt, because the causes of late attempts (a pause, a queue, a slow leaf) persist.
 func (d *Dispatcher) expectedRemainingTime(q *query, target *attempt) float64 {
-	fresh := d.config.Score.Significant(d.slowness(target.leaf)) * q.class.serviceTime
+	fresh := d.config.Score.EffectiveSlowness(d.slowness(target.leaf)) * q.class.serviceTime
 	return max(fresh, (d.now - target.sentAt).Seconds())
 }
 
--- a/internal/decide/dispatch/leafstate.go
+++ b/internal/decide/dispatch/leafstate.go
@@ -18,11 +18,11 @@
 	running []int32 // table slots of the attempts whose end has not been reported
 
 	limiter     limit.Limiter
-	speed       replica.Speed
+	speed       replica.SlownessEstimator
 	overdue     overdueSum
 	meanLatency float64 // of its replies, in seconds; zero before the first reply
 	meanWork    float64 // of the service times of its attempts, in seconds; zero before the first attempt
-	losses      replica.Losses
+	losses      replica.LossEstimator
 	loadReports loadReports
 	backoff     backoff
 	down        bool // the address refused the newest connection
--- a/internal/decide/dispatch/machine_test.go
+++ b/internal/decide/dispatch/machine_test.go
@@ -165,7 +165,7 @@
 func (m *machine) fail(t *rapid.T) {
 	entry := m.takeOpenAttempt(t)
 	failure := Failure{Sent: rapid.Bool().Draw(t, "sent"), Aborted: entry.aborted}
-	failure.Closed = failure.Sent && rapid.Bool().Draw(t, "closed")
+	failure.ConnectionClosed = failure.Sent && rapid.Bool().Draw(t, "closed")
 	entry.query.executed = entry.query.executed || failure.Sent
 	m.perform(t, m.d.Fail(m.now, entry.Attempt, failure))
 }
--- a/internal/decide/dispatch/pin.go
+++ b/internal/decide/dispatch/pin.go
@@ -30,7 +30,7 @@
 	q.snapshot = pinned.snapshot
 	q.firstShard = 0
 	count := len(pinned.groups)
-	if shard, single := q.need().Shard(count); single {
+	if shard, single := q.need().SingleShard(count); single {
 		q.firstShard, count = shard, 1
 	}
 	if len(q.Shards) > 0 {
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -70,7 +70,7 @@
 // Config.EndWithoutBudget is set.
 func (d *Dispatcher) parkOrGiveUp(q *query, position int32, waiting bool) {
 	if d.config.EndWithoutBudget {
-		q.findings.lastReason = ReasonBudget
+		q.findings.lastReason = ReasonExtraLoad
 		d.markUnavailable(q, position, waiting)
 		return
 	}
--- a/internal/decide/dispatch/probe_test.go
+++ b/internal/decide/dispatch/probe_test.go
@@ -14,7 +14,7 @@
 func newProbeRig(t *testing.T) *rig {
 	r := newRig(t, 4, func(config *Config) {
 		config.MaximumAttempts = 2
-		config.Budget.Refill = 1
+		config.Budget.RefillRate = 1
 	})
 	r.hedgePercentile = 0
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: 2}}
--- a/internal/decide/dispatch/send.go
+++ b/internal/decide/dispatch/send.go
@@ -28,7 +28,7 @@
 
 // addAttempt adds an attempt to the table and to the lists of its shard and its leaf.
 func (d *Dispatcher) addAttempt(q *query, position int32, l *leafState, cause Cause) *attempt {
-	queue := replica.Queue(float64(len(l.running))+l.loadReports.estimateOthers(d.now), l.slots)
+	queue := replica.ExpectedQueueWait(float64(len(l.running))+l.loadReports.estimateOthers(d.now), l.slots)
 	shard := &q.shards[position]
 	slot, entry := d.attempts.add()
 	entry.query = q
@@ -64,15 +64,15 @@
 }
 
 // describeLeaf returns the estimates of the leaf at the time of a send.
-func (d *Dispatcher) describeLeaf(q *query, position int32, l *leafState) Basis {
+func (d *Dispatcher) describeLeaf(q *query, position int32, l *leafState) LeafEstimate {
 	budget := d.budgetFor(q, position)
-	return Basis{
-		InFlight: len(l.running),
-		Limit:    l.limiter.Current(),
-		Others:   l.loadReports.estimateOthers(d.now),
-		Age:      d.now - l.loadReports.at,
-		Pace:     l.loadReports.pace,
-		Slowness: d.slowness(l),
-		Budget:   budget.Tokens(),
+	return LeafEstimate{
+		InFlight:       len(l.running),
+		Limit:          l.limiter.Current(),
+		OthersInFlight: l.loadReports.estimateOthers(d.now),
+		ReportAge:      d.now - l.loadReports.at,
+		Pace:           l.loadReports.pace,
+		Slowness:       d.slowness(l),
+		Budget:         budget.Tokens(),
 	}
 }
--- a/internal/decide/dispatch/settle.go
+++ b/internal/decide/dispatch/settle.go
@@ -16,27 +16,27 @@
 func (d *Dispatcher) settle(q *query) (Outcome, Reason, bool) {
 	progress := q.progress
 	switch {
-	case progress.Whole():
+	case progress.Complete():
 		return OutcomeAnswered, ReasonNone, true
 	case q.findings.unknown:
-		return OutcomeUnknown, ReasonLost, true
+		return OutcomeUnknown, ReasonConnectionLost, true
 	case q.findings.invalid:
 		return q.failureOutcome(), ReasonInvalid, true
-	case progress.Hopeless():
+	case progress.Unanswerable():
 		return q.failureOutcome(), q.findings.lastReason, true
-	case d.config.RequireCoverage && !progress.Attainable(q.MinimumCoverage):
+	case d.config.RequireCoverage && !progress.CanMeetMinimum(q.MinimumCoverage):
 		return q.failureOutcome(), q.findings.lastReason, true
 	case d.config.RequireCoverage && d.coverageBlockedByDownLeaves(q):
 		return q.failureOutcome(), ReasonNoLeaf, true
-	case d.now >= q.Deadline && d.config.RequireCoverage && !progress.Enough(q.MinimumCoverage):
+	case d.now >= q.Deadline && d.config.RequireCoverage && !progress.MeetsMinimum(q.MinimumCoverage):
 		return q.failureOutcome(), ReasonDeadline, true
 	case d.now >= q.Deadline && progress.Answered > 0:
 		return OutcomePartial, ReasonDeadline, true
 	case d.now >= q.Deadline:
 		return q.failureOutcome(), ReasonDeadline, true
-	case !progress.Enough(q.MinimumCoverage):
+	case !progress.MeetsMinimum(q.MinimumCoverage):
 		return "", ReasonNone, false
-	case progress.Exhausted():
+	case progress.NoneAwaited():
 		return OutcomePartial, q.findings.lastReason, true
 	case d.now >= q.settleAt:
 		return OutcomePartial, ReasonDeadline, true
@@ -63,7 +63,7 @@
 	if int(shard.attempts) >= config.MaximumAttempts {
 		return false
 	}
-	return q.MaximumSends == 0 || int(shard.attempts-shard.unexecutedAttempts) < q.MaximumSends
+	return q.MaximumAttempts == 0 || int(shard.attempts-shard.unexecutedAttempts) < q.MaximumAttempts
 }
 
 // attemptsExhausted reports whether the shard may get no further attempt, because of all its
--- a/internal/decide/dispatch/status.go
+++ b/internal/decide/dispatch/status.go
@@ -130,14 +130,14 @@
 // Load is the waiting work and remaining budget of a Dispatcher.
 type Load struct {
 	// Waiting is the number of shards that wait for a leaf.
-	Waiting int
+	WaitingShards int
 	// Budget is the number of extra attempts that all budgets together still pay for.
 	Budget float64
 }
 
 // Load returns the current load.
 func (d *Dispatcher) Load() Load {
-	return Load{Waiting: d.waiting.queued, Budget: d.budgets.tokens()}
+	return Load{WaitingShards: d.waiting.queued, Budget: d.budgets.tokens()}
 }
 
 // InFlightAt returns the number of attempts in flight on the leaves whose listed boot ID satisfies
--- a/internal/decide/dispatch/topology.go
+++ b/internal/decide/dispatch/topology.go
@@ -63,7 +63,7 @@
 	return &leafState{
 		listing:   listing{address: listed.Address, slots: slots},
 		limiter:   limit.New(&d.config.Limit, slots, listed.Cold),
-		speed:     replica.NewSpeed(&d.config.Speed),
+		speed:     replica.NewSlownessEstimator(&d.config.Speed),
 		probation: probation{lastSent: d.now},
 		overdue:   overdueSum{at: noTime},
 	}
@@ -96,7 +96,7 @@
 	l.listedBoot = listed.BootID
 	if slots := listedSlots(listed); slots != l.slots {
 		l.slots = slots
-		l.limiter.Resize(slots)
+		l.limiter.SetSlots(slots)
 	}
 	if l.recordBoot(listed.BootID) {
 		d.resetLeaf(l, listed.Cold)
@@ -113,9 +113,9 @@
 
 // resetLeaf discards the state that belongs to the previous incarnation of a leaf.
 func (d *Dispatcher) resetLeaf(l *leafState, cold bool) {
-	l.limiter.Restart(cold)
-	l.speed = replica.NewSpeed(&d.config.Speed)
-	l.losses = replica.Losses{}
+	l.limiter.Reset(cold)
+	l.speed = replica.NewSlownessEstimator(&d.config.Speed)
+	l.losses = replica.LossEstimator{}
 	l.backoff = backoff{}
 	d.setDown(l, false)
 	l.missing = nil
--- a/internal/decide/dispatch/withhold_test.go
+++ b/internal/decide/dispatch/withhold_test.go
@@ -23,7 +23,7 @@
 func (r *rig) closeConnection() {
 	send := r.open[0]
 	r.open = r.open[1:]
-	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true, Closed: true}))
+	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true, ConnectionClosed: true}))
 }
 
 // A query that crashes each leaf may crash at most one leaf of each shard, and one more by the
@@ -40,7 +40,7 @@
 		sent += count
 	}
 	finish, ended := r.finishes[id]
-	if !ended || finish.Outcome != OutcomeFailed || finish.Reason != ReasonLost {
+	if !ended || finish.Outcome != OutcomeFailed || finish.Reason != ReasonConnectionLost {
 		t.Errorf("got %+v, ended %v, want outcome failed with reason connection_lost", finish, ended)
 	}
 	if sent > 5 {
--- a/internal/decide/executors/assigner.go
+++ b/internal/decide/executors/assigner.go
@@ -52,7 +52,7 @@
 	if !a.assigned {
 		return roles
 	}
-	roles.Executors = roster.FirstOfZones(members, executorsPerZone)
+	roles.Executors = roster.SelectPerZone(members, executorsPerZone)
 	roles.Self = RoleDelegator
 	if slices.ContainsFunc(roles.Executors, func(executor roster.Member) bool { return executor.Name == self.Name }) {
 		roles.Self = RoleExecutor
--- a/internal/decide/executors/assigner_test.go
+++ b/internal/decide/executors/assigner_test.go
@@ -76,7 +76,7 @@
 		members := newEqualNodes(rapid.IntRange(24, 300).Draw(t, "nodes"), rapid.IntRange(1, 13).Draw(t, "zones"))
 		lost := rapid.IntRange(0, len(members)-1).Draw(t, "lost")
 		remaining := slices.Delete(slices.Clone(members), lost, lost+1)
-		before, after := roster.FirstOfZones(members, executorsPerZone), roster.FirstOfZones(remaining, executorsPerZone)
+		before, after := roster.SelectPerZone(members, executorsPerZone), roster.SelectPerZone(remaining, executorsPerZone)
 		if !slices.Contains(before, members[lost]) {
 			if !slices.Equal(before, after) {
 				t.Fatalf("the loss of %s, which is no executor, changed the executors from %v to %v", members[lost].Name, before, after)
--- a/internal/decide/executors/executors_test.go
+++ b/internal/decide/executors/executors_test.go
@@ -33,7 +33,7 @@
 	table.Replace(0, roles.Executors)
 	now := time.Millisecond
 	for _, executor := range table.monitored {
-		table.Heard(now, 0, executor, Status{Accepting: true})
+		table.RecordAnswer(now, 0, executor, Status{Accepting: true})
 	}
 	return table.Choose(Terms{}, nil).Name
 }
--- a/internal/decide/executors/table.go
+++ b/internal/decide/executors/table.go
@@ -38,10 +38,10 @@
 	slowFactor = 1.5
 	// Handling is the time for reading a whole answer and writing it again, in addition to the
 	// round trip of a heartbeat.
-	Handling = 1500 * time.Microsecond
+	HandlingTime = 1500 * time.Microsecond
 	// Grace is how long after a request's timeout its executor may answer: the executor ends the
 	// request at the timeout, and the answer has to be transferred.
-	Grace = 100 * time.Millisecond
+	ResponseGrace = 100 * time.Millisecond
 )
 
 // Executor holds what a node knows about an executor. Its Member and Near never change.
@@ -49,7 +49,7 @@
 	roster.Member
 	liveness.State
 	// Near is set if the executor is in the node's own zone.
-	Near bool
+	SameZone bool
 	// InFlight is the number of this node's requests that the executor runs.
 	InFlight int
 	// Status is the executor's latest status.
@@ -80,13 +80,13 @@
 // Replace sets the executors. The state of executors that remain is retained, and requests that
 // run on removed executors are left to finish.
 func (t *Table) Replace(now time.Duration, executors []roster.Member) {
-	t.preferred = roster.Preferred(t.self, executors)
-	t.Watch(now)
+	t.preferred = roster.OrderByZone(t.self, executors)
+	t.UpdateMonitored(now)
 }
 
 // Watch selects the executors to monitor: the preferred ones, and a replacement for each lost
 // executor.
-func (t *Table) Watch(now time.Duration) {
+func (t *Table) UpdateMonitored(now time.Duration) {
 	previous := make(map[string]*Executor, len(t.monitored))
 	for _, executor := range t.monitored {
 		previous[executor.Name] = executor
@@ -99,7 +99,7 @@
 		}
 		candidate := previous[member.Name]
 		if candidate == nil || candidate.Member != member {
-			candidate = &Executor{Member: member, State: liveness.State{RoundTripWeight: latencyWeight}, addedAt: now, Near: member.Zone == t.self.Zone}
+			candidate = &Executor{Member: member, State: liveness.State{RoundTripWeight: latencyWeight}, addedAt: now, SameZone: member.Zone == t.self.Zone}
 		}
 		if !t.isLost(now, candidate) {
 			answering++
@@ -109,18 +109,18 @@
 }
 
 // Watched returns the monitored executors.
-func (t *Table) Watched() []*Executor { return slices.Clone(t.monitored) }
+func (t *Table) Monitored() []*Executor { return slices.Clone(t.monitored) }
 
 // Len returns the number of monitored executors.
-func (t *Table) Len() int { return len(t.monitored) }
+func (t *Table) CountMonitored() int { return len(t.monitored) }
 
 // Alive returns the number of monitored executors that are alive.
-func (t *Table) Alive() int {
+func (t *Table) CountAlive() int {
 	return t.count(func(executor *Executor) bool { return executor.Alive() != nil })
 }
 
 // Usable returns the number of monitored executors that would accept a request under the terms.
-func (t *Table) Usable(terms Terms) int {
+func (t *Table) CountUsable(terms Terms) int {
 	return t.count(func(executor *Executor) bool { return executor.isUsable(terms) })
 }
 
@@ -142,16 +142,16 @@
 
 // Heard records the answer of an executor to a heartbeat and reports whether the executor was lost
 // before.
-func (t *Table) Heard(now, roundTrip time.Duration, from *Executor, status Status) (regained bool) {
+func (t *Table) RecordAnswer(now, roundTrip time.Duration, from *Executor, status Status) (regained bool) {
 	from.Status = status
-	return from.Answered(now, roundTrip)
+	return from.RecordAnswer(now, roundTrip)
 }
 
 // Expire marks the executors as lost that were silent for longer than the timeout.
 func (t *Table) Expire(now time.Duration) {
 	for _, executor := range t.monitored {
 		if executor.IsSilent(now, t.config.HeartbeatTimeout) {
-			executor.Lose()
+			executor.MarkLost()
 		}
 	}
 }
@@ -174,14 +174,14 @@
 
 // isUsable reports whether the executor is alive and accepts requests under the terms.
 func (e *Executor) isUsable(terms Terms) bool {
-	return e.Alive() != nil && e.Status.Takes(terms)
+	return e.Alive() != nil && e.Status.Accepts(terms)
 }
 
 // preferredOver reports whether a request should go to e rather than to other.
 func (e *Executor) preferredOver(other *Executor) bool {
 	switch {
-	case e.Near != other.Near:
-		return e.Near
+	case e.SameZone != other.SameZone:
+		return e.SameZone
 	case e.meanLatency > 0 && other.meanLatency > 0 && e.meanLatency > slowFactor*other.meanLatency:
 		return false
 	case e.meanLatency > 0 && other.meanLatency > 0 && other.meanLatency > slowFactor*e.meanLatency:
@@ -192,10 +192,10 @@
 }
 
 // Away is the time that a request and its answer spend on the way to the executor and back.
-func (e *Executor) Away() time.Duration { return e.RoundTrip + Handling }
+func (e *Executor) TransitTime() time.Duration { return e.RoundTrip + HandlingTime }
 
 // Completed records the latency of a request.
-func (e *Executor) Completed(took time.Duration) {
+func (e *Executor) RecordLatency(took time.Duration) {
 	if e.meanLatency == 0 {
 		e.meanLatency = took.Seconds()
 	}
--- a/internal/decide/executors/table_test.go
+++ b/internal/decide/executors/table_test.go
@@ -45,10 +45,10 @@
 	heartbeat := func(answers func(name string) bool) {
 		now += table.config.HeartbeatInterval
 		table.Expire(now)
-		table.Watch(now)
+		table.UpdateMonitored(now)
 		for _, executor := range table.monitored {
 			if answers(executor.Name) {
-				table.Heard(now, 0, executor, Status{Accepting: true})
+				table.RecordAnswer(now, 0, executor, Status{Accepting: true})
 			}
 		}
 	}
--- a/internal/decide/executors/terms.go
+++ b/internal/decide/executors/terms.go
@@ -34,7 +34,7 @@
 }
 
 // Takes reports whether an executor with this status accepts requests under the terms.
-func (s Status) Takes(terms Terms) bool {
+func (s Status) Accepts(terms Terms) bool {
 	return s.Accepting && s.Version == terms.Version && (s.Fresh || !terms.Fresh) && s.knowsCordoned(terms.Cordoned)
 }
 
--- a/internal/decide/hedge/budget.go
+++ b/internal/decide/hedge/budget.go
@@ -16,7 +16,7 @@
 type BudgetConfig struct {
 	// Earned is the fraction of the class's extra load that required attempts earn. It is below 1
 	// so that saved tokens and attempts repeated after refusals stay within the extra load too.
-	Earned float64
+	EarnedShare float64
 	// Capacity is the largest number of tokens that can be saved. It keeps a long idle period
 	// from paying for a burst.
 	Capacity float64
@@ -27,13 +27,13 @@
 	// Debt is how far retries may overdraw the budget, because a lost shard costs coverage.
 	// Hedges wait until the debt is repaid. The default covers the shards that are lost together
 	// with one leaf.
-	Debt float64
+	MaxDebt float64
 	// Refill is the number of tokens added per second. By default only attempts earn tokens.
-	Refill float64
+	RefillRate float64
 	// Chance returns random numbers from 0 to 1. If it is set, a budget that cannot hold a whole
 	// token buys an attempt with the probability of its fraction, so that many such budgets
 	// together spend their sum. If it is nil, such a budget never buys an attempt.
-	Chance func() float64
+	Random func() float64
 }
 
 // DefaultBudgetConfig returns the default policy.
@@ -41,12 +41,12 @@
 	return BudgetConfig{
 		// With one slow leaf, 1 brings the extra load to 0.0299 where 0.03 is allowed; 0.95 keeps
 		// it at 0.0285 or less.
-		Earned:   0.95,
-		Capacity: 20,
-		Initial:  5,
-		Reserve:  2,
-		Debt:     50,
-		Refill:   0,
+		EarnedShare: 0.95,
+		Capacity:    20,
+		Initial:     5,
+		Reserve:     2,
+		MaxDebt:     50,
+		RefillRate:  0,
 	}
 }
 
@@ -67,11 +67,11 @@
 const neverRefilled time.Duration = -1
 
 // Bounds are the parts of a BudgetConfig that change while a Budget is in use.
-type Bounds struct{ Initial, Capacity, Reserve, Refill float64 }
+type Bounds struct{ Initial, Capacity, Reserve, RefillRate float64 }
 
 // Resize changes the bounds. The initial tokens apply to budgets that are created later.
 func (c *BudgetConfig) Resize(bounds Bounds) {
-	c.Initial, c.Capacity, c.Reserve, c.Refill = bounds.Initial, bounds.Capacity, bounds.Reserve, bounds.Refill
+	c.Initial, c.Capacity, c.Reserve, c.RefillRate = bounds.Initial, bounds.Capacity, bounds.Reserve, bounds.RefillRate
 }
 
 // Resize changes the bounds. Tokens beyond the new capacity are lost.
@@ -83,18 +83,18 @@
 // Earn adds the tokens of one required attempt of a class with the given share of extra load,
 // from 0 to 1. A class without extra load earns nothing.
 func (b *Budget) Earn(share float64) {
-	b.tokens = min(b.tokens+share*b.config.Earned, b.config.Capacity)
+	b.tokens = min(b.tokens+share*b.config.EarnedShare, b.config.Capacity)
 }
 
 // Pass adds the tokens that are due since the last call, up to now.
-func (b *Budget) Pass(now time.Duration) {
+func (b *Budget) Refill(now time.Duration) {
 	if b.refilledAt == neverRefilled {
 		b.refilledAt = now
 	}
 	if now <= b.refilledAt {
 		return
 	}
-	b.tokens = min(b.tokens+b.config.Refill*(now-b.refilledAt).Seconds(), max(b.config.Capacity, b.tokens))
+	b.tokens = min(b.tokens+b.config.RefillRate*(now-b.refilledAt).Seconds(), max(b.config.Capacity, b.tokens))
 	b.refilledAt = now
 }
 
@@ -114,10 +114,10 @@
 // settleFraction turns a fraction of a token at random into a whole token or none, if the
 // budget cannot hold a whole token.
 func (b *Budget) settleFraction() {
-	if b.config.Capacity >= 1 || b.config.Chance == nil || b.tokens <= 0 || b.tokens >= 1 {
+	if b.config.Capacity >= 1 || b.config.Random == nil || b.tokens <= 0 || b.tokens >= 1 {
 		return
 	}
-	if b.config.Chance() < b.tokens {
+	if b.config.Random() < b.tokens {
 		b.tokens = 1
 		return
 	}
@@ -128,7 +128,7 @@
 // may lose its fraction by this call; see BudgetConfig.Chance.
 func (b *Budget) CanRetry() bool {
 	b.settleFraction()
-	return b.tokens-1 >= -b.config.Debt
+	return b.tokens-1 >= -b.config.MaxDebt
 }
 
 // SpendRetry takes tokens for retries, if the debt limit allows at least one.
--- a/internal/decide/hedge/fractional_test.go
+++ b/internal/decide/hedge/fractional_test.go
@@ -15,7 +15,7 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		nodes := rapid.IntRange(60, 1000).Draw(t, "nodes")
 		const slack = 42.0
-		config := BudgetConfig{Earned: 0.9, Capacity: slack / float64(nodes), Initial: slack / float64(nodes), Chance: random.Float64}
+		config := BudgetConfig{EarnedShare: 0.9, Capacity: slack / float64(nodes), Initial: slack / float64(nodes), Random: random.Float64}
 		spent := 0
 		for range nodes {
 			budget := NewBudget(config)
@@ -40,8 +40,8 @@
 
 func TestBudgetOfOneTokenOrMoreIsNotRandomised(t *testing.T) {
 	config := DefaultBudgetConfig()
-	config.Initial, config.Debt = 0.9, 0
-	config.Chance = func() float64 { return 0 }
+	config.Initial, config.MaxDebt = 0.9, 0
+	config.Random = func() float64 { return 0 }
 	budget := NewBudget(config)
 	if budget.CanRetry() || budget.Tokens() != 0.9 {
 		t.Errorf("can retry = %v with %v tokens, want false with 0.9", budget.CanRetry(), budget.Tokens())
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -25,7 +25,7 @@
 				if budget.SpendHedge() {
 					hedges++
 				}
-				if hedges > 0 && float64(hedges+retries) > config.Initial+share*float64(needed)+config.Debt+1 {
+				if hedges > 0 && float64(hedges+retries) > config.Initial+share*float64(needed)+config.MaxDebt+1 {
 					t.Fatalf("%d hedges and %d retries for %d required attempts exceed earned, initial and debt tokens", hedges, retries, needed)
 				}
 			default:
@@ -35,8 +35,8 @@
 			if retries == 0 && float64(hedges) > config.Initial+share*float64(needed) {
 				t.Fatalf("%d hedges for %d required attempts exceed earned and initial tokens", hedges, needed)
 			}
-			if budget.Tokens() > config.Capacity || budget.Tokens() < -config.Debt-1 {
-				t.Fatalf("got %f tokens, want %f to %f", budget.Tokens(), -config.Debt-1, config.Capacity)
+			if budget.Tokens() > config.Capacity || budget.Tokens() < -config.MaxDebt-1 {
+				t.Fatalf("got %f tokens, want %f to %f", budget.Tokens(), -config.MaxDebt-1, config.Capacity)
 			}
 		}
 	})
@@ -54,7 +54,7 @@
 }
 
 func TestHedgesLeaveTheReserve(t *testing.T) {
-	budget := NewBudget(BudgetConfig{Capacity: 10, Initial: 5, Reserve: 2, Debt: 1})
+	budget := NewBudget(BudgetConfig{Capacity: 10, Initial: 5, Reserve: 2, MaxDebt: 1})
 	count := 0
 	for budget.SpendHedge() {
 		count++
@@ -68,7 +68,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		latencies := rapid.SliceOfN(rapid.IntRange(0, 100_000_000), 1, 300).Draw(t, "latencies")
 		quantile := rapid.Float64Range(0.01, 0.99).Draw(t, "quantile")
-		var quantiles Quantiles
+		var quantiles LatencyHistogram
 		for _, value := range latencies {
 			quantiles.Add(time.Duration(value) * time.Microsecond)
 		}
@@ -88,7 +88,7 @@
 }
 
 func TestOldLatenciesDecay(t *testing.T) {
-	var quantiles Quantiles
+	var quantiles LatencyHistogram
 	for range 1000 {
 		quantiles.Add(time.Second)
 	}
@@ -105,13 +105,13 @@
 func TestTokensRefillOverTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
-		config := BudgetConfig{Capacity: 5, Initial: 5, Refill: 0.4}
+		config := BudgetConfig{Capacity: 5, Initial: 5, RefillRate: 0.4}
 		budget := NewBudget(config)
 		now := time.Duration(rapid.IntRange(0, 1000).Draw(t, "start")) * time.Second
 		var spent []time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond
-			budget.Pass(now)
+			budget.Refill(now)
 			if budget.SpendHedge() {
 				spent = append(spent, now)
 			}
@@ -121,7 +121,7 @@
 			for first > 0 && spent[last]-spent[first-1] < window {
 				first--
 			}
-			if count := last - first + 1; float64(count) > config.Capacity+config.Refill*window.Seconds()+0.001 {
+			if count := last - first + 1; float64(count) > config.Capacity+config.RefillRate*window.Seconds()+0.001 {
 				t.Fatalf("%d tokens spent between %v and %v, want at most capacity and refill", count, spent[first], spent[last])
 			}
 		}
--- a/internal/decide/hedge/quantiles.go
+++ b/internal/decide/hedge/quantiles.go
@@ -19,7 +19,7 @@
 
 // Quantiles is a decaying histogram of latencies: the weight of old samples halves with every
 // halvingInterval new ones. Its relative error is below 1/16. The zero value is ready to use.
-type Quantiles struct {
+type LatencyHistogram struct {
 	counts  [bucketCount]float64
 	total   float64
 	samples int
@@ -30,7 +30,7 @@
 }
 
 // Add records one latency.
-func (q *Quantiles) Add(latency time.Duration) {
+func (q *LatencyHistogram) Add(latency time.Duration) {
 	q.counts[bucketOf(latency)]++
 	q.total++
 	q.samples++
@@ -40,13 +40,13 @@
 }
 
 // Samples returns the total number of recorded latencies.
-func (q *Quantiles) Samples() int {
+func (q *LatencyHistogram) SampleCount() int {
 	return q.samples
 }
 
 // Quantile returns an upper bound of the latency at the quantile, from 0 to 1. The result may
 // be up to refreshInterval samples old. It is zero without samples.
-func (q *Quantiles) Quantile(quantile float64) time.Duration {
+func (q *LatencyHistogram) Quantile(quantile float64) time.Duration {
 	if q.samples == 0 {
 		return 0
 	}
@@ -59,7 +59,7 @@
 	return q.cached
 }
 
-func (q *Quantiles) compute(quantile float64) time.Duration {
+func (q *LatencyHistogram) compute(quantile float64) time.Duration {
 	targetCount := quantile * q.total
 	sum := 0.0
 	for bucket, count := range q.counts {
@@ -71,7 +71,7 @@
 	return bucketUpperBound(bucketCount - 1)
 }
 
-func (q *Quantiles) halve() {
+func (q *LatencyHistogram) halve() {
 	q.total = 0
 	for bucket := range q.counts {
 		q.counts[bucket] /= 2
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -22,7 +22,7 @@
 	// does not idle for a round trip.
 	Headroom int
 	// Backoff is the factor applied when a leaf refuses an attempt. Two refusals halve the limit.
-	Backoff float64
+	RefusalBackoff float64
 	// QueueBackoff is the factor applied when a leaf queues more than QueueTolerance attempts per
 	// slot. It is milder than Backoff, since queueing precedes refusals.
 	QueueBackoff float64
@@ -34,18 +34,18 @@
 	Growth float64
 	// Pause is the shortest time between two reductions, so that refusals of attempts that were
 	// in flight together count once.
-	Pause time.Duration
+	MinReductionInterval time.Duration
 }
 
 // DefaultConfig returns the default policy.
 func DefaultConfig() Config {
 	return Config{
-		Headroom:       1,
-		Backoff:        0.7,
-		QueueBackoff:   0.9,
-		QueueTolerance: 0.5,
-		Growth:         1,
-		Pause:          10 * time.Millisecond,
+		Headroom:             1,
+		RefusalBackoff:       0.7,
+		QueueBackoff:         0.9,
+		QueueTolerance:       0.5,
+		Growth:               1,
+		MinReductionInterval: 10 * time.Millisecond,
 	}
 }
 
@@ -63,19 +63,19 @@
 // leaf starts with a limit of one, which doubles per round of successes.
 func New(config *Config, slots int, cold bool) Limiter {
 	limiter := Limiter{config: config}
-	limiter.Resize(slots)
-	limiter.Restart(cold)
+	limiter.SetSlots(slots)
+	limiter.Reset(cold)
 	return limiter
 }
 
 // Resize sets the number of slots, at least one.
-func (l *Limiter) Resize(slots int) {
+func (l *Limiter) SetSlots(slots int) {
 	l.slots = max(slots, 1)
 	l.limit = min(l.limit, l.maxLimit())
 }
 
 // Restart resets the limit after the leaf restarted.
-func (l *Limiter) Restart(cold bool) {
+func (l *Limiter) Reset(cold bool) {
 	l.limit = float64(l.slots)
 	l.slowStart = cold
 	if cold {
@@ -90,7 +90,7 @@
 
 // Succeeded records a reply. inFlight includes the attempt that succeeded; queue is the queue
 // depth that the leaf reported.
-func (l *Limiter) Succeeded(now time.Duration, inFlight, queue int) {
+func (l *Limiter) RecordSuccess(now time.Duration, inFlight, queue int) {
 	if float64(queue) > l.config.QueueTolerance*float64(l.slots) {
 		l.reduce(now, l.config.QueueBackoff)
 		return
@@ -106,15 +106,15 @@
 }
 
 // Refused records that the leaf refused an attempt because of load.
-func (l *Limiter) Refused(now time.Duration) {
-	l.reduce(now, l.config.Backoff)
+func (l *Limiter) RecordRefusal(now time.Duration) {
+	l.reduce(now, l.config.RefusalBackoff)
 }
 
 func (l *Limiter) reduce(now time.Duration, factor float64) {
 	if now < l.nextReduction {
 		return
 	}
-	l.nextReduction = now + l.config.Pause
+	l.nextReduction = now + l.config.MinReductionInterval
 	l.limit = max(l.limit*factor, 1)
 	l.slowStart = false
 }
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -18,14 +18,14 @@
 			before := limiter.Current()
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				limiter.Refused(now)
+				limiter.RecordRefusal(now)
 				if limiter.Current() > before {
 					t.Fatalf("a refusal raised the limit from %d to %d", before, limiter.Current())
 				}
 			case 1:
-				limiter.Restart(rapid.Bool().Draw(t, "cold"))
+				limiter.Reset(rapid.Bool().Draw(t, "cold"))
 			default:
-				limiter.Succeeded(now, before, rapid.IntRange(0, 10).Draw(t, "queue"))
+				limiter.RecordSuccess(now, before, rapid.IntRange(0, 10).Draw(t, "queue"))
 			}
 			if current := limiter.Current(); current < 1 || current > max(slots, 1)+config.Headroom {
 				t.Fatalf("got limit %d, want 1 to %d with %d slots", current, max(slots, 1)+config.Headroom, slots)
@@ -52,7 +52,7 @@
 	}
 	for step := range 2000 {
 		limiter := &limiters[step%nodes]
-		limiter.Succeeded(time.Duration(step)*time.Millisecond, limiter.Current(), max(total()-slots, 0))
+		limiter.RecordSuccess(time.Duration(step)*time.Millisecond, limiter.Current(), max(total()-slots, 0))
 	}
 	if sum := total(); sum < slots || sum > 2*slots {
 		t.Errorf("%d attempts in flight on %d slots, want %d to %d", sum, slots, slots, 2*slots)
@@ -66,6 +66,6 @@
 		if limiter.Current() != want {
 			t.Fatalf("got limit %d after %d successes, want %d", limiter.Current(), want-1, want)
 		}
-		limiter.Succeeded(0, 1, 0)
+		limiter.RecordSuccess(0, 1, 0)
 	}
 }
--- a/internal/decide/linger/linger.go
+++ b/internal/decide/linger/linger.go
@@ -18,7 +18,7 @@
 
 // Time returns for how long an attempt continues whose answer is no longer needed, or zero if it
 // is cancelled at once.
-func Time(configured time.Duration, overdue bool) time.Duration {
+func Duration(configured time.Duration, overdue bool) time.Duration {
 	if overdue {
 		return 0
 	}
--- a/internal/decide/linger/linger_test.go
+++ b/internal/decide/linger/linger_test.go
@@ -16,7 +16,7 @@
 		{0, false, 0},
 		{0, true, 0},
 	} {
-		if got := Time(test.allowed, test.overdue); got != test.want {
+		if got := Duration(test.allowed, test.overdue); got != test.want {
 			t.Errorf("configured %v, overdue %v: got %v, want %v", test.allowed, test.overdue, got, test.want)
 		}
 	}
--- a/internal/decide/liveness/state.go
+++ b/internal/decide/liveness/state.go
@@ -38,14 +38,14 @@
 func (s *State) Alive() context.Context { return s.alive }
 
 // Heard records any message of the node. It does not make a lost node alive.
-func (s *State) Heard(now time.Duration) {
+func (s *State) RecordMessage(now time.Duration) {
 	s.LastHeard = max(s.LastHeard, now, 1)
 }
 
 // Answered records the answer to a heartbeat, which makes a lost node alive. It reports whether the
 // node was lost before.
-func (s *State) Answered(now, roundTrip time.Duration) (regained bool) {
-	s.Heard(now)
+func (s *State) RecordAnswer(now, roundTrip time.Duration) (regained bool) {
+	s.RecordMessage(now)
 	if s.RoundTrip == 0 {
 		s.RoundTrip = roundTrip
 	}
@@ -64,7 +64,7 @@
 
 // Lose marks the node as lost and ends the context of Alive, and with it the calls in flight. It
 // reports whether the node was alive before.
-func (s *State) Lose() bool {
+func (s *State) MarkLost() bool {
 	if s.alive == nil {
 		return false
 	}
@@ -74,7 +74,7 @@
 }
 
 // Avoid is like Lose, but the calls in flight to the node continue.
-func (s *State) Avoid() bool {
+func (s *State) MarkUnused() bool {
 	wasAlive := s.alive != nil
 	s.alive = nil
 	return wasAlive
--- a/internal/decide/once/clock.go
+++ b/internal/decide/once/clock.go
@@ -4,7 +4,7 @@
 
 // Reading holds the clocks of a machine at one moment. Both must be read together, before the call
 // that receives them.
-type Reading struct {
+type ClockReading struct {
 	// Wall is the wall clock. It may jump in either direction.
 	Wall time.Time
 	// Monotonic is the time since an arbitrary origin. It never decreases, but may stop while the
@@ -14,20 +14,20 @@
 
 // clock tracks the readings of one machine.
 type clock struct {
-	last Reading
+	last ClockReading
 	// latestWall is the latest plausible wall clock time: the highest one seen, advanced by the
 	// monotonic time since.
 	latestWall time.Time
 }
 
-func newClock(now Reading) clock {
+func newClock(now ClockReading) clock {
 	wall := withoutMonotonic(now.Wall)
-	return clock{last: Reading{Wall: wall, Monotonic: now.Monotonic}, latestWall: wall}
+	return clock{last: ClockReading{Wall: wall, Monotonic: now.Monotonic}, latestWall: wall}
 }
 
 // observe records a reading. It reports whether the wall clock advanced since the last reading by
 // more than tolerance beyond the monotonic clock.
-func (c *clock) observe(now Reading, tolerance time.Duration) (wall time.Time, jumpedAhead bool) {
+func (c *clock) observe(now ClockReading, tolerance time.Duration) (wall time.Time, jumpedAhead bool) {
 	wall = withoutMonotonic(now.Wall)
 	elapsed := max(now.Monotonic-c.last.Monotonic, 0)
 	jumpedAhead = wall.Sub(c.last.Wall)-elapsed > tolerance
@@ -35,7 +35,7 @@
 	if wall.After(c.latestWall) {
 		c.latestWall = wall
 	}
-	c.last = Reading{Wall: wall, Monotonic: max(now.Monotonic, c.last.Monotonic)}
+	c.last = ClockReading{Wall: wall, Monotonic: max(now.Monotonic, c.last.Monotonic)}
 	return wall, jumpedAhead
 }
 
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -93,7 +93,7 @@
 
 // NewLedger returns the ledger of a node that became an owner at the given reading; see the
 // conditions in the package comment.
-func NewLedger[Outcome any](config Config, ownershipSince Reading) *Ledger[Outcome] {
+func NewLedger[Outcome any](config Config, ownershipSince ClockReading) *Ledger[Outcome] {
 	ledger := &Ledger[Outcome]{config: config, clock: newClock(ownershipSince), records: newRecords[Outcome]()}
 	ledger.raiseFence()
 	return ledger
@@ -101,7 +101,7 @@
 
 // Begin decides about a submission of the id at the given reading. The caller has checked that this
 // node is the owner of the id.
-func (l *Ledger[Outcome]) Begin(now Reading, id ulid.ULID) Decision[Outcome] {
+func (l *Ledger[Outcome]) Begin(now ClockReading, id ulid.ULID) Decision[Outcome] {
 	wall := l.observe(now)
 	if record, exists := l.records.find(id); exists {
 		if record.finished {
@@ -119,7 +119,7 @@
 // Holds reports whether the ownership period in which a decision was made still lasts. A node that
 // was suspended during a change of the voter set and is fresh again must not act on an earlier
 // decision.
-func (l *Ledger[Outcome]) Holds(decision Decision[Outcome]) bool {
+func (l *Ledger[Outcome]) OwnershipHolds(decision Decision[Outcome]) bool {
 	return decision.Ownership == l.ownership || l.config.disabled.ownershipCheck
 }
 
@@ -140,7 +140,7 @@
 
 // Reset starts a new ownership period at the given reading: ids created before may have been
 // admitted elsewhere in the meantime. Ids admitted here remain known.
-func (l *Ledger[Outcome]) Reset(ownershipSince Reading) {
+func (l *Ledger[Outcome]) Reset(ownershipSince ClockReading) {
 	l.observe(ownershipSince)
 	l.raiseFence()
 	l.suspended = false
@@ -149,7 +149,7 @@
 
 // Expire removes the finished ids that are older than the window. It has to be called about once
 // per second.
-func (l *Ledger[Outcome]) Expire(now Reading) {
+func (l *Ledger[Outcome]) Expire(now ClockReading) {
 	wall := l.observe(now)
 	l.dropExpired(wall)
 }
@@ -162,7 +162,7 @@
 
 // observe records a reading. If the wall clock jumped ahead, earlier readings were wrong and the
 // fence may be too low, so it is raised as at a new start.
-func (l *Ledger[Outcome]) observe(now Reading) (wall time.Time) {
+func (l *Ledger[Outcome]) observe(now ClockReading) (wall time.Time) {
 	wall, jumpedAhead := l.clock.observe(now, l.config.ClockDifference)
 	if l.config.disabled.latestClock {
 		l.clock.latestWall = wall
--- a/internal/decide/once/ledger_test.go
+++ b/internal/decide/once/ledger_test.go
@@ -10,7 +10,9 @@
 )
 
 // at returns the reading of a correct clock.
-func at(since time.Duration) Reading { return Reading{Wall: base.Add(since), Monotonic: since} }
+func at(since time.Duration) ClockReading {
+	return ClockReading{Wall: base.Add(since), Monotonic: since}
+}
 
 func newID(since time.Duration, number byte) ulid.ULID {
 	var id ulid.ULID
@@ -82,7 +84,7 @@
 		ledger := NewLedger[int](config, at(0))
 		ledger.Expire(at(time.Minute))
 		ledger.Suspend()
-		ledger.Reset(Reading{Wall: base.Add(10 * time.Second), Monotonic: 70 * time.Second})
+		ledger.Reset(ClockReading{Wall: base.Add(10 * time.Second), Monotonic: 70 * time.Second})
 		return ledger.FencedUntil().Equal(base.Add(81 * time.Second))
 	}
 	if !fencedAfterJump(disabledMechanisms{}) || fencedAfterJump(disabledMechanisms{latestClock: true}) {
@@ -96,7 +98,7 @@
 	decide := func(disabled disabledMechanisms) Decision[int] {
 		config := testConfig()
 		config.disabled = disabled
-		ledger := NewLedger[int](config, Reading{Wall: base.Add(-time.Hour)})
+		ledger := NewLedger[int](config, ClockReading{Wall: base.Add(-time.Hour)})
 		return ledger.Begin(at(30*time.Second), newID(29*time.Second, 1))
 	}
 	checkDecision(t, decide(disabledMechanisms{}), Refuse, ReasonFenced, true)
@@ -112,14 +114,14 @@
 		config.disabled = disabled
 		ledger := NewLedger[int](config, at(0))
 		decision := ledger.Begin(at(20*time.Second), newID(20*time.Second, 1))
-		if !ledger.Holds(decision) {
+		if !ledger.OwnershipHolds(decision) {
 			t.Fatal("a decision does not hold in its own ownership period")
 		}
 		ledger.Suspend()
 		checkDecision(t, ledger.Begin(at(21*time.Second), newID(20*time.Second, 2)), Refuse, ReasonSuspended, true)
 		ledger.Reset(at(22 * time.Second))
-		if ledger.Holds(decision) != disabled.ownershipCheck {
-			t.Fatalf("after Reset: decision holds = %v, want %v", ledger.Holds(decision), disabled.ownershipCheck)
+		if ledger.OwnershipHolds(decision) != disabled.ownershipCheck {
+			t.Fatalf("after Reset: decision holds = %v, want %v", ledger.OwnershipHolds(decision), disabled.ownershipCheck)
 		}
 	}
 }
--- a/internal/decide/once/simulation_test.go
+++ b/internal/decide/once/simulation_test.go
@@ -129,8 +129,8 @@
 
 func (p *process) isRunning() bool { return !p.dead && !p.frozen }
 
-func (s *simulation) reading(p *process) Reading {
-	return Reading{Wall: base.Add(s.now + p.clockOffset - p.backwardJump), Monotonic: s.now}
+func (s *simulation) reading(p *process) ClockReading {
+	return ClockReading{Wall: base.Add(s.now + p.clockOffset - p.backwardJump), Monotonic: s.now}
 }
 
 // replace starts a new process in a slot. The previous one may still be alive.
@@ -243,7 +243,7 @@
 
 // decisionHolds reports whether the process is still fresh and still the owner.
 func (s *simulation) decisionHolds(t *task) bool {
-	return s.now-t.process.confirmedAt <= s.config.Freshness && t.process.ledger.Holds(t.decision)
+	return s.now-t.process.confirmedAt <= s.config.Freshness && t.process.ledger.OwnershipHolds(t.decision)
 }
 
 // deliver lets a message arrive at its leaf, be refused there, or lose its reply.
--- a/internal/decide/presend/presend.go
+++ b/internal/decide/presend/presend.go
@@ -20,9 +20,9 @@
 // State holds what is known directly before a send.
 type State struct {
 	// Guard is the reason why the node may not act, or nil.
-	Guard error
+	GuardErr error
 	// Usable is set if the leaf accepts new work.
-	Usable bool
+	LeafUsable bool
 	// Remaining is the time until the deadline of the query.
 	Remaining time.Duration
 }
@@ -32,21 +32,21 @@
 
 // The verdicts. The checks behind the last three are made in this order.
 const (
-	Send      Verdict = iota // the attempt may be sent
-	NotFresh                 // the node may not act
-	NotUsable                // the leaf accepts no new work
-	Expired                  // no time is left
+	Send           Verdict = iota // the attempt may be sent
+	NodeNotFresh                  // the node may not act
+	LeafNotUsable                 // the leaf accepts no new work
+	DeadlinePassed                // no time is left
 )
 
 // Decide returns the verdict on an attempt.
 func Decide(state State) Verdict {
 	switch {
-	case state.Guard != nil:
-		return NotFresh
-	case !state.Usable:
-		return NotUsable
+	case state.GuardErr != nil:
+		return NodeNotFresh
+	case !state.LeafUsable:
+		return LeafNotUsable
 	case state.Remaining <= 0:
-		return Expired
+		return DeadlinePassed
 	default:
 		return Send
 	}
--- a/internal/decide/presend/presend_test.go
+++ b/internal/decide/presend/presend_test.go
@@ -12,13 +12,13 @@
 		state State
 		want  Verdict
 	}{
-		{State{Usable: true, Remaining: time.Nanosecond}, Send},
-		{State{Guard: notFresh, Usable: true, Remaining: time.Second}, NotFresh},
-		{State{Remaining: time.Second}, NotUsable},
-		{State{Usable: true}, Expired},
-		{State{Usable: true, Remaining: -time.Second}, Expired},
-		{State{Guard: notFresh}, NotFresh},
-		{State{}, NotUsable},
+		{State{LeafUsable: true, Remaining: time.Nanosecond}, Send},
+		{State{GuardErr: notFresh, LeafUsable: true, Remaining: time.Second}, NodeNotFresh},
+		{State{Remaining: time.Second}, LeafNotUsable},
+		{State{LeafUsable: true}, DeadlinePassed},
+		{State{LeafUsable: true, Remaining: -time.Second}, DeadlinePassed},
+		{State{GuardErr: notFresh}, NodeNotFresh},
+		{State{}, LeafNotUsable},
 	} {
 		if got := Decide(test.state); got != test.want {
 			t.Errorf("%+v: got verdict %d, want %d", test.state, got, test.want)
--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -24,7 +24,7 @@
 
 // Background tracks how often attempts crash their leaf regardless of the request: per service, and
 // over all services in the last few seconds. It is not safe for concurrent use.
-type Background struct {
+type BackgroundRate struct {
 	services []decayedCounts
 	global   decayedCounts
 	// suspected holds the part of global that belongs to each suspected request.
@@ -66,7 +66,7 @@
 
 // Add records an attempt at a service that crashed its leaf or was answered. Attempts of suspected
 // requests do not count for the service.
-func (b *Background) Add(now time.Duration, content Content, suspected bool, service int, crashed bool) {
+func (b *BackgroundRate) Add(now time.Duration, content Content, suspected bool, service int, crashed bool) {
 	b.global.add(now, globalHalfLife, crashed)
 	if suspected {
 		b.suspectedCounts(now, content).add(now, globalHalfLife, crashed)
@@ -78,7 +78,7 @@
 // Chance returns the probability, from 0.05 to 1, that an attempt at a service crashes its leaf now
 // regardless of the request: the higher of the service's rate and the global rate. Attempts of the
 // request itself do not count for the global rate.
-func (b *Background) Chance(now time.Duration, content Content, service int) float64 {
+func (b *BackgroundRate) CrashChance(now time.Duration, content Content, service int) float64 {
 	atService := b.serviceCounts(now, service)
 	atService.decay(now, serviceHalfLife)
 	b.global.decay(now, globalHalfLife)
@@ -91,7 +91,7 @@
 	return max(crashChance(atService.crashed, atService.answered), globalChance)
 }
 
-func (b *Background) serviceCounts(now time.Duration, service int) *decayedCounts {
+func (b *BackgroundRate) serviceCounts(now time.Duration, service int) *decayedCounts {
 	for service >= len(b.services) {
 		b.services = append(b.services, decayedCounts{decayedAt: now})
 	}
@@ -101,7 +101,7 @@
 // suspectedCounts returns the recent attempts of a suspected request. If too many requests are
 // tracked, it drops the counts of all of them. They then count as attempts of other requests for
 // about a second, which can only cause one more trial of a request.
-func (b *Background) suspectedCounts(now time.Duration, content Content) *decayedCounts {
+func (b *BackgroundRate) suspectedCounts(now time.Duration, content Content) *decayedCounts {
 	counts, ok := b.suspected[content]
 	if ok {
 		return counts
--- a/internal/decide/quarantine/background_test.go
+++ b/internal/decide/quarantine/background_test.go
@@ -8,19 +8,19 @@
 // TestBackgroundChanceByService checks that the chance follows the crash rate of its service over
 // serviceHalfLife, leaves other services unaffected, and decays.
 func TestBackgroundChanceByService(t *testing.T) {
-	var background Background
+	var background BackgroundRate
 	for run := range 140 {
 		background.Add(0, harmlessContent, false, 1, run < 50)
 	}
 	const later = 30 * globalHalfLife
-	if chance := background.Chance(later, crashingContent, 1); chance < 0.25 || chance > 0.4 {
+	if chance := background.CrashChance(later, crashingContent, 1); chance < 0.25 || chance > 0.4 {
 		t.Errorf("chance %v after 50 crashes in 140 attempts, want 0.25 to 0.4", chance)
 	}
 	for _, test := range []struct {
 		at      time.Duration
 		service int
 	}{{later, 0}, {later, 7}, {time.Hour, 1}} {
-		if chance := background.Chance(test.at, crashingContent, test.service); chance > 1.01*priorCrashes/priorAttempts {
+		if chance := background.CrashChance(test.at, crashingContent, test.service); chance > 1.01*priorCrashes/priorAttempts {
 			t.Errorf("chance %v at %v of service %d, want the prior %v", chance, test.at, test.service, priorCrashes/priorAttempts)
 		}
 	}
@@ -31,9 +31,9 @@
 // before, and its trials crash as well. The other request is held by its later trials.
 func TestRequestBesideCrashingRequestIsNotHeld(t *testing.T) {
 	s := newScenario(t)
-	var background Background
-	s.table.Suspect(s.now, harmlessContent, "r", s.newCrashes(8))
-	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(8))
+	var background BackgroundRate
+	s.table.RecordCrashes(s.now, harmlessContent, "r", s.newCrashes(8))
+	s.table.RecordCrashes(s.now, crashingContent, "r", s.newCrashes(8))
 	for service := range 12 {
 		background.Add(s.now, harmlessContent, true, service, true)
 		background.Add(s.now, crashingContent, true, service, true)
@@ -41,7 +41,7 @@
 	for trial := range 2 {
 		s.now += 100 * time.Millisecond
 		for _, content := range []Content{harmlessContent, crashingContent} {
-			if s.crashTrial(content, background.Chance(s.now, content, 0)) {
+			if s.crashTrial(content, background.CrashChance(s.now, content, 0)) {
 				t.Errorf("held after trial %d, while leaves crash under another request", trial+1)
 			}
 			background.Add(s.now, content, true, 0, true)
@@ -52,7 +52,7 @@
 		for service := range 60 {
 			background.Add(s.now, harmlessContent, true, service%12, false)
 		}
-		if s.crashTrial(crashingContent, background.Chance(s.now, crashingContent, 0)) {
+		if s.crashTrial(crashingContent, background.CrashChance(s.now, crashingContent, 0)) {
 			return
 		}
 	}
--- a/internal/decide/quarantine/config.go
+++ b/internal/decide/quarantine/config.go
@@ -31,7 +31,7 @@
 	// Retention is the time for which a request that is no longer held is still tried first.
 	Retention time.Duration
 	// Heartbeat is the interval between two announcements of a leaf.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// MaxEntries bounds the requests in the table.
 	MaxEntries int
 	// ReportBurst is the number of requests that a node may report at once. FleetReportBurst is
@@ -58,10 +58,10 @@
 		TrialPause:    time.Second,
 		MaxTrialPause: 30 * time.Second,
 		// Trials with 28 to 220 ms of work end within this time.
-		TrialRetryAfter: 250 * time.Millisecond,
-		HoldDuration:    RecordTTL / 2,
-		Retention:       time.Hour,
-		Heartbeat:       1200 * time.Millisecond,
+		TrialRetryAfter:   250 * time.Millisecond,
+		HoldDuration:      RecordTTL / 2,
+		Retention:         time.Hour,
+		HeartbeatInterval: 1200 * time.Millisecond,
 		// 1,024 entries of at most 1.5 KB take 1.5 MB.
 		MaxEntries:       1024,
 		ReportBurst:      4,
--- a/internal/decide/quarantine/content.go
+++ b/internal/decide/quarantine/content.go
@@ -11,7 +11,7 @@
 type Content [16]byte
 
 // ContentOf returns the Content of a request with the given host, request line and body.
-func ContentOf(host string, requestLine, body []byte) Content {
+func HashContent(host string, requestLine, body []byte) Content {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(host), requestLine} {
 		_, _ = hash.Write(part) // Write of a hash.Hash never returns an error
--- a/internal/decide/quarantine/fleet_test.go
+++ b/internal/decide/quarantine/fleet_test.go
@@ -25,7 +25,7 @@
 
 // write applies a change unless another write came first.
 func (s *modelStore) write(change Change) bool {
-	if change.Former != s.currentRevision() {
+	if change.ExpectedRevision != s.currentRevision() {
 		return false
 	}
 	s.present, s.record = !change.Remove, change.Record
@@ -45,12 +45,12 @@
 
 // flush writes the pending change of a node; if another write came first, the node reads the store.
 func (f *fleet) flush(node int) {
-	change, pending := f.tables[node].Change(crashingContent)
+	change, pending := f.tables[node].PendingChange(crashingContent)
 	if !pending {
 		return
 	}
 	if f.store.write(change) {
-		f.tables[node].Written(f.now, change, f.store.revision)
+		f.tables[node].MarkWritten(f.now, change, f.store.revision)
 		return
 	}
 	f.readStore(node)
@@ -59,7 +59,7 @@
 // readStore passes the state of the store to a node.
 func (f *fleet) readStore(node int) {
 	if f.store.present {
-		f.tables[node].Set(f.now, crashingContent, Known{Record: f.store.record, Revision: f.store.revision})
+		f.tables[node].ApplyStored(f.now, crashingContent, StoredRecord{Record: f.store.record, Revision: f.store.revision})
 		return
 	}
 	f.tables[node].Remove(f.now, crashingContent, f.store.revision)
@@ -77,16 +77,16 @@
 	table := f.tables[node]
 	switch decision := table.Admit(f.now, crashingContent); decision.Verdict {
 	case Run:
-		table.Suspect(f.now, crashingContent, "r", f.newCrash())
+		table.RecordCrashes(f.now, crashingContent, "r", f.newCrash())
 	case Trial:
 		if !f.store.write(decision.Change) {
-			table.Withdraw(crashingContent)
+			table.CancelTrial(crashingContent)
 			f.readStore(node)
 			return
 		}
-		table.Written(f.now, decision.Change, f.store.revision)
+		table.MarkWritten(f.now, decision.Change, f.store.revision)
 		f.trials++
-		table.TrialCrashed(f.now, crashingContent, f.newCrash(), 0.05)
+		table.RecordTrialCrash(f.now, crashingContent, f.newCrash(), 0.05)
 	}
 }
 
--- a/internal/decide/quarantine/recent.go
+++ b/internal/decide/quarantine/recent.go
@@ -13,18 +13,18 @@
 )
 
 // Recent remembers which requests leaves answered recently. It is not safe for concurrent use.
-type Recent struct {
+type RecentAnswers struct {
 	current, previous map[Content]struct{}
 	rotatedAt         time.Duration
 }
 
 // NewRecent returns an empty Recent.
-func NewRecent() *Recent {
-	return &Recent{current: make(map[Content]struct{}), previous: make(map[Content]struct{})}
+func NewRecentAnswers() *RecentAnswers {
+	return &RecentAnswers{current: make(map[Content]struct{}), previous: make(map[Content]struct{})}
 }
 
 // Add records that a leaf answered a request.
-func (r *Recent) Add(now time.Duration, content Content) {
+func (r *RecentAnswers) Add(now time.Duration, content Content) {
 	r.rotate(now)
 	if len(r.current) < maxGenerationEntries {
 		r.current[content] = struct{}{}
@@ -32,7 +32,7 @@
 }
 
 // Has reports whether a leaf answered a request recently.
-func (r *Recent) Has(now time.Duration, content Content) bool {
+func (r *RecentAnswers) Contains(now time.Duration, content Content) bool {
 	r.rotate(now)
 	_, current := r.current[content]
 	_, previous := r.previous[content]
@@ -40,7 +40,7 @@
 }
 
 // rotate starts a new generation once the current one has reached generationTime.
-func (r *Recent) rotate(now time.Duration) {
+func (r *RecentAnswers) rotate(now time.Duration) {
 	age := now - r.rotatedAt
 	if age < generationTime {
 		return
--- a/internal/decide/quarantine/record.go
+++ b/internal/decide/quarantine/record.go
@@ -76,7 +76,7 @@
 }
 
 // Known is a record together with its revision in the store.
-type Known struct {
+type StoredRecord struct {
 	Record
 	// Revision is the revision of the key; zero if the key does not exist.
 	Revision uint64
@@ -85,15 +85,15 @@
 // Change is a conditional write of a request's record. It applies only if the key is still at the
 // revision Former, or does not exist if Former is zero.
 type Change struct {
-	Content Content
-	Former  uint64
-	Record  Record
+	Content          Content
+	ExpectedRevision uint64
+	Record           Record
 	// Remove deletes the key instead of writing the record.
 	Remove bool
 }
 
 // Done reports whether the store is already in the state that the change asks for.
-func (c Change) Done(current Known) bool {
+func (c Change) AppliedIn(current StoredRecord) bool {
 	if c.Remove || current.Revision == 0 {
 		return c.Remove && current.Revision == 0
 	}
--- a/internal/decide/quarantine/survivors_test.go
+++ b/internal/decide/quarantine/survivors_test.go
@@ -12,7 +12,7 @@
 func newHeldScenario(t *testing.T, content Content) *scenario {
 	t.Helper()
 	s := newScenario(t)
-	s.table.Suspect(s.now, content, "r", s.newCrashes(3))
+	s.table.RecordCrashes(s.now, content, "r", s.newCrashes(3))
 	s.crashTrial(content, 0.05)
 	if !s.crashTrial(content, 0.05) {
 		t.Fatal("request not held after two trials")
@@ -23,7 +23,7 @@
 // announcedLeaves reports all unresolved leaves as announced, or none of them.
 func (s *scenario) announcedLeaves(all bool) map[string]bool {
 	announced := make(map[string]bool)
-	for _, leaf := range s.table.Suspects() {
+	for _, leaf := range s.table.UnresolvedLeaves() {
 		announced[leaf] = all
 	}
 	return announced
@@ -34,13 +34,13 @@
 // are gone keep it held.
 func TestSurvivorsReleaseHeldRequest(t *testing.T) {
 	s := newHeldScenario(t, harmlessContent)
-	s.table.Review(s.now, s.announcedLeaves(true))
+	s.table.DetectSurvivors(s.now, s.announcedLeaves(true))
 	if decision := s.requireVerdict(harmlessContent, Refuse); decision.RetryAfter != announcementExpiry {
 		t.Errorf("decision %+v before survivors are known, want RetryAfter %v", decision, announcementExpiry)
 	}
 	s.now += announcementExpiry
 	released := 0
-	for _, survivor := range s.table.Review(s.now, s.announcedLeaves(true)) {
+	for _, survivor := range s.table.DetectSurvivors(s.now, s.announcedLeaves(true)) {
 		if survivor.Released {
 			released++
 		}
@@ -49,13 +49,13 @@
 		t.Errorf("released %d times, want once", released)
 	}
 	s.requireVerdict(harmlessContent, Run)
-	change, pending := s.table.Change(harmlessContent)
+	change, pending := s.table.PendingChange(harmlessContent)
 	if !pending || change.Record.Held || change.Record.countCrashedLeaves() != 0 {
 		t.Errorf("change %+v, pending %v, want one without a hold and without crashed leaves", change, pending)
 	}
 	goneLeaves := newHeldScenario(t, crashingContent)
 	goneLeaves.now += announcementExpiry
-	if survivors := goneLeaves.table.Review(goneLeaves.now, goneLeaves.announcedLeaves(false)); len(survivors) > 0 {
+	if survivors := goneLeaves.table.DetectSurvivors(goneLeaves.now, goneLeaves.announcedLeaves(false)); len(survivors) > 0 {
 		t.Errorf("survivors %v, want none of the leaves that are gone", survivors)
 	}
 	goneLeaves.requireVerdict(crashingContent, Refuse)
@@ -68,7 +68,7 @@
 	announcedLeaves := s.announcedLeaves(false)
 	announcedLeaves["leaf-5"] = true
 	s.now += announcementExpiry
-	s.table.Review(s.now, announcedLeaves)
+	s.table.DetectSurvivors(s.now, announcedLeaves)
 	s.requireVerdict(harmlessContent, Trial)
 }
 
@@ -76,25 +76,25 @@
 // leaves' announcements would have expired, then releases it without writing the record.
 func TestEachNodeDetectsSurvivors(t *testing.T) {
 	s := newHeldScenario(t, harmlessContent)
-	change, _ := s.table.Change(harmlessContent)
+	change, _ := s.table.PendingChange(harmlessContent)
 	otherNode := newScenario(t)
-	otherNode.table.Set(otherNode.now, harmlessContent, Known{Record: change.Record, Revision: 7})
+	otherNode.table.ApplyStored(otherNode.now, harmlessContent, StoredRecord{Record: change.Record, Revision: 7})
 	otherNode.requireVerdict(harmlessContent, Refuse)
 	otherNode.now += announcementExpiry
-	if survivors := otherNode.table.Review(otherNode.now, otherNode.announcedLeaves(true)); len(survivors) != 5 {
+	if survivors := otherNode.table.DetectSurvivors(otherNode.now, otherNode.announcedLeaves(true)); len(survivors) != 5 {
 		t.Errorf("%d survivors, want 5", len(survivors))
 	}
 	otherNode.requireVerdict(harmlessContent, Run)
-	if len(otherNode.table.Unwritten()) > 0 {
+	if len(otherNode.table.PendingWrites()) > 0 {
 		t.Error("node writes survivors that it did not lose itself")
 	}
-	otherNode.table.Set(otherNode.now, harmlessContent, Known{Record: change.Record, Revision: 8})
+	otherNode.table.ApplyStored(otherNode.now, harmlessContent, StoredRecord{Record: change.Record, Revision: 8})
 	otherNode.requireVerdict(harmlessContent, Run)
 	s.now += announcementExpiry
-	s.table.Review(s.now, s.announcedLeaves(true))
-	update, _ := s.table.Change(harmlessContent)
+	s.table.DetectSurvivors(s.now, s.announcedLeaves(true))
+	update, _ := s.table.PendingChange(harmlessContent)
 	lateNode := newScenario(t)
-	lateNode.table.Set(lateNode.now, harmlessContent, Known{Record: update.Record, Revision: 9})
+	lateNode.table.ApplyStored(lateNode.now, harmlessContent, StoredRecord{Record: update.Record, Revision: 9})
 	lateNode.requireVerdict(harmlessContent, Run)
 }
 
@@ -102,9 +102,9 @@
 // crashes that trials observed, keeps the request held.
 func TestRecordWithoutTrialCrashesStaysHeld(t *testing.T) {
 	s := newScenario(t)
-	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	s.table.ApplyStored(s.now, crashingContent, StoredRecord{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	s.now += announcementExpiry
-	s.table.Review(s.now, s.announcedLeaves(false))
+	s.table.DetectSurvivors(s.now, s.announcedLeaves(false))
 	s.requireVerdict(crashingContent, Refuse)
 }
 
@@ -112,7 +112,7 @@
 // trial observed, and therefore could not take those of trials.
 func TestTrialCrashesReplaceOthersInFullRecord(t *testing.T) {
 	s := newScenario(t)
-	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(maxCrashes+3))
+	s.table.RecordCrashes(s.now, crashingContent, "r", s.newCrashes(maxCrashes+3))
 	s.crashTrial(crashingContent, 0.05)
 	if !s.crashTrial(crashingContent, 0.05) {
 		t.Error("request not held after two trials")
@@ -134,24 +134,24 @@
 		return
 	}
 	if decision.Verdict == Trial && !r.store.write(decision.Change) {
-		table.Withdraw(crashingContent)
+		table.CancelTrial(crashingContent)
 		r.readStore(node)
 		return
 	}
 	r.sent++
 	sent := r.now
 	r.now += time.Millisecond
-	crash, crashed := table.Lost(leaf, sent, r.now)
+	crash, crashed := table.RecordLoss(leaf, sent, r.now)
 	crashes := []Crash{{Leaf: crash, Request: fmt.Sprint(r.sent)}}
 	switch {
 	case decision.Verdict == Trial && crashed:
-		table.Written(r.now, decision.Change, r.store.revision)
-		table.TrialCrashed(r.now, crashingContent, crashes, 0.05)
+		table.MarkWritten(r.now, decision.Change, r.store.revision)
+		table.RecordTrialCrash(r.now, crashingContent, crashes, 0.05)
 	case decision.Verdict == Trial:
-		table.Written(r.now, decision.Change, r.store.revision)
-		table.TrialInconclusive(r.now, crashingContent)
+		table.MarkWritten(r.now, decision.Change, r.store.revision)
+		table.RecordInconclusiveTrial(r.now, crashingContent)
 	case crashed:
-		table.Suspect(r.now, crashingContent, "r", crashes)
+		table.RecordCrashes(r.now, crashingContent, "r", crashes)
 	}
 }
 
@@ -193,7 +193,7 @@
 			for node := range nodes {
 				r.flush(node)
 				r.readStore(node)
-				r.tables[node].Review(r.now, announced)
+				r.tables[node].DetectSurvivors(r.now, announced)
 			}
 			r.now += announcementExpiry
 		}
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -29,7 +29,7 @@
 
 // entry is the state of one request at this node.
 type entry struct {
-	Known
+	StoredRecord
 	// changedAt is when this node last saw the record change.
 	changedAt time.Duration
 	// pendingWrite is set while the record holds information that the store lacks.
@@ -105,7 +105,7 @@
 
 // Withdraw cancels the trial that Admit started, because its write failed or it did not reach a
 // leaf. The trial does not count, and the next one may start immediately.
-func (t *Table) Withdraw(content Content) {
+func (t *Table) CancelTrial(content Content) {
 	e := t.entries[content]
 	if e == nil || e.Trial != t.config.Self {
 		return
@@ -126,13 +126,13 @@
 
 // Suspect records leaves that crashed under a request that no leaf answered. It reports whether the
 // record must be written.
-func (t *Table) Suspect(now time.Duration, content Content, route string, crashes []Crash) bool {
+func (t *Table) RecordCrashes(now time.Duration, content Content, route string, crashes []Crash) bool {
 	e := t.entries[content]
 	if e == nil {
 		if !t.takeToken(now) || !t.makeRoom(now) {
 			return false
 		}
-		e = newEntry(Known{Record: Record{Route: route, Odds: 1}}, 0)
+		e = newEntry(StoredRecord{Record: Record{Route: route, Odds: 1}}, 0)
 		t.entries[content] = e
 	}
 	if e.cleared {
@@ -196,7 +196,7 @@
 // TrialCrashed records that the trial of this node crashed its leaf. Chance is the probability,
 // above 0 and up to 1, that a harmless request would have met the same crash. It reports whether
 // the request became held.
-func (t *Table) TrialCrashed(now time.Duration, content Content, crashes []Crash, chance float64) bool {
+func (t *Table) RecordTrialCrash(now time.Duration, content Content, crashes []Crash, chance float64) bool {
 	e := t.entries[content]
 	if e == nil || e.cleared {
 		return false
@@ -214,7 +214,7 @@
 
 // TrialInconclusive records that the trial of this node reached a leaf, and ended with neither a
 // crash nor an answer.
-func (t *Table) TrialInconclusive(now time.Duration, content Content) {
+func (t *Table) RecordInconclusiveTrial(now time.Duration, content Content) {
 	if e := t.entries[content]; e != nil {
 		t.endTrial(now, e)
 	}
@@ -229,7 +229,7 @@
 
 // Answered records that a leaf answered a request, which clears it. It reports whether the store
 // must be updated.
-func (t *Table) Answered(content Content) bool {
+func (t *Table) RecordAnswer(content Content) bool {
 	e := t.entries[content]
 	if e == nil || e.cleared {
 		return false
--- a/internal/decide/quarantine/table_store.go
+++ b/internal/decide/quarantine/table_store.go
@@ -7,15 +7,15 @@
 )
 
 // Of returns the record of a request; false if the table has none.
-func (t *Table) Of(content Content) (Known, bool) {
+func (t *Table) Lookup(content Content) (StoredRecord, bool) {
 	if e := t.entries[content]; e != nil {
-		return e.Known, true
+		return e.StoredRecord, true
 	}
-	return Known{}, false
+	return StoredRecord{}, false
 }
 
 // Unwritten returns the requests whose records must be written to the store.
-func (t *Table) Unwritten() []Content {
+func (t *Table) PendingWrites() []Content {
 	var contents []Content
 	for content, e := range t.entries {
 		if e.pendingWrite {
@@ -26,7 +26,7 @@
 }
 
 // Change returns the pending write of a request; false if there is none.
-func (t *Table) Change(content Content) (Change, bool) {
+func (t *Table) PendingChange(content Content) (Change, bool) {
 	e := t.entries[content]
 	if e == nil || !e.pendingWrite {
 		return Change{}, false
@@ -39,11 +39,11 @@
 }
 
 func (e *entry) change(content Content) Change {
-	return Change{Content: content, Former: e.Revision, Record: e.Record, Remove: e.cleared}
+	return Change{Content: content, ExpectedRevision: e.Revision, Record: e.Record, Remove: e.cleared}
 }
 
 // Written records that a change was written at a revision of the store.
-func (t *Table) Written(now time.Duration, change Change, revision uint64) {
+func (t *Table) MarkWritten(now time.Duration, change Change, revision uint64) {
 	e := t.entries[change.Content]
 	switch {
 	case e == nil:
@@ -57,7 +57,7 @@
 
 // Set merges a record read from the store. Information of this node that the store lacks stays
 // pending for a write. It reports whether the request became held.
-func (t *Table) Set(now time.Duration, content Content, stored Known) bool {
+func (t *Table) ApplyStored(now time.Duration, content Content, stored StoredRecord) bool {
 	e := t.entries[content]
 	if e == nil {
 		if !t.makeRoom(now) {
@@ -80,7 +80,7 @@
 		e.changedAt = now
 	}
 	wasHeld := e.Held
-	e.Known = Known{Record: merged, Revision: stored.Revision}
+	e.StoredRecord = StoredRecord{Record: merged, Revision: stored.Revision}
 	t.observeCrashes(now, e, false)
 	t.updateHold(e)
 	e.pendingWrite = e.cleared || !e.equal(stored.Record)
@@ -99,7 +99,7 @@
 		delete(t.entries, content)
 		return false
 	}
-	reset := newEntry(Known{Record: Record{Route: e.Route, Crashes: slices.Clone(e.Crashes), Odds: 1}}, now)
+	reset := newEntry(StoredRecord{Record: Record{Route: e.Route, Crashes: slices.Clone(e.Crashes), Odds: 1}}, now)
 	for index := range reset.Crashes {
 		reset.Crashes[index].Chance = 0 // its trials are over
 	}
@@ -109,18 +109,18 @@
 }
 
 // Replace applies a complete listing of the records in the store.
-func (t *Table) Replace(now time.Duration, stored map[Content]Known) {
+func (t *Table) ApplyAll(now time.Duration, stored map[Content]StoredRecord) {
 	for content := range t.entries {
 		if _, ok := stored[content]; !ok {
 			t.Remove(now, content, math.MaxUint64)
 		}
 	}
-	t.Merge(now, stored)
+	t.ApplySome(now, stored)
 }
 
 // Merge applies records that the store held at some time, possibly not all of them.
-func (t *Table) Merge(now time.Duration, records map[Content]Known) {
+func (t *Table) ApplySome(now time.Duration, records map[Content]StoredRecord) {
 	for content, stored := range records {
-		t.Set(now, content, stored)
+		t.ApplyStored(now, content, stored)
 	}
 }
--- a/internal/decide/quarantine/table_survivors.go
+++ b/internal/decide/quarantine/table_survivors.go
@@ -3,8 +3,8 @@
 import "time"
 
 // newEntry returns the initial state of a request.
-func newEntry(stored Known, now time.Duration) *entry {
-	return &entry{Known: stored, changedAt: now, observed: make(map[string]observation)}
+func newEntry(stored StoredRecord, now time.Duration) *entry {
+	return &entry{StoredRecord: stored, changedAt: now, observed: make(map[string]observation)}
 }
 
 // withLocalSurvivors returns the record with the leaves marked that this node found to have
@@ -54,7 +54,7 @@
 func (t *Table) heldUntil(e *entry) time.Duration {
 	for _, crash := range e.Crashes {
 		if observed := e.observed[crash.Leaf]; crash.Chance > 0 && observed.announced && !observed.survived {
-			return observed.knownSince + expiryHeartbeats*t.config.Heartbeat + maxAnnounceDelay
+			return observed.knownSince + expiryHeartbeats*t.config.HeartbeatInterval + maxAnnounceDelay
 		}
 	}
 	return e.changedAt + t.config.HoldDuration
@@ -63,22 +63,22 @@
 // Lost records an attempt whose connection was lost before the first byte of an answer; see
 // IncarnationTracker.RecordLoss. It returns the identifier of the crash, or false if the loss does
 // not count as a crash.
-func (t *Table) Lost(leaf string, sent, lost time.Duration) (string, bool) {
+func (t *Table) RecordLoss(leaf string, sent, lost time.Duration) (string, bool) {
 	return t.incarnations.RecordLoss(leaf, sent, lost)
 }
 
 // LeafAnswered records an attempt that a leaf answered, for any request.
-func (t *Table) LeafAnswered(leaf string, sent time.Duration) {
+func (t *Table) RecordLeafAnswer(leaf string, sent time.Duration) {
 	t.incarnations.RecordAnswer(leaf, sent)
 }
 
 // SetStoreAway records whether the store is unavailable.
-func (t *Table) SetStoreAway(now time.Duration, unavailable bool) {
+func (t *Table) SetStoreUnavailable(now time.Duration, unavailable bool) {
 	t.incarnations.SetStoreUnavailable(now, unavailable)
 }
 
 // Suspects returns the incarnations of leaves that are not known to have survived.
-func (t *Table) Suspects() []string {
+func (t *Table) UnresolvedLeaves() []string {
 	var leaves []string
 	for _, e := range t.entries {
 		for _, crash := range e.Crashes {
@@ -103,7 +103,7 @@
 // Review determines which leaves of Suspects have survived, given which of them are announced.
 // Survivors of crashes that this node observed are written to the store; other nodes determine the
 // rest on their own.
-func (t *Table) Review(now time.Duration, announced map[string]bool) []Survivor {
+func (t *Table) DetectSurvivors(now time.Duration, announced map[string]bool) []Survivor {
 	var survivors []Survivor
 	for content, e := range t.entries {
 		for index := range e.Crashes {
@@ -114,7 +114,7 @@
 			}
 			leaf, _ := parseCrashID(crash.Leaf)
 			observed.announced = announced[leaf]
-			observed.survived = observed.announced && t.incarnations.HasSurvived(now, crash.Leaf, observed.knownSince, t.config.Heartbeat)
+			observed.survived = observed.announced && t.incarnations.HasSurvived(now, crash.Leaf, observed.knownSince, t.config.HeartbeatInterval)
 			e.observed[crash.Leaf] = observed
 			if !observed.survived {
 				continue
--- a/internal/decide/quarantine/table_test.go
+++ b/internal/decide/quarantine/table_test.go
@@ -8,8 +8,8 @@
 )
 
 var (
-	crashingContent = ContentOf("h", []byte("GET /bad HTTP/1.1"), nil)
-	harmlessContent = ContentOf("h", []byte("GET /good HTTP/1.1"), nil)
+	crashingContent = HashContent("h", []byte("GET /bad HTTP/1.1"), nil)
+	harmlessContent = HashContent("h", []byte("GET /good HTTP/1.1"), nil)
 )
 
 // scenario is a Table with a clock that the test advances.
@@ -47,16 +47,16 @@
 func (s *scenario) crashTrial(content Content, chance float64) bool {
 	s.Helper()
 	s.requireVerdict(content, Trial)
-	return s.table.TrialCrashed(s.now, content, s.newCrashes(1), chance)
+	return s.table.RecordTrialCrash(s.now, content, s.newCrashes(1), chance)
 }
 
 // TestRequestIsHeldAfterTwoTrials checks that a request runs until three leaves have crashed, and
 // is held once two trials have crashed their leaves.
 func TestRequestIsHeldAfterTwoTrials(t *testing.T) {
 	s := newScenario(t)
-	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(2))
+	s.table.RecordCrashes(s.now, crashingContent, "r", s.newCrashes(2))
 	s.requireVerdict(crashingContent, Run)
-	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(1))
+	s.table.RecordCrashes(s.now, crashingContent, "r", s.newCrashes(1))
 	if s.crashTrial(crashingContent, 0.05) {
 		t.Fatal("held after one trial")
 	}
@@ -73,13 +73,13 @@
 // at a time, with growing pauses from the second trial on.
 func TestPauseBetweenTrialsGrows(t *testing.T) {
 	s := newScenario(t)
-	s.table.Suspect(s.now, crashingContent, "r", s.newCrashes(3))
+	s.table.RecordCrashes(s.now, crashingContent, "r", s.newCrashes(3))
 	for _, want := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second} {
 		s.requireVerdict(crashingContent, Trial)
 		if decision := s.requireVerdict(crashingContent, Refuse); !decision.TrialRunning {
 			t.Errorf("decision %+v during a trial, want TrialRunning", decision)
 		}
-		s.table.TrialInconclusive(s.now, crashingContent)
+		s.table.RecordInconclusiveTrial(s.now, crashingContent)
 		if want == 0 {
 			continue
 		}
@@ -99,7 +99,7 @@
 		trials int // number of trials until the request is held; 0 if it is never held
 	}{{0.05, 2}, {0.1, 2}, {0.14, 3}, {0.33, 5}, {1, 0}} {
 		s := newScenario(t)
-		s.table.Suspect(s.now, harmlessContent, "r", s.newCrashes(3))
+		s.table.RecordCrashes(s.now, harmlessContent, "r", s.newCrashes(3))
 		held := 0
 		for trial := 1; trial <= 20 && held == 0; trial++ {
 			if s.crashTrial(harmlessContent, test.chance) {
@@ -117,23 +117,23 @@
 // hold, also if another node writes its record again in the meantime.
 func TestAnswerClearsRequest(t *testing.T) {
 	s := newScenario(t)
-	s.table.Set(s.now, harmlessContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	s.table.ApplyStored(s.now, harmlessContent, StoredRecord{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	s.requireVerdict(harmlessContent, Refuse)
-	if !s.table.Answered(harmlessContent) {
+	if !s.table.RecordAnswer(harmlessContent) {
 		t.Fatal("answer needs no write, want the record removed")
 	}
 	s.requireVerdict(harmlessContent, Run)
-	change, pending := s.table.Change(harmlessContent)
-	if !pending || !change.Remove || change.Former != 5 {
+	change, pending := s.table.PendingChange(harmlessContent)
+	if !pending || !change.Remove || change.ExpectedRevision != 5 {
 		t.Fatalf("change %+v, want a removal at revision 5", change)
 	}
-	s.table.Set(s.now, harmlessContent, Known{Record: Record{Crashes: s.newCrashes(4), Odds: 1}, Revision: 6})
+	s.table.ApplyStored(s.now, harmlessContent, StoredRecord{Record: Record{Crashes: s.newCrashes(4), Odds: 1}, Revision: 6})
 	s.requireVerdict(harmlessContent, Run)
-	change, _ = s.table.Change(harmlessContent)
-	if change.Former != 6 || !change.Remove {
+	change, _ = s.table.PendingChange(harmlessContent)
+	if change.ExpectedRevision != 6 || !change.Remove {
 		t.Fatalf("change %+v after another write, want a removal at revision 6", change)
 	}
-	s.table.Written(s.now, change, 7)
+	s.table.MarkWritten(s.now, change, 7)
 	if total, _ := s.table.Len(); total != 0 {
 		t.Errorf("%d requests after the removal was written, want 0", total)
 	}
@@ -143,15 +143,15 @@
 // freely, once its record has expired or an operator has deleted it.
 func TestRequestIsTriedAfterHoldEnds(t *testing.T) {
 	s := newScenario(t)
-	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	s.table.ApplyStored(s.now, crashingContent, StoredRecord{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
 	if !s.table.Remove(s.now, crashingContent, 9) {
 		t.Error("removed request was not held")
 	}
-	if decision := s.requireVerdict(crashingContent, Trial); decision.Change.Former != 0 || decision.Change.Record.Trials != 1 {
+	if decision := s.requireVerdict(crashingContent, Trial); decision.Change.ExpectedRevision != 0 || decision.Change.Record.Trials != 1 {
 		t.Errorf("trial %+v, want the first one, at no revision", decision)
 	}
-	s.table.TrialInconclusive(s.now, crashingContent)
-	s.table.Written(s.now, Change{Content: crashingContent, Record: s.table.entries[crashingContent].Record}, 9)
+	s.table.RecordInconclusiveTrial(s.now, crashingContent)
+	s.table.MarkWritten(s.now, Change{Content: crashingContent, Record: s.table.entries[crashingContent].Record}, 9)
 	s.table.Remove(s.now, crashingContent, 9)
 	s.requireVerdict(crashingContent, Run)
 }
@@ -160,14 +160,14 @@
 // that was lost has timed out.
 func TestTrialOfLostNodeTimesOut(t *testing.T) {
 	s := newScenario(t)
-	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
+	s.table.ApplyStored(s.now, crashingContent, StoredRecord{Record: Record{Crashes: s.newCrashes(3), Odds: 1, Trials: 1, Trial: "lost"}, Revision: 5})
 	s.requireVerdict(crashingContent, Refuse)
 	s.now += 5 * time.Second
 	if decision := s.requireVerdict(crashingContent, Trial); decision.Change.Record.Trials != 2 || decision.Change.Record.Trial != "self" {
 		t.Errorf("decision %+v, want trial 2 by self", decision)
 	}
-	s.table.Withdraw(crashingContent)
-	if change, _ := s.table.Change(crashingContent); change.Record.Trials != 1 {
+	s.table.CancelTrial(crashingContent)
+	if change, _ := s.table.PendingChange(crashingContent); change.Record.Trials != 1 {
 		t.Errorf("change %+v after a canceled trial, want 1 trial", change)
 	}
 }
@@ -179,8 +179,8 @@
 	s.table.SetNodes(8)
 	reported := 0
 	for number := range 100_000 {
-		content := ContentOf("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil)
-		if s.table.Suspect(s.now, content, "r", s.newCrashes(20)) {
+		content := HashContent("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil)
+		if s.table.RecordCrashes(s.now, content, "r", s.newCrashes(20)) {
 			reported++
 		}
 		s.now += 10 * time.Millisecond
@@ -207,7 +207,7 @@
 		s.table.SetNodes(test.nodes)
 		reported := 0
 		for number := range 10 {
-			if s.table.Suspect(0, ContentOf("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil), "r", s.newCrashes(3)) {
+			if s.table.RecordCrashes(0, HashContent("h", fmt.Appendf(nil, "GET /%d HTTP/1.1", number), nil), "r", s.newCrashes(3)) {
 				reported++
 			}
 		}
@@ -221,7 +221,7 @@
 // revision.
 func TestOutdatedRemovalIsIgnored(t *testing.T) {
 	s := newScenario(t)
-	s.table.Set(s.now, crashingContent, Known{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Held: true}, Revision: 12})
+	s.table.ApplyStored(s.now, crashingContent, StoredRecord{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Held: true}, Revision: 12})
 	if s.table.Remove(s.now, crashingContent, 10) {
 		t.Error("record of revision 12 removed as of revision 10")
 	}
--- a/internal/decide/quarantine/trial.go
+++ b/internal/decide/quarantine/trial.go
@@ -33,7 +33,7 @@
 )
 
 // WritesTrial reports whether a trial must be written to the store before it begins.
-func WritesTrial(storeUnavailable bool) bool { return !storeUnavailable }
+func MustWriteTrial(storeUnavailable bool) bool { return !storeUnavailable }
 
 // trialTimeoutShare is the part of the timeout of a request of many shards that its trial may take.
 // The trial and the request itself each need about the time of one attempt.
@@ -48,14 +48,14 @@
 	Attempts int
 	// Whole reports whether the request has no other shards, so that the trial's answer is the
 	// response.
-	Whole bool
+	CoversRequest bool
 }
 
 // PlanTrial plans the trial of a request of one or more shards. RandomIndex returns a random number
 // in [0, n); it is called only if there are several shards.
 func PlanTrial(shards []int, timeout time.Duration, randomIndex func(int) int) TrialPlan {
 	if len(shards) <= 1 {
-		return TrialPlan{Shards: shards, Timeout: timeout, Attempts: 1, Whole: true}
+		return TrialPlan{Shards: shards, Timeout: timeout, Attempts: 1, CoversRequest: true}
 	}
 	index := randomIndex(len(shards))
 	return TrialPlan{
--- a/internal/decide/quarantine/trial_test.go
+++ b/internal/decide/quarantine/trial_test.go
@@ -20,7 +20,7 @@
 		{[]int{7, 8, 9}, []int{9}, 500 * time.Millisecond, false},
 	} {
 		plan := PlanTrial(test.shards, time.Second, last)
-		if !slices.Equal(plan.Shards, test.want) || plan.Timeout != test.timeout || plan.Whole != test.whole || plan.Attempts != 1 {
+		if !slices.Equal(plan.Shards, test.want) || plan.Timeout != test.timeout || plan.CoversRequest != test.whole || plan.Attempts != 1 {
 			t.Errorf("shards %v: plan %+v, want shards %v, timeout %v, whole %v and 1 attempt", test.shards, plan, test.want, test.timeout, test.whole)
 		}
 	}
@@ -29,7 +29,7 @@
 // TestTrialIsWrittenUnlessStoreIsUnavailable also checks that a hold lasts for the minimum lifetime
 // of its record.
 func TestTrialIsWrittenUnlessStoreIsUnavailable(t *testing.T) {
-	if !WritesTrial(false) || WritesTrial(true) {
+	if !MustWriteTrial(false) || MustWriteTrial(true) {
 		t.Error("trial written to an unavailable store, or not written to an available one")
 	}
 	if hold := DefaultConfig("self").HoldDuration; hold != RecordTTL/2 {
--- a/internal/decide/quarantine/wire_test.go
+++ b/internal/decide/quarantine/wire_test.go
@@ -8,4 +8,4 @@
 
 // TestRecordReadsAsRecorded guards against a change of the stored form of Record, which nodes of
 // other versions read.
-func TestRecordReadsAsRecorded(t *testing.T) { wiretest.JSON[Record](t, "record") }
+func TestRecordReadsAsRecorded(t *testing.T) { wiretest.CheckJSON[Record](t, "record") }
--- a/internal/decide/recordfloor/recordfloor.go
+++ b/internal/decide/recordfloor/recordfloor.go
@@ -19,7 +19,7 @@
 	// Samples is the number of answers of a kind that a floor is based on. With Samples,
 	// rankFactor and rankMargin, at most 1 % of the answers miss records
 	// (TestFloorEstimateAccuracy of package forward).
-	Samples = 8
+	SampleCount = 8
 	// rankFactor and rankMargin determine how many records are expected to reach the floor:
 	// rankFactor times the records of an answer, plus rankMargin.
 	rankFactor = 1.5
@@ -28,7 +28,7 @@
 
 // Rank returns the rank, counted from 1, of the sample among the greatest records of the complete
 // parts of an answer with k records and the given total number of parts.
-func Rank(k, complete, total int) int {
+func SampleRank(k, complete, total int) int {
 	expected := (rankFactor*float64(k) + rankMargin) * float64(complete) / float64(total)
 	return int(expected) + 1
 }
@@ -40,7 +40,7 @@
 
 // sampleRing is a ring buffer of the last samples of a kind.
 type sampleRing struct {
-	samples [Samples][]byte
+	samples [SampleCount][]byte
 	next    int
 	count   int
 }
@@ -53,7 +53,7 @@
 // Floor returns the floor of a kind, or nil if there are too few samples.
 func (e *Estimator) Floor(kind string) []byte {
 	ring := e.kinds[kind]
-	if ring == nil || ring.count < Samples {
+	if ring == nil || ring.count < SampleCount {
 		return nil
 	}
 	lowest := ring.samples[0]
@@ -77,6 +77,6 @@
 		return
 	}
 	ring.samples[ring.next] = sample
-	ring.next = (ring.next + 1) % Samples
-	ring.count = min(ring.count+1, Samples)
+	ring.next = (ring.next + 1) % SampleCount
+	ring.count = min(ring.count+1, SampleCount)
 }
--- a/internal/decide/recordfloor/recordfloor_test.go
+++ b/internal/decide/recordfloor/recordfloor_test.go
@@ -6,7 +6,7 @@
 // after records were missed.
 func TestFloorIsLowestOfRecentSamples(t *testing.T) {
 	estimator := NewEstimator()
-	for sample := range byte(Samples) {
+	for sample := range byte(SampleCount) {
 		if got := estimator.Floor("kind"); got != nil {
 			t.Errorf("got floor %v after %d samples, want none", got, sample)
 		}
@@ -15,7 +15,7 @@
 	if got := estimator.Floor("kind"); len(got) != 1 || got[0] != 0 {
 		t.Errorf("got floor %v, want [0]", got)
 	}
-	estimator.Learn("kind", []byte{Samples}, false)
+	estimator.Learn("kind", []byte{SampleCount}, false)
 	estimator.Learn("kind", nil, false)
 	if got := estimator.Floor("kind"); len(got) != 1 || got[0] != 1 {
 		t.Errorf("got floor %v after another sample, want [1]", got)
@@ -32,7 +32,7 @@
 	for _, test := range []struct{ k, whole, all, want int }{
 		{50, 30, 30, 81}, {50, 10, 30, 27}, {1, 1, 1, 7},
 	} {
-		if got := Rank(test.k, test.whole, test.all); got != test.want {
+		if got := SampleRank(test.k, test.whole, test.all); got != test.want {
 			t.Errorf("%+v: got rank %d", test, got)
 		}
 	}
--- a/internal/decide/removal/removal.go
+++ b/internal/decide/removal/removal.go
@@ -20,11 +20,11 @@
 	// Doubt is the grace period of a leaf whose announcement was removed during or just after an
 	// outage of the store (setting forward.leaf_doubt, 2 s by default). It is shorter than 3 s, the
 	// time after which a leaf that left must get no more work.
-	Doubt time.Duration
+	GracePeriod time.Duration
 	// Settling is the time after an outage of the store in which removals get a grace period: the
 	// leaves take some seconds to announce themselves again (setting forward.leaf_settling, 3 s
 	// by default).
-	Settling time.Duration
+	SettlingTime time.Duration
 }
 
 // Rule decides on removals. It is not safe for concurrent use.
@@ -37,7 +37,7 @@
 func NewRule(config Config) Rule { return Rule{config: config} }
 
 // Outage records that the store was unavailable until now.
-func (r *Rule) Outage(now time.Duration) { r.settledAfter = now + r.config.Settling }
+func (r *Rule) RecordOutage(now time.Duration) { r.settledAfter = now + r.config.SettlingTime }
 
 // UsedUntil returns until when a leaf stays in use whose announcement is removed now. doubted is
 // false if the leaf is out of use at once.
@@ -45,5 +45,5 @@
 	if now >= r.settledAfter || draining {
 		return 0, false
 	}
-	return now + r.config.Doubt, true
+	return now + r.config.GracePeriod, true
 }
--- a/internal/decide/removal/removal_test.go
+++ b/internal/decide/removal/removal_test.go
@@ -7,11 +7,11 @@
 
 // TestGracePeriodAppliesAfterStoreOutage also checks that a draining leaf gets no grace period.
 func TestGracePeriodAppliesAfterStoreOutage(t *testing.T) {
-	rule := NewRule(Config{Doubt: 2 * time.Second, Settling: 3 * time.Second})
+	rule := NewRule(Config{GracePeriod: 2 * time.Second, SettlingTime: 3 * time.Second})
 	if _, doubted := rule.UsedUntil(time.Second, false); doubted {
 		t.Error("got a grace period without an outage, want none")
 	}
-	rule.Outage(10 * time.Second)
+	rule.RecordOutage(10 * time.Second)
 	for _, test := range []struct {
 		at       time.Duration
 		draining bool
--- a/internal/decide/replica/chooser.go
+++ b/internal/decide/replica/chooser.go
@@ -22,7 +22,7 @@
 	// InFlight is the number of this node's attempts in flight.
 	InFlight int
 	// Others is the estimated number of attempts of other nodes on the leaf.
-	Others float64
+	OthersInFlight float64
 	// Slots is the number of attempts that the leaf runs concurrently.
 	Slots int
 	// Limit is the number of this node's attempts that may be in flight.
@@ -30,9 +30,9 @@
 	// Slowness is the ratio of the leaf's attempt time to that of an ordinary leaf.
 	Slowness float64
 	// Loss is the share of its attempts that the leaf loses, from 0 to 1.
-	Loss float64
+	LossRate float64
 	// Near is set if the leaf is in the node's own zone.
-	Near bool
+	SameZone bool
 }
 
 // Full reports whether the limit of this node's attempts is reached.
@@ -48,7 +48,7 @@
 	Mean float64
 	// Ahead is the number of attempts for these replicas that are queued in the node ahead of
 	// this one.
-	Ahead int
+	Queued int
 }
 
 // Chooser chooses among replicas. It is not safe for concurrent use.
@@ -72,13 +72,13 @@
 	best, bestScore, ties := 0, c.score.computeScore(&candidates[0], work), 1
 	for index := 1; index < len(candidates); index++ {
 		current := c.score.computeScore(&candidates[index], work)
-		margin := c.score.Tie * bestScore
+		margin := c.score.TieMargin * bestScore
 		switch {
 		case current < bestScore-margin:
 			best, bestScore, ties = index, current, 1
 		case current > bestScore+margin:
-		case candidates[index].Near != candidates[best].Near:
-			if candidates[index].Near {
+		case candidates[index].SameZone != candidates[best].SameZone:
+			if candidates[index].SameZone {
 				best, bestScore, ties = index, current, 1
 			}
 		default:
--- a/internal/decide/replica/losses.go
+++ b/internal/decide/replica/losses.go
@@ -25,13 +25,13 @@
 
 // Losses estimates the share of its attempts that a leaf loses: attempts that fail, or whose
 // answers are incomplete. The zero value is ready to use.
-type Losses struct {
+type LossEstimator struct {
 	lost, ended float64
 	updatedAt   time.Duration
 }
 
 // Ended records the end of an attempt.
-func (l *Losses) Ended(config *LossConfig, now time.Duration, lost bool) {
+func (l *LossEstimator) RecordEnd(config *LossConfig, now time.Duration, lost bool) {
 	decay := l.decay(config, now)
 	l.lost *= decay
 	l.ended = l.ended*decay + 1
@@ -42,7 +42,7 @@
 }
 
 // Share returns the estimated share of lost attempts, from 0 to below 1.
-func (l *Losses) Share(config *LossConfig, now time.Duration) float64 {
+func (l *LossEstimator) LossRate(config *LossConfig, now time.Duration) float64 {
 	if l.lost == 0 {
 		return 0
 	}
@@ -51,6 +51,6 @@
 }
 
 // decay returns the remaining weight of the recorded attempts.
-func (l *Losses) decay(config *LossConfig, now time.Duration) float64 {
+func (l *LossEstimator) decay(config *LossConfig, now time.Duration) float64 {
 	return math.Exp(-float64(now-l.updatedAt) / float64(config.DecayTime))
 }
--- a/internal/decide/replica/score.go
+++ b/internal/decide/replica/score.go
@@ -8,16 +8,16 @@
 	OthersWeight float64
 	// Crowding is the additional cost of a leaf whose slots are all in use over an idle one, in
 	// mean attempts. It spreads work before queues form.
-	Crowding float64
+	UtilizationCost float64
 	// Noise is the slowness up to which a leaf counts as ordinary.
-	Noise float64
+	SlownessTolerance float64
 	// LossPrice is the cost of a lost attempt relative to the time of an answered one. A loss
 	// uses up retry budget and one of the shard's few replicas. The default is no cost; nodes
 	// with lossy leaves set one.
-	LossPrice float64
+	LossCost float64
 	// Tie is the relative difference up to which two scores count as equal, so that the zone
 	// decides. It is about the error of the scores.
-	Tie float64
+	TieMargin float64
 }
 
 // DefaultScoreConfig returns the default policy. At 60 % load, OthersWeight, Crowding and Noise
@@ -25,39 +25,39 @@
 // to 0 to 3 %.
 func DefaultScoreConfig() ScoreConfig {
 	return ScoreConfig{
-		OthersWeight: 0.3,
-		Crowding:     0.3,
-		Noise:        1.4,
-		LossPrice:    0,
-		Tie:          0.03,
+		OthersWeight:      0.3,
+		UtilizationCost:   0.3,
+		SlownessTolerance: 1.4,
+		LossCost:          0,
+		TieMargin:         0.03,
 	}
 }
 
 // computeScore returns Expected plus the costs of utilization and losses.
 func (s *ScoreConfig) computeScore(c *Candidate, work Work) float64 {
-	attempts := float64(c.InFlight) + s.OthersWeight*c.Others
-	utilizationCost := s.Crowding * attempts / float64(max(c.Slots, 1))
-	expected := s.Expected(c, work) + s.Significant(c.Slowness)*work.Mean*utilizationCost
-	return expected * (1 + s.LossPrice*c.Loss)
+	attempts := float64(c.InFlight) + s.OthersWeight*c.OthersInFlight
+	utilizationCost := s.UtilizationCost * attempts / float64(max(c.Slots, 1))
+	expected := s.WeightedCompletion(c, work) + s.EffectiveSlowness(c.Slowness)*work.Mean*utilizationCost
+	return expected * (1 + s.LossCost*c.LossRate)
 }
 
 // Expected is ExpectedCompletion with the estimates weighted by their reliability.
-func (s *ScoreConfig) Expected(c *Candidate, work Work) float64 {
+func (s *ScoreConfig) WeightedCompletion(c *Candidate, work Work) float64 {
 	weighted := *c
-	weighted.Others *= s.OthersWeight
-	weighted.Slowness = s.Significant(c.Slowness)
+	weighted.OthersInFlight *= s.OthersWeight
+	weighted.Slowness = s.EffectiveSlowness(c.Slowness)
 	return ExpectedCompletion(&weighted, work)
 }
 
 // Significant returns the part of a slowness that is not noise, which is at least 1.
-func (s *ScoreConfig) Significant(slowness float64) float64 {
-	return max(slowness/s.Noise, 1)
+func (s *ScoreConfig) EffectiveSlowness(slowness float64) float64 {
+	return max(slowness/s.SlownessTolerance, 1)
 }
 
 // ExpectedCompletion returns the expected time until the leaf has done the new work, in
 // seconds: the wait for a slot and the work, both at the leaf's speed.
 func ExpectedCompletion(c *Candidate, work Work) float64 {
-	return c.Slowness * (work.Base + work.Mean*ExpectedWait(c, work.Ahead))
+	return c.Slowness * (work.Base + work.Mean*ExpectedWait(c, work.Queued))
 }
 
 // ExpectedWait returns the expected wait for a slot of the leaf, in mean attempts at the leaf's
@@ -67,13 +67,13 @@
 	if c.Full() {
 		return float64(ahead+1) / float64(max(c.Limit, 1))
 	}
-	return Queue(float64(c.InFlight)+c.Others, c.Slots)
+	return ExpectedQueueWait(float64(c.InFlight)+c.OthersInFlight, c.Slots)
 }
 
 // Queue returns the expected wait for a slot, in mean attempts, on a leaf with the given number
 // of attempts. The number is an estimate, so the wait rises smoothly from zero before all slots
 // are in use.
-func Queue(attempts float64, slots int) float64 {
+func ExpectedQueueWait(attempts float64, slots int) float64 {
 	size := float64(slots)
 	excess := attempts + 1 - size
 	if excess >= 1 {
--- a/internal/decide/replica/speed.go
+++ b/internal/decide/replica/speed.go
@@ -6,7 +6,7 @@
 )
 
 // SpeedConfig holds the policy of a Speed.
-type SpeedConfig struct {
+type SlownessConfig struct {
 	// Retention is the weight that previous samples keep with each completed attempt, from 0 to 1.
 	// 0.93 corresponds to a window of about 14 attempts.
 	Retention float64
@@ -21,8 +21,8 @@
 }
 
 // DefaultSpeedConfig returns the default policy.
-func DefaultSpeedConfig() SpeedConfig {
-	return SpeedConfig{
+func DefaultSlownessConfig() SlownessConfig {
+	return SlownessConfig{
 		Retention:     0.93,
 		DecayTime:     time.Second,
 		PriorAttempts: 2,
@@ -36,20 +36,20 @@
 // spent by completed and abandoned attempts, divided by the number of completed ones. Attempts
 // that are still running or were abandoned thus reveal a straggler before its first reply.
 // Samples lose weight with each newer one. All times are ratios to the expected time.
-type Speed struct {
-	config        *SpeedConfig
+type SlownessEstimator struct {
+	config        *SlownessConfig
 	exposure      float64
 	count         float64
 	lastCompleted time.Duration // when the last attempt completed
 }
 
 // NewSpeed returns a Speed without samples. It retains config.
-func NewSpeed(config *SpeedConfig) Speed {
-	return Speed{config: config}
+func NewSlownessEstimator(config *SlownessConfig) SlownessEstimator {
+	return SlownessEstimator{config: config}
 }
 
 // Completed records an attempt that was answered now, after ratio times the expected time.
-func (s *Speed) Completed(now time.Duration, ratio float64) {
+func (s *SlownessEstimator) RecordCompleted(now time.Duration, ratio float64) {
 	decay := math.Exp(-float64(now-s.lastCompleted) / float64(s.config.DecayTime))
 	retained := min(s.config.Retention, decay)
 	if ratio*recoveryRatio < s.Slowness(0) {
@@ -69,13 +69,13 @@
 
 // GaveUp records an attempt that was abandoned without an answer after ratio times the expected
 // time. A time below the expected one carries no information.
-func (s *Speed) GaveUp(ratio float64) {
+func (s *SlownessEstimator) RecordAbandoned(ratio float64) {
 	s.exposure += Overdue(ratio)
 }
 
 // Slowness returns the estimate. overdue is the sum of Overdue over the attempts that are still
 // running.
-func (s *Speed) Slowness(overdue float64) float64 {
+func (s *SlownessEstimator) Slowness(overdue float64) float64 {
 	return (s.exposure + overdue + s.config.PriorAttempts) / (s.count + s.config.PriorAttempts)
 }
 
--- a/internal/decide/requestclass/requestclass.go
+++ b/internal/decide/requestclass/requestclass.go
@@ -32,11 +32,11 @@
 }
 
 // Extra holds the settings for extra attempts.
-type Extra struct {
+type ExtraAttempts struct {
 	// HedgePercentile is the quantile of latency, from 0 to 1, after which an attempt is late.
 	HedgePercentile float64
 	// Load is the share of extra attempts that requests earn.
-	Load float64
+	LoadShare float64
 }
 
 // topClassPriority is the most urgent priority of a class. Class priorities count from 1 (see
@@ -44,13 +44,13 @@
 const topClassPriority = 1
 
 // Of returns the class of a route's requests.
-func Of(route Route, extra Extra) catalog.Class {
+func ForRoute(route Route, extra ExtraAttempts) catalog.Class {
 	return catalog.Class{
 		Name:            fmt.Sprintf("%d/%s/%s/%d", route.Priority, route.Objective, route.Timeout, route.TopK),
 		Priority:        topClassPriority + route.Priority,
 		Deadline:        route.Timeout,
 		HedgePercentile: extra.HedgePercentile,
-		ExtraLoad:       extra.Load,
+		ExtraLoad:       extra.LoadShare,
 		Repeatable:      route.Repeatable,
 	}
 }
--- a/internal/decide/requestclass/requestclass_test.go
+++ b/internal/decide/requestclass/requestclass_test.go
@@ -9,8 +9,8 @@
 // any attribute of the route changes the class.
 func TestClassDependsOnRouteAttributes(t *testing.T) {
 	declared := Route{Objective: 100 * time.Millisecond, Timeout: time.Second, TopK: 5, Repeatable: true}
-	extra := Extra{HedgePercentile: 0.9, Load: 0.2}
-	got := Of(declared, extra)
+	extra := ExtraAttempts{HedgePercentile: 0.9, LoadShare: 0.2}
+	got := ForRoute(declared, extra)
 	if got.Name != "0/100ms/1s/5" || got.Priority != 1 || got.Deadline != time.Second || got.HedgePercentile != 0.9 || got.ExtraLoad != 0.2 || !got.Repeatable {
 		t.Errorf("got class %+v for route %+v and settings %+v", got, declared, extra)
 	}
@@ -19,7 +19,7 @@
 	} {
 		other := declared
 		change(&other)
-		if Of(other, extra).Name == got.Name {
+		if ForRoute(other, extra).Name == got.Name {
 			t.Errorf("%+v has the same class as %+v", other, declared)
 		}
 	}
--- a/internal/decide/retryafter/retryafter.go
+++ b/internal/decide/retryafter/retryafter.go
@@ -45,32 +45,32 @@
 	// Unknown applies if the node lacks the configuration, or a leaf for the request, while the
 	// store is available. When a fleet of 295 nodes starts at once, its nodes have the
 	// configuration within 0.5 to 0.9 s.
-	Unknown = 600 * time.Millisecond
+	StoreReadDelay = 600 * time.Millisecond
 	// Outage replaces Unknown while the store is unavailable. It is longer because a caller
 	// retries only once or twice, and the data arrives only after the store is back.
-	Outage = 2 * time.Second
+	StoreOutageDelay = 2 * time.Second
 	// MinDelay is the shortest time that is sent. Zero would make callers retry at once.
 	MinDelay = 10 * time.Millisecond
 )
 
 // Uninformed returns the time for a request that needs data from the store: the configuration, or a
 // leaf.
-func Uninformed(storeAway bool) time.Duration {
+func AwaitStore(storeAway bool) time.Duration {
 	if storeAway {
-		return Outage
+		return StoreOutageDelay
 	}
-	return Unknown
+	return StoreReadDelay
 }
 
 // WithoutLeaf returns the time for a request that no leaf can run now. advised is the time that the
 // Dispatcher advises, or zero if it knows none. Zero is replaced, because an immediate retry would
 // find the same leaves.
-func WithoutLeaf(advised time.Duration, storeAway bool) time.Duration {
+func AwaitLeaf(advised time.Duration, storeAway bool) time.Duration {
 	if advised > 0 {
 		return advised
 	}
-	return Uninformed(storeAway)
+	return AwaitStore(storeAway)
 }
 
 // OnWire returns the time that is sent for an advised time, which may be zero.
-func OnWire(advised time.Duration) time.Duration { return max(advised, MinDelay) }
+func ClampToMin(advised time.Duration) time.Duration { return max(advised, MinDelay) }
--- a/internal/decide/retryafter/retryafter_test.go
+++ b/internal/decide/retryafter/retryafter_test.go
@@ -12,10 +12,10 @@
 		storeAway bool
 		want      time.Duration
 	}{
-		{0, false, Unknown}, {0, true, Outage},
+		{0, false, StoreReadDelay}, {0, true, StoreOutageDelay},
 		{time.Millisecond, false, time.Millisecond}, {3 * time.Second, true, 3 * time.Second},
 	} {
-		if got := WithoutLeaf(test.advised, test.storeAway); got != test.want {
+		if got := AwaitLeaf(test.advised, test.storeAway); got != test.want {
 			t.Errorf("advised %v, store unavailable %v: got %v, want %v", test.advised, test.storeAway, got, test.want)
 		}
 	}
@@ -25,7 +25,7 @@
 	for _, test := range []struct{ advised, want time.Duration }{
 		{0, MinDelay}, {MinDelay - 1, MinDelay}, {MinDelay + 1, MinDelay + 1}, {time.Hour, time.Hour},
 	} {
-		if got := OnWire(test.advised); got != test.want {
+		if got := ClampToMin(test.advised); got != test.want {
 			t.Errorf("advised %v: sent %v, want %v", test.advised, got, test.want)
 		}
 	}
--- a/internal/decide/rollout/allowance.go
+++ b/internal/decide/rollout/allowance.go
@@ -54,14 +54,14 @@
 // HasAllowance reports whether a node may spend a part of the bounds. A node that is not a
 // participant must not spend: a node that knows of no other would take all of the slack, and others
 // may do the same.
-func HasAllowance(self string, participants []roster.Member) bool {
+func MaySpend(self string, participants []roster.Member) bool {
 	return containsNode(participants, self)
 }
 
 // PartOfSlack returns the part of the slack that each of one or more participants may spend for one
 // order. The part is zero if the order was found at the start of the node, because the node's
 // previous process may have spent it.
-func PartOfSlack(participants int, foundAtStart bool) float64 {
+func SlackShare(participants int, foundAtStart bool) float64 {
 	if foundAtStart {
 		return 0
 	}
--- a/internal/decide/rollout/benchmark_test.go
+++ b/internal/decide/rollout/benchmark_test.go
@@ -19,17 +19,17 @@
 		for _, route := range []string{"sweep", "glance"} {
 			for attempt := range 200 {
 				control := Subject{Service: service, Order: 7, Route: route, Zone: "zone-a", Leaf: fmt.Sprint("i-58d01b2", attempt%3)}
-				counter.Took(control, time.Duration(5+attempt%40)*time.Millisecond)
-				counter.First(control, 0)
+				counter.CountDuration(control, time.Duration(5+attempt%40)*time.Millisecond)
+				counter.CountFirst(control, 0)
 			}
 			for leaf := range 3 {
 				target := Subject{Service: service, Order: 7, Route: route, Target: true, Zone: "zone-a", Leaf: fmt.Sprint("i-7f3a91c", leaf)}
-				counter.Took(target, 12*time.Millisecond)
-				counter.First(target, 0)
+				counter.CountDuration(target, 12*time.Millisecond)
+				counter.CountFirst(target, 0)
 			}
 		}
 	}
-	report.Rows = counter.Changed(nil)
+	report.Rows = counter.ChangedRows(nil)
 	return report
 }
 
--- a/internal/decide/rollout/decider.go
+++ b/internal/decide/rollout/decider.go
@@ -73,7 +73,7 @@
 		d.table.Merge(now, progress.Service, progress.Order, progress.Age, Record{}, progress.Bad)
 	}
 	for _, progress := range report.Orders {
-		rollout := d.table.Of(progress.Service)
+		rollout := d.table.Lookup(progress.Service)
 		if rollout == nil || rollout.Order.Revision != progress.Order {
 			continue
 		}
@@ -123,8 +123,8 @@
 	d.expire(now)
 	var transitions []Transition
 	counts := d.aggregateCounts()
-	for _, service := range d.table.Open() {
-		rollout := d.table.Of(service)
+	for _, service := range d.table.OpenServices() {
+		rollout := d.table.Lookup(service)
 		eval := d.evaluationFor(now, service, rollout)
 		routes, available := counts[service], supply(service)
 		eval.markStale(routes, available.Usable)
@@ -156,14 +156,14 @@
 	if r.Order.Revision == 0 {
 		record.Order = r.Record.Order
 	}
-	return Transition{Record: record, Former: r.Record.Revision, Order: r.Order.Revision}
+	return Transition{Record: record, ExpectedRevision: r.Record.Revision, Order: r.Order.Revision}
 }
 
 // expire drops the state of orders that ended or were replaced, and of nodes that have not reported
 // for reportRetention. Counts under an order that is not known yet stay, because nodes do not
 // report them again.
 func (d *Decider) expire(now time.Duration) {
-	open := d.table.Open()
+	open := d.table.OpenServices()
 	for service := range d.evaluations {
 		if !slices.Contains(open, service) {
 			delete(d.evaluations, service)
@@ -175,7 +175,7 @@
 			continue
 		}
 		for subject := range report.rows {
-			if rollout := d.table.Of(subject.Service); rollout != nil && subject.Order < rollout.Order.Revision {
+			if rollout := d.table.Lookup(subject.Service); rollout != nil && subject.Order < rollout.Order.Revision {
 				delete(report.rows, subject)
 			}
 		}
@@ -199,7 +199,7 @@
 	services := make(map[string]map[string]*sample)
 	for _, report := range d.reports {
 		for subject, counts := range report.rows {
-			rollout := d.table.Of(subject.Service)
+			rollout := d.table.Lookup(subject.Service)
 			if rollout == nil || rollout.Order.Revision != subject.Order {
 				continue
 			}
--- a/internal/decide/rollout/decider_test.go
+++ b/internal/decide/rollout/decider_test.go
@@ -16,7 +16,7 @@
 }
 
 func (m *modelStore) advance(transition Transition) bool {
-	if transition.Order != m.order || transition.Former != m.record.Revision {
+	if transition.Order != m.order || transition.ExpectedRevision != m.record.Revision {
 		return false
 	}
 	m.revision++
--- a/internal/decide/rollout/out_of_use_test.go
+++ b/internal/decide/rollout/out_of_use_test.go
@@ -28,17 +28,17 @@
 		subject.Target, subject.Leaf, subject.Zone = true, leaf, "zone-"+leaf
 	}
 	for range good {
-		s.counter.Took(subject, 10*time.Millisecond)
+		s.counter.CountDuration(subject, 10*time.Millisecond)
 	}
 	for range failed {
-		s.counter.Failed(subject)
+		s.counter.CountFailure(subject)
 	}
 }
 
 // tick reports all counts and applies the transitions.
 func (s *outOfUseScenario) tick(now time.Duration) {
-	rollout := s.decider.table.Of(testService)
-	s.decider.Report(now, Report{Node: "n", Rows: s.counter.Changed(nil), Orders: []Progress{
+	rollout := s.decider.table.Lookup(testService)
+	s.decider.Report(now, Report{Node: "n", Rows: s.counter.ChangedRows(nil), Orders: []Progress{
 		{Service: testService, Order: 1, Phase: rollout.Phase(), Age: rollout.Age(now)},
 	}})
 	supply := func(string) Supply { return Supply{Target: 4, Control: 4, Mixed: true, Usable: s.usable} }
--- a/internal/decide/rollout/report_test.go
+++ b/internal/decide/rollout/report_test.go
@@ -49,13 +49,13 @@
 func TestUnchangedCountsAreReportedOnce(t *testing.T) {
 	counter, reported := NewCounter(), make(map[Subject]Counts)
 	subject := Subject{Service: testService, Order: 1, Route: testRoute, Target: true, Leaf: "a", Zone: "z"}
-	counter.Failed(subject)
-	rows := counter.Changed(reported)
+	counter.CountFailure(subject)
+	rows := counter.ChangedRows(reported)
 	if len(rows) != 1 {
 		t.Fatalf("%d changed rows, want 1", len(rows))
 	}
 	reported[subject] = rows[0].Counts
-	if again := counter.Changed(reported); len(again) != 0 {
+	if again := counter.ChangedRows(reported); len(again) != 0 {
 		t.Errorf("unchanged rows %+v reported again, want none", again)
 	}
 	table := NewTable()
@@ -67,7 +67,7 @@
 		t.Errorf("attempts %+v, want 1 at the target", totals)
 	}
 	counter.Retain(map[string]uint64{testService: 2})
-	if left := counter.Changed(nil); len(left) != 0 {
+	if left := counter.ChangedRows(nil); len(left) != 0 {
 		t.Errorf("rows %+v of a former order, want none", left)
 	}
 }
--- a/internal/decide/rollout/reporting.go
+++ b/internal/decide/rollout/reporting.go
@@ -22,7 +22,7 @@
 
 // Reporting selects the candidate to report to, and tracks which counts the decider has received.
 // It is not safe for concurrent use.
-type Reporting struct {
+type DeciderSelector struct {
 	avoided map[string]time.Duration // end of avoidance, by node name
 	// decider is the incarnation that acknowledged the counts in received.
 	decider  string
@@ -30,18 +30,18 @@
 }
 
 // NewReporting returns a Reporting that avoids no candidate.
-func NewReporting() *Reporting {
-	return &Reporting{avoided: make(map[string]time.Duration), received: make(map[Subject]Counts)}
+func NewDeciderSelector() *DeciderSelector {
+	return &DeciderSelector{avoided: make(map[string]time.Duration), received: make(map[Subject]Counts)}
 }
 
 // Reports reports whether a node reports its counts. A node without participants reports to itself.
-func Reports(self string, participants []roster.Member) bool {
+func MustReport(self string, participants []roster.Member) bool {
 	return len(participants) == 0 || containsNode(participants, self)
 }
 
 // Choose returns the first candidate that is not avoided, or the first of all if each is avoided.
 // Candidates must not be empty.
-func (r *Reporting) Choose(now time.Duration, candidates []roster.Member) roster.Member {
+func (r *DeciderSelector) Choose(now time.Duration, candidates []roster.Member) roster.Member {
 	for _, candidate := range candidates {
 		if now >= r.avoided[candidate.Name] {
 			return candidate
@@ -51,26 +51,26 @@
 }
 
 // Avoid avoids a candidate for AvoidTime.
-func (r *Reporting) Avoid(now time.Duration, name string) { r.avoided[name] = now + AvoidTime }
+func (r *DeciderSelector) Avoid(now time.Duration, name string) { r.avoided[name] = now + AvoidTime }
 
 // Decider returns the incarnation of the decider that has received the counts in Received; empty if
 // there is none.
-func (r *Reporting) Decider() string { return r.decider }
+func (r *DeciderSelector) Decider() string { return r.decider }
 
 // Received returns the counts that the decider has acknowledged. The next report omits them.
-func (r *Reporting) Received() map[Subject]Counts { return r.received }
+func (r *DeciderSelector) AcknowledgedCounts() map[Subject]Counts { return r.received }
 
 // Forget makes the next report complete.
-func (r *Reporting) Forget() {
+func (r *DeciderSelector) Reset() {
 	r.decider = ""
 	clear(r.received)
 }
 
 // Answered records the counts that a decider has received. A restarted decider ignores an
 // incremental report, and receives all counts with the next one.
-func (r *Reporting) Answered(decider string, report Report) {
+func (r *DeciderSelector) RecordReply(decider string, report Report) {
 	if report.Decider != "" && decider != report.Decider {
-		r.Forget()
+		r.Reset()
 		return
 	}
 	r.decider = decider
--- a/internal/decide/rollout/reporting_test.go
+++ b/internal/decide/rollout/reporting_test.go
@@ -11,7 +11,7 @@
 // avoided, and to the first of all if each is avoided.
 func TestChooseSkipsAvoidedCandidates(t *testing.T) {
 	candidates := []roster.Member{{Name: "a"}, {Name: "b"}}
-	reporting := NewReporting()
+	reporting := NewDeciderSelector()
 	for _, test := range []struct {
 		at    time.Duration
 		avoid string
@@ -36,14 +36,14 @@
 // has answered under another incarnation.
 func TestRestartedDeciderReceivesEverything(t *testing.T) {
 	subject := Subject{Service: "s", Order: 1}
-	reporting := NewReporting()
-	reporting.Answered("first", Report{Rows: []Row{{Subject: subject}}})
-	if len(reporting.Received()) != 1 || reporting.Decider() != "first" {
-		t.Fatalf("decider %q received %v, want 1 row at %q", reporting.Decider(), reporting.Received(), "first")
+	reporting := NewDeciderSelector()
+	reporting.RecordReply("first", Report{Rows: []Row{{Subject: subject}}})
+	if len(reporting.AcknowledgedCounts()) != 1 || reporting.Decider() != "first" {
+		t.Fatalf("decider %q received %v, want 1 row at %q", reporting.Decider(), reporting.AcknowledgedCounts(), "first")
 	}
-	reporting.Answered("second", Report{Decider: "first"})
-	if len(reporting.Received()) != 0 || reporting.Decider() != "" {
-		t.Errorf("decider %q received %v, want nothing after a restart", reporting.Decider(), reporting.Received())
+	reporting.RecordReply("second", Report{Decider: "first"})
+	if len(reporting.AcknowledgedCounts()) != 0 || reporting.Decider() != "" {
+		t.Errorf("decider %q received %v, want nothing after a restart", reporting.Decider(), reporting.AcknowledgedCounts())
 	}
 }
 
@@ -52,16 +52,16 @@
 // nothing.
 func TestParticipationInSlackAndReports(t *testing.T) {
 	members := []roster.Member{{Name: "a"}, {Name: "b"}}
-	if !HasAllowance("a", members) || HasAllowance("c", members) || HasAllowance("a", nil) {
+	if !MaySpend("a", members) || MaySpend("c", members) || MaySpend("a", nil) {
 		t.Error("HasAllowance: want true for a participant only")
 	}
-	if !Reports("a", members) || Reports("c", members) || !Reports("a", nil) {
+	if !MustReport("a", members) || MustReport("c", members) || !MustReport("a", nil) {
 		t.Error("Reports: want true for a participant and for a node without participants only")
 	}
-	if share := PartOfSlack(4, false); share != 0.25 {
+	if share := SlackShare(4, false); share != 0.25 {
 		t.Errorf("slack share %v for one of 4 participants, want 0.25", share)
 	}
-	if share := PartOfSlack(4, true); share != 0 {
+	if share := SlackShare(4, true); share != 0 {
 		t.Errorf("slack share %v for a node that found the order at its start, want 0", share)
 	}
 }
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -111,7 +111,7 @@
 	// Record is the record to write.
 	Record Record
 	// Former is the revision of the record that it replaces; zero if there is none.
-	Former uint64
+	ExpectedRevision uint64
 	// Order is the revision of the order; zero if the order was withdrawn.
 	Order uint64
 }
--- a/internal/decide/rollout/simulation_test.go
+++ b/internal/decide/rollout/simulation_test.go
@@ -151,7 +151,7 @@
 
 // send sends one request, and reports whether it went to the target.
 func (n *simulatedNode) send(random *rand.Rand, now time.Duration, s simulation, load float64) bool {
-	rollout := n.table.Of(testService)
+	rollout := n.table.Lookup(testService)
 	n.allowance.Earn(now)
 	toTarget := rollout.Phase().Shifted()
 	if !toTarget && n.allowance.Allows(now) {
@@ -169,7 +169,7 @@
 	if s.hedged && took > hedgeAfter {
 		other := random.IntN(s.leaves)
 		if second, lost := s.control(random, now, other, load); !lost {
-			n.counter.Took(newSubject(false, other), min(second, took-hedgeAfter))
+			n.counter.CountDuration(newSubject(false, other), min(second, took-hedgeAfter))
 			if hedgeAfter+second < took {
 				overtaken, failed = hedgeAfter+second, false
 			}
@@ -177,11 +177,11 @@
 		}
 	}
 	if failed {
-		n.counter.Failed(subject)
+		n.counter.CountFailure(subject)
 	} else {
-		n.counter.Took(subject, took)
+		n.counter.CountDuration(subject, took)
 	}
-	n.counter.First(subject, overtaken)
+	n.counter.CountFirst(subject, overtaken)
 	return toTarget
 }
 
@@ -196,8 +196,8 @@
 
 // report reports to the decider and applies the reply.
 func (n *simulatedNode) report(now time.Duration, decider *Decider) {
-	rollout := n.table.Of(testService)
-	reply := decider.Report(now, Report{Node: n.name, Rows: n.counter.Changed(nil), Orders: []Progress{
+	rollout := n.table.Lookup(testService)
+	reply := decider.Report(now, Report{Node: n.name, Rows: n.counter.ChangedRows(nil), Orders: []Progress{
 		{Service: testService, Order: 1, Phase: rollout.Phase(), Age: rollout.Age(now)},
 	}})
 	for _, grant := range reply.Grants {
--- a/internal/decide/rollout/table.go
+++ b/internal/decide/rollout/table.go
@@ -17,7 +17,7 @@
 	orderedAt time.Duration
 	// Found reports whether the order existed when this node first read the store. The process that
 	// ran before on this node may then have spent its part of the slack already.
-	Found bool
+	FoundAtStart bool
 	// Bad describes why the target is bad, as far as this node knows; empty while there is no
 	// evidence. It belongs to the order in force.
 	Bad string
@@ -41,7 +41,7 @@
 }
 
 // Open reports whether the roll-out has not ended.
-func (r *Rollout) Open() bool {
+func (r *Rollout) IsOpen() bool {
 	phase := r.Phase()
 	return !phase.Ended() && (phase != PhaseNone || r.Order.Revision != 0)
 }
@@ -69,14 +69,14 @@
 }
 
 // Of returns the roll-out of a service; nil if there is none.
-func (t *Table) Of(service string) *Rollout { return t.entries[service] }
+func (t *Table) Lookup(service string) *Rollout { return t.entries[service] }
 
 // Services returns the sorted names of the services that have a roll-out.
 func (t *Table) Services() []string { return slices.Sorted(maps.Keys(t.entries)) }
 
 // Open returns the sorted names of the services whose roll-outs have not ended.
-func (t *Table) Open() []string {
-	return slices.DeleteFunc(t.Services(), func(service string) bool { return !t.entries[service].Open() })
+func (t *Table) OpenServices() []string {
+	return slices.DeleteFunc(t.Services(), func(service string) bool { return !t.entries[service].IsOpen() })
 }
 
 // SetOrder stores an order. It reports whether the order is newer than the known one.
@@ -85,7 +85,7 @@
 	if order.Revision <= rollout.Order.Revision {
 		return false
 	}
-	rollout.Order, rollout.orderedAt, rollout.Found, rollout.Bad = order, now, !t.loaded, ""
+	rollout.Order, rollout.orderedAt, rollout.FoundAtStart, rollout.Bad = order, now, !t.loaded, ""
 	return true
 }
 
--- a/internal/decide/rollout/table_test.go
+++ b/internal/decide/rollout/table_test.go
@@ -29,7 +29,7 @@
 			case 2:
 				table.Replace(0, time.Time{}, nil, []Record{received}, true)
 			}
-			rollout := table.Of(testService)
+			rollout := table.Lookup(testService)
 			if rollout.Record.Order < last.Order || rollout.Record.Order == last.Order && phaseRanks[rollout.Record.Phase] < phaseRanks[last.Phase] {
 				t.Fatalf("moved from phase %v of order %d to phase %v of order %d", last.Phase, last.Order, rollout.Record.Phase, rollout.Record.Order)
 			}
@@ -48,12 +48,12 @@
 	stored := newTestRecord(7, PhaseTrial, 8)
 	stored.OrderedAt = clock.Add(-4 * time.Second)
 	table.Replace(time.Minute, clock, []Order{order}, []Record{stored}, false)
-	rollout := table.Of(testService)
-	if !rollout.Found || rollout.Age(time.Minute) != 4*time.Second || rollout.Phase() != PhaseTrial {
+	rollout := table.Lookup(testService)
+	if !rollout.FoundAtStart || rollout.Age(time.Minute) != 4*time.Second || rollout.Phase() != PhaseTrial {
 		t.Errorf("roll-out %+v, age %s, want a trial found at the start, of age 4s", rollout, rollout.Age(time.Minute))
 	}
 	table.SetOrder(time.Minute, Order{Service: "other", Version: "v2", Duration: time.Second, Revision: 9})
-	if other := table.Of("other"); other.Found || other.Age(time.Minute) != 0 {
+	if other := table.Lookup("other"); other.FoundAtStart || other.Age(time.Minute) != 0 {
 		t.Errorf("roll-out %+v, want a new one of age 0", other)
 	}
 	table.Replace(time.Minute, clock, nil, nil, true)
@@ -61,7 +61,7 @@
 		t.Error("stale listing withdrew an order")
 	}
 	table.Replace(time.Minute, clock, nil, nil, false)
-	if rollout.Order.Revision != 0 || rollout.Version() != "v2" || !rollout.Open() {
+	if rollout.Order.Revision != 0 || rollout.Version() != "v2" || !rollout.IsOpen() {
 		t.Errorf("withdrawn roll-out %+v, want it open with version v2", rollout)
 	}
 }
--- a/internal/decide/share/budget.go
+++ b/internal/decide/share/budget.go
@@ -26,7 +26,7 @@
 
 // Extra is the extra load that all nodes together may cause at a service, beyond the ratio that
 // requests earn.
-type Extra struct {
+type ExtraLoad struct {
 	// Attempts is how many extra attempts are allowed in any window.
 	Attempts float64
 	Window   time.Duration
@@ -34,7 +34,7 @@
 
 // Budget returns the bounds of the extra load that the node may cause at a shard, in attempts, with
 // Refill in attempts per second.
-func (s Share) Budget(allowed Extra) hedge.Bounds {
+func (s Share) Budget(allowed ExtraLoad) hedge.Bounds {
 	slack := s.fraction * allowed.Attempts / float64(max(s.nodeCounts.Total, 1))
 	capacity := steadyShare * burstShare * slack
 	refill := steadyShare * (1 - burstShare) * slack / allowed.Window.Seconds()
@@ -42,5 +42,5 @@
 	if s.standalone {
 		initial = min(standaloneInitial, capacity)
 	}
-	return hedge.Bounds{Initial: initial, Capacity: capacity, Reserve: min(maxReserve, reserveShare*capacity), Refill: refill}
+	return hedge.Bounds{Initial: initial, Capacity: capacity, Reserve: min(maxReserve, reserveShare*capacity), RefillRate: refill}
 }
--- a/internal/decide/share/budget_test.go
+++ b/internal/decide/share/budget_test.go
@@ -11,8 +11,8 @@
 )
 
 // extraLoad returns the extra load that the settings allow.
-func extraLoad(from settings.Settings) Extra {
-	return Extra{Attempts: from.Forward.ExtraSlack, Window: from.Forward.ExtraWindow.Duration()}
+func extraLoad(from settings.Settings) ExtraLoad {
+	return ExtraLoad{Attempts: from.Forward.ExtraSlack, Window: from.Forward.ExtraWindow.Duration()}
 }
 
 // TestNodeBudgetsStayWithinExtraLoad sums up the budgets of all nodes.
@@ -20,7 +20,7 @@
 	allowed := extraLoad(settings.Defaults())
 	for _, nodes := range []int{1, 2, 8, 12, 60, 300, 3900} {
 		bounds := Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}.Budget(allowed)
-		spent := bounds.Capacity + bounds.Refill*allowed.Window.Seconds()
+		spent := bounds.Capacity + bounds.RefillRate*allowed.Window.Seconds()
 		if total := spent * float64(nodes); total > allowed.Attempts || total < allowed.Attempts/2 {
 			t.Errorf("%d nodes may spend %.1f attempts per window, want %.1f to %.0f", nodes, total, allowed.Attempts/2, allowed.Attempts)
 		}
@@ -49,22 +49,22 @@
 	for _, shard := range []bool{true, false} {
 		saved := 0.0
 		for _, member := range members {
-			bounds := OfSlack(executors.Assign(member, members), members, len(members), shard).Budget(allowed)
-			saved += bounds.Capacity + bounds.Refill*allowed.Window.Seconds() + bounds.Initial
+			bounds := ForExtraLoad(executors.Assign(member, members), members, len(members), shard).Budget(allowed)
+			saved += bounds.Capacity + bounds.RefillRate*allowed.Window.Seconds() + bounds.Initial
 		}
 		if saved > allowed.Attempts+0.001 || saved < 0.9*allowed.Attempts {
 			t.Errorf("shard %v: all nodes may spend %.1f attempts, want %.1f to %.0f", shard, saved, 0.9*allowed.Attempts, allowed.Attempts)
 		}
 	}
-	executor := OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(allowed)
+	executor := ForExtraLoad(executors.Assign(members[0], members), members, len(members), true).Budget(allowed)
 	if executor.Initial < 1+executor.Reserve {
 		t.Errorf("an executor that starts cannot send a hedge: %+v", executor)
 	}
 	if total := 8 * executor.Capacity; total < 0.8*steadyShare*burstShare*allowed.Attempts {
 		t.Errorf("executors save up to %.1f of %.0f attempts at a shard", total, allowed.Attempts)
 	}
-	otherBudget := OfSlack(executors.Assign(members[63], members), members, len(members), false).Budget(allowed)
-	if executorBudget := OfSlack(executors.Assign(members[0], members), members, len(members), false).Budget(allowed); executorBudget != otherBudget {
+	otherBudget := ForExtraLoad(executors.Assign(members[63], members), members, len(members), false).Budget(allowed)
+	if executorBudget := ForExtraLoad(executors.Assign(members[0], members), members, len(members), false).Budget(allowed); executorBudget != otherBudget {
 		t.Errorf("at a service that is not a shard, an executor gets %+v and another node %+v, want the same", executorBudget, otherBudget)
 	}
 }
--- a/internal/decide/share/connections.go
+++ b/internal/decide/share/connections.go
@@ -25,9 +25,9 @@
 }
 
 // Bounds limits the connections to one leaf of a service.
-type Bounds struct {
+type ConnectionLimits struct {
 	// Taken is how many connections a leaf accepts from all nodes together; zero if unknown.
-	Taken int
+	PerLeaf int
 	// PerNode is the largest number of connections that one node keeps.
 	PerNode int
 }
@@ -38,7 +38,7 @@
 // If a leaf accepts fewer connections than there are nodes, a node without a subset of the leaves
 // opens a connection for most attempts: with 64 nodes about 60 % of the attempts, with subsets less
 // than 9 %.
-func (s Share) Connections(self subset.Node, service string, leaves []Leaf, bounds Bounds) []LeafAllocation {
+func (s Share) Connections(self subset.Node, service string, leaves []Leaf, bounds ConnectionLimits) []LeafAllocation {
 	allocations := make([]LeafAllocation, len(leaves))
 	var positions []int
 	var replicas []subset.Replica
@@ -47,7 +47,7 @@
 			continue
 		}
 		positions = append(positions, position)
-		replicas = append(replicas, subset.Replica{ID: leaf.ID, Zone: leaf.Zone, MaxConnections: int(s.fraction * float64(bounds.Taken))})
+		replicas = append(replicas, subset.Replica{ID: leaf.ID, Zone: leaf.Zone, MaxConnections: int(s.fraction * float64(bounds.PerLeaf))})
 	}
 	for index, connections := range s.allocate(self, service, replicas, bounds) {
 		allocations[positions[index]].Connections = connections
@@ -57,8 +57,8 @@
 }
 
 // allocate returns how many connections the node keeps to each replica.
-func (s Share) allocate(self subset.Node, service string, replicas []subset.Replica, bounds Bounds) []int {
-	if bounds.Taken == 0 {
+func (s Share) allocate(self subset.Node, service string, replicas []subset.Replica, bounds ConnectionLimits) []int {
+	if bounds.PerLeaf == 0 {
 		return slices.Repeat([]int{bounds.PerNode}, len(replicas))
 	}
 	connections := subset.Choose(self, s.nodeCounts, service, replicas)
--- a/internal/decide/share/probe.go
+++ b/internal/decide/share/probe.go
@@ -11,7 +11,7 @@
 	fleetProbeInterval = 330 * time.Millisecond
 	// MinProbeInterval is the shortest time between two probes of a leaf by one node. With
 	// 0.5 s, a fleet of 60 nodes performs worse.
-	MinProbeInterval = 2 * time.Second
+	MinNodeProbeInterval = 2 * time.Second
 	// maxNodeProbeInterval is the longest time between two probes of a leaf by one node. It
 	// bounds how late a node detects that a leaf has recovered.
 	maxNodeProbeInterval = 10 * time.Second
@@ -19,5 +19,5 @@
 
 // ProbeInterval returns the time between two probes of a slow leaf by the node.
 func (s Share) ProbeInterval() time.Duration {
-	return min(max(time.Duration(s.nodeCounts.Total)*fleetProbeInterval, MinProbeInterval), maxNodeProbeInterval)
+	return min(max(time.Duration(s.nodeCounts.Total)*fleetProbeInterval, MinNodeProbeInterval), maxNodeProbeInterval)
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -43,12 +43,12 @@
 }
 
 // Alone returns the share of one of several nodes, each of which runs its own requests.
-func Alone(nodes int) Share {
+func Standalone(nodes int) Share {
 	return Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}
 }
 
 // Of returns the share of connections of a node with a role.
-func Of(roles executors.Roles, members []roster.Member, nodes int) Share {
+func ForConnections(roles executors.Roles, members []roster.Member, nodes int) Share {
 	if len(roles.Executors) == 0 {
 		return Share{nodeCounts: countNodes(members, nodes), fraction: 1, standalone: true}
 	}
@@ -61,8 +61,8 @@
 // OfSlack returns a node's share of the extra load beyond the ratio. shard tells whether the
 // service is a shard of a route; the requests for any other service run on the nodes that received
 // them.
-func OfSlack(roles executors.Roles, members []roster.Member, nodes int, shard bool) Share {
-	divided := Of(roles, members, nodes)
+func ForExtraLoad(roles executors.Roles, members []roster.Member, nodes int, shard bool) Share {
+	divided := ForConnections(roles, members, nodes)
 	switch {
 	case divided.standalone:
 		return divided
--- a/internal/decide/snapshot/snapshot.go
+++ b/internal/decide/snapshot/snapshot.go
@@ -88,7 +88,7 @@
 }
 
 // Shard returns the only needed shard out of a number of shards, if the query has a key.
-func (n Need) Shard(shards int) (int, bool) {
+func (n Need) SingleShard(shards int) (int, bool) {
 	if !n.HasKey || shards == 0 {
 		return 0, false
 	}
@@ -101,7 +101,7 @@
 	if len(n.Shards) > 0 {
 		return n.countCoveredListed(view), len(n.Shards)
 	}
-	shard, single := n.Shard(len(view.Replicas))
+	shard, single := n.SingleShard(len(view.Replicas))
 	if !single {
 		return view.Covered, len(view.Replicas)
 	}
--- a/internal/decide/snapshot/snapshot_test.go
+++ b/internal/decide/snapshot/snapshot_test.go
@@ -22,7 +22,7 @@
 // countCovered counts, from the definition, the needed shards that some leaf holds.
 func countCovered(holdings [][]leaf.Holding, snapshot catalog.Snapshot, shards int, need Need) (count, needed int) {
 	for shard := range shards {
-		if only, single := need.Shard(shards); single && only != shard {
+		if only, single := need.SingleShard(shards); single && only != shard {
 			continue
 		}
 		needed++
--- a/internal/decide/startup/startup.go
+++ b/internal/decide/startup/startup.go
@@ -40,17 +40,17 @@
 type Plan struct {
 	// Source is set if other nodes copy from this one when they start. A source reads the store
 	// itself, since sources would otherwise wait for each other.
-	Source bool
+	IsSource bool
 	// ReadsDirectly is set if each node reads the store itself because there are few nodes.
 	ReadsDirectly bool
 	// Others are the nodes that are asked for a copy, in this order. A node that reads the store
 	// asks them only if the store does not answer.
-	Others []netip.AddrPort
+	Sources []netip.AddrPort
 }
 
 // ReadsStore reports whether the node reads the store itself. Otherwise it copies from one of
 // Others.
-func (p Plan) ReadsStore() bool { return p.Source || p.ReadsDirectly || len(p.Others) == 0 }
+func (p Plan) ReadsStore() bool { return p.IsSource || p.ReadsDirectly || len(p.Sources) == 0 }
 
 // Shuffle orders count elements at random, like rand.Shuffle.
 type Shuffle func(count int, swap func(i, j int))
@@ -62,10 +62,10 @@
 	case len(announced) == 0:
 		return planFromSources(self, seeds, shuffle)
 	case len(announced) < minNodesForSources:
-		return Plan{ReadsDirectly: true, Others: planFromSources(self, seeds, shuffle).Others}
+		return Plan{ReadsDirectly: true, Sources: planFromSources(self, seeds, shuffle).Sources}
 	}
 	var sources []netip.AddrPort
-	for _, member := range roster.Spread(announced, len(announced)/nodesPerSource, seeds...) {
+	for _, member := range roster.SelectAcrossZones(announced, len(announced)/nodesPerSource, seeds...) {
 		sources = append(sources, member.Peer)
 	}
 	return planFromSources(self, sources, shuffle)
@@ -75,7 +75,7 @@
 func planFromSources(self netip.AddrPort, sources []netip.AddrPort, shuffle Shuffle) Plan {
 	others := slices.DeleteFunc(slices.Clone(sources), func(address netip.AddrPort) bool { return address == self })
 	shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return Plan{Source: len(others) < len(sources), Others: others}
+	return Plan{IsSource: len(others) < len(sources), Sources: others}
 }
 
 // State holds the conditions for serving.
--- a/internal/decide/startup/startup_test.go
+++ b/internal/decide/startup/startup_test.go
@@ -45,16 +45,16 @@
 		{"more", 12 * nodesPerSource, false, false, 12},
 	} {
 		plan := NewPlan(address(9999), announced(test.nodes), seeds, reversed)
-		if plan.Source != test.source || plan.ReadsDirectly != test.direct || len(plan.Others) < test.others {
+		if plan.IsSource != test.source || plan.ReadsDirectly != test.direct || len(plan.Sources) < test.others {
 			t.Errorf("%s: got plan %+v, want source %v, direct %v and at least %d others", test.name, plan, test.source, test.direct, test.others)
 		}
 		seed := NewPlan(seeds[1], announced(test.nodes), seeds, reversed)
-		if seed.Source == test.direct || slices.Contains(seed.Others, seeds[1]) {
+		if seed.IsSource == test.direct || slices.Contains(seed.Sources, seeds[1]) {
 			t.Errorf("%s: got plan %+v for a seed", test.name, seed)
 		}
 	}
-	if plan := NewPlan(address(9), nil, seeds, reversed); !slices.Equal(plan.Others, []netip.AddrPort{seeds[2], seeds[1], seeds[0]}) {
-		t.Errorf("got sources %v, want the seeds in shuffled order", plan.Others)
+	if plan := NewPlan(address(9), nil, seeds, reversed); !slices.Equal(plan.Sources, []netip.AddrPort{seeds[2], seeds[1], seeds[0]}) {
+		t.Errorf("got sources %v, want the seeds in shuffled order", plan.Sources)
 	}
 }
 
--- a/internal/decide/timeleft/timeleft.go
+++ b/internal/decide/timeleft/timeleft.go
@@ -50,7 +50,7 @@
 const defaultBodyTimeout = time.Minute
 
 // Body returns how long the body of a request may take to arrive.
-func Body(clientTimeout time.Duration) time.Duration {
+func BodyTimeout(clientTimeout time.Duration) time.Duration {
 	if clientTimeout == 0 {
 		return defaultBodyTimeout
 	}
--- a/internal/decide/timeleft/waits.go
+++ b/internal/decide/timeleft/waits.go
@@ -18,7 +18,7 @@
 
 // Waits estimates how long clients have waited before their requests arrived. It is not safe for
 // concurrent use.
-type Waits struct {
+type WaitEstimator struct {
 	kinds map[string]*maxTimeouts
 }
 
@@ -29,13 +29,13 @@
 }
 
 // NewWaits returns Waits without samples.
-func NewWaits() *Waits {
-	return &Waits{kinds: make(map[string]*maxTimeouts)}
+func NewWaitEstimator() *WaitEstimator {
+	return &WaitEstimator{kinds: make(map[string]*maxTimeouts)}
 }
 
 // BeforeArrival records the timeout of a client and returns how long the client has already waited.
 // It returns zero if the client sent no timeout.
-func (w *Waits) BeforeArrival(kind string, clientTimeout time.Duration) time.Duration {
+func (w *WaitEstimator) BeforeArrival(kind string, clientTimeout time.Duration) time.Duration {
 	if clientTimeout <= 0 {
 		return 0
 	}
--- a/internal/decide/timeleft/waits_test.go
+++ b/internal/decide/timeleft/waits_test.go
@@ -8,7 +8,7 @@
 // TestBeforeArrivalIsDifferenceFromLongestTimeout records the timeouts of first attempts and of
 // retries.
 func TestBeforeArrivalIsDifferenceFromLongestTimeout(t *testing.T) {
-	estimator := NewWaits()
+	estimator := NewWaitEstimator()
 	for _, test := range []struct{ left, want time.Duration }{
 		{800, 0}, {797, 3}, {650, 150}, {0, 0}, {800, 0},
 	} {
@@ -23,7 +23,7 @@
 
 // TestLongestTimeoutExpires covers clients that begin to send a shorter timeout.
 func TestLongestTimeoutExpires(t *testing.T) {
-	estimator := NewWaits()
+	estimator := NewWaitEstimator()
 	estimator.BeforeArrival("check", time.Second)
 	for range 2 * (windowSize + 1) {
 		estimator.BeforeArrival("check", 500*time.Millisecond)
--- a/internal/decide/warmup/warmup.go
+++ b/internal/decide/warmup/warmup.go
@@ -36,9 +36,9 @@
 )
 
 // Bound holds the configured request rate of the cold leaves of a service.
-type Bound struct {
+type LeafRate struct {
 	// Rate is how many requests per second a cold leaf can handle.
-	Rate float64
+	PerSecond float64
 	// Shard is set if the service is a shard of a route.
 	Shard bool
 }
@@ -52,8 +52,8 @@
 
 // RateOf returns how many attempts per second a node may send to a cold leaf; zero if it has no
 // share. leaf is the name of the leaf's incarnation.
-func (b Bound) RateOf(self roster.Member, leaf string, roles executors.Roles, members []roster.Member, tolerance Tolerance) float64 {
-	rateLimit := b.Rate*tolerance.Overshoot + tolerance.Slack
+func (b LeafRate) NodeRate(self roster.Member, leaf string, roles executors.Roles, members []roster.Member, tolerance Tolerance) float64 {
+	rateLimit := b.PerSecond*tolerance.Overshoot + tolerance.Slack
 	sharers, fraction := findSharers(roles, members, b.Shard)
 	return computeRate(self.Name, leaf, sharers, plannedShare*fraction*rateLimit)
 }
--- a/internal/edge/combine/benchmark_test.go
+++ b/internal/edge/combine/benchmark_test.go
@@ -34,7 +34,7 @@
 		b.Fatal(err)
 	}
 	Serve(server, leaves, func(netip.AddrPort) bool { return true })
-	server.Serve()
+	server.Start()
 	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
 	client := New(combiners.DefaultConfig(), roster.Member{Name: "here", Zone: "a"}, leaves, caller, clock.NewMonotonic(),
 		prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
--- a/internal/edge/combine/client.go
+++ b/internal/edge/combine/client.go
@@ -131,23 +131,23 @@
 	case givenUp:
 	case peer.NotExecuted(err):
 		c.avoid(session.combiner) // the combiner is most likely stopping
-	case errors.Is(err, peer.ErrLost):
+	case errors.Is(err, peer.ErrConnectionLost):
 		c.markLost(session.combiner) // the process of the combiner has most likely ended
 	case err == nil:
-		session.combiner.Heard(c.clock.Now())
+		session.combiner.RecordMessage(c.clock.Now())
 	}
 }
 
 // markLost marks a combiner as lost. The caller holds the mutex.
 func (c *Client) markLost(combiner *combiners.Combiner) {
-	if combiner.Lose() {
+	if combiner.MarkLost() {
 		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name, InFlight: combiner.InFlight})
 	}
 }
 
 // avoid stops giving attempts to a combiner for now. The caller holds the mutex.
 func (c *Client) avoid(combiner *combiners.Combiner) {
-	if combiner.Avoid() {
+	if combiner.MarkUnused() {
 		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name})
 	}
 }
@@ -173,7 +173,7 @@
 		return nil, true, &leaf.TransportError{Step: stepCombiner, Peer: attempt.Leaf, Sent: true, Err: err}
 	case err != nil:
 		c.metrics.attempts.WithLabelValues("lost").Inc()
-		return nil, true, &leaf.TransportError{Step: stepCombiner, Peer: session.combiner.Peer, Sent: true, OnTheWay: true, Err: err}
+		return nil, true, &leaf.TransportError{Step: stepCombiner, Peer: session.combiner.Peer, Sent: true, LostAtRelay: true, Err: err}
 	case fetched.NotTaken:
 		return nil, false, nil
 	}
@@ -237,7 +237,7 @@
 func (c *Client) dueHeartbeats() []*combiners.Combiner {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	due, lost := c.combiners.Due(c.clock.Now())
+	due, lost := c.combiners.DueHeartbeats(c.clock.Now())
 	for _, combiner := range lost {
 		event.Log(c.logger, event.CombinerLost{Peer: combiner.Name, InFlight: combiner.InFlight})
 	}
@@ -258,7 +258,7 @@
 		return
 	}
 	now := c.clock.Now()
-	if combiner.Answered(now, now-started) {
+	if combiner.RecordAnswer(now, now-started) {
 		event.Log(c.logger, event.CombinerInTouch{Peer: combiner.Name, Zone: combiner.Zone})
 	}
 }
--- a/internal/edge/combine/combine_test.go
+++ b/internal/edge/combine/combine_test.go
@@ -45,7 +45,7 @@
 	<-taken
 	h.closeServer()
 	var transport *leaf.TransportError
-	if err := <-ended; !errors.As(err, &transport) || !transport.Sent || !transport.OnTheWay {
+	if err := <-ended; !errors.As(err, &transport) || !transport.Sent || !transport.LostAtRelay {
 		t.Fatalf("attempt ended with %v, want a TransportError with Sent and OnTheWay", err)
 	}
 	if h.direct.count() != 0 {
@@ -109,7 +109,7 @@
 	}()
 	_, err := h.client.Execute(ctx, newAttempt("b", newQuery()))
 	var transport *leaf.TransportError
-	if !errors.As(err, &transport) || transport.OnTheWay {
+	if !errors.As(err, &transport) || transport.LostAtRelay {
 		t.Errorf("attempt ended with %v, want a TransportError without OnTheWay", err)
 	}
 	select {
--- a/internal/edge/combine/helpers_test.go
+++ b/internal/edge/combine/helpers_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	Serve(h.server, combined, func(netip.AddrPort) bool { return !h.leaving.Load() })
-	h.server.Serve()
+	h.server.Start()
 	caller := peer.NewClient(peer.ClientOptions{}, prometheus.NewRegistry())
 	config := combiners.DefaultConfig()
 	config.MaxRoundTrip = testTimeout
--- a/internal/edge/combine/metrics.go
+++ b/internal/edge/combine/metrics.go
@@ -15,7 +15,7 @@
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	create := telemetry.NewFactory(registerer)
 	return &metrics{
-		attempts: create.Counters("micaplank_combine_attempts_total",
+		attempts: create.CounterVec("micaplank_combine_attempts_total",
 			"Attempts of multi-shard requests at leaves of other zones, by way: combined, direct (no combiner connected), not_taken (not sent by the combiner, then sent directly), given_up (no longer awaited) or lost (together with the combiner).",
 			"way"),
 		droppedFetches: create.Counter("micaplank_combine_rests_total",
--- a/internal/edge/combine/server.go
+++ b/internal/edge/combine/server.go
@@ -178,7 +178,7 @@
 	if request.Number < 1 || request.Number > len(session.dropped) {
 		return &restResponse{}
 	}
-	return &restResponse{Known: true, Records: records.NotBelow(session.dropped[request.Number-1], request.Floor)}
+	return &restResponse{Known: true, Records: records.FilterBelow(session.dropped[request.Number-1], request.Floor)}
 }
 
 func newTransportFailure(err error) *transportFailure {
--- a/internal/edge/delegate/client.go
+++ b/internal/edge/delegate/client.go
@@ -55,7 +55,7 @@
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	create := telemetry.NewFactory(registerer)
 	return &metrics{
-		requests: create.Counters("micaplank_relay_requests_total",
+		requests: create.CounterVec("micaplank_relay_requests_total",
 			"Requests handed to executors, by result: answered, refused, not_sent, lost (with the executor), left (no longer awaited).",
 			"result"),
 		usable: create.Gauge("micaplank_relay_executors",
@@ -94,13 +94,13 @@
 
 // updateUsableGauge sets the metric of the executors that would accept a request. The caller holds
 // the mutex.
-func (c *Client) updateUsableGauge() { c.metrics.usable.Set(float64(c.executors.Usable(c.terms))) }
+func (c *Client) updateUsableGauge() { c.metrics.usable.Set(float64(c.executors.CountUsable(c.terms))) }
 
 // InUse reports whether this node has executors to hand requests to.
 func (c *Client) InUse() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.executors.Len() > 0
+	return c.executors.CountMonitored() > 0
 }
 
 // Run sends heartbeats to the executors until ctx ends.
@@ -126,14 +126,14 @@
 func (c *Client) dueHeartbeats() []*executors.Executor {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	before := c.executors.Alive()
+	before := c.executors.CountAlive()
 	c.executors.Expire(c.clock.Now())
-	if after := c.executors.Alive(); after < before {
+	if after := c.executors.CountAlive(); after < before {
 		event.Log(c.logger, event.ExecutorsLost{Lost: before - after, Left: after})
 	}
-	c.executors.Watch(c.clock.Now())
+	c.executors.UpdateMonitored(c.clock.Now())
 	c.updateUsableGauge()
-	return c.executors.Watched()
+	return c.executors.Monitored()
 }
 
 // sendHeartbeat asks one executor for its status.
@@ -149,7 +149,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.clock.Now()
-	regained := c.executors.Heard(now, now-started, executor, status)
+	regained := c.executors.RecordAnswer(now, now-started, executor, status)
 	c.updateUsableGauge()
 	if regained {
 		event.Log(c.logger, event.ExecutorInTouch{Peer: executor.Name, Version: status.Version, Accepting: status.Accepting, Fresh: status.Fresh})
@@ -191,7 +191,7 @@
 		return nil, nil, 0
 	}
 	chosen.InFlight++
-	return chosen, chosen.Alive(), chosen.Away()
+	return chosen, chosen.Alive(), chosen.TransitTime()
 }
 
 // offer hands a request to one executor. It returns false if the request did not run there and
@@ -237,11 +237,11 @@
 	defer c.mutex.Unlock()
 	executor.InFlight--
 	switch {
-	case errors.Is(err, peer.ErrLost), peer.NotExecuted(err):
-		executor.Lose() // its process has most likely ended; the next heartbeat checks it again
+	case errors.Is(err, peer.ErrConnectionLost), peer.NotExecuted(err):
+		executor.MarkLost() // its process has most likely ended; the next heartbeat checks it again
 	case err == nil && response.Refusal != "":
 		executor.Status = response.Status
 	case err == nil:
-		executor.Completed(latency)
+		executor.RecordLatency(latency)
 	}
 }
--- a/internal/edge/delegate/client_test.go
+++ b/internal/edge/delegate/client_test.go
@@ -76,7 +76,7 @@
 			return executeResponse{Refusal: refusedTerms}, nil
 		},
 		"not sent": func(context.Context, *executeRequest) (executeResponse, error) {
-			return executeResponse{}, &peer.Error{NotExecuted: true, Err: peer.ErrLost}
+			return executeResponse{}, &peer.Error{NotExecuted: true, Err: peer.ErrConnectionLost}
 		},
 	} {
 		h := newTestHarness(t)
@@ -95,7 +95,7 @@
 func TestLostRequestIsNotRetried(t *testing.T) {
 	h := newTestHarness(t)
 	h.peers.execute[h.near.Peer] = func(context.Context, *executeRequest) (executeResponse, error) {
-		return executeResponse{}, &peer.Error{Sent: true, Err: peer.ErrLost}
+		return executeResponse{}, &peer.Error{Sent: true, Err: peer.ErrConnectionLost}
 	}
 	answer, done := h.execute()
 	if !done || answer.Fate != forward.FateFailed || len(h.peers.calls) != 1 {
@@ -148,23 +148,23 @@
 // a request, includes the round trip to the executor.
 func TestRelayTimeIncludesRoundTrip(t *testing.T) {
 	h := newTestHarness(t)
-	h.client.executors.Watched()[0].RoundTrip = 5 * time.Millisecond
+	h.client.executors.Monitored()[0].RoundTrip = 5 * time.Millisecond
 	var relayTime time.Duration
 	h.peers.execute[h.near.Peer] = func(_ context.Context, request *executeRequest) (executeResponse, error) {
 		relayTime = request.Away
 		return executeResponse{Fate: forward.FateMerged, Body: []byte("large-1")}, nil
 	}
 	h.wantExecutor("large-1")
-	if relayTime != 5*time.Millisecond+executors.Handling {
-		t.Errorf("relay time %v, want %v", relayTime, 5*time.Millisecond+executors.Handling)
+	if relayTime != 5*time.Millisecond+executors.HandlingTime {
+		t.Errorf("relay time %v, want %v", relayTime, 5*time.Millisecond+executors.HandlingTime)
 	}
 }
 
 // TestSlowExecutorIsSkipped checks that an executor with a higher mean latency gets no requests.
 func TestSlowExecutorIsSkipped(t *testing.T) {
 	h := newTestHarness(t)
-	for _, executor := range h.client.executors.Watched() {
-		executor.Near = true
+	for _, executor := range h.client.executors.Monitored() {
+		executor.SameZone = true
 	}
 	latencies := map[string]time.Duration{"large-1": 300 * time.Millisecond, "large-2": 100 * time.Millisecond}
 	for _, member := range []roster.Member{h.near, h.far} {
@@ -173,8 +173,8 @@
 			return executeResponse{Fate: forward.FateMerged, Body: []byte(member.Name)}, nil
 		}
 	}
-	for _, executor := range h.client.executors.Watched() {
-		executor.Completed(latencies[executor.Name])
+	for _, executor := range h.client.executors.Monitored() {
+		executor.RecordLatency(latencies[executor.Name])
 	}
 	for range 5 {
 		h.sendHeartbeats()
--- a/internal/edge/delegate/server.go
+++ b/internal/edge/delegate/server.go
@@ -32,7 +32,7 @@
 
 func execute(ctx context.Context, runner Runner, request *executeRequest) *executeResponse {
 	status := runner.Status()
-	if !status.Takes(request.Terms) {
+	if !status.Accepts(request.Terms) {
 		return &executeResponse{Refusal: refusedTerms, Status: status}
 	}
 	answer, ran := runner.Run(ctx, request.From, request.Terms.Version, &forward.Request{
--- a/internal/edge/delegate/wire_test.go
+++ b/internal/edge/delegate/wire_test.go
@@ -10,8 +10,8 @@
 // TestRecordedMessagesDecode checks that recorded messages decode, because a fleet may run two
 // versions.
 func TestRecordedMessagesDecode(t *testing.T) {
-	wiretest.Gob[statusRequest](t, "relay.status.request")
-	wiretest.Gob[executors.Status](t, "relay.status.response")
-	wiretest.Gob[executeRequest](t, "relay.execute.request")
-	wiretest.Gob[executeResponse](t, "relay.execute.response")
+	wiretest.CheckGob[statusRequest](t, "relay.status.request")
+	wiretest.CheckGob[executors.Status](t, "relay.status.response")
+	wiretest.CheckGob[executeRequest](t, "relay.execute.request")
+	wiretest.CheckGob[executeResponse](t, "relay.execute.response")
 }
--- a/internal/edge/forward/answer.go
+++ b/internal/edge/forward/answer.go
@@ -37,7 +37,7 @@
 		answer.Fate = fateWithoutAnswer(result)
 	}
 	if answer.Fate == FateNotRun && isNoLeafReason(answer.Reason) {
-		answer.RetryAfter = retryafter.WithoutLeaf(answer.RetryAfter, f.storeOutage.Load())
+		answer.RetryAfter = retryafter.AwaitLeaf(answer.RetryAfter, f.storeOutage.Load())
 	}
 	return answer
 }
@@ -53,7 +53,7 @@
 	parts, body, missed := mergeTopK(ctx, matched.TopK, result.Parts)
 	f.estimators.updateFloor(className, matched.TopK, parts, missed)
 	progress := coverage.Progress{Total: len(matched.Shards), Answered: len(parts)}
-	if !progress.Enough(matched.MinCoverage) {
+	if !progress.MeetsMinimum(matched.MinCoverage) {
 		answer.Fate = fateWithoutAnswer(result)
 		return
 	}
--- a/internal/edge/forward/estimators.go
+++ b/internal/edge/forward/estimators.go
@@ -14,14 +14,14 @@
 // concurrent use.
 type estimators struct {
 	clientWaitsMutex sync.Mutex
-	clientWaits      *timeleft.Waits
+	clientWaits      *timeleft.WaitEstimator
 
 	floorsMutex sync.Mutex
 	floors      *recordfloor.Estimator
 }
 
 func newEstimators() *estimators {
-	return &estimators{clientWaits: timeleft.NewWaits(), floors: recordfloor.NewEstimator()}
+	return &estimators{clientWaits: timeleft.NewWaitEstimator(), floors: recordfloor.NewEstimator()}
 }
 
 // estimateBeforeArrival records a client's timeout and returns how long the client had waited
@@ -61,6 +61,6 @@
 	if len(complete) == 0 {
 		return nil
 	}
-	rank := recordfloor.Rank(k, len(complete), len(parts))
+	rank := recordfloor.SampleRank(k, len(complete), len(parts))
 	return kthRecord(records.Greatest(rank, complete), rank)
 }
--- a/internal/edge/forward/forward.go
+++ b/internal/edge/forward/forward.go
@@ -117,7 +117,7 @@
 }
 
 // Spread reports whether a request runs on several shards, and its timeout from now on.
-func (f *Forwarder) Spread(request *Request) (timeout time.Duration, multiShard bool) {
+func (f *Forwarder) FanOut(request *Request) (timeout time.Duration, multiShard bool) {
 	table := f.table.Load()
 	if table == nil {
 		return 0, false
@@ -155,10 +155,10 @@
 	planned := f.planQuery(matched, request)
 	startedAt := f.config.Clock.Now()
 	result := f.scatterer.Execute(ctx, planned)
-	f.quarantine.Finished(content, Execution{RequestID: request.ID, Route: matched.Name, Began: startedAt, Attempts: result.Attempts})
+	f.quarantine.RecordExecution(content, Execution{RequestID: request.ID, Route: matched.Name, StartedAt: startedAt, Attempts: result.Attempts})
 	return f.buildAnswer(ctx, matched, planned.Class.Name, result)
 }
 
 func (f *Forwarder) notRun(reason dispatch.Reason) Answer {
-	return Answer{Fate: FateNotRun, Reason: reason, RetryAfter: retryafter.Uninformed(f.storeOutage.Load())}
+	return Answer{Fate: FateNotRun, Reason: reason, RetryAfter: retryafter.AwaitStore(f.storeOutage.Load())}
 }
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -34,7 +34,7 @@
 type admitAll struct{}
 
 func (admitAll) Admit(context.Context, quarantine.Content) Admission { return Admission{} }
-func (admitAll) Finished(quarantine.Content, Execution)              {}
+func (admitAll) RecordExecution(quarantine.Content, Execution)       {}
 
 func newForwarder(result scatter.Result[Part]) (*Forwarder, *fakeScatterer) {
 	scatterer := &fakeScatterer{result: result}
@@ -106,7 +106,7 @@
 		want   Fate
 	}{
 		{scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: dispatch.ReasonDeadline}}, FateNotRun},
-		{scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonLost}}, FateFailed},
+		{scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonConnectionLost}}, FateFailed},
 		{scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeFailed, Reason: dispatch.ReasonDeadline}}, FateLate},
 		{scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown}, HasFailure: true, Failure: Part{Status: 500}}, FateAnswered},
 		{partialResult(1), FateAnswered},
@@ -140,7 +140,7 @@
 	for _, test := range []struct {
 		outage bool
 		want   time.Duration
-	}{{false, retryafter.Unknown}, {true, retryafter.Outage}, {false, retryafter.Unknown}} {
+	}{{false, retryafter.StoreReadDelay}, {true, retryafter.StoreOutageDelay}, {false, retryafter.StoreReadDelay}} {
 		empty.SetOutage(test.outage)
 		if answer := empty.Execute(context.Background(), newSweepRequest()); answer.Fate != FateNotRun || answer.RetryAfter != test.want {
 			t.Errorf("outage %v: answer %+v, want fate %s, retry after %v", test.outage, answer, FateNotRun, test.want)
@@ -171,8 +171,8 @@
 	for _, reason := range []dispatch.Reason{dispatch.ReasonNoLeaf, dispatch.ReasonNoSnapshot} {
 		noLeaf := scatter.Result[Part]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeNotRun, Reason: reason, Total: 3}}
 		forwarder, _ := newForwarder(noLeaf)
-		if answer := forwarder.Execute(context.Background(), newSweepRequest()); answer.Fate != FateNotRun || answer.RetryAfter != retryafter.Unknown {
-			t.Errorf("%s: answer %+v, want fate %s, retry after %v", reason, answer, FateNotRun, retryafter.Unknown)
+		if answer := forwarder.Execute(context.Background(), newSweepRequest()); answer.Fate != FateNotRun || answer.RetryAfter != retryafter.StoreReadDelay {
+			t.Errorf("%s: answer %+v, want fate %s, retry after %v", reason, answer, FateNotRun, retryafter.StoreReadDelay)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		forwarder, scatterer := newForwarder(partialResult(3))
 		forwarder.config.Clock = &manualClock{now: time.Hour + test.spent}
 		request := newSweepRequest()
-		request.Arrived = time.Hour
+		request.ArrivedAt = time.Hour
 		forwarder.Execute(context.Background(), request)
 		if got := scatterer.last.Timeout; got != test.left {
 			t.Errorf("timeout %v after %v on the node, want %v", got, test.spent, test.left)
--- a/internal/edge/forward/plan.go
+++ b/internal/edge/forward/plan.go
@@ -53,16 +53,16 @@
 	if request.ClientTimeout == 0 {
 		return 0 // the request carries no arrival time
 	}
-	return f.config.Clock.Now() - request.Arrived
+	return f.config.Clock.Now() - request.ArrivedAt
 }
 
 func (f *Forwarder) resolveShards(matched *route.Route) []int {
 	if len(matched.Shards) == 0 {
-		return []int{f.index.Of(f.splitter.Pick(matched))}
+		return []int{f.index.Assign(f.splitter.PickService(matched))}
 	}
 	shards := make([]int, len(matched.Shards))
 	for position, service := range matched.Shards {
-		shards[position] = f.index.Of(service)
+		shards[position] = f.index.Assign(service)
 	}
 	return shards
 }
@@ -72,5 +72,5 @@
 		Priority: matched.Priority, Objective: matched.Objective, Timeout: matched.Timeout,
 		TopK: matched.TopK, Repeatable: matched.Repeatable,
 	}
-	return requestclass.Of(declared, requestclass.Extra{HedgePercentile: f.config.HedgePercentile, Load: f.config.ExtraLoad})
+	return requestclass.ForRoute(declared, requestclass.ExtraAttempts{HedgePercentile: f.config.HedgePercentile, LoadShare: f.config.ExtraLoad})
 }
--- a/internal/edge/forward/quarantine.go
+++ b/internal/edge/forward/quarantine.go
@@ -35,7 +35,7 @@
 	// block until ctx ends.
 	Admit(ctx context.Context, content quarantine.Content) Admission
 	// Finished receives the execution record of each admitted request.
-	Finished(content quarantine.Content, ended Execution)
+	RecordExecution(content quarantine.Content, ended Execution)
 }
 
 // Execution is the record of a request that a Quarantine admitted.
@@ -43,8 +43,8 @@
 	RequestID string
 	Route     string
 	// Began is when the request was submitted, on the Forwarder's clock.
-	Began    time.Duration
-	Attempts []scatter.AttemptTrace
+	StartedAt time.Duration
+	Attempts  []scatter.AttemptTrace
 	// Trial is set if the request ran on one leaf only, as a trial.
 	Trial bool
 }
@@ -72,8 +72,8 @@
 	planned.Shards, planned.Timeout, planned.MaximumSends = trial.Shards, trial.Timeout, trial.Attempts
 	startedAt := f.config.Clock.Now()
 	result := f.scatterer.Execute(ctx, planned)
-	f.quarantine.Finished(content, Execution{RequestID: request.ID, Route: matched.Name, Began: startedAt, Attempts: result.Attempts, Trial: true})
-	if trial.Whole {
+	f.quarantine.RecordExecution(content, Execution{RequestID: request.ID, Route: matched.Name, StartedAt: startedAt, Attempts: result.Attempts, Trial: true})
+	if trial.CoversRequest {
 		return f.buildAnswer(ctx, matched, planned.Class.Name, result), false
 	}
 	if len(result.Parts) == 0 {
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -23,7 +23,7 @@
 	// ClientTimeout is how long the client would still wait when the request arrived; zero if the
 	// client did not say. Arrived is the time of arrival on the clock of this node.
 	ClientTimeout time.Duration
-	Arrived       time.Duration
+	ArrivedAt     time.Duration
 	// RelayTime is how long the relaying node had the request, plus the time that it needs to
 	// return the answer; zero without a relay.
 	RelayTime time.Duration
@@ -40,12 +40,12 @@
 // Remaining returns how long the client still waits at the time now on the clock of this node, at
 // least 1 ms. It must only be called for a request whose client sent a timeout.
 func (r *Request) Remaining(now time.Duration) time.Duration {
-	return timeleft.Remaining(r.ClientTimeout, now-r.Arrived)
+	return timeleft.Remaining(r.ClientTimeout, now-r.ArrivedAt)
 }
 
 // Content returns an identifier of what the request asks for. Headers are excluded, because they
 // differ between attempts of the same request.
 func (r *Request) Content() quarantine.Content {
 	requestLine, _, _ := bytes.Cut(r.Head, []byte("\r\n"))
-	return quarantine.ContentOf(r.Host, requestLine, r.Body)
+	return quarantine.HashContent(r.Host, requestLine, r.Body)
 }
--- a/internal/edge/forward/topk_test.go
+++ b/internal/edge/forward/topk_test.go
@@ -37,7 +37,7 @@
 // thinnedPart returns a part without its dropped records, which FetchDropped returns.
 func thinnedPart(dropped []byte, err error, values ...byte) Part {
 	return Part{Body: repeatedRecords(values...), Dropped: records.Max(dropped), FetchDropped: func(_ context.Context, floor []byte) ([]byte, error) {
-		return records.NotBelow(dropped, floor), err
+		return records.FilterBelow(dropped, floor), err
 	}}
 }
 
@@ -85,14 +85,14 @@
 	for number := range answers {
 		parts := randomParts(random, count, count, size)
 		floor := estimates.estimateFloor("kind")
-		if number < recordfloor.Samples && floor != nil {
+		if number < recordfloor.SampleCount && floor != nil {
 			t.Fatal("got a floor from too few samples, want none")
 		}
 		above := 0
 		for _, shardPart := range parts {
-			above += len(records.NotBelow(shardPart.Part.Body, floor)) / records.Size
+			above += len(records.FilterBelow(shardPart.Part.Body, floor)) / records.Size
 		}
-		if number >= recordfloor.Samples {
+		if number >= recordfloor.SampleCount {
 			sent += above
 		}
 		if above < k {
@@ -106,7 +106,7 @@
 	if misses > answers/100 {
 		t.Errorf("%d of %d answers missed records, want at most %d", misses, answers, answers/100)
 	}
-	if mean := sent / (answers - recordfloor.Samples); mean > 4*k {
+	if mean := sent / (answers - recordfloor.SampleCount); mean > 4*k {
 		t.Errorf("%d records sent on average for answers of %d, want at most %d", mean, k, 4*k)
 	}
 }
@@ -114,7 +114,7 @@
 func TestFloorIsResetAfterMiss(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	estimates := newEstimators()
-	for range recordfloor.Samples {
+	for range recordfloor.SampleCount {
 		estimates.updateFloor("kind", 5, randomParts(random, 6, 3, 20), false)
 	}
 	if estimates.estimateFloor("kind") == nil || estimates.estimateFloor("other") != nil {
@@ -124,7 +124,7 @@
 	if estimates.estimateFloor("kind") != nil {
 		t.Error("got a floor after a miss, want none")
 	}
-	for range 2 * recordfloor.Samples {
+	for range 2 * recordfloor.SampleCount {
 		estimates.updateFloor("far", 5, randomParts(random, 6, 0, 20), false)
 	}
 	if estimates.estimateFloor("far") != nil {
--- a/internal/edge/http1/client.go
+++ b/internal/edge/http1/client.go
@@ -60,13 +60,13 @@
 	BodyBytes int64
 	// MaxSkipped is the number of responses to other requests that are skipped on a connection
 	// before the awaited response.
-	MaxSkipped int
+	MaxSkippedResponses int
 }
 
 // DefaultConfig returns the bounds that seldom need to be changed. They only limit the cost of a
 // faulty back end. The bounds that depend on the deployment are zero.
 func DefaultConfig() Config {
-	return Config{IdleTimeout: 20 * time.Second, BodyBytes: 16 << 20, MaxSkipped: 2}
+	return Config{IdleTimeout: 20 * time.Second, BodyBytes: 16 << 20, MaxSkippedResponses: 2}
 }
 
 // Response is a complete response.
@@ -98,7 +98,7 @@
 // Do sends a request once and blocks until the complete response has arrived. If ctx ends first,
 // the connection is closed. An error is a *leaf.TransportError whose step is one of this package.
 func (c *Client) Do(ctx context.Context, target Target, message Message, match Matcher) (*Response, error) {
-	connection, err := c.acquire(ctx, target, message.Once)
+	connection, err := c.acquire(ctx, target, message.AtMostOnce)
 	if err != nil {
 		transportErr := notSentError(StepConnect, target, err)
 		transportErr.Refused = errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/edge/http1/client_test.go
+++ b/internal/edge/http1/client_test.go
@@ -79,7 +79,7 @@
 func newClient(t *testing.T, connections int) *Client {
 	client := New(Config{
 		ConnectionsPerTarget: connections, DialTimeout: time.Second, IdleTimeout: time.Minute,
-		BodyBytes: 100, MaxSkipped: 1,
+		BodyBytes: 100, MaxSkippedResponses: 1,
 	}, prometheus.NewRegistry())
 	t.Cleanup(client.Close)
 	return client
@@ -267,7 +267,7 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5, max=1\r\n\r\nrest"))
 	f.Add([]byte("nonsense"))
-	client := New(Config{ConnectionsPerTarget: 1, IdleTimeout: time.Minute, BodyBytes: 100, MaxSkipped: 1}, prometheus.NewRegistry())
+	client := New(Config{ConnectionsPerTarget: 1, IdleTimeout: time.Minute, BodyBytes: 100, MaxSkippedResponses: 1}, prometheus.NewRegistry())
 	f.Fuzz(func(t *testing.T, content []byte) {
 		near, far := net.Pipe()
 		go func() { _, _ = far.Write(content); _ = far.Close() }()
--- a/internal/edge/http1/conncheck_test.go
+++ b/internal/edge/http1/conncheck_test.go
@@ -35,7 +35,7 @@
 	client := newClient(t, 1)
 	target := Target{Address: netip.MustParseAddrPort(listener.Addr().String()), BootID: "one"}
 	message := request()
-	message.Once = true
+	message.AtMostOnce = true
 	for number := range 100 {
 		if _, err := client.Do(t.Context(), target, message, isMatch); err != nil {
 			t.Fatalf("request %d: %v", number, err)
--- a/internal/edge/http1/connection.go
+++ b/internal/edge/http1/connection.go
@@ -153,7 +153,7 @@
 			}
 			return response, idle, nil
 		}
-		if idle == 0 || skipped >= c.pool.client.config.MaxSkipped {
+		if idle == 0 || skipped >= c.pool.client.config.MaxSkippedResponses {
 			return nil, 0, errResponseMismatch
 		}
 	}
--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -18,12 +18,12 @@
 	// empty line; see WriteHead.
 	Head []byte
 	// Own holds additional header lines of this request only.
-	Own []byte
+	ExtraHeaders []byte
 	// Body is the complete body.
 	Body []byte
 	// Once is set if the request may run at most once. It is then not sent on a connection that the
 	// back end has closed; this check costs a system call.
-	Once bool
+	AtMostOnce bool
 }
 
 // framingHeaders lists the headers that a Client writes itself.
@@ -70,9 +70,9 @@
 
 // encode returns the complete request.
 func (m *Message) encode() []byte {
-	content := make([]byte, 0, len(m.Head)+len(m.Own)+len(m.Body)+contentLengthBytes)
+	content := make([]byte, 0, len(m.Head)+len(m.ExtraHeaders)+len(m.Body)+contentLengthBytes)
 	content = append(content, m.Head...)
-	content = append(content, m.Own...)
+	content = append(content, m.ExtraHeaders...)
 	if len(m.Body) > 0 || m.needsContentLength() {
 		content = AppendHeader(content, "Content-Length", strconv.Itoa(len(m.Body)))
 	}
--- a/internal/edge/http1/message_test.go
+++ b/internal/edge/http1/message_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		message := Message{Method: test.method, Head: head, Own: AppendHeader(nil, "X-Own", "mine"), Body: []byte(test.body)}
+		message := Message{Method: test.method, Head: head, ExtraHeaders: AppendHeader(nil, "X-Own", "mine"), Body: []byte(test.body)}
 		read, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(message.encode())))
 		if err != nil {
 			t.Fatalf("%s: %v", test.name, err)
--- a/internal/edge/lease/lease.go
+++ b/internal/edge/lease/lease.go
@@ -20,7 +20,7 @@
 // These are the errors of a Store that a Holder distinguishes. Any other error counts as temporary.
 var (
 	// ErrLapsed means that the lease has expired or was revoked by the store.
-	ErrLapsed = errors.New("lease has expired")
+	ErrExpired = errors.New("lease has expired")
 	// ErrExists means that the key already exists.
 	ErrExists = errors.New("key already exists")
 )
@@ -87,7 +87,7 @@
 func (h *Holder) step(ctx context.Context) time.Duration {
 	err := h.callStore(ctx)
 	switch {
-	case errors.Is(err, ErrLapsed):
+	case errors.Is(err, ErrExpired):
 		event.Log(h.logger, event.LeaseLapsed{Key: h.config.Key})
 		h.id, h.created = 0, false
 		return h.backoff()
