--- a/internal/edge/lease/lease_test.go
+++ b/internal/edge/lease/lease_test.go
@@ -49,7 +49,7 @@
 	case m.down:
 		return errUnavailable
 	case !m.leases[id]:
-		return m.respond(ErrLapsed)
+		return m.respond(ErrExpired)
 	}
 	m.renewals++
 	return m.respond(nil)
@@ -60,7 +60,7 @@
 	case m.down:
 		return errUnavailable
 	case !m.leases[id]:
-		return m.respond(ErrLapsed)
+		return m.respond(ErrExpired)
 	case m.keyLease != 0:
 		return m.respond(ErrExists)
 	}
--- a/internal/edge/mirror/fleet_start_test.go
+++ b/internal/edge/mirror/fleet_start_test.go
@@ -48,9 +48,9 @@
 		fleet := make([]*Shared, nodes)
 		for index := range fleet {
 			fleet[index] = NewShared(DefaultSharedConfig(), store, peers, clock.NewMonotonic(), slog.New(slog.DiscardHandler))
-			plan := startup.Plan{Source: index < sources, Others: addresses}
+			plan := startup.Plan{IsSource: index < sources, Sources: addresses}
 			fleet[index].SetPlanner("nodes/", func([]Item) startup.Plan { return plan })
-			if plan.Source {
+			if plan.IsSource {
 				peers.set(addresses[index], fleet[index])
 			}
 		}
--- a/internal/edge/mirror/gather_test.go
+++ b/internal/edge/mirror/gather_test.go
@@ -25,7 +25,7 @@
 			source := &scriptedSource{answers: test.answers, stop: stop}
 			var sink recordingSink
 			started := time.Now()
-			New(Config{MinBackoff: 1, MaxBackoff: 1, Gather: gather}, source, &sink).Run(ctx)
+			New(Config{MinBackoff: 1, MaxBackoff: 1, BatchDelay: gather}, source, &sink).Run(ctx)
 			if got := int(time.Since(started) / gather); got != test.pauses {
 				t.Errorf("%s: %d pauses, want %d", test.name, got, test.pauses)
 			}
--- a/internal/edge/mirror/helpers_test.go
+++ b/internal/edge/mirror/helpers_test.go
@@ -132,9 +132,9 @@
 
 var errUnreachable = errors.New("node is unreachable")
 
-func (p *localPeers) Watch(ctx context.Context, to netip.AddrPort, after uint64, _ time.Duration) (Watched, error) {
+func (p *localPeers) Watch(ctx context.Context, to netip.AddrPort, after uint64, _ time.Duration) (WatchResponse, error) {
 	if p.isUnreachable(to) {
-		return Watched{}, errUnreachable
+		return WatchResponse{}, errUnreachable
 	}
 	return p.at(to).Serve(ctx, after, 0)
 }
--- a/internal/edge/mirror/history.go
+++ b/internal/edge/mirror/history.go
@@ -98,12 +98,12 @@
 
 // eventsAfter returns the response to a node that has the changes up to a revision, and a channel
 // that is closed when the response may have changed.
-func (h *history) eventsAfter(revision uint64) (Watched, <-chan struct{}) {
+func (h *history) eventsAfter(revision uint64) (WatchResponse, <-chan struct{}) {
 	switch {
 	case !h.started, revision < h.since, h.withinGap(revision):
-		return Watched{State: WatchRefused}, h.changed
+		return WatchResponse{State: WatchRefused}, h.changed
 	case h.disconnected:
-		return Watched{State: WatchDisconnected}, h.changed
+		return WatchResponse{State: WatchDisconnected}, h.changed
 	}
 	first, _ := slices.BinarySearchFunc(h.events, revision+1, func(event Event, wanted uint64) int {
 		switch {
@@ -114,7 +114,7 @@
 		}
 		return 0
 	})
-	return Watched{
+	return WatchResponse{
 		State:    WatchCurrent,
 		Events:   slices.Clone(h.events[first:]),
 		Revision: max(h.revision, revision),
--- a/internal/edge/mirror/mirror.go
+++ b/internal/edge/mirror/mirror.go
@@ -50,7 +50,7 @@
 }
 
 // Reading says how the items of a Replace were read.
-type Reading struct {
+type ReadInfo struct {
 	// Gap is set if changes before this read may have been missed.
 	Gap bool
 	// Stale is set if there may be newer items: the store was unreachable, and the items are the
@@ -61,15 +61,15 @@
 // Sink receives what is read. Its methods are called one at a time.
 type Sink interface {
 	// Replace receives the complete set of items.
-	Replace(items []Item, read Reading)
+	Replace(items []Item, read ReadInfo)
 	// Change receives changes in order. After an outage it is also called without changes: the
 	// items received so far are then still current.
-	Change(events []Event)
+	Apply(events []Event)
 	// Lost is called once per outage, when the store becomes unreachable.
-	Lost(err error)
+	Disconnected(err error)
 	// Regained is called after an outage of the given length when the store responds again, before
 	// the first response is passed on.
-	Regained(away time.Duration)
+	Reconnected(away time.Duration)
 }
 
 // Config is the policy of a Mirror.
@@ -80,10 +80,10 @@
 	// error and has random jitter.
 	MinBackoff, MaxBackoff time.Duration
 	// Wait is the longest duration of one watch call.
-	Wait time.Duration
+	WatchTimeout time.Duration
 	// Gather is the delay after a call that returned changes. It batches changes in quick
 	// succession into one call.
-	Gather time.Duration
+	BatchDelay time.Duration
 }
 
 // Mirror follows one prefix.
@@ -143,13 +143,13 @@
 	if !stale {
 		m.recordSuccess()
 	}
-	m.sink.Replace(items, Reading{Gap: m.loaded, Stale: stale})
+	m.sink.Replace(items, ReadInfo{Gap: m.loaded, Stale: stale})
 	m.revision, m.loaded, m.reload = revision, true, false
 	return err
 }
 
 func (m *Mirror) watch(ctx context.Context) error {
-	events, revision, err := m.source.Watch(ctx, m.config.Prefix, m.revision, m.config.Wait)
+	events, revision, err := m.source.Watch(ctx, m.config.Prefix, m.revision, m.config.WatchTimeout)
 	if errors.Is(err, ErrCompacted) {
 		m.recordSuccess()
 		m.reload = true
@@ -160,12 +160,12 @@
 	}
 	reconnected := m.recordSuccess()
 	if reconnected || len(events) > 0 {
-		m.sink.Change(events)
+		m.sink.Apply(events)
 	}
 	m.revision = max(m.revision, revision)
 	m.catchingUp = (m.catchingUp || reconnected) && len(events) >= backlogThreshold
 	if len(events) > 0 && !m.catchingUp {
-		clock.Sleep(ctx, m.config.Gather)
+		clock.Sleep(ctx, m.config.BatchDelay)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 func (m *Mirror) recordFailure(err error) {
 	if m.failures == 0 {
 		m.disconnectedAt = time.Now()
-		m.sink.Lost(err)
+		m.sink.Disconnected(err)
 	}
 	m.failures++
 }
@@ -187,7 +187,7 @@
 		return false
 	}
 	m.failures = 0
-	m.sink.Regained(time.Since(m.disconnectedAt))
+	m.sink.Reconnected(time.Since(m.disconnectedAt))
 	return true
 }
 
--- a/internal/edge/mirror/mirror_test.go
+++ b/internal/edge/mirror/mirror_test.go
@@ -56,18 +56,18 @@
 // recordingSink is a Sink that records the calls that it receives.
 type recordingSink []string
 
-func (r *recordingSink) Replace(items []Item, read Reading) {
+func (r *recordingSink) Replace(items []Item, read ReadInfo) {
 	text := fmt.Sprintf("replace %d gap=%v", len(items), read.Gap)
 	if read.Stale {
 		text += " stale"
 	}
 	*r = append(*r, text)
 }
-func (r *recordingSink) Change(events []Event) {
+func (r *recordingSink) Apply(events []Event) {
 	*r = append(*r, fmt.Sprintf("change %d", len(events)))
 }
-func (r *recordingSink) Lost(error)             { *r = append(*r, "lost") }
-func (r *recordingSink) Regained(time.Duration) { *r = append(*r, "regained") }
+func (r *recordingSink) Disconnected(error)        { *r = append(*r, "lost") }
+func (r *recordingSink) Reconnected(time.Duration) { *r = append(*r, "regained") }
 
 func runScript(answers ...any) (calls, received []string) {
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/edge/mirror/pack.go
+++ b/internal/edge/mirror/pack.go
@@ -65,14 +65,14 @@
 
 // pack replaces the events of a response to a request for changes after a revision by their packed
 // form, unless they are small.
-func (p *packedEvents) pack(after uint64, response Watched) (Watched, error) {
+func (p *packedEvents) pack(after uint64, response WatchResponse) (WatchResponse, error) {
 	if valueBytes(response.Events) < packThreshold {
 		return response, nil
 	}
 	if p.packed == nil || p.after != after || p.revision != response.Revision {
 		packed, err := pack(response.Events)
 		if err != nil {
-			return Watched{}, err
+			return WatchResponse{}, err
 		}
 		*p = packedEvents{after: after, revision: response.Revision, packed: packed}
 	}
@@ -81,7 +81,7 @@
 }
 
 // unpack returns the response with its events unpacked.
-func (w Watched) unpack() (Watched, error) {
+func (w WatchResponse) unpack() (WatchResponse, error) {
 	if w.Packed == nil {
 		return w, nil
 	}
--- a/internal/edge/mirror/shared.go
+++ b/internal/edge/mirror/shared.go
@@ -20,7 +20,7 @@
 	// Snapshot fetches the copy of a node.
 	Snapshot(ctx context.Context, source netip.AddrPort) (Snapshot, error)
 	// Watch asks a watcher for the changes after a revision.
-	Watch(ctx context.Context, watcher netip.AddrPort, after uint64, wait time.Duration) (Watched, error)
+	Watch(ctx context.Context, watcher netip.AddrPort, after uint64, wait time.Duration) (WatchResponse, error)
 }
 
 // Store is a Source that can also read possibly outdated items at a low cost.
--- a/internal/edge/mirror/shared_test.go
+++ b/internal/edge/mirror/shared_test.go
@@ -128,7 +128,7 @@
 		"outage": func(p *watcherPair) { p.store.setDown(true) },
 	} {
 		p := newWatcherPair(t)
-		responses := make(chan Watched)
+		responses := make(chan WatchResponse)
 		go func() { responses <- p.watcher.awaitChanges(t.Context(), 0, time.Hour) }()
 		trigger(p)
 		_ = p.watch()
--- a/internal/edge/mirror/sources.go
+++ b/internal/edge/mirror/sources.go
@@ -57,9 +57,9 @@
 	plan := planner(nodes)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.isSource = plan.Source
+	s.isSource = plan.IsSource
 	if !plan.ReadsStore() {
-		s.sources = plan.Others
+		s.sources = plan.Sources
 	}
 	return plan
 }
@@ -79,7 +79,7 @@
 	}
 	plan := s.makePlan(planner, nodes)
 	if !plan.ReadsStore() {
-		items, revision, err := s.copyFromSource(ctx, plan.Others, requireCurrent)
+		items, revision, err := s.copyFromSource(ctx, plan.Sources, requireCurrent)
 		if err == nil || ctx.Err() != nil {
 			return items, revision, err
 		}
@@ -93,7 +93,7 @@
 
 // loadWithoutStore returns the copy of another node, or the error of the store if no node has one.
 func (s *Shared) loadWithoutStore(ctx context.Context, plan startup.Plan, storeErr error) ([]Item, uint64, error) {
-	items, revision, err := s.copyFromSource(ctx, plan.Others, allowStale)
+	items, revision, err := s.copyFromSource(ctx, plan.Sources, allowStale)
 	if errors.Is(err, errNoSource) {
 		return nil, 0, storeErr
 	}
@@ -108,7 +108,7 @@
 	for source := range s.queryOffers(ctx, sources, policy) {
 		sourceCopy, err := s.fetchCopy(ctx, source)
 		if err != nil {
-			event.Log(s.logger, event.SourceFailed{Source: source, Error: err})
+			event.Log(s.logger, event.SnapshotCopyFailed{Source: source, Error: err})
 			continue
 		}
 		if !policy.accepts(sourceCopy.Offer) {
@@ -116,7 +116,7 @@
 		}
 		stale := sourceCopy.State == OfferDisconnected
 		s.adopt(sourceCopy, stale)
-		event.Log(s.logger, event.SourceUsed{Source: source, Revision: sourceCopy.Revision, Age: s.clock.Now() - sourceCopy.lastContactAt, Stale: stale})
+		event.Log(s.logger, event.SnapshotCopied{Source: source, Revision: sourceCopy.Revision, Age: s.clock.Now() - sourceCopy.lastContactAt, Stale: stale})
 		if stale {
 			return sourceCopy.items, sourceCopy.Revision, ErrStale
 		}
--- a/internal/edge/mirror/sources_test.go
+++ b/internal/edge/mirror/sources_test.go
@@ -63,7 +63,7 @@
 			others = append(others, seed)
 		}
 	}
-	node.SetPlanner("", func([]Item) startup.Plan { return startup.Plan{Source: true, Others: others} })
+	node.SetPlanner("", func([]Item) startup.Plan { return startup.Plan{IsSource: true, Sources: others} })
 	f.peers.set(f.seeds[index], node)
 	f.peers.setUnreachable(f.seeds[index], false)
 	return node
@@ -72,7 +72,7 @@
 // newNode returns a node that is not a seed.
 func (f *testFleet) newNode() *Shared {
 	node := NewShared(f.config(), f.store, f.peers, clock.NewMonotonic(), slog.New(slog.DiscardHandler))
-	node.SetPlanner("", func([]Item) startup.Plan { return startup.Plan{Others: f.seeds} })
+	node.SetPlanner("", func([]Item) startup.Plan { return startup.Plan{Sources: f.seeds} })
 	return node
 }
 
@@ -161,7 +161,7 @@
 	f.wantRanges(2)
 	f.store.setDown(true)
 	other := f.newNode()
-	other.SetPlanner("nodes/", func(nodes []Item) startup.Plan { announced = nodes; return startup.Plan{Others: f.seeds} })
+	other.SetPlanner("nodes/", func(nodes []Item) startup.Plan { announced = nodes; return startup.Plan{Sources: f.seeds} })
 	f.load(other, nil)
 	if announced != nil {
 		t.Errorf("announced nodes %v while the store is down, want nil", announced)
--- a/internal/edge/mirror/watch.go
+++ b/internal/edge/mirror/watch.go
@@ -31,7 +31,7 @@
 )
 
 // Watched is the response of a watcher.
-type Watched struct {
+type WatchResponse struct {
 	State  WatchState
 	Events []Event
 	// Packed replaces Events if the events are large. It holds them in the form of pack.
@@ -126,7 +126,7 @@
 	return append(available, disconnected...)
 }
 
-func (s *Shared) queryWatcher(ctx context.Context, watcher netip.AddrPort, after uint64, deadline time.Time) (Watched, error) {
+func (s *Shared) queryWatcher(ctx context.Context, watcher netip.AddrPort, after uint64, deadline time.Time) (WatchResponse, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	response, err := s.peers.Watch(ctx, watcher, after, s.config.WatchTimeout)
--- a/internal/edge/mirror/wire_test.go
+++ b/internal/edge/mirror/wire_test.go
@@ -9,6 +9,6 @@
 // TestRecordedPackedValuesDecode checks that packed values written by an older version decode,
 // because a fleet may run two versions.
 func TestRecordedPackedValuesDecode(t *testing.T) {
-	wiretest.Gob[[]Item](t, "packed.items")
-	wiretest.Gob[[]Event](t, "packed.events")
+	wiretest.CheckGob[[]Item](t, "packed.items")
+	wiretest.CheckGob[[]Event](t, "packed.events")
 }
--- a/internal/edge/node/budget_test.go
+++ b/internal/edge/node/budget_test.go
@@ -107,7 +107,7 @@
 			s.submitted[id] = s.now
 			s.perform(s.dispatcher.Submit(s.now, dispatch.Query{
 				ID: id, Class: class, Shards: []int{0}, Deadline: s.now + 800*time.Millisecond, Objective: s.now + simulatedObjective,
-				HedgeDelay: 60 * time.Millisecond, MaximumSends: 2, MinimumCoverage: 1,
+				HedgeDelay: 60 * time.Millisecond, MaximumAttempts: 2, MinimumCoverage: 1,
 			}))
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.ends)) {
@@ -140,8 +140,8 @@
 		members = append(members, member)
 	}
 	roles := executors.Assign(members[0], members)
-	halfOfSlack := share.Of(roles, members, len(members)).Budget(extraLoadSettings(configured))
-	wholeSlack := share.OfSlack(roles, members, len(members), true).Budget(extraLoadSettings(configured))
+	halfOfSlack := share.ForConnections(roles, members, len(members)).Budget(extraLoadSettings(configured))
+	wholeSlack := share.ForExtraLoad(roles, members, len(members), true).Budget(extraLoadSettings(configured))
 	baseline, actual := 0, 0
 	for seed := range uint64(20) {
 		baseline += newBudgetSimulation(halfOfSlack, executorQueryInterval, hangAtRandom, seed).run()
@@ -165,8 +165,8 @@
 	}
 	assigner := executors.Assigner{EqualNodes: configured.EqualNodes}
 	executorRoles := assigner.Assign(members[0], members)
-	executor := share.OfSlack(assigner.Assign(executorRoles.Executors[0], members), members, len(members), true).Budget(extraLoadSettings(configured))
-	alone := share.OfSlack(executors.Assign(members[0], members), members, len(members), true).Budget(extraLoadSettings(configured))
+	executor := share.ForExtraLoad(assigner.Assign(executorRoles.Executors[0], members), members, len(members), true).Budget(extraLoadSettings(configured))
+	alone := share.ForExtraLoad(executors.Assign(members[0], members), members, len(members), true).Budget(extraLoadSettings(configured))
 	baseline, actual := 0, 0
 	for seed := range uint64(20) {
 		baseline += newBudgetSimulation(alone, standaloneQueryInterval, hangAtFirstLeaf, seed).run()
--- a/internal/edge/node/collector.go
+++ b/internal/edge/node/collector.go
@@ -31,7 +31,7 @@
 
 var _ telemetry.TypedCollector = (*collector)(nil)
 
-func newCollector(dispatcher *scatter.Conn[*forward.Request, forward.Part], shared *mirror.Shared) *collector {
+func newCollector(dispatcher *scatter.QueryRunner[*forward.Request, forward.Part], shared *mirror.Shared) *collector {
 	return &collector{
 		dispatcher: dispatcher,
 		mirror:     shared,
@@ -82,7 +82,7 @@
 	}
 	metrics <- prometheus.MustNewConstMetric(c.hedgesWon, prometheus.CounterValue, float64(counters.HedgesWon))
 	gauge(c.queriesRunning, float64(c.dispatcher.InFlight()))
-	gauge(c.shardsWaiting, float64(load.Waiting))
+	gauge(c.shardsWaiting, float64(load.WaitingShards))
 	gauge(c.budgetAttempts, load.Budget)
 	gauge(c.storeAge, c.mirror.Age().Seconds())
 }
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -41,8 +41,8 @@
 
 // quarantineSink receives the quarantine records of the store.
 type quarantineSink interface {
-	replace(items map[quarantine.Content]quarantine.Known, stale bool)
-	set(content quarantine.Content, record quarantine.Known)
+	replace(items map[quarantine.Content]quarantine.StoredRecord, stale bool)
+	set(content quarantine.Content, record quarantine.StoredRecord)
 	remove(content quarantine.Content, revision uint64)
 	setStoreUnavailable(unavailable bool)
 }
@@ -79,14 +79,14 @@
 	nodes          map[string]roster.Member // by key
 	cordons        []string                 // cordoned zones
 	rollouts       rolloutItems
-	quarantined    map[quarantine.Content]quarantine.Known
+	quarantined    map[quarantine.Content]quarantine.StoredRecord
 }
 
 // decode decodes all items of a full read. Items that cannot be decoded are logged and left out.
 func (f *follower) decode(items []mirror.Item) decodedItems {
 	decoded := decodedItems{
 		nodes:       make(map[string]roster.Member),
-		quarantined: make(map[quarantine.Content]quarantine.Known),
+		quarantined: make(map[quarantine.Content]quarantine.StoredRecord),
 		rollouts:    f.rollouts.decode(items),
 	}
 	for _, item := range items {
@@ -114,7 +114,7 @@
 
 // Replace implements mirror.Sink. The leaves are published before the configuration that may name
 // them; otherwise its first requests would be refused because no leaf is known.
-func (f *follower) Replace(items []mirror.Item, read mirror.Reading) {
+func (f *follower) Replace(items []mirror.Item, read mirror.ReadInfo) {
 	decoded := f.decode(items)
 	f.quarantine.replace(decoded.quarantined, read.Stale)
 	cordonsChanged := f.replaceView(decoded, f.announcer.findPreviousLease(items), read.Stale)
@@ -124,7 +124,7 @@
 	for _, zone := range cordonsChanged {
 		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: slices.Contains(decoded.cordons, zone)})
 	}
-	event.Log(f.logger, event.StoreRead{Leaves: len(decoded.leaves), Nodes: len(decoded.nodes), AfterGap: read.Gap, Stale: read.Stale})
+	event.Log(f.logger, event.StoreSnapshotRead{Leaves: len(decoded.leaves), Nodes: len(decoded.nodes), AfterGap: read.Gap, Stale: read.Stale})
 	f.config.SetFresh(!read.Stale)
 	if !read.Stale {
 		f.metrics.storeUp.Set(1)
@@ -153,7 +153,7 @@
 
 // Change implements mirror.Sink. If the configuration is removed from the store, the last one stays
 // in force.
-func (f *follower) Change(events []mirror.Event) {
+func (f *follower) Apply(events []mirror.Event) {
 	republish := false
 	for _, change := range events {
 		switch f.decoder.Kind(change.Key) {
@@ -170,9 +170,9 @@
 		case KindCordon:
 			f.applyCordonEvent(change)
 			republish = true
-		case KindOrder:
+		case KindRolloutOrder:
 			republish = f.rollouts.applyOrderEvent(change) || republish
-		case KindRecord:
+		case KindRolloutRecord:
 			republish = f.rollouts.applyRecordEvent(change) || republish
 		case KindQuarantine:
 			f.applyQuarantineEvent(change)
@@ -185,7 +185,7 @@
 }
 
 // Lost implements mirror.Sink.
-func (f *follower) Lost(err error) {
+func (f *follower) Disconnected(err error) {
 	f.config.SetFresh(false)
 	f.config.SetOutage(true)
 	f.quarantine.setStoreUnavailable(true)
@@ -194,14 +194,14 @@
 }
 
 // Regained implements mirror.Sink.
-func (f *follower) Regained(outage time.Duration) {
+func (f *follower) Reconnected(outage time.Duration) {
 	f.view.mutex.Lock()
 	f.view.leaves.RecordOutage(f.clock.Now())
 	f.view.mutex.Unlock()
 	f.config.SetOutage(false)
 	f.quarantine.setStoreUnavailable(false)
 	f.metrics.storeUp.Set(1)
-	event.Log(f.logger, event.StoreRegained{Away: outage})
+	event.Log(f.logger, event.StoreRegained{Outage: outage})
 }
 
 // planStart implements mirror.Planner.
--- a/internal/edge/node/follower_nodes.go
+++ b/internal/edge/node/follower_nodes.go
@@ -14,7 +14,7 @@
 	member, err := roster.Decode(item.Value)
 	if err != nil || member.Name == "" {
 		event.Log(f.logger, event.NodeRejected{Key: item.Key, Revision: item.Revision, Error: err})
-		return roster.Member{Name: f.decoder.Node(item.Key)}, item.Lease != 0
+		return roster.Member{Name: f.decoder.NodeName(item.Key)}, item.Lease != 0
 	}
 	return member, true
 }
@@ -33,6 +33,6 @@
 	}
 	f.view.mutex.Unlock()
 	event.Log(f.logger, event.NodeChanged{
-		Peer: f.decoder.Node(change.Key), Removed: change.Removed, Revision: change.Revision,
+		Peer: f.decoder.NodeName(change.Key), Removed: change.Removed, Revision: change.Revision,
 	})
 }
--- a/internal/edge/node/follower_quarantine.go
+++ b/internal/edge/node/follower_quarantine.go
@@ -7,11 +7,11 @@
 )
 
 // decodeQuarantineRecord decodes the quarantine record of a request.
-func (f *follower) decodeQuarantineRecord(item mirror.Item) (quarantine.Content, quarantine.Known, bool) {
-	content, err := f.decoder.Quarantined(item.Key)
-	var record quarantine.Known
+func (f *follower) decodeQuarantineRecord(item mirror.Item) (quarantine.Content, quarantine.StoredRecord, bool) {
+	content, err := f.decoder.QuarantinedContent(item.Key)
+	var record quarantine.StoredRecord
 	if err == nil {
-		record, err = f.decoder.Quarantine(item)
+		record, err = f.decoder.QuarantineRecord(item)
 	}
 	if err != nil {
 		event.Log(f.logger, event.QuarantineRejected{Key: item.Key, Revision: item.Revision, Error: err})
@@ -28,7 +28,7 @@
 		}
 		return
 	}
-	if content, err := f.decoder.Quarantined(change.Key); err == nil { // a key that cannot be decoded was never applied
+	if content, err := f.decoder.QuarantinedContent(change.Key); err == nil { // a key that cannot be decoded was never applied
 		f.quarantine.remove(content, change.Revision)
 	}
 }
--- a/internal/edge/node/follower_test.go
+++ b/internal/edge/node/follower_test.go
@@ -27,19 +27,23 @@
 type keyDecoder struct{}
 
 func (keyDecoder) Prefix() string               { return "" }
-func (keyDecoder) OrderedService(string) string { return "" }
+func (keyDecoder) RolloutService(string) string { return "" }
 
-func (keyDecoder) Order(mirror.Item) (rollout.Order, error) { return rollout.Order{}, nil }
+func (keyDecoder) RolloutOrder(mirror.Item) (rollout.Order, error) { return rollout.Order{}, nil }
 
-func (keyDecoder) Record(mirror.Item) (rollout.Record, error) { return rollout.Record{}, nil }
+func (keyDecoder) RolloutRecord(mirror.Item) (rollout.Record, error) { return rollout.Record{}, nil }
 
-func (keyDecoder) Quarantined(string) (quarantine.Content, error) { return quarantine.Content{}, nil }
+func (keyDecoder) QuarantinedContent(string) (quarantine.Content, error) {
+	return quarantine.Content{}, nil
+}
 
-func (keyDecoder) Quarantine(mirror.Item) (quarantine.Known, error) { return quarantine.Known{}, nil }
+func (keyDecoder) QuarantineRecord(mirror.Item) (quarantine.StoredRecord, error) {
+	return quarantine.StoredRecord{}, nil
+}
 
 func (keyDecoder) CordonedZone(string) string    { return "" }
 func (keyDecoder) NodePrefix() string            { return "node/" }
-func (keyDecoder) Node(key string) string        { return key }
+func (keyDecoder) NodeName(key string) string    { return key }
 func (keyDecoder) NodeKey(name, _ string) string { return "node/" + name }
 
 func (keyDecoder) Kind(key string) Kind {
@@ -107,15 +111,15 @@
 		served++
 	}})
 	n = New(settings.Defaults(), Ports{
-		Decoder:  keyDecoder{},
-		Leaves:   servingLeaves{},
-		OnLeaves: func([]LeafShare) { publications++ },
+		Decoder:      keyDecoder{},
+		Leaves:       servingLeaves{},
+		OnLeafShares: func([]LeafShare) { publications++ },
 	}, telemetry.NewRegistry("test"), logger)
 	sink := n.follower
 	sink.Replace([]mirror.Item{
 		{Key: "config", Value: []byte("desk"), Revision: 2},
 		{Key: "leaf/desk", Revision: 1},
-	}, mirror.Reading{})
+	}, mirror.ReadInfo{})
 	if served == 0 || publications != 1 {
 		t.Errorf("after the first read: got %d requests answered, %d topologies published; want at least 1 and exactly 1", served, publications)
 	}
@@ -124,7 +128,7 @@
 		{Key: "config", Value: []byte("board"), Revision: 4},
 		{Key: "leaf/board", Revision: 3},
 		{Key: "leaf/desk", Revision: 1},
-	}, mirror.Reading{Gap: true})
+	}, mirror.ReadInfo{Gap: true})
 	if served == 0 {
 		t.Error("after the second read: got no request answered, want at least 1")
 	}
@@ -134,11 +138,11 @@
 // copy of another node does not.
 func TestStoreUpMetricAfterFirstRead(t *testing.T) {
 	for _, test := range []struct {
-		read mirror.Reading
+		read mirror.ReadInfo
 		want float64
-	}{{mirror.Reading{}, 1}, {mirror.Reading{Stale: true}, 0}} {
+	}{{mirror.ReadInfo{}, 1}, {mirror.ReadInfo{Stale: true}, 0}} {
 		n := New(settings.Defaults(), Ports{
-			Decoder: keyDecoder{}, Leaves: servingLeaves{}, OnLeaves: func([]LeafShare) {},
+			Decoder: keyDecoder{}, Leaves: servingLeaves{}, OnLeafShares: func([]LeafShare) {},
 		}, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
 		n.follower.Replace([]mirror.Item{{Key: "leaf/desk", Revision: 1}}, test.read)
 		if got := testutil.ToFloat64(n.metrics.storeUp); got != test.want {
--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -33,11 +33,11 @@
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &metrics{
-		requestsTotal: factory.Counters("micaplank_frontend_requests_total",
+		requestsTotal: factory.CounterVec("micaplank_frontend_requests_total",
 			"Client requests, by route (64 at most, then other), fate and reason.",
 			"route", "fate", "reason"),
 		routeLabels: make(labelSet),
-		requestSeconds: factory.Histograms("micaplank_frontend_request_seconds",
+		requestSeconds: factory.HistogramVec("micaplank_frontend_request_seconds",
 			"Time from reading a request until its final answer, by fate.",
 			latencyBuckets, "fate"),
 		configVersion: factory.Gauge("micaplank_frontend_config_version",
--- a/internal/edge/node/mirror_calls.go
+++ b/internal/edge/node/mirror_calls.go
@@ -36,8 +36,8 @@
 }
 
 // Watch implements mirror.Peers.
-func (p mirrorPeers) Watch(ctx context.Context, watcher netip.AddrPort, after uint64, wait time.Duration) (mirror.Watched, error) {
-	var answer mirror.Watched
+func (p mirrorPeers) Watch(ctx context.Context, watcher netip.AddrPort, after uint64, wait time.Duration) (mirror.WatchResponse, error) {
+	var answer mirror.WatchResponse
 	err := p.client.Call(ctx, watcher, methodWatch, &watchRequest{After: after, Wait: wait}, &answer)
 	return answer, err
 }
@@ -58,14 +58,14 @@
 
 // mirrorServer provides a copy of the store. It is implemented by mirror.Shared.
 type mirrorServer interface {
-	Serve(ctx context.Context, after uint64, wait time.Duration) (mirror.Watched, error)
+	Serve(ctx context.Context, after uint64, wait time.Duration) (mirror.WatchResponse, error)
 	Offer(ctx context.Context, wait time.Duration) mirror.Offer
 	Snapshot() (mirror.Snapshot, error)
 }
 
 // serveMirror answers the calls of other nodes from a copy of the store.
 func serveMirror(server *peer.Server, shared mirrorServer) {
-	peer.Register(server, methodWatch, func(ctx context.Context, _ netip.AddrPort, request *watchRequest) (*mirror.Watched, error) {
+	peer.Register(server, methodWatch, func(ctx context.Context, _ netip.AddrPort, request *watchRequest) (*mirror.WatchResponse, error) {
 		answer, err := shared.Serve(ctx, request.After, request.Wait)
 		return &answer, err
 	})
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -46,7 +46,7 @@
 	draining        atomic.Bool
 
 	// These fields run requests.
-	conn      *scatter.Conn[*forward.Request, forward.Part]
+	conn      *scatter.QueryRunner[*forward.Request, forward.Part]
 	forwarder *forward.Forwarder
 	runner    *localRunner
 
@@ -102,15 +102,15 @@
 // buildRequestPath creates the parts that run requests.
 func (n *Node) buildRequestPath(view *view, registerer prometheus.Registerer) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	n.conn = scatter.NewConn(scatter.Config[*forward.Request, forward.Part]{
-		AttemptPrefix: n.settings.Name,
-		Leaves:        n.combine,
-		Clock:         n.clock,
-		Guard:         func() error { return nil },
-		Metrics:       scatter.NewMetrics(registerer),
-		Linger:        n.settings.Forward.Linger.Duration(),
-		Trace:         true,
-		OnClosed:      func(running scatter.Unfinished[*forward.Request]) { n.quarantine.LeafLost(running) },
+	n.conn = scatter.NewQueryRunner(scatter.Config[*forward.Request, forward.Part]{
+		AttemptPrefix:      n.settings.Name,
+		Leaves:             n.combine,
+		Clock:              n.clock,
+		Guard:              func() error { return nil },
+		Metrics:            scatter.NewMetrics(registerer),
+		Linger:             n.settings.Forward.Linger.Duration(),
+		Trace:              true,
+		OnConnectionClosed: func(running scatter.QueryProgress[*forward.Request]) { n.quarantine.LeafLost(running) },
 	}, dispatch.New(dispatchConfig(n.settings), random))
 	n.quarantine = newQuarantineDriver(n.self.Name, n.settings.Forward, n.ports.Quarantine, view, n.clock, n.logger, registerer)
 	n.forwarder = forward.New(forwardConfig(n.settings.Forward, n.clock), n.conn, n.quarantine, view.index)
@@ -129,7 +129,7 @@
 	n.publisher = (&publisher{
 		subscribers: subscribers{
 			dispatcher: n.conn, rollouts: n.rollouts, quarantine: n.quarantine,
-			delegate: n.delegate, combine: n.combine, mirror: n.mirror, onLeaves: n.ports.OnLeaves,
+			delegate: n.delegate, combine: n.combine, mirror: n.mirror, onLeaves: n.ports.OnLeafShares,
 		},
 		settings: n.settings, self: n.self, view: view, terms: terms, config: n.forwarder, metrics: n.metrics,
 	}).start()
@@ -166,7 +166,7 @@
 
 // execute delegates a request to many shards to an executor, or runs it on this node.
 func (n *Node) execute(ctx context.Context, request *forward.Request) forward.Answer {
-	if timeout, scattered := n.forwarder.Spread(request); scattered && n.delegate.InUse() {
+	if timeout, scattered := n.forwarder.FanOut(request); scattered && n.delegate.InUse() {
 		if answer, done := n.delegateRequest(ctx, timeout, request); done {
 			return answer
 		}
@@ -176,7 +176,7 @@
 
 // delegateRequest hands a request to an executor. It returns false if no executor accepts it.
 func (n *Node) delegateRequest(ctx context.Context, timeout time.Duration, request *forward.Request) (forward.Answer, bool) {
-	delegateCtx, cancel := context.WithTimeout(ctx, timeout+executors.Grace)
+	delegateCtx, cancel := context.WithTimeout(ctx, timeout+executors.ResponseGrace)
 	defer cancel()
 	return n.delegate.Execute(delegateCtx, n.follower.terms.current(), request)
 }
--- a/internal/edge/node/policy.go
+++ b/internal/edge/node/policy.go
@@ -45,11 +45,11 @@
 	config.WorkByLeaf = true
 	// A hedge may wait behind one other attempt. This yields answers in time where all leaves of a
 	// shard have a short queue, and depends on crowdingPenalty and the setting hedge_share.
-	config.Hedge.Queue = 1
+	config.Hedge.MaximumQueue = 1
 	// Probes at the default interval of 0.5 s use up the extra load of a fleet of 60 nodes when 0.4
 	// of the leaves are slow, and fewer requests are answered in time. With 7 nodes the interval
 	// makes no difference.
-	config.Probation.ProbeInterval = share.MinProbeInterval
+	config.Probation.ProbeInterval = share.MinNodeProbeInterval
 
 	// Requests whose coverage cannot be reached are refused at once. Otherwise leaves work for
 	// answers that cannot be given: in the second after an outage of the store, 51 requests failed
@@ -79,9 +79,9 @@
 
 // configureReplicaScore sets how a leaf is chosen among the replicas of a shard.
 func configureReplicaScore(config *dispatch.Config) {
-	config.Score.Crowding = crowdingPenalty
-	config.Score.LossPrice = lossPenalty
-	config.Score.Tie = zoneTieTolerance
+	config.Score.UtilizationCost = crowdingPenalty
+	config.Score.LossCost = lossPenalty
+	config.Score.TieMargin = zoneTieTolerance
 }
 
 // spendableShare is the part of the allowed extra load that a node spends. Back ends may count
@@ -94,8 +94,8 @@
 	// Each service has its own bound, and counts refused attempts as load.
 	config.BudgetByShard = true
 	config.ChargeRefusals = true
-	config.Budget.Earned = spendableShare
-	config.Budget.Resize(share.Alone(configured.ExtraNodes).Budget(extraLoadSettings(configured)))
+	config.Budget.EarnedShare = spendableShare
+	config.Budget.Resize(share.Standalone(configured.ExtraNodes).Budget(extraLoadSettings(configured)))
 	// The bound holds whatever is lost, so retries may not overdraw the budget.
-	config.Budget.Debt = 0
+	config.Budget.MaxDebt = 0
 }
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -22,14 +22,14 @@
 
 // These are the kinds of keys.
 const (
-	KindOther      Kind = iota // not used by a node
-	KindConfig                 // the declared configuration
-	KindLeaf                   // the announcement of a leaf
-	KindNode                   // the announcement of a node like this one
-	KindCordon                 // the cordon of a zone by an operator
-	KindOrder                  // an operator's order to roll out a version
-	KindRecord                 // the progress of a rollout
-	KindQuarantine             // the quarantine record of a request
+	KindOther         Kind = iota // not used by a node
+	KindConfig                    // the declared configuration
+	KindLeaf                      // the announcement of a leaf
+	KindNode                      // the announcement of a node like this one
+	KindCordon                    // the cordon of a zone by an operator
+	KindRolloutOrder              // an operator's order to roll out a version
+	KindRolloutRecord             // the progress of a rollout
+	KindQuarantine                // the quarantine record of a request
 )
 
 // Decoder decodes the keys and values of the store. Its methods keep no reference to an item.
@@ -47,26 +47,26 @@
 	CordonedZone(key string) string
 	// OrderedService returns the service whose rollout a key orders. The key exists as long as the
 	// order.
-	OrderedService(key string) string
+	RolloutService(key string) string
 	// Order decodes the order of a rollout.
-	Order(item mirror.Item) (rollout.Order, error)
+	RolloutOrder(item mirror.Item) (rollout.Order, error)
 	// Record decodes the record of a rollout.
-	Record(item mirror.Item) (rollout.Record, error)
+	RolloutRecord(item mirror.Item) (rollout.Record, error)
 	// Quarantined returns the content of the request that a key names.
-	Quarantined(key string) (quarantine.Content, error)
+	QuarantinedContent(key string) (quarantine.Content, error)
 	// Quarantine decodes the quarantine record of a request.
-	Quarantine(item mirror.Item) (quarantine.Known, error)
+	QuarantineRecord(item mirror.Item) (quarantine.StoredRecord, error)
 	// NodePrefix is the common prefix of the announcements of nodes.
 	NodePrefix() string
 	// Node returns the name of the node that a key announces.
-	Node(key string) string
+	NodeName(key string) string
 	// NodeKey returns the key that announces an incarnation of a node.
 	NodeKey(name, incarnation string) string
 }
 
 // ErrOvertaken means that a concurrent write came first: the record, or the order that it answers,
 // is not the one on which the change was based.
-var ErrOvertaken = errors.New("record was changed concurrently")
+var ErrConflict = errors.New("record was changed concurrently")
 
 // Rollouts writes the steps of rollouts.
 type Rollouts interface {
@@ -83,7 +83,7 @@
 	// record after the change. With ErrOvertaken it returns the record that another node wrote; a
 	// revision of zero means that there is no record. With lease.ErrLapsed nothing was written.
 	// After any other error the write may have happened or may still happen.
-	WriteQuarantine(ctx context.Context, change quarantine.Change, leaseID uint64) (quarantine.Known, error)
+	WriteQuarantine(ctx context.Context, change quarantine.Change, leaseID uint64) (quarantine.StoredRecord, error)
 }
 
 // Ports are the external dependencies of a Node.
@@ -101,7 +101,7 @@
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
 	// OnLeaves receives the leaves of each topology before the Dispatcher uses it.
-	OnLeaves func([]LeafShare)
+	OnLeafShares func([]LeafShare)
 }
 
 // LeafShare says how many connections to a leaf this node may keep. If Connections is zero, the
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -95,7 +95,7 @@
 	p.delegate.SetRoles(roles, p.terms.current())
 	p.combine.SetMembers(roles.Combiners(members))
 	p.setWatchers(members)
-	nodeShare := share.Of(roles, members, nodes)
+	nodeShare := share.ForConnections(roles, members, nodes)
 	p.dispatcher.ResizeBudgets(p.budgetsByShard(roles, members, nodes))
 	p.dispatcher.SetProbeInterval(nodeShare.ProbeInterval())
 	p.boundColdLeaves(&topology, roles, members)
@@ -119,7 +119,7 @@
 func (p *publisher) setWatchers(members []roster.Member) {
 	watching := false
 	var others []netip.AddrPort
-	for _, watcher := range roster.Preferred(p.self, roster.Watchers(members, p.settings.Peers.Seeds...)) {
+	for _, watcher := range roster.OrderByZone(p.self, roster.SelectWatchers(members, p.settings.Peers.Seeds...)) {
 		if watcher.Name == p.self.Name {
 			watching = true
 			continue
--- a/internal/edge/node/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -47,8 +47,8 @@
 	table *quarantine.Table
 	// changed is closed and replaced at each change of the table.
 	changed    chan struct{}
-	recent     *quarantine.Recent
-	background quarantine.Background
+	recent     *quarantine.RecentAnswers
+	background quarantine.BackgroundRate
 }
 
 var _ forward.Quarantine = (*quarantineDriver)(nil)
@@ -58,7 +58,7 @@
 func newQuarantineDriver(name string, configured settings.Forward, store Quarantine, announced announcementView, clock clock.Clock, logger *slog.Logger, registerer prometheus.Registerer) *quarantineDriver {
 	config := quarantine.DefaultConfig(name + "/" + ulid.Make().String())
 	config.MinCrashes = configured.QuarantineAfter
-	config.Heartbeat = configured.LeafHeartbeat.Duration()
+	config.HeartbeatInterval = configured.LeafHeartbeat.Duration()
 	return &quarantineDriver{
 		store:      store,
 		announced:  announced,
@@ -71,7 +71,7 @@
 		wake:       make(chan struct{}, 1),
 		table:      quarantine.NewTable(config),
 		changed:    make(chan struct{}),
-		recent:     quarantine.NewRecent(),
+		recent:     quarantine.NewRecentAnswers(),
 	}
 }
 
@@ -92,11 +92,11 @@
 		if err == nil {
 			return forward.Admission{Verdict: quarantine.Trial}
 		}
-		if !errors.Is(err, ErrOvertaken) {
+		if !errors.Is(err, ErrConflict) {
 			break
 		}
 	}
-	return q.refuse(quarantine.Decision{RetryAfter: retryafter.Unknown})
+	return q.refuse(quarantine.Decision{RetryAfter: retryafter.StoreReadDelay})
 }
 
 // awaitDecision decides on a request once no trial of it is running, or after the decision's retry
@@ -142,12 +142,12 @@
 // beginTrial writes the start of a trial to the store, unless trials are not written in the present
 // state of the store.
 func (q *quarantineDriver) beginTrial(ctx context.Context, change quarantine.Change) error {
-	if !quarantine.WritesTrial(q.storeUnavailable.Load()) {
+	if !quarantine.MustWriteTrial(q.storeUnavailable.Load()) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantine.TrialWriteTimeout)
 	defer cancel()
-	return q.write(ctx, change, func() { q.table.Withdraw(change.Content) })
+	return q.write(ctx, change, func() { q.table.CancelTrial(change.Content) })
 }
 
 // notifyTableChange wakes the goroutines that wait for a change of the table, and updates the
--- a/internal/edge/node/quarantine_outcomes.go
+++ b/internal/edge/node/quarantine_outcomes.go
@@ -11,7 +11,7 @@
 )
 
 // Finished implements forward.Quarantine.
-func (q *quarantineDriver) Finished(content quarantine.Content, execution forward.Execution) {
+func (q *quarantineDriver) RecordExecution(content quarantine.Content, execution forward.Execution) {
 	if !q.enabled {
 		return
 	}
@@ -24,11 +24,11 @@
 	switch {
 	case answered:
 		q.recent.Add(now, content)
-		changed = q.table.Answered(content)
+		changed = q.table.RecordAnswer(content)
 	case trial:
 		q.recordFailedTrial(now, content, crashes, attempts)
 		changed = true
-	case len(crashes) > 0 && !q.recent.Has(now, content):
+	case len(crashes) > 0 && !q.recent.Contains(now, content):
 		changed = q.suspect(now, content, execution.Route, crashes)
 	}
 	if trial {
@@ -44,7 +44,7 @@
 // crashed under it and none has answered, the request is suspected. Waiting for its end, which
 // depends on its slowest shard, would let the node run the same request in full for other clients
 // in the meantime. Finished records the leaves that crash later.
-func (q *quarantineDriver) LeafLost(running scatter.Unfinished[*forward.Request]) {
+func (q *quarantineDriver) LeafLost(running scatter.QueryProgress[*forward.Request]) {
 	if !q.enabled || !q.reachedMinCrashes(running.Attempts) {
 		return
 	}
@@ -52,14 +52,14 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.clock.Now()
-	if q.recent.Has(now, content) {
+	if q.recent.Contains(now, content) {
 		return
 	}
 	var crashes []quarantine.Crash
 	for index := range running.Attempts {
 		if attempt := &running.Attempts[index]; attempt.Closed {
-			sent := running.Began + attempt.At
-			if crash, crashed := q.table.Lost(attempt.BootID, sent, sent+attempt.Took); crashed {
+			sent := running.SubmittedAt + attempt.SentAfter
+			if crash, crashed := q.table.RecordLoss(attempt.BootID, sent, sent+attempt.Duration); crashed {
 				crashes = append(crashes, quarantine.NewCrash(crash, running.RequestID))
 			}
 		}
@@ -89,17 +89,17 @@
 // returns the leaves that crashed under the request, and whether a leaf answered, possibly with an
 // error response. The caller holds the mutex.
 func (q *quarantineDriver) recordAttempts(now time.Duration, content quarantine.Content, execution forward.Execution) (crashes []quarantine.Crash, answered bool) {
-	_, suspected := q.table.Of(content)
+	_, suspected := q.table.Lookup(content)
 	for index := range execution.Attempts {
 		attempt := &execution.Attempts[index]
-		sent := execution.Began + attempt.At
+		sent := execution.StartedAt + attempt.SentAfter
 		switch {
 		case attempt.End == scatter.EndAnswered, attempt.End == scatter.EndFailed:
 			answered = true
-			q.table.LeafAnswered(attempt.BootID, sent)
+			q.table.RecordLeafAnswer(attempt.BootID, sent)
 			q.background.Add(now, content, suspected, attempt.Shard, false)
 		case attempt.Closed:
-			crash, crashed := q.table.Lost(attempt.BootID, sent, sent+attempt.Took)
+			crash, crashed := q.table.RecordLoss(attempt.BootID, sent, sent+attempt.Duration)
 			if !crashed {
 				q.metrics.voidLosses.Inc()
 				continue
@@ -122,16 +122,16 @@
 func (q *quarantineDriver) recordFailedTrial(now time.Duration, content quarantine.Content, crashes []quarantine.Crash, attempts []scatter.AttemptTrace) {
 	switch {
 	case !anyMayHaveRun(attempts):
-		q.table.Withdraw(content)
+		q.table.CancelTrial(content)
 		return
 	case len(crashes) == 0:
-		q.table.TrialInconclusive(now, content)
+		q.table.RecordInconclusiveTrial(now, content)
 		return
 	}
-	chance := q.background.Chance(now, content, attempts[0].Shard)
-	held := q.table.TrialCrashed(now, content, crashes, chance)
-	record, _ := q.table.Of(content)
-	event.Log(q.logger, event.RequestTried{
+	chance := q.background.CrashChance(now, content, attempts[0].Shard)
+	held := q.table.RecordTrialCrash(now, content, crashes, chance)
+	record, _ := q.table.Lookup(content)
+	event.Log(q.logger, event.TrialFailed{
 		Content: content, Route: record.Route, Leaf: crashes[0].Leaf, Trials: record.Trials, Chance: roundToHundredths(chance), Odds: roundToHundredths(record.Odds),
 	})
 	if held {
@@ -142,7 +142,7 @@
 // suspect records that leaves crashed under a request that was not answered. It reports whether
 // this added anything to the table. The caller holds the mutex.
 func (q *quarantineDriver) suspect(now time.Duration, content quarantine.Content, route string, crashes []quarantine.Crash) bool {
-	added := q.table.Suspect(now, content, route, crashes)
+	added := q.table.RecordCrashes(now, content, route, crashes)
 	if added {
 		event.Log(q.logger, event.RequestSuspected{Content: content, Route: route, Leaves: crashedLeaves(crashes)})
 	}
@@ -158,7 +158,7 @@
 	return leaves
 }
 
-func (q *quarantineDriver) logHeld(content quarantine.Content, record quarantine.Known) {
+func (q *quarantineDriver) logHeld(content quarantine.Content, record quarantine.StoredRecord) {
 	event.Log(q.logger, event.RequestHeld{
 		Content: content, Route: record.Route, Leaves: crashedLeaves(record.Crashes), Trials: record.Trials, Odds: roundToHundredths(record.Odds), Revision: record.Revision,
 	})
--- a/internal/edge/node/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -24,11 +24,11 @@
 	}
 	switch {
 	case err == nil:
-		q.table.Written(now, change, current.Revision)
-	case errors.Is(err, ErrOvertaken) && current.Revision == 0:
+		q.table.MarkWritten(now, change, current.Revision)
+	case errors.Is(err, ErrConflict) && current.Revision == 0:
 		q.table.Remove(now, change.Content, math.MaxUint64)
-	case errors.Is(err, ErrOvertaken):
-		q.table.Set(now, change.Content, current)
+	case errors.Is(err, ErrConflict):
+		q.table.ApplyStored(now, change.Content, current)
 	}
 	q.metrics.writes.WithLabelValues(writeResult(err)).Inc()
 	q.notifyTableChange()
@@ -39,7 +39,7 @@
 	switch {
 	case err == nil:
 		return resultWritten
-	case errors.Is(err, ErrOvertaken):
+	case errors.Is(err, ErrConflict):
 		return resultOvertaken
 	default:
 		return resultFailed
@@ -48,33 +48,33 @@
 
 // writeWithRetry makes one change. A call that returned an error may have been carried out; a
 // second call reveals that, and the change then counts as done.
-func (q *quarantineDriver) writeWithRetry(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
+func (q *quarantineDriver) writeWithRetry(ctx context.Context, change quarantine.Change) (quarantine.StoredRecord, error) {
 	current, err := q.writeUnderLease(ctx, change)
-	if err != nil && !errors.Is(err, ErrOvertaken) && ctx.Err() == nil {
+	if err != nil && !errors.Is(err, ErrConflict) && ctx.Err() == nil {
 		current, err = q.writeUnderLease(ctx, change)
 	}
-	if errors.Is(err, ErrOvertaken) && change.Done(current) {
+	if errors.Is(err, ErrConflict) && change.AppliedIn(current) {
 		return current, nil
 	}
 	return current, err
 }
 
 // writeUnderLease writes one change to the store, under a new lease if the last one has expired.
-func (q *quarantineDriver) writeUnderLease(ctx context.Context, change quarantine.Change) (quarantine.Known, error) {
+func (q *quarantineDriver) writeUnderLease(ctx context.Context, change quarantine.Change) (quarantine.StoredRecord, error) {
 	if change.Remove {
 		return q.store.WriteQuarantine(ctx, change, 0)
 	}
 	leaseID, err := q.lease.ID(ctx)
 	if err != nil {
-		return quarantine.Known{}, err
+		return quarantine.StoredRecord{}, err
 	}
 	current, err := q.store.WriteQuarantine(ctx, change, leaseID)
-	if !errors.Is(err, lease.ErrLapsed) {
+	if !errors.Is(err, lease.ErrExpired) {
 		return current, err
 	}
 	q.lease.Invalidate(leaseID)
 	if leaseID, err = q.lease.ID(ctx); err != nil {
-		return quarantine.Known{}, err
+		return quarantine.StoredRecord{}, err
 	}
 	return q.store.WriteQuarantine(ctx, change, leaseID)
 }
@@ -120,44 +120,44 @@
 // flush writes all pending changes. It reports whether none is left.
 func (q *quarantineDriver) flush(ctx context.Context) bool {
 	q.mutex.Lock()
-	pending := q.table.Unwritten()
+	pending := q.table.PendingWrites()
 	q.mutex.Unlock()
 	for _, content := range pending {
 		q.mutex.Lock()
-		change, needed := q.table.Change(content)
+		change, needed := q.table.PendingChange(content)
 		q.mutex.Unlock()
 		if !needed {
 			continue
 		}
-		if err := q.write(ctx, change, nil); err != nil && !errors.Is(err, ErrOvertaken) && ctx.Err() == nil {
+		if err := q.write(ctx, change, nil); err != nil && !errors.Is(err, ErrConflict) && ctx.Err() == nil {
 			event.Log(q.logger, event.QuarantineNotWritten{Content: content, Error: err})
 			return false
 		}
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return len(q.table.Unwritten()) == 0
+	return len(q.table.PendingWrites()) == 0
 }
 
 // replace applies the records of a full read. A stale read may lack records, so its records are
 // merged.
-func (q *quarantineDriver) replace(records map[quarantine.Content]quarantine.Known, stale bool) {
+func (q *quarantineDriver) replace(records map[quarantine.Content]quarantine.StoredRecord, stale bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if stale {
-		q.table.Merge(q.clock.Now(), records)
+		q.table.ApplySome(q.clock.Now(), records)
 	} else {
-		q.table.Replace(q.clock.Now(), records)
+		q.table.ApplyAll(q.clock.Now(), records)
 	}
 	q.notifyTableChange()
 }
 
 // set applies one record of the store.
-func (q *quarantineDriver) set(content quarantine.Content, record quarantine.Known) {
+func (q *quarantineDriver) set(content quarantine.Content, record quarantine.StoredRecord) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.table.Set(q.clock.Now(), content, record) {
-		merged, _ := q.table.Of(content)
+	if q.table.ApplyStored(q.clock.Now(), content, record) {
+		merged, _ := q.table.Lookup(content)
 		q.logHeld(content, merged)
 	}
 	q.notifyTableChange()
@@ -177,7 +177,7 @@
 // reviewSuspects finds the leaves that were reported as crashed but are still announced.
 func (q *quarantineDriver) reviewSuspects() {
 	q.mutex.Lock()
-	suspects := q.table.Suspects()
+	suspects := q.table.UnresolvedLeaves()
 	q.mutex.Unlock()
 	if len(suspects) == 0 {
 		return
@@ -185,7 +185,7 @@
 	announced := q.announced.findAnnounced(suspects) // before q.mutex is locked: the view calls this driver with its own mutex held
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	survivors := q.table.Review(q.clock.Now(), announced)
+	survivors := q.table.DetectSurvivors(q.clock.Now(), announced)
 	for _, survivor := range survivors {
 		q.metrics.survivors.Inc()
 		event.Log(q.logger, event.LeafSurvived{Content: survivor.Content, Route: survivor.Route, Leaf: survivor.Leaf})
@@ -204,7 +204,7 @@
 	q.storeUnavailable.Store(unavailable)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.table.SetStoreAway(q.clock.Now(), unavailable)
+	q.table.SetStoreUnavailable(q.clock.Now(), unavailable)
 }
 
 // setNodes sets the number of nodes. It is called with each topology, and also expires old entries.
--- a/internal/edge/node/request_log.go
+++ b/internal/edge/node/request_log.go
@@ -61,9 +61,9 @@
 		}
 		logged = append(logged, event.Attempt{
 			Shard: attempt.Shard, Leaf: attempt.BootID, Address: attempt.Leaf.String(), Cause: string(attempt.Cause),
-			AtMS: attempt.At.Milliseconds(), TookMS: attempt.Took.Milliseconds(), End: string(attempt.End), Closed: attempt.Closed, Detail: attempt.Detail,
-			InFlight: attempt.Basis.InFlight, Limit: attempt.Basis.Limit, Others: roundToHundredths(attempt.Basis.Others),
-			AgeMS: attempt.Basis.Age.Milliseconds(), Pace: attempt.Basis.Pace, Slowness: roundToHundredths(attempt.Basis.Slowness), Budget: roundToHundredths(attempt.Basis.Budget),
+			AtMS: attempt.SentAfter.Milliseconds(), TookMS: attempt.Duration.Milliseconds(), End: string(attempt.End), Closed: attempt.Closed, Detail: attempt.Detail,
+			InFlight: attempt.Basis.InFlight, Limit: attempt.Basis.Limit, Others: roundToHundredths(attempt.Basis.OthersInFlight),
+			AgeMS: attempt.Basis.ReportAge.Milliseconds(), Pace: attempt.Basis.Pace, Slowness: roundToHundredths(attempt.Basis.Slowness), Budget: roundToHundredths(attempt.Basis.Budget),
 		})
 	}
 	return logged
--- a/internal/edge/node/request_log_test.go
+++ b/internal/edge/node/request_log_test.go
@@ -38,7 +38,7 @@
 func TestLoggedAttemptsAreSelectedAndBounded(t *testing.T) {
 	plain := scatter.AttemptTrace{Send: dispatch.Send{Cause: dispatch.CauseNeeded, Leaf: netip.MustParseAddrPort("10.0.0.1:80")}, End: scatter.EndAnswered}
 	unanswered := plain
-	unanswered.End, unanswered.At, unanswered.Basis.Slowness = scatter.EndOpen, 54*time.Millisecond, 1.23456
+	unanswered.End, unanswered.SentAfter, unanswered.Basis.Slowness = scatter.EndOpen, 54*time.Millisecond, 1.23456
 	hedge := plain
 	hedge.Extra, hedge.Cause = true, dispatch.CauseHedge
 	logged := loggedAttempts(forward.Answer{Total: 3, Attempts: []scatter.AttemptTrace{plain, unanswered, hedge}})
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -73,7 +73,7 @@
 	wake chan struct{}
 
 	// reporting chooses the node to report to.
-	reporting *rollout.Reporting
+	reporting *rollout.DeciderSelector
 	// reportedTo is the node that received the last report.
 	reportedTo string
 	// reportFailure is the error of the last report; nil if it succeeded.
@@ -108,14 +108,14 @@
 		decider:      rollout.NewDecider(table, incarnation),
 		allowances:   make(map[string]allowance),
 		wake:         make(chan struct{}, 1),
-		reporting:    rollout.NewReporting(),
+		reporting:    rollout.NewDeciderSelector(),
 		writing:      make(map[string]bool),
 	}
 }
 
 func (r *rolloutDriver) logPhase(state *rollout.Rollout) {
 	event.Log(r.logger, event.RolloutChanged{
-		Service: state.Record.Service, Version: state.Record.Version, Phase: string(state.Phase()),
+		Service: state.Record.Service, Target: state.Record.Version, Phase: string(state.Phase()),
 		Reason: state.Record.Reason, Age: state.Age(r.clock.Now()).Round(time.Millisecond), Order: state.Order.Revision,
 	})
 }
@@ -123,16 +123,16 @@
 // applyTableChange updates everything that depends on the set of open rollouts. The caller holds
 // the mutex of the view.
 func (r *rolloutDriver) applyTableChange() {
-	open := r.table.Open()
+	open := r.table.OpenServices()
 	r.metrics.open.Set(float64(len(open)))
 	r.open.Store(len(open) > 0)
 	orders := make(map[string]uint64, len(open))
 	for _, service := range open {
-		orders[service] = r.table.Of(service).Order.Revision
+		orders[service] = r.table.Lookup(service).Order.Revision
 	}
 	r.counter.Retain(orders)
 	if len(open) == 0 {
-		r.reporting.Forget()
+		r.reporting.Reset()
 		return
 	}
 	select {
@@ -150,7 +150,7 @@
 	}
 	stages := make(map[string]registry.Stage, len(services))
 	for _, service := range services {
-		state := r.table.Of(service)
+		state := r.table.Lookup(service)
 		if state.Version() == "" {
 			continue
 		}
@@ -164,10 +164,10 @@
 // setAllowances sets the Dispatcher's allowances for this node. The participating nodes divide the
 // slack among them. The caller holds the mutex of the view.
 func (r *rolloutDriver) setAllowances(members []roster.Member) {
-	open := r.table.Open()
+	open := r.table.OpenServices()
 	for service := range r.allowances {
-		if !slices.Contains(open, service) || r.table.Of(service).Phase().Shifted() {
-			r.dispatcher.SetAllowance(r.view.index.Of(service), nil)
+		if !slices.Contains(open, service) || r.table.Lookup(service).Phase().Shifted() {
+			r.dispatcher.SetAllowance(r.view.index.Assign(service), nil)
 			delete(r.allowances, service)
 		}
 	}
@@ -175,11 +175,11 @@
 		return
 	}
 	participants := rollout.Participants(members)
-	if !rollout.HasAllowance(r.self.Name, participants) {
+	if !rollout.MaySpend(r.self.Name, participants) {
 		return
 	}
 	for _, service := range open {
-		state := r.table.Of(service)
+		state := r.table.Lookup(service)
 		if state.Order.Revision != 0 && !state.Phase().Shifted() {
 			r.giveAllowance(state, len(participants))
 		}
@@ -191,14 +191,14 @@
 	service, order := state.Order.Service, state.Order.Revision
 	issued := r.allowances[service]
 	if issued.order != order {
-		part := rollout.PartOfSlack(participants, state.Found)
+		part := rollout.SlackShare(participants, state.FoundAtStart)
 		now := r.clock.Now()
 		deadline := now - state.Age(now) + state.Order.Duration
-		r.dispatcher.SetAllowance(r.view.index.Of(service), rollout.NewAllowance(r.bounds, part, deadline, rand.Float64))
+		r.dispatcher.SetAllowance(r.view.index.Assign(service), rollout.NewAllowance(r.bounds, part, deadline, rand.Float64))
 		issued = allowance{order: order}
 	}
 	if state.Phase() == rollout.PhaseBurst && !issued.burst {
-		r.dispatcher.Burst(r.view.index.Of(service))
+		r.dispatcher.Burst(r.view.index.Assign(service))
 		issued.burst = true
 	}
 	r.allowances[service] = issued
@@ -220,8 +220,8 @@
 // countAttempt counts one attempt of a request. The caller holds the mutex of the view.
 func (r *rolloutDriver) countAttempt(answer *forward.Answer, attempt *scatter.AttemptTrace, duration time.Duration) {
 	service := r.view.index.Name(attempt.Shard)
-	state := r.table.Of(service)
-	if state == nil || !state.Open() || state.Order.Revision == 0 {
+	state := r.table.Lookup(service)
+	if state == nil || !state.IsOpen() || state.Order.Revision == 0 {
 		return
 	}
 	version, zone, exists := r.view.leaves.VersionAndZone(attempt.BootID)
@@ -236,14 +236,14 @@
 	case attempt.End == scatter.EndOpen && answer.Reason == dispatch.ReasonCancelled:
 		return // the client cancelled, which says nothing about the leaf
 	case attempt.End == scatter.EndOpen:
-		r.counter.Took(subject, duration-attempt.At)
+		r.counter.CountDuration(subject, duration-attempt.SentAfter)
 	case attempt.End == scatter.EndAnswered, attempt.Aborted:
-		r.counter.Took(subject, attempt.Took)
+		r.counter.CountDuration(subject, attempt.Duration)
 	default:
-		r.counter.Failed(subject)
+		r.counter.CountFailure(subject)
 	}
 	if attempt.Cause == dispatch.CauseNeeded {
-		r.counter.First(subject, overtakenAfter(answer, attempt))
+		r.counter.CountFirst(subject, overtakenAfter(answer, attempt))
 	}
 	r.metrics.count(subject, attempt)
 }
@@ -256,8 +256,8 @@
 	}
 	for index := range answer.Attempts {
 		other := &answer.Attempts[index]
-		if other.Shard == attempt.Shard && other.At > attempt.At && other.End == scatter.EndAnswered {
-			return other.At + other.Took - attempt.At
+		if other.Shard == attempt.Shard && other.SentAfter > attempt.SentAfter && other.End == scatter.EndAnswered {
+			return other.SentAfter + other.Duration - attempt.SentAfter
 		}
 	}
 	return 0
--- a/internal/edge/node/rollout_reports.go
+++ b/internal/edge/node/rollout_reports.go
@@ -56,7 +56,7 @@
 	}
 	report := r.buildReport(started, decider.Name)
 	r.view.mutex.Unlock()
-	if !rollout.Reports(r.self.Name, participants) {
+	if !rollout.MustReport(r.self.Name, participants) {
 		return rollout.Interval(len(participants))
 	}
 	reply, err := r.sendReport(ctx, decider, report)
@@ -68,11 +68,11 @@
 // buildReport returns this node's report to a decider. The caller holds the mutex of the view.
 func (r *rolloutDriver) buildReport(now time.Duration, decider string) rollout.Report {
 	if decider != r.reportedTo {
-		r.reporting.Forget()
+		r.reporting.Reset()
 	}
-	report := rollout.Report{Node: r.incarnation, Decider: r.reporting.Decider(), Rows: r.counter.Changed(r.reporting.Received())}
-	for _, service := range r.table.Open() {
-		state := r.table.Of(service)
+	report := rollout.Report{Node: r.incarnation, Decider: r.reporting.Decider(), Rows: r.counter.ChangedRows(r.reporting.AcknowledgedCounts())}
+	for _, service := range r.table.OpenServices() {
+		state := r.table.Lookup(service)
 		others := r.view.leaves.Supply(service).Others
 		report.Orders = append(report.Orders, rollout.Progress{
 			Service: service, Order: state.Order.Revision, Phase: state.Phase(), Age: state.Age(now), Bad: state.Bad,
@@ -134,12 +134,12 @@
 	}
 	r.metrics.reports.WithLabelValues(result).Inc()
 	if decider.Name != r.reportedTo {
-		event.Log(r.logger, event.RolloutDecider{Peer: decider.Name, Former: r.reportedTo, Error: r.reportFailure})
+		event.Log(r.logger, event.DeciderChanged{Peer: decider.Name, Former: r.reportedTo, Error: r.reportFailure})
 		r.reportedTo = decider.Name
 	}
 	r.reportFailure = err
 	if err == nil {
-		r.reporting.Answered(reply.Decider, report)
+		r.reporting.RecordReply(reply.Decider, report)
 	}
 	changed := false
 	for _, grant := range reply.Grants {
@@ -154,12 +154,12 @@
 // caller holds the mutex of the view.
 func (r *rolloutDriver) applyGrant(sent time.Duration, grant rollout.Grant) bool {
 	changed := r.table.Merge(r.clock.Now(), grant.Service, grant.Order, grant.Age, grant.Record, grant.Bad)
-	state := r.table.Of(grant.Service)
+	state := r.table.Lookup(grant.Service)
 	if grant.Open && state.Order.Revision == grant.Order && state.Bad == "" {
-		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent+rollout.GrantTTL)
+		r.dispatcher.Grant(r.view.index.Assign(grant.Service), sent+rollout.GrantTTL)
 	}
 	if state.Bad != "" {
-		r.dispatcher.Grant(r.view.index.Of(grant.Service), sent)
+		r.dispatcher.Grant(r.view.index.Assign(grant.Service), sent)
 	}
 	if changed {
 		r.logPhase(state)
@@ -204,7 +204,7 @@
 	delete(r.writing, record.Service)
 	result := resultWritten
 	switch {
-	case errors.Is(err, ErrOvertaken):
+	case errors.Is(err, ErrConflict):
 		result = resultOvertaken // the winning record arrives with the next changes
 	case err != nil:
 		result = resultFailed
@@ -214,7 +214,7 @@
 	}
 	r.metrics.steps.WithLabelValues(string(record.Phase), result).Inc()
 	event.Log(r.logger, event.RolloutDecided{
-		Service: record.Service, Version: record.Version, Phase: string(record.Phase), Reason: record.Reason,
+		Service: record.Service, Target: record.Version, Phase: string(record.Phase), Reason: record.Reason,
 		Nodes: r.decider.Nodes(), Revision: revision, Error: err,
 	})
 }
--- a/internal/edge/node/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -22,11 +22,11 @@
 	}
 	for _, item := range items {
 		switch r.decoder.Kind(item.Key) {
-		case KindOrder:
+		case KindRolloutOrder:
 			if order, ok := r.decodeOrder(item); ok {
 				decoded.orders = append(decoded.orders, order)
 			}
-		case KindRecord:
+		case KindRolloutRecord:
 			if record, ok := r.decodeRecord(item); ok {
 				decoded.records = append(decoded.records, record)
 			}
@@ -36,7 +36,7 @@
 }
 
 func (r *rolloutDriver) decodeOrder(item mirror.Item) (rollout.Order, bool) {
-	order, err := r.decoder.Order(item)
+	order, err := r.decoder.RolloutOrder(item)
 	if err != nil {
 		event.Log(r.logger, event.RolloutRejected{Key: item.Key, Revision: item.Revision, Error: err})
 		return rollout.Order{}, false
@@ -45,7 +45,7 @@
 }
 
 func (r *rolloutDriver) decodeRecord(item mirror.Item) (rollout.Record, bool) {
-	record, err := r.decoder.Record(item)
+	record, err := r.decoder.RolloutRecord(item)
 	if err != nil {
 		event.Log(r.logger, event.RolloutRejected{Key: item.Key, Revision: item.Revision, Error: err})
 		return rollout.Record{}, false
@@ -62,7 +62,7 @@
 	previousPhases := r.phases()
 	r.table.Replace(r.clock.Now(), time.Now(), decoded.orders, decoded.records, stale)
 	for _, service := range r.table.Services() {
-		if state := r.table.Of(service); state.Phase() != previousPhases[service] {
+		if state := r.table.Lookup(service); state.Phase() != previousPhases[service] {
 			r.logPhase(state)
 		}
 	}
@@ -72,7 +72,7 @@
 func (r *rolloutDriver) phases() map[string]rollout.Phase {
 	phases := make(map[string]rollout.Phase)
 	for _, service := range r.table.Services() {
-		phases[service] = r.table.Of(service).Phase()
+		phases[service] = r.table.Lookup(service).Phase()
 	}
 	return phases
 }
@@ -83,7 +83,7 @@
 	if !r.enabled {
 		return false
 	}
-	service := r.decoder.OrderedService(change.Key)
+	service := r.decoder.RolloutService(change.Key)
 	order, ok := rollout.Order{Service: service}, true
 	if !change.Removed {
 		order, ok = r.decodeOrder(change.Item)
@@ -101,7 +101,7 @@
 	}
 	if applied {
 		event.Log(r.logger, event.RolloutOrdered{
-			Service: service, Version: order.Version, Duration: order.Duration, Withdrawn: change.Removed, Revision: change.Revision,
+			Service: service, Target: order.Version, Duration: order.Duration, Withdrawn: change.Removed, Revision: change.Revision,
 		})
 		r.applyTableChange()
 	}
@@ -129,7 +129,7 @@
 	if !r.table.SetRecord(record) {
 		return false
 	}
-	r.logPhase(r.table.Of(record.Service))
+	r.logPhase(r.table.Lookup(record.Service))
 	r.applyTableChange()
 	return true
 }
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return errors.Join(err, shutdownUnused(servers))
 	}
-	event.Log(n.logger, event.Started{HTTP: n.settings.Listen.HTTP.String(), Zone: n.settings.Zone, Cores: n.self.Cores, SeesSuspensions: n.clock.Failures() == 0})
+	event.Log(n.logger, event.Started{HTTP: n.settings.Listen.HTTP.String(), Zone: n.settings.Zone, Cores: n.self.Cores, DetectsSuspensions: n.clock.BootClockErrors() == 0})
 	backgroundCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var background sync.WaitGroup
@@ -79,15 +79,15 @@
 	background.Go(func() { n.combine.Run(ctx) })
 	background.Go(func() { n.rollouts.run(ctx) })
 	background.Go(func() { n.quarantine.run(ctx) })
-	background.Go(func() { n.clock.Watch(ctx, suspensionCheckInterval, n.handleResume) })
+	background.Go(func() { n.clock.WatchSuspensions(ctx, suspensionCheckInterval, n.handleResume) })
 }
 
 // handleResume is called after a suspension of the machine. It processes the timeouts that expired
 // meanwhile.
 func (n *Node) handleResume(suspended time.Duration) {
 	n.metrics.suspendedSeconds.Add(suspended.Seconds())
-	event.Log(n.logger, event.Woke{Suspended: suspended})
-	n.conn.Wake()
+	event.Log(n.logger, event.Resumed{Suspended: suspended})
+	n.conn.Tick()
 	n.publisher.publish()
 }
 
@@ -97,8 +97,8 @@
 	return mirror.New(mirror.Config{
 		Prefix:     n.ports.Decoder.Prefix(),
 		MinBackoff: minBackoff, MaxBackoff: maxBackoff,
-		Wait:   n.settings.Forward.WatchWait.Duration(),
-		Gather: n.settings.Forward.WatchGather.Duration(),
+		WatchTimeout: n.settings.Forward.WatchWait.Duration(),
+		BatchDelay:   n.settings.Forward.WatchGather.Duration(),
 	}, n.mirror, n.follower)
 }
 
@@ -112,10 +112,10 @@
 		return nil, err
 	}
 	delegate.Serve(server, n.runner)
-	combine.Serve(server, n.ports.Leaves, n.conn.MayGetWork)
+	combine.Serve(server, n.ports.Leaves, n.conn.IsUsable)
 	serveMirror(server, n.mirror)
 	n.rollouts.serveReports(server)
-	server.Serve()
+	server.Start()
 	return server, nil
 }
 
@@ -140,7 +140,7 @@
 // Reload receives the settings after they were read again. All of them need a restart to take
 // effect; the log says whether any has changed.
 func (n *Node) Reload(current settings.Settings) {
-	event.Log(n.logger, event.SettingsRead{Changed: !reflect.DeepEqual(current, n.settings)})
+	event.Log(n.logger, event.SettingsReloaded{Changed: !reflect.DeepEqual(current, n.settings)})
 }
 
 func ignoreServerClosed(err error) error {
--- a/internal/edge/node/runner.go
+++ b/internal/edge/node/runner.go
@@ -55,7 +55,7 @@
 // Run implements delegate.Runner.
 func (r *localRunner) Run(ctx context.Context, receivedBy string, version uint64, request *forward.Request) (forward.Answer, bool) {
 	started := r.clock.Now()
-	request.Arrived = started
+	request.ArrivedAt = started
 	answer, ran := r.forwarder.ExecuteVersion(ctx, version, request)
 	if ran {
 		duration := r.clock.Now() - started
--- a/internal/edge/node/services.go
+++ b/internal/edge/node/services.go
@@ -9,9 +9,9 @@
 
 // servicePolicies holds the declarations on services of one configuration.
 type servicePolicies struct {
-	shards     map[string]bool          // services that are shards of some route
-	coldBounds map[string]warmup.Bound  // by service
-	coldTimes  map[string]time.Duration // how long a leaf of each service is cold after a start
+	shards     map[string]bool            // services that are shards of some route
+	coldBounds map[string]warmup.LeafRate // by service
+	coldTimes  map[string]time.Duration   // how long a leaf of each service is cold after a start
 }
 
 func newServicePolicies(config *route.Config) servicePolicies {
@@ -35,11 +35,11 @@
 }
 
 // findColdBounds returns the bounds of the services that limit the rate of their cold leaves.
-func findColdBounds(config *route.Config, shards map[string]bool) map[string]warmup.Bound {
-	bounds := make(map[string]warmup.Bound)
+func findColdBounds(config *route.Config, shards map[string]bool) map[string]warmup.LeafRate {
+	bounds := make(map[string]warmup.LeafRate)
 	for _, service := range config.Services {
 		if service.ColdRate > 0 {
-			bounds[service.Name] = warmup.Bound{Rate: service.ColdRate, Shard: shards[service.Name]}
+			bounds[service.Name] = warmup.LeafRate{PerSecond: service.ColdRate, Shard: shards[service.Name]}
 		}
 	}
 	return bounds
--- a/internal/edge/node/shares.go
+++ b/internal/edge/node/shares.go
@@ -13,8 +13,8 @@
 
 // extraLoadSettings returns the fixed part of the allowed extra load, which the settings grant
 // beyond the ratio.
-func extraLoadSettings(configured settings.Forward) share.Extra {
-	return share.Extra{Attempts: configured.ExtraSlack, Window: configured.ExtraWindow.Duration()}
+func extraLoadSettings(configured settings.Forward) share.ExtraLoad {
+	return share.ExtraLoad{Attempts: configured.ExtraSlack, Window: configured.ExtraWindow.Duration()}
 }
 
 // budgetsByShard returns the bounds of the extra load that this node may cause at each shard of the
@@ -23,11 +23,11 @@
 func (p *publisher) budgetsByShard(roles executors.Roles, members []roster.Member, nodes int) func(shard int) hedge.Bounds {
 	shards := make(map[int]bool, len(p.view.services.shards))
 	for service := range p.view.services.shards {
-		shards[p.view.index.Of(service)] = true
+		shards[p.view.index.Assign(service)] = true
 	}
 	allowed := extraLoadSettings(p.settings.Forward)
-	shardBounds := share.OfSlack(roles, members, nodes, true).Budget(allowed)
-	otherBounds := share.OfSlack(roles, members, nodes, false).Budget(allowed)
+	shardBounds := share.ForExtraLoad(roles, members, nodes, true).Budget(allowed)
+	otherBounds := share.ForExtraLoad(roles, members, nodes, false).Budget(allowed)
 	return func(shard int) hedge.Bounds {
 		if shards[shard] {
 			return shardBounds
@@ -48,7 +48,7 @@
 			leaf.ColdUntil = 0
 			continue
 		}
-		leaf.ColdRate = bound.RateOf(p.self, leaf.BootID, roles, members, tolerance)
+		leaf.ColdRate = bound.NodeRate(p.self, leaf.BootID, roles, members, tolerance)
 	}
 }
 
@@ -64,7 +64,7 @@
 			leaf := &topology.Leaves[index]
 			leaves[position] = share.Leaf{ID: leaf.BootID, Zone: leaf.Zone, Usable: leaf.Usable}
 		}
-		bounds := share.Bounds{Taken: maxima[service], PerNode: p.settings.Leaf.ConnectionsPerLeaf}
+		bounds := share.ConnectionLimits{PerLeaf: maxima[service], PerNode: p.settings.Leaf.ConnectionsPerLeaf}
 		for position, assigned := range nodeShare.Connections(self, service, leaves, bounds) {
 			leaf := &topology.Leaves[indexes[position]]
 			leaf.Standby = assigned.Standby
@@ -95,7 +95,7 @@
 	maxima := make(map[string]int)
 	if table := p.config.Table(); table != nil {
 		for _, service := range table.Config.Services {
-			maxima[service.Name] = service.MaxConns
+			maxima[service.Name] = service.MaxConnections
 		}
 	}
 	return maxima
--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -36,13 +36,13 @@
 	var published []LeafShare
 	n := New(configured, Ports{
 		Store: mirror.Store(nil), Leases: lease.Store(nil), Leaves: noLeaves{},
-		Handler:  func(Service) http.Handler { return nil },
-		OnLeaves: func(shares []LeafShare) { published = shares },
+		Handler:      func(Service) http.Handler { return nil },
+		OnLeafShares: func(shares []LeafShare) { published = shares },
 	}, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
 	t.Cleanup(n.publisher.stop)
 	n.forwarder.Install(route.NewTable(&route.Config{Version: 1, Services: services}))
 	for _, leaf := range leaves {
-		n.publisher.view.index.Of(leaf.Service) // as a configuration does that names the service
+		n.publisher.view.index.Assign(leaf.Service) // as a configuration does that names the service
 		n.publisher.view.leaves.Set(0, leaf)
 	}
 	return n, func() map[string]int {
@@ -79,7 +79,7 @@
 	p := n.publisher
 	members := p.view.nodes.Members(0)
 	topology := p.view.leaves.Topology()
-	p.shareLeaves(&topology, share.Of(p.roles.Assign(p.self, members), members, p.view.nodes.Count(0)))
+	p.shareLeaves(&topology, share.ForConnections(p.roles.Assign(p.self, members), members, p.view.nodes.Count(0)))
 	for _, leaf := range topology.Leaves {
 		standby[leaf.BootID] = leaf.Standby
 	}
@@ -89,7 +89,7 @@
 // TestFewNodesKeepConnectionsToAllLeaves checks that 12 nodes, for which the connections of each
 // leaf suffice, keep all leaves in use.
 func TestFewNodesKeepConnectionsToAllLeaves(t *testing.T) {
-	n, publish := newTestNode(t, []route.Service{{Name: "s", MaxConns: 54}}, threeLeaves("s"))
+	n, publish := newTestNode(t, []route.Service{{Name: "s", MaxConnections: 54}}, threeLeaves("s"))
 	n.announceNodes(12)
 	for id, connections := range publish() {
 		if connections != n.settings.Leaf.ConnectionsPerLeaf || n.standbyLeaves()[id] {
@@ -102,7 +102,7 @@
 // has the others on standby, and that a draining leaf gets no connections.
 func TestManyNodesKeepConnectionsToSomeLeaves(t *testing.T) {
 	leaves := threeLeaves("s")
-	n, publish := newTestNode(t, []route.Service{{Name: "s", MaxConns: 54}}, leaves)
+	n, publish := newTestNode(t, []route.Service{{Name: "s", MaxConnections: 54}}, leaves)
 	n.announceNodes(80)
 	connections := publish()
 	total := 0
--- a/internal/edge/node/view.go
+++ b/internal/edge/node/view.go
@@ -31,8 +31,8 @@
 		clock: clock,
 		index: index,
 		leaves: registry.NewTable(registry.Config{
-			Doubt:    configured.LeafDoubt.Duration(),
-			Settling: configured.LeafSettling.Duration(),
+			GracePeriod:  configured.LeafDoubt.Duration(),
+			SettlingTime: configured.LeafSettling.Duration(),
 		}, index),
 		nodes: roster.New(nodeRetention, configured.ExtraNodes),
 	}
@@ -42,11 +42,11 @@
 // topology contains the result. The caller holds the mutex.
 func (v *view) applyServices(config *route.Config) {
 	for _, service := range config.Services {
-		v.index.Of(service.Name)
+		v.index.Assign(service.Name)
 	}
 	for index := range config.Routes {
 		for _, service := range config.Routes[index].Services() {
-			v.index.Of(service)
+			v.index.Assign(service)
 		}
 	}
 	v.services = newServicePolicies(config)
--- a/internal/edge/node/wire_test.go
+++ b/internal/edge/node/wire_test.go
@@ -10,20 +10,20 @@
 
 // TestMessagesMatchRecordedGob guards the compatibility of nodes of two versions in one fleet.
 func TestMessagesMatchRecordedGob(t *testing.T) {
-	wiretest.Gob[watchRequest](t, "store.watch.request")
-	wiretest.Gob[mirror.Watched](t, "store.watch.response")
-	wiretest.Gob[offerRequest](t, "store.offer.request")
-	wiretest.Gob[mirror.Offer](t, "store.offer.response")
-	wiretest.Gob[snapshotRequest](t, "store.snapshot.request")
-	wiretest.Gob[mirror.Snapshot](t, "store.snapshot.response")
-	wiretest.Gob[rollout.Report](t, "rollout.report.request")
-	wiretest.Gob[rollout.Reply](t, "rollout.report.response")
+	wiretest.CheckGob[watchRequest](t, "store.watch.request")
+	wiretest.CheckGob[mirror.WatchResponse](t, "store.watch.response")
+	wiretest.CheckGob[offerRequest](t, "store.offer.request")
+	wiretest.CheckGob[mirror.Offer](t, "store.offer.response")
+	wiretest.CheckGob[snapshotRequest](t, "store.snapshot.request")
+	wiretest.CheckGob[mirror.Snapshot](t, "store.snapshot.response")
+	wiretest.CheckGob[rollout.Report](t, "rollout.report.request")
+	wiretest.CheckGob[rollout.Reply](t, "rollout.report.response")
 }
 
 // TestReportOfFormerVersionIsDecoded checks that a report of an earlier version, which has no
 // counts of first attempts and overtaken attempts, is decoded with zeros for them.
 func TestReportOfFormerVersionIsDecoded(t *testing.T) {
-	report := wiretest.FormerGob[rollout.Report](t, "rollout.report.request")
+	report := wiretest.DecodePreviousGob[rollout.Report](t, "rollout.report.request")
 	if counts := report.Rows[0].Counts; counts.Failed != 88 || counts.Took[0] != 18 || counts.First != 0 || counts.Overtaken != 0 {
 		t.Errorf("got counts %+v, want 88 failed, 18 in the first bucket, no first and no overtaken attempts", counts)
 	}
--- a/internal/edge/records/top.go
+++ b/internal/edge/records/top.go
@@ -88,7 +88,7 @@
 }
 
 // NotBelow returns the records of a part that are not below a floor; a nil floor excludes none.
-func NotBelow(part, floor []byte) []byte {
+func FilterBelow(part, floor []byte) []byte {
 	var above []byte
 	for ; len(part) >= Size; part = part[Size:] {
 		if len(floor) == 0 || bytes.Compare(part[:Size], floor) >= 0 {
--- a/internal/edge/records/top_test.go
+++ b/internal/edge/records/top_test.go
@@ -81,7 +81,7 @@
 	if kept, dropped := top.Add(repeat(2, 3)); !bytes.Equal(kept, repeat(3)) || !bytes.Equal(dropped, repeat(2)) {
 		t.Errorf("floor 3: got kept %x, dropped %x; want 3 kept, 2 dropped", kept, dropped)
 	}
-	if got := NotBelow(repeat(1, 4, 3), repeat(3)); !bytes.Equal(got, repeat(4, 3)) {
+	if got := FilterBelow(repeat(1, 4, 3), repeat(3)); !bytes.Equal(got, repeat(4, 3)) {
 		t.Errorf("records not below 3: got %x, want 4 and 3", got)
 	}
 }
--- a/internal/edge/registry/cordon.go
+++ b/internal/edge/registry/cordon.go
@@ -26,7 +26,7 @@
 // ReplaceCordons applies the list of all cordoned zones, and returns the zones whose state changed.
 // A stale list may lack the newest changes.
 func (t *Table) ReplaceCordons(now time.Duration, zones []string, stale bool) (changed []string) {
-	for _, change := range t.zones.Changes(zones, stale) {
+	for _, change := range t.zones.Diff(zones, stale) {
 		t.SetCordon(now, change.Zone, change.Cordoned)
 		changed = append(changed, change.Zone)
 	}
--- a/internal/edge/registry/incarnation.go
+++ b/internal/edge/registry/incarnation.go
@@ -13,8 +13,8 @@
 // if that is known. All observations of a leaf are kept per incarnation.
 func (l *Leaf) Incarnation() string {
 	startMillis := int64(0)
-	if !l.Born.IsZero() {
-		startMillis = l.Born.UnixMilli()
+	if !l.StartedAt.IsZero() {
+		startMillis = l.StartedAt.UnixMilli()
 	}
 	if startMillis == 0 && !strings.Contains(l.ID, startTimeSeparator) {
 		return l.ID
@@ -23,7 +23,7 @@
 }
 
 // IDOf returns the ID in the name of an incarnation.
-func IDOf(incarnation string) string {
+func LeafID(incarnation string) string {
 	if index := strings.LastIndex(incarnation, startTimeSeparator); index >= 0 {
 		return incarnation[:index]
 	}
@@ -47,11 +47,11 @@
 // if an earlier announcement had one.
 func (s startTimes) recordNewest(now time.Duration, announced Leaf) bool {
 	newest, exists := s[announced.ID]
-	if exists && announced.Born.Before(newest.startedAt) {
+	if exists && announced.StartedAt.Before(newest.startedAt) {
 		return false
 	}
-	if !announced.Born.IsZero() {
-		s[announced.ID] = startRecord{startedAt: announced.Born, seenAt: now}
+	if !announced.StartedAt.IsZero() {
+		s[announced.ID] = startRecord{startedAt: announced.StartedAt, seenAt: now}
 	}
 	return true
 }
--- a/internal/edge/registry/incarnation_test.go
+++ b/internal/edge/registry/incarnation_test.go
@@ -12,7 +12,7 @@
 	leaf := leafAt("a", "x", 1, 1)
 	leaf.Revision = revision
 	if startSecond > 0 {
-		leaf.Born = time.Unix(int64(startSecond), 0)
+		leaf.StartedAt = time.Unix(int64(startSecond), 0)
 	}
 	return leaf
 }
@@ -33,10 +33,10 @@
 	}{{"i-1", 0, "i-1"}, {"i-1", 1764700000000, "i-1@1764700000000"}, {"i@7", 0, "i@7@0"}, {"i@7", 5, "i@7@5"}} {
 		leaf := Leaf{ID: test.id}
 		if test.born > 0 {
-			leaf.Born = time.UnixMilli(test.born)
+			leaf.StartedAt = time.UnixMilli(test.born)
 		}
-		if got := leaf.Incarnation(); got != test.want || IDOf(got) != test.id {
-			t.Errorf("leaf %q started at %d: got incarnation %q with ID %q, want %q", test.id, test.born, got, IDOf(got), test.want)
+		if got := leaf.Incarnation(); got != test.want || LeafID(got) != test.id {
+			t.Errorf("leaf %q started at %d: got incarnation %q with ID %q, want %q", test.id, test.born, got, LeafID(got), test.want)
 		}
 	}
 }
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -29,10 +29,10 @@
 	ID string
 	// Born is the start time of the leaf's process; zero if the announcement has none. A leaf that
 	// restarts under its ID is a new incarnation, which inherits no state.
-	Born    time.Time
-	Service string
-	Address netip.AddrPort
-	Zone    string
+	StartedAt time.Time
+	Service   string
+	Address   netip.AddrPort
+	Zone      string
 	// Version is the version of the leaf's software.
 	Version  string
 	Slots    int
@@ -41,7 +41,7 @@
 	Cold time.Duration
 	// Created is the revision at which the ID was first announced, or this incarnation of it if its
 	// start was observed here.
-	Created uint64
+	CreatedRevision uint64
 	// Revision is the revision of this announcement.
 	Revision uint64
 }
@@ -91,19 +91,19 @@
 // turned cold after it wrote its announcement. The next incarnation inherits neither.
 func (t *Table) Set(now time.Duration, announced Leaf) bool {
 	if !t.startTimes.recordNewest(now, announced) {
-		if announced.Born.IsZero() {
+		if announced.StartedAt.IsZero() {
 			t.Remove(now, announced.ID) // its previous announcement was overwritten
 		}
 		return false
 	}
 	updated := &leafEntry{Leaf: announced}
 	current, exists := t.entries[announced.ID]
-	restarted := exists && announced.Born.After(current.Born)
+	restarted := exists && announced.StartedAt.After(current.StartedAt)
 	switch {
 	case restarted:
-		updated.Created = announced.Revision
+		updated.CreatedRevision = announced.Revision
 	case exists:
-		updated.Created = current.Created
+		updated.CreatedRevision = current.CreatedRevision
 		updated.Draining = announced.Draining || current.Draining
 		updated.coldUntil = current.coldUntil
 	}
@@ -152,12 +152,12 @@
 // Announced reports whether an incarnation is announced now. An incarnation whose announcement has
 // vanished is not, even while it stays usable.
 func (t *Table) Announced(incarnation string) bool {
-	entry, exists := t.entries[IDOf(incarnation)]
+	entry, exists := t.entries[LeafID(incarnation)]
 	return exists && entry.expiresAt == 0 && entry.Incarnation() == incarnation
 }
 
 // RecordOutage records that the store was unavailable until now.
-func (t *Table) RecordOutage(now time.Duration) { t.removals.Outage(now) }
+func (t *Table) RecordOutage(now time.Duration) { t.removals.RecordOutage(now) }
 
 // Expire drops the leaves whose delayed removal is due, and old start times. It reports whether it
 // dropped a leaf, and when it must be called next, on the node's clock; zero for never.
@@ -187,7 +187,7 @@
 	owners := make(map[netip.AddrPort]*leafEntry, len(t.entries))
 	for _, entry := range t.entries {
 		owner, owned := owners[entry.Address]
-		if !owned || cmp.Or(cmp.Compare(entry.Created, owner.Created), cmp.Compare(entry.ID, owner.ID)) > 0 {
+		if !owned || cmp.Or(cmp.Compare(entry.CreatedRevision, owner.CreatedRevision), cmp.Compare(entry.ID, owner.ID)) > 0 {
 			owners[entry.Address] = entry
 		}
 	}
--- a/internal/edge/registry/registry_test.go
+++ b/internal/edge/registry/registry_test.go
@@ -8,19 +8,19 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-var config = Config{Doubt: 2 * time.Second, Settling: 3 * time.Second}
+var config = Config{GracePeriod: 2 * time.Second, SettlingTime: 3 * time.Second}
 
 // newTestIndex returns an Index with the services that the configuration names in these tests.
 func newTestIndex() *Index {
 	index := NewIndex()
 	for _, service := range []string{"x", "y"} {
-		index.Of(service)
+		index.Assign(service)
 	}
 	return index
 }
 
 func leafAt(id, service string, port int, created uint64) Leaf {
-	return Leaf{ID: id, Service: service, Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(port)), Slots: 2, Created: created}
+	return Leaf{ID: id, Service: service, Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(port)), Slots: 2, CreatedRevision: created}
 }
 
 // usableLeaves returns the usable leaves with the number of their service.
@@ -80,8 +80,8 @@
 		announcedAgain bool // announced again before the removal takes effect
 		usedUntil      time.Duration
 	}{
-		{"long after an outage", outageEnd + config.Settling, false, false, 0},
-		{"just after an outage", outageEnd + time.Second, false, false, outageEnd + time.Second + config.Doubt},
+		{"long after an outage", outageEnd + config.SettlingTime, false, false, 0},
+		{"just after an outage", outageEnd + time.Second, false, false, outageEnd + time.Second + config.GracePeriod},
 		{"announced again", outageEnd + time.Second, false, true, time.Hour},
 		{"draining before", outageEnd + time.Second, true, false, 0},
 	} {
--- a/internal/edge/registry/stage.go
+++ b/internal/edge/registry/stage.go
@@ -68,7 +68,7 @@
 		return false
 	}
 	// A leaf that is created after the end of a rollout is unrelated to it.
-	return stage.Phase == rollout.PhaseShift || stage.Recorded == 0 || entry.Created < stage.Recorded
+	return stage.Phase == rollout.PhaseShift || stage.Recorded == 0 || entry.CreatedRevision < stage.Recorded
 }
 
 // hasUsableLeaf reports whether a service has a usable leaf of a version.
@@ -120,7 +120,7 @@
 // VersionAndZone returns the software version and the zone of an incarnation; false if it is not in
 // the table.
 func (t *Table) VersionAndZone(incarnation string) (version, zone string, exists bool) {
-	entry, exists := t.entries[IDOf(incarnation)]
+	entry, exists := t.entries[LeafID(incarnation)]
 	if !exists || entry.Incarnation() != incarnation {
 		return "", "", false
 	}
--- a/internal/edge/route/route.go
+++ b/internal/edge/route/route.go
@@ -71,7 +71,7 @@
 	Name string
 	// MaxConns is how many connections each leaf accepts from all clients together; zero if
 	// unknown.
-	MaxConns int
+	MaxConnections int
 	// ColdRate is how many requests per second a cold leaf can handle from all clients together;
 	// zero for no bound.
 	ColdRate float64
--- a/internal/edge/route/route_test.go
+++ b/internal/edge/route/route_test.go
@@ -87,7 +87,7 @@
 		counts := make(map[string]int)
 		requests := rapid.IntRange(1, 200).Draw(t, "requests")
 		for range requests {
-			counts[splitter.Pick(route)]++
+			counts[splitter.PickService(route)]++
 		}
 		for index, weight := range weights {
 			share := float64(requests*weight) / float64(total)
@@ -110,7 +110,7 @@
 			for range nodes {
 				splitter := NewSplitter(random.IntN)
 				for range requests {
-					if splitter.Pick(route) == "new" {
+					if splitter.PickService(route) == "new" {
 						count++
 					}
 				}
@@ -126,7 +126,7 @@
 func TestSplitterForgetsDroppedRoutes(t *testing.T) {
 	splitter := NewSplitter(rand.IntN)
 	route := Route{Name: "r", Targets: []Target{{"a", 1}, {"b", 1}}}
-	splitter.Pick(&route)
+	splitter.PickService(&route)
 	splitter.Retain(&Config{})
 	if len(splitter.routes) != 0 {
 		t.Error("state of a dropped route is kept")
--- a/internal/edge/route/table.go
+++ b/internal/edge/route/table.go
@@ -73,7 +73,7 @@
 }
 
 // Pick returns the service for the next request of a route that has targets.
-func (s *Splitter) Pick(route *Route) string {
+func (s *Splitter) PickService(route *Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
 	}
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -75,7 +75,7 @@
 	if line["msg"] != "leaf changed" || line["leaf"] != "i-1" || line["address"] != "10.0.0.1:80" || line["revision"] != 7.0 {
 		t.Errorf("got line %v, want message, leaf, address and revision of the event", line)
 	}
-	line = logEvent(t, StoreRegained{Away: 1500 * time.Millisecond})
+	line = logEvent(t, StoreRegained{Outage: 1500 * time.Millisecond})
 	if line["away"] != "1.5s" {
 		t.Errorf("got away %v, want 1.5s", line["away"])
 	}
--- a/internal/event/page_test.go
+++ b/internal/event/page_test.go
@@ -10,14 +10,14 @@
 func allEvents() []Event {
 	return []Event{
 		Request{}, RequestLost{},
-		StoreRead{}, SourceUsed{}, SourceFailed{}, StoreLost{}, StoreRegained{}, WatcherFailed{},
+		StoreSnapshotRead{}, SnapshotCopied{}, SnapshotCopyFailed{}, StoreLost{}, StoreRegained{}, WatcherFailed{},
 		ConfigInstalled{}, ConfigRejected{},
 		LeafChanged{}, LeafRejected{}, ZoneCordoned{},
-		RequestSuspected{}, RequestTried{}, RequestHeld{}, RequestReleased{}, LeafSurvived{}, QuarantineNotWritten{}, QuarantineRejected{},
-		RolloutOrdered{}, RolloutRejected{}, RolloutChanged{}, RolloutDecided{}, RolloutDecider{},
+		RequestSuspected{}, TrialFailed{}, RequestHeld{}, RequestReleased{}, LeafSurvived{}, QuarantineNotWritten{}, QuarantineRejected{},
+		RolloutOrdered{}, RolloutRejected{}, RolloutChanged{}, RolloutDecided{}, DeciderChanged{},
 		NodeChanged{}, NodeRejected{}, NodeNotAnnounced{}, LeaseLapsed{}, LeaseNotRenewed{},
 		ExecutorInTouch{}, ExecutorsLost{}, CombinerInTouch{}, CombinerLost{},
-		Started{}, Woke{}, Draining{}, Stopped{}, SettingsRead{}, SettingsRejected{}, Failed{},
+		Started{}, Resumed{}, Draining{}, Stopped{}, SettingsReloaded{}, SettingsRejected{}, Failed{},
 	}
 }
 
--- a/internal/event/process.go
+++ b/internal/event/process.go
@@ -11,7 +11,7 @@
 	Zone  string  `event:"zone" doc:"zone of the node"`
 	Cores float64 `event:"cores" doc:"CPU capacity that the node announces, in cores"`
 	// SeesSuspensions is false if the system clock that counts suspensions cannot be read.
-	SeesSuspensions bool `event:"sees_suspensions" doc:"whether the node can measure how long the machine was suspended; if not, validity periods end late by the length of the suspension"`
+	DetectsSuspensions bool `event:"sees_suspensions" doc:"whether the node can measure how long the machine was suspended; if not, validity periods end late by the length of the suspension"`
 }
 
 // Kind implements Event.
@@ -38,12 +38,12 @@
 }
 
 // SettingsRead reports that the settings were read again after SIGHUP.
-type SettingsRead struct {
+type SettingsReloaded struct {
 	Changed bool `event:"changed" doc:"whether they differ from the settings in use; new settings take effect with a restart"`
 }
 
 // Kind implements Event.
-func (SettingsRead) Kind() Kind {
+func (SettingsReloaded) Kind() Kind {
 	return Kind{"settings read again", slog.LevelInfo, "The settings were read again after the signal SIGHUP."}
 }
 
@@ -68,11 +68,11 @@
 }
 
 // Woke reports that the machine was resumed after a suspension.
-type Woke struct {
+type Resumed struct {
 	Suspended time.Duration `event:"suspended" doc:"length of the suspension; deadlines and validity periods include it, the monotonic clock of the process does not"`
 }
 
 // Kind implements Event.
-func (Woke) Kind() Kind {
+func (Resumed) Kind() Kind {
 	return Kind{"woke", slog.LevelWarn, "Requests past their deadline have ended. The node keeps its view of leaves, configuration and other nodes until it hears from the store."}
 }
--- a/internal/event/quarantine.go
+++ b/internal/event/quarantine.go
@@ -20,7 +20,7 @@
 
 // RequestTried reports that a trial, the run of a suspected request on a single leaf, ended the
 // leaf.
-type RequestTried struct {
+type TrialFailed struct {
 	Content fmt.Stringer `event:"content" doc:"hash of the request, as in the event \"request\""`
 	Route   string       `event:"route" doc:"route of the request"`
 	Leaf    string       `event:"leaf" doc:"incarnation that ended"`
@@ -30,7 +30,7 @@
 }
 
 // Kind implements Event.
-func (RequestTried) Kind() Kind {
+func (TrialFailed) Kind() Kind {
 	return Kind{"request tried", slog.LevelWarn, "The request is held after two such trials if their odds are at least 100."}
 }
 
--- a/internal/event/rollouts.go
+++ b/internal/event/rollouts.go
@@ -8,7 +8,7 @@
 // RolloutOrdered reports that an operator ordered a roll-out or withdrew the order.
 type RolloutOrdered struct {
 	Service   string        `event:"service" doc:"service that is rolled out"`
-	Version   string        `event:"target" doc:"version to which the traffic moves"`
+	Target    string        `event:"target" doc:"version to which the traffic moves"`
 	Duration  time.Duration `event:"duration" doc:"time from the order to its deadline"`
 	Withdrawn bool          `event:"withdrawn" doc:"whether the order was withdrawn"`
 	Revision  uint64        `event:"revision" doc:"revision of the store"`
@@ -34,7 +34,7 @@
 // RolloutChanged reports that this node applies another phase of a roll-out.
 type RolloutChanged struct {
 	Service string        `event:"service" doc:"service that is rolled out"`
-	Version string        `event:"target" doc:"version that is rolled out"`
+	Target  string        `event:"target" doc:"version that is rolled out"`
 	Phase   string        `event:"phase" doc:"trial (few attempts go to the version), burst (all attempts go to it for a short time), shift (leaves of other versions get no new attempts), completed or rolled_back"`
 	Reason  string        `event:"reason" doc:"reason for the decision, with the counts"`
 	Age     time.Duration `event:"age" doc:"time since the order"`
@@ -49,7 +49,7 @@
 // RolloutDecided reports that this node, the decider, wrote a phase of a roll-out or failed to.
 type RolloutDecided struct {
 	Service  string `event:"service" doc:"service that is rolled out"`
-	Version  string `event:"target" doc:"version that is rolled out"`
+	Target   string `event:"target" doc:"version that is rolled out"`
 	Phase    string `event:"phase" doc:"phase, as in the event \"roll-out changed\""`
 	Reason   string `event:"reason" doc:"reason for the decision, with the counts"`
 	Nodes    int    `event:"nodes" doc:"number of nodes whose counts the decision is based on"`
@@ -67,13 +67,13 @@
 }
 
 // RolloutDecider reports that this node sends its counts to another decider.
-type RolloutDecider struct {
+type DeciderChanged struct {
 	Peer   string `event:"peer" doc:"name of the new decider"`
 	Former string `event:"former" doc:"name of the previous decider; empty if there was none"`
 	Error  error  `event:"error" doc:"error of the call to the previous decider; empty if the previous decider cannot write to the store"`
 }
 
 // Kind implements Event.
-func (RolloutDecider) Kind() Kind {
+func (DeciderChanged) Kind() Kind {
 	return Kind{"decider changed", slog.LevelInfo, "The decider collects the counts of all nodes while roll-outs are in progress."}
 }
--- a/internal/event/store.go
+++ b/internal/event/store.go
@@ -7,7 +7,7 @@
 )
 
 // StoreRead reports that a snapshot of the store was read.
-type StoreRead struct {
+type StoreSnapshotRead struct {
 	Leaves   int  `event:"leaves" doc:"number of announced leaves"`
 	Nodes    int  `event:"nodes" doc:"number of announced nodes"`
 	AfterGap bool `event:"after_gap" doc:"whether changes before the snapshot may have been missed"`
@@ -15,12 +15,12 @@
 }
 
 // Kind implements Event.
-func (StoreRead) Kind() Kind {
+func (StoreSnapshotRead) Kind() Kind {
 	return Kind{"store read", slog.LevelInfo, "Configuration and announcements were read as a snapshot, at startup or because the changes after the last known revision were compacted."}
 }
 
 // SourceUsed reports that a starting node loaded its snapshot from another node.
-type SourceUsed struct {
+type SnapshotCopied struct {
 	Source   netip.AddrPort `event:"source" doc:"address of the other node"`
 	Revision uint64         `event:"revision" doc:"revision of the snapshot"`
 	Age      time.Duration  `event:"age" doc:"time since the store last answered the other node"`
@@ -28,18 +28,18 @@
 }
 
 // Kind implements Event.
-func (SourceUsed) Kind() Kind {
+func (SnapshotCopied) Kind() Kind {
 	return Kind{"copied from node", slog.LevelInfo, "The node loaded configuration and announcements from another node instead of the store, and watches the changes after that revision."}
 }
 
 // SourceFailed reports that loading the snapshot of another node failed.
-type SourceFailed struct {
+type SnapshotCopyFailed struct {
 	Source netip.AddrPort `event:"source" doc:"address of the other node"`
 	Error  error          `event:"error" doc:"reason for the failure"`
 }
 
 // Kind implements Event.
-func (SourceFailed) Kind() Kind {
+func (SnapshotCopyFailed) Kind() Kind {
 	return Kind{"copy from node failed", slog.LevelInfo, "The node tries another source or reads the store itself."}
 }
 
@@ -55,7 +55,7 @@
 
 // StoreRegained reports that the store responds again.
 type StoreRegained struct {
-	Away time.Duration `event:"away" doc:"how long the store did not respond"`
+	Outage time.Duration `event:"away" doc:"how long the store did not respond"`
 }
 
 // Kind implements Event.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -158,7 +158,7 @@
 	})
 	event.Log(logger, event.LeafChanged{Leaf: "i-1", Service: "s", Draining: true, Removed: true})
 	event.Log(logger, event.RequestLost{RequestID: "x", Executor: "b", Error: errors.New("gone")})
-	event.Log(logger, event.StoreRegained{Away: time.Second})
+	event.Log(logger, event.StoreRegained{Outage: time.Second})
 	event.Log(logger, event.ExecutorsLost{Left: 2})
 	event.Log(logger, event.ExecutorInTouch{Peer: "p"})
 	event.Log(logger, event.ZoneCordoned{Zone: "z", Cordoned: true})
--- a/internal/explain/node_state.go
+++ b/internal/explain/node_state.go
@@ -39,7 +39,7 @@
 		n.storeText, n.storeAt = "store lost: "+line.Error, line.Time
 	case event.StoreRegained{}.Kind().Message:
 		n.storeText, n.storeAt = "store regained after "+line.Away, line.Time
-	case event.StoreRead{}.Kind().Message:
+	case event.StoreSnapshotRead{}.Kind().Message:
 		n.storeText, n.storeAt = "store read", line.Time
 	case event.ExecutorsLost{}.Kind().Message:
 		n.executorText = fmt.Sprintf("in touch with %d executors", line.Left)
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -50,7 +50,7 @@
 			}
 		case event.RolloutDecided{}.Kind().Message:
 			steps = append(steps, Step{line.Time, line.Node, KindDecided, decisionText(&line)})
-		case event.RolloutDecider{}.Kind().Message:
+		case event.DeciderChanged{}.Kind().Message:
 			if line.Former != "" {
 				steps = append(steps, Step{line.Time, line.Node, KindDecider, deciderText(&line)})
 			}
@@ -68,7 +68,7 @@
 // matchesService reports whether a line concerns roll-outs of the service; an empty service
 // matches every line. Changes of the decider concern all services.
 func matchesService(line *Line, service string) bool {
-	return service == "" || line.Service == service || line.Message == (event.RolloutDecider{}).Kind().Message
+	return service == "" || line.Service == service || line.Message == (event.DeciderChanged{}).Kind().Message
 }
 
 // recordAdoption records that a node applied a phase.
--- a/internal/explain/rollout_test.go
+++ b/internal/explain/rollout_test.go
@@ -30,18 +30,18 @@
 	}
 	const reason = "on route lookup the target failed 5 of 21 attempts, the other version 0 of 300"
 	for _, node := range []string{"edge-1", "edge-2"} {
-		logAt(node, event.RolloutOrdered{Service: "vault", Version: "v2", Duration: 6 * time.Second, Revision: 7})
+		logAt(node, event.RolloutOrdered{Service: "vault", Target: "v2", Duration: 6 * time.Second, Revision: 7})
 	}
-	logAt("edge-1", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "trial", Reason: "the order was heard", Nodes: 2, Revision: 8})
-	logAt("edge-2", event.RolloutDecider{Peer: "edge-1"})
+	logAt("edge-1", event.RolloutDecided{Service: "vault", Target: "v2", Phase: "trial", Reason: "the order was heard", Nodes: 2, Revision: 8})
+	logAt("edge-2", event.DeciderChanged{Peer: "edge-1"})
 	for _, node := range []string{"edge-1", "edge-2"} {
-		logAt(node, event.RolloutChanged{Service: "vault", Version: "v2", Phase: "trial", Reason: "the order was heard", Order: 7})
+		logAt(node, event.RolloutChanged{Service: "vault", Target: "v2", Phase: "trial", Reason: "the order was heard", Order: 7})
 	}
-	logAt("edge-2", event.RolloutDecider{Peer: "edge-2", Former: "edge-1", Error: errors.New("connection refused")})
-	logAt("edge-2", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: reason, Nodes: 2, Error: errors.New("status 503")})
-	logAt("edge-2", event.RolloutDecided{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: reason, Nodes: 2, Revision: 9})
+	logAt("edge-2", event.DeciderChanged{Peer: "edge-2", Former: "edge-1", Error: errors.New("connection refused")})
+	logAt("edge-2", event.RolloutDecided{Service: "vault", Target: "v2", Phase: "rolled_back", Reason: reason, Nodes: 2, Error: errors.New("status 503")})
+	logAt("edge-2", event.RolloutDecided{Service: "vault", Target: "v2", Phase: "rolled_back", Reason: reason, Nodes: 2, Revision: 9})
 	for _, node := range []string{"edge-2", "edge-1"} {
-		logAt(node, event.RolloutChanged{Service: "vault", Version: "v2", Phase: "rolled_back", Reason: reason, Order: 7})
+		logAt(node, event.RolloutChanged{Service: "vault", Target: "v2", Phase: "rolled_back", Reason: reason, Order: 7})
 	}
 	logAt("edge-1", event.RolloutOrdered{Service: "desk", Withdrawn: true, Revision: 10})
 	lines, err := ReadLog(&output)
--- a/internal/leaf/errors.go
+++ b/internal/leaf/errors.go
@@ -32,7 +32,7 @@
 	Sent bool
 	// OnTheWay is set if the call was lost at another node that was relaying it, so that the error
 	// does not indicate a fault of the leaf.
-	OnTheWay bool
+	LostAtRelay bool
 	// Closed is set if the leaf closed or reset the connection before the first byte of its answer,
 	// for example because its process crashed during the call.
 	Closed bool
--- a/internal/leaf/metrics.go
+++ b/internal/leaf/metrics.go
@@ -32,13 +32,13 @@
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &metrics{
-		attempts: factory.Counters("micaplank_leaf_attempts_total",
+		attempts: factory.CounterVec("micaplank_leaf_attempts_total",
 			"Execute calls to leaves, by outcome: executed, refused, unsent, lost, cancelled or rejected (an unusable reply).", "outcome"),
 		crossed: factory.Counter("micaplank_leaf_crossed_replies_total",
 			"Replies that belong to another request; they are dropped."),
 		truncated: factory.Counter("micaplank_leaf_truncated_replies_total",
 			"Replies with missing rows; they are dropped."),
-		dials: factory.Counters("micaplank_leaf_dials_total",
+		dials: factory.CounterVec("micaplank_leaf_dials_total",
 			"Connections dialed to leaves, by result: opened or failed.", "result"),
 		connections: factory.Gauge("micaplank_leaf_open_connections",
 			"Connections to leaves that are open."),
--- a/internal/peer/benchmark_test.go
+++ b/internal/peer/benchmark_test.go
@@ -17,7 +17,7 @@
 	peer.Register(server, "echo", func(_ context.Context, _ netip.AddrPort, request *echoRequest) (*echoResponse, error) {
 		return &echoResponse{Data: request.Data}, nil
 	})
-	server.Serve()
+	server.Start()
 	client := peer.NewClient(peer.ClientOptions{}, nil)
 	defer func() {
 		_ = client.Close()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -89,7 +89,7 @@
 	defer cancel()
 	failure := c.call(ctx, to, method, request, response)
 	for range maxUnsentRetries {
-		if failure == nil || failure.Sent || !errors.Is(failure.Err, ErrLost) {
+		if failure == nil || failure.Sent || !errors.Is(failure.Err, ErrConnectionLost) {
 			break
 		}
 		// The pooled connection was lost before anything was sent on it.
@@ -127,7 +127,7 @@
 		return &Error{Step: conn.dialErr.Step, Err: conn.dialErr.Err}
 	}
 	failure := conn.call(ctx, method, request, response)
-	if failure != nil && errors.Is(failure.Err, ErrLost) {
+	if failure != nil && errors.Is(failure.Err, ErrConnectionLost) {
 		c.remove(conn)
 	}
 	return failure
--- a/internal/peer/client_call.go
+++ b/internal/peer/client_call.go
@@ -36,7 +36,7 @@
 	pending := &pendingCall{responseType: target.Type().Elem(), result: make(chan callResult, 1)}
 	callID, ok := c.register(pending)
 	if !ok {
-		return &Error{Step: StepQueue, Err: ErrLost}
+		return &Error{Step: StepQueue, Err: ErrConnectionLost}
 	}
 	defer c.unregister(callID)
 	startedAt := time.Now()
@@ -44,7 +44,7 @@
 	select {
 	case c.framed.queue <- frame:
 	case <-c.framed.closed:
-		return &Error{Step: StepQueue, Err: ErrLost}
+		return &Error{Step: StepQueue, Err: ErrConnectionLost}
 	case <-ctx.Done():
 		return &Error{Step: StepQueue, Err: ctx.Err()}
 	}
--- a/internal/peer/client_read.go
+++ b/internal/peer/client_read.go
@@ -92,6 +92,6 @@
 	c.idleTimer.Stop()
 	for callID, pending := range c.pending {
 		delete(c.pending, callID)
-		pending.complete(callResult{failure: &Error{Step: StepWait, Sent: true, Err: errors.Join(ErrLost, err)}})
+		pending.complete(callResult{failure: &Error{Step: StepWait, Sent: true, Err: errors.Join(ErrConnectionLost, err)}})
 	}
 }
--- a/internal/peer/datagrams.go
+++ b/internal/peer/datagrams.go
@@ -12,17 +12,17 @@
 )
 
 // Kind is the first byte of a datagram. It selects the handler.
-type Kind byte
+type DatagramKind byte
 
 // The kinds of datagrams.
 const (
-	KindMembership Kind = 1
-	KindExchange   Kind = 2
-	KindTopology   Kind = 3
+	KindMembership DatagramKind = 1
+	KindExchange   DatagramKind = 2
+	KindTopology   DatagramKind = 3
 )
 
 // String returns the value of the label "kind" in metrics.
-func (k Kind) String() string {
+func (k DatagramKind) String() string {
 	switch k {
 	case KindMembership:
 		return "membership"
@@ -39,7 +39,7 @@
 	MaxDatagramSize = 8 << 10
 	// UnfragmentedDatagram is the maximum payload in bytes that fits into one Ethernet frame. IP
 	// splits a larger datagram into fragments, and the datagram is lost if any fragment is.
-	UnfragmentedDatagram = 1400
+	MaxUnfragmentedDatagramSize = 1400
 )
 
 // DatagramHandler handles a datagram. It runs on the only reading goroutine of the socket and must
@@ -74,7 +74,7 @@
 }
 
 // Handle sets the handler of a kind. A nil handler removes it.
-func (d *Datagrams) Handle(kind Kind, handler DatagramHandler) {
+func (d *Datagrams) Handle(kind DatagramKind, handler DatagramHandler) {
 	if handler == nil {
 		d.handlers[kind].Store(nil)
 		return
@@ -84,7 +84,7 @@
 
 // Send writes one datagram. The network may lose, duplicate or reorder it without an error. The
 // payload may be reused after Send returns.
-func (d *Datagrams) Send(kind Kind, to netip.AddrPort, payload []byte) error {
+func (d *Datagrams) Send(kind DatagramKind, to netip.AddrPort, payload []byte) error {
 	if len(payload) > MaxDatagramSize {
 		d.metrics.dropped.WithLabelValues("too_large").Inc()
 		return sendError(to, fmt.Errorf("%w: %d bytes of %s, limit %d", ErrTooLarge, len(payload), kind, MaxDatagramSize))
@@ -135,7 +135,7 @@
 		d.metrics.dropped.WithLabelValues("bad_size").Inc()
 		return
 	}
-	kind := Kind(packet[0])
+	kind := DatagramKind(packet[0])
 	handler := d.handlers[kind].Load()
 	if handler == nil {
 		d.metrics.dropped.WithLabelValues("no_handler").Inc()
@@ -146,7 +146,7 @@
 	(*handler)(from, payload)
 }
 
-func (d *Datagrams) count(kind Kind, direction string, size int) {
+func (d *Datagrams) count(kind DatagramKind, direction string, size int) {
 	d.metrics.datagrams.WithLabelValues(kind.String(), direction).Inc()
 	d.metrics.bytes.WithLabelValues(kind.String(), direction).Add(float64(size))
 }
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -16,11 +16,11 @@
 func newDatagramMetrics(registerer prometheus.Registerer) *datagramMetrics {
 	factory := telemetry.NewFactory(registerer)
 	return &datagramMetrics{
-		datagrams: factory.Counters("micaplank_peer_datagrams_total",
+		datagrams: factory.CounterVec("micaplank_peer_datagrams_total",
 			"Datagrams, by kind and direction.", "kind", "direction"),
-		bytes: factory.Counters("micaplank_peer_datagram_bytes_total",
+		bytes: factory.CounterVec("micaplank_peer_datagram_bytes_total",
 			"Payload bytes of datagrams, by kind and direction.", "kind", "direction"),
-		dropped: factory.Counters("micaplank_peer_datagrams_dropped_total",
+		dropped: factory.CounterVec("micaplank_peer_datagrams_dropped_total",
 			"Datagrams dropped, by reason.", "reason"),
 	}
 }
@@ -41,9 +41,9 @@
 func newCallMetrics(registerer prometheus.Registerer, side string) *callMetrics {
 	factory := telemetry.NewFactory(registerer)
 	m := &callMetrics{
-		calls: factory.Counters("micaplank_peer_"+side+"_calls_total",
+		calls: factory.CounterVec("micaplank_peer_"+side+"_calls_total",
 			"Calls on the "+side+" side, by method and result.", "method", "result"),
-		bytes: factory.Counters("micaplank_peer_"+side+"_bytes_total",
+		bytes: factory.CounterVec("micaplank_peer_"+side+"_bytes_total",
 			"Bytes of frames on the "+side+" side, by direction.", "direction"),
 		connections: factory.Gauge("micaplank_peer_"+side+"_connections",
 			"Open connections on the "+side+" side."),
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -31,11 +31,11 @@
 
 // The causes of an Error that callers can test with errors.Is.
 var (
-	ErrClosed    = errors.New("peer: closed")
-	ErrLost      = errors.New("peer: connection lost")
-	ErrTooLarge  = errors.New("peer: message too large")
-	ErrHandshake = errors.New("peer: not a micaplank peer, or another protocol version")
-	ErrRefused   = errors.New("peer: refused")
+	ErrClosed         = errors.New("peer: closed")
+	ErrConnectionLost = errors.New("peer: connection lost")
+	ErrTooLarge       = errors.New("peer: message too large")
+	ErrHandshake      = errors.New("peer: not a micaplank peer, or another protocol version")
+	ErrRefused        = errors.New("peer: refused")
 )
 
 // Error is the error of a failed call.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -60,7 +60,7 @@
 	peer.Register(server, "grow", func(context.Context, netip.AddrPort, *echoRequest) (*echoResponse, error) {
 		return &echoResponse{Data: make([]byte, peer.MaxMessageSize+1)}, nil
 	})
-	server.Serve()
+	server.Start()
 	t.Cleanup(func() { _ = server.Close(cancelledContext()) })
 	return server, started, release
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -83,7 +83,7 @@
 func (s *Server) Address() netip.AddrPort { return localAddress(s.listener.Addr()) }
 
 // Serve starts to accept connections in the background and returns immediately.
-func (s *Server) Serve() {
+func (s *Server) Start() {
 	s.goroutines.Add(1)
 	go s.accept()
 }
--- a/internal/roster/watchers.go
+++ b/internal/roster/watchers.go
@@ -23,17 +23,17 @@
 
 // Watchers returns the members that watch the store for the others, selected by Spread. It returns
 // none for fewer than 16 members.
-func Watchers(members []Member, preferred ...netip.AddrPort) []Member {
+func SelectWatchers(members []Member, preferred ...netip.AddrPort) []Member {
 	if len(members) < minMembersForWatchers {
 		return nil
 	}
-	return Spread(members, max(minWatchers, (len(members)+maxMembersPerWatcher-1)/maxMembersPerWatcher), preferred...)
+	return SelectAcrossZones(members, max(minWatchers, (len(members)+maxMembersPerWatcher-1)/maxMembersPerWatcher), preferred...)
 }
 
 // Spread returns count members, or more if that is necessary to include one of each zone. Members
 // at the preferred addresses come first, the others are ordered by a hash of their names. The
 // result is the same on every node with the same arguments.
-func Spread(members []Member, count int, preferred ...netip.AddrPort) []Member {
+func SelectAcrossZones(members []Member, count int, preferred ...netip.AddrPort) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
 		if aPreferred := slices.Contains(preferred, a.Peer); aPreferred != slices.Contains(preferred, b.Peer) {
@@ -58,7 +58,7 @@
 // FirstOfZones returns up to perZone members of each zone, sorted by name. It selects them by a
 // hash of their names, so that the loss of a member replaces only that member, by another one of
 // its zone.
-func FirstOfZones(members []Member, perZone int) []Member {
+func SelectPerZone(members []Member, perZone int) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
@@ -78,7 +78,7 @@
 // Preferred sorts members in the order in which the node self contacts them: first those of its own
 // zone, and within and outside of the zone in an order that differs between nodes, so that the load
 // is spread over the members.
-func Preferred(self Member, members []Member) []Member {
+func OrderByZone(self Member, members []Member) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
 		if (a.Zone == self.Zone) != (b.Zone == self.Zone) {
--- a/internal/roster/watchers_test.go
+++ b/internal/roster/watchers_test.go
@@ -15,7 +15,7 @@
 
 func TestWatchers(t *testing.T) {
 	for _, test := range []struct{ members, watchers int }{{0, 0}, {8, 0}, {15, 0}, {16, 4}, {64, 4}, {300, 6}, {1000, 20}, {3900, 78}} {
-		watchers := Watchers(membersInFourZones(test.members))
+		watchers := SelectWatchers(membersInFourZones(test.members))
 		if len(watchers) < test.watchers || len(watchers) > test.watchers+3 {
 			t.Errorf("%d nodes: got %d watchers, want %d to %d", test.members, len(watchers), test.watchers, test.watchers+3)
 		}
@@ -33,7 +33,7 @@
 // so that their followers keep them.
 func TestWatchersAreStableWhenOneLeaves(t *testing.T) {
 	members := membersInFourZones(64)
-	before := Watchers(members)
+	before := SelectWatchers(members)
 	remaining := members[:0:0]
 	for _, member := range members {
 		if member.Name != before[0].Name {
@@ -41,7 +41,7 @@
 		}
 	}
 	kept := 0
-	for _, watcher := range Watchers(remaining) {
+	for _, watcher := range SelectWatchers(remaining) {
 		for _, previous := range before {
 			if watcher == previous {
 				kept++
@@ -55,7 +55,7 @@
 
 func TestPreferredPutsOwnZoneFirst(t *testing.T) {
 	members := membersInFourZones(12)
-	sorted := Preferred(members[1], members)
+	sorted := OrderByZone(members[1], members)
 	for index, member := range sorted {
 		if sameZone := member.Zone == members[1].Zone; sameZone != (index < 3) {
 			t.Fatalf("got order %+v, want the 3 members of zone %s first", sorted, members[1].Zone)
--- a/internal/roster/wire_test.go
+++ b/internal/roster/wire_test.go
@@ -8,4 +8,4 @@
 
 // TestMemberWireFormat checks the recorded encoding of Member, because nodes of other versions read
 // and write announcements in the same store.
-func TestMemberWireFormat(t *testing.T) { wiretest.JSON[Member](t, "member") }
+func TestMemberWireFormat(t *testing.T) { wiretest.CheckJSON[Member](t, "member") }
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -37,13 +37,13 @@
 }
 
 // startAttempt runs an attempt in a new goroutine.
-func (c *Conn[Q, P]) startAttempt(send dispatch.Send) {
+func (c *QueryRunner[Q, P]) startAttempt(send dispatch.Send) {
 	query := c.queries[send.Query]
 	ctx, cancel := context.WithCancel(query.ctx)
 	query.references++
 	attempt := &runningAttempt{send: send, cancel: cancel, traceIndex: len(query.trace)}
 	if c.config.Trace {
-		query.trace = append(query.trace, AttemptTrace{Send: send, At: c.config.Clock.Now() - query.submittedAt, End: EndOpen})
+		query.trace = append(query.trace, AttemptTrace{Send: send, SentAfter: c.config.Clock.Now() - query.submittedAt, End: EndOpen})
 	}
 	c.attempts[send.Attempt] = attempt
 	c.goroutines.Add(1)
@@ -51,13 +51,13 @@
 }
 
 // abortAttempt cancels an attempt, immediately or after the delay that linger.Time returns.
-func (c *Conn[Q, P]) abortAttempt(abort dispatch.Abort) {
+func (c *QueryRunner[Q, P]) abortAttempt(abort dispatch.Abort) {
 	attempt := c.attempts[abort.Attempt]
 	if attempt == nil {
 		return
 	}
 	attempt.aborted = true
-	wait := linger.Time(c.config.Linger, abort.Overdue)
+	wait := linger.Duration(c.config.Linger, abort.Overdue)
 	if wait == 0 {
 		attempt.cancel()
 		return
@@ -66,7 +66,7 @@
 }
 
 // runAttempt executes one attempt and reports its end to the dispatcher exactly once.
-func (c *Conn[Q, P]) runAttempt(ctx context.Context, attempt *runningAttempt, query *runningQuery[Q, P]) {
+func (c *QueryRunner[Q, P]) runAttempt(ctx context.Context, attempt *runningAttempt, query *runningQuery[Q, P]) {
 	defer c.goroutines.Done()
 	defer attempt.cancel()
 	response, err := c.executeAttempt(ctx, attempt.send, query)
@@ -82,17 +82,17 @@
 }
 
 // executeAttempt sends an attempt to its leaf if presend.Decide allows it.
-func (c *Conn[Q, P]) executeAttempt(ctx context.Context, send dispatch.Send, query *runningQuery[Q, P]) (*Response[P], error) {
+func (c *QueryRunner[Q, P]) executeAttempt(ctx context.Context, send dispatch.Send, query *runningQuery[Q, P]) (*Response[P], error) {
 	// Guard may install a newer topology, so it is called before the topology is read.
-	state := presend.State{Guard: c.config.Guard()}
-	state.Usable = c.MayGetWork(send.Leaf)
+	state := presend.State{GuardErr: c.config.Guard()}
+	state.LeafUsable = c.IsUsable(send.Leaf)
 	state.Remaining = query.deadline - c.config.Clock.Now()
 	switch presend.Decide(state) {
-	case presend.NotFresh:
-		return nil, unsentError(stepGuard, send.Leaf, state.Guard)
-	case presend.NotUsable:
+	case presend.NodeNotFresh:
+		return nil, unsentError(stepGuard, send.Leaf, state.GuardErr)
+	case presend.LeafNotUsable:
 		return nil, unsentError(stepTopology, send.Leaf, errNotUsable)
-	case presend.Expired:
+	case presend.DeadlinePassed:
 		return nil, unsentError(stepDeadline, send.Leaf, context.DeadlineExceeded)
 	}
 	return c.config.Leaves.Execute(ctx, Attempt[Q]{
--- a/internal/scatter/attempt_end.go
+++ b/internal/scatter/attempt_end.go
@@ -10,13 +10,13 @@
 )
 
 // reportEnd records the end of an attempt and passes it to the dispatcher.
-func (c *Conn[Q, P]) reportEnd(now dispatch.Time, attempt *runningAttempt, query *runningQuery[Q, P], response *Response[P], err error) []dispatch.Action {
+func (c *QueryRunner[Q, P]) reportEnd(now dispatch.Time, attempt *runningAttempt, query *runningQuery[Q, P], response *Response[P], err error) []dispatch.Action {
 	_, active := c.queries[attempt.send.Query]
 	if active && c.config.Trace {
 		completeTrace(&query.trace[attempt.traceIndex], now-query.submittedAt, attempt.aborted, response, err)
-		if query.trace[attempt.traceIndex].Closed && c.config.OnClosed != nil {
-			c.config.OnClosed(Unfinished[Q]{
-				RequestID: query.request.RequestID, Payload: query.request.Payload, Began: query.submittedAt, Attempts: query.trace,
+		if query.trace[attempt.traceIndex].Closed && c.config.OnConnectionClosed != nil {
+			c.config.OnConnectionClosed(QueryProgress[Q]{
+				RequestID: query.request.RequestID, Payload: query.request.Payload, SubmittedAt: query.submittedAt, Attempts: query.trace,
 			})
 		}
 	}
@@ -43,12 +43,12 @@
 	})
 }
 
-func (c *Conn[Q, P]) reportFailure(now dispatch.Time, id dispatch.AttemptID, failure dispatch.Failure) []dispatch.Action {
+func (c *QueryRunner[Q, P]) reportFailure(now dispatch.Time, id dispatch.AttemptID, failure dispatch.Failure) []dispatch.Action {
 	c.config.Metrics.countFailure(failure)
 	return c.dispatcher.Fail(now, id, failure)
 }
 
-func (c *Conn[Q, P]) reportRefusal(now dispatch.Time, id dispatch.AttemptID, query *runningQuery[Q, P], response *Response[P]) []dispatch.Action {
+func (c *QueryRunner[Q, P]) reportRefusal(now dispatch.Time, id dispatch.AttemptID, query *runningQuery[Q, P], response *Response[P]) []dispatch.Action {
 	c.config.Metrics.countRefusal(response.Refusal)
 	if response.Refusal == leaf.RefusedInvalid {
 		query.detail = response.Detail
@@ -65,9 +65,9 @@
 // the query.
 func completeTrace[P any](entry *AttemptTrace, endedAt time.Duration, aborted bool, response *Response[P], err error) {
 	entry.End, entry.Detail = classifyEnd(response, err)
-	entry.Took = endedAt - entry.At
+	entry.Duration = endedAt - entry.SentAfter
 	entry.Aborted = aborted
-	entry.Closed = err != nil && classifyFailure(err).Closed
+	entry.Closed = err != nil && classifyFailure(err).ConnectionClosed
 }
 
 // classifyEnd returns how an attempt ended, and the error text or the reason of the refusal.
@@ -93,11 +93,11 @@
 	if !errors.As(err, &transport) {
 		return dispatch.Failure{Sent: true}
 	}
-	return dispatch.Failure{Sent: transport.Sent, OnTheWay: transport.OnTheWay, Closed: transport.Closed, Refused: transport.Refused}
+	return dispatch.Failure{Sent: transport.Sent, LostAtRelay: transport.LostAtRelay, ConnectionClosed: transport.Closed, ConnectionRefused: transport.Refused}
 }
 
 // reportDraining calls Config.OnDraining if the response shows that the leaf is draining.
-func (c *Conn[Q, P]) reportDraining(address netip.AddrPort, response *Response[P]) {
+func (c *QueryRunner[Q, P]) reportDraining(address netip.AddrPort, response *Response[P]) {
 	if response == nil || c.config.OnDraining == nil {
 		return
 	}
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -32,7 +32,7 @@
 	b.Cleanup(server.Close)
 	client := leaf.New(leaf.Config{}, nil)
 	b.Cleanup(client.Close)
-	conn := NewConn(Config[string, rows.Table]{
+	conn := NewQueryRunner(Config[string, rows.Table]{
 		Service: "rate-desk", AttemptPrefix: "benchmark", Leaves: Statements{client}, Clock: clock.NewMonotonic(),
 		Guard: allowAlways, Metrics: NewMetrics(prometheus.NewRegistry()),
 	}, dispatch.New(dispatch.DefaultConfig(), rand.New(rand.NewPCG(1, 2))))
--- a/internal/scatter/conn.go
+++ b/internal/scatter/conn.go
@@ -10,7 +10,7 @@
 )
 
 // Conn runs the queries of one service on its leaves. It is safe for concurrent use.
-type Conn[Q, P any] struct {
+type QueryRunner[Q, P any] struct {
 	config Config[Q, P]
 
 	// mutex guards the fields below, except goroutines.
@@ -28,8 +28,8 @@
 }
 
 // NewConn returns a Conn that takes ownership of the dispatcher.
-func NewConn[Q, P any](config Config[Q, P], dispatcher *dispatch.Dispatcher) *Conn[Q, P] {
-	conn := &Conn[Q, P]{
+func NewQueryRunner[Q, P any](config Config[Q, P], dispatcher *dispatch.Dispatcher) *QueryRunner[Q, P] {
+	conn := &QueryRunner[Q, P]{
 		config:     config,
 		dispatcher: dispatcher,
 		queries:    make(map[dispatch.QueryID]*runningQuery[Q, P]),
@@ -42,7 +42,7 @@
 
 // Execute runs a query and blocks until it ends. If ctx ends first, the query is cancelled together
 // with its attempts in flight.
-func (c *Conn[Q, P]) Execute(ctx context.Context, request Request[Q]) Result[P] {
+func (c *QueryRunner[Q, P]) Execute(ctx context.Context, request Request[Q]) Result[P] {
 	query := c.submit(request)
 	select {
 	case result := <-query.result:
@@ -61,7 +61,7 @@
 }
 
 // Close rejects new queries and blocks until every running attempt has ended.
-func (c *Conn[Q, P]) Close() {
+func (c *QueryRunner[Q, P]) Close() {
 	c.mutex.Lock()
 	c.closed = true
 	c.mutex.Unlock()
@@ -71,7 +71,7 @@
 
 // applyDecision calls the dispatcher under the mutex, performs the actions that it returns and
 // resets the timer.
-func (c *Conn[Q, P]) applyDecision(decide func(now dispatch.Time) []dispatch.Action) {
+func (c *QueryRunner[Q, P]) applyDecision(decide func(now dispatch.Time) []dispatch.Action) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	actions := decide(c.config.Clock.Now())
@@ -81,7 +81,7 @@
 	c.resetTimer()
 }
 
-func (c *Conn[Q, P]) perform(action dispatch.Action) {
+func (c *QueryRunner[Q, P]) perform(action dispatch.Action) {
 	switch action := action.(type) {
 	case dispatch.Send:
 		c.startAttempt(action)
@@ -93,7 +93,7 @@
 }
 
 // resetTimer sets the timer to the dispatcher's next tick, or stops it if there is none.
-func (c *Conn[Q, P]) resetTimer() {
+func (c *QueryRunner[Q, P]) resetTimer() {
 	next, ok := c.dispatcher.NextTick()
 	if !ok {
 		c.timer.Stop()
@@ -102,10 +102,10 @@
 	c.timer.Reset(max(next-c.config.Clock.Now(), 0))
 }
 
-func (c *Conn[Q, P]) tick() {
+func (c *QueryRunner[Q, P]) tick() {
 	c.applyDecision(c.dispatcher.Tick)
 }
 
 // Wake ends the queries that have expired. It is needed after the machine was suspended, because
 // process timers do not advance during a suspension and fire late.
-func (c *Conn[Q, P]) Wake() { c.tick() }
+func (c *QueryRunner[Q, P]) Tick() { c.tick() }
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -15,77 +15,77 @@
 
 // ResizeBudgets sets the bounds of the extra load that the dispatcher may cause at each shard. The
 // dispatcher keeps the function, which must be pure.
-func (c *Conn[Q, P]) ResizeBudgets(bounds func(shard int) hedge.Bounds) {
+func (c *QueryRunner[Q, P]) ResizeBudgets(bounds func(shard int) hedge.Bounds) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.ResizeBudgets(bounds)
 }
 
 // SetProbeInterval sets the interval between probes of a slow leaf.
-func (c *Conn[Q, P]) SetProbeInterval(interval time.Duration) {
+func (c *QueryRunner[Q, P]) SetProbeInterval(interval time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.SetProbeInterval(interval)
 }
 
 // SetAllowance sets the allowance of the canaries of a shard. With nil they receive no attempts.
-func (c *Conn[Q, P]) SetAllowance(shard int, allowance *rollout.Allowance) {
+func (c *QueryRunner[Q, P]) SetAllowance(shard int, allowance *rollout.Allowance) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.SetAllowance(shard, allowance)
 }
 
 // Grant permits the dispatcher to spend the allowance of a shard until the given time.
-func (c *Conn[Q, P]) Grant(shard int, until dispatch.Time) {
+func (c *QueryRunner[Q, P]) Grant(shard int, until dispatch.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.Grant(shard, until)
 }
 
 // Burst permits the dispatcher to spend the whole allowance of a shard without a reserve.
-func (c *Conn[Q, P]) Burst(shard int) {
+func (c *QueryRunner[Q, P]) Burst(shard int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatcher.Burst(shard)
 }
 
 // InFlightAt returns the number of attempts in flight at the leaves whose boot ID match selects.
-func (c *Conn[Q, P]) InFlightAt(match func(bootID string) bool) int {
+func (c *QueryRunner[Q, P]) InFlightAt(match func(bootID string) bool) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dispatcher.InFlightAt(match)
 }
 
 // Observe passes a load report of a leaf to the dispatcher.
-func (c *Conn[Q, P]) Observe(address netip.AddrPort, load leaf.LoadSummary) {
+func (c *QueryRunner[Q, P]) Observe(address netip.AddrPort, load leaf.LoadSummary) {
 	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		return c.dispatcher.Observe(now, address, load)
 	})
 }
 
 // LeafStates returns the dispatcher's state of each leaf.
-func (c *Conn[Q, P]) LeafStates() []dispatch.LeafState {
+func (c *QueryRunner[Q, P]) LeafStates() []dispatch.LeafState {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dispatcher.LeafStates()
 }
 
 // Counters returns the dispatcher's counters.
-func (c *Conn[Q, P]) Counters() dispatch.Counters {
+func (c *QueryRunner[Q, P]) Counters() dispatch.Counters {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dispatcher.Counters()
 }
 
 // Load returns the dispatcher's current load.
-func (c *Conn[Q, P]) Load() dispatch.Load {
+func (c *QueryRunner[Q, P]) Load() dispatch.Load {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dispatcher.Load()
 }
 
 // InFlight returns the number of queries that have not ended.
-func (c *Conn[Q, P]) InFlight() int {
+func (c *QueryRunner[Q, P]) InFlight() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.queries)
--- a/internal/scatter/metrics.go
+++ b/internal/scatter/metrics.go
@@ -19,9 +19,9 @@
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &Metrics{
-		refusals: factory.Counters("micaplank_scatter_refusals_total",
+		refusals: factory.CounterVec("micaplank_scatter_refusals_total",
 			"Attempts that a leaf refused without running them, by reason.", "reason"),
-		failures: factory.Counters("micaplank_scatter_failures_total",
+		failures: factory.CounterVec("micaplank_scatter_failures_total",
 			"Attempts that ended without a reply, by kind: aborted, not_sent or lost.", "kind"),
 		closed: factory.Counter("micaplank_scatter_closed_total",
 			"Attempts whose leaf closed or reset the connection before the first byte of its answer, as when its process ends. They are included in the failures."),
@@ -33,7 +33,7 @@
 }
 
 func (m *Metrics) countFailure(failure dispatch.Failure) {
-	if failure.Closed {
+	if failure.ConnectionClosed {
 		m.closed.Inc()
 	}
 	switch {
--- a/internal/scatter/running_query.go
+++ b/internal/scatter/running_query.go
@@ -27,7 +27,7 @@
 }
 
 // submit passes a request to the dispatcher. A closed Conn answers it immediately.
-func (c *Conn[Q, P]) submit(request Request[Q]) *runningQuery[Q, P] {
+func (c *QueryRunner[Q, P]) submit(request Request[Q]) *runningQuery[Q, P] {
 	query := &runningQuery[Q, P]{
 		request: request,
 		parts:   make(map[dispatch.AttemptID]P),
@@ -58,7 +58,7 @@
 		Shards:          r.Shards,
 		Deadline:        now + r.Timeout,
 		HedgeDelay:      r.HedgeDelay,
-		MaximumSends:    r.MaximumSends,
+		MaximumAttempts: r.MaximumSends,
 		MinimumCoverage: r.MinimumCoverage,
 	}
 	if r.Objective > 0 {
@@ -73,7 +73,7 @@
 }
 
 // finishQuery delivers the result of a query to its caller.
-func (c *Conn[Q, P]) finishQuery(finish dispatch.Finish) {
+func (c *QueryRunner[Q, P]) finishQuery(finish dispatch.Finish) {
 	query := c.queries[finish.Query]
 	if query == nil {
 		return
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -82,7 +82,7 @@
 	// OnClosed, if not nil, is called when the leaf of an attempt closes the connection before the
 	// first byte of its answer while the query runs. It requires Trace. It is called with the mutex
 	// of the Conn held, so it must not block or call the Conn.
-	OnClosed func(Unfinished[Q])
+	OnConnectionClosed func(QueryProgress[Q])
 	// Linger is how long an aborted attempt may continue before it is cancelled. Zero cancels it
 	// immediately. Package linger decides when it applies.
 	Linger time.Duration
@@ -112,12 +112,12 @@
 
 // Unfinished describes a running query. Attempts lists the attempts so far and must not be
 // retained.
-type Unfinished[Q any] struct {
+type QueryProgress[Q any] struct {
 	RequestID string
 	Payload   Q
 	// Began is the time of submission on the clock of the Conn.
-	Began    time.Duration
-	Attempts []AttemptTrace
+	SubmittedAt time.Duration
+	Attempts    []AttemptTrace
 }
 
 // ShardPart is the part of the answer that came from one shard.
@@ -131,8 +131,8 @@
 	dispatch.Send
 	// At is the time from the submission of the query to the send. Took is the time from the send
 	// to the end of the attempt; it is zero while the attempt is open.
-	At, Took time.Duration
-	End      AttemptEnd
+	SentAfter, Duration time.Duration
+	End                 AttemptEnd
 	// Aborted is set if the attempt was aborted before it ended, in favour of another attempt or
 	// because its query ended.
 	Aborted bool
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -100,8 +100,8 @@
 	return topology
 }
 
-func newTestConn(leaves StatementExecutor, guard Guard) *Conn[string, rows.Table] {
-	conn := NewConn(Config[string, rows.Table]{
+func newTestConn(leaves StatementExecutor, guard Guard) *QueryRunner[string, rows.Table] {
+	conn := NewQueryRunner(Config[string, rows.Table]{
 		Service: "rate-desk", AttemptPrefix: "test", Leaves: Statements{leaves}, Clock: clock.NewMonotonic(),
 		Guard: guard, Metrics: NewMetrics(prometheus.NewRegistry()),
 	}, dispatch.New(dispatch.DefaultConfig(), rand.New(rand.NewPCG(1, 2))))
@@ -175,7 +175,7 @@
 // receives the attempt.
 func TestGuardUpdatesTopologyBeforeSend(t *testing.T) {
 	leaves := newFaultyLeaves(1)
-	var conn *Conn[string, rows.Table]
+	var conn *QueryRunner[string, rows.Table]
 	conn = newTestConn(leaves, func() error {
 		retired := testTopology()
 		for i := range retired.Leaves {
--- a/internal/scatter/suspension_test.go
+++ b/internal/scatter/suspension_test.go
@@ -29,8 +29,8 @@
 
 func (c *suspendableClock) suspend(length time.Duration) { c.suspended.Add(int64(length)) }
 
-func newTestConnWithClock(leaves StatementExecutor, clock *suspendableClock, guard Guard) *Conn[string, rows.Table] {
-	conn := NewConn(Config[string, rows.Table]{
+func newTestConnWithClock(leaves StatementExecutor, clock *suspendableClock, guard Guard) *QueryRunner[string, rows.Table] {
+	conn := NewQueryRunner(Config[string, rows.Table]{
 		Service: "rate-desk", AttemptPrefix: "test", Leaves: Statements{leaves}, Clock: clock,
 		Guard: guard, Metrics: NewMetrics(prometheus.NewRegistry()),
 	}, dispatch.New(dispatch.DefaultConfig(), rand.New(rand.NewPCG(1, 2))))
@@ -67,7 +67,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	clock.suspend(time.Hour)
-	conn.Wake()
+	conn.Tick()
 	if result := <-ended; result.Reason != dispatch.ReasonDeadline {
 		t.Errorf("got reason %s, want %s", result.Reason, dispatch.ReasonDeadline)
 	}
--- a/internal/scatter/topology.go
+++ b/internal/scatter/topology.go
@@ -10,7 +10,7 @@
 )
 
 // SetTopology installs a new topology in the Conn and in its dispatcher.
-func (c *Conn[Q, P]) SetTopology(topology dispatch.Topology) {
+func (c *QueryRunner[Q, P]) SetTopology(topology dispatch.Topology) {
 	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		c.topology = topology
 		c.usable = usableLeaves(topology)
@@ -28,7 +28,7 @@
 
 // MayGetWork reports whether a leaf is usable in the current topology, which may be newer than the
 // one on which the dispatcher decided a send.
-func (c *Conn[Q, P]) MayGetWork(address netip.AddrPort) bool {
+func (c *QueryRunner[Q, P]) IsUsable(address netip.AddrPort) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.usable[address]
@@ -36,7 +36,7 @@
 
 // Snapshot returns the snapshot to which a query over all shards would be pinned now. It is zero if
 // no usable leaf holds one.
-func (c *Conn[Q, P]) Snapshot() catalog.Snapshot {
+func (c *QueryRunner[Q, P]) Snapshot() catalog.Snapshot {
 	c.mutex.Lock()
 	topology := c.topology
 	c.mutex.Unlock()
--- a/internal/selfhosted/dissemination/metrics.go
+++ b/internal/selfhosted/dissemination/metrics.go
@@ -33,11 +33,11 @@
 	gauge("log_broken", "Whether the next change of the log cannot be applied by this process (1) or not (0).",
 		s.flag(func(c *Core) bool { return c.Broken() != nil }))
 	return &metrics{
-		packets:   factory.Counters(namespace+"packets_total", "Packets, by kind and direction.", "kind", "direction"),
-		bytes:     factory.Counters(namespace+"bytes_total", "Payload bytes of packets, by direction.", "direction"),
-		fetches:   factory.Counters(namespace+"fetches_total", "Fetches of changes from peers, by result.", "result"),
-		store:     factory.Counters(namespace+"store_operations_total", "Operations on the store, by kind and result.", "kind", "result"),
-		proposals: factory.Counters(namespace+"proposals_total", "Proposals ended here, by fate.", "fate"),
+		packets:   factory.CounterVec(namespace+"packets_total", "Packets, by kind and direction.", "kind", "direction"),
+		bytes:     factory.CounterVec(namespace+"bytes_total", "Payload bytes of packets, by direction.", "direction"),
+		fetches:   factory.CounterVec(namespace+"fetches_total", "Fetches of changes from peers, by result.", "result"),
+		store:     factory.CounterVec(namespace+"store_operations_total", "Operations on the store, by kind and result.", "kind", "result"),
+		proposals: factory.CounterVec(namespace+"proposals_total", "Proposals ended here, by fate.", "fate"),
 	}
 }
 
--- a/internal/selfhosted/dissemination/service_test.go
+++ b/internal/selfhosted/dissemination/service_test.go
@@ -95,7 +95,7 @@
 		Transport: dissemination.NewPeerTransport(n.datagrams, n.client),
 	})
 	n.service.Serve(n.datagrams, n.server)
-	n.server.Serve()
+	n.server.Start()
 	n.service.Start()
 	d.t.Cleanup(n.stop)
 }
--- a/internal/selfhosted/dissemination/wire.go
+++ b/internal/selfhosted/dissemination/wire.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if totalSize(changes) <= peer.UnfragmentedDatagram-pushOverhead {
+		if totalSize(changes) <= peer.MaxUnfragmentedDatagramSize-pushOverhead {
 			wire.Push.Changes = changes
 		}
 	}
--- a/internal/selfhosted/dissemination/wire_recorded_test.go
+++ b/internal/selfhosted/dissemination/wire_recorded_test.go
@@ -8,10 +8,10 @@
 
 // TestMessagesReadAsRecorded guards a fleet of two versions, and what the store holds.
 func TestMessagesReadAsRecorded(t *testing.T) {
-	wiretest.Gob[FetchCall](t, "dissemination.fetch.request")
-	wiretest.Gob[FetchReply](t, "dissemination.fetch.response")
-	wiretest.JSON[chunk](t, "checkpoint.chunk")
-	wiretest.Encoded(t, "dissemination.packet",
+	wiretest.CheckGob[FetchCall](t, "dissemination.fetch.request")
+	wiretest.CheckGob[FetchReply](t, "dissemination.fetch.response")
+	wiretest.CheckJSON[chunk](t, "checkpoint.chunk")
+	wiretest.CheckEncoding(t, "dissemination.packet",
 		func(packet wirePacket) ([]byte, error) { return packetCodec.Encode(&packet) },
 		func(encoded []byte) (wirePacket, error) {
 			packet, err := packetCodec.Decode(encoded)
--- a/internal/selfhosted/machines/metrics.go
+++ b/internal/selfhosted/machines/metrics.go
@@ -16,7 +16,7 @@
 	factory.GaugeFunc("micaplank_machines_list_age_seconds",
 		"Time since the last successful reading of the machine list was asked for; 0 before the first.",
 		func() float64 { return poller.Last().Age.Seconds() })
-	return &metrics{polls: factory.Counters("micaplank_machines_polls_total",
+	return &metrics{polls: factory.CounterVec("micaplank_machines_polls_total",
 		"Readings of the platform's machine list, by result (ok or failed).", "result")}
 }
 
--- a/internal/selfhosted/membership/wire_test.go
+++ b/internal/selfhosted/membership/wire_test.go
@@ -8,5 +8,5 @@
 
 // TestPacketReadsAsRecorded guards a fleet of two versions.
 func TestPacketReadsAsRecorded(t *testing.T) {
-	wiretest.Encoded(t, "packet", EncodePacket, DecodePacket)
+	wiretest.CheckEncoding(t, "packet", EncodePacket, DecodePacket)
 }
--- a/internal/selfhosted/node/peers.go
+++ b/internal/selfhosted/node/peers.go
@@ -149,7 +149,7 @@
 // datagramSender sends datagrams of one kind.
 type datagramSender struct {
 	datagrams *peer.Datagrams
-	kind      peer.Kind
+	kind      peer.DatagramKind
 }
 
 // Send sends one datagram without a guarantee of delivery.
--- a/internal/selfhosted/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -29,7 +29,7 @@
 // takes over its slot. It then stops the node as planned and returns nil if all requests in flight
 // completed within the drain timeout.
 func (n *Node) Run(ctx context.Context) error {
-	n.peerServer.Serve()
+	n.peerServer.Start()
 	n.membership.Start()
 	n.dissemination.Start()
 	n.backgroundTasks.Go(n.watchCatalog)
--- a/internal/selfhosted/node/service_conns.go
+++ b/internal/selfhosted/node/service_conns.go
@@ -25,7 +25,7 @@
 	seed uint64
 
 	mutex sync.Mutex
-	conns map[string]*scatter.Conn[string, rows.Table]
+	conns map[string]*scatter.QueryRunner[string, rows.Table]
 	// closing waits for the connections of dropped services, which close once their queries have
 	// ended.
 	closing sync.WaitGroup
@@ -36,7 +36,7 @@
 		dispatchConfig: dispatchConfig,
 		scatterConfig:  scatterConfig,
 		seed:           seed,
-		conns:          make(map[string]*scatter.Conn[string, rows.Table]),
+		conns:          make(map[string]*scatter.QueryRunner[string, rows.Table]),
 	}
 }
 
@@ -46,7 +46,7 @@
 	return conn, ok
 }
 
-func (s *serviceConns) conn(service string) (*scatter.Conn[string, rows.Table], bool) {
+func (s *serviceConns) conn(service string) (*scatter.QueryRunner[string, rows.Table], bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	conn, ok := s.conns[service]
@@ -66,12 +66,12 @@
 	conn.SetTopology(topology)
 }
 
-func (s *serviceConns) newConn(service string) *scatter.Conn[string, rows.Table] {
+func (s *serviceConns) newConn(service string) *scatter.QueryRunner[string, rows.Table] {
 	config := s.scatterConfig
 	config.Service = service
 	config.AttemptPrefix = fmt.Sprintf("%s/%s", s.scatterConfig.AttemptPrefix, service)
 	random := rand.New(rand.NewPCG(s.seed, xxhash.Sum64String(service)))
-	return scatter.NewConn(config, dispatch.New(s.dispatchConfig, random))
+	return scatter.NewQueryRunner(config, dispatch.New(s.dispatchConfig, random))
 }
 
 // Observe passes a leaf's load report to the connection of a service.
@@ -110,7 +110,7 @@
 func (s *serviceConns) close() {
 	s.mutex.Lock()
 	conns := s.conns
-	s.conns = make(map[string]*scatter.Conn[string, rows.Table])
+	s.conns = make(map[string]*scatter.QueryRunner[string, rows.Table])
 	s.mutex.Unlock()
 	for _, conn := range conns {
 		conn.Close()
--- a/internal/selfhosted/query/answer.go
+++ b/internal/selfhosted/query/answer.go
@@ -65,7 +65,7 @@
 		return api.ProblemNotRunSnapshot
 	case dispatch.ReasonDeadline:
 		return api.ProblemNotRunDeadline
-	case dispatch.ReasonRefused, dispatch.ReasonInvalid, dispatch.ReasonLost:
+	case dispatch.ReasonRefused, dispatch.ReasonInvalid, dispatch.ReasonConnectionLost:
 		return api.ProblemNotRunRefused
 	case dispatch.ReasonCancelled:
 		return api.ProblemNotRunCancelled
--- a/internal/selfhosted/query/ledger.go
+++ b/internal/selfhosted/query/ledger.go
@@ -70,8 +70,8 @@
 	return ledger
 }
 
-func (l *Ledger) reading() once.Reading {
-	return once.Reading{Wall: l.wall(), Monotonic: l.clock.Now()}
+func (l *Ledger) reading() once.ClockReading {
+	return once.ClockReading{Wall: l.wall(), Monotonic: l.clock.Now()}
 }
 
 // SetVoters takes the newest change of the voting set. The revision counts,
@@ -137,7 +137,7 @@
 func (l *Ledger) holds(decision once.Decision[fate]) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Holds(decision)
+	return l.ledger.OwnershipHolds(decision)
 }
 
 func (l *Ledger) finish(id ulid.ULID, ended fate) {
--- a/internal/selfhosted/query/metrics.go
+++ b/internal/selfhosted/query/metrics.go
@@ -23,9 +23,9 @@
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &Metrics{
-		queries: factory.Counters("micaplank_executor_queries_total",
+		queries: factory.CounterVec("micaplank_executor_queries_total",
 			"Queries of callers, by service and fate: the outcome of an answer or the type of a problem.", "service", "fate"),
-		latency: factory.Histograms("micaplank_executor_query_duration_seconds",
+		latency: factory.HistogramVec("micaplank_executor_query_duration_seconds",
 			"Time from the arrival of a query to its answer, of answered queries, by service and class.", latencyBuckets, "service", "class"),
 	}
 }
--- a/internal/selfhosted/query/once.go
+++ b/internal/selfhosted/query/once.go
@@ -66,7 +66,7 @@
 	}
 	lost := planned.problem(api.ProblemOutcomeUnknown, err.Error())
 	lost.Outcome = dispatch.OutcomeUnknown
-	lost.Reason = dispatch.ReasonLost
+	lost.Reason = dispatch.ReasonConnectionLost
 	return nil, lost
 }
 
--- a/internal/selfhosted/query/once_test.go
+++ b/internal/selfhosted/query/once_test.go
@@ -33,7 +33,7 @@
 	f := settled(t)
 	request := f.filing()
 	answered := f.scatterer.result
-	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonLost}}
+	f.scatterer.result = scatter.Result[rows.Table]{Finish: dispatch.Finish{Outcome: dispatch.OutcomeUnknown, Reason: dispatch.ReasonConnectionLost}}
 	for range 2 {
 		_, err := f.runner.Query(context.Background(), "rate-desk", request)
 		requireProblem(t, "lost", err, api.ProblemOutcomeUnknown)
--- a/internal/selfhosted/query/runner_test.go
+++ b/internal/selfhosted/query/runner_test.go
@@ -165,14 +165,14 @@
 		{"no snapshot", finish(dispatch.OutcomeNotRun, dispatch.ReasonNoSnapshot), api.ProblemNotRunSnapshot},
 		{"deadline", finish(dispatch.OutcomeNotRun, dispatch.ReasonDeadline), api.ProblemNotRunDeadline},
 		{"refused", finish(dispatch.OutcomeNotRun, dispatch.ReasonRefused), api.ProblemNotRunRefused},
-		{"never sent", finish(dispatch.OutcomeNotRun, dispatch.ReasonLost), api.ProblemNotRunRefused},
+		{"never sent", finish(dispatch.OutcomeNotRun, dispatch.ReasonConnectionLost), api.ProblemNotRunRefused},
 		{"cancelled", finish(dispatch.OutcomeNotRun, dispatch.ReasonCancelled), api.ProblemNotRunCancelled},
 		{"statement that no leaf can run", finish(dispatch.OutcomeNotRun, dispatch.ReasonInvalid), api.ProblemInvalidRequest},
 		{"the same, with attempts on their way", finish(dispatch.OutcomeFailed, dispatch.ReasonInvalid), api.ProblemInvalidRequest},
 		{"statement that some leaves can run", answered, api.ProblemFailed},
 		{"insert that may have run", finish(dispatch.OutcomeUnknown, dispatch.ReasonInvalid), api.ProblemOutcomeUnknown},
 		{"failed", finish(dispatch.OutcomeFailed, dispatch.ReasonDeadline), api.ProblemFailed},
-		{"unknown", finish(dispatch.OutcomeUnknown, dispatch.ReasonLost), api.ProblemOutcomeUnknown},
+		{"unknown", finish(dispatch.OutcomeUnknown, dispatch.ReasonConnectionLost), api.ProblemOutcomeUnknown},
 	}
 	for _, test := range cases {
 		fixture := newFixture(t)
--- a/internal/selfhosted/store/metrics.go
+++ b/internal/selfhosted/store/metrics.go
@@ -26,9 +26,9 @@
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &metrics{
-		calls: factory.Counters("micaplank_store_calls_total",
+		calls: factory.CounterVec("micaplank_store_calls_total",
 			"Calls to the configuration store, by step and result.", "step", "result"),
-		duration: factory.Histograms("micaplank_store_call_duration_seconds",
+		duration: factory.HistogramVec("micaplank_store_call_duration_seconds",
 			"Time of a call to the configuration store, with the wait for the client's own limiter.", durationBuckets, "step"),
 		watchEvents: factory.Counter("micaplank_store_watch_events_total",
 			"Changes of keys received over watches."),
--- a/internal/telemetry/factory.go
+++ b/internal/telemetry/factory.go
@@ -21,7 +21,7 @@
 }
 
 // Counters creates a counter vector with the given labels.
-func (f Factory) Counters(name, help string, labels ...string) *prometheus.CounterVec {
+func (f Factory) CounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return f.factory.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 }
 
@@ -36,6 +36,6 @@
 }
 
 // Histograms creates a histogram vector with the given labels. The buckets are upper bounds.
-func (f Factory) Histograms(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
+func (f Factory) HistogramVec(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
 	return f.factory.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets}, labels)
 }
--- a/internal/telemetry/rate_limit.go
+++ b/internal/telemetry/rate_limit.go
@@ -11,7 +11,7 @@
 
 // CapConfig limits the rate at which each message is logged. A message may be logged in a burst
 // as large as the lines of one second.
-type CapConfig struct {
+type RateLimits struct {
 	// Info limits lines below the level warn, Warn limits lines at warn and above, both in lines
 	// per second.
 	Info, Warn float64
@@ -19,7 +19,7 @@
 
 // CappedHandler is a slog.Handler that drops lines beyond the rate limit of their message. It
 // counts the dropped lines, and adds their number to the next line of the message.
-type CappedHandler struct {
+type RateLimitHandler struct {
 	next    slog.Handler
 	limiter *rateLimiter
 }
@@ -27,7 +27,7 @@
 // rateLimiter holds the buckets of all messages. A handler shares it with the handlers that are
 // derived from it by WithAttrs and WithGroup.
 type rateLimiter struct {
-	limits       CapConfig
+	limits       RateLimits
 	now          func() time.Time
 	droppedTotal *prometheus.CounterVec
 
@@ -51,22 +51,22 @@
 
 // NewCappedHandler returns a handler that limits the lines passed to next, and registers its
 // counter. Messages must come from a fixed set, as each one gets a bucket and a label value.
-func NewCappedHandler(next slog.Handler, limits CapConfig, registerer prometheus.Registerer) *CappedHandler {
+func NewRateLimitHandler(next slog.Handler, limits RateLimits, registerer prometheus.Registerer) *RateLimitHandler {
 	droppedTotal := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "micaplank_log_lines_capped_total", Help: "Log lines that were dropped beyond the rate of their message."}, []string{"message"})
 	registerer.MustRegister(droppedTotal)
-	return &CappedHandler{next: next, limiter: &rateLimiter{
+	return &RateLimitHandler{next: next, limiter: &rateLimiter{
 		limits: limits, now: time.Now, droppedTotal: droppedTotal, buckets: make(map[bucketKey]*tokenBucket),
 	}}
 }
 
 // Enabled implements slog.Handler.
-func (h *CappedHandler) Enabled(ctx context.Context, level slog.Level) bool {
+func (h *RateLimitHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return h.next.Enabled(ctx, level)
 }
 
 // Handle implements slog.Handler.
-func (h *CappedHandler) Handle(ctx context.Context, record slog.Record) error {
+func (h *RateLimitHandler) Handle(ctx context.Context, record slog.Record) error {
 	dropped, allowed := h.limiter.allow(record)
 	if !allowed {
 		return nil
@@ -78,13 +78,13 @@
 }
 
 // WithAttrs implements slog.Handler.
-func (h *CappedHandler) WithAttrs(attributes []slog.Attr) slog.Handler {
-	return &CappedHandler{next: h.next.WithAttrs(attributes), limiter: h.limiter}
+func (h *RateLimitHandler) WithAttrs(attributes []slog.Attr) slog.Handler {
+	return &RateLimitHandler{next: h.next.WithAttrs(attributes), limiter: h.limiter}
 }
 
 // WithGroup implements slog.Handler.
-func (h *CappedHandler) WithGroup(name string) slog.Handler {
-	return &CappedHandler{next: h.next.WithGroup(name), limiter: h.limiter}
+func (h *RateLimitHandler) WithGroup(name string) slog.Handler {
+	return &RateLimitHandler{next: h.next.WithGroup(name), limiter: h.limiter}
 }
 
 // allow takes a token from the bucket of a line. It reports whether the line may be written, and
--- a/internal/telemetry/rate_limit_test.go
+++ b/internal/telemetry/rate_limit_test.go
@@ -14,7 +14,7 @@
 // another message, and that the log reports the dropped lines.
 func TestRateLimitIsPerMessage(t *testing.T) {
 	var text bytes.Buffer
-	handler := NewCappedHandler(slog.NewTextHandler(&text, nil), CapConfig{Info: 5, Warn: 10}, prometheus.NewRegistry())
+	handler := NewRateLimitHandler(slog.NewTextHandler(&text, nil), RateLimits{Info: 5, Warn: 10}, prometheus.NewRegistry())
 	now := time.Unix(0, 0)
 	handler.limiter.now = func() time.Time { return now }
 	logger := slog.New(handler).With("node", "n")
@@ -39,7 +39,7 @@
 // warnings with the same message.
 func TestRateLimitOfWarningsIsSeparate(t *testing.T) {
 	var text strings.Builder
-	handler := NewCappedHandler(slog.NewTextHandler(&text, nil), CapConfig{Info: 5, Warn: 10}, prometheus.NewRegistry())
+	handler := NewRateLimitHandler(slog.NewTextHandler(&text, nil), RateLimits{Info: 5, Warn: 10}, prometheus.NewRegistry())
 	handler.limiter.now = func() time.Time { return time.Unix(0, 0) }
 	logger := slog.New(handler)
 	for range 100 {
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -32,7 +32,7 @@
 
 // Gob checks a type that nodes exchange in encoding/gob. The recorded message must decode without
 // loss, and the names and kinds of the encoded fields must match the recording.
-func Gob[T any](t *testing.T, name string) {
+func CheckGob[T any](t *testing.T, name string) {
 	t.Helper()
 	want := newFilled[T](t, goFieldName)
 	if updating() {
@@ -54,7 +54,7 @@
 
 // FormerGob decodes a message that a previous version recorded. Fields that were added later are
 // zero.
-func FormerGob[T any](t *testing.T, name string) T {
+func DecodePreviousGob[T any](t *testing.T, name string) T {
 	t.Helper()
 	var got T
 	if err := gob.NewDecoder(bytes.NewReader(readRecording(t, name+".former.gob"))).Decode(&got); err != nil {
@@ -65,7 +65,7 @@
 
 // JSON checks a type that is stored as JSON. A filled value must encode to the recorded bytes, and
 // decoding and encoding these bytes must reproduce them.
-func JSON[T any](t *testing.T, name string) {
+func CheckJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	want := newFilled[T](t, jsonFieldName)
 	encoded, err := json.Marshal(want)
@@ -84,7 +84,7 @@
 
 // Encoded checks a custom encoding. A filled value must encode to the recorded bytes, and the
 // recorded bytes must decode to that value.
-func Encoded[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
+func CheckEncoding[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Helper()
 	want := newFilled[T](t, goFieldName)
 	encoded, err := encode(want)
