--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -126,12 +126,12 @@
 // Suspended returns the total length of the suspensions since the origin.
 func (m *Monotonic) Suspended() time.Duration { return time.Duration(m.suspended.Load()) }
 
-// Failures returns how often the boot clock could not be read. Suspensions are not detected
+// BootClockErrors returns how often the boot clock could not be read. Suspensions are not detected
 // while it cannot be read.
 func (m *Monotonic) BootClockErrors() int64 { return m.bootReadErrors.Load() }
 
-// Watch calls onResume with the length of each suspension until ctx ends. It checks once per
-// interval of steady time, because timers stop during a suspension and cannot fire at its end.
+// WatchSuspensions calls onResume with the length of each suspension until ctx ends. It checks once
+// per interval of steady time, because timers stop during a suspension and cannot fire at its end.
 func (m *Monotonic) WatchSuspensions(ctx context.Context, interval time.Duration, onResume func(length time.Duration)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -21,12 +21,12 @@
 	// NormalShare replaces UrgentShare for other queries while the service is not saturated. It
 	// is close to 1 because queries that wait too long are promoted to the most urgent class.
 	NormalShare float64
-	// SaturatedShare replaces UrgentShare for all but the most urgent queries while the service
-	// is saturated. Such queries may starve, so predictions based on past queries are too
-	// optimistic. NonUrgentFactor times Prediction.Left is added to it, up to UrgentShare.
+	// SaturatedShare replaces UrgentShare for all but the most urgent queries while the service is
+	// saturated. Such queries may starve, so predictions based on past queries are too optimistic.
+	// NonUrgentFactor times Prediction.NonUrgentShare is added to it, up to UrgentShare.
 	SaturatedShare float64
-	// NonUrgentFactor scales Prediction.Left. Without this term, useful work drops from 97 % to
-	// 85 % of the slots at 150 % load.
+	// NonUrgentFactor scales Prediction.NonUrgentShare. Without this term, useful work drops from
+	// 97 % to 85 % of the slots at 150 % load.
 	NonUrgentFactor float64
 	// SlowestFactor scales the expected time of one attempt to cover the slowest of many, which
 	// takes about twice the mean.
@@ -63,7 +63,8 @@
 	Urgent bool
 	// Saturated is set if no leaf of the service has a free slot.
 	Saturated bool
-	// Left is the share of completed work, from 0 to 1, that was not of the most urgent class.
+	// NonUrgentShare is the share of completed work, from 0 to 1, that was not of the most urgent
+	// class.
 	NonUrgentShare float64
 }
 
--- a/internal/decide/combiners/combiners.go
+++ b/internal/decide/combiners/combiners.go
@@ -68,8 +68,8 @@
 	return &Combiner{Member: member, State: liveness.State{RoundTripWeight: roundTripWeight}}
 }
 
-// Answered records the answer to a heartbeat and reports whether the combiner was lost before. The
-// round trip from before the loss is discarded.
+// RecordAnswer records the answer to a heartbeat and reports whether the combiner was lost before.
+// The round trip from before the loss is discarded.
 func (c *Combiner) RecordAnswer(now, roundTrip time.Duration) (regained bool) {
 	if c.Alive() == nil {
 		c.RoundTrip = 0
@@ -138,8 +138,8 @@
 	return best
 }
 
-// Due returns the combiners to which a heartbeat is due, which EndHeartbeat ends, and those that
-// count as lost from now on.
+// DueHeartbeats returns the combiners to which a heartbeat is due, which EndHeartbeat ends, and
+// those that count as lost from now on.
 func (t *Table) DueHeartbeats(now time.Duration) (due, lost []*Combiner) {
 	for _, combiner := range t.list() {
 		if combiner.IsSilent(now, t.config.HeartbeatTimeout) && combiner.MarkLost() {
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -54,7 +54,7 @@
 	return true
 }
 
-// Changes returns the changes that lead to a list of all zones that are out of service. It applies
+// Diff returns the changes that lead to a list of all zones that are out of service. It applies
 // none of them. A stale list may lack the newest changes, so it returns no zone to service.
 func (z *Zones) Diff(listed []string, stale bool) []Change {
 	var changes []Change
--- a/internal/decide/coverage/coverage.go
+++ b/internal/decide/coverage/coverage.go
@@ -53,18 +53,18 @@
 	return min(latest, start+time.Duration(c.ObjectiveShare*float64(objective-start)))
 }
 
-// Whole reports whether every shard is answered.
+// Complete reports whether every shard is answered.
 func (p Progress) Complete() bool {
 	return p.Answered == p.Total
 }
 
-// Hopeless reports whether all shards are unavailable, so that no answer is possible.
+// Unanswerable reports whether all shards are unavailable, so that no answer is possible.
 func (p Progress) Unanswerable() bool {
 	return p.Unavailable == p.Total
 }
 
-// Enough reports whether the share of answered shards reaches the minimum. Zero answered shards
-// are never enough.
+// MeetsMinimum reports whether the share of answered shards reaches the minimum. Zero answered
+// shards are never enough.
 func (p Progress) MeetsMinimum(minimum float64) bool {
 	return p.Answered > 0 && float64(p.Answered) >= minimum*float64(p.Total)-roundingError
 }
@@ -73,13 +73,13 @@
 // exceed the intended whole number.
 const roundingError = 1e-9
 
-// Attainable reports whether the share of answered shards can still reach the minimum.
+// CanMeetMinimum reports whether the share of answered shards can still reach the minimum.
 func (p Progress) CanMeetMinimum(minimum float64) bool {
 	reachable := Progress{Total: p.Total, Answered: p.Total - p.Unavailable}
 	return reachable.MeetsMinimum(minimum)
 }
 
-// Exhausted reports whether no awaited shard is left.
+// NoneAwaited reports whether no awaited shard is left.
 func (p Progress) NoneAwaited() bool {
 	return p.Answered+p.Unavailable == p.Total
 }
--- a/internal/decide/dispatch/actions.go
+++ b/internal/decide/dispatch/actions.go
@@ -66,17 +66,17 @@
 	Extra bool
 	// Cause is the reason for the attempt.
 	Cause Cause
-	// Basis is the estimate of the leaf's state on which the choice of the leaf was based.
+	// LeafEstimate is the estimate of the leaf's state on which the choice of the leaf was based.
 	Basis LeafEstimate
 }
 
-// Basis is a Dispatcher's estimate of the state of a leaf at the time of a Send.
+// LeafEstimate is a Dispatcher's estimate of the state of a leaf at the time of a Send.
 type LeafEstimate struct {
 	// InFlight is the number of this node's attempts on the leaf, and Limit the maximum of that
 	// number.
 	InFlight, Limit int
-	// Others is the estimated number of attempts of other nodes on the leaf, derived from a load
-	// report of the given Age.
+	// OthersInFlight is the estimated number of attempts of other nodes on the leaf, derived from a
+	// load report of the given Age.
 	OthersInFlight float64
 	ReportAge      time.Duration
 	// Pace is the time that work takes on the leaf's machine, in percent of the usual time, as in
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -9,14 +9,14 @@
 //	retry    An attempt that was lost after it was sent, was replaced because it was too late, or
 //	         was refused where refusals are charged (ChargeRefusals). It costs a token and may
 //	         run into debt. Bounded by MaximumAttempts, MaximumLostAttempts and
-//	         Query.MaximumSends. Parked while the budget does not pay for it, or given up with
+//	         Query.MaximumAttempts. Parked while the budget does not pay for it, or given up with
 //	         EndWithoutBudget; withheld while the query is suspected (withhold.go); queued while
 //	         no leaf has room.
 //	restart  A newer snapshot, for as many shards as may have executed, and the retries of these
 //	         shards. Costs and conditions are those of a retry; at most one restart per query.
 //	hedge    A single attempt that is older than the hedge delay. It costs a token above the
 //	         reserve; late in a query it is charged as a retry. Bounded by MaximumAttempts and
-//	         Query.MaximumSends; one hedge in parallel with an attempt. Not sent while no leaf
+//	         Query.MaximumAttempts; one hedge in parallel with an attempt. Not sent while no leaf
 //	         with room is expected to answer in time, other shards wait for these leaves, or the
 //	         query is suspected.
 //	probe    A leaf in probation without an attempt for the probe interval. It costs a token above
--- a/internal/decide/dispatch/config.go
+++ b/internal/decide/dispatch/config.go
@@ -81,7 +81,7 @@
 	// attempt in flight may be hedged, however many shards are outstanding, and hedges are charged
 	// to the budget as retries.
 	ChargeAsRetryAfter float64
-	// Queue is the maximum estimated queue length on a leaf that gets a hedge.
+	// MaximumQueue is the maximum estimated queue length on a leaf that gets a hedge.
 	MaximumQueue float64
 	// MinimumSamples is the number of latencies of the class required for a hedge delay from the
 	// quantile.
@@ -160,7 +160,7 @@
 // defaultProbationConfig returns the default policy towards stragglers.
 func defaultProbationConfig() ProbationConfig {
 	return ProbationConfig{
-		// The threshold is just above the noise of the estimate (ScoreConfig.Noise).
+		// The threshold is just above the noise of the estimate (ScoreConfig.SlownessTolerance).
 		SlownessThreshold: 1.5,
 		// With probes, a leaf that is slow for 15 s at 40 % load gets 0.71 of its fair share of the
 		// load, without probes 0.58.
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -66,7 +66,7 @@
 	// HedgeDelay bounds the age from which an attempt counts as late; zero means that only the
 	// latency quantile of the class applies.
 	HedgeDelay time.Duration
-	// MaximumSends bounds the attempts of each shard that may execute; zero means that only
+	// MaximumAttempts bounds the attempts of each shard that may execute; zero means that only
 	// Config.MaximumAttempts applies, which counts all attempts.
 	MaximumAttempts int
 	// MinimumCoverage is the share of needed shards, from 0 to 1, below which the query waits until
--- a/internal/decide/dispatch/events.go
+++ b/internal/decide/dispatch/events.go
@@ -31,12 +31,13 @@
 	Sent bool
 	// Aborted is set if the attempt ended because the driver cancelled it.
 	Aborted bool
-	// OnTheWay is set if the attempt was lost together with the node that forwarded it. Such a loss
-	// does not count against the leaf.
+	// LostAtRelay is set if the attempt was lost together with the node that forwarded it. Such a
+	// loss does not count against the leaf.
 	LostAtRelay bool
-	// Closed is set if the leaf closed the connection before the first byte of its answer, for
-	// example because its process ended.
+	// ConnectionClosed is set if the leaf closed the connection before the first byte of its
+	// answer, for example because its process ended.
 	ConnectionClosed bool
-	// Refused is set if the leaf's address refused the connection because nothing listens there.
+	// ConnectionRefused is set if the leaf's address refused the connection because nothing listens
+	// there.
 	ConnectionRefused bool
 }
--- a/internal/decide/dispatch/status.go
+++ b/internal/decide/dispatch/status.go
@@ -129,7 +129,7 @@
 
 // Load is the waiting work and remaining budget of a Dispatcher.
 type Load struct {
-	// Waiting is the number of shards that wait for a leaf.
+	// WaitingShards is the number of shards that wait for a leaf.
 	WaitingShards int
 	// Budget is the number of extra attempts that all budgets together still pay for.
 	Budget float64
--- a/internal/decide/executors/table.go
+++ b/internal/decide/executors/table.go
@@ -36,11 +36,11 @@
 	// slowFactor is how many times slower than another executor an executor must be, by mean
 	// latency, to be passed over. It exceeds the spread between healthy executors.
 	slowFactor = 1.5
-	// Handling is the time for reading a whole answer and writing it again, in addition to the
+	// HandlingTime is the time for reading a whole answer and writing it again, in addition to the
 	// round trip of a heartbeat.
 	HandlingTime = 1500 * time.Microsecond
-	// Grace is how long after a request's timeout its executor may answer: the executor ends the
-	// request at the timeout, and the answer has to be transferred.
+	// ResponseGrace is how long after a request's timeout its executor may answer: the executor
+	// ends the request at the timeout, and the answer has to be transferred.
 	ResponseGrace = 100 * time.Millisecond
 )
 
@@ -48,7 +48,7 @@
 type Executor struct {
 	roster.Member
 	liveness.State
-	// Near is set if the executor is in the node's own zone.
+	// SameZone is set if the executor is in the node's own zone.
 	SameZone bool
 	// InFlight is the number of this node's requests that the executor runs.
 	InFlight int
@@ -84,8 +84,8 @@
 	t.UpdateMonitored(now)
 }
 
-// Watch selects the executors to monitor: the preferred ones, and a replacement for each lost
-// executor.
+// UpdateMonitored selects the executors to monitor: the preferred ones, and a replacement for each
+// lost executor.
 func (t *Table) UpdateMonitored(now time.Duration) {
 	previous := make(map[string]*Executor, len(t.monitored))
 	for _, executor := range t.monitored {
@@ -108,18 +108,19 @@
 	}
 }
 
-// Watched returns the monitored executors.
+// Monitored returns the monitored executors.
 func (t *Table) Monitored() []*Executor { return slices.Clone(t.monitored) }
 
-// Len returns the number of monitored executors.
+// CountMonitored returns the number of monitored executors.
 func (t *Table) CountMonitored() int { return len(t.monitored) }
 
-// Alive returns the number of monitored executors that are alive.
+// CountAlive returns the number of monitored executors that are alive.
 func (t *Table) CountAlive() int {
 	return t.count(func(executor *Executor) bool { return executor.Alive() != nil })
 }
 
-// Usable returns the number of monitored executors that would accept a request under the terms.
+// CountUsable returns the number of monitored executors that would accept a request under the
+// terms.
 func (t *Table) CountUsable(terms Terms) int {
 	return t.count(func(executor *Executor) bool { return executor.isUsable(terms) })
 }
@@ -140,8 +141,8 @@
 	return executor.Alive() == nil && now-max(executor.LastHeard, executor.addedAt) > t.config.HeartbeatTimeout
 }
 
-// Heard records the answer of an executor to a heartbeat and reports whether the executor was lost
-// before.
+// RecordAnswer records the answer of an executor to a heartbeat and reports whether the executor
+// was lost before.
 func (t *Table) RecordAnswer(now, roundTrip time.Duration, from *Executor, status Status) (regained bool) {
 	from.Status = status
 	return from.RecordAnswer(now, roundTrip)
@@ -191,10 +192,10 @@
 	}
 }
 
-// Away is the time that a request and its answer spend on the way to the executor and back.
+// TransitTime is the time that a request and its answer spend on the way to the executor and back.
 func (e *Executor) TransitTime() time.Duration { return e.RoundTrip + HandlingTime }
 
-// Completed records the latency of a request.
+// RecordLatency records the latency of a request.
 func (e *Executor) RecordLatency(took time.Duration) {
 	if e.meanLatency == 0 {
 		e.meanLatency = took.Seconds()
--- a/internal/decide/executors/terms.go
+++ b/internal/decide/executors/terms.go
@@ -33,7 +33,7 @@
 	Cordoned []string
 }
 
-// Takes reports whether an executor with this status accepts requests under the terms.
+// Accepts reports whether an executor with this status accepts requests under the terms.
 func (s Status) Accepts(terms Terms) bool {
 	return s.Accepting && s.Version == terms.Version && (s.Fresh || !terms.Fresh) && s.knowsCordoned(terms.Cordoned)
 }
--- a/internal/decide/hedge/budget.go
+++ b/internal/decide/hedge/budget.go
@@ -14,8 +14,9 @@
 
 // BudgetConfig holds the policy of a Budget.
 type BudgetConfig struct {
-	// Earned is the fraction of the class's extra load that required attempts earn. It is below 1
-	// so that saved tokens and attempts repeated after refusals stay within the extra load too.
+	// EarnedShare is the fraction of the class's extra load that required attempts earn. It is
+	// below 1 so that saved tokens and attempts repeated after refusals stay within the extra load
+	// too.
 	EarnedShare float64
 	// Capacity is the largest number of tokens that can be saved. It keeps a long idle period
 	// from paying for a burst.
@@ -24,13 +25,13 @@
 	Initial float64
 	// Reserve is the number of tokens that hedges and probes leave for retries.
 	Reserve float64
-	// Debt is how far retries may overdraw the budget, because a lost shard costs coverage.
+	// MaxDebt is how far retries may overdraw the budget, because a lost shard costs coverage.
 	// Hedges wait until the debt is repaid. The default covers the shards that are lost together
 	// with one leaf.
 	MaxDebt float64
-	// Refill is the number of tokens added per second. By default only attempts earn tokens.
+	// RefillRate is the number of tokens added per second. By default only attempts earn tokens.
 	RefillRate float64
-	// Chance returns random numbers from 0 to 1. If it is set, a budget that cannot hold a whole
+	// Random returns random numbers from 0 to 1. If it is set, a budget that cannot hold a whole
 	// token buys an attempt with the probability of its fraction, so that many such budgets
 	// together spend their sum. If it is nil, such a budget never buys an attempt.
 	Random func() float64
@@ -86,7 +87,7 @@
 	b.tokens = min(b.tokens+share*b.config.EarnedShare, b.config.Capacity)
 }
 
-// Pass adds the tokens that are due since the last call, up to now.
+// Refill adds the tokens that are due since the last call, up to now.
 func (b *Budget) Refill(now time.Duration) {
 	if b.refilledAt == neverRefilled {
 		b.refilledAt = now
@@ -125,7 +126,7 @@
 }
 
 // CanRetry reports whether SpendRetry would succeed. A budget that cannot hold a whole token
-// may lose its fraction by this call; see BudgetConfig.Chance.
+// may lose its fraction by this call; see BudgetConfig.Random.
 func (b *Budget) CanRetry() bool {
 	b.settleFraction()
 	return b.tokens-1 >= -b.config.MaxDebt
--- a/internal/decide/hedge/quantiles.go
+++ b/internal/decide/hedge/quantiles.go
@@ -17,8 +17,8 @@
 	refreshInterval  = 32   // samples between two computations, to amortise their cost
 )
 
-// Quantiles is a decaying histogram of latencies: the weight of old samples halves with every
-// halvingInterval new ones. Its relative error is below 1/16. The zero value is ready to use.
+// LatencyHistogram is a decaying histogram of latencies: the weight of old samples halves with
+// every halvingInterval new ones. Its relative error is below 1/16. The zero value is ready to use.
 type LatencyHistogram struct {
 	counts  [bucketCount]float64
 	total   float64
@@ -39,7 +39,7 @@
 	}
 }
 
-// Samples returns the total number of recorded latencies.
+// SampleCount returns the total number of recorded latencies.
 func (q *LatencyHistogram) SampleCount() int {
 	return q.samples
 }
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -21,7 +21,8 @@
 	// Headroom is how many attempts beyond the slots of the leaf may be in flight, so that a slot
 	// does not idle for a round trip.
 	Headroom int
-	// Backoff is the factor applied when a leaf refuses an attempt. Two refusals halve the limit.
+	// RefusalBackoff is the factor applied when a leaf refuses an attempt. Two refusals halve the
+	// limit.
 	RefusalBackoff float64
 	// QueueBackoff is the factor applied when a leaf queues more than QueueTolerance attempts per
 	// slot. It is milder than Backoff, since queueing precedes refusals.
@@ -32,8 +33,8 @@
 	// Growth is added to the limit, divided by the limit, for each success at the limit. 1 is the
 	// usual additive increase of one per round.
 	Growth float64
-	// Pause is the shortest time between two reductions, so that refusals of attempts that were
-	// in flight together count once.
+	// MinReductionInterval is the shortest time between two reductions, so that refusals of
+	// attempts that were in flight together count once.
 	MinReductionInterval time.Duration
 }
 
@@ -68,13 +69,13 @@
 	return limiter
 }
 
-// Resize sets the number of slots, at least one.
+// SetSlots sets the number of slots, at least one.
 func (l *Limiter) SetSlots(slots int) {
 	l.slots = max(slots, 1)
 	l.limit = min(l.limit, l.maxLimit())
 }
 
-// Restart resets the limit after the leaf restarted.
+// Reset resets the limit after the leaf restarted.
 func (l *Limiter) Reset(cold bool) {
 	l.limit = float64(l.slots)
 	l.slowStart = cold
@@ -88,7 +89,7 @@
 	return int(l.limit)
 }
 
-// Succeeded records a reply. inFlight includes the attempt that succeeded; queue is the queue
+// RecordSuccess records a reply. inFlight includes the attempt that succeeded; queue is the queue
 // depth that the leaf reported.
 func (l *Limiter) RecordSuccess(now time.Duration, inFlight, queue int) {
 	if float64(queue) > l.config.QueueTolerance*float64(l.slots) {
@@ -105,7 +106,7 @@
 	}
 }
 
-// Refused records that the leaf refused an attempt because of load.
+// RecordRefusal records that the leaf refused an attempt because of load.
 func (l *Limiter) RecordRefusal(now time.Duration) {
 	l.reduce(now, l.config.RefusalBackoff)
 }
--- a/internal/decide/linger/linger.go
+++ b/internal/decide/linger/linger.go
@@ -16,8 +16,8 @@
 
 import "time"
 
-// Time returns for how long an attempt continues whose answer is no longer needed, or zero if it
-// is cancelled at once.
+// Duration returns for how long an attempt continues whose answer is no longer needed, or zero if
+// it is cancelled at once.
 func Duration(configured time.Duration, overdue bool) time.Duration {
 	if overdue {
 		return 0
--- a/internal/decide/liveness/state.go
+++ b/internal/decide/liveness/state.go
@@ -37,13 +37,13 @@
 // in use.
 func (s *State) Alive() context.Context { return s.alive }
 
-// Heard records any message of the node. It does not make a lost node alive.
+// RecordMessage records any message of the node. It does not make a lost node alive.
 func (s *State) RecordMessage(now time.Duration) {
 	s.LastHeard = max(s.LastHeard, now, 1)
 }
 
-// Answered records the answer to a heartbeat, which makes a lost node alive. It reports whether the
-// node was lost before.
+// RecordAnswer records the answer to a heartbeat, which makes a lost node alive. It reports whether
+// the node was lost before.
 func (s *State) RecordAnswer(now, roundTrip time.Duration) (regained bool) {
 	s.RecordMessage(now)
 	if s.RoundTrip == 0 {
@@ -62,8 +62,8 @@
 	return now-s.LastHeard > timeout
 }
 
-// Lose marks the node as lost and ends the context of Alive, and with it the calls in flight. It
-// reports whether the node was alive before.
+// MarkLost marks the node as lost and ends the context of Alive, and with it the calls in flight.
+// It reports whether the node was alive before.
 func (s *State) MarkLost() bool {
 	if s.alive == nil {
 		return false
@@ -73,7 +73,7 @@
 	return true
 }
 
-// Avoid is like Lose, but the calls in flight to the node continue.
+// MarkUnused is like Lose, but the calls in flight to the node continue.
 func (s *State) MarkUnused() bool {
 	wasAlive := s.alive != nil
 	s.alive = nil
--- a/internal/decide/once/clock.go
+++ b/internal/decide/once/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Reading holds the clocks of a machine at one moment. Both must be read together, before the call
-// that receives them.
+// ClockReading holds the clocks of a machine at one moment. Both must be read together, before the
+// call that receives them.
 type ClockReading struct {
 	// Wall is the wall clock. It may jump in either direction.
 	Wall time.Time
--- a/internal/decide/once/decision.go
+++ b/internal/decide/once/decision.go
@@ -43,7 +43,8 @@
 type Decision[Outcome any] struct {
 	Kind   Kind
 	Reason Reason
-	// Ownership identifies the ownership period in which the decision was made; see Ledger.Holds.
+	// Ownership identifies the ownership period in which the decision was made; see
+	// Ledger.OwnershipHolds.
 	Ownership uint64
 	// Outcome is set for Replay.
 	Outcome Outcome
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -116,9 +116,9 @@
 	return Decision[Outcome]{Kind: Run, Ownership: l.ownership}
 }
 
-// Holds reports whether the ownership period in which a decision was made still lasts. A node that
-// was suspended during a change of the voter set and is fresh again must not act on an earlier
-// decision.
+// OwnershipHolds reports whether the ownership period in which a decision was made still lasts. A
+// node that was suspended during a change of the voter set and is fresh again must not act on an
+// earlier decision.
 func (l *Ledger[Outcome]) OwnershipHolds(decision Decision[Outcome]) bool {
 	return decision.Ownership == l.ownership || l.config.disabled.ownershipCheck
 }
--- a/internal/decide/presend/presend.go
+++ b/internal/decide/presend/presend.go
@@ -19,9 +19,9 @@
 
 // State holds what is known directly before a send.
 type State struct {
-	// Guard is the reason why the node may not act, or nil.
+	// GuardErr is the reason why the node may not act, or nil.
 	GuardErr error
-	// Usable is set if the leaf accepts new work.
+	// LeafUsable is set if the leaf accepts new work.
 	LeafUsable bool
 	// Remaining is the time until the deadline of the query.
 	Remaining time.Duration
--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -22,8 +22,8 @@
 	priorCrashes, priorAttempts = 0.5, 10
 )
 
-// Background tracks how often attempts crash their leaf regardless of the request: per service, and
-// over all services in the last few seconds. It is not safe for concurrent use.
+// BackgroundRate tracks how often attempts crash their leaf regardless of the request: per service,
+// and over all services in the last few seconds. It is not safe for concurrent use.
 type BackgroundRate struct {
 	services []decayedCounts
 	global   decayedCounts
@@ -75,9 +75,9 @@
 	b.serviceCounts(now, service).add(now, serviceHalfLife, crashed)
 }
 
-// Chance returns the probability, from 0.05 to 1, that an attempt at a service crashes its leaf now
-// regardless of the request: the higher of the service's rate and the global rate. Attempts of the
-// request itself do not count for the global rate.
+// CrashChance returns the probability, from 0.05 to 1, that an attempt at a service crashes its
+// leaf now regardless of the request: the higher of the service's rate and the global rate.
+// Attempts of the request itself do not count for the global rate.
 func (b *BackgroundRate) CrashChance(now time.Duration, content Content, service int) float64 {
 	atService := b.serviceCounts(now, service)
 	atService.decay(now, serviceHalfLife)
--- a/internal/decide/quarantine/config.go
+++ b/internal/decide/quarantine/config.go
@@ -30,7 +30,7 @@
 	HoldDuration time.Duration
 	// Retention is the time for which a request that is no longer held is still tried first.
 	Retention time.Duration
-	// Heartbeat is the interval between two announcements of a leaf.
+	// HeartbeatInterval is the interval between two announcements of a leaf.
 	HeartbeatInterval time.Duration
 	// MaxEntries bounds the requests in the table.
 	MaxEntries int
--- a/internal/decide/quarantine/content.go
+++ b/internal/decide/quarantine/content.go
@@ -10,7 +10,7 @@
 // that is mistaken for another.
 type Content [16]byte
 
-// ContentOf returns the Content of a request with the given host, request line and body.
+// HashContent returns the Content of a request with the given host, request line and body.
 func HashContent(host string, requestLine, body []byte) Content {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(host), requestLine} {
--- a/internal/decide/quarantine/recent.go
+++ b/internal/decide/quarantine/recent.go
@@ -12,13 +12,14 @@
 	maxGenerationEntries = 4096
 )
 
-// Recent remembers which requests leaves answered recently. It is not safe for concurrent use.
+// RecentAnswers remembers which requests leaves answered recently. It is not safe for concurrent
+// use.
 type RecentAnswers struct {
 	current, previous map[Content]struct{}
 	rotatedAt         time.Duration
 }
 
-// NewRecent returns an empty Recent.
+// NewRecentAnswers returns an empty Recent.
 func NewRecentAnswers() *RecentAnswers {
 	return &RecentAnswers{current: make(map[Content]struct{}), previous: make(map[Content]struct{})}
 }
@@ -31,7 +32,7 @@
 	}
 }
 
-// Has reports whether a leaf answered a request recently.
+// Contains reports whether a leaf answered a request recently.
 func (r *RecentAnswers) Contains(now time.Duration, content Content) bool {
 	r.rotate(now)
 	_, current := r.current[content]
--- a/internal/decide/quarantine/record.go
+++ b/internal/decide/quarantine/record.go
@@ -75,7 +75,7 @@
 	return record, nil
 }
 
-// Known is a record together with its revision in the store.
+// StoredRecord is a record together with its revision in the store.
 type StoredRecord struct {
 	Record
 	// Revision is the revision of the key; zero if the key does not exist.
@@ -92,7 +92,7 @@
 	Remove bool
 }
 
-// Done reports whether the store is already in the state that the change asks for.
+// AppliedIn reports whether the store is already in the state that the change asks for.
 func (c Change) AppliedIn(current StoredRecord) bool {
 	if c.Remove || current.Revision == 0 {
 		return c.Remove && current.Revision == 0
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -103,7 +103,7 @@
 	return Decision{Verdict: Trial, Change: e.change(content)}
 }
 
-// Withdraw cancels the trial that Admit started, because its write failed or it did not reach a
+// CancelTrial cancels the trial that Admit started, because its write failed or it did not reach a
 // leaf. The trial does not count, and the next one may start immediately.
 func (t *Table) CancelTrial(content Content) {
 	e := t.entries[content]
@@ -124,8 +124,8 @@
 	return min(t.config.TrialPause<<min(trials-t.config.MinTrials, 10), t.config.MaxTrialPause)
 }
 
-// Suspect records leaves that crashed under a request that no leaf answered. It reports whether the
-// record must be written.
+// RecordCrashes records leaves that crashed under a request that no leaf answered. It reports
+// whether the record must be written.
 func (t *Table) RecordCrashes(now time.Duration, content Content, route string, crashes []Crash) bool {
 	e := t.entries[content]
 	if e == nil {
@@ -193,7 +193,7 @@
 	}
 }
 
-// TrialCrashed records that the trial of this node crashed its leaf. Chance is the probability,
+// RecordTrialCrash records that the trial of this node crashed its leaf. Chance is the probability,
 // above 0 and up to 1, that a harmless request would have met the same crash. It reports whether
 // the request became held.
 func (t *Table) RecordTrialCrash(now time.Duration, content Content, crashes []Crash, chance float64) bool {
@@ -212,8 +212,8 @@
 	return e.Held && !wasHeld
 }
 
-// TrialInconclusive records that the trial of this node reached a leaf, and ended with neither a
-// crash nor an answer.
+// RecordInconclusiveTrial records that the trial of this node reached a leaf, and ended with
+// neither a crash nor an answer.
 func (t *Table) RecordInconclusiveTrial(now time.Duration, content Content) {
 	if e := t.entries[content]; e != nil {
 		t.endTrial(now, e)
@@ -227,8 +227,8 @@
 	e.changedAt, e.pendingWrite = now, true
 }
 
-// Answered records that a leaf answered a request, which clears it. It reports whether the store
-// must be updated.
+// RecordAnswer records that a leaf answered a request, which clears it. It reports whether the
+// store must be updated.
 func (t *Table) RecordAnswer(content Content) bool {
 	e := t.entries[content]
 	if e == nil || e.cleared {
--- a/internal/decide/quarantine/table_store.go
+++ b/internal/decide/quarantine/table_store.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Of returns the record of a request; false if the table has none.
+// Lookup returns the record of a request; false if the table has none.
 func (t *Table) Lookup(content Content) (StoredRecord, bool) {
 	if e := t.entries[content]; e != nil {
 		return e.StoredRecord, true
@@ -14,7 +14,7 @@
 	return StoredRecord{}, false
 }
 
-// Unwritten returns the requests whose records must be written to the store.
+// PendingWrites returns the requests whose records must be written to the store.
 func (t *Table) PendingWrites() []Content {
 	var contents []Content
 	for content, e := range t.entries {
@@ -25,7 +25,7 @@
 	return contents
 }
 
-// Change returns the pending write of a request; false if there is none.
+// PendingChange returns the pending write of a request; false if there is none.
 func (t *Table) PendingChange(content Content) (Change, bool) {
 	e := t.entries[content]
 	if e == nil || !e.pendingWrite {
@@ -42,7 +42,7 @@
 	return Change{Content: content, ExpectedRevision: e.Revision, Record: e.Record, Remove: e.cleared}
 }
 
-// Written records that a change was written at a revision of the store.
+// MarkWritten records that a change was written at a revision of the store.
 func (t *Table) MarkWritten(now time.Duration, change Change, revision uint64) {
 	e := t.entries[change.Content]
 	switch {
@@ -55,8 +55,8 @@
 	}
 }
 
-// Set merges a record read from the store. Information of this node that the store lacks stays
-// pending for a write. It reports whether the request became held.
+// ApplyStored merges a record read from the store. Information of this node that the store lacks
+// stays pending for a write. It reports whether the request became held.
 func (t *Table) ApplyStored(now time.Duration, content Content, stored StoredRecord) bool {
 	e := t.entries[content]
 	if e == nil {
@@ -108,7 +108,7 @@
 	return true
 }
 
-// Replace applies a complete listing of the records in the store.
+// ApplyAll applies a complete listing of the records in the store.
 func (t *Table) ApplyAll(now time.Duration, stored map[Content]StoredRecord) {
 	for content := range t.entries {
 		if _, ok := stored[content]; !ok {
@@ -118,7 +118,7 @@
 	t.ApplySome(now, stored)
 }
 
-// Merge applies records that the store held at some time, possibly not all of them.
+// ApplySome applies records that the store held at some time, possibly not all of them.
 func (t *Table) ApplySome(now time.Duration, records map[Content]StoredRecord) {
 	for content, stored := range records {
 		t.ApplyStored(now, content, stored)
--- a/internal/decide/quarantine/table_survivors.go
+++ b/internal/decide/quarantine/table_survivors.go
@@ -60,24 +60,24 @@
 	return e.changedAt + t.config.HoldDuration
 }
 
-// Lost records an attempt whose connection was lost before the first byte of an answer; see
+// RecordLoss records an attempt whose connection was lost before the first byte of an answer; see
 // IncarnationTracker.RecordLoss. It returns the identifier of the crash, or false if the loss does
 // not count as a crash.
 func (t *Table) RecordLoss(leaf string, sent, lost time.Duration) (string, bool) {
 	return t.incarnations.RecordLoss(leaf, sent, lost)
 }
 
-// LeafAnswered records an attempt that a leaf answered, for any request.
+// RecordLeafAnswer records an attempt that a leaf answered, for any request.
 func (t *Table) RecordLeafAnswer(leaf string, sent time.Duration) {
 	t.incarnations.RecordAnswer(leaf, sent)
 }
 
-// SetStoreAway records whether the store is unavailable.
+// SetStoreUnavailable records whether the store is unavailable.
 func (t *Table) SetStoreUnavailable(now time.Duration, unavailable bool) {
 	t.incarnations.SetStoreUnavailable(now, unavailable)
 }
 
-// Suspects returns the incarnations of leaves that are not known to have survived.
+// UnresolvedLeaves returns the incarnations of leaves that are not known to have survived.
 func (t *Table) UnresolvedLeaves() []string {
 	var leaves []string
 	for _, e := range t.entries {
@@ -100,9 +100,9 @@
 	Released bool
 }
 
-// Review determines which leaves of Suspects have survived, given which of them are announced.
-// Survivors of crashes that this node observed are written to the store; other nodes determine the
-// rest on their own.
+// DetectSurvivors determines which leaves of Suspects have survived, given which of them are
+// announced. Survivors of crashes that this node observed are written to the store; other nodes
+// determine the rest on their own.
 func (t *Table) DetectSurvivors(now time.Duration, announced map[string]bool) []Survivor {
 	var survivors []Survivor
 	for content, e := range t.entries {
--- a/internal/decide/quarantine/trial.go
+++ b/internal/decide/quarantine/trial.go
@@ -32,7 +32,7 @@
 	MaxTrialWrites = 3
 )
 
-// WritesTrial reports whether a trial must be written to the store before it begins.
+// MustWriteTrial reports whether a trial must be written to the store before it begins.
 func MustWriteTrial(storeUnavailable bool) bool { return !storeUnavailable }
 
 // trialTimeoutShare is the part of the timeout of a request of many shards that its trial may take.
@@ -46,8 +46,8 @@
 	// Timeout bounds the trial, and Attempts is the number of leaves that it may reach.
 	Timeout  time.Duration
 	Attempts int
-	// Whole reports whether the request has no other shards, so that the trial's answer is the
-	// response.
+	// CoversRequest reports whether the request has no other shards, so that the trial's answer is
+	// the response.
 	CoversRequest bool
 }
 
--- a/internal/decide/recordfloor/recordfloor.go
+++ b/internal/decide/recordfloor/recordfloor.go
@@ -16,7 +16,7 @@
 import "bytes"
 
 const (
-	// Samples is the number of answers of a kind that a floor is based on. With Samples,
+	// SampleCount is the number of answers of a kind that a floor is based on. With Samples,
 	// rankFactor and rankMargin, at most 1 % of the answers miss records
 	// (TestFloorEstimateAccuracy of package forward).
 	SampleCount = 8
@@ -26,8 +26,8 @@
 	rankMargin = 5
 )
 
-// Rank returns the rank, counted from 1, of the sample among the greatest records of the complete
-// parts of an answer with k records and the given total number of parts.
+// SampleRank returns the rank, counted from 1, of the sample among the greatest records of the
+// complete parts of an answer with k records and the given total number of parts.
 func SampleRank(k, complete, total int) int {
 	expected := (rankFactor*float64(k) + rankMargin) * float64(complete) / float64(total)
 	return int(expected) + 1
--- a/internal/decide/removal/removal.go
+++ b/internal/decide/removal/removal.go
@@ -17,12 +17,12 @@
 
 // Config holds the policy of a Rule.
 type Config struct {
-	// Doubt is the grace period of a leaf whose announcement was removed during or just after an
-	// outage of the store (setting forward.leaf_doubt, 2 s by default). It is shorter than 3 s, the
-	// time after which a leaf that left must get no more work.
+	// GracePeriod is the grace period of a leaf whose announcement was removed during or just after
+	// an outage of the store (setting forward.leaf_doubt, 2 s by default). It is shorter than 3 s,
+	// the time after which a leaf that left must get no more work.
 	GracePeriod time.Duration
-	// Settling is the time after an outage of the store in which removals get a grace period: the
-	// leaves take some seconds to announce themselves again (setting forward.leaf_settling, 3 s
+	// SettlingTime is the time after an outage of the store in which removals get a grace period:
+	// the leaves take some seconds to announce themselves again (setting forward.leaf_settling, 3 s
 	// by default).
 	SettlingTime time.Duration
 }
@@ -36,7 +36,7 @@
 // NewRule returns a Rule that has recorded no outage.
 func NewRule(config Config) Rule { return Rule{config: config} }
 
-// Outage records that the store was unavailable until now.
+// RecordOutage records that the store was unavailable until now.
 func (r *Rule) RecordOutage(now time.Duration) { r.settledAfter = now + r.config.SettlingTime }
 
 // UsedUntil returns until when a leaf stays in use whose announcement is removed now. doubted is
--- a/internal/decide/replica/chooser.go
+++ b/internal/decide/replica/chooser.go
@@ -21,7 +21,7 @@
 type Candidate struct {
 	// InFlight is the number of this node's attempts in flight.
 	InFlight int
-	// Others is the estimated number of attempts of other nodes on the leaf.
+	// OthersInFlight is the estimated number of attempts of other nodes on the leaf.
 	OthersInFlight float64
 	// Slots is the number of attempts that the leaf runs concurrently.
 	Slots int
@@ -29,9 +29,9 @@
 	Limit int
 	// Slowness is the ratio of the leaf's attempt time to that of an ordinary leaf.
 	Slowness float64
-	// Loss is the share of its attempts that the leaf loses, from 0 to 1.
+	// LossRate is the share of its attempts that the leaf loses, from 0 to 1.
 	LossRate float64
-	// Near is set if the leaf is in the node's own zone.
+	// SameZone is set if the leaf is in the node's own zone.
 	SameZone bool
 }
 
@@ -46,7 +46,7 @@
 	Base float64
 	// Mean is the mean time of the attempts that are in flight and queued.
 	Mean float64
-	// Ahead is the number of attempts for these replicas that are queued in the node ahead of
+	// Queued is the number of attempts for these replicas that are queued in the node ahead of
 	// this one.
 	Queued int
 }
--- a/internal/decide/replica/losses.go
+++ b/internal/decide/replica/losses.go
@@ -23,14 +23,14 @@
 	}
 }
 
-// Losses estimates the share of its attempts that a leaf loses: attempts that fail, or whose
+// LossEstimator estimates the share of its attempts that a leaf loses: attempts that fail, or whose
 // answers are incomplete. The zero value is ready to use.
 type LossEstimator struct {
 	lost, ended float64
 	updatedAt   time.Duration
 }
 
-// Ended records the end of an attempt.
+// RecordEnd records the end of an attempt.
 func (l *LossEstimator) RecordEnd(config *LossConfig, now time.Duration, lost bool) {
 	decay := l.decay(config, now)
 	l.lost *= decay
@@ -41,7 +41,7 @@
 	}
 }
 
-// Share returns the estimated share of lost attempts, from 0 to below 1.
+// LossRate returns the estimated share of lost attempts, from 0 to below 1.
 func (l *LossEstimator) LossRate(config *LossConfig, now time.Duration) float64 {
 	if l.lost == 0 {
 		return 0
--- a/internal/decide/replica/score.go
+++ b/internal/decide/replica/score.go
@@ -6,16 +6,16 @@
 	// below the weight 1 of this node's attempts because the estimate is delayed and relies on
 	// the leaf's reports.
 	OthersWeight float64
-	// Crowding is the additional cost of a leaf whose slots are all in use over an idle one, in
-	// mean attempts. It spreads work before queues form.
+	// UtilizationCost is the additional cost of a leaf whose slots are all in use over an idle one,
+	// in mean attempts. It spreads work before queues form.
 	UtilizationCost float64
-	// Noise is the slowness up to which a leaf counts as ordinary.
+	// SlownessTolerance is the slowness up to which a leaf counts as ordinary.
 	SlownessTolerance float64
-	// LossPrice is the cost of a lost attempt relative to the time of an answered one. A loss
+	// LossCost is the cost of a lost attempt relative to the time of an answered one. A loss
 	// uses up retry budget and one of the shard's few replicas. The default is no cost; nodes
 	// with lossy leaves set one.
 	LossCost float64
-	// Tie is the relative difference up to which two scores count as equal, so that the zone
+	// TieMargin is the relative difference up to which two scores count as equal, so that the zone
 	// decides. It is about the error of the scores.
 	TieMargin float64
 }
@@ -41,7 +41,7 @@
 	return expected * (1 + s.LossCost*c.LossRate)
 }
 
-// Expected is ExpectedCompletion with the estimates weighted by their reliability.
+// WeightedCompletion is ExpectedCompletion with the estimates weighted by their reliability.
 func (s *ScoreConfig) WeightedCompletion(c *Candidate, work Work) float64 {
 	weighted := *c
 	weighted.OthersInFlight *= s.OthersWeight
@@ -49,7 +49,7 @@
 	return ExpectedCompletion(&weighted, work)
 }
 
-// Significant returns the part of a slowness that is not noise, which is at least 1.
+// EffectiveSlowness returns the part of a slowness that is not noise, which is at least 1.
 func (s *ScoreConfig) EffectiveSlowness(slowness float64) float64 {
 	return max(slowness/s.SlownessTolerance, 1)
 }
@@ -70,9 +70,9 @@
 	return ExpectedQueueWait(float64(c.InFlight)+c.OthersInFlight, c.Slots)
 }
 
-// Queue returns the expected wait for a slot, in mean attempts, on a leaf with the given number
-// of attempts. The number is an estimate, so the wait rises smoothly from zero before all slots
-// are in use.
+// ExpectedQueueWait returns the expected wait for a slot, in mean attempts, on a leaf with the
+// given number of attempts. The number is an estimate, so the wait rises smoothly from zero before
+// all slots are in use.
 func ExpectedQueueWait(attempts float64, slots int) float64 {
 	size := float64(slots)
 	excess := attempts + 1 - size
--- a/internal/decide/replica/speed.go
+++ b/internal/decide/replica/speed.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SpeedConfig holds the policy of a Speed.
+// SlownessConfig holds the policy of a Speed.
 type SlownessConfig struct {
 	// Retention is the weight that previous samples keep with each completed attempt, from 0 to 1.
 	// 0.93 corresponds to a window of about 14 attempts.
@@ -20,7 +20,7 @@
 	PriorAttempts float64
 }
 
-// DefaultSpeedConfig returns the default policy.
+// DefaultSlownessConfig returns the default policy.
 func DefaultSlownessConfig() SlownessConfig {
 	return SlownessConfig{
 		Retention:     0.93,
@@ -29,8 +29,8 @@
 	}
 }
 
-// Speed estimates how slow a leaf is: the ratio of the time that its attempts take to the
-// expected time on an ordinary leaf.
+// SlownessEstimator estimates how slow a leaf is: the ratio of the time that its attempts take to
+// the expected time on an ordinary leaf.
 //
 // It estimates the mean of an exponential distribution from censored samples: the total time
 // spent by completed and abandoned attempts, divided by the number of completed ones. Attempts
@@ -43,12 +43,12 @@
 	lastCompleted time.Duration // when the last attempt completed
 }
 
-// NewSpeed returns a Speed without samples. It retains config.
+// NewSlownessEstimator returns a Speed without samples. It retains config.
 func NewSlownessEstimator(config *SlownessConfig) SlownessEstimator {
 	return SlownessEstimator{config: config}
 }
 
-// Completed records an attempt that was answered now, after ratio times the expected time.
+// RecordCompleted records an attempt that was answered now, after ratio times the expected time.
 func (s *SlownessEstimator) RecordCompleted(now time.Duration, ratio float64) {
 	decay := math.Exp(-float64(now-s.lastCompleted) / float64(s.config.DecayTime))
 	retained := min(s.config.Retention, decay)
@@ -67,8 +67,8 @@
 	recoveryRetention = 0.5
 )
 
-// GaveUp records an attempt that was abandoned without an answer after ratio times the expected
-// time. A time below the expected one carries no information.
+// RecordAbandoned records an attempt that was abandoned without an answer after ratio times the
+// expected time. A time below the expected one carries no information.
 func (s *SlownessEstimator) RecordAbandoned(ratio float64) {
 	s.exposure += Overdue(ratio)
 }
--- a/internal/decide/requestclass/requestclass.go
+++ b/internal/decide/requestclass/requestclass.go
@@ -31,11 +31,11 @@
 	Repeatable bool
 }
 
-// Extra holds the settings for extra attempts.
+// ExtraAttempts holds the settings for extra attempts.
 type ExtraAttempts struct {
 	// HedgePercentile is the quantile of latency, from 0 to 1, after which an attempt is late.
 	HedgePercentile float64
-	// Load is the share of extra attempts that requests earn.
+	// LoadShare is the share of extra attempts that requests earn.
 	LoadShare float64
 }
 
@@ -43,7 +43,7 @@
 // catalog.Class), route priorities from 0.
 const topClassPriority = 1
 
-// Of returns the class of a route's requests.
+// ForRoute returns the class of a route's requests.
 func ForRoute(route Route, extra ExtraAttempts) catalog.Class {
 	return catalog.Class{
 		Name:            fmt.Sprintf("%d/%s/%s/%d", route.Priority, route.Objective, route.Timeout, route.TopK),
--- a/internal/decide/retryafter/retryafter.go
+++ b/internal/decide/retryafter/retryafter.go
@@ -20,7 +20,7 @@
 //	no route, the configuration is the newest       404     none
 //	no configuration, or no route and the           503     Uninformed
 //	configuration may not be the newest
-//	no usable leaf, or too few shards with one      503     WithoutLeaf
+//	no usable leaf, or too few shards with one      503     AwaitLeaf
 //	the predicted wait exceeds the deadline         503     the predicted wait, 50 ms to 5 s
 //	                                                        (admission.Config.RetryAfter)
 //	leaves refused because of load                  503     the longest time requested by a leaf,
@@ -42,18 +42,18 @@
 import "time"
 
 const (
-	// Unknown applies if the node lacks the configuration, or a leaf for the request, while the
-	// store is available. When a fleet of 295 nodes starts at once, its nodes have the
+	// StoreReadDelay applies if the node lacks the configuration, or a leaf for the request, while
+	// the store is available. When a fleet of 295 nodes starts at once, its nodes have the
 	// configuration within 0.5 to 0.9 s.
 	StoreReadDelay = 600 * time.Millisecond
-	// Outage replaces Unknown while the store is unavailable. It is longer because a caller
-	// retries only once or twice, and the data arrives only after the store is back.
+	// StoreOutageDelay replaces Unknown while the store is unavailable. It is longer because a
+	// caller retries only once or twice, and the data arrives only after the store is back.
 	StoreOutageDelay = 2 * time.Second
 	// MinDelay is the shortest time that is sent. Zero would make callers retry at once.
 	MinDelay = 10 * time.Millisecond
 )
 
-// Uninformed returns the time for a request that needs data from the store: the configuration, or a
+// AwaitStore returns the time for a request that needs data from the store: the configuration, or a
 // leaf.
 func AwaitStore(storeAway bool) time.Duration {
 	if storeAway {
@@ -62,7 +62,7 @@
 	return StoreReadDelay
 }
 
-// WithoutLeaf returns the time for a request that no leaf can run now. advised is the time that the
+// AwaitLeaf returns the time for a request that no leaf can run now. advised is the time that the
 // Dispatcher advises, or zero if it knows none. Zero is replaced, because an immediate retry would
 // find the same leaves.
 func AwaitLeaf(advised time.Duration, storeAway bool) time.Duration {
@@ -72,5 +72,5 @@
 	return AwaitStore(storeAway)
 }
 
-// OnWire returns the time that is sent for an advised time, which may be zero.
+// ClampToMin returns the time that is sent for an advised time, which may be zero.
 func ClampToMin(advised time.Duration) time.Duration { return max(advised, MinDelay) }
--- a/internal/decide/rollout/allowance.go
+++ b/internal/decide/rollout/allowance.go
@@ -43,7 +43,7 @@
 
 // NewAllowance returns the Allowance of one of the nodes that share the bounds, for an order with
 // the given deadline on the node's clock. Part is the node's part of the slack, from 0 to 1: see
-// PartOfSlack. Random returns a random number in [0, 1).
+// SlackShare. Random returns a random number in [0, 1).
 func NewAllowance(bounds Bounds, part float64, deadline time.Duration, random func() float64) *Allowance {
 	allowance := &Allowance{ratio: bounds.Ratio, closesAt: deadline}
 	allowance.credit = roundRandomly(trialSlack*bounds.Slack*part, random)
@@ -51,14 +51,14 @@
 	return allowance
 }
 
-// HasAllowance reports whether a node may spend a part of the bounds. A node that is not a
+// MaySpend reports whether a node may spend a part of the bounds. A node that is not a
 // participant must not spend: a node that knows of no other would take all of the slack, and others
 // may do the same.
 func MaySpend(self string, participants []roster.Member) bool {
 	return containsNode(participants, self)
 }
 
-// PartOfSlack returns the part of the slack that each of one or more participants may spend for one
+// SlackShare returns the part of the slack that each of one or more participants may spend for one
 // order. The part is zero if the order was found at the start of the node, because the node's
 // previous process may have spent it.
 func SlackShare(participants int, foundAtStart bool) float64 {
--- a/internal/decide/rollout/counts.go
+++ b/internal/decide/rollout/counts.go
@@ -128,18 +128,18 @@
 	return row
 }
 
-// Failed counts an attempt without an answer.
+// CountFailure counts an attempt without an answer.
 func (c *Counter) CountFailure(subject Subject) { c.counts(subject).Failed++ }
 
-// Took counts an attempt that was answered, or that ended because another attempt was answered, by
-// its duration.
+// CountDuration counts an attempt that was answered, or that ended because another attempt was
+// answered, by its duration.
 func (c *Counter) CountDuration(subject Subject, took time.Duration) {
 	c.counts(subject).Took[bucketIndex(took)]++
 }
 
-// First counts a first attempt of a shard. Overtaken is the time after which a later attempt was
-// answered first; zero if there was none. An attempt that was overtaken within slowMargin does not
-// count as slow: where leaves take less than 1 ms, hedges overtake an attempt that takes 10 ms.
+// CountFirst counts a first attempt of a shard. Overtaken is the time after which a later attempt
+// was answered first; zero if there was none. An attempt that was overtaken within slowMargin does
+// not count as slow: where leaves take less than 1 ms, hedges overtake an attempt that takes 10 ms.
 func (c *Counter) CountFirst(subject Subject, overtaken time.Duration) {
 	counts := c.counts(subject)
 	counts.First++
@@ -157,7 +157,7 @@
 	}
 }
 
-// Changed returns the counts that differ from the last reported ones, sorted by subject.
+// ChangedRows returns the counts that differ from the last reported ones, sorted by subject.
 func (c *Counter) ChangedRows(reported map[Subject]Counts) []Row {
 	rows := make([]Row, 0, len(c.rows))
 	for subject, counts := range c.rows {
--- a/internal/decide/rollout/reporting.go
+++ b/internal/decide/rollout/reporting.go
@@ -20,8 +20,8 @@
 // the store; a candidate that cannot write says so itself for as long. It equals GrantTTL.
 const AvoidTime = 2 * time.Second
 
-// Reporting selects the candidate to report to, and tracks which counts the decider has received.
-// It is not safe for concurrent use.
+// DeciderSelector selects the candidate to report to, and tracks which counts the decider has
+// received. It is not safe for concurrent use.
 type DeciderSelector struct {
 	avoided map[string]time.Duration // end of avoidance, by node name
 	// decider is the incarnation that acknowledged the counts in received.
@@ -29,12 +29,13 @@
 	received map[Subject]Counts
 }
 
-// NewReporting returns a Reporting that avoids no candidate.
+// NewDeciderSelector returns a Reporting that avoids no candidate.
 func NewDeciderSelector() *DeciderSelector {
 	return &DeciderSelector{avoided: make(map[string]time.Duration), received: make(map[Subject]Counts)}
 }
 
-// Reports reports whether a node reports its counts. A node without participants reports to itself.
+// MustReport reports whether a node reports its counts. A node without participants reports to
+// itself.
 func MustReport(self string, participants []roster.Member) bool {
 	return len(participants) == 0 || containsNode(participants, self)
 }
@@ -57,16 +58,17 @@
 // there is none.
 func (r *DeciderSelector) Decider() string { return r.decider }
 
-// Received returns the counts that the decider has acknowledged. The next report omits them.
+// AcknowledgedCounts returns the counts that the decider has acknowledged. The next report omits
+// them.
 func (r *DeciderSelector) AcknowledgedCounts() map[Subject]Counts { return r.received }
 
-// Forget makes the next report complete.
+// Reset makes the next report complete.
 func (r *DeciderSelector) Reset() {
 	r.decider = ""
 	clear(r.received)
 }
 
-// Answered records the counts that a decider has received. A restarted decider ignores an
+// RecordReply records the counts that a decider has received. A restarted decider ignores an
 // incremental report, and receives all counts with the next one.
 func (r *DeciderSelector) RecordReply(decider string, report Report) {
 	if report.Decider != "" && decider != report.Decider {
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -110,7 +110,7 @@
 type Transition struct {
 	// Record is the record to write.
 	Record Record
-	// Former is the revision of the record that it replaces; zero if there is none.
+	// ExpectedRevision is the revision of the record that it replaces; zero if there is none.
 	ExpectedRevision uint64
 	// Order is the revision of the order; zero if the order was withdrawn.
 	Order uint64
--- a/internal/decide/rollout/table.go
+++ b/internal/decide/rollout/table.go
@@ -15,8 +15,8 @@
 	// orderedAt is the time of the order on the node's clock: the time at which this node read the
 	// order, or an earlier time that the record or another node reports.
 	orderedAt time.Duration
-	// Found reports whether the order existed when this node first read the store. The process that
-	// ran before on this node may then have spent its part of the slack already.
+	// FoundAtStart reports whether the order existed when this node first read the store. The
+	// process that ran before on this node may then have spent its part of the slack already.
 	FoundAtStart bool
 	// Bad describes why the target is bad, as far as this node knows; empty while there is no
 	// evidence. It belongs to the order in force.
@@ -40,7 +40,7 @@
 	return r.Record.Version
 }
 
-// Open reports whether the roll-out has not ended.
+// IsOpen reports whether the roll-out has not ended.
 func (r *Rollout) IsOpen() bool {
 	phase := r.Phase()
 	return !phase.Ended() && (phase != PhaseNone || r.Order.Revision != 0)
@@ -68,7 +68,7 @@
 	return rollout
 }
 
-// Of returns the roll-out of a service; nil if there is none.
+// Lookup returns the roll-out of a service; nil if there is none.
 func (t *Table) Lookup(service string) *Rollout { return t.entries[service] }
 
 // Services returns the sorted names of the services that have a roll-out.
--- a/internal/decide/share/budget.go
+++ b/internal/decide/share/budget.go
@@ -24,7 +24,7 @@
 	reserveShare = 0.25
 )
 
-// Extra is the extra load that all nodes together may cause at a service, beyond the ratio that
+// ExtraLoad is the extra load that all nodes together may cause at a service, beyond the ratio that
 // requests earn.
 type ExtraLoad struct {
 	// Attempts is how many extra attempts are allowed in any window.
--- a/internal/decide/share/connections.go
+++ b/internal/decide/share/connections.go
@@ -24,9 +24,9 @@
 	Standby bool
 }
 
-// Bounds limits the connections to one leaf of a service.
+// ConnectionLimits limits the connections to one leaf of a service.
 type ConnectionLimits struct {
-	// Taken is how many connections a leaf accepts from all nodes together; zero if unknown.
+	// PerLeaf is how many connections a leaf accepts from all nodes together; zero if unknown.
 	PerLeaf int
 	// PerNode is the largest number of connections that one node keeps.
 	PerNode int
--- a/internal/decide/share/probe.go
+++ b/internal/decide/share/probe.go
@@ -9,7 +9,7 @@
 	// each probe every 2 s. The probes of 18 such executors would use 9 of a shard's 11 extra
 	// attempts per second.
 	fleetProbeInterval = 330 * time.Millisecond
-	// MinProbeInterval is the shortest time between two probes of a leaf by one node. With
+	// MinNodeProbeInterval is the shortest time between two probes of a leaf by one node. With
 	// 0.5 s, a fleet of 60 nodes performs worse.
 	MinNodeProbeInterval = 2 * time.Second
 	// maxNodeProbeInterval is the longest time between two probes of a leaf by one node. It
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -42,12 +42,12 @@
 	standalone bool
 }
 
-// Alone returns the share of one of several nodes, each of which runs its own requests.
+// Standalone returns the share of one of several nodes, each of which runs its own requests.
 func Standalone(nodes int) Share {
 	return Share{nodeCounts: subset.NodeCounts{Total: nodes}, fraction: 1, standalone: true}
 }
 
-// Of returns the share of connections of a node with a role.
+// ForConnections returns the share of connections of a node with a role.
 func ForConnections(roles executors.Roles, members []roster.Member, nodes int) Share {
 	if len(roles.Executors) == 0 {
 		return Share{nodeCounts: countNodes(members, nodes), fraction: 1, standalone: true}
@@ -58,7 +58,7 @@
 	return Share{nodeCounts: countNodes(roles.NonExecutors(members), nodes-len(roles.Executors)), fraction: 1 - executorConnectionShare}
 }
 
-// OfSlack returns a node's share of the extra load beyond the ratio. shard tells whether the
+// ForExtraLoad returns a node's share of the extra load beyond the ratio. shard tells whether the
 // service is a shard of a route; the requests for any other service run on the nodes that received
 // them.
 func ForExtraLoad(roles executors.Roles, members []roster.Member, nodes int, shard bool) Share {
--- a/internal/decide/snapshot/snapshot.go
+++ b/internal/decide/snapshot/snapshot.go
@@ -87,7 +87,7 @@
 	Shards  []int
 }
 
-// Shard returns the only needed shard out of a number of shards, if the query has a key.
+// SingleShard returns the only needed shard out of a number of shards, if the query has a key.
 func (n Need) SingleShard(shards int) (int, bool) {
 	if !n.HasKey || shards == 0 {
 		return 0, false
--- a/internal/decide/startup/startup.go
+++ b/internal/decide/startup/startup.go
@@ -38,12 +38,12 @@
 
 // Plan describes how a node starts.
 type Plan struct {
-	// Source is set if other nodes copy from this one when they start. A source reads the store
+	// IsSource is set if other nodes copy from this one when they start. A source reads the store
 	// itself, since sources would otherwise wait for each other.
 	IsSource bool
 	// ReadsDirectly is set if each node reads the store itself because there are few nodes.
 	ReadsDirectly bool
-	// Others are the nodes that are asked for a copy, in this order. A node that reads the store
+	// Sources are the nodes that are asked for a copy, in this order. A node that reads the store
 	// asks them only if the store does not answer.
 	Sources []netip.AddrPort
 }
--- a/internal/decide/timeleft/timeleft.go
+++ b/internal/decide/timeleft/timeleft.go
@@ -49,7 +49,7 @@
 // has to free the connection of a client that hangs.
 const defaultBodyTimeout = time.Minute
 
-// Body returns how long the body of a request may take to arrive.
+// BodyTimeout returns how long the body of a request may take to arrive.
 func BodyTimeout(clientTimeout time.Duration) time.Duration {
 	if clientTimeout == 0 {
 		return defaultBodyTimeout
--- a/internal/decide/timeleft/waits.go
+++ b/internal/decide/timeleft/waits.go
@@ -16,8 +16,8 @@
 // hold many first attempts among the retries.
 const windowSize = 256
 
-// Waits estimates how long clients have waited before their requests arrived. It is not safe for
-// concurrent use.
+// WaitEstimator estimates how long clients have waited before their requests arrived. It is not
+// safe for concurrent use.
 type WaitEstimator struct {
 	kinds map[string]*maxTimeouts
 }
@@ -28,7 +28,7 @@
 	count             int
 }
 
-// NewWaits returns Waits without samples.
+// NewWaitEstimator returns Waits without samples.
 func NewWaitEstimator() *WaitEstimator {
 	return &WaitEstimator{kinds: make(map[string]*maxTimeouts)}
 }
--- a/internal/decide/warmup/warmup.go
+++ b/internal/decide/warmup/warmup.go
@@ -35,9 +35,9 @@
 	minRate = 1.5
 )
 
-// Bound holds the configured request rate of the cold leaves of a service.
+// LeafRate holds the configured request rate of the cold leaves of a service.
 type LeafRate struct {
-	// Rate is how many requests per second a cold leaf can handle.
+	// PerSecond is how many requests per second a cold leaf can handle.
 	PerSecond float64
 	// Shard is set if the service is a shard of a route.
 	Shard bool
@@ -50,7 +50,7 @@
 	Slack     float64
 }
 
-// RateOf returns how many attempts per second a node may send to a cold leaf; zero if it has no
+// NodeRate returns how many attempts per second a node may send to a cold leaf; zero if it has no
 // share. leaf is the name of the leaf's incarnation.
 func (b LeafRate) NodeRate(self roster.Member, leaf string, roles executors.Roles, members []roster.Member, tolerance Tolerance) float64 {
 	rateLimit := b.PerSecond*tolerance.Overshoot + tolerance.Slack
--- a/internal/edge/forward/estimators.go
+++ b/internal/edge/forward/estimators.go
@@ -49,8 +49,8 @@
 	e.floors.Learn(className, sample, missed)
 }
 
-// floorSample returns the record at rank recordfloor.Rank among the complete parts, or nil if there
-// are too few complete parts for an estimate.
+// floorSample returns the record at rank recordfloor.SampleRank among the complete parts, or nil if
+// there are too few complete parts for an estimate.
 func floorSample(k int, parts []scatter.ShardPart[Part]) []byte {
 	var complete [][]byte
 	for _, shardPart := range parts {
--- a/internal/edge/forward/forward.go
+++ b/internal/edge/forward/forward.go
@@ -3,10 +3,10 @@
 // route names, and builds the answer from the partial results.
 //
 // The package owns the configuration in force, whose version never decreases, and the estimates
-// that it learns per request class. A Scatterer (scatter.Conn) makes the attempts: the Dispatcher
-// of package dispatch selects leaves and decides on waits and retries. A Quarantine handles
-// requests that crash leaves. The rules come from the packages timeleft, requestclass, recordfloor
-// and retryafter.
+// that it learns per request class. A Scatterer (scatter.QueryRunner) makes the attempts: the
+// Dispatcher of package dispatch selects leaves and decides on waits and retries. A Quarantine
+// handles requests that crash leaves. The rules come from the packages timeleft, requestclass,
+// recordfloor and retryafter.
 package forward
 
 import (
@@ -116,7 +116,7 @@
 	return 0
 }
 
-// Spread reports whether a request runs on several shards, and its timeout from now on.
+// FanOut reports whether a request runs on several shards, and its timeout from now on.
 func (f *Forwarder) FanOut(request *Request) (timeout time.Duration, multiShard bool) {
 	table := f.table.Load()
 	if table == nil {
--- a/internal/edge/forward/quarantine.go
+++ b/internal/edge/forward/quarantine.go
@@ -34,7 +34,7 @@
 	// Admit decides whether a request may run. While a trial of the request runs elsewhere, it may
 	// block until ctx ends.
 	Admit(ctx context.Context, content quarantine.Content) Admission
-	// Finished receives the execution record of each admitted request.
+	// RecordExecution receives the execution record of each admitted request.
 	RecordExecution(content quarantine.Content, ended Execution)
 }
 
@@ -42,7 +42,7 @@
 type Execution struct {
 	RequestID string
 	Route     string
-	// Began is when the request was submitted, on the Forwarder's clock.
+	// StartedAt is when the request was submitted, on the Forwarder's clock.
 	StartedAt time.Duration
 	Attempts  []scatter.AttemptTrace
 	// Trial is set if the request ran on one leaf only, as a trial.
--- a/internal/edge/http1/client.go
+++ b/internal/edge/http1/client.go
@@ -58,8 +58,8 @@
 	IdleTimeout time.Duration
 	// BodyBytes is the maximum size of a response body.
 	BodyBytes int64
-	// MaxSkipped is the number of responses to other requests that are skipped on a connection
-	// before the awaited response.
+	// MaxSkippedResponses is the number of responses to other requests that are skipped on a
+	// connection before the awaited response.
 	MaxSkippedResponses int
 }
 
--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -17,12 +17,12 @@
 	// Head holds the request line and the header lines, each with its line end, without the final
 	// empty line; see WriteHead.
 	Head []byte
-	// Own holds additional header lines of this request only.
+	// ExtraHeaders holds additional header lines of this request only.
 	ExtraHeaders []byte
 	// Body is the complete body.
 	Body []byte
-	// Once is set if the request may run at most once. It is then not sent on a connection that the
-	// back end has closed; this check costs a system call.
+	// AtMostOnce is set if the request may run at most once. It is then not sent on a connection
+	// that the back end has closed; this check costs a system call.
 	AtMostOnce bool
 }
 
--- a/internal/edge/lease/lease.go
+++ b/internal/edge/lease/lease.go
@@ -19,7 +19,7 @@
 
 // These are the errors of a Store that a Holder distinguishes. Any other error counts as temporary.
 var (
-	// ErrLapsed means that the lease has expired or was revoked by the store.
+	// ErrExpired means that the lease has expired or was revoked by the store.
 	ErrExpired = errors.New("lease has expired")
 	// ErrExists means that the key already exists.
 	ErrExists = errors.New("key already exists")
--- a/internal/edge/mirror/mirror.go
+++ b/internal/edge/mirror/mirror.go
@@ -49,7 +49,7 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error)
 }
 
-// Reading says how the items of a Replace were read.
+// ReadInfo says how the items of a Replace were read.
 type ReadInfo struct {
 	// Gap is set if changes before this read may have been missed.
 	Gap bool
@@ -62,13 +62,13 @@
 type Sink interface {
 	// Replace receives the complete set of items.
 	Replace(items []Item, read ReadInfo)
-	// Change receives changes in order. After an outage it is also called without changes: the
+	// Apply receives changes in order. After an outage it is also called without changes: the
 	// items received so far are then still current.
 	Apply(events []Event)
-	// Lost is called once per outage, when the store becomes unreachable.
+	// Disconnected is called once per outage, when the store becomes unreachable.
 	Disconnected(err error)
-	// Regained is called after an outage of the given length when the store responds again, before
-	// the first response is passed on.
+	// Reconnected is called after an outage of the given length when the store responds again,
+	// before the first response is passed on.
 	Reconnected(away time.Duration)
 }
 
@@ -79,9 +79,9 @@
 	// MinBackoff and MaxBackoff bound the backoff after an error. It doubles with each consecutive
 	// error and has random jitter.
 	MinBackoff, MaxBackoff time.Duration
-	// Wait is the longest duration of one watch call.
+	// WatchTimeout is the longest duration of one watch call.
 	WatchTimeout time.Duration
-	// Gather is the delay after a call that returned changes. It batches changes in quick
+	// BatchDelay is the delay after a call that returned changes. It batches changes in quick
 	// succession into one call.
 	BatchDelay time.Duration
 }
--- a/internal/edge/mirror/watch.go
+++ b/internal/edge/mirror/watch.go
@@ -30,7 +30,7 @@
 	WatchRefused WatchState = "refused"
 )
 
-// Watched is the response of a watcher.
+// WatchResponse is the response of a watcher.
 type WatchResponse struct {
 	State  WatchState
 	Events []Event
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -151,7 +151,7 @@
 	return cordonsChanged
 }
 
-// Change implements mirror.Sink. If the configuration is removed from the store, the last one stays
+// Apply implements mirror.Sink. If the configuration is removed from the store, the last one stays
 // in force.
 func (f *follower) Apply(events []mirror.Event) {
 	republish := false
@@ -184,7 +184,7 @@
 	}
 }
 
-// Lost implements mirror.Sink.
+// Disconnected implements mirror.Sink.
 func (f *follower) Disconnected(err error) {
 	f.config.SetFresh(false)
 	f.config.SetOutage(true)
@@ -193,7 +193,7 @@
 	event.Log(f.logger, event.StoreLost{Error: err})
 }
 
-// Regained implements mirror.Sink.
+// Reconnected implements mirror.Sink.
 func (f *follower) Reconnected(outage time.Duration) {
 	f.view.mutex.Lock()
 	f.view.leaves.RecordOutage(f.clock.Now())
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -45,33 +45,33 @@
 	Leaf(item mirror.Item) (registry.Leaf, error)
 	// CordonedZone returns the zone that a key cordons. The key exists as long as the cordon.
 	CordonedZone(key string) string
-	// OrderedService returns the service whose rollout a key orders. The key exists as long as the
+	// RolloutService returns the service whose rollout a key orders. The key exists as long as the
 	// order.
 	RolloutService(key string) string
-	// Order decodes the order of a rollout.
+	// RolloutOrder decodes the order of a rollout.
 	RolloutOrder(item mirror.Item) (rollout.Order, error)
-	// Record decodes the record of a rollout.
+	// RolloutRecord decodes the record of a rollout.
 	RolloutRecord(item mirror.Item) (rollout.Record, error)
-	// Quarantined returns the content of the request that a key names.
+	// QuarantinedContent returns the content of the request that a key names.
 	QuarantinedContent(key string) (quarantine.Content, error)
-	// Quarantine decodes the quarantine record of a request.
+	// QuarantineRecord decodes the quarantine record of a request.
 	QuarantineRecord(item mirror.Item) (quarantine.StoredRecord, error)
 	// NodePrefix is the common prefix of the announcements of nodes.
 	NodePrefix() string
-	// Node returns the name of the node that a key announces.
+	// NodeName returns the name of the node that a key announces.
 	NodeName(key string) string
 	// NodeKey returns the key that announces an incarnation of a node.
 	NodeKey(name, incarnation string) string
 }
 
-// ErrOvertaken means that a concurrent write came first: the record, or the order that it answers,
+// ErrConflict means that a concurrent write came first: the record, or the order that it answers,
 // is not the one on which the change was based.
 var ErrConflict = errors.New("record was changed concurrently")
 
 // Rollouts writes the steps of rollouts.
 type Rollouts interface {
 	// Advance writes a step if the store still has the revisions that the step names, and returns
-	// the revision of the new record. If it fails with an error other than ErrOvertaken, the write
+	// the revision of the new record. If it fails with an error other than ErrConflict, the write
 	// may have happened or may still happen.
 	Advance(ctx context.Context, step rollout.Transition) (uint64, error)
 }
@@ -80,8 +80,8 @@
 type Quarantine interface {
 	lease.Granter
 	// WriteQuarantine applies a change to a record, which is bound to a lease, and returns the
-	// record after the change. With ErrOvertaken it returns the record that another node wrote; a
-	// revision of zero means that there is no record. With lease.ErrLapsed nothing was written.
+	// record after the change. With ErrConflict it returns the record that another node wrote; a
+	// revision of zero means that there is no record. With lease.ErrExpired nothing was written.
 	// After any other error the write may have happened or may still happen.
 	WriteQuarantine(ctx context.Context, change quarantine.Change, leaseID uint64) (quarantine.StoredRecord, error)
 }
@@ -100,7 +100,7 @@
 	Handler func(Service) http.Handler
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
-	// OnLeaves receives the leaves of each topology before the Dispatcher uses it.
+	// OnLeafShares receives the leaves of each topology before the Dispatcher uses it.
 	OnLeafShares func([]LeafShare)
 }
 
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -15,7 +15,7 @@
 )
 
 // topologyConsumer receives each topology and the limits that belong to it. It is implemented by
-// scatter.Conn.
+// scatter.QueryRunner.
 type topologyConsumer interface {
 	ResizeBudgets(bounds func(shard int) hedge.Bounds)
 	SetProbeInterval(interval time.Duration)
--- a/internal/edge/node/quarantine_outcomes.go
+++ b/internal/edge/node/quarantine_outcomes.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Finished implements forward.Quarantine.
+// RecordExecution implements forward.Quarantine.
 func (q *quarantineDriver) RecordExecution(content quarantine.Content, execution forward.Execution) {
 	if !q.enabled {
 		return
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -24,7 +24,7 @@
 )
 
 // rolloutDispatcher sends attempts to leaves of a new version within allowances. It is implemented
-// by scatter.Conn.
+// by scatter.QueryRunner.
 type rolloutDispatcher interface {
 	SetAllowance(shard int, allowance *rollout.Allowance)
 	Grant(shard int, until dispatch.Time)
--- a/internal/edge/records/top.go
+++ b/internal/edge/records/top.go
@@ -87,7 +87,7 @@
 	return greatest
 }
 
-// NotBelow returns the records of a part that are not below a floor; a nil floor excludes none.
+// FilterBelow returns the records of a part that are not below a floor; a nil floor excludes none.
 func FilterBelow(part, floor []byte) []byte {
 	var above []byte
 	for ; len(part) >= Size; part = part[Size:] {
--- a/internal/edge/registry/incarnation.go
+++ b/internal/edge/registry/incarnation.go
@@ -22,7 +22,7 @@
 	return l.ID + startTimeSeparator + strconv.FormatInt(startMillis, 10)
 }
 
-// IDOf returns the ID in the name of an incarnation.
+// LeafID returns the ID in the name of an incarnation.
 func LeafID(incarnation string) string {
 	if index := strings.LastIndex(incarnation, startTimeSeparator); index >= 0 {
 		return incarnation[:index]
--- a/internal/edge/registry/index.go
+++ b/internal/edge/registry/index.go
@@ -23,8 +23,8 @@
 	return number, exists
 }
 
-// Of returns the number of a service, and assigns one if it has none. Call it only with services
-// that a configuration names, since an announcement may name any service.
+// Assign returns the number of a service, and assigns one if it has none. Call it only with
+// services that a configuration names, since an announcement may name any service.
 func (i *Index) Assign(service string) int {
 	number, exists := i.Find(service)
 	if exists {
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -27,8 +27,8 @@
 // Leaf is the announcement of a leaf.
 type Leaf struct {
 	ID string
-	// Born is the start time of the leaf's process; zero if the announcement has none. A leaf that
-	// restarts under its ID is a new incarnation, which inherits no state.
+	// StartedAt is the start time of the leaf's process; zero if the announcement has none. A leaf
+	// that restarts under its ID is a new incarnation, which inherits no state.
 	StartedAt time.Time
 	Service   string
 	Address   netip.AddrPort
@@ -39,8 +39,8 @@
 	Draining bool
 	// Cold is how much longer the leaf is slow after its start, as announced.
 	Cold time.Duration
-	// Created is the revision at which the ID was first announced, or this incarnation of it if its
-	// start was observed here.
+	// CreatedRevision is the revision at which the ID was first announced, or this incarnation of
+	// it if its start was observed here.
 	CreatedRevision uint64
 	// Revision is the revision of this announcement.
 	Revision uint64
--- a/internal/edge/route/route.go
+++ b/internal/edge/route/route.go
@@ -69,7 +69,7 @@
 // Service is a set of interchangeable leaves.
 type Service struct {
 	Name string
-	// MaxConns is how many connections each leaf accepts from all clients together; zero if
+	// MaxConnections is how many connections each leaf accepts from all clients together; zero if
 	// unknown.
 	MaxConnections int
 	// ColdRate is how many requests per second a cold leaf can handle from all clients together;
--- a/internal/edge/route/table.go
+++ b/internal/edge/route/table.go
@@ -72,7 +72,7 @@
 	return &Splitter{random: random, routes: make(map[string]*splitState)}
 }
 
-// Pick returns the service for the next request of a route that has targets.
+// PickService returns the service for the next request of a route that has targets.
 func (s *Splitter) PickService(route *Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
--- a/internal/event/process.go
+++ b/internal/event/process.go
@@ -10,7 +10,7 @@
 	HTTP  string  `event:"http" doc:"address on which clients connect"`
 	Zone  string  `event:"zone" doc:"zone of the node"`
 	Cores float64 `event:"cores" doc:"CPU capacity that the node announces, in cores"`
-	// SeesSuspensions is false if the system clock that counts suspensions cannot be read.
+	// DetectsSuspensions is false if the system clock that counts suspensions cannot be read.
 	DetectsSuspensions bool `event:"sees_suspensions" doc:"whether the node can measure how long the machine was suspended; if not, validity periods end late by the length of the suspension"`
 }
 
@@ -37,7 +37,7 @@
 	return Kind{"stopped", slog.LevelInfo, "A planned stop has completed; no request is in flight."}
 }
 
-// SettingsRead reports that the settings were read again after SIGHUP.
+// SettingsReloaded reports that the settings were read again after SIGHUP.
 type SettingsReloaded struct {
 	Changed bool `event:"changed" doc:"whether they differ from the settings in use; new settings take effect with a restart"`
 }
@@ -67,7 +67,7 @@
 	return Kind{"failed", slog.LevelError, "The process exits with an error."}
 }
 
-// Woke reports that the machine was resumed after a suspension.
+// Resumed reports that the machine was resumed after a suspension.
 type Resumed struct {
 	Suspended time.Duration `event:"suspended" doc:"length of the suspension; deadlines and validity periods include it, the monotonic clock of the process does not"`
 }
--- a/internal/event/quarantine.go
+++ b/internal/event/quarantine.go
@@ -18,7 +18,7 @@
 	return Kind{"request suspected", slog.LevelWarn, "The other nodes are informed. Once enough leaves have ended while they ran the request, it is tried on a single leaf. An answer from any leaf clears the request."}
 }
 
-// RequestTried reports that a trial, the run of a suspected request on a single leaf, ended the
+// TrialFailed reports that a trial, the run of a suspected request on a single leaf, ended the
 // leaf.
 type TrialFailed struct {
 	Content fmt.Stringer `event:"content" doc:"hash of the request, as in the event \"request\""`
--- a/internal/event/rollouts.go
+++ b/internal/event/rollouts.go
@@ -66,7 +66,7 @@
 	return Kind{"roll-out decided", level, "This node is the decider of roll-outs and has written a phase or tried to write it."}
 }
 
-// RolloutDecider reports that this node sends its counts to another decider.
+// DeciderChanged reports that this node sends its counts to another decider.
 type DeciderChanged struct {
 	Peer   string `event:"peer" doc:"name of the new decider"`
 	Former string `event:"former" doc:"name of the previous decider; empty if there was none"`
--- a/internal/event/store.go
+++ b/internal/event/store.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// StoreRead reports that a snapshot of the store was read.
+// StoreSnapshotRead reports that a snapshot of the store was read.
 type StoreSnapshotRead struct {
 	Leaves   int  `event:"leaves" doc:"number of announced leaves"`
 	Nodes    int  `event:"nodes" doc:"number of announced nodes"`
@@ -19,7 +19,7 @@
 	return Kind{"store read", slog.LevelInfo, "Configuration and announcements were read as a snapshot, at startup or because the changes after the last known revision were compacted."}
 }
 
-// SourceUsed reports that a starting node loaded its snapshot from another node.
+// SnapshotCopied reports that a starting node loaded its snapshot from another node.
 type SnapshotCopied struct {
 	Source   netip.AddrPort `event:"source" doc:"address of the other node"`
 	Revision uint64         `event:"revision" doc:"revision of the snapshot"`
@@ -32,7 +32,7 @@
 	return Kind{"copied from node", slog.LevelInfo, "The node loaded configuration and announcements from another node instead of the store, and watches the changes after that revision."}
 }
 
-// SourceFailed reports that loading the snapshot of another node failed.
+// SnapshotCopyFailed reports that loading the snapshot of another node failed.
 type SnapshotCopyFailed struct {
 	Source netip.AddrPort `event:"source" doc:"address of the other node"`
 	Error  error          `event:"error" doc:"reason for the failure"`
--- a/internal/leaf/errors.go
+++ b/internal/leaf/errors.go
@@ -30,8 +30,8 @@
 	// REFUSED_STREAM or with a GOAWAY whose last stream ID is below that of the request. In all
 	// other cases Sent is true, and the request may or may not have run.
 	Sent bool
-	// OnTheWay is set if the call was lost at another node that was relaying it, so that the error
-	// does not indicate a fault of the leaf.
+	// LostAtRelay is set if the call was lost at another node that was relaying it, so that the
+	// error does not indicate a fault of the leaf.
 	LostAtRelay bool
 	// Closed is set if the leaf closed or reset the connection before the first byte of its answer,
 	// for example because its process crashed during the call.
--- a/internal/peer/datagrams.go
+++ b/internal/peer/datagrams.go
@@ -11,7 +11,7 @@
 	"github.com/samber/oops"
 )
 
-// Kind is the first byte of a datagram. It selects the handler.
+// DatagramKind is the first byte of a datagram. It selects the handler.
 type DatagramKind byte
 
 // The kinds of datagrams.
@@ -37,8 +37,9 @@
 const (
 	// MaxDatagramSize is the maximum payload of a datagram in bytes.
 	MaxDatagramSize = 8 << 10
-	// UnfragmentedDatagram is the maximum payload in bytes that fits into one Ethernet frame. IP
-	// splits a larger datagram into fragments, and the datagram is lost if any fragment is.
+	// MaxUnfragmentedDatagramSize is the maximum payload in bytes that fits into one Ethernet
+	// frame. IP splits a larger datagram into fragments, and the datagram is lost if any fragment
+	// is.
 	MaxUnfragmentedDatagramSize = 1400
 )
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -82,7 +82,7 @@
 // Address returns the local address with the actual port.
 func (s *Server) Address() netip.AddrPort { return localAddress(s.listener.Addr()) }
 
-// Serve starts to accept connections in the background and returns immediately.
+// Start starts to accept connections in the background and returns immediately.
 func (s *Server) Start() {
 	s.goroutines.Add(1)
 	go s.accept()
--- a/internal/roster/watchers.go
+++ b/internal/roster/watchers.go
@@ -21,8 +21,8 @@
 	maxMembersPerWatcher = 50
 )
 
-// Watchers returns the members that watch the store for the others, selected by Spread. It returns
-// none for fewer than 16 members.
+// SelectWatchers returns the members that watch the store for the others, selected by Spread. It
+// returns none for fewer than 16 members.
 func SelectWatchers(members []Member, preferred ...netip.AddrPort) []Member {
 	if len(members) < minMembersForWatchers {
 		return nil
@@ -30,9 +30,9 @@
 	return SelectAcrossZones(members, max(minWatchers, (len(members)+maxMembersPerWatcher-1)/maxMembersPerWatcher), preferred...)
 }
 
-// Spread returns count members, or more if that is necessary to include one of each zone. Members
-// at the preferred addresses come first, the others are ordered by a hash of their names. The
-// result is the same on every node with the same arguments.
+// SelectAcrossZones returns count members, or more if that is necessary to include one of each
+// zone. Members at the preferred addresses come first, the others are ordered by a hash of their
+// names. The result is the same on every node with the same arguments.
 func SelectAcrossZones(members []Member, count int, preferred ...netip.AddrPort) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
@@ -55,7 +55,7 @@
 	return selected
 }
 
-// FirstOfZones returns up to perZone members of each zone, sorted by name. It selects them by a
+// SelectPerZone returns up to perZone members of each zone, sorted by name. It selects them by a
 // hash of their names, so that the loss of a member replaces only that member, by another one of
 // its zone.
 func SelectPerZone(members []Member, perZone int) []Member {
@@ -75,9 +75,9 @@
 	return selected
 }
 
-// Preferred sorts members in the order in which the node self contacts them: first those of its own
-// zone, and within and outside of the zone in an order that differs between nodes, so that the load
-// is spread over the members.
+// OrderByZone sorts members in the order in which the node self contacts them: first those of its
+// own zone, and within and outside of the zone in an order that differs between nodes, so that the
+// load is spread over the members.
 func OrderByZone(self Member, members []Member) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -50,7 +50,7 @@
 	go c.runAttempt(ctx, attempt, query)
 }
 
-// abortAttempt cancels an attempt, immediately or after the delay that linger.Time returns.
+// abortAttempt cancels an attempt, immediately or after the delay that linger.Duration returns.
 func (c *QueryRunner[Q, P]) abortAttempt(abort dispatch.Abort) {
 	attempt := c.attempts[abort.Attempt]
 	if attempt == nil {
--- a/internal/scatter/conn.go
+++ b/internal/scatter/conn.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// Conn runs the queries of one service on its leaves. It is safe for concurrent use.
+// QueryRunner runs the queries of one service on its leaves. It is safe for concurrent use.
 type QueryRunner[Q, P any] struct {
 	config Config[Q, P]
 
@@ -27,7 +27,7 @@
 	goroutines sync.WaitGroup
 }
 
-// NewConn returns a Conn that takes ownership of the dispatcher.
+// NewQueryRunner returns a Conn that takes ownership of the dispatcher.
 func NewQueryRunner[Q, P any](config Config[Q, P], dispatcher *dispatch.Dispatcher) *QueryRunner[Q, P] {
 	conn := &QueryRunner[Q, P]{
 		config:     config,
@@ -106,6 +106,6 @@
 	c.applyDecision(c.dispatcher.Tick)
 }
 
-// Wake ends the queries that have expired. It is needed after the machine was suspended, because
+// Tick ends the queries that have expired. It is needed after the machine was suspended, because
 // process timers do not advance during a suspension and fire late.
 func (c *QueryRunner[Q, P]) Tick() { c.tick() }
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -79,9 +79,9 @@
 	Metrics       *Metrics
 	// Trace enables the recording of all attempts in Result.Attempts.
 	Trace bool
-	// OnClosed, if not nil, is called when the leaf of an attempt closes the connection before the
-	// first byte of its answer while the query runs. It requires Trace. It is called with the mutex
-	// of the Conn held, so it must not block or call the Conn.
+	// OnConnectionClosed, if not nil, is called when the leaf of an attempt closes the connection
+	// before the first byte of its answer while the query runs. It requires Trace. It is called
+	// with the mutex of the Conn held, so it must not block or call the Conn.
 	OnConnectionClosed func(QueryProgress[Q])
 	// Linger is how long an aborted attempt may continue before it is cancelled. Zero cancels it
 	// immediately. Package linger decides when it applies.
@@ -110,12 +110,12 @@
 	MinimumCoverage float64
 }
 
-// Unfinished describes a running query. Attempts lists the attempts so far and must not be
+// QueryProgress describes a running query. Attempts lists the attempts so far and must not be
 // retained.
 type QueryProgress[Q any] struct {
 	RequestID string
 	Payload   Q
-	// Began is the time of submission on the clock of the Conn.
+	// SubmittedAt is the time of submission on the clock of the Conn.
 	SubmittedAt time.Duration
 	Attempts    []AttemptTrace
 }
@@ -129,8 +129,8 @@
 // AttemptTrace records one attempt. An attempt that outlives its query is recorded as open.
 type AttemptTrace struct {
 	dispatch.Send
-	// At is the time from the submission of the query to the send. Took is the time from the send
-	// to the end of the attempt; it is zero while the attempt is open.
+	// SentAfter is the time from the submission of the query to the send. Took is the time from the
+	// send to the end of the attempt; it is zero while the attempt is open.
 	SentAfter, Duration time.Duration
 	End                 AttemptEnd
 	// Aborted is set if the attempt was aborted before it ended, in favour of another attempt or
--- a/internal/scatter/topology.go
+++ b/internal/scatter/topology.go
@@ -26,7 +26,7 @@
 	return usable
 }
 
-// MayGetWork reports whether a leaf is usable in the current topology, which may be newer than the
+// IsUsable reports whether a leaf is usable in the current topology, which may be newer than the
 // one on which the dispatcher decided a send.
 func (c *QueryRunner[Q, P]) IsUsable(address netip.AddrPort) bool {
 	c.mutex.Lock()
--- a/internal/telemetry/factory.go
+++ b/internal/telemetry/factory.go
@@ -20,7 +20,7 @@
 	return f.factory.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 }
 
-// Counters creates a counter vector with the given labels.
+// CounterVec creates a counter vector with the given labels.
 func (f Factory) CounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return f.factory.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 }
@@ -35,7 +35,7 @@
 	f.factory.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 }
 
-// Histograms creates a histogram vector with the given labels. The buckets are upper bounds.
+// HistogramVec creates a histogram vector with the given labels. The buckets are upper bounds.
 func (f Factory) HistogramVec(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
 	return f.factory.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets}, labels)
 }
--- a/internal/telemetry/rate_limit.go
+++ b/internal/telemetry/rate_limit.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// CapConfig limits the rate at which each message is logged. A message may be logged in a burst
+// RateLimits limits the rate at which each message is logged. A message may be logged in a burst
 // as large as the lines of one second.
 type RateLimits struct {
 	// Info limits lines below the level warn, Warn limits lines at warn and above, both in lines
@@ -17,7 +17,7 @@
 	Info, Warn float64
 }
 
-// CappedHandler is a slog.Handler that drops lines beyond the rate limit of their message. It
+// RateLimitHandler is a slog.Handler that drops lines beyond the rate limit of their message. It
 // counts the dropped lines, and adds their number to the next line of the message.
 type RateLimitHandler struct {
 	next    slog.Handler
@@ -49,7 +49,7 @@
 	dropped    int       // lines dropped since the last one that was written
 }
 
-// NewCappedHandler returns a handler that limits the lines passed to next, and registers its
+// NewRateLimitHandler returns a handler that limits the lines passed to next, and registers its
 // counter. Messages must come from a fixed set, as each one gets a bucket and a label value.
 func NewRateLimitHandler(next slog.Handler, limits RateLimits, registerer prometheus.Registerer) *RateLimitHandler {
 	droppedTotal := prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -30,8 +30,8 @@
 // fixtureDir is the directory of the recordings, relative to the package under test.
 const fixtureDir = "testdata/wire"
 
-// Gob checks a type that nodes exchange in encoding/gob. The recorded message must decode without
-// loss, and the names and kinds of the encoded fields must match the recording.
+// CheckGob checks a type that nodes exchange in encoding/gob. The recorded message must decode
+// without loss, and the names and kinds of the encoded fields must match the recording.
 func CheckGob[T any](t *testing.T, name string) {
 	t.Helper()
 	want := newFilled[T](t, goFieldName)
@@ -52,8 +52,8 @@
 	assertRecording(t, name+".fields", []byte(gobFields(reflect.TypeFor[T]())))
 }
 
-// FormerGob decodes a message that a previous version recorded. Fields that were added later are
-// zero.
+// DecodePreviousGob decodes a message that a previous version recorded. Fields that were added
+// later are zero.
 func DecodePreviousGob[T any](t *testing.T, name string) T {
 	t.Helper()
 	var got T
@@ -63,8 +63,8 @@
 	return got
 }
 
-// JSON checks a type that is stored as JSON. A filled value must encode to the recorded bytes, and
-// decoding and encoding these bytes must reproduce them.
+// CheckJSON checks a type that is stored as JSON. A filled value must encode to the recorded bytes,
+// and decoding and encoding these bytes must reproduce them.
 func CheckJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	want := newFilled[T](t, jsonFieldName)
@@ -82,7 +82,7 @@
 	}
 }
 
-// Encoded checks a custom encoding. A filled value must encode to the recorded bytes, and the
+// CheckEncoding checks a custom encoding. A filled value must encode to the recorded bytes, and the
 // recorded bytes must decode to that value.
 func CheckEncoding[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Helper()
