--- a/internal/selfhosted/node/benchmark_test.go
+++ b/internal/selfhosted/node/benchmark_test.go
@@ -15,44 +15,45 @@
 
 	"github.com/micaplank/micaplank/internal/catalog"
 	"github.com/micaplank/micaplank/internal/leaf"
-	standinleaf "github.com/micaplank/micaplank/internal/rehearsal/leaf"
+	rehearsalleaf "github.com/micaplank/micaplank/internal/rehearsal/leaf"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
 const benchmarkStatement = "select * from filing-vault where quote = 'Q-17'"
 
-// BenchmarkAddedLatency asks one idle leaf without service time for one key,
-// directly by the leaf protocol and through an idle node. The difference of
-// the medians is the time that a node adds.
+// BenchmarkAddedLatency reads one key from an idle leaf without service time, directly over the
+// leaf protocol and through an idle node. The difference of the medians is the latency that a node
+// adds.
 func BenchmarkAddedLatency(b *testing.B) {
-	stand := startBenchmarkLeaf(b)
+	leafServer := startBenchmarkLeaf(b)
 	running := startNode(b)
-	running.awaitReady(b)
+	running.waitUntilReady(b)
 	for _, statement := range []string{
 		"add voter node-a1 zone a",
 		"create service filing-vault shards 1 replicas 1 key quote",
 		"class pull on filing-vault priority 1 deadline 2s coverage 1.0 repeatable",
-		fmt.Sprintf("add leaf %s to filing-vault zone a shards 0", stand.Address()),
+		fmt.Sprintf("add leaf %s to filing-vault zone a shards 0", leafServer.Address()),
 	} {
 		if output, err := running.exec(statement, operator.ExecOptions{}); err != nil {
-			b.Fatal(statement, output, err)
+			b.Fatalf("%s: got output %q and error %v, want success", statement, output, err)
 		}
 	}
-	running.awaitReady(b)
-	b.Run("direct", func(b *testing.B) { measureMedian(b, directCall(b, stand)) })
-	b.Run("through-node", func(b *testing.B) { measureMedian(b, queryCall(b, running)) })
+	running.waitUntilReady(b)
+	b.Run("direct", func(b *testing.B) { benchmarkMedian(b, newDirectCall(b, leafServer)) })
+	b.Run("through-node", func(b *testing.B) { benchmarkMedian(b, newNodeCall(b, running)) })
 	running.node.beginDrain()
-	<-running.ended
+	<-running.runResult
 }
 
-func startBenchmarkLeaf(b *testing.B) *standinleaf.Server {
-	config := standinleaf.DefaultConfig()
+// startBenchmarkLeaf starts a leaf that holds one shard and answers without delay.
+func startBenchmarkLeaf(b *testing.B) *rehearsalleaf.Server {
+	config := rehearsalleaf.DefaultConfig()
 	config.Service, config.Zone = "filing-vault", "a"
 	config.Versions = []uint64{1}
-	config.Partitions = []standinleaf.Partition{{Epoch: 1, Shards: 1, Hold: []int{0}}}
-	config.Select = standinleaf.ServiceTime{}
-	server, err := standinleaf.Start(config, slog.New(slog.DiscardHandler))
+	config.Partitions = []rehearsalleaf.Partition{{Epoch: 1, Shards: 1, Hold: []int{0}}}
+	config.Select = rehearsalleaf.ServiceTime{}
+	server, err := rehearsalleaf.Start(config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -60,21 +61,22 @@
 	return server
 }
 
-// measureMedian reports the median time of a call, in microseconds.
-func measureMedian(b *testing.B, call func()) {
+// benchmarkMedian reports the median duration of a call in microseconds.
+func benchmarkMedian(b *testing.B, call func()) {
 	call()
-	var took []time.Duration
+	var durations []time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
 		started := time.Now()
 		call()
-		took = append(took, time.Since(started))
+		durations = append(durations, time.Since(started))
 	}
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "median-us")
+	slices.Sort(durations)
+	b.ReportMetric(float64(durations[len(durations)/2].Microseconds()), "median-us")
 }
 
-func directCall(b *testing.B, stand *standinleaf.Server) func() {
+// newDirectCall returns a function that runs the statement on the leaf itself.
+func newDirectCall(b *testing.B, leafServer *rehearsalleaf.Server) func() {
 	client := leaf.New(leaf.Config{}, nil)
 	b.Cleanup(client.Close)
 	request := leaf.ExecuteRequest{
@@ -82,14 +84,15 @@
 		Statement: benchmarkStatement, RemainingMilliseconds: 2000, Repeatable: true,
 	}
 	return func() {
-		response, err := client.Execute(context.Background(), stand.Address(), request)
+		response, err := client.Execute(context.Background(), leafServer.Address(), request)
 		if err != nil || !response.Executed {
-			b.Fatal(response, err)
+			b.Fatalf("execute: got %+v and error %v, want an executed statement", response, err)
 		}
 	}
 }
 
-func queryCall(b *testing.B, running *runningNode) func() {
+// newNodeCall returns a function that runs the statement through the HTTP interface of a node.
+func newNodeCall(b *testing.B, running *runningNode) func() {
 	client := &http.Client{}
 	b.Cleanup(client.CloseIdleConnections)
 	url := "http://" + running.node.HTTPAddress().String() + strings.Replace(api.QueryPath, "{service}", "filing-vault", 1)
@@ -105,7 +108,7 @@
 		content, _ := io.ReadAll(response.Body)
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			b.Fatalf("%s", content)
+			b.Fatalf("query: got status %d with body %s, want %d", response.StatusCode, content, http.StatusOK)
 		}
 	}
 }
--- a/internal/selfhosted/node/collector.go
+++ b/internal/selfhosted/node/collector.go
@@ -8,19 +8,19 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// leafStates are the states that a leaf can be in, in the order of the metric.
+// leafStates lists all states of a leaf in the order in which the metric reports them.
 var leafStates = []api.LeafState{
 	api.LeafUsable, api.LeafProbation, api.LeafCold, api.LeafDraining, api.LeafLeaving, api.LeafUnreachable,
 }
 
-// collector shows, when the metrics are read, what the dispatchers and the
-// topology know. Both keep their own counts, since they are pure.
+// collector exports the counters of the dispatchers and the leaf states of the topology at each
+// scrape. Those packages perform no I/O and keep their own counts, so they do not register metrics.
 type collector struct {
-	node     *Node
-	attempts *prometheus.Desc
-	won      *prometheus.Desc
-	inFlight *prometheus.Desc
-	leaves   *prometheus.Desc
+	node      *Node
+	attempts  *prometheus.Desc
+	hedgesWon *prometheus.Desc
+	inFlight  *prometheus.Desc
+	leaves    *prometheus.Desc
 }
 
 var _ prometheus.Collector = (*collector)(nil)
@@ -30,18 +30,18 @@
 	return &collector{
 		node: node,
 		attempts: prometheus.NewDesc("micaplank_dispatch_attempts_total",
-			"Attempts sent to leaves, by service and cause: needed, resend (the former did not execute), or extra: hedge, probe, retry or restart.",
+			"Attempts sent to leaves, by service and cause: needed, resend (the previous attempt did not execute), or extra: hedge, probe, retry or restart.",
 			[]string{"service", "cause"}, nil),
-		won: prometheus.NewDesc("micaplank_dispatch_hedges_won_total",
+		hedgesWon: prometheus.NewDesc("micaplank_dispatch_hedges_won_total",
 			"Shards answered by a hedge or a probe, by service.", service, nil),
 		inFlight: prometheus.NewDesc("micaplank_dispatch_queries",
-			"Queries that have not ended, waiting or running, by service.", service, nil),
+			"Queries in progress, waiting or running, by service.", service, nil),
 		leaves: prometheus.NewDesc("micaplank_topology_leaves",
-			"Leaves of the catalog, by service and state as this node sees them.", []string{"service", "state"}, nil),
+			"Leaves of the catalog, by service and state, as observed by this node.", []string{"service", "state"}, nil),
 	}
 }
 
-// MetricTypes returns the types of the metrics, also before there is a sample.
+// MetricTypes returns the type of each metric. It is needed for metrics that have no sample yet.
 func (c *collector) MetricTypes() map[string]telemetry.MetricType {
 	return map[string]telemetry.MetricType{
 		"micaplank_dispatch_attempts_total":   telemetry.TypeCounter,
@@ -53,7 +53,7 @@
 
 // Describe implements prometheus.Collector.
 func (c *collector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{c.attempts, c.won, c.inFlight, c.leaves} {
+	for _, description := range []*prometheus.Desc{c.attempts, c.hedgesWon, c.inFlight, c.leaves} {
 		descriptions <- description
 	}
 }
@@ -61,12 +61,12 @@
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
 	for _, service := range c.node.dissemination.Current().ServiceNames() {
-		if conn, installed := c.node.services.conn(service); installed {
+		if conn, ok := c.node.services.conn(service); ok {
 			c.collectCounters(metrics, service, conn.Counters())
 			metrics <- prometheus.MustNewConstMetric(c.inFlight, prometheus.GaugeValue, float64(conn.InFlight()), service)
 		}
 	}
-	for service, counts := range countLeaves(c.node.leafStatuses()) {
+	for service, counts := range countLeaves(c.node.listLeafStatuses()) {
 		for _, state := range leafStates {
 			metrics <- prometheus.MustNewConstMetric(c.leaves, prometheus.GaugeValue, float64(counts[state]), service, string(state))
 		}
@@ -74,13 +74,13 @@
 }
 
 func (c *collector) collectCounters(metrics chan<- prometheus.Metric, service string, counters dispatch.Counters) {
-	for _, sent := range counters.ByCause() {
-		metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(sent.Count), service, string(sent.Cause))
+	for _, causeCount := range counters.ByCause() {
+		metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(causeCount.Count), service, string(causeCount.Cause))
 	}
-	metrics <- prometheus.MustNewConstMetric(c.won, prometheus.CounterValue, float64(counters.HedgesWon), service)
+	metrics <- prometheus.MustNewConstMetric(c.hedgesWon, prometheus.CounterValue, float64(counters.HedgesWon), service)
 }
 
-// countLeaves counts the leaves of each service by state.
+// countLeaves returns the number of leaves by service and state.
 func countLeaves(statuses []api.LeafStatus) map[string]map[api.LeafState]int {
 	counts := make(map[string]map[api.LeafState]int)
 	for _, status := range statuses {
--- a/internal/selfhosted/node/node.go
+++ b/internal/selfhosted/node/node.go
@@ -1,11 +1,10 @@
-// Package node wires one query node of micaplank together, starts it, drains it
-// and stops it. It holds no decisions of its own.
+// Package node assembles the parts of a micaplank query node, starts and drains the node, and stops
+// it.
 //
-// It owns the sockets, the background work and the planned stop. It relies on
-// membership for the other nodes, on dissemination for the catalog and the proof
-// that it is current, on topology for the leaves, on query for callers' requests,
-// and on gateway for the HTTP interface; what they need of each other is passed
-// here.
+// It owns the sockets, the background tasks and the planned stop. Package membership tracks the other
+// nodes, dissemination replicates the catalog and proves that it is current, topology tracks the
+// leaves, query runs callers' requests, and gateway serves the HTTP interface. This package passes
+// each of them what it needs from the others.
 package node
 
 import (
@@ -31,7 +30,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// Node is one running query node.
+// Node is a query node.
 type Node struct {
 	settings    settings.Settings
 	logger      *slog.Logger
@@ -39,81 +38,82 @@
 	registry    *telemetry.Registry
 	incarnation uint64
 
-	calls         *peer.Client
+	peerClient    *peer.Client
 	peerServer    *peer.Server
 	datagrams     *peer.Datagrams
 	store         *store.Client
-	leaves        *leaf.Client
-	machines      *machines.Poller
+	leafClient    *leaf.Client
+	machinePoller *machines.Poller
 	membership    *membership.Service
 	dissemination *dissemination.Service
-	health        *topology.HealthCheck
-	marks         marksClock
-	installed     installation
-	services      *services
+	healthCheck   *topology.HealthCheck
+	markSync      markSyncState
+	installState  installState
+	services      *serviceConns
 	ledger        *query.Ledger
-	queries       *query.Runner
+	queryRunner   *query.Runner
 	gateway       *gateway.Gateway
-	http          *http.Server
-	listener      net.Listener
+	httpServer    *http.Server
+	httpListener  net.Listener
 
 	drainOnce sync.Once
 	// draining is closed when the planned stop begins.
-	draining   chan struct{}
-	background sync.WaitGroup
-	// running ends the background work when it is cancelled.
-	running context.Context
-	stop    context.CancelFunc
+	draining        chan struct{}
+	backgroundTasks sync.WaitGroup
+	// backgroundContext is cancelled to end the background tasks.
+	backgroundContext context.Context
+	cancelBackground  context.CancelFunc
 }
 
-// New opens the node's sockets and builds its parts; nothing runs yet. After
-// an error nothing stays open.
-func New(configured settings.Settings, registry *telemetry.Registry, logger *slog.Logger) (*Node, error) {
+// New opens the node's sockets and builds its parts without starting them. It closes all sockets if
+// it returns an error.
+func New(config settings.Settings, registry *telemetry.Registry, logger *slog.Logger) (*Node, error) {
 	n := &Node{
-		settings:    configured,
+		settings:    config,
 		logger:      logger,
 		clock:       clock.NewMonotonic(),
 		registry:    registry,
 		incarnation: uint64(time.Now().UnixMilli()),
 		draining:    make(chan struct{}),
 	}
-	n.running, n.stop = context.WithCancel(context.Background())
-	steps := []func() error{n.openPeer, n.openHTTP, n.openStore}
+	n.backgroundContext, n.cancelBackground = context.WithCancel(context.Background())
+	steps := []func() error{n.listenPeer, n.listenHTTP, n.createStoreClient}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			n.closeSockets()
 			return nil, err
 		}
 	}
-	n.buildControl()
+	n.buildControlPlane()
 	n.buildQueryPath()
-	n.registerCalls()
+	n.registerHandlers()
 	return n, nil
 }
 
-// closeSockets closes what New had opened.
+// closeSockets closes what New opened.
 func (n *Node) closeSockets() {
-	n.stop()
-	if n.listener != nil {
-		n.listener.Close()
+	n.cancelBackground()
+	if n.httpListener != nil {
+		n.httpListener.Close()
 	}
-	if n.calls != nil {
-		n.calls.Close()
+	if n.peerClient != nil {
+		n.peerClient.Close()
 		n.datagrams.Close()
-		n.peerServer.Close(n.running)
+		n.peerServer.Close(n.backgroundContext)
 	}
 }
 
-// HTTPAddress is where callers and operators reach the node.
+// HTTPAddress returns the address of the HTTP interface for callers and operators.
 func (n *Node) HTTPAddress() netip.AddrPort {
-	return netip.MustParseAddrPort(n.listener.Addr().String())
+	return netip.MustParseAddrPort(n.httpListener.Addr().String())
 }
 
-// PeerAddress is where other nodes reach the node, as advertised.
+// PeerAddress returns the advertised address at which other nodes reach this one.
 func (n *Node) PeerAddress() netip.AddrPort {
 	return netip.AddrPortFrom(n.settings.AdvertisedAddress(), n.peerServer.Address().Port())
 }
 
-func (n *Node) leafDraining(address netip.AddrPort, bootID string) {
-	n.health.Draining(address, bootID)
+// handleLeafDraining records that a leaf process reported that it is draining.
+func (n *Node) handleLeafDraining(address netip.AddrPort, bootID string) {
+	n.healthCheck.Draining(address, bootID)
 }
--- a/internal/selfhosted/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -13,13 +13,13 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/query"
 )
 
-// operations carries out operators' commands on this node.
+// operations implements the operators' commands on this node.
 type operations struct {
 	node *Node
 }
 
-// Statement runs one statement. A change is answered when it is in force, or
-// when ctx ends, with what is known by then.
+// Statement runs one statement. For a change, it returns when the change is in force on all members
+// or when ctx ends; the response then holds the state known at that time.
 func (o *operations) Statement(ctx context.Context, request api.StatementRequest) (*api.StatementResponse, error) {
 	statement, err := language.ParseOne(request.Statement)
 	if err != nil {
@@ -31,9 +31,10 @@
 	case *language.ShowStatement:
 		return o.show(statement)
 	}
-	return nil, api.NewProblem(api.ProblemInvalidRequest, "A query goes to the path of its service.")
+	return nil, api.NewProblem(api.ProblemInvalidRequest, "Queries must be sent to the path of their service.")
 }
 
+// propose proposes a change and returns its fate, or the problem if the change was refused.
 func (o *operations) propose(ctx context.Context, statement *language.ChangeStatement, request api.StatementRequest) (*api.StatementResponse, error) {
 	result, err := o.node.dissemination.Propose(ctx, statement.Command, dissemination.ProposeOptions{
 		IfRevision: statement.IfRevision,
@@ -42,50 +43,49 @@
 		DryRun:     request.DryRun,
 	})
 	if err != nil {
-		return nil, changeProblem(err)
+		return nil, newChangeProblem(err)
 	}
 	if result.Refusal != nil {
-		return nil, refusalProblem(result.Refusal, statement.Command)
+		return nil, newRefusalProblem(result.Refusal, statement.Command)
 	}
-	return changeResponse(result), nil
+	return newChangeResponse(result), nil
 }
 
-// Change returns the fate of an earlier change, named by its id or only by its
-// token.
+// Change returns the fate of an earlier change, which is identified by its id or by its token.
 func (o *operations) Change(ctx context.Context, id string) (*api.StatementResponse, error) {
-	id, problem := completeChangeID(o.node.dissemination.Current(), id)
+	id, problem := resolveChangeID(o.node.dissemination.Current(), id)
 	if problem != nil {
 		return nil, problem
 	}
 	result, err := o.node.dissemination.Fate(ctx, id)
 	if err != nil {
-		return nil, changeProblem(err)
+		return nil, newChangeProblem(err)
 	}
 	if result.Refusal != nil {
 		return nil, api.NewProblem(api.ProblemUnknownChange, result.Refusal.Error())
 	}
-	return changeResponse(result), nil
+	return newChangeResponse(result), nil
 }
 
-// completeChangeID returns the id of the change that an id or a token names. A
-// token is looked up among the changes that the catalog remembers.
-func completeChangeID(current *catalog.Catalog, text string) (string, *api.Problem) {
-	if !catalog.ValidChangeID(text) {
-		return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf("%q is no change id.", text))
+// resolveChangeID returns the change id for an id or a token. A token is looked up among the recent
+// changes of the catalog.
+func resolveChangeID(current *catalog.Catalog, idOrToken string) (string, *api.Problem) {
+	if !catalog.ValidChangeID(idOrToken) {
+		return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf("%q is not a change id.", idOrToken))
 	}
-	if _, _, err := dissemination.ParseChangeID(text); err == nil {
-		return text, nil
+	if _, _, err := dissemination.ParseChangeID(idOrToken); err == nil {
+		return idOrToken, nil
 	}
 	for _, applied := range slices.Backward(current.Recent) {
-		if _, token, err := dissemination.ParseChangeID(applied.ID); err == nil && token == text {
+		if _, token, err := dissemination.ParseChangeID(applied.ID); err == nil && token == idOrToken {
 			return applied.ID, nil
 		}
 	}
 	return "", api.NewProblem(api.ProblemUnknownChange, fmt.Sprintf(
-		"No change with the token %s has taken effect up to revision %d; one that is under way may still do so.", text, current.Revision))
+		"No change with the token %s has taken effect up to revision %d; a change in progress may still take effect.", idOrToken, current.Revision))
 }
 
-func changeResponse(result dissemination.Result) *api.StatementResponse {
+func newChangeResponse(result dissemination.Result) *api.StatementResponse {
 	return &api.StatementResponse{
 		Kind:      api.KindChange,
 		ChangeID:  result.ChangeID,
@@ -98,15 +98,14 @@
 	}
 }
 
-// refusalProblem names the problem of a change that the catalog as it is does
-// not admit. Repeating the same change is of no use, so it is never a problem
-// of availability.
-func refusalProblem(refusal error, command catalog.Command) *api.Problem {
+// newRefusalProblem returns the problem for a change that is invalid for the current catalog.
+// Repeating the same change cannot succeed, so the problem never has a type that asks for a retry.
+func newRefusalProblem(refusal error, command catalog.Command) *api.Problem {
 	var code catalog.Code
 	var conflict *dissemination.ConflictError
 	switch {
 	case errors.As(refusal, &code):
-		return api.NewProblem(changeProblemType(code), refusal.Error())
+		return api.NewProblem(selectProblemType(code), refusal.Error())
 	case errors.As(refusal, &conflict):
 		return api.NewProblem(api.ProblemConflict, refusal.Error())
 	case command.AddVoter != nil:
@@ -115,8 +114,8 @@
 	return api.NewProblem(api.ProblemInvalidChange, refusal.Error())
 }
 
-// changeProblem names the problem of a change that could not be proposed.
-func changeProblem(err error) *api.Problem {
+// newChangeProblem returns the problem for a change that could not be proposed.
+func newChangeProblem(err error) *api.Problem {
 	var problem *api.Problem
 	if errors.As(err, &problem) {
 		return problem
@@ -124,7 +123,8 @@
 	return api.NewProblem(api.ProblemUnavailable, err.Error())
 }
 
-func changeProblemType(code catalog.Code) api.ProblemType {
+// selectProblemType returns the problem type for the code of a catalog error.
+func selectProblemType(code catalog.Code) api.ProblemType {
 	switch code {
 	case catalog.CodeUnknownService:
 		return api.ProblemUnknownService
@@ -145,18 +145,18 @@
 	return o.node.dissemination.Current()
 }
 
-// Drain starts the planned stop of a node, here or on the node of that name.
+// Drain starts the planned stop of this node or, by a call to its peer address, of another node.
 func (o *operations) Drain(ctx context.Context, name string) (*api.DrainResponse, error) {
 	if name == o.node.settings.Name {
 		o.node.beginDrain()
 		return &api.DrainResponse{Node: name, State: api.NodeLeaving}, nil
 	}
-	member, known := o.node.membership.Lookup(name)
-	if !known {
+	member, ok := o.node.membership.Lookup(name)
+	if !ok {
 		return nil, api.NewProblem(api.ProblemUnknownNode, fmt.Sprintf("There is no node %q.", name))
 	}
-	var reply drainReply
-	if err := o.node.calls.Call(ctx, member.Address, methodDrain, &drainCall{Node: name}, &reply); err != nil {
+	var response drainResponse
+	if err := o.node.peerClient.Call(ctx, member.Address, methodDrain, &drainRequest{Node: name}, &response); err != nil {
 		return nil, api.NewProblem(api.ProblemUnavailable, err.Error())
 	}
 	return &api.DrainResponse{Node: name, State: api.NodeLeaving}, nil
--- a/internal/selfhosted/node/wire_test.go
+++ b/internal/selfhosted/node/wire_test.go
@@ -7,14 +7,15 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
+// TestRecordedMessagesDecode checks that messages recorded by an earlier version still decode,
+// because nodes of two versions exchange messages during an upgrade.
+func TestRecordedMessagesDecode(t *testing.T) {
 	wiretest.CheckGob[query.Forward](t, "query.owner.request")
-	wiretest.CheckGob[queryReply](t, "query.owner.response")
-	wiretest.CheckGob[leavingCall](t, "topology.leaving.request")
-	wiretest.CheckGob[leavingReply](t, "topology.leaving.response")
-	wiretest.CheckGob[marksCall](t, "topology.marks.request")
-	wiretest.CheckGob[marksReply](t, "topology.marks.response")
-	wiretest.CheckGob[drainCall](t, "node.drain.request")
-	wiretest.CheckGob[drainReply](t, "node.drain.response")
+	wiretest.CheckGob[queryResponse](t, "query.owner.response")
+	wiretest.CheckGob[leavingRequest](t, "topology.leaving.request")
+	wiretest.CheckGob[leavingResponse](t, "topology.leaving.response")
+	wiretest.CheckGob[marksRequest](t, "topology.marks.request")
+	wiretest.CheckGob[marksResponse](t, "topology.marks.response")
+	wiretest.CheckGob[drainRequest](t, "node.drain.request")
+	wiretest.CheckGob[drainResponse](t, "node.drain.response")
 }
