--- a/internal/rehearsal/simulation/config_test.go
+++ b/internal/rehearsal/simulation/config_test.go
@@ -21,20 +21,20 @@
 
 // Network holds one-way delays and what connections cost.
 type Network struct {
-	WithinZone   time.Duration
-	BetweenZones time.Duration
+	IntraZoneDelay time.Duration
+	InterZoneDelay time.Duration
 	// Clients is the one-way delay between a client and any node.
-	Clients time.Duration
+	ClientDelay time.Duration
 	// Jitter is the mean of an exponential addition to each delay between a
 	// node and a leaf. Messages of one node to one leaf stay in order.
-	Jitter time.Duration
+	MeanJitter time.Duration
 	// ConnectionCost is the time to open a connection.
-	ConnectionCost time.Duration
+	ConnectionSetupTime time.Duration
 	// ConnectionsPerNode bounds the connections that a node keeps to a leaf.
-	ConnectionsPerNode int
+	MaxConnectionsPerLink int
 	// StreamsPerConnection is how many requests a connection carries before
 	// the node opens another one.
-	StreamsPerConnection int
+	MaxStreamsPerConnection int
 	// SilenceTimeout is how long a node waits before it gives up a connection
 	// to a machine that fell silent; DialTimeout is the same for a new one.
 	SilenceTimeout time.Duration
@@ -47,17 +47,17 @@
 	QueueLimit int
 	// PauseEvery and PauseFor are the means of exponential distributions: a
 	// leaf stops for garbage collection. Zero turns pauses off.
-	PauseEvery time.Duration
-	PauseFor   time.Duration
+	MeanPauseInterval time.Duration
+	MeanPauseDuration time.Duration
 	// ColdRefuse is how long a restarted leaf refuses work as cold; after
 	// that its work takes ColdFactor times as long, falling to 1 over WarmUp.
-	ColdRefuse time.Duration
-	WarmUp     time.Duration
-	ColdFactor float64
+	ColdDuration   time.Duration
+	WarmUpDuration time.Duration
+	ColdFactor     float64
 	// ReportEvery is how often a node polls a leaf's load; ReportLag is how
 	// old the state may be that a leaf reports.
-	ReportEvery time.Duration
-	ReportLag   time.Duration
+	PollInterval time.Duration
+	ReportLag    time.Duration
 	// MachineListLag is the delay of the machine list, and CommandLag the
 	// longest delay of an operator's command, until a node receives it.
 	MachineListLag time.Duration
@@ -66,13 +66,13 @@
 
 // Service is one service and its leaves.
 type Service struct {
-	Name        string
-	Leaves      int
-	Shards      int
-	Replicas    int
-	Slots       int
-	Connections int
-	Classes     []Class
+	Name                  string
+	Leaves                int
+	Shards                int
+	Replicas              int
+	Slots                 int
+	MaxConnectionsPerLeaf int
+	Classes               []Class
 }
 
 // Kind is what a query of a class needs.
@@ -91,7 +91,7 @@
 	Name string
 	Kind Kind
 	// Share is the weight of the class among the arrivals of its service.
-	Share    float64
+	Weight   float64
 	Priority int
 	Deadline time.Duration
 	// MinimumCoverage is what the queries ask for.
@@ -99,7 +99,7 @@
 	HedgePercentile float64
 	ExtraLoad       float64
 	// Mean is the mean service time on one shard of the first partition.
-	Mean time.Duration
+	MeanServiceTime time.Duration
 	// WorkSigma spreads the work between queries and shards, NoiseSigma
 	// between two attempts at the same work; both are lognormal.
 	WorkSigma  float64
@@ -126,7 +126,7 @@
 	Load     []LoadStep
 	Faults   []Fault
 	// CancelShare is the share of queries whose client goes away early.
-	CancelShare float64
+	CancelRatio float64
 }
 
 // LoadStep sets the offered load from a moment on: 1 is the rate at which the
@@ -142,19 +142,19 @@
 // The kinds of faults. Leaf, Zone, Node, Factor and Shards of a Fault are used
 // as noted; Duration zero means until the end of the run.
 const (
-	FaultSlow        FaultKind = "slow"         // Leaf works Factor times as long
-	FaultPause       FaultKind = "pause"        // Leaf stops for Duration
-	FaultCrash       FaultKind = "crash"        // Leaf's process dies, connections reset; back after Duration
-	FaultLose        FaultKind = "lose"         // Leaf's machine falls silent; back after Duration
-	FaultLoseZone    FaultKind = "lose_zone"    // all leaves and nodes of Zone fall silent; leaves come back
-	FaultDrain       FaultKind = "drain"        // Leaf drains by itself; new boot after Duration
-	FaultRetire      FaultKind = "retire"       // an operator retires Leaf; added again after Duration
-	FaultListLeaving FaultKind = "list_leaving" // the machine list calls Leaf leaving
-	FaultLie         FaultKind = "lie"          // Leaf reports that it is idle
-	FaultStaleReply  FaultKind = "stale_reply"  // Leaf echoes another snapshot in a share Factor of its replies
-	FaultRoll        FaultKind = "roll"         // a new index version spreads over Duration; old ones stay Factor times as long
-	FaultRepartition FaultKind = "repartition"  // a new partition of Shards (0: twice as many) spreads over Duration
-	FaultFreezeNode  FaultKind = "freeze_node"  // Node stops for Duration
+	FaultSlow               FaultKind = "slow"         // Leaf works Factor times as long
+	FaultPause              FaultKind = "pause"        // Leaf stops for Duration
+	FaultCrash              FaultKind = "crash"        // Leaf's process dies, connections reset; back after Duration
+	FaultSilence            FaultKind = "lose"         // Leaf's machine falls silent; back after Duration
+	FaultSilenceZone        FaultKind = "lose_zone"    // all leaves and nodes of Zone fall silent; leaves come back
+	FaultDrain              FaultKind = "drain"        // Leaf drains by itself; new boot after Duration
+	FaultRetire             FaultKind = "retire"       // an operator retires Leaf; added again after Duration
+	FaultMachineListLeaving FaultKind = "list_leaving" // the machine list calls Leaf leaving
+	FaultFalseReport        FaultKind = "lie"          // Leaf reports that it is idle
+	FaultStaleReply         FaultKind = "stale_reply"  // Leaf echoes another snapshot in a share Factor of its replies
+	FaultRollout            FaultKind = "roll"         // a new index version spreads over Duration; old ones stay Factor times as long
+	FaultRepartition        FaultKind = "repartition"  // a new partition of Shards (0: twice as many) spreads over Duration
+	FaultFreezeNode         FaultKind = "freeze_node"  // Node stops for Duration
 )
 
 // Fault is one entry of a schedule.
@@ -176,7 +176,7 @@
 	Scenario   Scenario
 	Seed       uint64
 	// Wrap, if set, stands between a node and its Dispatcher.
-	Wrap func(Decider) Decider
+	WrapDecider func(Decider) Decider
 }
 
 // leavingBound is how long after the first report of its leaving a leaf may
--- a/internal/rehearsal/simulation/decider_test.go
+++ b/internal/rehearsal/simulation/decider_test.go
@@ -21,12 +21,12 @@
 }
 
 // newDecider builds the Decider of one node.
-func (w *world) newDecider(node int, zone string) Decider {
+func (sim *simulator) newDecider(node int, zone string) Decider {
 	config := dispatch.DefaultConfig()
 	config.Zone = zone
-	dispatcher := dispatch.New(config, newRandom(w.config.Seed, streamDecider, uint64(node)))
-	if w.config.Wrap != nil {
-		return w.config.Wrap(dispatcher)
+	dispatcher := dispatch.New(config, newRandom(sim.config.Seed, streamDecider, uint64(node)))
+	if sim.config.WrapDecider != nil {
+		return sim.config.WrapDecider(dispatcher)
 	}
 	return dispatcher
 }
--- a/internal/rehearsal/simulation/engine_test.go
+++ b/internal/rehearsal/simulation/engine_test.go
@@ -4,7 +4,7 @@
 type event struct {
 	at       Time
 	sequence uint64
-	do       func()
+	action   func()
 }
 
 // engine runs events in order of time, and of scheduling within one moment.
@@ -15,14 +15,14 @@
 }
 
 // at schedules an event; a moment in the past means now.
-func (e *engine) at(moment Time, do func()) {
+func (e *engine) scheduleAt(moment Time, action func()) {
 	e.sequence++
-	e.heap = append(e.heap, event{at: max(moment, e.now), sequence: e.sequence, do: do})
+	e.heap = append(e.heap, event{at: max(moment, e.now), sequence: e.sequence, action: action})
 	e.siftUp(len(e.heap) - 1)
 }
 
 // after schedules an event some time from now.
-func (e *engine) after(delay Time, do func()) { e.at(e.now+delay, do) }
+func (e *engine) scheduleAfter(delay Time, action func()) { e.scheduleAt(e.now+delay, action) }
 
 // step runs the next event. It reports false if there is none.
 func (e *engine) step() bool {
@@ -36,7 +36,7 @@
 	e.heap = e.heap[:last]
 	e.siftDown(0)
 	e.now = next.at
-	next.do()
+	next.action()
 	return true
 }
 
--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -10,96 +10,96 @@
 )
 
 // scheduleFaults puts the faults of the scenario on the schedule.
-func (w *world) scheduleFaults() {
-	for _, fault := range w.config.Scenario.Faults {
-		w.engine.at(fault.At, func() { w.begin(fault) })
+func (sim *simulator) scheduleFaults() {
+	for _, fault := range sim.config.Scenario.Faults {
+		sim.engine.scheduleAt(fault.At, func() { sim.injectFault(fault) })
 	}
 }
 
 // later undoes a fault after its duration, if it has one.
-func (w *world) later(fault Fault, undo func()) {
+func (sim *simulator) scheduleUndo(fault Fault, undo func()) {
 	if fault.Duration > 0 {
-		w.engine.after(fault.Duration, undo)
+		sim.engine.scheduleAfter(fault.Duration, undo)
 	}
 }
 
-func (w *world) begin(fault Fault) {
-	l := w.leaves[fault.Leaf]
+func (sim *simulator) injectFault(fault Fault) {
+	l := sim.leaves[fault.Leaf]
 	switch fault.Kind {
 	case FaultSlow:
-		l.slow = fault.Factor
-		w.later(fault, func() { l.slow = 1 })
+		l.slowFactor = fault.Factor
+		sim.scheduleUndo(fault, func() { l.slowFactor = 1 })
 	case FaultPause:
 		l.pause(fault.Duration)
 	case FaultCrash:
-		w.stopLeaf(l, leafCrashed)
-		w.later(fault, func() { w.restartLeaf(l) })
-	case FaultLose:
-		w.stopLeaf(l, leafSilent)
-		w.later(fault, func() { w.restartLeaf(l) })
-	case FaultLoseZone:
-		w.loseZone(fault)
+		sim.stopLeaf(l, leafCrashed)
+		sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
+	case FaultSilence:
+		sim.stopLeaf(l, leafSilent)
+		sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
+	case FaultSilenceZone:
+		sim.silenceZone(fault)
 	case FaultDrain:
 		l.draining = true
-		w.noteLeaving(l)
-		w.later(fault, func() { w.restartLeaf(l) })
+		sim.recordLeaving(l)
+		sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
 	case FaultRetire:
-		w.retire(l, true)
-		w.later(fault, func() { w.retire(l, false) })
-	case FaultListLeaving:
-		w.listLeaving(l)
-	case FaultLie:
-		l.lying = true
-		w.later(fault, func() { l.lying = false })
+		sim.setRetiring(l, true)
+		sim.scheduleUndo(fault, func() { sim.setRetiring(l, false) })
+	case FaultMachineListLeaving:
+		sim.announceLeaving(l)
+	case FaultFalseReport:
+		l.reportsIdle = true
+		sim.scheduleUndo(fault, func() { l.reportsIdle = false })
 	case FaultStaleReply:
-		l.staleShare = fault.Factor
-		w.later(fault, func() { l.staleShare = 0 })
-	case FaultRoll:
-		w.roll(fault.Duration, fault.Factor)
+		l.staleReplyRatio = fault.Factor
+		sim.scheduleUndo(fault, func() { l.staleReplyRatio = 0 })
+	case FaultRollout:
+		sim.rollOutVersion(fault.Duration, fault.Factor)
 	case FaultRepartition:
-		w.repartition(fault.Shards, fault.Duration)
+		sim.repartition(fault.Shards, fault.Duration)
 	case FaultFreezeNode:
-		n := w.nodes[fault.Node]
-		n.thawAt = max(n.thawAt, w.engine.now+fault.Duration)
+		n := sim.nodes[fault.Node]
+		n.thawAt = max(n.thawAt, sim.engine.now+fault.Duration)
 	}
 }
 
 // stopLeaf ends a leaf without warning. Its connections are reset if only the
 // process died; a silent machine shows after a timeout.
-func (w *world) stopLeaf(l *emulatedLeaf, state leafState) {
-	if l.up != leafUp {
+func (sim *simulator) stopLeaf(l *emulatedLeaf, state leafState) {
+	if l.state != leafUp {
 		return
 	}
 	l.stop(state)
 	after := time.Duration(0)
 	if state == leafSilent {
-		after = w.config.Deployment.Network.SilenceTimeout
+		after = sim.config.Deployment.Network.SilenceTimeout
 	}
-	w.network.breakLinks(l, after)
+	sim.network.breakLinks(l, after)
 }
 
-func (w *world) restartLeaf(l *emulatedLeaf) {
-	if l.up == leafUp {
+func (sim *simulator) restartLeaf(l *emulatedLeaf) {
+	if l.state == leafUp {
 		l.stop(leafCrashed)
 	}
 	l.restart()
-	w.network.breakLinks(l, 0)
+	sim.network.breakLinks(l, 0)
 }
 
 // loseZone takes the leaves and the nodes of a zone away. The leaves come back
 // if the fault has a duration; the nodes' queries are lost with them.
-func (w *world) loseZone(fault Fault) {
-	for _, l := range w.leaves {
+func (sim *simulator) silenceZone(fault Fault) {
+	for _, l := range sim.leaves {
 		if l.zone == fault.Zone {
-			w.stopLeaf(l, leafSilent)
-			w.later(fault, func() { w.restartLeaf(l) })
+			sim.stopLeaf(l, leafSilent)
+			sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if n.zone != fault.Zone {
 			continue
 		}
-		n.dead = true
+		n.down = true
 		for _, q := range n.queries {
 			q.lost = true
 		}
@@ -107,17 +107,17 @@
 }
 
 // noteLeaving remembers when the first source called the leaf leaving.
-func (w *world) noteLeaving(l *emulatedLeaf) {
+func (sim *simulator) recordLeaving(l *emulatedLeaf) {
 	if !l.leaving {
 		l.leaving = true
-		l.leavingSince = w.engine.now
+		l.leavingSince = sim.engine.now
 	}
 }
 
 // retire changes the catalog by an operator's command; nodes receive it within
 // the lag of commands.
-func (w *world) retire(l *emulatedLeaf, retiring bool) {
-	w.changeCatalog(func(service *catalog.Service, revision uint64) {
+func (sim *simulator) setRetiring(l *emulatedLeaf, retiring bool) {
+	sim.updateCatalog(func(service *catalog.Service, revision uint64) {
 		changed := service.Leaves[l.address]
 		changed.Retiring = retiring
 		if !retiring {
@@ -126,22 +126,22 @@
 		service.Leaves[l.address] = changed
 	})
 	if retiring {
-		w.noteLeaving(l)
+		sim.recordLeaving(l)
 	} else {
 		l.leaving = false
-		l.added++
+		l.readdCount++
 	}
 }
 
 // listLeaving lets the machine list call a leaf leaving, for good. An operator
 // who adds the leaf again while the list lags overrides it.
-func (w *world) listLeaving(l *emulatedLeaf) {
-	boot, added := l.bootID(), l.added
-	w.engine.after(w.config.Deployment.Leaf.MachineListLag, func() {
-		if l.bootID() == boot && l.added == added {
-			w.noteLeaving(l)
+func (sim *simulator) announceLeaving(l *emulatedLeaf) {
+	boot, added := l.bootID(), l.readdCount
+	sim.engine.scheduleAfter(sim.config.Deployment.Leaf.MachineListLag, func() {
+		if l.bootID() == boot && l.readdCount == added {
+			sim.recordLeaving(l)
 		}
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			n.deliver(func() {
 				n.table.MachineLeaving(l.address, boot)
 				n.refreshTopology()
@@ -151,26 +151,26 @@
 }
 
 // changeCatalog makes the next revision and spreads it to the nodes.
-func (w *world) changeCatalog(change func(service *catalog.Service, revision uint64)) {
-	next := *w.catalog
+func (sim *simulator) updateCatalog(change func(service *catalog.Service, revision uint64)) {
+	next := *sim.catalog
 	next.Revision++
-	service := next.Services[w.config.Service.Name]
+	service := next.Services[sim.config.Service.Name]
 	service.Leaves = maps.Clone(service.Leaves)
 	service.Partitions = slices.Clone(service.Partitions)
 	change(&service, next.Revision)
 	next.Services = map[string]catalog.Service{service.Name: service}
-	w.catalog = &next
-	for _, n := range w.nodes {
-		lag := scale(w.config.Deployment.Leaf.CommandLag, w.faultRandom.Float64())
-		w.engine.after(lag, func() {
-			n.deliver(func() { n.install(&next) })
+	sim.catalog = &next
+	for _, n := range sim.nodes {
+		lag := scale(sim.config.Deployment.Leaf.CommandLag, sim.faultRandom.Float64())
+		sim.engine.scheduleAfter(lag, func() {
+			n.deliver(func() { n.installCatalog(&next) })
 		})
 	}
 }
 
 // install takes a catalog unless the node holds a newer one.
-func (n *node) install(next *catalog.Catalog) {
-	if next.Revision < n.known.Revision {
+func (n *node) installCatalog(next *catalog.Catalog) {
+	if next.Revision < n.topology.Revision {
 		return
 	}
 	n.table.SetCatalog(next)
@@ -179,68 +179,68 @@
 
 // roll gives every leaf the next index version, one after another, and takes
 // the older ones away after as long again and kept times the spread.
-func (w *world) roll(spread time.Duration, kept float64) {
-	for _, l := range w.leaves {
-		load := scale(spread, w.faultRandom.Float64())
-		drop := load + scale(spread, w.faultRandom.Float64()+kept)
-		w.engine.after(load, func() {
-			w.versions[l.index]++
-			l.addHoldings(w.currentHoldings(l.index))
+func (sim *simulator) rollOutVersion(spread time.Duration, retention float64) {
+	for _, l := range sim.leaves {
+		load := scale(spread, sim.faultRandom.Float64())
+		drop := load + scale(spread, sim.faultRandom.Float64()+retention)
+		sim.engine.scheduleAfter(load, func() {
+			sim.leafVersions[l.index]++
+			l.addHoldings(sim.newestHoldings(l.index))
 		})
-		w.engine.after(drop, func() { l.dropOldest(w.currentHoldings(l.index)) })
+		sim.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(sim.newestHoldings(l.index)) })
 	}
 }
 
 // repartition adds a partition, which the leaves load one after another. Zero
 // shards means that each shard is split in two.
-func (w *world) repartition(shards int, spread time.Duration) {
+func (sim *simulator) repartition(shards int, spread time.Duration) {
 	if shards == 0 {
-		shards = 2 * w.epochShards[len(w.epochShards)-1]
+		shards = 2 * sim.epochShards[len(sim.epochShards)-1]
 	}
-	w.epochShards = append(w.epochShards, shards)
-	w.changeCatalog(func(service *catalog.Service, _ uint64) {
+	sim.epochShards = append(sim.epochShards, shards)
+	sim.updateCatalog(func(service *catalog.Service, _ uint64) {
 		epoch := service.Partitions[len(service.Partitions)-1].Epoch + 1
 		service.Partitions = append(service.Partitions, catalog.Partition{Epoch: epoch, Shards: shards})
 		if len(service.Partitions) > catalog.RetainedPartitions {
 			service.Partitions = service.Partitions[1:]
 		}
 	})
-	for _, l := range w.leaves {
-		load := scale(spread, w.faultRandom.Float64())
-		drop := spread + scale(spread, w.faultRandom.Float64())
-		w.engine.after(load, func() { l.addHoldings(w.currentHoldings(l.index)) })
-		w.engine.after(drop, func() { l.dropOldest(w.currentHoldings(l.index)) })
+	for _, l := range sim.leaves {
+		load := scale(spread, sim.faultRandom.Float64())
+		drop := spread + scale(spread, sim.faultRandom.Float64())
+		sim.engine.scheduleAfter(load, func() { l.addHoldings(sim.newestHoldings(l.index)) })
+		sim.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(sim.newestHoldings(l.index)) })
 	}
 }
 
 // currentHoldings is what a leaf would load now: its newest index version in
 // the newest partition.
-func (w *world) currentHoldings(index int) []leaf.Holding {
-	partitions := w.catalog.Services[w.config.Service.Name].Partitions
+func (sim *simulator) newestHoldings(index int) []leaf.Holding {
+	partitions := sim.catalog.Services[sim.config.Service.Name].Partitions
 	newest := partitions[len(partitions)-1]
 	return []leaf.Holding{{
-		Snapshot: catalog.Snapshot{Version: w.versions[index], Epoch: newest.Epoch},
-		Shards:   w.config.Service.placement(index, newest.Shards),
+		Snapshot: catalog.Snapshot{Version: sim.leafVersions[index], Epoch: newest.Epoch},
+		Shards:   sim.config.Service.placement(index, newest.Shards),
 	}}
 }
 
 // addHoldings adds what the leaf does not hold yet.
 func (l *emulatedLeaf) addHoldings(loaded []leaf.Holding) {
-	if l.up != leafUp {
+	if l.state != leafUp {
 		return
 	}
-	held := slices.Clone(l.holdings)
+	holdings := slices.Clone(l.holdings)
 	for _, holding := range loaded {
-		known := slices.ContainsFunc(held, func(old leaf.Holding) bool { return old.Snapshot == holding.Snapshot })
-		if !known {
-			held = append(held, holding)
+		held := slices.ContainsFunc(holdings, func(old leaf.Holding) bool { return old.Snapshot == holding.Snapshot })
+		if !held {
+			holdings = append(holdings, holding)
 		}
 	}
-	l.holdings = held
+	l.holdings = holdings
 }
 
 // dropOldest drops all that is older than what the leaf loads now.
-func (l *emulatedLeaf) dropOldest(current []leaf.Holding) {
+func (l *emulatedLeaf) dropOlderHoldings(current []leaf.Holding) {
 	newest := current[len(current)-1].Snapshot
 	l.holdings = slices.DeleteFunc(slices.Clone(l.holdings), func(old leaf.Holding) bool {
 		return old.Snapshot.Less(newest)
--- a/internal/rehearsal/simulation/broken_test.go
+++ b/internal/rehearsal/simulation/faulty_decider_test.go
@@ -9,16 +9,16 @@
 
 // broken wraps a Decider and breaks one promise, to see that the checks of a
 // run notice.
-type broken struct {
+type faultyDecider struct {
 	Decider
-	finish func(dispatch.Finish) []dispatch.Action
+	editFinish func(dispatch.Finish) []dispatch.Action
 }
 
-func (b *broken) edit(actions []dispatch.Action) []dispatch.Action {
+func (b *faultyDecider) editActions(actions []dispatch.Action) []dispatch.Action {
 	var edited []dispatch.Action
 	for _, action := range actions {
 		if finish, ok := action.(dispatch.Finish); ok {
-			edited = append(edited, b.finish(finish)...)
+			edited = append(edited, b.editFinish(finish)...)
 			continue
 		}
 		edited = append(edited, action)
@@ -26,11 +26,11 @@
 	return edited
 }
 
-func (b *broken) Reply(now Time, id dispatch.AttemptID, reply dispatch.Reply) []dispatch.Action {
-	return b.edit(b.Decider.Reply(now, id, reply))
+func (b *faultyDecider) Reply(now Time, id dispatch.AttemptID, reply dispatch.Reply) []dispatch.Action {
+	return b.editActions(b.Decider.Reply(now, id, reply))
 }
 
-func TestChecksNoticeBrokenPromises(t *testing.T) {
+func TestChecksDetectFaultyDecider(t *testing.T) {
 	cases := map[Violation]func(dispatch.Finish) []dispatch.Action{
 		ViolationSnapshot: func(f dispatch.Finish) []dispatch.Action { f.Snapshot.Version++; return []dispatch.Action{f} },
 		ViolationCoverage: func(f dispatch.Finish) []dispatch.Action { f.Answered = f.Answered[1:]; return []dispatch.Action{f} },
@@ -41,8 +41,8 @@
 	}
 	for violation, edit := range cases {
 		config := testConfig(1, time.Second)
-		config.Wrap = func(d Decider) Decider { return &broken{Decider: d, finish: edit} }
-		if result := run(t, config); result.Violations[violation] == 0 {
+		config.WrapDecider = func(d Decider) Decider { return &faultyDecider{Decider: d, editFinish: edit} }
+		if result := mustRun(t, config); result.Violations[violation] == 0 {
 			t.Errorf("%s: not noticed; %v", violation, result.Violations)
 		}
 	}
--- /dev/null
+++ b/internal/rehearsal/simulation/invariants_test.go
@@ -0,0 +1,152 @@
+package simulation
+
+import (
+	"fmt"
+
+	"github.com/micaplank/micaplank/internal/decide/dispatch"
+)
+
+// Violation names a promise that a run broke.
+type Violation string
+
+// The promises that every run checks.
+const (
+	// ViolationSnapshot: an answer merged a reply of another snapshot.
+	ViolationSnapshot Violation = "snapshot"
+	// ViolationCoverage: the coverage was not what was merged.
+	ViolationCoverage Violation = "coverage"
+	// ViolationNotRun: a request that was called not run did run.
+	ViolationNotRun Violation = "not_run"
+	// ViolationOnce: a request that may not be repeated ran twice, or ran and
+	// was called failed.
+	ViolationAtMostOnce Violation = "at_most_once"
+	// ViolationLeaving: a leaving leaf got new work after the bound.
+	ViolationLeaving Violation = "leaving"
+	// ViolationFinish: a query was finished twice, late or never.
+	ViolationFinish Violation = "finish"
+	// ViolationAction: an action made no sense to the driver.
+	ViolationAction Violation = "action"
+)
+
+// finishTolerance is how long after its deadline a query may be finished.
+const finishTolerance = minimumTick
+
+// keptExamples bounds the descriptions kept of each violation.
+const maxExamples = 3
+
+// violate counts a broken promise.
+func (sim *simulator) recordViolation(violation Violation, format string, arguments ...any) {
+	if sim.result.Violations == nil {
+		sim.result.Violations = make(map[Violation]int)
+	}
+	sim.result.Violations[violation]++
+	if sim.result.Violations[violation] <= maxExamples {
+		description := fmt.Sprintf(format, arguments...)
+		sim.result.Examples = append(sim.result.Examples, fmt.Sprintf("%s at %s: %s", violation, sim.engine.now, description))
+	}
+}
+
+// checkFinish checks an answer against what the leaves sent.
+func (sim *simulator) checkFinish(n *node, q *query) {
+	finish := &q.finish
+	sim.checkDeadline(n, q)
+	if finish.Outcome == dispatch.OutcomeNotRun && len(finish.Answered) > 0 {
+		sim.recordViolation(ViolationNotRun, "query %d: not run, with answers", q.index)
+	}
+	if finish.Outcome != dispatch.OutcomeAnswered && finish.Outcome != dispatch.OutcomePartial {
+		return
+	}
+	covered := sim.checkReplies(n, q)
+	for _, shard := range finish.Missing {
+		if !covered.add(shard) {
+			sim.recordViolation(ViolationCoverage, "query %d: shard %d answered and missing", q.index, shard)
+		}
+	}
+	sim.checkCoverage(q, covered)
+}
+
+// checkDeadline allows a late finish only to a node that was frozen.
+func (sim *simulator) checkDeadline(n *node, q *query) {
+	late := q.finishedAt > q.deadline+finishTolerance
+	if late && n.thawAt < q.deadline {
+		sim.recordViolation(ViolationFinish, "query %d: finished %s after its deadline", q.index, q.finishedAt-q.deadline)
+	}
+}
+
+// checkAnswered checks each merged reply and returns the shards they cover.
+func (sim *simulator) checkReplies(n *node, q *query) shardSet {
+	var covered shardSet
+	for _, answer := range q.finish.Answered {
+		a := n.attempts[answer.Attempt]
+		if a == nil || a.query != q || a.reply == nil {
+			sim.recordViolation(ViolationCoverage, "query %d: shard %d has no reply of its own", q.index, answer.Shard)
+			continue
+		}
+		if a.reply.snapshot != q.finish.Snapshot {
+			sim.recordViolation(ViolationSnapshot, "query %d: shard %d is of %v, the answer of %v", q.index, answer.Shard, a.reply.snapshot, q.finish.Snapshot)
+		}
+		if a.reply.shard != answer.Shard || !covered.add(answer.Shard) {
+			sim.recordViolation(ViolationCoverage, "query %d: shard %d merged wrongly", q.index, answer.Shard)
+		}
+	}
+	return covered
+}
+
+// checkTotal checks that answered and missing shards are the needed ones.
+func (sim *simulator) checkCoverage(q *query, covered shardSet) {
+	finish := &q.finish
+	shards := sim.shardCount(finish.Snapshot.Epoch)
+	if shards == 0 {
+		sim.recordViolation(ViolationCoverage, "query %d: unknown epoch %d", q.index, finish.Snapshot.Epoch)
+		return
+	}
+	required := shards
+	if sim.config.Service.Classes[q.class].Keyed() {
+		required = 1
+		if covered.add(int(q.keyHash % uint64(shards))) {
+			sim.recordViolation(ViolationCoverage, "query %d: its shard is neither answered nor missing", q.index)
+		}
+	}
+	reported := len(finish.Answered) + len(finish.Missing)
+	complete := len(finish.Missing) == 0
+	if finish.Total != required || reported != required || complete != (finish.Outcome == dispatch.OutcomeAnswered) {
+		sim.recordViolation(ViolationCoverage, "query %d: %s with %d answered, %d missing of %d; needed %d",
+			q.index, finish.Outcome, len(finish.Answered), len(finish.Missing), finish.Total, required)
+	}
+}
+
+// noteReceived counts work that reaches a leaf and checks that it may. A node
+// that was frozen learns of the leaving when it thaws.
+func (sim *simulator) recordReceived(l *emulatedLeaf, received *work) {
+	now := sim.engine.now
+	l.received++
+	since := max(l.leavingSince, received.attempt.node.thawAt)
+	if l.leaving && now > since+leavingBound {
+		sim.recordViolation(ViolationLeaving, "leaf %d got work %s after it was leaving", l.index, now-l.leavingSince)
+	}
+}
+
+// noteStarted counts an execution and checks that it may be one more.
+func (sim *simulator) recordExecution(l *emulatedLeaf, started *work) {
+	q := started.attempt.query
+	q.executions++
+	l.executed++
+	if sim.config.Service.Classes[q.class].Kind == KindOnce && q.executions > 1 {
+		sim.recordViolation(ViolationAtMostOnce, "query %d ran %d times", q.index, q.executions)
+	}
+}
+
+// checkEnd checks what only shows at the end of a run.
+func (sim *simulator) checkAfterRun() {
+	for _, q := range sim.queries {
+		switch {
+		case q.lost:
+		case !q.finished:
+			if q.node != nil {
+				sim.recordViolation(ViolationFinish, "query %d was never finished", q.index)
+			}
+		case q.finish.Outcome == dispatch.OutcomeNotRun && q.executions > 0:
+			sim.recordViolation(ViolationNotRun, "query %d was called not run (%s) and ran %d times", q.index, q.finish.Reason, q.executions)
+		}
+	}
+}
--- a/internal/rehearsal/simulation/leaf_admit_test.go
+++ b/internal/rehearsal/simulation/leaf_admission_test.go
@@ -11,8 +11,8 @@
 	if work.state == workDone {
 		return // cancelled on the way
 	}
-	l.world.noteReceived(l, work)
-	if refusal := l.refusalOf(work); refusal != leaf.RefusedNone {
+	l.sim.recordReceived(l, work)
+	if refusal := l.checkAdmission(work); refusal != leaf.RefusedNone {
 		l.refuse(work, refusal)
 		return
 	}
@@ -25,47 +25,47 @@
 }
 
 // refusalOf decides whether the leaf takes the work.
-func (l *emulatedLeaf) refusalOf(work *work) leaf.Refusal {
-	now := l.world.engine.now
+func (l *emulatedLeaf) checkAdmission(work *work) leaf.Refusal {
+	now := l.sim.engine.now
 	if l.draining {
 		return leaf.RefusedDraining
 	}
 	if now < l.coldUntil {
 		return leaf.RefusedCold
 	}
-	if refusal := l.snapshotRefusal(work); refusal != leaf.RefusedNone {
+	if refusal := l.checkSnapshot(work); refusal != leaf.RefusedNone {
 		return refusal
 	}
-	if now >= work.lateAt {
+	if now >= work.startDeadline {
 		return leaf.RefusedLate
 	}
 	if len(l.running) < l.slots {
 		return leaf.RefusedNone
 	}
-	if len(l.queue) >= l.world.config.Deployment.Leaf.QueueLimit || now+l.predictedWait() > work.lateAt {
+	if len(l.queue) >= l.sim.config.Deployment.Leaf.QueueLimit || now+l.predictWait() > work.startDeadline {
 		return leaf.RefusedShed
 	}
 	return leaf.RefusedNone
 }
 
-func (l *emulatedLeaf) snapshotRefusal(work *work) leaf.Refusal {
-	held, epoch := l.holds(work.attempt.snapshot, work.attempt.shard)
+func (l *emulatedLeaf) checkSnapshot(work *work) leaf.Refusal {
+	held, epochHeld := l.holds(work.attempt.snapshot, work.attempt.shard)
 	switch {
 	case held:
 		return leaf.RefusedNone
-	case epoch:
+	case epochHeld:
 		return leaf.RefusedSnapshot
 	}
 	return leaf.RefusedMoved
 }
 
 // predictedWait is the leaf's own guess from the means of what waits.
-func (l *emulatedLeaf) predictedWait() time.Duration {
+func (l *emulatedLeaf) predictWait() time.Duration {
 	var waiting time.Duration
 	for _, queued := range l.queue {
-		waiting += queued.expected
+		waiting += queued.meanDuration
 	}
-	return scale(waiting, l.factor()) / time.Duration(l.slots)
+	return scale(waiting, l.slowdown()) / time.Duration(l.slots)
 }
 
 // refuse answers that the work ran nowhere here.
@@ -73,7 +73,7 @@
 	work.state = workDone
 	var retryAfter time.Duration
 	if refusal == leaf.RefusedShed {
-		retryAfter = l.predictedWait()
+		retryAfter = l.predictWait()
 	}
-	l.world.network.deliverRefusal(work.attempt, refusal, retryAfter)
+	l.sim.network.deliverRefusal(work.attempt, refusal, retryAfter)
 }
--- a/internal/rehearsal/simulation/leaf_faults_test.go
+++ b/internal/rehearsal/simulation/leaf_faults_test.go
@@ -4,7 +4,7 @@
 
 // pause stops the leaf until a moment: running work ends later by as much.
 func (l *emulatedLeaf) pause(length time.Duration) {
-	now := l.world.engine.now
+	now := l.sim.engine.now
 	begin := max(now, l.pausedUntil)
 	l.pausedUntil = max(l.pausedUntil, now+length)
 	for _, work := range l.running {
@@ -14,10 +14,10 @@
 
 // stop drops everything: the process or the machine is gone.
 func (l *emulatedLeaf) stop(state leafState) {
-	l.up = state
+	l.state = state
 	for _, work := range l.running {
 		work.state = workDone
-		l.busy += l.world.engine.now - work.started
+		l.busyTime += l.sim.engine.now - work.startedAt
 	}
 	for _, work := range l.queue {
 		work.state = workDone
@@ -28,14 +28,14 @@
 
 // restart brings the leaf back as a new boot, cold.
 func (l *emulatedLeaf) restart() {
-	now := l.world.engine.now
-	model := &l.world.config.Deployment.Leaf
-	l.up = leafUp
+	now := l.sim.engine.now
+	model := &l.sim.config.Deployment.Leaf
+	l.state = leafUp
 	l.boot++
 	l.draining, l.leaving = false, false
 	l.pausedUntil = now
-	l.coldUntil = now + model.ColdRefuse
-	l.warmAt = l.coldUntil + model.WarmUp
-	l.holdings = l.world.currentHoldings(l.index)
-	l.published = l.summary()
+	l.coldUntil = now + model.ColdDuration
+	l.warmAt = l.coldUntil + model.WarmUpDuration
+	l.holdings = l.sim.newestHoldings(l.index)
+	l.publishedLoad = l.loadSummary()
 }
--- a/internal/rehearsal/simulation/leaf_test.go
+++ b/internal/rehearsal/simulation/leaf_test.go
@@ -21,81 +21,81 @@
 
 // emulatedLeaf is one leaf: slots, a queue in order of arrival, and faults.
 type emulatedLeaf struct {
-	world   *world
+	sim     *simulator
 	index   int
 	address netip.AddrPort
 	zone    string
 	slots   int
-	up      leafState
+	state   leafState
 	boot    int
 	// bootName is the id of the boot namedBoot.
-	bootName  string
-	namedBoot int
-	draining  bool
+	cachedBootID string
+	cachedBoot   int
+	draining     bool
 	// coldUntil ends the time in which work is refused, warmAt the time in
 	// which it is slow.
 	coldUntil, warmAt Time
-	slow              float64
+	slowFactor        float64
 	pausedUntil       Time
-	lying             bool
-	staleShare        float64
+	reportsIdle       bool
+	staleReplyRatio   float64
 	holdings          []leaf.Holding
 	connections       int
 	running           []*work
 	queue             []*work
-	published         leaf.LoadSummary
+	publishedLoad     leaf.LoadSummary
 	// leavingSince is when the first source reported that this boot leaves.
 	leavingSince Time
 	leaving      bool
 	// added counts how often an operator added the leaf again.
-	added int
+	readdCount int
 	// received counts the attempts that arrived, executed those that ran.
 	received, executed int
-	busy               time.Duration // time of its slots at work
+	busyTime           time.Duration // time of its slots at work
 }
 
 func (l *emulatedLeaf) bootID() string {
-	if l.namedBoot != l.boot {
-		l.namedBoot = l.boot
-		l.bootName = fmt.Sprintf("%d-%d", l.index, l.boot)
+	if l.cachedBoot != l.boot {
+		l.cachedBoot = l.boot
+		l.cachedBootID = fmt.Sprintf("%d-%d", l.index, l.boot)
 	}
-	return l.bootName
+	return l.cachedBootID
 }
 
 // summary is the leaf's true load, or its lie.
-func (l *emulatedLeaf) summary() leaf.LoadSummary {
+func (l *emulatedLeaf) loadSummary() leaf.LoadSummary {
 	summary := leaf.LoadSummary{State: leaf.StateServing, SlotsBusy: len(l.running), Slots: l.slots, Queue: len(l.queue)}
-	if l.lying {
+	if l.reportsIdle {
 		summary.SlotsBusy, summary.Queue = 0, 0
 	}
 	switch {
 	case l.draining:
 		summary.State = leaf.StateDraining
-	case l.world.engine.now < l.coldUntil:
+	case l.sim.engine.now < l.coldUntil:
 		summary.State = leaf.StateCold
 	}
 	return summary
 }
 
 // report is what a poll of the load gets: the state of a while ago.
-func (l *emulatedLeaf) report() leaf.LoadReport {
+func (l *emulatedLeaf) loadReport() leaf.LoadReport {
 	return leaf.LoadReport{
-		BootID: l.bootID(), LoadSummary: l.published,
-		Service: l.world.config.Service.Name, Holdings: slices.Clone(l.holdings),
+		BootID: l.bootID(), LoadSummary: l.publishedLoad,
+		Service: l.sim.config.Service.Name, Holdings: slices.Clone(l.holdings),
 	}
 }
 
 // holds reports whether the leaf has a shard at a snapshot, and whether it
 // has the partition epoch at all.
-func (l *emulatedLeaf) holds(snapshot catalog.Snapshot, shard int) (held, epoch bool) {
+func (l *emulatedLeaf) holds(snapshot catalog.Snapshot, shard int) (held, epochHeld bool) {
 	for _, holding := range l.holdings {
 		if holding.Snapshot.Epoch != snapshot.Epoch || !slices.Contains(holding.Shards, shard) {
 			continue
 		}
-		epoch = true
+		epochHeld = true
 		if holding.Snapshot == snapshot {
 			return true, true
 		}
 	}
-	return false, epoch
+	return false, epochHeld
 }
--- a/internal/rehearsal/simulation/network_test.go
+++ b/internal/rehearsal/simulation/network_test.go
@@ -10,31 +10,31 @@
 
 // network carries messages between nodes and leaves, in order for each pair.
 type network struct {
-	world  *world
+	sim    *simulator
 	random *rand.Rand
 	links  [][]*link // by node, then leaf
 }
 
 // link is the connections of one node to one leaf.
 type link struct {
-	open int
+	connections int
 	// epoch grows when all connections break.
-	epoch    int
-	inFlight map[dispatch.AttemptID]*attempt
+	generation int
+	inFlight   map[dispatch.AttemptID]*attempt
 	// lastThere and lastBack keep messages in order.
-	lastThere, lastBack Time
-	delay               time.Duration
+	lastRequestArrival, lastReplyArrival Time
+	delay                                time.Duration
 }
 
-func newNetwork(w *world) *network {
-	n := &network{world: w, random: newRandom(w.config.Seed, streamNetwork, 0)}
-	for _, from := range w.nodes {
-		row := make([]*link, 0, len(w.leaves))
-		for _, to := range w.leaves {
+func newNetwork(sim *simulator) *network {
+	n := &network{sim: sim, random: newRandom(sim.config.Seed, streamNetwork, 0)}
+	for _, from := range sim.nodes {
+		row := make([]*link, 0, len(sim.leaves))
+		for _, to := range sim.leaves {
 			row = append(row, &link{
-				open:     1,
-				inFlight: make(map[dispatch.AttemptID]*attempt),
-				delay:    w.delay(from.zone, to.zone),
+				connections: 1,
+				inFlight:    make(map[dispatch.AttemptID]*attempt),
+				delay:       sim.oneWayDelay(from.zone, to.zone),
 			})
 			to.connections++
 		}
@@ -44,41 +44,41 @@
 }
 
 // delay is the one-way delay between two zones.
-func (w *world) delay(from, to string) time.Duration {
+func (sim *simulator) oneWayDelay(from, to string) time.Duration {
 	if from == to {
-		return w.config.Deployment.Network.WithinZone
+		return sim.config.Deployment.Network.IntraZoneDelay
 	}
-	return w.config.Deployment.Network.BetweenZones
+	return sim.config.Deployment.Network.InterZoneDelay
 }
 
-func (n *network) link(a *attempt) *link { return n.links[a.node.index][a.leaf.index] }
+func (n *network) linkFor(a *attempt) *link { return n.links[a.node.index][a.leaf.index] }
 
-func (n *network) jitter() time.Duration {
-	return exponential(n.random, n.world.config.Deployment.Network.Jitter)
+func (n *network) drawJitter() time.Duration {
+	return exponential(n.random, n.sim.config.Deployment.Network.MeanJitter)
 }
 
 // there returns when a message sent now reaches the leaf.
-func (n *network) there(link *link, extra time.Duration) Time {
-	arrival := n.world.engine.now + extra + link.delay + n.jitter()
-	link.lastThere = max(arrival, link.lastThere)
-	return link.lastThere
+func (n *network) nextRequestArrival(link *link, extra time.Duration) Time {
+	arrival := n.sim.engine.now + extra + link.delay + n.drawJitter()
+	link.lastRequestArrival = max(arrival, link.lastRequestArrival)
+	return link.lastRequestArrival
 }
 
 // back returns when a message sent now reaches the node.
-func (n *network) back(link *link) Time {
-	arrival := n.world.engine.now + link.delay + n.jitter()
-	link.lastBack = max(arrival, link.lastBack)
-	return link.lastBack
+func (n *network) nextReplyArrival(link *link) Time {
+	arrival := n.sim.engine.now + link.delay + n.drawJitter()
+	link.lastReplyArrival = max(arrival, link.lastReplyArrival)
+	return link.lastReplyArrival
 }
 
 // send carries an attempt's work to its leaf, over a new connection if those
 // at hand are full.
 func (n *network) send(a *attempt) {
-	link := n.link(a)
+	link := n.linkFor(a)
 	link.inFlight[a.id] = a
-	settings := &n.world.config.Deployment.Network
-	full := len(link.inFlight) > link.open*settings.StreamsPerConnection
-	if link.open == 0 || full && link.open < settings.ConnectionsPerNode {
+	settings := &n.sim.config.Deployment.Network
+	full := len(link.inFlight) > link.connections*settings.MaxStreamsPerConnection
+	if link.connections == 0 || full && link.connections < settings.MaxConnectionsPerLink {
 		n.dial(link, a)
 		return
 	}
@@ -87,23 +87,23 @@
 
 // dial opens a connection and then sends, or reports that nothing was sent.
 func (n *network) dial(link *link, a *attempt) {
-	settings := &n.world.config.Deployment.Network
-	if a.leaf.up == leafSilent {
-		n.failLater(link, a, settings.DialTimeout, false)
+	settings := &n.sim.config.Deployment.Network
+	if a.leaf.state == leafSilent {
+		n.scheduleFailure(link, a, settings.DialTimeout, false)
 		return
 	}
-	if a.leaf.up == leafCrashed || a.leaf.connections >= n.world.config.Service.Connections {
-		n.failLater(link, a, 2*link.delay, false)
+	if a.leaf.state == leafCrashed || a.leaf.connections >= n.sim.config.Service.MaxConnectionsPerLeaf {
+		n.scheduleFailure(link, a, 2*link.delay, false)
 		return
 	}
-	link.open++
+	link.connections++
 	a.leaf.connections++
-	n.transmit(link, a, settings.ConnectionCost)
+	n.transmit(link, a, settings.ConnectionSetupTime)
 }
 
 // failLater ends an attempt at the node after a while.
-func (n *network) failLater(link *link, a *attempt, after time.Duration, sent bool) {
-	n.world.engine.after(after, func() { n.failAttempt(link, a, sent) })
+func (n *network) scheduleFailure(link *link, a *attempt, after time.Duration, sent bool) {
+	n.sim.engine.scheduleAfter(after, func() { n.failAttempt(link, a, sent) })
 }
 
 func (n *network) failAttempt(link *link, a *attempt, sent bool) {
@@ -117,11 +117,11 @@
 // transmit puts the request on the wire.
 func (n *network) transmit(link *link, a *attempt, extra time.Duration) {
 	a.state = attemptSent
-	boot, epoch := a.leaf.boot, link.epoch
-	n.world.engine.at(n.there(link, extra), func() {
-		if a.leaf.up != leafUp || a.leaf.boot != boot || link.epoch != epoch {
+	boot, generation := a.leaf.boot, link.generation
+	n.sim.engine.scheduleAt(n.nextRequestArrival(link, extra), func() {
+		if a.leaf.state != leafUp || a.leaf.boot != boot || link.generation != generation {
 			a.work.state = workDone
-			n.failBroken(link, a)
+			n.failBrokenAttempt(link, a)
 			return
 		}
 		a.leaf.receive(a.work)
@@ -130,24 +130,24 @@
 
 // failBroken ends an attempt that reached a dead process on a live machine;
 // a silent machine says nothing, until breakLinks.
-func (n *network) failBroken(link *link, a *attempt) {
-	if a.leaf.up == leafSilent {
+func (n *network) failBrokenAttempt(link *link, a *attempt) {
+	if a.leaf.state == leafSilent {
 		return
 	}
-	n.failLater(link, a, link.delay, true)
+	n.scheduleFailure(link, a, link.delay, true)
 }
 
 // abort resets the stream of an attempt: the node is done with it at once, the
 // leaf receives the reset later.
 func (n *network) abort(a *attempt) {
-	link := n.link(a)
+	link := n.linkFor(a)
 	delete(link.inFlight, a.id)
 	if a.state != attemptSent {
 		return
 	}
 	boot := a.leaf.boot
-	n.world.engine.at(n.there(link, 0), func() {
-		if a.leaf.up == leafUp && a.leaf.boot == boot {
+	n.sim.engine.scheduleAt(n.nextRequestArrival(link, 0), func() {
+		if a.leaf.state == leafUp && a.leaf.boot == boot {
 			a.leaf.cancel(a.work)
 		}
 	})
@@ -155,26 +155,26 @@
 
 // deliverReply carries a reply back.
 func (n *network) deliverReply(a *attempt, answer reply) {
-	n.deliverBack(a, func() { a.node.reply(a, answer) })
+	n.deliverToNode(a, func() { a.node.reply(a, answer) })
 }
 
 // deliverRefusal carries a refusal back.
 func (n *network) deliverRefusal(a *attempt, refusal leaf.Refusal, retryAfter time.Duration) {
 	answer := dispatch.Refusal{
-		Reason: refusal, RetryAfter: retryAfter, BootID: a.leaf.bootID(), Load: a.leaf.summary(),
+		Reason: refusal, RetryAfter: retryAfter, BootID: a.leaf.bootID(), Load: a.leaf.loadSummary(),
 	}
-	n.deliverBack(a, func() { a.node.refuse(a, answer) })
+	n.deliverToNode(a, func() { a.node.refuse(a, answer) })
 }
 
-func (n *network) deliverBack(a *attempt, do func()) {
-	link := n.link(a)
-	epoch := link.epoch
-	n.world.engine.at(n.back(link), func() {
-		if link.epoch != epoch {
+func (n *network) deliverToNode(a *attempt, action func()) {
+	link := n.linkFor(a)
+	generation := link.generation
+	n.sim.engine.scheduleAt(n.nextReplyArrival(link), func() {
+		if link.generation != generation {
 			return // the connection broke; the attempt was failed
 		}
 		delete(link.inFlight, a.id)
-		a.node.deliver(do)
+		a.node.deliver(action)
 	})
 }
 
@@ -182,9 +182,9 @@
 func (n *network) breakLinks(l *emulatedLeaf, after time.Duration) {
 	for _, row := range n.links {
 		link := row[l.index]
-		epoch := link.epoch
-		n.world.engine.after(after+link.delay, func() {
-			if link.epoch == epoch {
+		generation := link.generation
+		n.sim.engine.scheduleAfter(after+link.delay, func() {
+			if link.generation == generation {
 				n.breakLink(link)
 			}
 		})
@@ -192,8 +192,8 @@
 }
 
 func (n *network) breakLink(link *link) {
-	link.epoch++
-	link.open = 0
+	link.generation++
+	link.connections = 0
 	for _, a := range sortedAttempts(link.inFlight) {
 		if a.state == attemptSent {
 			n.failAttempt(link, a, true)
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -14,23 +14,23 @@
 
 // node drives one Decider, as the scatter driver of a real node does.
 type node struct {
-	world    *world
+	sim      *simulator
 	index    int
 	zone     string
 	decider  Decider
 	table    *topology.Table
-	known    dispatch.Topology
+	topology dispatch.Topology
 	attempts map[dispatch.AttemptID]*attempt
 	queries  map[dispatch.QueryID]*query
 	// wakeAt is when the next tick is scheduled; zero means none.
-	wakeAt Time
-	thawAt Time
-	dead   bool
+	nextTickAt Time
+	thawAt     Time
+	down       bool
 }
 
-func newNode(w *world, index int, zone string) *node {
+func newNode(sim *simulator, index int, zone string) *node {
 	return &node{
-		world: w, index: index, zone: zone,
+		sim: sim, index: index, zone: zone,
 		table:    topology.New(topology.DefaultConfig()),
 		attempts: make(map[dispatch.AttemptID]*attempt),
 		queries:  make(map[dispatch.QueryID]*query),
@@ -38,26 +38,26 @@
 }
 
 // deliver runs what happens at the node now, or when it thaws.
-func (n *node) deliver(do func()) {
+func (n *node) deliver(action func()) {
 	switch {
-	case n.dead:
-	case n.world.engine.now < n.thawAt:
-		n.world.engine.at(n.thawAt, func() { n.deliver(do) })
+	case n.down:
+	case n.sim.engine.now < n.thawAt:
+		n.sim.engine.scheduleAt(n.thawAt, func() { n.deliver(action) })
 	default:
-		do()
+		action()
 	}
 }
 
 // submit hands a query to the Decider.
 func (n *node) submit(q *query) {
-	now := n.world.engine.now
-	class := n.world.config.Service.Classes[q.class]
+	now := n.sim.engine.now
+	class := n.sim.config.Service.Classes[q.class]
 	q.node = n
 	q.deadline = now + class.Deadline
 	n.queries[q.id()] = q
 	n.perform(n.decider.Submit(now, dispatch.Query{
 		ID:              q.id(),
-		Class:           class.catalogClass(n.world.config.Service.Name),
+		Class:           class.catalogClass(n.sim.config.Service.Name),
 		KeyHash:         q.keyHash,
 		HasKey:          class.Keyed(),
 		Deadline:        q.deadline,
@@ -70,7 +70,7 @@
 	if q.finished || n.queries[q.id()] == nil {
 		return
 	}
-	n.perform(n.decider.Cancel(n.world.engine.now, q.id()))
+	n.perform(n.decider.Cancel(n.sim.engine.now, q.id()))
 }
 
 // perform carries out actions in order and schedules the next tick.
@@ -85,57 +85,57 @@
 			n.finish(action)
 		}
 	}
-	n.arm()
+	n.scheduleTick()
 }
 
 // arm schedules the next tick if it comes before the one scheduled.
-func (n *node) arm() {
+func (n *node) scheduleTick() {
 	next, ok := n.decider.NextTick()
 	if !ok {
 		return
 	}
-	now := n.world.engine.now
+	now := n.sim.engine.now
 	next = max(next, now+minimumTick)
-	if n.wakeAt > now && n.wakeAt <= next {
+	if n.nextTickAt > now && n.nextTickAt <= next {
 		return
 	}
-	n.wakeAt = next
-	n.world.engine.at(next, func() {
-		if n.wakeAt == next {
+	n.nextTickAt = next
+	n.sim.engine.scheduleAt(next, func() {
+		if n.nextTickAt == next {
 			n.deliver(n.tick)
 		}
 	})
 }
 
 func (n *node) tick() {
-	n.wakeAt = 0
-	n.perform(n.decider.Tick(n.world.engine.now))
+	n.nextTickAt = 0
+	n.perform(n.decider.Tick(n.sim.engine.now))
 }
 
 func (n *node) send(send dispatch.Send) {
 	q := n.queries[send.Query]
 	a := &attempt{
 		id: send.Attempt, node: n, query: q, shard: send.Shard, snapshot: send.Snapshot,
-		leaf: n.world.byAddress[send.Leaf],
+		leaf: n.sim.leavesByAddress[send.Leaf],
 	}
 	if n.attempts[a.id] != nil {
-		n.world.violate(ViolationAction, "attempt id used twice")
+		n.sim.recordViolation(ViolationAction, "attempt id used twice")
 		return
 	}
 	if q == nil || q.finished || a.leaf == nil {
-		n.world.violate(ViolationAction, "send for a query that is over, or to no leaf")
+		n.sim.recordViolation(ViolationAction, "send for a query that is over, or to no leaf")
 		return
 	}
 	n.attempts[a.id] = a
-	n.world.result.Sends++
-	length := n.world.workLength(q, send.Shard, n.world.shards(send.Snapshot.Epoch))
+	n.sim.result.Sends++
+	length := n.sim.workDuration(q, send.Shard, n.sim.shardCount(send.Snapshot.Epoch))
 	a.work = &work{
-		attempt:  a,
-		lateAt:   n.world.engine.now + send.Remaining,
-		length:   n.world.noisyLength(length, a),
-		expected: n.world.meanWork(q, send.Snapshot.Epoch),
+		attempt:       a,
+		startDeadline: n.sim.engine.now + send.Remaining,
+		duration:      n.sim.addNoise(length, a),
+		meanDuration:  n.sim.meanWorkDuration(q, send.Snapshot.Epoch),
 	}
-	n.world.network.send(a)
+	n.sim.network.send(a)
 }
 
 // abort resets the stream and reports its end at once, after the actions at
@@ -146,14 +146,14 @@
 		return
 	}
 	sent := a.state == attemptSent
-	n.world.network.abort(a)
-	n.world.engine.at(n.world.engine.now, func() {
+	n.sim.network.abort(a)
+	n.sim.engine.scheduleAt(n.sim.engine.now, func() {
 		n.deliver(func() { n.fail(a, dispatch.Failure{Sent: sent, Aborted: true}) })
 	})
 }
 
 // end reports whether the attempt was still open, and closes it.
-func (n *node) end(a *attempt) bool {
+func (n *node) endAttempt(a *attempt) bool {
 	if a.state == attemptEnded {
 		return false
 	}
@@ -165,32 +165,32 @@
 }
 
 func (n *node) fail(a *attempt, failure dispatch.Failure) {
-	if n.end(a) {
-		n.perform(n.decider.Fail(n.world.engine.now, a.id, failure))
+	if n.endAttempt(a) {
+		n.perform(n.decider.Fail(n.sim.engine.now, a.id, failure))
 	}
 }
 
 func (n *node) reply(a *attempt, answer reply) {
-	if !n.end(a) {
+	if !n.endAttempt(a) {
 		return
 	}
-	a.replied = &answer
-	n.heardState(a.leaf, answer.bootID, answer.load.State)
-	n.perform(n.decider.Reply(n.world.engine.now, a.id, dispatch.Reply{
+	a.reply = &answer
+	n.observeLeafState(a.leaf, answer.bootID, answer.load.State)
+	n.perform(n.decider.Reply(n.sim.engine.now, a.id, dispatch.Reply{
 		Shard: answer.shard, Snapshot: answer.snapshot, BootID: answer.bootID, Load: answer.load,
 	}))
 }
 
 func (n *node) refuse(a *attempt, refusal dispatch.Refusal) {
-	if !n.end(a) {
+	if !n.endAttempt(a) {
 		return
 	}
-	n.heardState(a.leaf, refusal.BootID, refusal.Load.State)
-	n.perform(n.decider.Refuse(n.world.engine.now, a.id, refusal))
+	n.observeLeafState(a.leaf, refusal.BootID, refusal.Load.State)
+	n.perform(n.decider.Refuse(n.sim.engine.now, a.id, refusal))
 }
 
 // heardState marks a leaf whose reply says that it drains.
-func (n *node) heardState(l *emulatedLeaf, bootID string, state leaf.State) {
+func (n *node) observeLeafState(l *emulatedLeaf, bootID string, state leaf.State) {
 	if state != leaf.StateDraining {
 		return
 	}
@@ -200,43 +200,43 @@
 
 // refreshTopology passes a changed topology to the Decider.
 func (n *node) refreshTopology() {
-	now := n.world.engine.now
-	current, ok := n.table.Service(now, n.world.config.Service.Name)
-	if !ok || sameTopology(n.known, current) {
+	now := n.sim.engine.now
+	current, ok := n.table.Service(now, n.sim.config.Service.Name)
+	if !ok || equalTopologies(n.topology, current) {
 		return
 	}
-	n.known = current
+	n.topology = current
 	n.perform(n.decider.SetTopology(now, current))
 }
 
 // poll asks one leaf for its load, again and again.
 func (n *node) poll(l *emulatedLeaf) {
-	settings := &n.world.config.Deployment
-	engine := &n.world.engine
-	delay := n.world.delay(n.zone, l.zone)
-	engine.after(delay, func() {
-		if l.up != leafUp {
-			engine.after(settings.Network.DialTimeout, func() {
-				n.deliver(func() { n.pollFailed(l) })
+	settings := &n.sim.config.Deployment
+	engine := &n.sim.engine
+	delay := n.sim.oneWayDelay(n.zone, l.zone)
+	engine.scheduleAfter(delay, func() {
+		if l.state != leafUp {
+			engine.scheduleAfter(settings.Network.DialTimeout, func() {
+				n.deliver(func() { n.handlePollFailure(l) })
 			})
 			return
 		}
-		report := l.report()
-		engine.after(delay, func() { n.deliver(func() { n.polled(l, report) }) })
+		report := l.loadReport()
+		engine.scheduleAfter(delay, func() { n.deliver(func() { n.handleReport(l, report) }) })
 	})
-	if engine.now < n.world.endAt {
-		engine.after(settings.Leaf.ReportEvery, func() { n.poll(l) })
+	if engine.now < n.sim.arrivalsEndAt {
+		engine.scheduleAfter(settings.Leaf.PollInterval, func() { n.poll(l) })
 	}
 }
 
-func (n *node) polled(l *emulatedLeaf, report leaf.LoadReport) {
-	now := n.world.engine.now
+func (n *node) handleReport(l *emulatedLeaf, report leaf.LoadReport) {
+	now := n.sim.engine.now
 	n.table.Report(now, l.address, report)
 	n.refreshTopology()
 	n.perform(n.decider.Observe(now, l.address, report.LoadSummary))
 }
 
-func (n *node) pollFailed(l *emulatedLeaf) {
+func (n *node) handlePollFailure(l *emulatedLeaf) {
 	n.table.ReportFailed(l.address)
 	n.refreshTopology()
 }
@@ -245,14 +245,14 @@
 func (n *node) finish(finish dispatch.Finish) {
 	q := n.queries[finish.Query]
 	if q == nil || q.finished {
-		n.world.violate(ViolationFinish, "query %d finished again or never submitted", finish.Query)
+		n.sim.recordViolation(ViolationFinish, "query %d finished again or never submitted", finish.Query)
 		return
 	}
 	q.finished = true
 	q.finish = finish
-	q.finishedAt = n.world.engine.now
-	n.world.checkFinish(n, q)
-	n.world.collect(q)
+	q.finishedAt = n.sim.engine.now
+	n.sim.checkFinish(n, q)
+	n.sim.recordOutcome(q)
 	delete(n.queries, finish.Query)
 	for _, answer := range finish.Answered {
 		delete(n.attempts, answer.Attempt)
@@ -270,16 +270,16 @@
 }
 
 // sameTopology compares what a Decider would see.
-func sameTopology(a, b dispatch.Topology) bool {
+func equalTopologies(a, b dispatch.Topology) bool {
 	return a.Revision == b.Revision && a.Stopped == b.Stopped && a.Concurrency == b.Concurrency &&
-		slices.Equal(a.Partitions, b.Partitions) && slices.EqualFunc(a.Leaves, b.Leaves, sameLeaf)
+		slices.Equal(a.Partitions, b.Partitions) && slices.EqualFunc(a.Leaves, b.Leaves, equalLeaves)
 }
 
-func sameLeaf(a, b dispatch.Leaf) bool {
+func equalLeaves(a, b dispatch.Leaf) bool {
 	return a.Address == b.Address && a.Zone == b.Zone && a.BootID == b.BootID && a.Usable == b.Usable &&
-		a.Cold == b.Cold && a.Slots == b.Slots && slices.EqualFunc(a.Holdings, b.Holdings, sameHolding)
+		a.Cold == b.Cold && a.Slots == b.Slots && slices.EqualFunc(a.Holdings, b.Holdings, equalHoldings)
 }
 
-func sameHolding(a, b leaf.Holding) bool {
+func equalHoldings(a, b leaf.Holding) bool {
 	return a.Snapshot == b.Snapshot && slices.Equal(a.Shards, b.Shards)
 }
--- a/internal/rehearsal/simulation/bulk_test.go
+++ b/internal/rehearsal/simulation/random_faults_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-var schedules = flag.Int("schedules", 120, "random fault schedules to run")
+var scheduleCount = flag.Int("schedules", 120, "random fault schedules to run")
 
 // randomSchedule draws load and up to eight faults, often two at once.
-func randomSchedule(seed uint64) Config {
+func randomConfig(seed uint64) Config {
 	random := rand.New(rand.NewPCG(seed, 99))
 	config := testConfig(seed, 7*time.Second)
-	config.Scenario.CancelShare = 0.05
+	config.Scenario.CancelRatio = 0.05
 	config.Scenario.Load = []LoadStep{{Level: 0.2 + 0.8*random.Float64()}, {At: ms(3000), Level: 0.2 + 1.3*random.Float64()}}
 	kinds := []FaultKind{
-		FaultSlow, FaultPause, FaultCrash, FaultLose, FaultDrain, FaultRetire, FaultListLeaving, FaultLie,
-		FaultStaleReply, FaultRoll, FaultRoll, FaultRepartition, FaultRepartition, FaultFreezeNode, FaultLoseZone,
+		FaultSlow, FaultPause, FaultCrash, FaultSilence, FaultDrain, FaultRetire, FaultMachineListLeaving, FaultFalseReport,
+		FaultStaleReply, FaultRollout, FaultRollout, FaultRepartition, FaultRepartition, FaultFreezeNode, FaultSilenceZone,
 	}
 	for range 1 + random.IntN(8) {
 		fault := Fault{
@@ -42,20 +42,20 @@
 
 // TestPromisesUnderRandomFaults checks every promise of this package under
 // seeded random schedules. Run more with -schedules.
-func TestPromisesUnderRandomFaults(t *testing.T) {
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
 			for seed := range seeds {
-				result := run(t, randomSchedule(seed))
+				result := mustRun(t, randomConfig(seed))
 				if len(result.Violations) > 0 {
 					t.Errorf("seed %d: %v\n%v", seed, result.Violations, result.Examples)
 				}
 			}
 		})
 	}
-	for seed := range *schedules {
+	for seed := range *scheduleCount {
 		seeds <- uint64(seed)
 	}
 	close(seeds)
--- a/internal/rehearsal/simulation/random_test.go
+++ b/internal/rehearsal/simulation/random_test.go
@@ -20,8 +20,8 @@
 )
 
 // newRandom returns a seeded source for one stream and member.
-func newRandom(seed, stream, member uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, mix(stream, member)))
+func newRandom(seed, stream, instance uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(seed, mix(stream, instance)))
 }
 
 // mix hashes two numbers into one (the finalizer of splitmix64).
@@ -33,17 +33,17 @@
 }
 
 // unit turns a hash into a number in (0, 1).
-func unit(hash uint64) float64 {
+func uniform(hash uint64) float64 {
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
 // lognormal returns the factor with mean 1 that a hash stands for.
-func lognormal(hash uint64, sigma float64) float64 {
+func lognormalFactor(hash uint64, sigma float64) float64 {
 	if sigma == 0 {
 		return 1
 	}
-	first, second := unit(mix(hash, 1)), unit(mix(hash, 2))
-	normal := math.Sqrt(-2*math.Log(first)) * math.Cos(2*math.Pi*second)
+	u1, u2 := uniform(mix(hash, 1)), uniform(mix(hash, 2))
+	normal := math.Sqrt(-2*math.Log(u1)) * math.Cos(2*math.Pi*u2)
 	return math.Exp(sigma*normal - sigma*sigma/2)
 }
 
--- a/internal/rehearsal/simulation/result_test.go
+++ b/internal/rehearsal/simulation/result_test.go
@@ -17,27 +17,27 @@
 	Outcomes map[dispatch.Outcome]int
 	// AnswerTime adds up, over the finished queries, the time from the client's
 	// sending to the finish.
-	AnswerTime time.Duration
-	Leaves     []LeafResult
+	TotalLatency time.Duration
+	Leaves       []LeafResult
 }
 
 // LeafResult counts the attempts that reached one leaf, and those that it ran.
 type LeafResult struct {
 	Received, Executed int
 	// Busy adds up the time that its slots were at work.
-	Busy time.Duration
+	BusyTime time.Duration
 }
 
 // collect counts a finished query.
-func (w *world) collect(q *query) {
-	w.result.Outcomes[q.finish.Outcome]++
-	w.result.AnswerTime += q.finishedAt - q.sentAt
+func (sim *simulator) recordOutcome(q *query) {
+	sim.result.Outcomes[q.finish.Outcome]++
+	sim.result.TotalLatency += q.finishedAt - q.sentAt
 }
 
 // summarise completes the Result at the end of a run.
-func (w *world) summarise() {
-	w.result.Queries = len(w.queries)
-	for _, l := range w.leaves {
-		w.result.Leaves = append(w.result.Leaves, LeafResult{Received: l.received, Executed: l.executed, Busy: l.busy})
+func (sim *simulator) completeResult() {
+	sim.result.Queries = len(sim.queries)
+	for _, l := range sim.leaves {
+		sim.result.Leaves = append(sim.result.Leaves, LeafResult{Received: l.received, Executed: l.executed, BusyTime: l.busyTime})
 	}
 }
--- a/internal/rehearsal/simulation/sites_test.go
+++ b/internal/rehearsal/simulation/sites_test.go
@@ -10,10 +10,10 @@
 func siteConfig(zones []string, clients time.Duration, service Service) Config {
 	config := testConfig(1, time.Minute)
 	config.Deployment.Zones, config.Deployment.Nodes = zones, zones
-	config.Deployment.Network.Clients = clients
+	config.Deployment.Network.ClientDelay = clients
 	config.Deployment.Leaf = LeafModel{
-		QueueLimit: 64, PauseEvery: ms(10_000), PauseFor: ms(15), ColdRefuse: ms(500), WarmUp: ms(5000), ColdFactor: 3,
-		ReportEvery: ms(500), ReportLag: ms(200), MachineListLag: ms(2000), CommandLag: ms(1000),
+		QueueLimit: 64, MeanPauseInterval: ms(10_000), MeanPauseDuration: ms(15), ColdDuration: ms(500), WarmUpDuration: ms(5000), ColdFactor: 3,
+		PollInterval: ms(500), ReportLag: ms(200), MachineListLag: ms(2000), CommandLag: ms(1000),
 	}
 	config.Service = service
 	return config
@@ -22,16 +22,16 @@
 // siteClass is a class that may be repeated and asks for every shard it needs.
 func siteClass(kind Kind, share float64, priority int, deadline, mean time.Duration) Class {
 	return Class{
-		Name: string(kind), Kind: kind, Share: share, Priority: priority, Deadline: deadline, MinimumCoverage: 1,
-		HedgePercentile: 0.95, ExtraLoad: 0.03, Mean: mean, WorkSigma: 0.4, NoiseSigma: 0.3,
+		Name: string(kind), Kind: kind, Weight: share, Priority: priority, Deadline: deadline, MinimumCoverage: 1,
+		HedgePercentile: 0.95, ExtraLoad: 0.03, MeanServiceTime: mean, WorkSigma: 0.4, NoiseSigma: 0.3,
 	}
 }
 
 // TestPromisesOfWholeSites plays a minute at 40 % load of two services as they
 // are deployed: one with a slow and a lost leaf, one with a lost zone.
-func TestPromisesOfWholeSites(t *testing.T) {
+func TestInvariantsOfDeployedSites(t *testing.T) {
 	slowAndLost := siteConfig([]string{"north", "south", "east", "west"}, ms(1), Service{
-		Name: "slow-and-lost", Leaves: 10, Shards: 5, Replicas: 2, Slots: 2, Connections: 110,
+		Name: "slow-and-lost", Leaves: 10, Shards: 5, Replicas: 2, Slots: 2, MaxConnectionsPerLeaf: 110,
 		Classes: []Class{
 			siteClass(KindCheck, 70, 1, ms(500), ms(6)),
 			siteClass(KindSweep, 10, 2, ms(3000), ms(30)),
@@ -40,12 +40,12 @@
 	})
 	slowAndLost.Scenario.Faults = []Fault{
 		{Kind: FaultSlow, At: ms(12_000), Leaf: 0, Factor: 8},
-		{Kind: FaultLose, At: ms(30_000), Leaf: 8},
+		{Kind: FaultSilence, At: ms(30_000), Leaf: 8},
 	}
 	once := siteClass(KindOnce, 30, 1, ms(2000), ms(10))
 	once.HedgePercentile = 0
 	zoneLost := siteConfig([]string{"east", "centre", "west"}, ms(3), Service{
-		Name: "zone-lost", Leaves: 5, Shards: 5, Replicas: 2, Slots: 3, Connections: 110,
+		Name: "zone-lost", Leaves: 5, Shards: 5, Replicas: 2, Slots: 3, MaxConnectionsPerLeaf: 110,
 		Classes: []Class{
 			siteClass(KindCheck, 15, 1, ms(500), ms(6)),
 			siteClass(KindSweep, 5, 2, ms(3000), ms(30)),
@@ -53,9 +53,9 @@
 			once,
 		},
 	})
-	zoneLost.Scenario.Faults = []Fault{{Kind: FaultLoseZone, At: ms(30_000), Zone: "west"}}
+	zoneLost.Scenario.Faults = []Fault{{Kind: FaultSilenceZone, At: ms(30_000), Zone: "west"}}
 	for _, config := range []Config{slowAndLost, zoneLost} {
-		result := run(t, config)
+		result := mustRun(t, config)
 		if len(result.Violations) > 0 {
 			t.Errorf("%s: %v %v", config.Service.Name, result.Violations, result.Examples)
 		}
--- a/internal/rehearsal/simulation/work_test.go
+++ b/internal/rehearsal/simulation/work_test.go
@@ -18,8 +18,8 @@
 	// deadline is absolute, as submitted.
 	deadline Time
 	// starts counts the executions that began, anywhere, in the whole run.
-	starts   int
-	finished bool
+	executions int
+	finished   bool
 	// lost is set if the node died with the query.
 	lost       bool
 	finish     dispatch.Finish
@@ -64,8 +64,8 @@
 	snapshot catalog.Snapshot
 	state    attemptState
 	// reply is kept when the leaf's answer reached the node.
-	replied *reply
-	work    *work
+	reply *reply
+	work  *work
 }
 
 // reply is what a leaf sends back for an executed attempt.
@@ -80,7 +80,7 @@
 type workState uint8
 
 const (
-	workTransit workState = iota
+	workInTransit workState = iota
 	workQueued
 	workRunning
 	workDone
@@ -88,32 +88,32 @@
 
 // work is an attempt as the leaf sees it.
 type work struct {
-	attempt  *attempt
-	state    workState
-	lateAt   Time          // no start after this
-	length   time.Duration // on a healthy leaf
-	expected time.Duration // mean of length, for predictions
-	started  Time
-	finishAt Time
+	attempt       *attempt
+	state         workState
+	startDeadline Time          // no start after this
+	duration      time.Duration // on a healthy leaf
+	meanDuration  time.Duration // mean of length, for predictions
+	startedAt     Time
+	finishAt      Time
 }
 
 // workLength is the work of a query on one shard, the same for every replica.
-func (w *world) workLength(q *query, shard, shards int) time.Duration {
-	class := &w.config.Service.Classes[q.class]
-	hash := mix(mix(mix(w.config.Seed, streamWork), q.index), uint64(shard))
-	length := scale(class.Mean, lognormal(hash, class.WorkSigma))
-	return scale(length, float64(w.config.Service.Shards)/float64(max(shards, 1)))
+func (sim *simulator) workDuration(q *query, shard, shards int) time.Duration {
+	class := &sim.config.Service.Classes[q.class]
+	hash := mix(mix(mix(sim.config.Seed, streamWork), q.index), uint64(shard))
+	length := scale(class.MeanServiceTime, lognormalFactor(hash, class.WorkSigma))
+	return scale(length, float64(sim.config.Service.Shards)/float64(max(shards, 1)))
 }
 
 // noisyLength adds what differs between two attempts at the same work.
-func (w *world) noisyLength(length time.Duration, a *attempt) time.Duration {
-	class := &w.config.Service.Classes[a.query.class]
-	hash := mix(mix(mix(w.config.Seed, streamNoise), a.query.index), uint64(a.shard)<<32|uint64(a.leaf.index))
-	return scale(length, lognormal(hash, class.NoiseSigma))
+func (sim *simulator) addNoise(duration time.Duration, a *attempt) time.Duration {
+	class := &sim.config.Service.Classes[a.query.class]
+	hash := mix(mix(mix(sim.config.Seed, streamNoise), a.query.index), uint64(a.shard)<<32|uint64(a.leaf.index))
+	return scale(duration, lognormalFactor(hash, class.NoiseSigma))
 }
 
 // meanWork is the mean work of a query on one shard of an epoch.
-func (w *world) meanWork(q *query, epoch uint64) time.Duration {
-	mean := w.config.Service.Classes[q.class].Mean
-	return scale(mean, float64(w.config.Service.Shards)/float64(max(w.shards(epoch), 1)))
+func (sim *simulator) meanWorkDuration(q *query, epoch uint64) time.Duration {
+	mean := sim.config.Service.Classes[q.class].MeanServiceTime
+	return scale(mean, float64(sim.config.Service.Shards)/float64(max(sim.shardCount(epoch), 1)))
 }
