--- a/internal/rehearsal/simulation/decider_test.go
+++ b/internal/rehearsal/simulation/decider_test.go
@@ -21,12 +21,12 @@
 }
 
 // newDecider builds the Decider of one node.
-func (sim *simulator) newDecider(node int, zone string) Decider {
+func (s *simulator) newDecider(node int, zone string) Decider {
 	config := dispatch.DefaultConfig()
 	config.Zone = zone
-	dispatcher := dispatch.New(config, newRandom(sim.config.Seed, streamDecider, uint64(node)))
-	if sim.config.WrapDecider != nil {
-		return sim.config.WrapDecider(dispatcher)
+	dispatcher := dispatch.New(config, newRandom(s.config.Seed, streamDecider, uint64(node)))
+	if s.config.WrapDecider != nil {
+		return s.config.WrapDecider(dispatcher)
 	}
 	return dispatcher
 }
--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -10,92 +10,92 @@
 )
 
 // scheduleFaults puts the faults of the scenario on the schedule.
-func (sim *simulator) scheduleFaults() {
-	for _, fault := range sim.config.Scenario.Faults {
-		sim.engine.scheduleAt(fault.At, func() { sim.injectFault(fault) })
+func (s *simulator) scheduleFaults() {
+	for _, fault := range s.config.Scenario.Faults {
+		s.engine.scheduleAt(fault.At, func() { s.injectFault(fault) })
 	}
 }
 
 // later undoes a fault after its duration, if it has one.
-func (sim *simulator) scheduleUndo(fault Fault, undo func()) {
+func (s *simulator) scheduleUndo(fault Fault, undo func()) {
 	if fault.Duration > 0 {
-		sim.engine.scheduleAfter(fault.Duration, undo)
+		s.engine.scheduleAfter(fault.Duration, undo)
 	}
 }
 
-func (sim *simulator) injectFault(fault Fault) {
-	l := sim.leaves[fault.Leaf]
+func (s *simulator) injectFault(fault Fault) {
+	l := s.leaves[fault.Leaf]
 	switch fault.Kind {
 	case FaultSlow:
 		l.slowFactor = fault.Factor
-		sim.scheduleUndo(fault, func() { l.slowFactor = 1 })
+		s.scheduleUndo(fault, func() { l.slowFactor = 1 })
 	case FaultPause:
 		l.pause(fault.Duration)
 	case FaultCrash:
-		sim.stopLeaf(l, leafCrashed)
-		sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
+		s.stopLeaf(l, leafCrashed)
+		s.scheduleUndo(fault, func() { s.restartLeaf(l) })
 	case FaultSilence:
-		sim.stopLeaf(l, leafSilent)
-		sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
+		s.stopLeaf(l, leafSilent)
+		s.scheduleUndo(fault, func() { s.restartLeaf(l) })
 	case FaultSilenceZone:
-		sim.silenceZone(fault)
+		s.silenceZone(fault)
 	case FaultDrain:
 		l.draining = true
-		sim.recordLeaving(l)
-		sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
+		s.recordLeaving(l)
+		s.scheduleUndo(fault, func() { s.restartLeaf(l) })
 	case FaultRetire:
-		sim.setRetiring(l, true)
-		sim.scheduleUndo(fault, func() { sim.setRetiring(l, false) })
+		s.setRetiring(l, true)
+		s.scheduleUndo(fault, func() { s.setRetiring(l, false) })
 	case FaultMachineListLeaving:
-		sim.announceLeaving(l)
+		s.announceLeaving(l)
 	case FaultFalseReport:
 		l.reportsIdle = true
-		sim.scheduleUndo(fault, func() { l.reportsIdle = false })
+		s.scheduleUndo(fault, func() { l.reportsIdle = false })
 	case FaultStaleReply:
 		l.staleReplyRatio = fault.Factor
-		sim.scheduleUndo(fault, func() { l.staleReplyRatio = 0 })
+		s.scheduleUndo(fault, func() { l.staleReplyRatio = 0 })
 	case FaultRollout:
-		sim.rollOutVersion(fault.Duration, fault.Factor)
+		s.rollOutVersion(fault.Duration, fault.Factor)
 	case FaultRepartition:
-		sim.repartition(fault.Shards, fault.Duration)
+		s.repartition(fault.Shards, fault.Duration)
 	case FaultFreezeNode:
-		n := sim.nodes[fault.Node]
-		n.thawAt = max(n.thawAt, sim.engine.now+fault.Duration)
+		n := s.nodes[fault.Node]
+		n.thawAt = max(n.thawAt, s.engine.now+fault.Duration)
 	}
 }
 
 // stopLeaf ends a leaf without warning. Its connections are reset if only the
 // process died; a silent machine shows after a timeout.
-func (sim *simulator) stopLeaf(l *emulatedLeaf, state leafState) {
+func (s *simulator) stopLeaf(l *emulatedLeaf, state leafState) {
 	if l.state != leafUp {
 		return
 	}
 	l.stop(state)
 	after := time.Duration(0)
 	if state == leafSilent {
-		after = sim.config.Deployment.Network.SilenceTimeout
+		after = s.config.Deployment.Network.SilenceTimeout
 	}
-	sim.network.breakLinks(l, after)
+	s.network.breakLinks(l, after)
 }
 
-func (sim *simulator) restartLeaf(l *emulatedLeaf) {
+func (s *simulator) restartLeaf(l *emulatedLeaf) {
 	if l.state == leafUp {
 		l.stop(leafCrashed)
 	}
 	l.restart()
-	sim.network.breakLinks(l, 0)
+	s.network.breakLinks(l, 0)
 }
 
 // loseZone takes the leaves and the nodes of a zone away. The leaves come back
 // if the fault has a duration; the nodes' queries are lost with them.
-func (sim *simulator) silenceZone(fault Fault) {
-	for _, l := range sim.leaves {
+func (s *simulator) silenceZone(fault Fault) {
+	for _, l := range s.leaves {
 		if l.zone == fault.Zone {
-			sim.stopLeaf(l, leafSilent)
-			sim.scheduleUndo(fault, func() { sim.restartLeaf(l) })
+			s.stopLeaf(l, leafSilent)
+			s.scheduleUndo(fault, func() { s.restartLeaf(l) })
 		}
 	}
-	for _, n := range sim.nodes {
+	for _, n := range s.nodes {
 		if n.zone != fault.Zone {
 			continue
 		}
@@ -107,17 +107,17 @@
 }
 
 // noteLeaving remembers when the first source called the leaf leaving.
-func (sim *simulator) recordLeaving(l *emulatedLeaf) {
+func (s *simulator) recordLeaving(l *emulatedLeaf) {
 	if !l.leaving {
 		l.leaving = true
-		l.leavingSince = sim.engine.now
+		l.leavingSince = s.engine.now
 	}
 }
 
 // retire changes the catalog by an operator's command; nodes receive it within
 // the lag of commands.
-func (sim *simulator) setRetiring(l *emulatedLeaf, retiring bool) {
-	sim.updateCatalog(func(service *catalog.Service, revision uint64) {
+func (s *simulator) setRetiring(l *emulatedLeaf, retiring bool) {
+	s.updateCatalog(func(service *catalog.Service, revision uint64) {
 		changed := service.Leaves[l.address]
 		changed.Retiring = retiring
 		if !retiring {
@@ -126,7 +126,7 @@
 		service.Leaves[l.address] = changed
 	})
 	if retiring {
-		sim.recordLeaving(l)
+		s.recordLeaving(l)
 	} else {
 		l.leaving = false
 		l.readdCount++
@@ -135,13 +135,13 @@
 
 // listLeaving lets the machine list call a leaf leaving, for good. An operator
 // who adds the leaf again while the list lags overrides it.
-func (sim *simulator) announceLeaving(l *emulatedLeaf) {
+func (s *simulator) announceLeaving(l *emulatedLeaf) {
 	boot, added := l.bootID(), l.readdCount
-	sim.engine.scheduleAfter(sim.config.Deployment.Leaf.MachineListLag, func() {
+	s.engine.scheduleAfter(s.config.Deployment.Leaf.MachineListLag, func() {
 		if l.bootID() == boot && l.readdCount == added {
-			sim.recordLeaving(l)
+			s.recordLeaving(l)
 		}
-		for _, n := range sim.nodes {
+		for _, n := range s.nodes {
 			n.deliver(func() {
 				n.table.MachineLeaving(l.address, boot)
 				n.refreshTopology()
@@ -151,18 +151,18 @@
 }
 
 // changeCatalog makes the next revision and spreads it to the nodes.
-func (sim *simulator) updateCatalog(change func(service *catalog.Service, revision uint64)) {
-	next := *sim.catalog
+func (s *simulator) updateCatalog(change func(service *catalog.Service, revision uint64)) {
+	next := *s.catalog
 	next.Revision++
-	service := next.Services[sim.config.Service.Name]
+	service := next.Services[s.config.Service.Name]
 	service.Leaves = maps.Clone(service.Leaves)
 	service.Partitions = slices.Clone(service.Partitions)
 	change(&service, next.Revision)
 	next.Services = map[string]catalog.Service{service.Name: service}
-	sim.catalog = &next
-	for _, n := range sim.nodes {
-		lag := scale(sim.config.Deployment.Leaf.CommandLag, sim.faultRandom.Float64())
-		sim.engine.scheduleAfter(lag, func() {
+	s.catalog = &next
+	for _, n := range s.nodes {
+		lag := scale(s.config.Deployment.Leaf.CommandLag, s.faultRandom.Float64())
+		s.engine.scheduleAfter(lag, func() {
 			n.deliver(func() { n.installCatalog(&next) })
 		})
 	}
@@ -179,48 +179,48 @@
 
 // roll gives every leaf the next index version, one after another, and takes
 // the older ones away after as long again and kept times the spread.
-func (sim *simulator) rollOutVersion(spread time.Duration, retention float64) {
-	for _, l := range sim.leaves {
-		load := scale(spread, sim.faultRandom.Float64())
-		drop := load + scale(spread, sim.faultRandom.Float64()+retention)
-		sim.engine.scheduleAfter(load, func() {
-			sim.leafVersions[l.index]++
-			l.addHoldings(sim.newestHoldings(l.index))
+func (s *simulator) rollOutVersion(spread time.Duration, retention float64) {
+	for _, l := range s.leaves {
+		load := scale(spread, s.faultRandom.Float64())
+		drop := load + scale(spread, s.faultRandom.Float64()+retention)
+		s.engine.scheduleAfter(load, func() {
+			s.leafVersions[l.index]++
+			l.addHoldings(s.newestHoldings(l.index))
 		})
-		sim.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(sim.newestHoldings(l.index)) })
+		s.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(s.newestHoldings(l.index)) })
 	}
 }
 
 // repartition adds a partition, which the leaves load one after another. Zero
 // shards means that each shard is split in two.
-func (sim *simulator) repartition(shards int, spread time.Duration) {
+func (s *simulator) repartition(shards int, spread time.Duration) {
 	if shards == 0 {
-		shards = 2 * sim.epochShards[len(sim.epochShards)-1]
+		shards = 2 * s.epochShards[len(s.epochShards)-1]
 	}
-	sim.epochShards = append(sim.epochShards, shards)
-	sim.updateCatalog(func(service *catalog.Service, _ uint64) {
+	s.epochShards = append(s.epochShards, shards)
+	s.updateCatalog(func(service *catalog.Service, _ uint64) {
 		epoch := service.Partitions[len(service.Partitions)-1].Epoch + 1
 		service.Partitions = append(service.Partitions, catalog.Partition{Epoch: epoch, Shards: shards})
 		if len(service.Partitions) > catalog.RetainedPartitions {
 			service.Partitions = service.Partitions[1:]
 		}
 	})
-	for _, l := range sim.leaves {
-		load := scale(spread, sim.faultRandom.Float64())
-		drop := spread + scale(spread, sim.faultRandom.Float64())
-		sim.engine.scheduleAfter(load, func() { l.addHoldings(sim.newestHoldings(l.index)) })
-		sim.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(sim.newestHoldings(l.index)) })
+	for _, l := range s.leaves {
+		load := scale(spread, s.faultRandom.Float64())
+		drop := spread + scale(spread, s.faultRandom.Float64())
+		s.engine.scheduleAfter(load, func() { l.addHoldings(s.newestHoldings(l.index)) })
+		s.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(s.newestHoldings(l.index)) })
 	}
 }
 
 // currentHoldings is what a leaf would load now: its newest index version in
 // the newest partition.
-func (sim *simulator) newestHoldings(index int) []leaf.Holding {
-	partitions := sim.catalog.Services[sim.config.Service.Name].Partitions
+func (s *simulator) newestHoldings(index int) []leaf.Holding {
+	partitions := s.catalog.Services[s.config.Service.Name].Partitions
 	newest := partitions[len(partitions)-1]
 	return []leaf.Holding{{
-		Snapshot: catalog.Snapshot{Version: sim.leafVersions[index], Epoch: newest.Epoch},
-		Shards:   sim.config.Service.placement(index, newest.Shards),
+		Snapshot: catalog.Snapshot{Version: s.leafVersions[index], Epoch: newest.Epoch},
+		Shards:   s.config.Service.placement(index, newest.Shards),
 	}}
 }
 
--- a/internal/rehearsal/simulation/invariants_test.go
+++ b/internal/rehearsal/simulation/invariants_test.go
@@ -35,118 +35,118 @@
 const maxExamples = 3
 
 // violate counts a broken promise.
-func (sim *simulator) recordViolation(violation Violation, format string, arguments ...any) {
-	if sim.result.Violations == nil {
-		sim.result.Violations = make(map[Violation]int)
+func (s *simulator) recordViolation(violation Violation, format string, arguments ...any) {
+	if s.result.Violations == nil {
+		s.result.Violations = make(map[Violation]int)
 	}
-	sim.result.Violations[violation]++
-	if sim.result.Violations[violation] <= maxExamples {
+	s.result.Violations[violation]++
+	if s.result.Violations[violation] <= maxExamples {
 		description := fmt.Sprintf(format, arguments...)
-		sim.result.Examples = append(sim.result.Examples, fmt.Sprintf("%s at %s: %s", violation, sim.engine.now, description))
+		s.result.Examples = append(s.result.Examples, fmt.Sprintf("%s at %s: %s", violation, s.engine.now, description))
 	}
 }
 
 // checkFinish checks an answer against what the leaves sent.
-func (sim *simulator) checkFinish(n *node, q *query) {
+func (s *simulator) checkFinish(n *node, q *query) {
 	finish := &q.finish
-	sim.checkDeadline(n, q)
+	s.checkDeadline(n, q)
 	if finish.Outcome == dispatch.OutcomeNotRun && len(finish.Answered) > 0 {
-		sim.recordViolation(ViolationNotRun, "query %d: not run, with answers", q.index)
+		s.recordViolation(ViolationNotRun, "query %d: not run, with answers", q.index)
 	}
 	if finish.Outcome != dispatch.OutcomeAnswered && finish.Outcome != dispatch.OutcomePartial {
 		return
 	}
-	covered := sim.checkReplies(n, q)
+	covered := s.checkReplies(n, q)
 	for _, shard := range finish.Missing {
 		if !covered.add(shard) {
-			sim.recordViolation(ViolationCoverage, "query %d: shard %d answered and missing", q.index, shard)
+			s.recordViolation(ViolationCoverage, "query %d: shard %d answered and missing", q.index, shard)
 		}
 	}
-	sim.checkCoverage(q, covered)
+	s.checkCoverage(q, covered)
 }
 
 // checkDeadline allows a late finish only to a node that was frozen.
-func (sim *simulator) checkDeadline(n *node, q *query) {
+func (s *simulator) checkDeadline(n *node, q *query) {
 	late := q.finishedAt > q.deadline+finishTolerance
 	if late && n.thawAt < q.deadline {
-		sim.recordViolation(ViolationFinish, "query %d: finished %s after its deadline", q.index, q.finishedAt-q.deadline)
+		s.recordViolation(ViolationFinish, "query %d: finished %s after its deadline", q.index, q.finishedAt-q.deadline)
 	}
 }
 
 // checkAnswered checks each merged reply and returns the shards they cover.
-func (sim *simulator) checkReplies(n *node, q *query) shardSet {
+func (s *simulator) checkReplies(n *node, q *query) shardSet {
 	var covered shardSet
 	for _, answer := range q.finish.Answered {
 		a := n.attempts[answer.Attempt]
 		if a == nil || a.query != q || a.reply == nil {
-			sim.recordViolation(ViolationCoverage, "query %d: shard %d has no reply of its own", q.index, answer.Shard)
+			s.recordViolation(ViolationCoverage, "query %d: shard %d has no reply of its own", q.index, answer.Shard)
 			continue
 		}
 		if a.reply.snapshot != q.finish.Snapshot {
-			sim.recordViolation(ViolationSnapshot, "query %d: shard %d is of %v, the answer of %v", q.index, answer.Shard, a.reply.snapshot, q.finish.Snapshot)
+			s.recordViolation(ViolationSnapshot, "query %d: shard %d is of %v, the answer of %v", q.index, answer.Shard, a.reply.snapshot, q.finish.Snapshot)
 		}
 		if a.reply.shard != answer.Shard || !covered.add(answer.Shard) {
-			sim.recordViolation(ViolationCoverage, "query %d: shard %d merged wrongly", q.index, answer.Shard)
+			s.recordViolation(ViolationCoverage, "query %d: shard %d merged wrongly", q.index, answer.Shard)
 		}
 	}
 	return covered
 }
 
 // checkTotal checks that answered and missing shards are the needed ones.
-func (sim *simulator) checkCoverage(q *query, covered shardSet) {
+func (s *simulator) checkCoverage(q *query, covered shardSet) {
 	finish := &q.finish
-	shards := sim.shardCount(finish.Snapshot.Epoch)
+	shards := s.shardCount(finish.Snapshot.Epoch)
 	if shards == 0 {
-		sim.recordViolation(ViolationCoverage, "query %d: unknown epoch %d", q.index, finish.Snapshot.Epoch)
+		s.recordViolation(ViolationCoverage, "query %d: unknown epoch %d", q.index, finish.Snapshot.Epoch)
 		return
 	}
 	required := shards
-	if sim.config.Service.Classes[q.class].Keyed() {
+	if s.config.Service.Classes[q.class].Keyed() {
 		required = 1
 		if covered.add(int(q.keyHash % uint64(shards))) {
-			sim.recordViolation(ViolationCoverage, "query %d: its shard is neither answered nor missing", q.index)
+			s.recordViolation(ViolationCoverage, "query %d: its shard is neither answered nor missing", q.index)
 		}
 	}
 	reported := len(finish.Answered) + len(finish.Missing)
 	complete := len(finish.Missing) == 0
 	if finish.Total != required || reported != required || complete != (finish.Outcome == dispatch.OutcomeAnswered) {
-		sim.recordViolation(ViolationCoverage, "query %d: %s with %d answered, %d missing of %d; needed %d",
+		s.recordViolation(ViolationCoverage, "query %d: %s with %d answered, %d missing of %d; needed %d",
 			q.index, finish.Outcome, len(finish.Answered), len(finish.Missing), finish.Total, required)
 	}
 }
 
 // noteReceived counts work that reaches a leaf and checks that it may. A node
 // that was frozen learns of the leaving when it thaws.
-func (sim *simulator) recordReceived(l *emulatedLeaf, received *work) {
-	now := sim.engine.now
+func (s *simulator) recordReceived(l *emulatedLeaf, received *work) {
+	now := s.engine.now
 	l.received++
 	since := max(l.leavingSince, received.attempt.node.thawAt)
 	if l.leaving && now > since+leavingBound {
-		sim.recordViolation(ViolationLeaving, "leaf %d got work %s after it was leaving", l.index, now-l.leavingSince)
+		s.recordViolation(ViolationLeaving, "leaf %d got work %s after it was leaving", l.index, now-l.leavingSince)
 	}
 }
 
 // noteStarted counts an execution and checks that it may be one more.
-func (sim *simulator) recordExecution(l *emulatedLeaf, started *work) {
+func (s *simulator) recordExecution(l *emulatedLeaf, started *work) {
 	q := started.attempt.query
 	q.executions++
 	l.executed++
-	if sim.config.Service.Classes[q.class].Kind == KindOnce && q.executions > 1 {
-		sim.recordViolation(ViolationAtMostOnce, "query %d ran %d times", q.index, q.executions)
+	if s.config.Service.Classes[q.class].Kind == KindOnce && q.executions > 1 {
+		s.recordViolation(ViolationAtMostOnce, "query %d ran %d times", q.index, q.executions)
 	}
 }
 
 // checkEnd checks what only shows at the end of a run.
-func (sim *simulator) checkAfterRun() {
-	for _, q := range sim.queries {
+func (s *simulator) checkAfterRun() {
+	for _, q := range s.queries {
 		switch {
 		case q.lost:
 		case !q.finished:
 			if q.node != nil {
-				sim.recordViolation(ViolationFinish, "query %d was never finished", q.index)
+				s.recordViolation(ViolationFinish, "query %d was never finished", q.index)
 			}
 		case q.finish.Outcome == dispatch.OutcomeNotRun && q.executions > 0:
-			sim.recordViolation(ViolationNotRun, "query %d was called not run (%s) and ran %d times", q.index, q.finish.Reason, q.executions)
+			s.recordViolation(ViolationNotRun, "query %d was called not run (%s) and ran %d times", q.index, q.finish.Reason, q.executions)
 		}
 	}
 }
--- a/internal/rehearsal/simulation/network_test.go
+++ b/internal/rehearsal/simulation/network_test.go
@@ -26,15 +26,15 @@
 	delay                                time.Duration
 }
 
-func newNetwork(sim *simulator) *network {
-	n := &network{sim: sim, random: newRandom(sim.config.Seed, streamNetwork, 0)}
-	for _, from := range sim.nodes {
-		row := make([]*link, 0, len(sim.leaves))
-		for _, to := range sim.leaves {
+func newNetwork(s *simulator) *network {
+	n := &network{sim: s, random: newRandom(s.config.Seed, streamNetwork, 0)}
+	for _, from := range s.nodes {
+		row := make([]*link, 0, len(s.leaves))
+		for _, to := range s.leaves {
 			row = append(row, &link{
 				connections: 1,
 				inFlight:    make(map[dispatch.AttemptID]*attempt),
-				delay:       sim.oneWayDelay(from.zone, to.zone),
+				delay:       s.oneWayDelay(from.zone, to.zone),
 			})
 			to.connections++
 		}
@@ -44,11 +44,11 @@
 }
 
 // delay is the one-way delay between two zones.
-func (sim *simulator) oneWayDelay(from, to string) time.Duration {
+func (s *simulator) oneWayDelay(from, to string) time.Duration {
 	if from == to {
-		return sim.config.Deployment.Network.IntraZoneDelay
+		return s.config.Deployment.Network.IntraZoneDelay
 	}
-	return sim.config.Deployment.Network.InterZoneDelay
+	return s.config.Deployment.Network.InterZoneDelay
 }
 
 func (n *network) linkFor(a *attempt) *link { return n.links[a.node.index][a.leaf.index] }
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -28,9 +28,9 @@
 	down       bool
 }
 
-func newNode(sim *simulator, index int, zone string) *node {
+func newNode(s *simulator, index int, zone string) *node {
 	return &node{
-		sim: sim, index: index, zone: zone,
+		sim: s, index: index, zone: zone,
 		table:    topology.New(topology.DefaultConfig()),
 		attempts: make(map[dispatch.AttemptID]*attempt),
 		queries:  make(map[dispatch.QueryID]*query),
--- a/internal/rehearsal/simulation/result_test.go
+++ b/internal/rehearsal/simulation/result_test.go
@@ -29,15 +29,15 @@
 }
 
 // collect counts a finished query.
-func (sim *simulator) recordOutcome(q *query) {
-	sim.result.Outcomes[q.finish.Outcome]++
-	sim.result.TotalLatency += q.finishedAt - q.sentAt
+func (s *simulator) recordOutcome(q *query) {
+	s.result.Outcomes[q.finish.Outcome]++
+	s.result.TotalLatency += q.finishedAt - q.sentAt
 }
 
 // summarise completes the Result at the end of a run.
-func (sim *simulator) completeResult() {
-	sim.result.Queries = len(sim.queries)
-	for _, l := range sim.leaves {
-		sim.result.Leaves = append(sim.result.Leaves, LeafResult{Received: l.received, Executed: l.executed, BusyTime: l.busyTime})
+func (s *simulator) completeResult() {
+	s.result.Queries = len(s.queries)
+	for _, l := range s.leaves {
+		s.result.Leaves = append(s.result.Leaves, LeafResult{Received: l.received, Executed: l.executed, BusyTime: l.busyTime})
 	}
 }
--- a/internal/rehearsal/simulation/simulator_test.go
+++ b/internal/rehearsal/simulation/simulator_test.go
@@ -44,20 +44,20 @@
 	if err := config.validate(); err != nil {
 		return Result{}, err
 	}
-	sim := newSimulator(config)
-	sim.scheduleFaults()
-	sim.startPolling()
-	sim.startLeafTimers()
-	sim.scheduleLoad()
-	stopAt := sim.arrivalsEndAt + settleTime + sim.longestDeadline()
-	for steps := 0; sim.engine.now <= stopAt && sim.engine.step(); steps++ {
+	s := newSimulator(config)
+	s.scheduleFaults()
+	s.startPolling()
+	s.startLeafTimers()
+	s.scheduleLoad()
+	stopAt := s.arrivalsEndAt + settleTime + s.longestDeadline()
+	for steps := 0; s.engine.now <= stopAt && s.engine.step(); steps++ {
 		if steps%contextCheckInterval == 0 && ctx.Err() != nil {
 			return Result{}, ctx.Err()
 		}
 	}
-	sim.checkAfterRun()
-	sim.completeResult()
-	return sim.result, nil
+	s.checkAfterRun()
+	s.completeResult()
+	return s.result, nil
 }
 
 func (c *Config) validate() error {
@@ -76,7 +76,7 @@
 }
 
 func newSimulator(config Config) *simulator {
-	sim := &simulator{
+	s := &simulator{
 		config:          config,
 		leavesByAddress: make(map[netip.AddrPort]*emulatedLeaf),
 		faultRandom:     newRandom(config.Seed, streamFaults, 0),
@@ -87,36 +87,36 @@
 		result:          Result{Outcomes: make(map[dispatch.Outcome]int)},
 	}
 	for index := range config.Service.Leaves {
-		sim.leafVersions[index] = 1
-		sim.addLeaf(index)
+		s.leafVersions[index] = 1
+		s.addLeaf(index)
 	}
-	sim.catalog = sim.initialCatalog()
+	s.catalog = s.initialCatalog()
 	for index, zone := range config.Deployment.Nodes {
-		sim.nodes = append(sim.nodes, newNode(sim, index, zone))
+		s.nodes = append(s.nodes, newNode(s, index, zone))
 	}
-	sim.network = newNetwork(sim)
-	for _, n := range sim.nodes {
-		sim.startNode(n)
+	s.network = newNetwork(s)
+	for _, n := range s.nodes {
+		s.startNode(n)
 	}
-	return sim
+	return s
 }
 
-func (sim *simulator) addLeaf(index int) {
-	zones := sim.config.Deployment.Zones
+func (s *simulator) addLeaf(index int) {
+	zones := s.config.Deployment.Zones
 	l := &emulatedLeaf{
-		sim: sim, index: index,
+		sim: s, index: index,
 		address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(index >> 8), byte(index)}), 7101),
 		zone:    zones[index%len(zones)],
-		slots:   sim.config.Service.Slots,
+		slots:   s.config.Service.Slots,
 		boot:    1, slowFactor: 1,
 	}
 	l.holdings = []leaf.Holding{{
 		Snapshot: catalog.Snapshot{Version: 1, Epoch: 1},
-		Shards:   sim.config.Service.placement(index, sim.config.Service.Shards),
+		Shards:   s.config.Service.placement(index, s.config.Service.Shards),
 	}}
 	l.publishedLoad = l.loadSummary()
-	sim.leaves = append(sim.leaves, l)
-	sim.leavesByAddress[l.address] = l
+	s.leaves = append(s.leaves, l)
+	s.leavesByAddress[l.address] = l
 }
 
 // placement lists the shards of one leaf: replica r of shard s is on leaf
@@ -134,55 +134,55 @@
 }
 
 // firstCatalog is the configuration at the start of a run.
-func (sim *simulator) initialCatalog() *catalog.Catalog {
+func (s *simulator) initialCatalog() *catalog.Catalog {
 	service := catalog.Service{
-		Name: sim.config.Service.Name, Replicas: sim.config.Service.Replicas,
-		Partitions: []catalog.Partition{{Epoch: 1, Shards: sim.config.Service.Shards}},
+		Name: s.config.Service.Name, Replicas: s.config.Service.Replicas,
+		Partitions: []catalog.Partition{{Epoch: 1, Shards: s.config.Service.Shards}},
 		Leaves:     make(map[netip.AddrPort]catalog.Leaf),
 	}
-	for _, l := range sim.leaves {
+	for _, l := range s.leaves {
 		service.Leaves[l.address] = catalog.Leaf{Address: l.address, Zone: l.zone, AddedAt: 1}
 	}
 	return &catalog.Catalog{Revision: 1, Services: map[string]catalog.Service{service.Name: service}}
 }
 
 // introduce starts a node that knows all leaves.
-func (sim *simulator) startNode(n *node) {
-	n.decider = sim.newDecider(n.index, n.zone)
-	n.table.SetCatalog(sim.catalog)
-	for _, l := range sim.leaves {
+func (s *simulator) startNode(n *node) {
+	n.decider = s.newDecider(n.index, n.zone)
+	n.table.SetCatalog(s.catalog)
+	for _, l := range s.leaves {
 		n.table.Report(0, l.address, l.loadReport())
 	}
 	n.refreshTopology()
 }
 
 // shards is the number of shards of a partition epoch.
-func (sim *simulator) shardCount(epoch uint64) int {
-	if epoch == 0 || int(epoch) > len(sim.epochShards) {
+func (s *simulator) shardCount(epoch uint64) int {
+	if epoch == 0 || int(epoch) > len(s.epochShards) {
 		return 0
 	}
-	return sim.epochShards[epoch-1]
+	return s.epochShards[epoch-1]
 }
 
 // startPolling lets each node ask each leaf for its load, not all at once.
-func (sim *simulator) startPolling() {
-	every := sim.config.Deployment.Leaf.PollInterval
-	random := newRandom(sim.config.Seed, streamNetwork, 1)
-	for _, n := range sim.nodes {
-		for _, l := range sim.leaves {
-			sim.engine.scheduleAt(scale(every, random.Float64()), func() { n.poll(l) })
+func (s *simulator) startPolling() {
+	every := s.config.Deployment.Leaf.PollInterval
+	random := newRandom(s.config.Seed, streamNetwork, 1)
+	for _, n := range s.nodes {
+		for _, l := range s.leaves {
+			s.engine.scheduleAt(scale(every, random.Float64()), func() { n.poll(l) })
 		}
 	}
 }
 
 // startLeaves schedules the leaves' own rhythm: reports and pauses.
-func (sim *simulator) startLeafTimers() {
-	model := &sim.config.Deployment.Leaf
-	for _, l := range sim.leaves {
-		random := newRandom(sim.config.Seed, streamLeaves, uint64(l.index))
-		sim.engine.scheduleAt(scale(model.ReportLag, random.Float64()), l.publishLoad)
+func (s *simulator) startLeafTimers() {
+	model := &s.config.Deployment.Leaf
+	for _, l := range s.leaves {
+		random := newRandom(s.config.Seed, streamLeaves, uint64(l.index))
+		s.engine.scheduleAt(scale(model.ReportLag, random.Float64()), l.publishLoad)
 		if model.MeanPauseInterval > 0 {
-			sim.schedulePause(l, random)
+			s.schedulePause(l, random)
 		}
 	}
 }
@@ -195,19 +195,19 @@
 	}
 }
 
-func (sim *simulator) schedulePause(l *emulatedLeaf, random *rand.Rand) {
-	model := &sim.config.Deployment.Leaf
-	sim.engine.scheduleAfter(exponential(random, model.MeanPauseInterval), func() {
+func (s *simulator) schedulePause(l *emulatedLeaf, random *rand.Rand) {
+	model := &s.config.Deployment.Leaf
+	s.engine.scheduleAfter(exponential(random, model.MeanPauseInterval), func() {
 		l.pause(exponential(random, model.MeanPauseDuration))
-		if sim.engine.now < sim.arrivalsEndAt {
-			sim.schedulePause(l, random)
+		if s.engine.now < s.arrivalsEndAt {
+			s.schedulePause(l, random)
 		}
 	})
 }
 
-func (sim *simulator) longestDeadline() time.Duration {
+func (s *simulator) longestDeadline() time.Duration {
 	var longest time.Duration
-	for _, class := range sim.config.Service.Classes {
+	for _, class := range s.config.Service.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return longest
--- a/internal/rehearsal/simulation/work_test.go
+++ b/internal/rehearsal/simulation/work_test.go
@@ -98,22 +98,22 @@
 }
 
 // workLength is the work of a query on one shard, the same for every replica.
-func (sim *simulator) workDuration(q *query, shard, shards int) time.Duration {
-	class := &sim.config.Service.Classes[q.class]
-	hash := mix(mix(mix(sim.config.Seed, streamWork), q.index), uint64(shard))
+func (s *simulator) workDuration(q *query, shard, shards int) time.Duration {
+	class := &s.config.Service.Classes[q.class]
+	hash := mix(mix(mix(s.config.Seed, streamWork), q.index), uint64(shard))
 	length := scale(class.MeanServiceTime, lognormalFactor(hash, class.WorkSigma))
-	return scale(length, float64(sim.config.Service.Shards)/float64(max(shards, 1)))
+	return scale(length, float64(s.config.Service.Shards)/float64(max(shards, 1)))
 }
 
 // noisyLength adds what differs between two attempts at the same work.
-func (sim *simulator) addNoise(duration time.Duration, a *attempt) time.Duration {
-	class := &sim.config.Service.Classes[a.query.class]
-	hash := mix(mix(mix(sim.config.Seed, streamNoise), a.query.index), uint64(a.shard)<<32|uint64(a.leaf.index))
+func (s *simulator) addNoise(duration time.Duration, a *attempt) time.Duration {
+	class := &s.config.Service.Classes[a.query.class]
+	hash := mix(mix(mix(s.config.Seed, streamNoise), a.query.index), uint64(a.shard)<<32|uint64(a.leaf.index))
 	return scale(duration, lognormalFactor(hash, class.NoiseSigma))
 }
 
 // meanWork is the mean work of a query on one shard of an epoch.
-func (sim *simulator) meanWorkDuration(q *query, epoch uint64) time.Duration {
-	mean := sim.config.Service.Classes[q.class].MeanServiceTime
-	return scale(mean, float64(sim.config.Service.Shards)/float64(max(sim.shardCount(epoch), 1)))
+func (s *simulator) meanWorkDuration(q *query, epoch uint64) time.Duration {
+	mean := s.config.Service.Classes[q.class].MeanServiceTime
+	return scale(mean, float64(s.config.Service.Shards)/float64(max(s.shardCount(epoch), 1)))
 }
