--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -66,20 +66,20 @@
 
 // stopLeaf ends a leaf without warning. Its connections are reset if only the
 // process died; a silent machine shows after a timeout.
-func (s *simulator) stopLeaf(l *emulatedLeaf, state leafState) {
-	if l.state != leafUp {
+func (s *simulator) stopLeaf(l *emulatedLeaf, liveness leafLiveness) {
+	if l.liveness != leafUp {
 		return
 	}
-	l.stop(state)
+	l.stop(liveness)
 	after := time.Duration(0)
-	if state == leafSilent {
+	if liveness == leafSilent {
 		after = s.config.Deployment.Network.SilenceTimeout
 	}
 	s.network.breakLinks(l, after)
 }
 
 func (s *simulator) restartLeaf(l *emulatedLeaf) {
-	if l.state == leafUp {
+	if l.liveness == leafUp {
 		l.stop(leafCrashed)
 	}
 	l.restart()
@@ -136,9 +136,9 @@
 // listLeaving lets the machine list call a leaf leaving, for good. An operator
 // who adds the leaf again while the list lags overrides it.
 func (s *simulator) announceLeaving(l *emulatedLeaf) {
-	boot, added := l.bootID(), l.readdCount
+	boot, readdCount := l.bootID(), l.readdCount
 	s.engine.scheduleAfter(s.config.Deployment.Leaf.MachineListLag, func() {
-		if l.bootID() == boot && l.readdCount == added {
+		if l.bootID() == boot && l.readdCount == readdCount {
 			s.recordLeaving(l)
 		}
 		for _, n := range s.nodes {
@@ -170,7 +170,7 @@
 
 // install takes a catalog unless the node holds a newer one.
 func (n *node) installCatalog(next *catalog.Catalog) {
-	if next.Revision < n.topology.Revision {
+	if next.Revision < n.currentTopology.Revision {
 		return
 	}
 	n.table.SetCatalog(next)
@@ -226,23 +226,23 @@
 
 // addHoldings adds what the leaf does not hold yet.
 func (l *emulatedLeaf) addHoldings(loaded []leaf.Holding) {
-	if l.state != leafUp {
+	if l.liveness != leafUp {
 		return
 	}
-	holdings := slices.Clone(l.holdings)
+	updated := slices.Clone(l.updated)
 	for _, holding := range loaded {
-		held := slices.ContainsFunc(holdings, func(old leaf.Holding) bool { return old.Snapshot == holding.Snapshot })
+		held := slices.ContainsFunc(updated, func(old leaf.Holding) bool { return old.Snapshot == holding.Snapshot })
 		if !held {
-			holdings = append(holdings, holding)
+			updated = append(updated, holding)
 		}
 	}
-	l.holdings = holdings
+	l.updated = updated
 }
 
 // dropOldest drops all that is older than what the leaf loads now.
 func (l *emulatedLeaf) dropOlderHoldings(current []leaf.Holding) {
 	newest := current[len(current)-1].Snapshot
-	l.holdings = slices.DeleteFunc(slices.Clone(l.holdings), func(old leaf.Holding) bool {
+	l.updated = slices.DeleteFunc(slices.Clone(l.updated), func(old leaf.Holding) bool {
 		return old.Snapshot.Less(newest)
 	})
 }
--- a/internal/rehearsal/simulation/invariants_test.go
+++ b/internal/rehearsal/simulation/invariants_test.go
@@ -78,14 +78,14 @@
 	var covered shardSet
 	for _, answer := range q.finish.Answered {
 		a := n.attempts[answer.Attempt]
-		if a == nil || a.query != q || a.reply == nil {
+		if a == nil || a.query != q || a.receivedReply == nil {
 			s.recordViolation(ViolationCoverage, "query %d: shard %d has no reply of its own", q.index, answer.Shard)
 			continue
 		}
-		if a.reply.snapshot != q.finish.Snapshot {
-			s.recordViolation(ViolationSnapshot, "query %d: shard %d is of %v, the answer of %v", q.index, answer.Shard, a.reply.snapshot, q.finish.Snapshot)
+		if a.receivedReply.snapshot != q.finish.Snapshot {
+			s.recordViolation(ViolationSnapshot, "query %d: shard %d is of %v, the answer of %v", q.index, answer.Shard, a.receivedReply.snapshot, q.finish.Snapshot)
 		}
-		if a.reply.shard != answer.Shard || !covered.add(answer.Shard) {
+		if a.receivedReply.shard != answer.Shard || !covered.add(answer.Shard) {
 			s.recordViolation(ViolationCoverage, "query %d: shard %d merged wrongly", q.index, answer.Shard)
 		}
 	}
@@ -95,15 +95,15 @@
 // checkTotal checks that answered and missing shards are the needed ones.
 func (s *simulator) checkCoverage(q *query, covered shardSet) {
 	finish := &q.finish
-	shards := s.shardCount(finish.Snapshot.Epoch)
-	if shards == 0 {
+	shardCount := s.shardCount(finish.Snapshot.Epoch)
+	if shardCount == 0 {
 		s.recordViolation(ViolationCoverage, "query %d: unknown epoch %d", q.index, finish.Snapshot.Epoch)
 		return
 	}
-	required := shards
+	required := shardCount
 	if s.config.Service.Classes[q.class].Keyed() {
 		required = 1
-		if covered.add(int(q.keyHash % uint64(shards))) {
+		if covered.add(int(q.keyHash % uint64(shardCount))) {
 			s.recordViolation(ViolationCoverage, "query %d: its shard is neither answered nor missing", q.index)
 		}
 	}
--- a/internal/rehearsal/simulation/leaf_faults_test.go
+++ b/internal/rehearsal/simulation/leaf_faults_test.go
@@ -13,8 +13,8 @@
 }
 
 // stop drops everything: the process or the machine is gone.
-func (l *emulatedLeaf) stop(state leafState) {
-	l.state = state
+func (l *emulatedLeaf) stop(liveness leafLiveness) {
+	l.liveness = liveness
 	for _, work := range l.running {
 		work.state = workDone
 		l.busyTime += l.sim.engine.now - work.startedAt
@@ -30,12 +30,12 @@
 func (l *emulatedLeaf) restart() {
 	now := l.sim.engine.now
 	model := &l.sim.config.Deployment.Leaf
-	l.state = leafUp
+	l.liveness = leafUp
 	l.boot++
 	l.draining, l.leaving = false, false
 	l.pausedUntil = now
 	l.coldUntil = now + model.ColdDuration
 	l.warmAt = l.coldUntil + model.WarmUpDuration
-	l.holdings = l.sim.newestHoldings(l.index)
+	l.updated = l.sim.newestHoldings(l.index)
 	l.publishedLoad = l.loadSummary()
 }
--- a/internal/rehearsal/simulation/leaf_test.go
+++ b/internal/rehearsal/simulation/leaf_test.go
@@ -11,23 +11,23 @@
 )
 
 // leafState is whether a leaf's machine answers.
-type leafState uint8
+type leafLiveness uint8
 
 const (
-	leafUp leafState = iota
+	leafUp leafLiveness = iota
 	leafCrashed
 	leafSilent
 )
 
 // emulatedLeaf is one leaf: slots, a queue in order of arrival, and faults.
 type emulatedLeaf struct {
-	sim     *simulator
-	index   int
-	address netip.AddrPort
-	zone    string
-	slots   int
-	state   leafState
-	boot    int
+	sim      *simulator
+	index    int
+	address  netip.AddrPort
+	zone     string
+	slots    int
+	liveness leafLiveness
+	boot     int
 	// bootName is the id of the boot namedBoot.
 	cachedBootID string
 	cachedBoot   int
@@ -39,7 +39,7 @@
 	pausedUntil       Time
 	reportsIdle       bool
 	staleReplyRatio   float64
-	holdings          []leaf.Holding
+	updated           []leaf.Holding
 	connections       int
 	running           []*work
 	queue             []*work
@@ -81,14 +81,14 @@
 func (l *emulatedLeaf) loadReport() leaf.LoadReport {
 	return leaf.LoadReport{
 		BootID: l.bootID(), LoadSummary: l.publishedLoad,
-		Service: l.sim.config.Service.Name, Holdings: slices.Clone(l.holdings),
+		Service: l.sim.config.Service.Name, Holdings: slices.Clone(l.updated),
 	}
 }
 
 // holds reports whether the leaf has a shard at a snapshot, and whether it
 // has the partition epoch at all.
 func (l *emulatedLeaf) holds(snapshot catalog.Snapshot, shard int) (held, epochHeld bool) {
-	for _, holding := range l.holdings {
+	for _, holding := range l.updated {
 		if holding.Snapshot.Epoch != snapshot.Epoch || !slices.Contains(holding.Shards, shard) {
 			continue
 		}
--- a/internal/rehearsal/simulation/leaf_work_test.go
+++ b/internal/rehearsal/simulation/leaf_work_test.go
@@ -8,14 +8,14 @@
 
 // factor is how many times as long work takes that starts now.
 func (l *emulatedLeaf) slowdown() float64 {
-	factor := max(l.slowFactor, 1)
+	slowdown := max(l.slowFactor, 1)
 	now := l.sim.engine.now
 	warmUp := l.sim.config.Deployment.Leaf.WarmUpDuration
 	if now < l.warmAt && warmUp > 0 {
 		remaining := float64(l.warmAt-now) / float64(warmUp)
-		factor *= 1 + (l.sim.config.Deployment.Leaf.ColdFactor-1)*min(remaining, 1)
+		slowdown *= 1 + (l.sim.config.Deployment.Leaf.ColdFactor-1)*min(remaining, 1)
 	}
-	return factor
+	return slowdown
 }
 
 // start runs work in a free slot.
--- a/internal/rehearsal/simulation/network_test.go
+++ b/internal/rehearsal/simulation/network_test.go
@@ -17,7 +17,7 @@
 
 // link is the connections of one node to one leaf.
 type link struct {
-	connections int
+	openConnections int
 	// epoch grows when all connections break.
 	generation int
 	inFlight   map[dispatch.AttemptID]*attempt
@@ -32,9 +32,9 @@
 		row := make([]*link, 0, len(s.leaves))
 		for _, to := range s.leaves {
 			row = append(row, &link{
-				connections: 1,
-				inFlight:    make(map[dispatch.AttemptID]*attempt),
-				delay:       s.oneWayDelay(from.zone, to.zone),
+				openConnections: 1,
+				inFlight:        make(map[dispatch.AttemptID]*attempt),
+				delay:           s.oneWayDelay(from.zone, to.zone),
 			})
 			to.connections++
 		}
@@ -77,8 +77,8 @@
 	link := n.linkFor(a)
 	link.inFlight[a.id] = a
 	settings := &n.sim.config.Deployment.Network
-	full := len(link.inFlight) > link.connections*settings.MaxStreamsPerConnection
-	if link.connections == 0 || full && link.connections < settings.MaxConnectionsPerLink {
+	full := len(link.inFlight) > link.openConnections*settings.MaxStreamsPerConnection
+	if link.openConnections == 0 || full && link.openConnections < settings.MaxConnectionsPerLink {
 		n.dial(link, a)
 		return
 	}
@@ -88,15 +88,15 @@
 // dial opens a connection and then sends, or reports that nothing was sent.
 func (n *network) dial(link *link, a *attempt) {
 	settings := &n.sim.config.Deployment.Network
-	if a.leaf.state == leafSilent {
+	if a.leaf.liveness == leafSilent {
 		n.scheduleFailure(link, a, settings.DialTimeout, false)
 		return
 	}
-	if a.leaf.state == leafCrashed || a.leaf.connections >= n.sim.config.Service.MaxConnectionsPerLeaf {
+	if a.leaf.liveness == leafCrashed || a.leaf.connections >= n.sim.config.Service.MaxConnectionsPerLeaf {
 		n.scheduleFailure(link, a, 2*link.delay, false)
 		return
 	}
-	link.connections++
+	link.openConnections++
 	a.leaf.connections++
 	n.transmit(link, a, settings.ConnectionSetupTime)
 }
@@ -119,7 +119,7 @@
 	a.state = attemptSent
 	boot, generation := a.leaf.boot, link.generation
 	n.sim.engine.scheduleAt(n.nextRequestArrival(link, extra), func() {
-		if a.leaf.state != leafUp || a.leaf.boot != boot || link.generation != generation {
+		if a.leaf.liveness != leafUp || a.leaf.boot != boot || link.generation != generation {
 			a.work.state = workDone
 			n.failBrokenAttempt(link, a)
 			return
@@ -131,7 +131,7 @@
 // failBroken ends an attempt that reached a dead process on a live machine;
 // a silent machine says nothing, until breakLinks.
 func (n *network) failBrokenAttempt(link *link, a *attempt) {
-	if a.leaf.state == leafSilent {
+	if a.leaf.liveness == leafSilent {
 		return
 	}
 	n.scheduleFailure(link, a, link.delay, true)
@@ -147,7 +147,7 @@
 	}
 	boot := a.leaf.boot
 	n.sim.engine.scheduleAt(n.nextRequestArrival(link, 0), func() {
-		if a.leaf.state == leafUp && a.leaf.boot == boot {
+		if a.leaf.liveness == leafUp && a.leaf.boot == boot {
 			a.leaf.cancel(a.work)
 		}
 	})
@@ -193,7 +193,7 @@
 
 func (n *network) breakLink(link *link) {
 	link.generation++
-	link.connections = 0
+	link.openConnections = 0
 	for _, a := range sortedAttempts(link.inFlight) {
 		if a.state == attemptSent {
 			n.failAttempt(link, a, true)
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -14,14 +14,14 @@
 
 // node drives one Decider, as the scatter driver of a real node does.
 type node struct {
-	sim      *simulator
-	index    int
-	zone     string
-	decider  Decider
-	table    *topology.Table
-	topology dispatch.Topology
-	attempts map[dispatch.AttemptID]*attempt
-	queries  map[dispatch.QueryID]*query
+	sim             *simulator
+	index           int
+	zone            string
+	decider         Decider
+	table           *topology.Table
+	currentTopology dispatch.Topology
+	attempts        map[dispatch.AttemptID]*attempt
+	queries         map[dispatch.QueryID]*query
 	// wakeAt is when the next tick is scheduled; zero means none.
 	nextTickAt Time
 	thawAt     Time
@@ -128,11 +128,11 @@
 	}
 	n.attempts[a.id] = a
 	n.sim.result.Sends++
-	length := n.sim.workDuration(q, send.Shard, n.sim.shardCount(send.Snapshot.Epoch))
+	duration := n.sim.drawWorkDuration(q, send.Shard, n.sim.shardCount(send.Snapshot.Epoch))
 	a.work = &work{
 		attempt:       a,
 		startDeadline: n.sim.engine.now + send.Remaining,
-		duration:      n.sim.addNoise(length, a),
+		duration:      n.sim.addNoise(duration, a),
 		meanDuration:  n.sim.meanWorkDuration(q, send.Snapshot.Epoch),
 	}
 	n.sim.network.send(a)
@@ -174,7 +174,7 @@
 	if !n.endAttempt(a) {
 		return
 	}
-	a.reply = &answer
+	a.receivedReply = &answer
 	n.observeLeafState(a.leaf, answer.bootID, answer.load.State)
 	n.perform(n.decider.Reply(n.sim.engine.now, a.id, dispatch.Reply{
 		Shard: answer.shard, Snapshot: answer.snapshot, BootID: answer.bootID, Load: answer.load,
@@ -202,10 +202,10 @@
 func (n *node) refreshTopology() {
 	now := n.sim.engine.now
 	current, ok := n.table.Service(now, n.sim.config.Service.Name)
-	if !ok || equalTopologies(n.topology, current) {
+	if !ok || equalTopologies(n.currentTopology, current) {
 		return
 	}
-	n.topology = current
+	n.currentTopology = current
 	n.perform(n.decider.SetTopology(now, current))
 }
 
@@ -215,7 +215,7 @@
 	engine := &n.sim.engine
 	delay := n.sim.oneWayDelay(n.zone, l.zone)
 	engine.scheduleAfter(delay, func() {
-		if l.state != leafUp {
+		if l.liveness != leafUp {
 			engine.scheduleAfter(settings.Network.DialTimeout, func() {
 				n.deliver(func() { n.handlePollFailure(l) })
 			})
--- a/internal/rehearsal/simulation/simulator_test.go
+++ b/internal/rehearsal/simulation/simulator_test.go
@@ -110,7 +110,7 @@
 		slots:   s.config.Service.Slots,
 		boot:    1, slowFactor: 1,
 	}
-	l.holdings = []leaf.Holding{{
+	l.updated = []leaf.Holding{{
 		Snapshot: catalog.Snapshot{Version: 1, Epoch: 1},
 		Shards:   s.config.Service.placement(index, s.config.Service.Shards),
 	}}
--- a/internal/rehearsal/simulation/work_test.go
+++ b/internal/rehearsal/simulation/work_test.go
@@ -64,8 +64,8 @@
 	snapshot catalog.Snapshot
 	state    attemptState
 	// reply is kept when the leaf's answer reached the node.
-	reply *reply
-	work  *work
+	receivedReply *reply
+	work          *work
 }
 
 // reply is what a leaf sends back for an executed attempt.
@@ -98,11 +98,11 @@
 }
 
 // workLength is the work of a query on one shard, the same for every replica.
-func (s *simulator) workDuration(q *query, shard, shards int) time.Duration {
+func (s *simulator) drawWorkDuration(q *query, shard, shards int) time.Duration {
 	class := &s.config.Service.Classes[q.class]
 	hash := mix(mix(mix(s.config.Seed, streamWork), q.index), uint64(shard))
-	length := scale(class.MeanServiceTime, lognormalFactor(hash, class.WorkSigma))
-	return scale(length, float64(s.config.Service.Shards)/float64(max(shards, 1)))
+	duration := scale(class.MeanServiceTime, lognormalFactor(hash, class.WorkSigma))
+	return scale(duration, float64(s.config.Service.Shards)/float64(max(shards, 1)))
 }
 
 // noisyLength adds what differs between two attempts at the same work.
