--- a/internal/rehearsal/simulation/config_test.go
+++ b/internal/rehearsal/simulation/config_test.go
@@ -10,7 +10,7 @@
 // Time is virtual time since the start of a run.
 type Time = dispatch.Time
 
-// Deployment is the hardware of one site.
+// Deployment describes the zones, nodes, network and leaf behavior of one site.
 type Deployment struct {
 	Zones []string
 	// Nodes lists the zone of each node.
@@ -19,52 +19,53 @@
 	Leaf    LeafModel
 }
 
-// Network holds one-way delays and what connections cost.
+// Network holds the one-way delays and the connection limits between nodes and leaves.
 type Network struct {
 	IntraZoneDelay time.Duration
 	InterZoneDelay time.Duration
-	// Clients is the one-way delay between a client and any node.
+	// ClientDelay is the one-way delay between a client and any node.
 	ClientDelay time.Duration
-	// Jitter is the mean of an exponential addition to each delay between a
-	// node and a leaf. Messages of one node to one leaf stay in order.
+	// MeanJitter is the mean of an exponentially distributed addition to each delay between a node
+	// and a leaf. Messages from one node to one leaf stay in order.
 	MeanJitter time.Duration
-	// ConnectionCost is the time to open a connection.
+	// ConnectionSetupTime is the additional delay of a request that opens a connection.
 	ConnectionSetupTime time.Duration
-	// ConnectionsPerNode bounds the connections that a node keeps to a leaf.
+	// MaxConnectionsPerLink bounds the connections from one node to one leaf.
 	MaxConnectionsPerLink int
-	// StreamsPerConnection is how many requests a connection carries before
-	// the node opens another one.
+	// MaxStreamsPerConnection is the number of concurrent requests on a connection above which the
+	// node opens another one.
 	MaxStreamsPerConnection int
-	// SilenceTimeout is how long a node waits before it gives up a connection
-	// to a machine that fell silent; DialTimeout is the same for a new one.
+	// SilenceTimeout is how long a node waits before it closes a connection to a machine that
+	// stopped responding.
 	SilenceTimeout time.Duration
-	DialTimeout    time.Duration
+	// DialTimeout is how long a node waits for a new connection to such a machine.
+	DialTimeout time.Duration
 }
 
-// LeafModel is how leaves behave, whatever their service.
+// LeafModel describes the behavior of all leaves, independent of their service.
 type LeafModel struct {
-	// QueueLimit bounds the requests that wait in a leaf; more are shed.
+	// QueueLimit bounds the queue of a leaf. Requests beyond it are shed.
 	QueueLimit int
-	// PauseEvery and PauseFor are the means of exponential distributions: a
-	// leaf stops for garbage collection. Zero turns pauses off.
+	// MeanPauseInterval and MeanPauseDuration are the means of exponential distributions. Pauses
+	// model garbage collection; a zero MeanPauseInterval turns them off.
 	MeanPauseInterval time.Duration
 	MeanPauseDuration time.Duration
-	// ColdRefuse is how long a restarted leaf refuses work as cold; after
-	// that its work takes ColdFactor times as long, falling to 1 over WarmUp.
+	// ColdDuration is how long a restarted leaf refuses work as cold. Work after that takes
+	// ColdFactor times as long; the factor falls linearly to 1 over WarmUpDuration.
 	ColdDuration   time.Duration
 	WarmUpDuration time.Duration
 	ColdFactor     float64
-	// ReportEvery is how often a node polls a leaf's load; ReportLag is how
-	// old the state may be that a leaf reports.
+	// PollInterval is how often a node polls the load of a leaf.
 	PollInterval time.Duration
-	ReportLag    time.Duration
-	// MachineListLag is the delay of the machine list, and CommandLag the
-	// longest delay of an operator's command, until a node receives it.
+	// ReportLag is the maximum age of the state that a leaf reports.
+	ReportLag time.Duration
+	// MachineListLag is the delay until nodes receive a change of the machine list.
 	MachineListLag time.Duration
-	CommandLag     time.Duration
+	// CommandLag is the maximum delay until a node receives an operator's command.
+	CommandLag time.Duration
 }
 
-// Service is one service and its leaves.
+// Service describes a service, its leaves and its query classes.
 type Service struct {
 	Name                  string
 	Leaves                int
@@ -75,41 +76,41 @@
 	Classes               []Class
 }
 
-// Kind is what a query of a class needs.
+// Kind is the number of shards that a query needs and whether it may be repeated.
 type Kind string
 
-// The kinds of classes.
+// Each class of queries has one of these kinds.
 const (
-	KindSweep  Kind = "sweep"  // every shard, long
-	KindCheck  Kind = "check"  // every shard, short
+	KindSweep  Kind = "sweep"  // all shards, long-running
+	KindCheck  Kind = "check"  // all shards, short
 	KindLookup Kind = "lookup" // one shard
-	KindOnce   Kind = "once"   // one shard, may not be repeated
+	KindOnce   Kind = "once"   // one shard, must not be repeated
 )
 
-// Class is one class of queries and its share of the arrivals.
+// Class describes a class of queries.
 type Class struct {
 	Name string
 	Kind Kind
-	// Share is the weight of the class among the arrivals of its service.
+	// Weight is the relative frequency of the class among the arrivals of its service.
 	Weight   float64
 	Priority int
 	Deadline time.Duration
-	// MinimumCoverage is what the queries ask for.
+	// MinimumCoverage is the share of shards that an answer must cover.
 	MinimumCoverage float64
 	HedgePercentile float64
 	ExtraLoad       float64
-	// Mean is the mean service time on one shard of the first partition.
+	// MeanServiceTime is the mean service time on one shard of the initial partition.
 	MeanServiceTime time.Duration
-	// WorkSigma spreads the work between queries and shards, NoiseSigma
-	// between two attempts at the same work; both are lognormal.
+	// WorkSigma is the sigma of a lognormal factor that differs between queries and shards.
+	// NoiseSigma is the sigma of one that differs between attempts at the same work.
 	WorkSigma  float64
 	NoiseSigma float64
 }
 
-// Keyed reports whether a query of the class needs one shard only.
+// Keyed reports whether a query of the class needs only the shard of its key.
 func (c Class) Keyed() bool { return c.Kind == KindLookup || c.Kind == KindOnce }
 
-// catalogClass is the class as the operators would have defined it.
+// catalogClass converts the class to its definition in the catalog.
 func (c Class) catalogClass(service string) catalog.Class {
 	return catalog.Class{
 		Name: c.Name, Service: service, Priority: c.Priority,
@@ -119,45 +120,45 @@
 	}
 }
 
-// Scenario is the load and the faults over the time of a run.
+// Scenario holds the load and the faults of a run.
 type Scenario struct {
 	// Duration is how long queries arrive.
 	Duration time.Duration
 	Load     []LoadStep
 	Faults   []Fault
-	// CancelShare is the share of queries whose client goes away early.
+	// CancelRatio is the share of queries whose client cancels before the deadline.
 	CancelRatio float64
 }
 
-// LoadStep sets the offered load from a moment on: 1 is the rate at which the
-// mean work would keep all slots busy.
+// LoadStep sets the offered load from a point in time on. Level 1 is the rate at which the mean
+// work keeps all slots busy.
 type LoadStep struct {
 	At    time.Duration
 	Level float64
 }
 
-// FaultKind says what goes wrong.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The kinds of faults. Leaf, Zone, Node, Factor and Shards of a Fault are used
-// as noted; Duration zero means until the end of the run.
+// Each kind uses the fields of Fault that its comment names. A zero Duration means until the end
+// of the run.
 const (
-	FaultSlow               FaultKind = "slow"         // Leaf works Factor times as long
-	FaultPause              FaultKind = "pause"        // Leaf stops for Duration
-	FaultCrash              FaultKind = "crash"        // Leaf's process dies, connections reset; back after Duration
-	FaultSilence            FaultKind = "lose"         // Leaf's machine falls silent; back after Duration
-	FaultSilenceZone        FaultKind = "lose_zone"    // all leaves and nodes of Zone fall silent; leaves come back
-	FaultDrain              FaultKind = "drain"        // Leaf drains by itself; new boot after Duration
-	FaultRetire             FaultKind = "retire"       // an operator retires Leaf; added again after Duration
-	FaultMachineListLeaving FaultKind = "list_leaving" // the machine list calls Leaf leaving
-	FaultFalseReport        FaultKind = "lie"          // Leaf reports that it is idle
-	FaultStaleReply         FaultKind = "stale_reply"  // Leaf echoes another snapshot in a share Factor of its replies
-	FaultRollout            FaultKind = "roll"         // a new index version spreads over Duration; old ones stay Factor times as long
-	FaultRepartition        FaultKind = "repartition"  // a new partition of Shards (0: twice as many) spreads over Duration
-	FaultFreezeNode         FaultKind = "freeze_node"  // Node stops for Duration
+	FaultSlow               FaultKind = "slow"         // work on Leaf takes Factor times as long
+	FaultPause              FaultKind = "pause"        // Leaf pauses for Duration
+	FaultCrash              FaultKind = "crash"        // the process of Leaf dies and its connections are reset; it restarts after Duration
+	FaultSilence            FaultKind = "lose"         // the machine of Leaf stops responding; it restarts after Duration
+	FaultSilenceZone        FaultKind = "lose_zone"    // all leaves and nodes of Zone stop responding; the leaves restart after Duration
+	FaultDrain              FaultKind = "drain"        // Leaf starts to drain; it restarts after Duration
+	FaultRetire             FaultKind = "retire"       // an operator retires Leaf and adds it again after Duration
+	FaultMachineListLeaving FaultKind = "list_leaving" // the machine list reports Leaf as leaving
+	FaultFalseReport        FaultKind = "lie"          // Leaf reports that it is idle for Duration
+	FaultStaleReply         FaultKind = "stale_reply"  // Leaf reports another snapshot in a share Factor of its replies
+	FaultRollout            FaultKind = "roll"         // leaves load a new index version over Duration; they keep old ones up to 1+Factor times as long
+	FaultRepartition        FaultKind = "repartition"  // leaves load a new partition with Shards shards (0: twice as many as before) over Duration
+	FaultFreezeNode         FaultKind = "freeze_node"  // Node is frozen for Duration
 )
 
-// Fault is one entry of a schedule.
+// Fault is a fault that starts at a fixed point in virtual time.
 type Fault struct {
 	Kind     FaultKind
 	At       time.Duration
@@ -169,17 +170,16 @@
 	Shards   int
 }
 
-// Config is everything that a run depends on.
+// Config holds all inputs of a run.
 type Config struct {
 	Deployment Deployment
 	Service    Service
 	Scenario   Scenario
 	Seed       uint64
-	// Wrap, if set, stands between a node and its Dispatcher.
+	// WrapDecider, if set, wraps the Dispatcher of each node.
 	WrapDecider func(Decider) Decider
 }
 
-// leavingBound is how long after the first report of its leaving a leaf may
-// still get new work: the longest lag of a command, or two polls of the load,
-// with a margin.
+// leavingBound is how long a leaf may receive new work after the first source reported it as
+// leaving. It covers the maximum lag of a command, or two polls of the load, with a margin.
 const leavingBound = 2 * time.Second
--- a/internal/rehearsal/simulation/decider_test.go
+++ b/internal/rehearsal/simulation/decider_test.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Decider is what a node drives: the Dispatcher, or one that a test has broken.
+// Decider is the interface of a dispatch.Dispatcher, which a test may wrap.
 type Decider interface {
 	Submit(now dispatch.Time, query dispatch.Query) []dispatch.Action
 	Reply(now dispatch.Time, attempt dispatch.AttemptID, reply dispatch.Reply) []dispatch.Action
@@ -20,7 +20,7 @@
 	NextTick() (dispatch.Time, bool)
 }
 
-// newDecider builds the Decider of one node.
+// newDecider returns the Decider of a node.
 func (s *simulator) newDecider(node int, zone string) Decider {
 	config := dispatch.DefaultConfig()
 	config.Zone = zone
--- a/internal/rehearsal/simulation/engine_test.go
+++ b/internal/rehearsal/simulation/engine_test.go
@@ -1,30 +1,31 @@
 package simulation
 
-// event is something that happens at a moment of virtual time.
+// event is an action that runs at a point in virtual time.
 type event struct {
 	at       Time
 	sequence uint64
 	action   func()
 }
 
-// engine runs events in order of time, and of scheduling within one moment.
+// engine runs events in order of their time. Events of the same time run in the order in which
+// they were scheduled.
 type engine struct {
 	now      Time
 	sequence uint64
 	heap     []event
 }
 
-// at schedules an event; a moment in the past means now.
+// scheduleAt schedules an action. A time in the past is replaced by the current time.
 func (e *engine) scheduleAt(moment Time, action func()) {
 	e.sequence++
 	e.heap = append(e.heap, event{at: max(moment, e.now), sequence: e.sequence, action: action})
 	e.siftUp(len(e.heap) - 1)
 }
 
-// after schedules an event some time from now.
+// scheduleAfter schedules an action after a delay.
 func (e *engine) scheduleAfter(delay Time, action func()) { e.scheduleAt(e.now+delay, action) }
 
-// step runs the next event. It reports false if there is none.
+// step runs the next event and reports whether there was one.
 func (e *engine) step() bool {
 	if len(e.heap) == 0 {
 		return false
--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -9,14 +9,14 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// scheduleFaults puts the faults of the scenario on the schedule.
+// scheduleFaults schedules the faults of the scenario.
 func (s *simulator) scheduleFaults() {
 	for _, fault := range s.config.Scenario.Faults {
 		s.engine.scheduleAt(fault.At, func() { s.injectFault(fault) })
 	}
 }
 
-// later undoes a fault after its duration, if it has one.
+// scheduleUndo schedules the end of a fault that has a duration.
 func (s *simulator) scheduleUndo(fault Fault, undo func()) {
 	if fault.Duration > 0 {
 		s.engine.scheduleAfter(fault.Duration, undo)
@@ -64,8 +64,8 @@
 	}
 }
 
-// stopLeaf ends a leaf without warning. Its connections are reset if only the
-// process died; a silent machine shows after a timeout.
+// stopLeaf stops a leaf abruptly. If only the process crashed, its connections are reset at once.
+// If the machine stopped responding, nodes notice only after SilenceTimeout.
 func (s *simulator) stopLeaf(l *emulatedLeaf, liveness leafLiveness) {
 	if l.liveness != leafUp {
 		return
@@ -86,8 +86,8 @@
 	s.network.breakLinks(l, 0)
 }
 
-// loseZone takes the leaves and the nodes of a zone away. The leaves come back
-// if the fault has a duration; the nodes' queries are lost with them.
+// silenceZone stops all leaves and nodes of a zone. The leaves restart if the fault has a
+// duration; the nodes stay down and their queries are lost.
 func (s *simulator) silenceZone(fault Fault) {
 	for _, l := range s.leaves {
 		if l.zone == fault.Zone {
@@ -106,7 +106,7 @@
 	}
 }
 
-// noteLeaving remembers when the first source called the leaf leaving.
+// recordLeaving records when the first source reported the leaf as leaving.
 func (s *simulator) recordLeaving(l *emulatedLeaf) {
 	if !l.leaving {
 		l.leaving = true
@@ -114,8 +114,8 @@
 	}
 }
 
-// retire changes the catalog by an operator's command; nodes receive it within
-// the lag of commands.
+// setRetiring changes the catalog as an operator's command does. Nodes receive the change within
+// CommandLag.
 func (s *simulator) setRetiring(l *emulatedLeaf, retiring bool) {
 	s.updateCatalog(func(service *catalog.Service, revision uint64) {
 		changed := service.Leaves[l.address]
@@ -133,8 +133,9 @@
 	}
 }
 
-// listLeaving lets the machine list call a leaf leaving, for good. An operator
-// who adds the leaf again while the list lags overrides it.
+// announceLeaving reports the current boot of a leaf as leaving in the machine list, permanently.
+// The report does not count if the leaf restarts, or an operator adds it again, before the list is
+// updated.
 func (s *simulator) announceLeaving(l *emulatedLeaf) {
 	boot, readdCount := l.bootID(), l.readdCount
 	s.engine.scheduleAfter(s.config.Deployment.Leaf.MachineListLag, func() {
@@ -150,7 +151,7 @@
 	})
 }
 
-// changeCatalog makes the next revision and spreads it to the nodes.
+// updateCatalog creates the next revision of the catalog and sends it to all nodes.
 func (s *simulator) updateCatalog(change func(service *catalog.Service, revision uint64)) {
 	next := *s.catalog
 	next.Revision++
@@ -168,7 +169,7 @@
 	}
 }
 
-// install takes a catalog unless the node holds a newer one.
+// installCatalog installs a catalog unless the node has a newer one.
 func (n *node) installCatalog(next *catalog.Catalog) {
 	if next.Revision < n.currentTopology.Revision {
 		return
@@ -177,8 +178,8 @@
 	n.refreshTopology()
 }
 
-// roll gives every leaf the next index version, one after another, and takes
-// the older ones away after as long again and kept times the spread.
+// rollOutVersion loads the next index version on every leaf, at a random time within spread. A
+// leaf drops its older versions after a further random part of spread plus retention times spread.
 func (s *simulator) rollOutVersion(spread time.Duration, retention float64) {
 	for _, l := range s.leaves {
 		load := scale(spread, s.faultRandom.Float64())
@@ -191,8 +192,8 @@
 	}
 }
 
-// repartition adds a partition, which the leaves load one after another. Zero
-// shards means that each shard is split in two.
+// repartition adds a partition that every leaf loads at a random time within spread. If shards is
+// zero, each shard is split in two.
 func (s *simulator) repartition(shards int, spread time.Duration) {
 	if shards == 0 {
 		shards = 2 * s.epochShards[len(s.epochShards)-1]
@@ -213,8 +214,8 @@
 	}
 }
 
-// currentHoldings is what a leaf would load now: its newest index version in
-// the newest partition.
+// newestHoldings returns what a leaf loads now: the newest index version that it was given, in the
+// newest partition.
 func (s *simulator) newestHoldings(index int) []leaf.Holding {
 	partitions := s.catalog.Services[s.config.Service.Name].Partitions
 	newest := partitions[len(partitions)-1]
@@ -224,7 +225,7 @@
 	}}
 }
 
-// addHoldings adds what the leaf does not hold yet.
+// addHoldings adds the holdings whose snapshots the leaf does not hold yet.
 func (l *emulatedLeaf) addHoldings(loaded []leaf.Holding) {
 	if l.liveness != leafUp {
 		return
@@ -239,7 +240,7 @@
 	l.updated = updated
 }
 
-// dropOldest drops all that is older than what the leaf loads now.
+// dropOlderHoldings drops all holdings with older snapshots than the current ones.
 func (l *emulatedLeaf) dropOlderHoldings(current []leaf.Holding) {
 	newest := current[len(current)-1].Snapshot
 	l.updated = slices.DeleteFunc(slices.Clone(l.updated), func(old leaf.Holding) bool {
--- a/internal/rehearsal/simulation/faulty_decider_test.go
+++ b/internal/rehearsal/simulation/faulty_decider_test.go
@@ -7,8 +7,8 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// broken wraps a Decider and breaks one promise, to see that the checks of a
-// run notice.
+// faultyDecider wraps a Decider and changes the Finish actions that follow a reply, so that a run
+// breaks an invariant.
 type faultyDecider struct {
 	Decider
 	editFinish func(dispatch.Finish) []dispatch.Action
@@ -43,7 +43,7 @@
 		config := testConfig(1, time.Second)
 		config.WrapDecider = func(d Decider) Decider { return &faultyDecider{Decider: d, editFinish: edit} }
 		if result := mustRun(t, config); result.Violations[violation] == 0 {
-			t.Errorf("%s: not noticed; %v", violation, result.Violations)
+			t.Errorf("violations = %v, want at least one %q", result.Violations, violation)
 		}
 	}
 }
--- a/internal/rehearsal/simulation/invariants_test.go
+++ b/internal/rehearsal/simulation/invariants_test.go
@@ -6,35 +6,34 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// Violation names a promise that a run broke.
+// Violation names the invariant that a run violated.
 type Violation string
 
-// The promises that every run checks.
+// These invariants are checked in every run.
 const (
-	// ViolationSnapshot: an answer merged a reply of another snapshot.
+	// ViolationSnapshot: an answer contains a reply from another snapshot.
 	ViolationSnapshot Violation = "snapshot"
-	// ViolationCoverage: the coverage was not what was merged.
+	// ViolationCoverage: the reported coverage differs from the merged replies.
 	ViolationCoverage Violation = "coverage"
-	// ViolationNotRun: a request that was called not run did run.
+	// ViolationNotRun: a query that was reported as not run was executed.
 	ViolationNotRun Violation = "not_run"
-	// ViolationOnce: a request that may not be repeated ran twice, or ran and
-	// was called failed.
+	// ViolationAtMostOnce: a query that must not be repeated was executed more than once.
 	ViolationAtMostOnce Violation = "at_most_once"
-	// ViolationLeaving: a leaving leaf got new work after the bound.
+	// ViolationLeaving: a leaving leaf received new work after leavingBound.
 	ViolationLeaving Violation = "leaving"
-	// ViolationFinish: a query was finished twice, late or never.
+	// ViolationFinish: a query was finished twice, late or never, or was not submitted.
 	ViolationFinish Violation = "finish"
-	// ViolationAction: an action made no sense to the driver.
+	// ViolationAction: the node cannot carry out an action of its Decider.
 	ViolationAction Violation = "action"
 )
 
 // finishTolerance is how long after its deadline a query may be finished.
 const finishTolerance = minimumTick
 
-// keptExamples bounds the descriptions kept of each violation.
+// maxExamples bounds the descriptions that a Result keeps of each violation.
 const maxExamples = 3
 
-// violate counts a broken promise.
+// recordViolation counts a violation and keeps the first maxExamples descriptions.
 func (s *simulator) recordViolation(violation Violation, format string, arguments ...any) {
 	if s.result.Violations == nil {
 		s.result.Violations = make(map[Violation]int)
@@ -46,12 +45,12 @@
 	}
 }
 
-// checkFinish checks an answer against what the leaves sent.
+// checkFinish compares a finished query with the replies that its leaves sent.
 func (s *simulator) checkFinish(n *node, q *query) {
 	finish := &q.finish
 	s.checkDeadline(n, q)
 	if finish.Outcome == dispatch.OutcomeNotRun && len(finish.Answered) > 0 {
-		s.recordViolation(ViolationNotRun, "query %d: not run, with answers", q.index)
+		s.recordViolation(ViolationNotRun, "query %d: reported as not run with answers", q.index)
 	}
 	if finish.Outcome != dispatch.OutcomeAnswered && finish.Outcome != dispatch.OutcomePartial {
 		return
@@ -59,13 +58,14 @@
 	covered := s.checkReplies(n, q)
 	for _, shard := range finish.Missing {
 		if !covered.add(shard) {
-			s.recordViolation(ViolationCoverage, "query %d: shard %d answered and missing", q.index, shard)
+			s.recordViolation(ViolationCoverage, "query %d: shard %d is both answered and missing", q.index, shard)
 		}
 	}
 	s.checkCoverage(q, covered)
 }
 
-// checkDeadline allows a late finish only to a node that was frozen.
+// checkDeadline checks that the query was finished by its deadline. Only a node that was frozen at
+// the deadline may finish it later.
 func (s *simulator) checkDeadline(n *node, q *query) {
 	late := q.finishedAt > q.deadline+finishTolerance
 	if late && n.thawAt < q.deadline {
@@ -73,26 +73,26 @@
 	}
 }
 
-// checkAnswered checks each merged reply and returns the shards they cover.
+// checkReplies checks each merged reply and returns the shards that the replies cover.
 func (s *simulator) checkReplies(n *node, q *query) shardSet {
 	var covered shardSet
 	for _, answer := range q.finish.Answered {
 		a := n.attempts[answer.Attempt]
 		if a == nil || a.query != q || a.receivedReply == nil {
-			s.recordViolation(ViolationCoverage, "query %d: shard %d has no reply of its own", q.index, answer.Shard)
+			s.recordViolation(ViolationCoverage, "query %d: answer for shard %d has no reply to this query", q.index, answer.Shard)
 			continue
 		}
 		if a.receivedReply.snapshot != q.finish.Snapshot {
-			s.recordViolation(ViolationSnapshot, "query %d: shard %d is of %v, the answer of %v", q.index, answer.Shard, a.receivedReply.snapshot, q.finish.Snapshot)
+			s.recordViolation(ViolationSnapshot, "query %d: reply of shard %d is from snapshot %v, the answer from %v", q.index, answer.Shard, a.receivedReply.snapshot, q.finish.Snapshot)
 		}
 		if a.receivedReply.shard != answer.Shard || !covered.add(answer.Shard) {
-			s.recordViolation(ViolationCoverage, "query %d: shard %d merged wrongly", q.index, answer.Shard)
+			s.recordViolation(ViolationCoverage, "query %d: shard %d is merged twice or from the reply of another shard", q.index, answer.Shard)
 		}
 	}
 	return covered
 }
 
-// checkTotal checks that answered and missing shards are the needed ones.
+// checkCoverage checks that the answered and the missing shards together are the required ones.
 func (s *simulator) checkCoverage(q *query, covered shardSet) {
 	finish := &q.finish
 	shardCount := s.shardCount(finish.Snapshot.Epoch)
@@ -104,39 +104,41 @@
 	if s.config.Service.Classes[q.class].Keyed() {
 		required = 1
 		if covered.add(int(q.keyHash % uint64(shardCount))) {
-			s.recordViolation(ViolationCoverage, "query %d: its shard is neither answered nor missing", q.index)
+			s.recordViolation(ViolationCoverage, "query %d: the shard of its key is neither answered nor missing", q.index)
 		}
 	}
 	reported := len(finish.Answered) + len(finish.Missing)
 	complete := len(finish.Missing) == 0
 	if finish.Total != required || reported != required || complete != (finish.Outcome == dispatch.OutcomeAnswered) {
-		s.recordViolation(ViolationCoverage, "query %d: %s with %d answered, %d missing of %d; needed %d",
+		s.recordViolation(ViolationCoverage, "query %d: outcome %s with %d shards answered and %d missing of %d, want %d",
 			q.index, finish.Outcome, len(finish.Answered), len(finish.Missing), finish.Total, required)
 	}
 }
 
-// noteReceived counts work that reaches a leaf and checks that it may. A node
-// that was frozen learns of the leaving when it thaws.
+// recordReceived counts work that arrives at a leaf and checks that the leaf may still receive it.
+// A frozen node learns that a leaf is leaving only when it thaws.
 func (s *simulator) recordReceived(l *emulatedLeaf, received *work) {
 	now := s.engine.now
 	l.received++
 	since := max(l.leavingSince, received.attempt.node.thawAt)
 	if l.leaving && now > since+leavingBound {
-		s.recordViolation(ViolationLeaving, "leaf %d got work %s after it was leaving", l.index, now-l.leavingSince)
+		s.recordViolation(ViolationLeaving, "leaf %d received work %s after it began to leave", l.index, now-l.leavingSince)
 	}
 }
 
-// noteStarted counts an execution and checks that it may be one more.
+// recordExecution counts an execution and checks that a query that must not be repeated has only
+// one.
 func (s *simulator) recordExecution(l *emulatedLeaf, started *work) {
 	q := started.attempt.query
 	q.executions++
 	l.executed++
 	if s.config.Service.Classes[q.class].Kind == KindOnce && q.executions > 1 {
-		s.recordViolation(ViolationAtMostOnce, "query %d ran %d times", q.index, q.executions)
+		s.recordViolation(ViolationAtMostOnce, "query %d was executed %d times, want at most once", q.index, q.executions)
 	}
 }
 
-// checkEnd checks what only shows at the end of a run.
+// checkAfterRun checks for queries that were never finished, and for executions of queries that
+// were reported as not run.
 func (s *simulator) checkAfterRun() {
 	for _, q := range s.queries {
 		switch {
@@ -146,7 +148,7 @@
 				s.recordViolation(ViolationFinish, "query %d was never finished", q.index)
 			}
 		case q.finish.Outcome == dispatch.OutcomeNotRun && q.executions > 0:
-			s.recordViolation(ViolationNotRun, "query %d was called not run (%s) and ran %d times", q.index, q.finish.Reason, q.executions)
+			s.recordViolation(ViolationNotRun, "query %d was reported as not run (%s) but executed %d times", q.index, q.finish.Reason, q.executions)
 		}
 	}
 }
--- a/internal/rehearsal/simulation/leaf_admission_test.go
+++ b/internal/rehearsal/simulation/leaf_admission_test.go
@@ -6,12 +6,12 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// receive takes work that arrived over the network.
+// receive admits, queues or refuses work that arrived over the network.
 func (l *emulatedLeaf) receive(work *work) {
 	if work.state == workDone {
-		return // cancelled on the way
+		return // canceled in transit
 	}
-	l.sim.recordReceived(l, work)
+	l.simulator.recordReceived(l, work)
 	if refusal := l.checkAdmission(work); refusal != leaf.RefusedNone {
 		l.refuse(work, refusal)
 		return
@@ -24,9 +24,9 @@
 	l.queue = append(l.queue, work)
 }
 
-// refusalOf decides whether the leaf takes the work.
+// checkAdmission returns the reason to refuse the work, or leaf.RefusedNone.
 func (l *emulatedLeaf) checkAdmission(work *work) leaf.Refusal {
-	now := l.sim.engine.now
+	now := l.simulator.engine.now
 	if l.draining {
 		return leaf.RefusedDraining
 	}
@@ -42,7 +42,7 @@
 	if len(l.running) < l.slots {
 		return leaf.RefusedNone
 	}
-	if len(l.queue) >= l.sim.config.Deployment.Leaf.QueueLimit || now+l.predictWait() > work.startDeadline {
+	if len(l.queue) >= l.simulator.config.Deployment.Leaf.QueueLimit || now+l.predictWait() > work.startDeadline {
 		return leaf.RefusedShed
 	}
 	return leaf.RefusedNone
@@ -59,7 +59,7 @@
 	return leaf.RefusedMoved
 }
 
-// predictedWait is the leaf's own guess from the means of what waits.
+// predictWait estimates the queueing delay from the mean durations of the queued work.
 func (l *emulatedLeaf) predictWait() time.Duration {
 	var waiting time.Duration
 	for _, queued := range l.queue {
@@ -68,12 +68,12 @@
 	return scale(waiting, l.slowdown()) / time.Duration(l.slots)
 }
 
-// refuse answers that the work ran nowhere here.
+// refuse replies that the leaf did not execute the work.
 func (l *emulatedLeaf) refuse(work *work, refusal leaf.Refusal) {
 	work.state = workDone
 	var retryAfter time.Duration
 	if refusal == leaf.RefusedShed {
 		retryAfter = l.predictWait()
 	}
-	l.sim.network.deliverRefusal(work.attempt, refusal, retryAfter)
+	l.simulator.network.deliverRefusal(work.attempt, refusal, retryAfter)
 }
--- a/internal/rehearsal/simulation/leaf_faults_test.go
+++ b/internal/rehearsal/simulation/leaf_faults_test.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// pause stops the leaf until a moment: running work ends later by as much.
+// pause stops the leaf for a duration. Running work finishes later by the time that the pause
+// adds.
 func (l *emulatedLeaf) pause(length time.Duration) {
-	now := l.sim.engine.now
+	now := l.simulator.engine.now
 	begin := max(now, l.pausedUntil)
 	l.pausedUntil = max(l.pausedUntil, now+length)
 	for _, work := range l.running {
@@ -12,12 +13,12 @@
 	}
 }
 
-// stop drops everything: the process or the machine is gone.
+// stop drops all work and connections, as when the process or the machine is gone.
 func (l *emulatedLeaf) stop(liveness leafLiveness) {
 	l.liveness = liveness
 	for _, work := range l.running {
 		work.state = workDone
-		l.busyTime += l.sim.engine.now - work.startedAt
+		l.busyTime += l.simulator.engine.now - work.startedAt
 	}
 	for _, work := range l.queue {
 		work.state = workDone
@@ -26,16 +27,16 @@
 	l.connections = 0
 }
 
-// restart brings the leaf back as a new boot, cold.
+// restart starts the leaf with a new boot id, cold and with the newest holdings.
 func (l *emulatedLeaf) restart() {
-	now := l.sim.engine.now
-	model := &l.sim.config.Deployment.Leaf
+	now := l.simulator.engine.now
+	model := &l.simulator.config.Deployment.Leaf
 	l.liveness = leafUp
 	l.boot++
 	l.draining, l.leaving = false, false
 	l.pausedUntil = now
 	l.coldUntil = now + model.ColdDuration
 	l.warmAt = l.coldUntil + model.WarmUpDuration
-	l.updated = l.sim.newestHoldings(l.index)
+	l.updated = l.simulator.newestHoldings(l.index)
 	l.publishedLoad = l.loadSummary()
 }
--- a/internal/rehearsal/simulation/leaf_test.go
+++ b/internal/rehearsal/simulation/leaf_test.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// leafState is whether a leaf's machine answers.
+// leafLiveness says whether a leaf is up, its process has crashed or its machine does not respond.
 type leafLiveness uint8
 
 const (
@@ -19,21 +19,21 @@
 	leafSilent
 )
 
-// emulatedLeaf is one leaf: slots, a queue in order of arrival, and faults.
+// emulatedLeaf emulates a leaf with slots, a FIFO queue and injected faults.
 type emulatedLeaf struct {
-	sim      *simulator
-	index    int
-	address  netip.AddrPort
-	zone     string
-	slots    int
-	liveness leafLiveness
-	boot     int
-	// bootName is the id of the boot namedBoot.
+	simulator *simulator
+	index     int
+	address   netip.AddrPort
+	zone      string
+	slots     int
+	liveness  leafLiveness
+	boot      int
+	// cachedBootID is the boot id that belongs to cachedBoot.
 	cachedBootID string
 	cachedBoot   int
 	draining     bool
-	// coldUntil ends the time in which work is refused, warmAt the time in
-	// which it is slow.
+	// coldUntil is when the leaf stops refusing work as cold, warmAt when its work stops being
+	// slowed down by the cold start.
 	coldUntil, warmAt Time
 	slowFactor        float64
 	pausedUntil       Time
@@ -44,14 +44,14 @@
 	running           []*work
 	queue             []*work
 	publishedLoad     leaf.LoadSummary
-	// leavingSince is when the first source reported that this boot leaves.
+	// leavingSince is when the first source reported that this boot is leaving.
 	leavingSince Time
 	leaving      bool
-	// added counts how often an operator added the leaf again.
+	// readdCount is how often an operator added the leaf again.
 	readdCount int
-	// received counts the attempts that arrived, executed those that ran.
+	// received is the number of attempts that arrived, executed the number that were started.
 	received, executed int
-	busyTime           time.Duration // time of its slots at work
+	busyTime           time.Duration // total time during which its slots were in use
 }
 
 func (l *emulatedLeaf) bootID() string {
@@ -62,7 +62,8 @@
 	return l.cachedBootID
 }
 
-// summary is the leaf's true load, or its lie.
+// loadSummary returns the load of the leaf. A leaf with reportsIdle hides its busy slots and
+// queue.
 func (l *emulatedLeaf) loadSummary() leaf.LoadSummary {
 	summary := leaf.LoadSummary{State: leaf.StateServing, SlotsBusy: len(l.running), Slots: l.slots, Queue: len(l.queue)}
 	if l.reportsIdle {
@@ -71,22 +72,23 @@
 	switch {
 	case l.draining:
 		summary.State = leaf.StateDraining
-	case l.sim.engine.now < l.coldUntil:
+	case l.simulator.engine.now < l.coldUntil:
 		summary.State = leaf.StateCold
 	}
 	return summary
 }
 
-// report is what a poll of the load gets: the state of a while ago.
+// loadReport returns the reply to a load poll. Its summary is the one published last, which may be
+// up to ReportLag old.
 func (l *emulatedLeaf) loadReport() leaf.LoadReport {
 	return leaf.LoadReport{
 		BootID: l.bootID(), LoadSummary: l.publishedLoad,
-		Service: l.sim.config.Service.Name, Holdings: slices.Clone(l.updated),
+		Service: l.simulator.config.Service.Name, Holdings: slices.Clone(l.updated),
 	}
 }
 
-// holds reports whether the leaf has a shard at a snapshot, and whether it
-// has the partition epoch at all.
+// holds reports whether the leaf has a shard at a snapshot, and whether it has the shard at any
+// snapshot of the same partition epoch.
 func (l *emulatedLeaf) holds(snapshot catalog.Snapshot, shard int) (held, epochHeld bool) {
 	for _, holding := range l.updated {
 		if holding.Snapshot.Epoch != snapshot.Epoch || !slices.Contains(holding.Shards, shard) {
--- a/internal/rehearsal/simulation/load_test.go
+++ b/internal/rehearsal/simulation/load_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// capacity is the rate of queries a second at which the mean work of the mix
-// would keep all slots busy.
+// capacity returns the rate of queries per second at which the mean work of the class mix keeps
+// all slots busy.
 func (s *Service) capacity() float64 {
 	var work, shares float64
 	for _, class := range s.Classes {
@@ -17,8 +17,8 @@
 	return float64(s.Slots*s.Leaves) / (work / shares)
 }
 
-// scheduleLoad starts the open-loop arrivals: a Poisson process whose rate
-// changes at the steps of the scenario.
+// scheduleLoad schedules open-loop arrivals: a Poisson process whose rate changes at each load
+// step.
 func (s *simulator) scheduleLoad() {
 	steps := s.config.Scenario.Load
 	for i, step := range steps {
@@ -33,8 +33,8 @@
 	}
 }
 
-// scheduleArrival draws the next arrival of a step; the process has no memory,
-// so the next step begins with a new draw.
+// scheduleArrival draws the next arrival of a load step. A Poisson process is memoryless, so the
+// next step starts with a new draw.
 func (s *simulator) scheduleArrival(rate float64, until Time) {
 	mean := time.Duration(float64(time.Second) / rate)
 	next := s.engine.now + exponential(s.arrivals, mean)
@@ -47,7 +47,8 @@
 	})
 }
 
-// arrive lets a client send one query to a node.
+// generateQuery sends a new query from a client to a random node. A share of CancelRatio of the
+// queries is canceled before the deadline.
 func (s *simulator) generateQuery() {
 	q := &query{
 		index: uint64(len(s.queries)), class: s.drawClass(), sentAt: s.engine.now,
@@ -67,8 +68,7 @@
 	}
 }
 
-// sendToNode carries a query to a node; a client that meets a dead one goes to
-// the next.
+// sendToNode delivers a query to a node. A client whose node is down tries the next node.
 func (s *simulator) sendToNode(q *query, index, tries int) {
 	delay := s.config.Deployment.Network.ClientDelay
 	s.engine.scheduleAfter(delay, func() {
--- a/internal/rehearsal/simulation/network_test.go
+++ b/internal/rehearsal/simulation/network_test.go
@@ -8,26 +8,28 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// network carries messages between nodes and leaves, in order for each pair.
+// network delivers messages between nodes and leaves. Messages of a node to a leaf stay in order,
+// and so do those of the leaf to the node.
 type network struct {
-	sim    *simulator
-	random *rand.Rand
-	links  [][]*link // by node, then leaf
+	simulator *simulator
+	random    *rand.Rand
+	links     [][]*link // by node, then leaf
 }
 
-// link is the connections of one node to one leaf.
+// link holds the connections from one node to one leaf.
 type link struct {
 	openConnections int
-	// epoch grows when all connections break.
+	// generation is incremented when all connections break.
 	generation int
 	inFlight   map[dispatch.AttemptID]*attempt
-	// lastThere and lastBack keep messages in order.
+	// lastRequestArrival and lastReplyArrival are the latest arrivals in each direction. No later
+	// message may arrive before them.
 	lastRequestArrival, lastReplyArrival Time
 	delay                                time.Duration
 }
 
 func newNetwork(s *simulator) *network {
-	n := &network{sim: s, random: newRandom(s.config.Seed, streamNetwork, 0)}
+	n := &network{simulator: s, random: newRandom(s.config.Seed, streamNetwork, 0)}
 	for _, from := range s.nodes {
 		row := make([]*link, 0, len(s.leaves))
 		for _, to := range s.leaves {
@@ -43,7 +45,7 @@
 	return n
 }
 
-// delay is the one-way delay between two zones.
+// oneWayDelay returns the one-way delay between two zones.
 func (s *simulator) oneWayDelay(from, to string) time.Duration {
 	if from == to {
 		return s.config.Deployment.Network.IntraZoneDelay
@@ -54,29 +56,29 @@
 func (n *network) linkFor(a *attempt) *link { return n.links[a.node.index][a.leaf.index] }
 
 func (n *network) drawJitter() time.Duration {
-	return exponential(n.random, n.sim.config.Deployment.Network.MeanJitter)
+	return exponential(n.random, n.simulator.config.Deployment.Network.MeanJitter)
 }
 
-// there returns when a message sent now reaches the leaf.
+// nextRequestArrival returns when a message that is sent now arrives at the leaf.
 func (n *network) nextRequestArrival(link *link, extra time.Duration) Time {
-	arrival := n.sim.engine.now + extra + link.delay + n.drawJitter()
+	arrival := n.simulator.engine.now + extra + link.delay + n.drawJitter()
 	link.lastRequestArrival = max(arrival, link.lastRequestArrival)
 	return link.lastRequestArrival
 }
 
-// back returns when a message sent now reaches the node.
+// nextReplyArrival returns when a message that is sent now arrives at the node.
 func (n *network) nextReplyArrival(link *link) Time {
-	arrival := n.sim.engine.now + link.delay + n.drawJitter()
+	arrival := n.simulator.engine.now + link.delay + n.drawJitter()
 	link.lastReplyArrival = max(arrival, link.lastReplyArrival)
 	return link.lastReplyArrival
 }
 
-// send carries an attempt's work to its leaf, over a new connection if those
-// at hand are full.
+// send sends the work of an attempt to its leaf. It opens a new connection if the existing ones
+// are full.
 func (n *network) send(a *attempt) {
 	link := n.linkFor(a)
 	link.inFlight[a.id] = a
-	settings := &n.sim.config.Deployment.Network
+	settings := &n.simulator.config.Deployment.Network
 	full := len(link.inFlight) > link.openConnections*settings.MaxStreamsPerConnection
 	if link.openConnections == 0 || full && link.openConnections < settings.MaxConnectionsPerLink {
 		n.dial(link, a)
@@ -85,14 +87,15 @@
 	n.transmit(link, a, 0)
 }
 
-// dial opens a connection and then sends, or reports that nothing was sent.
+// dial opens a connection and sends the request. If the connection fails, the attempt fails with
+// nothing sent.
 func (n *network) dial(link *link, a *attempt) {
-	settings := &n.sim.config.Deployment.Network
+	settings := &n.simulator.config.Deployment.Network
 	if a.leaf.liveness == leafSilent {
 		n.scheduleFailure(link, a, settings.DialTimeout, false)
 		return
 	}
-	if a.leaf.liveness == leafCrashed || a.leaf.connections >= n.sim.config.Service.MaxConnectionsPerLeaf {
+	if a.leaf.liveness == leafCrashed || a.leaf.connections >= n.simulator.config.Service.MaxConnectionsPerLeaf {
 		n.scheduleFailure(link, a, 2*link.delay, false)
 		return
 	}
@@ -101,9 +104,9 @@
 	n.transmit(link, a, settings.ConnectionSetupTime)
 }
 
-// failLater ends an attempt at the node after a while.
+// scheduleFailure fails an attempt at its node after a delay.
 func (n *network) scheduleFailure(link *link, a *attempt, after time.Duration, sent bool) {
-	n.sim.engine.scheduleAfter(after, func() { n.failAttempt(link, a, sent) })
+	n.simulator.engine.scheduleAfter(after, func() { n.failAttempt(link, a, sent) })
 }
 
 func (n *network) failAttempt(link *link, a *attempt, sent bool) {
@@ -114,11 +117,11 @@
 	a.node.deliver(func() { a.node.fail(a, dispatch.Failure{Sent: sent}) })
 }
 
-// transmit puts the request on the wire.
+// transmit sends the request over an open connection.
 func (n *network) transmit(link *link, a *attempt, extra time.Duration) {
 	a.state = attemptSent
 	boot, generation := a.leaf.boot, link.generation
-	n.sim.engine.scheduleAt(n.nextRequestArrival(link, extra), func() {
+	n.simulator.engine.scheduleAt(n.nextRequestArrival(link, extra), func() {
 		if a.leaf.liveness != leafUp || a.leaf.boot != boot || link.generation != generation {
 			a.work.state = workDone
 			n.failBrokenAttempt(link, a)
@@ -128,8 +131,8 @@
 	})
 }
 
-// failBroken ends an attempt that reached a dead process on a live machine;
-// a silent machine says nothing, until breakLinks.
+// failBrokenAttempt fails an attempt that arrives at a machine whose process is gone. A machine
+// that does not respond sends no reset; breakLinks fails its attempts later.
 func (n *network) failBrokenAttempt(link *link, a *attempt) {
 	if a.leaf.liveness == leafSilent {
 		return
@@ -137,8 +140,8 @@
 	n.scheduleFailure(link, a, link.delay, true)
 }
 
-// abort resets the stream of an attempt: the node is done with it at once, the
-// leaf receives the reset later.
+// abort resets the stream of an attempt. The node forgets the attempt at once; the leaf receives
+// the reset after the network delay.
 func (n *network) abort(a *attempt) {
 	link := n.linkFor(a)
 	delete(link.inFlight, a.id)
@@ -146,19 +149,19 @@
 		return
 	}
 	boot := a.leaf.boot
-	n.sim.engine.scheduleAt(n.nextRequestArrival(link, 0), func() {
+	n.simulator.engine.scheduleAt(n.nextRequestArrival(link, 0), func() {
 		if a.leaf.liveness == leafUp && a.leaf.boot == boot {
 			a.leaf.cancel(a.work)
 		}
 	})
 }
 
-// deliverReply carries a reply back.
+// deliverReply sends a reply to the node of the attempt.
 func (n *network) deliverReply(a *attempt, answer reply) {
 	n.deliverToNode(a, func() { a.node.reply(a, answer) })
 }
 
-// deliverRefusal carries a refusal back.
+// deliverRefusal sends a refusal to the node of the attempt.
 func (n *network) deliverRefusal(a *attempt, refusal leaf.Refusal, retryAfter time.Duration) {
 	answer := dispatch.Refusal{
 		Reason: refusal, RetryAfter: retryAfter, BootID: a.leaf.bootID(), Load: a.leaf.loadSummary(),
@@ -169,21 +172,22 @@
 func (n *network) deliverToNode(a *attempt, action func()) {
 	link := n.linkFor(a)
 	generation := link.generation
-	n.sim.engine.scheduleAt(n.nextReplyArrival(link), func() {
+	n.simulator.engine.scheduleAt(n.nextReplyArrival(link), func() {
 		if link.generation != generation {
-			return // the connection broke; the attempt was failed
+			return // the connection broke and the attempt has already failed
 		}
 		delete(link.inFlight, a.id)
 		a.node.deliver(action)
 	})
 }
 
-// breakLinks ends all connections to a leaf as its nodes notice, after a while.
+// breakLinks breaks all connections to a leaf. Each node notices it after the given time plus the
+// network delay.
 func (n *network) breakLinks(l *emulatedLeaf, after time.Duration) {
 	for _, row := range n.links {
 		link := row[l.index]
 		generation := link.generation
-		n.sim.engine.scheduleAfter(after+link.delay, func() {
+		n.simulator.engine.scheduleAfter(after+link.delay, func() {
 			if link.generation == generation {
 				n.breakLink(link)
 			}
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -9,12 +9,12 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-// minimumTick bounds how often a Decider may ask to be woken.
+// minimumTick is the shortest time between now and the next tick that a Decider may ask for.
 const minimumTick = 50 * time.Microsecond
 
-// node drives one Decider, as the scatter driver of a real node does.
+// node drives a Decider as the scatter driver of a real node does.
 type node struct {
-	sim             *simulator
+	simulator       *simulator
 	index           int
 	zone            string
 	decider         Decider
@@ -22,7 +22,7 @@
 	currentTopology dispatch.Topology
 	attempts        map[dispatch.AttemptID]*attempt
 	queries         map[dispatch.QueryID]*query
-	// wakeAt is when the next tick is scheduled; zero means none.
+	// nextTickAt is when the next tick is scheduled; zero means that none is.
 	nextTickAt Time
 	thawAt     Time
 	down       bool
@@ -30,34 +30,34 @@
 
 func newNode(s *simulator, index int, zone string) *node {
 	return &node{
-		sim: s, index: index, zone: zone,
+		simulator: s, index: index, zone: zone,
 		table:    topology.New(topology.DefaultConfig()),
 		attempts: make(map[dispatch.AttemptID]*attempt),
 		queries:  make(map[dispatch.QueryID]*query),
 	}
 }
 
-// deliver runs what happens at the node now, or when it thaws.
+// deliver runs an event of the node now, or when the node thaws. A node that is down drops it.
 func (n *node) deliver(action func()) {
 	switch {
 	case n.down:
-	case n.sim.engine.now < n.thawAt:
-		n.sim.engine.scheduleAt(n.thawAt, func() { n.deliver(action) })
+	case n.simulator.engine.now < n.thawAt:
+		n.simulator.engine.scheduleAt(n.thawAt, func() { n.deliver(action) })
 	default:
 		action()
 	}
 }
 
-// submit hands a query to the Decider.
+// submit passes a query to the Decider.
 func (n *node) submit(q *query) {
-	now := n.sim.engine.now
-	class := n.sim.config.Service.Classes[q.class]
+	now := n.simulator.engine.now
+	class := n.simulator.config.Service.Classes[q.class]
 	q.node = n
 	q.deadline = now + class.Deadline
 	n.queries[q.id()] = q
 	n.perform(n.decider.Submit(now, dispatch.Query{
 		ID:              q.id(),
-		Class:           class.catalogClass(n.sim.config.Service.Name),
+		Class:           class.catalogClass(n.simulator.config.Service.Name),
 		KeyHash:         q.keyHash,
 		HasKey:          class.Keyed(),
 		Deadline:        q.deadline,
@@ -65,15 +65,15 @@
 	}))
 }
 
-// cancel tells the Decider that the client of a query went away.
+// cancel tells the Decider that the client canceled a query.
 func (n *node) cancel(q *query) {
 	if q.finished || n.queries[q.id()] == nil {
 		return
 	}
-	n.perform(n.decider.Cancel(n.sim.engine.now, q.id()))
+	n.perform(n.decider.Cancel(n.simulator.engine.now, q.id()))
 }
 
-// perform carries out actions in order and schedules the next tick.
+// perform carries out actions in order and then schedules the next tick.
 func (n *node) perform(actions []dispatch.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -88,19 +88,19 @@
 	n.scheduleTick()
 }
 
-// arm schedules the next tick if it comes before the one scheduled.
+// scheduleTick schedules the next tick unless an earlier one is already scheduled.
 func (n *node) scheduleTick() {
 	next, ok := n.decider.NextTick()
 	if !ok {
 		return
 	}
-	now := n.sim.engine.now
+	now := n.simulator.engine.now
 	next = max(next, now+minimumTick)
 	if n.nextTickAt > now && n.nextTickAt <= next {
 		return
 	}
 	n.nextTickAt = next
-	n.sim.engine.scheduleAt(next, func() {
+	n.simulator.engine.scheduleAt(next, func() {
 		if n.nextTickAt == next {
 			n.deliver(n.tick)
 		}
@@ -109,50 +109,50 @@
 
 func (n *node) tick() {
 	n.nextTickAt = 0
-	n.perform(n.decider.Tick(n.sim.engine.now))
+	n.perform(n.decider.Tick(n.simulator.engine.now))
 }
 
 func (n *node) send(send dispatch.Send) {
 	q := n.queries[send.Query]
 	a := &attempt{
 		id: send.Attempt, node: n, query: q, shard: send.Shard, snapshot: send.Snapshot,
-		leaf: n.sim.leavesByAddress[send.Leaf],
+		leaf: n.simulator.leavesByAddress[send.Leaf],
 	}
 	if n.attempts[a.id] != nil {
-		n.sim.recordViolation(ViolationAction, "attempt id used twice")
+		n.simulator.recordViolation(ViolationAction, "node %d: attempt id %d is used twice", n.index, a.id)
 		return
 	}
 	if q == nil || q.finished || a.leaf == nil {
-		n.sim.recordViolation(ViolationAction, "send for a query that is over, or to no leaf")
+		n.simulator.recordViolation(ViolationAction, "node %d: send for query %d, which is finished or unknown, or to unknown leaf %s", n.index, send.Query, send.Leaf)
 		return
 	}
 	n.attempts[a.id] = a
-	n.sim.result.Sends++
-	duration := n.sim.drawWorkDuration(q, send.Shard, n.sim.shardCount(send.Snapshot.Epoch))
+	n.simulator.result.Sends++
+	duration := n.simulator.drawWorkDuration(q, send.Shard, n.simulator.shardCount(send.Snapshot.Epoch))
 	a.work = &work{
 		attempt:       a,
-		startDeadline: n.sim.engine.now + send.Remaining,
-		duration:      n.sim.addNoise(duration, a),
-		meanDuration:  n.sim.meanWorkDuration(q, send.Snapshot.Epoch),
+		startDeadline: n.simulator.engine.now + send.Remaining,
+		duration:      n.simulator.addNoise(duration, a),
+		meanDuration:  n.simulator.meanWorkDuration(q, send.Snapshot.Epoch),
 	}
-	n.sim.network.send(a)
+	n.simulator.network.send(a)
 }
 
-// abort resets the stream and reports its end at once, after the actions at
-// hand.
+// abort resets the stream of an attempt. The Decider receives the failure in a separate event at
+// the same time, after the current actions.
 func (n *node) abort(abort dispatch.Abort) {
 	a := n.attempts[abort.Attempt]
 	if a == nil || a.state == attemptEnded {
 		return
 	}
 	sent := a.state == attemptSent
-	n.sim.network.abort(a)
-	n.sim.engine.scheduleAt(n.sim.engine.now, func() {
+	n.simulator.network.abort(a)
+	n.simulator.engine.scheduleAt(n.simulator.engine.now, func() {
 		n.deliver(func() { n.fail(a, dispatch.Failure{Sent: sent, Aborted: true}) })
 	})
 }
 
-// end reports whether the attempt was still open, and closes it.
+// endAttempt marks an attempt as ended and reports whether it was still open.
 func (n *node) endAttempt(a *attempt) bool {
 	if a.state == attemptEnded {
 		return false
@@ -166,7 +166,7 @@
 
 func (n *node) fail(a *attempt, failure dispatch.Failure) {
 	if n.endAttempt(a) {
-		n.perform(n.decider.Fail(n.sim.engine.now, a.id, failure))
+		n.perform(n.decider.Fail(n.simulator.engine.now, a.id, failure))
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	a.receivedReply = &answer
 	n.observeLeafState(a.leaf, answer.bootID, answer.load.State)
-	n.perform(n.decider.Reply(n.sim.engine.now, a.id, dispatch.Reply{
+	n.perform(n.decider.Reply(n.simulator.engine.now, a.id, dispatch.Reply{
 		Shard: answer.shard, Snapshot: answer.snapshot, BootID: answer.bootID, Load: answer.load,
 	}))
 }
@@ -186,10 +186,10 @@
 		return
 	}
 	n.observeLeafState(a.leaf, refusal.BootID, refusal.Load.State)
-	n.perform(n.decider.Refuse(n.sim.engine.now, a.id, refusal))
+	n.perform(n.decider.Refuse(n.simulator.engine.now, a.id, refusal))
 }
 
-// heardState marks a leaf whose reply says that it drains.
+// observeLeafState marks a leaf as draining if its reply says so.
 func (n *node) observeLeafState(l *emulatedLeaf, bootID string, state leaf.State) {
 	if state != leaf.StateDraining {
 		return
@@ -198,10 +198,10 @@
 	n.refreshTopology()
 }
 
-// refreshTopology passes a changed topology to the Decider.
+// refreshTopology passes the topology to the Decider if it changed.
 func (n *node) refreshTopology() {
-	now := n.sim.engine.now
-	current, ok := n.table.Service(now, n.sim.config.Service.Name)
+	now := n.simulator.engine.now
+	current, ok := n.table.Service(now, n.simulator.config.Service.Name)
 	if !ok || equalTopologies(n.currentTopology, current) {
 		return
 	}
@@ -209,11 +209,11 @@
 	n.perform(n.decider.SetTopology(now, current))
 }
 
-// poll asks one leaf for its load, again and again.
+// poll requests the load of a leaf and schedules the next poll.
 func (n *node) poll(l *emulatedLeaf) {
-	settings := &n.sim.config.Deployment
-	engine := &n.sim.engine
-	delay := n.sim.oneWayDelay(n.zone, l.zone)
+	settings := &n.simulator.config.Deployment
+	engine := &n.simulator.engine
+	delay := n.simulator.oneWayDelay(n.zone, l.zone)
 	engine.scheduleAfter(delay, func() {
 		if l.liveness != leafUp {
 			engine.scheduleAfter(settings.Network.DialTimeout, func() {
@@ -224,13 +224,13 @@
 		report := l.loadReport()
 		engine.scheduleAfter(delay, func() { n.deliver(func() { n.handleReport(l, report) }) })
 	})
-	if engine.now < n.sim.arrivalsEndAt {
+	if engine.now < n.simulator.arrivalsEndAt {
 		engine.scheduleAfter(settings.Leaf.PollInterval, func() { n.poll(l) })
 	}
 }
 
 func (n *node) handleReport(l *emulatedLeaf, report leaf.LoadReport) {
-	now := n.sim.engine.now
+	now := n.simulator.engine.now
 	n.table.Report(now, l.address, report)
 	n.refreshTopology()
 	n.perform(n.decider.Observe(now, l.address, report.LoadSummary))
@@ -241,25 +241,25 @@
 	n.refreshTopology()
 }
 
-// finish gives the answer to the client.
+// finish records the answer of a query and checks it.
 func (n *node) finish(finish dispatch.Finish) {
 	q := n.queries[finish.Query]
 	if q == nil || q.finished {
-		n.sim.recordViolation(ViolationFinish, "query %d finished again or never submitted", finish.Query)
+		n.simulator.recordViolation(ViolationFinish, "query %d is finished twice or was never submitted", finish.Query)
 		return
 	}
 	q.finished = true
 	q.finish = finish
-	q.finishedAt = n.sim.engine.now
-	n.sim.checkFinish(n, q)
-	n.sim.recordOutcome(q)
+	q.finishedAt = n.simulator.engine.now
+	n.simulator.checkFinish(n, q)
+	n.simulator.recordOutcome(q)
 	delete(n.queries, finish.Query)
 	for _, answer := range finish.Answered {
 		delete(n.attempts, answer.Attempt)
 	}
 }
 
-// sortedAttempts lists attempts by id.
+// sortedAttempts returns the attempts in order of their ids, so that runs are deterministic.
 func sortedAttempts(attempts map[dispatch.AttemptID]*attempt) []*attempt {
 	list := make([]*attempt, 0, len(attempts))
 	for _, a := range attempts {
@@ -269,7 +269,7 @@
 	return list
 }
 
-// sameTopology compares what a Decider would see.
+// equalTopologies compares the parts of a topology that a Decider uses.
 func equalTopologies(a, b dispatch.Topology) bool {
 	return a.Revision == b.Revision && a.Stopped == b.Stopped && a.Concurrency == b.Concurrency &&
 		slices.Equal(a.Partitions, b.Partitions) && slices.EqualFunc(a.Leaves, b.Leaves, equalLeaves)
--- a/internal/rehearsal/simulation/random_faults_test.go
+++ b/internal/rehearsal/simulation/random_faults_test.go
@@ -11,7 +11,8 @@
 
 var scheduleCount = flag.Int("schedules", 120, "random fault schedules to run")
 
-// randomSchedule draws load and up to eight faults, often two at once.
+// randomConfig draws two load levels and one to eight faults. The faults start within 5 s and last
+// up to 3 s, so several are often active at once.
 func randomConfig(seed uint64) Config {
 	random := rand.New(rand.NewPCG(seed, 99))
 	config := testConfig(seed, 7*time.Second)
@@ -29,7 +30,7 @@
 		}
 		switch fault.Kind {
 		case FaultDrain, FaultRetire:
-			fault.Duration *= time.Duration(random.IntN(2)) // half of them for good
+			fault.Duration *= time.Duration(random.IntN(2)) // half of them are permanent
 		case FaultSlow:
 			fault.Factor = 2 + 8*random.Float64()
 		case FaultStaleReply:
@@ -40,8 +41,8 @@
 	return config
 }
 
-// TestPromisesUnderRandomFaults checks every promise of this package under
-// seeded random schedules. Run more with -schedules.
+// TestInvariantsUnderRandomFaults checks every invariant of this package under seeded random loads
+// and faults. The flag -schedules sets the number of seeds.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -50,7 +51,7 @@
 			for seed := range seeds {
 				result := mustRun(t, randomConfig(seed))
 				if len(result.Violations) > 0 {
-					t.Errorf("seed %d: %v\n%v", seed, result.Violations, result.Examples)
+					t.Errorf("seed %d: violations = %v, want none\n%v", seed, result.Violations, result.Examples)
 				}
 			}
 		})
--- a/internal/rehearsal/simulation/random_test.go
+++ b/internal/rehearsal/simulation/random_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Streams of randomness. Each part of a run draws from its own stream, so that
-// what one part does never shifts what another part draws. Their order is part
-// of every seed.
+// Each part of a run draws from its own random stream, so that the draws of one part do not change
+// those of another. The numbers of the streams are part of every seed: a new stream goes to the
+// end.
 const (
 	streamArrivals uint64 = iota + 1
 	streamLeaves
@@ -19,12 +19,13 @@
 	streamNoise
 )
 
-// newRandom returns a seeded source for one stream and member.
+// newRandom returns the seeded random source of a stream for one instance, such as a leaf or a
+// node.
 func newRandom(seed, stream, instance uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, mix(stream, instance)))
 }
 
-// mix hashes two numbers into one (the finalizer of splitmix64).
+// mix hashes two numbers into one with the finalizer of splitmix64.
 func mix(a, b uint64) uint64 {
 	z := a*0x9e3779b97f4a7c15 + b + 0x632be59bd9b4e019
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -32,12 +33,12 @@
 	return z ^ (z >> 31)
 }
 
-// unit turns a hash into a number in (0, 1).
+// uniform maps a hash to a number in (0, 1).
 func uniform(hash uint64) float64 {
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
-// lognormal returns the factor with mean 1 that a hash stands for.
+// lognormalFactor maps a hash to a lognormally distributed factor with mean 1.
 func lognormalFactor(hash uint64, sigma float64) float64 {
 	if sigma == 0 {
 		return 1
@@ -47,12 +48,12 @@
 	return math.Exp(sigma*normal - sigma*sigma/2)
 }
 
-// scale multiplies a duration.
+// scale multiplies a duration by a factor.
 func scale(duration time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(duration) * factor)
 }
 
-// exponential draws a duration with the given mean.
+// exponential draws an exponentially distributed duration with the given mean.
 func exponential(random *rand.Rand, mean time.Duration) time.Duration {
 	return scale(mean, random.ExpFloat64())
 }
--- a/internal/rehearsal/simulation/result_test.go
+++ b/internal/rehearsal/simulation/result_test.go
@@ -6,35 +6,36 @@
 	"github.com/micaplank/micaplank/internal/decide/dispatch"
 )
 
-// Result is what one run did.
+// Result holds the counts and the violations of a run.
 type Result struct {
-	// Violations counts the broken promises; Examples describes the first.
+	// Violations counts the violations by invariant. Examples describes the first maxExamples of
+	// each.
 	Violations map[Violation]int
 	Examples   []string
-	// Queries counts what clients sent, and Sends the attempts.
+	// Queries is the number of queries that clients sent, Sends the number of attempts.
 	Queries, Sends int
 	// Outcomes counts the finished queries by outcome.
 	Outcomes map[dispatch.Outcome]int
-	// AnswerTime adds up, over the finished queries, the time from the client's
-	// sending to the finish.
+	// TotalLatency is the sum, over all finished queries, of the time from the client's request to
+	// the finish.
 	TotalLatency time.Duration
 	Leaves       []LeafResult
 }
 
-// LeafResult counts the attempts that reached one leaf, and those that it ran.
+// LeafResult holds the numbers of attempts that one leaf received and executed.
 type LeafResult struct {
 	Received, Executed int
-	// Busy adds up the time that its slots were at work.
+	// BusyTime is the total time during which its slots were in use.
 	BusyTime time.Duration
 }
 
-// collect counts a finished query.
+// recordOutcome adds a finished query to the Result.
 func (s *simulator) recordOutcome(q *query) {
 	s.result.Outcomes[q.finish.Outcome]++
 	s.result.TotalLatency += q.finishedAt - q.sentAt
 }
 
-// summarise completes the Result at the end of a run.
+// completeResult adds the totals at the end of a run.
 func (s *simulator) completeResult() {
 	s.result.Queries = len(s.queries)
 	for _, l := range s.leaves {
--- a/internal/rehearsal/simulation/run_test.go
+++ b/internal/rehearsal/simulation/run_test.go
@@ -9,8 +9,8 @@
 
 func ms(count float64) time.Duration { return time.Duration(count * float64(time.Millisecond)) }
 
-// testConfig is a small service of 3 shards by 2 replicas on 3 zones. The class
-// that may not be repeated asks for hedges, which it must not get.
+// testConfig returns a service with 3 shards and 2 replicas in 3 zones. Its class of queries that
+// must not be repeated asks for hedges, which the Dispatcher must not send.
 func testConfig(seed uint64, duration time.Duration) Config {
 	service := Service{
 		Name: "rate-desk", Leaves: 6, Shards: 3, Replicas: 2, Slots: 3, MaxConnectionsPerLeaf: 70,
@@ -54,10 +54,10 @@
 	config.Scenario.Faults = []Fault{{Kind: FaultSilence, Leaf: 1, At: ms(2000), Duration: ms(500)}}
 	first, second := mustRun(t, config), mustRun(t, config)
 	if !reflect.DeepEqual(first, second) {
-		t.Error("two runs of one seed differ")
+		t.Errorf("second run = %+v, want the result of the first, %+v", second, first)
 	}
 	if len(first.Violations) > 0 {
-		t.Errorf("%v %v", first.Violations, first.Examples)
+		t.Errorf("violations = %v, want none\n%v", first.Violations, first.Examples)
 	}
 }
 
@@ -70,6 +70,6 @@
 	}
 	slots := time.Duration(config.Service.Slots * config.Service.Leaves)
 	if share := busy.Seconds() / (slots * config.Scenario.Duration).Seconds(); share < 0.3 || share > 0.5 {
-		t.Errorf("40 %% of load keep %.2f of the slots busy", share)
+		t.Errorf("utilization at load level 0.4 = %.2f, want 0.30 to 0.50", share)
 	}
 }
--- a/internal/rehearsal/simulation/simulator_test.go
+++ b/internal/rehearsal/simulation/simulator_test.go
@@ -13,14 +13,14 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// drainTime is how long a run goes on after the last arrival, beyond the
-// longest deadline, so that everything ends.
+// settleTime is how long a run continues after the last arrival, in addition to the longest
+// deadline, so that all queries finish.
 const settleTime = 10 * time.Second
 
-// contextCheckEvery is how many events pass between two looks at the context.
+// contextCheckInterval is the number of events between two checks of the context.
 const contextCheckInterval = 4096
 
-// world is the state of one run.
+// simulator holds the state of one run.
 type simulator struct {
 	config          Config
 	engine          engine
@@ -32,14 +32,14 @@
 	faultRandom     *rand.Rand
 	arrivals        *rand.Rand
 	queries         []*query
-	leafVersions    []uint64 // the index version that each leaf was told last
-	epochShards     []int    // the number of shards of each epoch, from 1
+	leafVersions    []uint64 // the newest index version that each leaf was given
+	epochShards     []int    // the number of shards of each partition epoch, starting at epoch 1
 	arrivalsEndAt   Time
 	result          Result
 }
 
-// Run simulates one Config to its end. It returns an error if the Config is
-// not usable or the context ends first; broken promises are in the Result.
+// Run simulates a Config. It returns an error if the Config is invalid or the context ends first.
+// Violations of invariants are in the Result.
 func Run(ctx context.Context, config Config) (Result, error) {
 	if err := config.validate(); err != nil {
 		return Result{}, err
@@ -62,14 +62,14 @@
 
 func (c *Config) validate() error {
 	if c.Service.Replicas > c.Service.Leaves {
-		return fmt.Errorf("service %s: %d replicas on %d leaves", c.Service.Name, c.Service.Replicas, c.Service.Leaves)
+		return fmt.Errorf("service %s: %d replicas need more than %d leaves", c.Service.Name, c.Service.Replicas, c.Service.Leaves)
 	}
 	for i, fault := range c.Scenario.Faults {
 		if fault.Leaf >= c.Service.Leaves || fault.Node >= len(c.Deployment.Nodes) {
-			return fmt.Errorf("fault %d: no such leaf or node", i+1)
+			return fmt.Errorf("fault %d: leaf %d or node %d does not exist", i+1, fault.Leaf, fault.Node)
 		}
 		if fault.Kind == FaultSilenceZone && !slices.Contains(c.Deployment.Zones, fault.Zone) {
-			return fmt.Errorf("fault %d: no zone %q", i+1, fault.Zone)
+			return fmt.Errorf("fault %d: zone %q does not exist", i+1, fault.Zone)
 		}
 	}
 	return nil
@@ -104,7 +104,7 @@
 func (s *simulator) addLeaf(index int) {
 	zones := s.config.Deployment.Zones
 	l := &emulatedLeaf{
-		sim: s, index: index,
+		simulator: s, index: index,
 		address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(index >> 8), byte(index)}), 7101),
 		zone:    zones[index%len(zones)],
 		slots:   s.config.Service.Slots,
@@ -119,8 +119,8 @@
 	s.leavesByAddress[l.address] = l
 }
 
-// placement lists the shards of one leaf: replica r of shard s is on leaf
-// s*replicas+r, modulo the number of leaves, so replicas are in other zones.
+// placement returns the shards of a leaf. Replica r of shard s is on leaf s*Replicas+r modulo the
+// number of leaves, so the replicas of a shard are in different zones.
 func (s *Service) placement(index, shards int) []int {
 	var held []int
 	for shard := range shards {
@@ -133,7 +133,7 @@
 	return held
 }
 
-// firstCatalog is the configuration at the start of a run.
+// initialCatalog returns the catalog at the start of a run.
 func (s *simulator) initialCatalog() *catalog.Catalog {
 	service := catalog.Service{
 		Name: s.config.Service.Name, Replicas: s.config.Service.Replicas,
@@ -146,7 +146,7 @@
 	return &catalog.Catalog{Revision: 1, Services: map[string]catalog.Service{service.Name: service}}
 }
 
-// introduce starts a node that knows all leaves.
+// startNode starts a node with the catalog and a load report of every leaf.
 func (s *simulator) startNode(n *node) {
 	n.decider = s.newDecider(n.index, n.zone)
 	n.table.SetCatalog(s.catalog)
@@ -156,7 +156,7 @@
 	n.refreshTopology()
 }
 
-// shards is the number of shards of a partition epoch.
+// shardCount returns the number of shards of a partition epoch, or 0 if the epoch does not exist.
 func (s *simulator) shardCount(epoch uint64) int {
 	if epoch == 0 || int(epoch) > len(s.epochShards) {
 		return 0
@@ -164,7 +164,7 @@
 	return s.epochShards[epoch-1]
 }
 
-// startPolling lets each node ask each leaf for its load, not all at once.
+// startPolling starts the load polls of all nodes at random offsets within PollInterval.
 func (s *simulator) startPolling() {
 	every := s.config.Deployment.Leaf.PollInterval
 	random := newRandom(s.config.Seed, streamNetwork, 1)
@@ -175,7 +175,7 @@
 	}
 }
 
-// startLeaves schedules the leaves' own rhythm: reports and pauses.
+// startLeafTimers schedules the load reports and the pauses of all leaves.
 func (s *simulator) startLeafTimers() {
 	model := &s.config.Deployment.Leaf
 	for _, l := range s.leaves {
@@ -187,11 +187,11 @@
 	}
 }
 
-// publish renews what the leaf reports, until the end of the run.
+// publishLoad updates the load that the leaf reports, until the end of the run.
 func (l *emulatedLeaf) publishLoad() {
 	l.publishedLoad = l.loadSummary()
-	if l.sim.engine.now < l.sim.arrivalsEndAt+settleTime {
-		l.sim.engine.scheduleAfter(l.sim.config.Deployment.Leaf.ReportLag, l.publishLoad)
+	if l.simulator.engine.now < l.simulator.arrivalsEndAt+settleTime {
+		l.simulator.engine.scheduleAfter(l.simulator.config.Deployment.Leaf.ReportLag, l.publishLoad)
 	}
 }
 
--- a/internal/rehearsal/simulation/sites_test.go
+++ b/internal/rehearsal/simulation/sites_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// siteConfig is a site with one node in each zone and leaves that rarely pause.
+// siteConfig returns a site with one node in each zone and leaves that rarely pause.
 func siteConfig(zones []string, clients time.Duration, service Service) Config {
 	config := testConfig(1, time.Minute)
 	config.Deployment.Zones, config.Deployment.Nodes = zones, zones
@@ -19,7 +19,7 @@
 	return config
 }
 
-// siteClass is a class that may be repeated and asks for every shard it needs.
+// siteClass returns a class whose queries may be repeated and require full coverage.
 func siteClass(kind Kind, share float64, priority int, deadline, mean time.Duration) Class {
 	return Class{
 		Name: string(kind), Kind: kind, Weight: share, Priority: priority, Deadline: deadline, MinimumCoverage: 1,
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestPromisesOfWholeSites plays a minute at 40 % load of two services as they
-// are deployed: one with a slow and a lost leaf, one with a lost zone.
+// TestInvariantsOfDeployedSites simulates a minute at load level 0.4 for two services as they are
+// deployed. One has a slow leaf and a leaf whose machine stops responding, the other loses a zone.
 func TestInvariantsOfDeployedSites(t *testing.T) {
 	slowAndLost := siteConfig([]string{"north", "south", "east", "west"}, ms(1), Service{
 		Name: "slow-and-lost", Leaves: 10, Shards: 5, Replicas: 2, Slots: 2, MaxConnectionsPerLeaf: 110,
@@ -57,11 +57,11 @@
 	for _, config := range []Config{slowAndLost, zoneLost} {
 		result := mustRun(t, config)
 		if len(result.Violations) > 0 {
-			t.Errorf("%s: %v %v", config.Service.Name, result.Violations, result.Examples)
+			t.Errorf("%s: violations = %v, want none\n%v", config.Service.Name, result.Violations, result.Examples)
 		}
 		idle := slices.ContainsFunc(result.Leaves, func(l LeafResult) bool { return l.Executed == 0 })
 		if result.Queries == 0 || idle {
-			t.Errorf("%s: %d queries, leaves %+v", config.Service.Name, result.Queries, result.Leaves)
+			t.Errorf("%s: %d queries, leaves %+v; want queries and work on every leaf", config.Service.Name, result.Queries, result.Leaves)
 		}
 	}
 }
--- a/internal/rehearsal/simulation/work_test.go
+++ b/internal/rehearsal/simulation/work_test.go
@@ -8,31 +8,31 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// query is what a run knows of one query.
+// query holds the state of one query over the whole run.
 type query struct {
 	index   uint64
 	class   int
 	sentAt  Time // by the client
 	node    *node
 	keyHash uint64
-	// deadline is absolute, as submitted.
+	// deadline is in absolute virtual time, as submitted.
 	deadline Time
-	// starts counts the executions that began, anywhere, in the whole run.
+	// executions counts the executions that started on any leaf.
 	executions int
 	finished   bool
-	// lost is set if the node died with the query.
+	// lost is set if the query's node went down, or no node accepted the query.
 	lost       bool
 	finish     dispatch.Finish
 	finishedAt Time
 }
 
-// id is the name of the query at its Dispatcher.
+// id returns the id of the query at its Dispatcher. Ids start at 1.
 func (q *query) id() dispatch.QueryID { return dispatch.QueryID(q.index + 1) }
 
-// shardSet is a set of small shard numbers.
+// shardSet is a bit set of shard numbers.
 type shardSet []uint64
 
-// add puts a shard in and reports whether it was new.
+// add adds a shard and reports whether it was new.
 func (s *shardSet) add(shard int) bool {
 	for len(*s) <= shard/64 {
 		*s = append(*s, 0)
@@ -45,7 +45,7 @@
 	return true
 }
 
-// attemptState is how far an attempt came.
+// attemptState is the progress of an attempt at its node.
 type attemptState uint8
 
 const (
@@ -54,7 +54,7 @@
 	attemptEnded
 )
 
-// attempt is one Send of one node.
+// attempt is the state of one dispatch.Send.
 type attempt struct {
 	id       dispatch.AttemptID
 	node     *node
@@ -63,12 +63,12 @@
 	shard    int
 	snapshot catalog.Snapshot
 	state    attemptState
-	// reply is kept when the leaf's answer reached the node.
+	// receivedReply is set once the reply of the leaf has reached the node.
 	receivedReply *reply
 	work          *work
 }
 
-// reply is what a leaf sends back for an executed attempt.
+// reply is the response of a leaf to an executed attempt.
 type reply struct {
 	shard    int
 	snapshot catalog.Snapshot
@@ -76,7 +76,7 @@
 	load     leaf.LoadSummary
 }
 
-// workState is where a piece of work is within a leaf.
+// workState is the progress of a piece of work at its leaf.
 type workState uint8
 
 const (
@@ -86,18 +86,19 @@
 	workDone
 )
 
-// work is an attempt as the leaf sees it.
+// work is the part of an attempt that its leaf executes.
 type work struct {
 	attempt       *attempt
 	state         workState
-	startDeadline Time          // no start after this
-	duration      time.Duration // on a healthy leaf
-	meanDuration  time.Duration // mean of length, for predictions
+	startDeadline Time          // work that has not started by then is refused
+	duration      time.Duration // on a leaf without slowdown
+	meanDuration  time.Duration // for predictions of the queueing delay
 	startedAt     Time
 	finishAt      Time
 }
 
-// workLength is the work of a query on one shard, the same for every replica.
+// drawWorkDuration returns the duration of a query's work on one shard, which is the same on every
+// replica.
 func (s *simulator) drawWorkDuration(q *query, shard, shards int) time.Duration {
 	class := &s.config.Service.Classes[q.class]
 	hash := mix(mix(mix(s.config.Seed, streamWork), q.index), uint64(shard))
@@ -105,14 +106,14 @@
 	return scale(duration, float64(s.config.Service.Shards)/float64(max(shards, 1)))
 }
 
-// noisyLength adds what differs between two attempts at the same work.
+// addNoise multiplies a duration by a factor that differs between attempts at the same work.
 func (s *simulator) addNoise(duration time.Duration, a *attempt) time.Duration {
 	class := &s.config.Service.Classes[a.query.class]
 	hash := mix(mix(mix(s.config.Seed, streamNoise), a.query.index), uint64(a.shard)<<32|uint64(a.leaf.index))
 	return scale(duration, lognormalFactor(hash, class.NoiseSigma))
 }
 
-// meanWork is the mean work of a query on one shard of an epoch.
+// meanWorkDuration returns the mean duration of a query's work on one shard of a partition epoch.
 func (s *simulator) meanWorkDuration(q *query, epoch uint64) time.Duration {
 	mean := s.config.Service.Classes[q.class].MeanServiceTime
 	return scale(mean, float64(s.config.Service.Shards)/float64(max(s.shardCount(epoch), 1)))
