--- a/internal/rehearsal/promises/answers_test.go
+++ b/internal/rehearsal/promises/answers_test.go
@@ -13,10 +13,10 @@
 // TestCallersGetTheirOwnWholeAnswers lets leaves answer with replies to other
 // requests, late, or not at all, while callers use the same request ids for
 // different statements side by side, and go away in the middle.
-func TestCallersGetTheirOwnWholeAnswers(t *testing.T) {
+func TestAnswersBelongToTheirRequests(t *testing.T) {
 	d := deploy(t, nil)
-	stop := d.load(10, func(random *rand.Rand, caller int) {
-		submission := sweep(random, caller, []string{classSweep, classPlain}[caller%2])
+	stop := d.startLoad(10, func(random *rand.Rand, caller int) {
+		submission := newSelect(random, caller, []string{classSweep, classPlain}[caller%2])
 		if random.IntN(2) == 0 {
 			submission.Request.RequestID = fmt.Sprintf("repeated-%d", random.IntN(3))
 		}
@@ -24,29 +24,29 @@
 			submission.Request.MinimumCoverage = &lowCoverage
 			submission.Request.DeadlineMilliseconds = 100
 		}
-		ctx, cancel := d.impatient(random)
+		ctx, cancel := d.withRandomCancel(random)
 		defer cancel()
 		d.submitWithin(ctx, d.node(random.IntN(nodes)), submission)
 	})
 	var faults []fault
 	for shard := range shards {
-		first, second := d.replicasOf(shard)
+		replica1, replica2 := d.replicaPair(shard)
 		faults = append(faults,
-			both(d.leafFault(first, `{"cross":true}`), d.leafFault(second, `{"cross":true}`)),
-			d.leafFault(first, `{"cross":true,"delay_ms":30}`), d.leafFault(second, `{"cross":true,"lose_reply":20}`),
-			d.leafFault(first, `{"delay_ms":150}`), d.leafFault(second, `{"slow_factor":40}`),
-			d.freezeLeaf(first),
+			combine(d.leafFault(replica1, `{"cross":true}`), d.leafFault(replica2, `{"cross":true}`)),
+			d.leafFault(replica1, `{"cross":true,"delay_ms":30}`), d.leafFault(replica2, `{"cross":true,"lose_reply":20}`),
+			d.leafFault(replica1, `{"delay_ms":150}`), d.leafFault(replica2, `{"slow_factor":40}`),
+			d.freezeLeaf(replica1),
 		)
 	}
-	d.schedule(500*time.Millisecond, 100*time.Millisecond, faults)
+	d.runFaults(500*time.Millisecond, 100*time.Millisecond, faults)
 	stop()
-	d.require(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
-	d.report("answered", "partial", "no reply")
+	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
+	d.requireFates("answered", "partial", "no reply")
 }
 
 // impatient is the context of a caller that in one case of four goes away
 // after some milliseconds.
-func (d *deployment) impatient(random *rand.Rand) (context.Context, context.CancelFunc) {
+func (d *deployment) withRandomCancel(random *rand.Rand) (context.Context, context.CancelFunc) {
 	if random.IntN(4) > 0 {
 		return context.WithCancel(d.ctx)
 	}
--- a/internal/rehearsal/promises/changes_test.go
+++ b/internal/rehearsal/promises/changes_test.go
@@ -18,13 +18,13 @@
 const (
 	// forceBound is the freshness window, 5 s by default, with a margin for
 	// the time between the acceptance and the caller's clock reading.
-	forceBound = 5*time.Second + 250*time.Millisecond
+	inForceBound = 5*time.Second + 250*time.Millisecond
 	// sightingPause is the time between two looks at one node.
-	sightingPause = 30 * time.Millisecond
+	statusPollInterval = 30 * time.Millisecond
 	// sightingTimeout bounds a look at a node that may be frozen.
-	sightingTimeout = time.Second
+	statusTimeout = time.Second
 	// settleTimeout bounds the time until the fate of a change is known.
-	settleTimeout = 20 * time.Second
+	fateTimeout = 20 * time.Second
 )
 
 // TestAcceptedChangesStayInForce has operators race at all nodes while the
@@ -32,46 +32,46 @@
 // killed and replaced. The log is an order of the commands, no node goes back,
 // and no node that takes work is behind after the bound. At the end the service
 // is stopped while a node sleeps until after the bound.
-func TestAcceptedChangesStayInForce(t *testing.T) {
+func TestAcceptedChangesAreDurableAndOrdered(t *testing.T) {
 	d := deploy(t, nil)
 	base, err := d.Catalog(d.ctx, d.node(0))
-	d.must(err)
-	stopLooking := d.look()
-	stopOperators := d.load(4, d.operate)
-	d.schedule(1200*time.Millisecond, 600*time.Millisecond, []fault{
+	d.requireNoError(err)
+	stopPolling := d.startStatusPolling()
+	stopOperators := d.startLoad(4, d.sendRandomCommand)
+	d.runFaults(1200*time.Millisecond, 600*time.Millisecond, []fault{
 		d.storeFault(store.Faults{LoseReplies: 1}), d.storeFault(store.Faults{LoseReplies: 4}), d.storeFault(store.Faults{Outage: store.OutageHang}),
-		d.outageAfterWrite(), d.killNode(1), d.freezeNode(0), d.overtakeNode(2), d.replaceInOutage(2),
+		d.outageAfterWrite(), d.killNode(1), d.freezeNode(0), d.replaceFrozenNode(2), d.replaceNodeDuringOutage(2),
 	})
 	stopOperators()
-	stopped, until := d.stopWhileOneSleeps()
-	stopLooking()
-	d.settle()
+	stopped, until := d.stopServiceWithFrozenNode()
+	stopPolling()
+	d.resolveUnknownChanges()
 	log, err := d.Catalog(d.ctx, d.node(0))
-	d.must(err)
+	d.requireNoError(err)
 	changes := d.recorder.Changes()
-	d.require(history.CheckLog(changes, base.Revision, log.Recent))
-	d.require(history.CheckSightings(d.recorder.Sightings(), changes, forceBound))
-	d.require(history.CheckStopped(d.recorder.Submissions(), stopped, until, forceBound))
-	d.reportChanges(changes)
-	d.report("answered", "not-run-stopped")
+	d.requireNoViolations(history.CheckLog(changes, base.Revision, log.Recent))
+	d.requireNoViolations(history.CheckSightings(d.recorder.Sightings(), changes, inForceBound))
+	d.requireNoViolations(history.CheckStopped(d.recorder.Submissions(), stopped, until, inForceBound))
+	d.requireChangeFates(changes)
+	d.requireFates("answered", "not-run-stopped")
 }
 
 // operate sends one command of an operator to a random node. One in four is
 // made only at the revision that the operator last saw.
-func (d *deployment) operate(random *rand.Rand, operator int) {
+func (d *deployment) sendRandomCommand(random *rand.Rand, operator int) {
 	node := d.node(random.IntN(nodes))
 	statement := fmt.Sprintf("limit %s concurrency %d", service, 1000+random.IntN(1_000_000))
 	if random.IntN(4) == 0 {
-		if seen, err := d.statusOf(node); err == nil {
+		if seen, err := d.fetchStatus(node); err == nil {
 			statement += fmt.Sprintf(" if revision %d", seen.Revision)
 		}
 	}
-	d.change(node, operator, statement)
-	d.wait(time.Duration(random.IntN(100)) * time.Millisecond)
+	d.sendCommand(node, operator, statement)
+	d.sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 }
 
 // change sends a command and records what comes back.
-func (d *deployment) change(node *cluster.Node, operator int, statement string) history.Change {
+func (d *deployment) sendCommand(node *cluster.Node, operator int, statement string) history.Change {
 	ctx, cancel := context.WithTimeout(d.ctx, replyTimeout)
 	defer cancel()
 	change := history.Change{Operator: operator, Node: node.Name, Statement: statement, Called: time.Now()}
@@ -80,34 +80,34 @@
 	return change
 }
 
-func (d *deployment) statusOf(node *cluster.Node) (*api.StatusResponse, error) {
-	ctx, cancel := context.WithTimeout(d.ctx, sightingTimeout)
+func (d *deployment) fetchStatus(node *cluster.Node) (*api.StatusResponse, error) {
+	ctx, cancel := context.WithTimeout(d.ctx, statusTimeout)
 	defer cancel()
 	return d.Status(ctx, node)
 }
 
 // look looks at every node again and again until the function that it returns
 // is called.
-func (d *deployment) look() (stop func()) {
+func (d *deployment) startStatusPolling() (stop func()) {
 	ctx, cancel := context.WithCancel(d.ctx)
-	var looking sync.WaitGroup
+	var polling sync.WaitGroup
 	for index := range nodes {
-		looking.Go(func() {
+		polling.Go(func() {
 			for ctx.Err() == nil {
-				d.lookAt(d.node(index))
-				time.Sleep(sightingPause)
+				d.recordStatus(d.node(index))
+				time.Sleep(statusPollInterval)
 			}
 		})
 	}
 	return func() {
 		cancel()
-		looking.Wait()
+		polling.Wait()
 	}
 }
 
-func (d *deployment) lookAt(node *cluster.Node) {
+func (d *deployment) recordStatus(node *cluster.Node) {
 	called := time.Now()
-	status, err := d.statusOf(node)
+	status, err := d.fetchStatus(node)
 	if err != nil {
 		return // the node is frozen or gone
 	}
@@ -121,33 +121,33 @@
 // outageAfterWrite lets one write take effect with its reply lost and the
 // store down right after.
 func (d *deployment) outageAfterWrite() fault {
-	lost := d.storeFault(store.Faults{LoseReplies: 1})
-	down := d.storeFault(store.Faults{Outage: store.OutageUnavailable})
+	replyLost := d.storeFault(store.Faults{LoseReplies: 1})
+	storeDown := d.storeFault(store.Faults{Outage: store.OutageUnavailable})
 	return fault{
 		name: "outage right after a write",
 		inject: func() error {
-			err := lost.inject()
-			d.wait(50 * time.Millisecond)
-			return errors.Join(err, down.inject())
+			err := replyLost.inject()
+			d.sleep(50 * time.Millisecond)
+			return errors.Join(err, storeDown.inject())
 		},
-		repair: down.repair,
+		repair: storeDown.repair,
 	}
 }
 
 // replaceInOutage kills a node and starts its replacement while the store is
 // down: that one has to learn the catalog from the others.
-func (d *deployment) replaceInOutage(index int) fault {
-	down := d.storeFault(store.Faults{Outage: store.OutageClose})
+func (d *deployment) replaceNodeDuringOutage(index int) fault {
+	storeDown := d.storeFault(store.Faults{Outage: store.OutageClose})
 	return fault{
 		name:    fmt.Sprintf("replace node %d in an outage", index),
 		targets: []string{nodeTarget(index)},
 		inject: func() error {
-			err := down.inject()
+			err := storeDown.inject()
 			d.node(index).Kill()
-			d.replace(index)
+			d.replaceNode(index)
 			return err
 		},
-		repair: down.repair,
+		repair: storeDown.repair,
 	}
 }
 
@@ -155,59 +155,59 @@
 // node after the bound. Callers ask all nodes, so that requests wait for the
 // node when it wakes; it returns the accepted command and the time until which
 // the service stays stopped.
-func (d *deployment) stopWhileOneSleeps() (stopped history.Change, until time.Time) {
+func (d *deployment) stopServiceWithFrozenNode() (stopped history.Change, until time.Time) {
 	d.t.Helper()
-	stop := d.load(12, func(random *rand.Rand, caller int) {
-		ctx, cancel := context.WithTimeout(d.ctx, sightingTimeout)
+	stop := d.startLoad(12, func(random *rand.Rand, caller int) {
+		ctx, cancel := context.WithTimeout(d.ctx, statusTimeout)
 		defer cancel()
-		d.submitWithin(ctx, d.node(caller), sweep(random, caller, classPlain))
+		d.submitWithin(ctx, d.node(caller), newSelect(random, caller, classPlain))
 	})
-	d.wait(500 * time.Millisecond)
-	sleeper := d.node(2)
-	d.must(sleeper.Freeze())
+	d.sleep(500 * time.Millisecond)
+	frozen := d.node(2)
+	d.requireNoError(frozen.Freeze())
 	for !stopped.Accepted() && d.ctx.Err() == nil {
-		stopped = d.change(d.node(0), 0, "stop service "+service)
+		stopped = d.sendCommand(d.node(0), 0, "stop service "+service)
 	}
-	d.wait(time.Until(stopped.Returned.Add(forceBound + sightingTimeout/2)))
-	d.must(sleeper.Thaw())
-	d.wait(2 * time.Second)
+	d.sleep(time.Until(stopped.Returned.Add(inForceBound + statusTimeout/2)))
+	d.requireNoError(frozen.Thaw())
+	d.sleep(2 * time.Second)
 	stop()
 	return stopped, time.Now()
 }
 
 // settle asks for the fate of every change that is unknown until it is known.
-func (d *deployment) settle() {
+func (d *deployment) resolveUnknownChanges() {
 	d.t.Helper()
-	deadline := time.Now().Add(settleTimeout)
+	deadline := time.Now().Add(fateTimeout)
 	for _, change := range d.recorder.Changes() {
 		for change.Unsettled() {
 			fate, err := d.Fate(d.ctx, d.node(0), change.Response.ChangeID)
 			if err == nil && fate.Fate != api.FateUnknown {
 				settled := history.Change{Statement: change.Statement, Called: change.Called, Returned: time.Now(), Response: fate}
-				d.requireTrueFate(settled)
+				d.requireFateMatchesLog(settled)
 				break
 			}
 			if time.Now().After(deadline) {
 				d.t.Fatalf("%s stays unknown: %+v %v", change.Response.ChangeID, fate, err)
 			}
-			d.wait(200 * time.Millisecond)
+			d.sleep(200 * time.Millisecond)
 		}
 	}
 }
 
 // requireTrueFate compares the fate told later with the log.
-func (d *deployment) requireTrueFate(change history.Change) {
+func (d *deployment) requireFateMatchesLog(change history.Change) {
 	d.t.Helper()
 	log, err := d.Catalog(d.ctx, d.node(0))
-	d.must(err)
-	applied, found := log.Lookup(change.Response.ChangeID)
-	if change.Accepted() != found || found && applied.Revision != change.Response.Revision {
+	d.requireNoError(err)
+	applied, inLog := log.Lookup(change.Response.ChangeID)
+	if change.Accepted() != inLog || inLog && applied.Revision != change.Response.Revision {
 		d.t.Errorf("%s is told to be %s at revision %d, the log has %+v", change.Response.ChangeID, change.Response.Fate, change.Response.Revision, applied)
 	}
 }
 
 // reportChanges logs what operators were told.
-func (d *deployment) reportChanges(changes []history.Change) {
+func (d *deployment) requireChangeFates(changes []history.Change) {
 	d.t.Helper()
 	fates := make(map[string]int)
 	for _, change := range changes {
--- a/internal/rehearsal/promises/coverage_test.go
+++ b/internal/rehearsal/promises/coverage_test.go
@@ -17,10 +17,10 @@
 // two at a time. Each answer holds exactly the rows of the shards that it
 // claims. At the end both replicas of one shard are killed: coverage names
 // just that shard.
-func TestCoverageIsTrue(t *testing.T) {
+func TestCoverageMatchesRows(t *testing.T) {
 	d := deploy(t, nil)
-	stop := d.load(8, func(random *rand.Rand, caller int) {
-		submission := sweep(random, caller, []string{classSweep, classPlain}[caller%2])
+	stop := d.startLoad(8, func(random *rand.Rand, caller int) {
+		submission := newSelect(random, caller, []string{classSweep, classPlain}[caller%2])
 		if caller%4 < 2 {
 			submission.Request.MinimumCoverage = &lowCoverage
 			submission.Request.DeadlineMilliseconds = 150
@@ -29,32 +29,32 @@
 	})
 	var faults []fault
 	for shard := range shards {
-		first, second := d.replicasOf(shard)
+		replica1, replica2 := d.replicaPair(shard)
 		for _, control := range []string{
 			`{"truncate":true}`, `{"lose_reply":30}`, `{"delay_ms":200}`, `{"cross":true}`,
 			`{"refuse":"shed"}`, `{"refuse":"shard_moved"}`, `{"refuse":"snapshot_gone"}`, `{"refuse":"cold"}`,
 		} {
-			faults = append(faults, both(d.leafFault(first, control), d.leafFault(second, control)))
+			faults = append(faults, combine(d.leafFault(replica1, control), d.leafFault(replica2, control)))
 		}
-		faults = append(faults, d.freezeLeaf(second), both(d.freezeLeaf(first), d.freezeLeaf(second)), d.leafFault(first, `{"truncate":true}`))
+		faults = append(faults, d.freezeLeaf(replica2), combine(d.freezeLeaf(replica1), d.freezeLeaf(replica2)), d.leafFault(replica1, `{"truncate":true}`))
 	}
-	d.schedule(400*time.Millisecond, 100*time.Millisecond, faults)
-	first, second := d.replicasOf(1)
-	d.Leaves[first].Kill()
-	d.wait(time.Second)
+	d.runFaults(400*time.Millisecond, 100*time.Millisecond, faults)
+	replica1, replica2 := d.replicaPair(1)
+	d.Leaves[replica1].Kill()
+	d.sleep(time.Second)
 	stop()
-	d.requireWholeAnswers()
-	d.Leaves[second].Kill()
-	d.requireMissing(1)
-	d.require(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
-	d.report("answered", "partial")
+	d.requireFullCoverage()
+	d.Leaves[replica2].Kill()
+	d.requireMissingShard(1)
+	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
+	d.requireFates("answered", "partial")
 }
 
 // replicasOf returns the two leaves of a shard.
-func (d *deployment) replicasOf(shard int) (first, second int) {
+func (d *deployment) replicaPair(shard int) (replica1, replica2 int) {
 	var holders []int
-	for index, each := range d.Leaves {
-		if each.Holds(shard) {
+	for index, leaf := range d.Leaves {
+		if leaf.Holds(shard) {
 			holders = append(holders, index)
 		}
 	}
@@ -65,11 +65,11 @@
 }
 
 // requireWholeAnswers asks every node once, with one replica of a shard gone.
-func (d *deployment) requireWholeAnswers() {
+func (d *deployment) requireFullCoverage() {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
 	for index := range nodes {
-		ended := d.submit(d.node(index), sweep(random, 0, classSweep))
+		ended := d.submit(d.node(index), newSelect(random, 0, classSweep))
 		if ended.Answer == nil || ended.Answer.Coverage.Answered != shards {
 			d.t.Errorf("node %d, one replica gone: %s %+v", index, ended.Fate(), ended.Problem)
 		}
@@ -78,11 +78,11 @@
 
 // requireMissing asks every node until each answers without just that shard.
 // What it answers until then is checked like any other answer.
-func (d *deployment) requireMissing(shard int) {
+func (d *deployment) requireMissingShard(shard int) {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	for index := range nodes {
-		submission := sweep(random, 0, classPlain)
+		submission := newSelect(random, 0, classPlain)
 		submission.Request.MinimumCoverage = &lowCoverage
 		ended := d.submit(d.node(index), submission)
 		if ended.Answer == nil || !slices.Equal(ended.Answer.Coverage.Missing, []int{shard}) {
--- a/internal/rehearsal/promises/deployment_test.go
+++ b/internal/rehearsal/promises/deployment_test.go
@@ -33,7 +33,7 @@
 	// classPlain has no hedging.
 	classPlain = "plain"
 	// classFile runs a request at most once.
-	classFile = "file-quote"
+	classInsert = "file-quote"
 )
 
 const (
@@ -43,9 +43,9 @@
 	// answers as soon as it wakes.
 	replyTimeout = 12 * time.Second
 	// callerPause is the time between two requests of one caller.
-	callerPause = 10 * time.Millisecond
+	callerInterval = 10 * time.Millisecond
 	// quietTime is longer than any attempt still on its way to a leaf.
-	quietTime = queryDeadline + 500*time.Millisecond
+	settleTime = queryDeadline + 500*time.Millisecond
 )
 
 // A fault schedule and the callers' choices are the same in each run.
@@ -64,7 +64,7 @@
 
 // shortFreshness makes a replaced owner take ids soon, and a node that is cut
 // off notice soon.
-func shortFreshness(configured *settings.Settings) {
+func shortenFreshness(configured *settings.Settings) {
 	configured.Freshness.Window = settings.Duration(1500 * time.Millisecond)
 	configured.Freshness.ExchangeInterval = settings.Duration(200 * time.Millisecond)
 	configured.Once.Skew = settings.Duration(100 * time.Millisecond)
@@ -72,18 +72,18 @@
 
 // deploy starts a deployment; nil leaves the default settings. It ends with the
 // test.
-func deploy(t *testing.T, tune func(*settings.Settings)) *deployment {
+func deploy(t *testing.T, configure func(*settings.Settings)) *deployment {
 	t.Helper()
 	t.Parallel()
-	deployments <- struct{}{}
-	t.Cleanup(func() { <-deployments })
+	deploymentSlots <- struct{}{}
+	t.Cleanup(func() { <-deploymentSlots })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	t.Cleanup(cancel)
-	started, err := cluster.Start(ctx, cluster.Plan{
-		Binaries: binaries,
+	running, err := cluster.Start(ctx, cluster.Plan{
+		Binaries: binaryDir,
 		Zones:    []string{"a", "b", "c"},
 		Nodes:    nodes,
-		Tune:     tune,
+		Tune:     configure,
 		Services: []cluster.Service{{
 			Name: service, Shards: shards, Replicas: replicas, KeyColumn: "quote", Leaves: leaves, Slots: slots,
 			Classes: []string{
@@ -96,8 +96,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(started.Close)
-	return &deployment{Cluster: started, t: t, ctx: ctx, nodes: append([]*cluster.Node(nil), started.Nodes...)}
+	t.Cleanup(running.Close)
+	return &deployment{Cluster: running, t: t, ctx: ctx, nodes: append([]*cluster.Node(nil), running.Nodes...)}
 }
 
 // node returns the process that now has a slot.
@@ -108,7 +108,7 @@
 }
 
 // replace starts a new process in the slot of a node that is gone or cut off.
-func (d *deployment) replace(index int) {
+func (d *deployment) replaceNode(index int) {
 	d.t.Helper()
 	old := d.node(index)
 	d.t.Cleanup(old.Kill) // the cluster forgets a process whose slot is taken over
@@ -126,7 +126,7 @@
 func (d *deployment) addNode(name, zone string) {
 	d.t.Helper()
 	started, err := d.StartNode(d.ctx, name, zone)
-	d.must(err)
+	d.requireNoError(err)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.nodes = append(d.nodes, started)
@@ -149,7 +149,7 @@
 }
 
 // sweep makes a select of a random part of the tariffs, under a new id.
-func sweep(random *rand.Rand, caller int, class string) history.Submission {
+func newSelect(random *rand.Rand, caller int, class string) history.Submission {
 	lanes := []string{"OTR-SPK", "SPK-OTR", "HKD-SPK", "SPK-KUH", "KUH-OBH", "OBH-ASA", "ASA-WKN", "MRN-HKD"}
 	filter := &history.Filter{Lane: lanes[random.IntN(len(lanes))], Weight: float64(50 + 50*random.IntN(11))}
 	return history.Submission{
@@ -164,13 +164,13 @@
 }
 
 // filing makes an insert that must run at most once, under a new id.
-func filing(caller int) history.Submission {
+func newInsert(caller int) history.Submission {
 	id := ulid.Make().String()
 	return history.Submission{
 		Caller: caller,
 		Request: api.QueryRequest{
 			RequestID: id,
-			Class:     classFile,
+			Class:     classInsert,
 			Statement: fmt.Sprintf("insert into %s (quote, lane, price) values ('%s', 'OTR-SPK', 4100)", service, id),
 		},
 	}
@@ -178,7 +178,7 @@
 
 // load runs callers side by side, each in a loop, until stop is called; stop
 // blocks until the last reply.
-func (d *deployment) load(callers int, step func(random *rand.Rand, caller int)) (stop func()) {
+func (d *deployment) startLoad(callers int, step func(random *rand.Rand, caller int)) (stop func()) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	var running sync.WaitGroup
 	for caller := range callers {
@@ -186,7 +186,7 @@
 		running.Go(func() {
 			for ctx.Err() == nil {
 				step(random, caller)
-				time.Sleep(callerPause)
+				time.Sleep(callerInterval)
 			}
 		})
 	}
@@ -198,20 +198,20 @@
 
 // awaitFilings blocks until every node has an insert run: until then the owners
 // refuse ids that a predecessor may have let through.
-func (d *deployment) awaitFilings() {
+func (d *deployment) awaitInserts() {
 	d.t.Helper()
 	for index := range nodes {
-		for d.submit(d.node(index), filing(0)).Answer == nil {
+		for d.submit(d.node(index), newInsert(0)).Answer == nil {
 			if d.ctx.Err() != nil {
 				d.t.Fatal("no insert runs")
 			}
-			d.wait(100 * time.Millisecond)
+			d.sleep(100 * time.Millisecond)
 		}
 	}
 }
 
 // wait lets the deployment run for a while.
-func (d *deployment) wait(duration time.Duration) {
+func (d *deployment) sleep(duration time.Duration) {
 	select {
 	case <-d.ctx.Done():
 	case <-time.After(duration):
@@ -219,28 +219,28 @@
 }
 
 // attempts returns the logs of all leaves, also of those that are gone.
-func (d *deployment) attempts() []leaf.Execution {
+func (d *deployment) executions() []leaf.Execution {
 	d.t.Helper()
 	var all []leaf.Execution
-	for _, each := range d.Leaves {
-		attempts, err := d.LeafExecutions(each)
+	for _, clusterLeaf := range d.Leaves {
+		executions, err := d.LeafExecutions(clusterLeaf)
 		if err != nil {
 			d.t.Fatal(err)
 		}
-		all = append(all, attempts...)
+		all = append(all, executions...)
 	}
 	return all
 }
 
 // maximumShown bounds the violations printed of one check.
-const maximumShown = 10
+const maxViolationsShown = 10
 
 // require fails the test with the violations found.
-func (d *deployment) require(violations []history.Violation) {
+func (d *deployment) requireNoViolations(violations []history.Violation) {
 	d.t.Helper()
 	for index, violation := range violations {
-		if index == maximumShown {
-			d.t.Errorf("and %d more", len(violations)-maximumShown)
+		if index == maxViolationsShown {
+			d.t.Errorf("and %d more", len(violations)-maxViolationsShown)
 			return
 		}
 		d.t.Error(violation)
@@ -249,7 +249,7 @@
 
 // report logs what the callers were told, and fails the test if a fate that the
 // schedule must bring about did not come about.
-func (d *deployment) report(expected ...string) {
+func (d *deployment) requireFates(expected ...string) {
 	d.t.Helper()
 	fates := d.recorder.Fates()
 	d.t.Logf("fates: %v", fates)
@@ -261,7 +261,7 @@
 }
 
 // must fails the test at once on an error.
-func (d *deployment) must(err error) {
+func (d *deployment) requireNoError(err error) {
 	d.t.Helper()
 	if err != nil {
 		d.t.Fatal(err)
--- a/internal/rehearsal/promises/faults_test.go
+++ b/internal/rehearsal/promises/faults_test.go
@@ -28,26 +28,26 @@
 
 // schedule brings the faults about, two at once, in an order drawn with the
 // seed: a pair holds for the time given and is then repaired.
-func (d *deployment) schedule(hold, pause time.Duration, faults []fault) {
+func (d *deployment) runFaults(hold, pause time.Duration, faults []fault) {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, uint64(len(faults))))
 	random.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
 	for len(faults) > 0 {
 		var pair []fault
-		pair, faults = takePair(faults)
+		pair, faults = takeCompatiblePair(faults)
 		for _, each := range pair {
-			d.attempt(each.name, each.inject)
+			d.runStep(each.name, each.inject)
 		}
-		d.wait(hold)
+		d.sleep(hold)
 		for _, each := range pair {
-			d.attempt(each.name, each.repair)
+			d.runStep(each.name, each.repair)
 		}
-		d.wait(pause)
+		d.sleep(pause)
 	}
 }
 
 // takePair takes the first fault, and the next one with another target.
-func takePair(faults []fault) (pair, rest []fault) {
+func takeCompatiblePair(faults []fault) (pair, rest []fault) {
 	first := faults[0]
 	rest = slices.Clone(faults[1:])
 	other := slices.IndexFunc(rest, func(f fault) bool { return !slices.ContainsFunc(f.targets, first.actsOn) })
@@ -58,7 +58,7 @@
 	return []fault{first, second}, slices.Delete(rest, other, other+1)
 }
 
-func (d *deployment) attempt(name string, step func() error) {
+func (d *deployment) runStep(name string, step func() error) {
 	d.t.Helper()
 	if err := step(); err != nil {
 		d.t.Errorf("%s: %v", name, err)
@@ -66,7 +66,7 @@
 }
 
 // noFaults ends every fault of a leaf except a drain.
-const noFaults = `{"slow_factor":1,"delay_ms":0,"refuse":"","truncate":false,"cross":false,"lose_reply":0,"report_scale":1,"report_lag_ms":0,"report_state":"","report_fixed":null}`
+const leafFaultsOff = `{"slow_factor":1,"delay_ms":0,"refuse":"","truncate":false,"cross":false,"lose_reply":0,"report_scale":1,"report_lag_ms":0,"report_state":"","report_fixed":null}`
 
 // leafFault sets faults of a leaf by its control interface.
 func (d *deployment) leafFault(index int, control string) fault {
@@ -77,7 +77,7 @@
 		name:    fmt.Sprintf("leaf %d %s", index, control),
 		targets: []string{leafTarget(index)},
 		inject:  set(control),
-		repair:  set(noFaults),
+		repair:  set(leafFaultsOff),
 	}
 }
 
@@ -111,7 +111,7 @@
 		name:    fmt.Sprintf("kill node %d", index),
 		targets: []string{nodeTarget(index)},
 		inject:  func() error { d.node(index).Kill(); return nil },
-		repair:  func() error { d.replace(index); return nil },
+		repair:  func() error { d.replaceNode(index); return nil },
 	}
 }
 
@@ -127,15 +127,15 @@
 
 // statementFault runs one statement of an operator, and another to undo it.
 // Either may fail under another fault, so its fate is only logged.
-func (d *deployment) statementFault(statement, undo string) fault {
-	return d.statementsFault([]string{statement}, []string{undo})
+func (d *deployment) reversibleStatement(statement, undo string) fault {
+	return d.reversibleStatements([]string{statement}, []string{undo})
 }
 
-func (d *deployment) statementsFault(statements, undo []string) fault {
+func (d *deployment) reversibleStatements(statements, undo []string) fault {
 	run := func(statements []string) func() error {
 		return func() error {
 			for _, statement := range statements {
-				d.command(statement)
+				d.runStatement(statement)
 			}
 			return nil
 		}
@@ -151,7 +151,7 @@
 )
 
 // command sends a statement to one node after the other until one answers.
-func (d *deployment) command(statement string) {
+func (d *deployment) runStatement(statement string) {
 	d.t.Helper()
 	for index := range nodes {
 		ctx, cancel := context.WithTimeout(d.ctx, operatorTimeout)
@@ -172,20 +172,20 @@
 		name:    fmt.Sprintf("drain node %d", index),
 		targets: []string{nodeTarget(index)},
 		inject:  func() error { return d.node(index).Terminate() },
-		repair:  func() error { d.replace(index); return nil },
+		repair:  func() error { d.replaceNode(index); return nil },
 	}
 }
 
 // overtakeNode freezes a node and starts another process in its slot; then the
 // old one wakes.
-func (d *deployment) overtakeNode(index int) fault {
+func (d *deployment) replaceFrozenNode(index int) fault {
 	var old *cluster.Node
 	return fault{
 		name:    fmt.Sprintf("overtake frozen node %d", index),
 		targets: []string{nodeTarget(index)},
 		inject: func() error {
 			old = d.node(index)
-			defer d.replace(index)
+			defer d.replaceNode(index)
 			return old.Freeze()
 		},
 		repair: func() error { return old.Thaw() },
@@ -193,7 +193,7 @@
 }
 
 // both brings two faults about as one.
-func both(first, second fault) fault {
+func combine(first, second fault) fault {
 	return fault{
 		name:    first.name + " and " + second.name,
 		targets: append(slices.Clone(first.targets), second.targets...),
--- a/internal/rehearsal/promises/leaving_test.go
+++ b/internal/rehearsal/promises/leaving_test.go
@@ -18,19 +18,19 @@
 	// which it gets no new work.
 	leavingBound = 5 * time.Second
 	// cutOffTime is longer than the bound.
-	cutOffTime = 6 * time.Second
+	freezeDuration = 6 * time.Second
 	// machineListLag is how long the machine list hides a change.
-	machineListLag = `{"lag":"1s"}`
+	machineListLagControl = `{"lag":"1s"}`
 	// flapTime is how long a flapping leaf drains.
-	flapTime = 400 * time.Millisecond
+	flapDuration = 400 * time.Millisecond
 )
 
 // word is a way to say that a leaf is leaving.
-type word struct {
-	name string
-	leaf *cluster.Leaf
-	say  func(leaf *cluster.Leaf)
-	told time.Time
+type leaveSignal struct {
+	name   string
+	leaf   *cluster.Leaf
+	send   func(leaf *cluster.Leaf)
+	sentAt time.Time
 }
 
 // TestLeavingLeafGetsNoNewWork says by command, by the machine list, by the
@@ -39,57 +39,57 @@
 // after the bound.
 func TestLeavingLeafGetsNoNewWork(t *testing.T) {
 	d := deploy(t, nil)
-	d.must(d.Control(d.ctx, d.Machines, stand.ControlPath, json.RawMessage(machineListLag)))
-	stop := d.load(10, func(random *rand.Rand, caller int) {
-		d.submit(d.node(caller), sweep(random, caller, []string{classSweep, classPlain}[caller%2]))
+	d.requireNoError(d.Control(d.ctx, d.Machines, stand.ControlPath, json.RawMessage(machineListLagControl)))
+	stop := d.startLoad(10, func(random *rand.Rand, caller int) {
+		d.submit(d.node(caller), newSelect(random, caller, []string{classSweep, classPlain}[caller%2]))
 	})
-	d.wait(500 * time.Millisecond)
-	sleeper := d.node(nodes - 1)
-	d.must(sleeper.Freeze())
-	words := d.words()
-	for index := range words {
-		words[index].told = time.Now()
-		words[index].say(words[index].leaf)
+	d.sleep(500 * time.Millisecond)
+	frozen := d.node(nodes - 1)
+	d.requireNoError(frozen.Freeze())
+	signals := d.signals()
+	for index := range signals {
+		signals[index].sentAt = time.Now()
+		signals[index].send(signals[index].leaf)
 	}
-	d.wait(cutOffTime)
-	d.must(sleeper.Thaw())
-	d.wait(3 * time.Second)
+	d.sleep(freezeDuration)
+	d.requireNoError(frozen.Thaw())
+	d.sleep(3 * time.Second)
 	stop()
-	for _, each := range words {
-		attempts, err := d.LeafExecutions(each.leaf)
-		d.must(err)
-		d.require(history.CheckLeaving(each.name, attempts, each.told, leavingBound))
-		t.Logf("%s: the last attempt arrived %s after the word", each.name, history.LastArrival(attempts, each.told))
+	for _, signal := range signals {
+		executions, err := d.LeafExecutions(signal.leaf)
+		d.requireNoError(err)
+		d.requireNoViolations(history.CheckLeaving(signal.name, executions, signal.sentAt, leavingBound))
+		t.Logf("%s: the last attempt arrived %s after the word", signal.name, history.LastArrival(executions, signal.sentAt))
 	}
-	d.require(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
-	d.requireWork(sleeper)
-	d.report("answered")
+	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
+	d.requireAnswersAtEnd(frozen)
+	d.requireFates("answered")
 }
 
 // words gives one replica of each shard a way to leave.
-func (d *deployment) words() []word {
+func (d *deployment) signals() []leaveSignal {
 	replica := func(shard int) *cluster.Leaf {
-		first, _ := d.replicasOf(shard)
+		first, _ := d.replicaPair(shard)
 		return d.Leaves[first]
 	}
-	return []word{
-		{name: "command", leaf: replica(0), say: func(leaf *cluster.Leaf) { d.command("retire leaf " + leaf.Address().String()) }},
-		{name: "machine list", leaf: replica(1), say: d.leaveByMachineList},
-		{name: "lying report", leaf: replica(2), say: d.controlWord(`{"drain":true,"report_state":"serving","report_scale":0}`)},
-		{name: "flap", leaf: replica(3), say: func(leaf *cluster.Leaf) {
-			d.controlWord(`{"drain":true}`)(leaf)
-			d.wait(flapTime)
-			d.controlWord(`{"drain":false}`)(leaf)
+	return []leaveSignal{
+		{name: "command", leaf: replica(0), send: func(leaf *cluster.Leaf) { d.runStatement("retire leaf " + leaf.Address().String()) }},
+		{name: "machine list", leaf: replica(1), send: d.signalByMachineList},
+		{name: "lying report", leaf: replica(2), send: d.controlSignal(`{"drain":true,"report_state":"serving","report_scale":0}`)},
+		{name: "flap", leaf: replica(3), send: func(leaf *cluster.Leaf) {
+			d.controlSignal(`{"drain":true}`)(leaf)
+			d.sleep(flapDuration)
+			d.controlSignal(`{"drain":false}`)(leaf)
 		}},
 	}
 }
 
-func (d *deployment) controlWord(control string) func(leaf *cluster.Leaf) {
-	return func(leaf *cluster.Leaf) { d.must(d.ControlLeaf(d.ctx, leaf, json.RawMessage(control))) }
+func (d *deployment) controlSignal(control string) func(leaf *cluster.Leaf) {
+	return func(leaf *cluster.Leaf) { d.requireNoError(d.ControlLeaf(d.ctx, leaf, json.RawMessage(control))) }
 }
 
-func (d *deployment) leaveByMachineList(leaf *cluster.Leaf) {
-	d.must(d.Control(d.ctx, d.Machines, stand.ControlPath, stand.ControlRequest{
+func (d *deployment) signalByMachineList(leaf *cluster.Leaf) {
+	d.requireNoError(d.Control(d.ctx, d.Machines, stand.ControlPath, stand.ControlRequest{
 		Add:   []machines.Machine{{Address: leaf.Address(), Kind: machines.KindLeaf, State: machines.StateLive}},
 		Leave: []netip.AddrPort{leaf.Address()},
 	}))
@@ -97,7 +97,7 @@
 
 // requireWork fails the test if a node answered nothing after the bound: then
 // nothing would be proved of it.
-func (d *deployment) requireWork(node *cluster.Node) {
+func (d *deployment) requireAnswersAtEnd(node *cluster.Node) {
 	d.t.Helper()
 	answered := 0
 	submissions := d.recorder.Submissions()
--- a/internal/rehearsal/promises/main_test.go
+++ b/internal/rehearsal/promises/main_test.go
@@ -8,28 +8,28 @@
 )
 
 // binaries is the folder of the programs under test.
-var binaries string
+var binaryDir string
 
 // deployments bounds how many deployments run at once.
-var deployments = make(chan struct{}, 2)
+var deploymentSlots = make(chan struct{}, 2)
 
 func TestMain(m *testing.M) {
 	os.Exit(runTests(m))
 }
 
 func runTests(m *testing.M) int {
-	folder, err := os.MkdirTemp("", "micaplank-promises-")
+	dir, err := os.MkdirTemp("", "micaplank-promises-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(folder)
-	build := exec.Command("go", "build", "-o", folder+string(os.PathSeparator),
+	defer os.RemoveAll(dir)
+	build := exec.Command("go", "build", "-o", dir+string(os.PathSeparator),
 		"github.com/micaplank/micaplank/cmd/micaplank", "github.com/micaplank/micaplank/cmd/micarehearse")
 	if output, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build the programs: %v\n%s", err, output)
 		return 1
 	}
-	binaries = folder
+	binaryDir = dir
 	return m.Run()
 }
