--- a/internal/rehearsal/promises/answers_test.go
+++ b/internal/rehearsal/promises/answers_test.go
@@ -10,9 +10,9 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 )
 
-// TestCallersGetTheirOwnWholeAnswers lets leaves answer with replies to other
-// requests, late, or not at all, while callers use the same request ids for
-// different statements side by side, and go away in the middle.
+// TestAnswersBelongToTheirRequests guards against answers that hold rows of another request or too
+// few rows. Leaves send replies to other requests, late replies or none, while callers use the
+// same request ids for different statements concurrently and cancel requests in flight.
 func TestAnswersBelongToTheirRequests(t *testing.T) {
 	d := deploy(t, nil)
 	stop := d.startLoad(10, func(random *rand.Rand, caller int) {
@@ -44,8 +44,7 @@
 	d.requireFates("answered", "partial", "no reply")
 }
 
-// impatient is the context of a caller that in one case of four goes away
-// after some milliseconds.
+// withRandomCancel returns a context that in one of four cases ends after 1 to 20 ms.
 func (d *deployment) withRandomCancel(random *rand.Rand) (context.Context, context.CancelFunc) {
 	if random.IntN(4) > 0 {
 		return context.WithCancel(d.ctx)
--- a/internal/rehearsal/promises/at_most_once_test.go
+++ b/internal/rehearsal/promises/at_most_once_test.go
@@ -12,10 +12,10 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// TestNotRunMeansNowhere submits requests of both kinds, each id once, at
-// overload, with short deadlines, while nodes drain, stop, freeze and die, the
-// service stops and leaves lose replies. No request that was "not run" was
-// started on any leaf.
+// TestNotRunRequestsNeverExecute guards against requests that are reported as not run although a
+// leaf started them. Selects and inserts, each with a new id, are sent at overload and with short
+// deadlines while nodes drain, are replaced, frozen and killed, the service stops and leaves lose
+// replies.
 func TestNotRunRequestsNeverExecute(t *testing.T) {
 	d := deploy(t, shortenFreshness)
 	d.awaitInserts()
@@ -46,20 +46,20 @@
 	d.requireNoViolations(history.CheckOnce(insertSubmissions(submissions), executions))
 	d.requireFates("answered", "not-run-stopped", "outcome-unknown", "no reply")
 	if !slices.ContainsFunc(submissions, notRunByNode) {
-		t.Error("no request was not run for another reason than the stop of the service")
+		t.Error("every request that was not run was refused by the stop of the service, want another reason too")
 	}
 }
 
-// notRunByTheNode reports whether a node found a request not to have run, after
-// it had begun with it or refused it for its own state.
+// notRunByNode reports whether a request was not run for another reason than the stop of the
+// service. The node had then begun to handle the request, or refused it because of its own state.
 func notRunByNode(submission history.Submission) bool {
 	return submission.NotRun() && submission.Problem.Type != api.ProblemNotRunStopped
 }
 
-// TestRunsAtMostOnce submits inserts again under the same id, to the same and
-// to other nodes, at once and later, while replies are lost or come after the
-// deadline, leaves are killed, nodes freeze past the deadline, die and are
-// replaced, also while the old process sleeps, and the voter set changes.
+// TestInsertsRunAtMostOnce guards against double execution of inserts. Callers repeat inserts with
+// the same id, at the same and at other nodes, concurrently and later. Meanwhile replies are lost
+// or arrive after the deadline, leaves are killed, nodes are frozen beyond the deadline, killed
+// and replaced, also while the old process is frozen, and the voter set changes.
 func TestInsertsRunAtMostOnce(t *testing.T) {
 	d := deploy(t, shortenFreshness)
 	d.addNode("node-d1", "a")
@@ -92,8 +92,8 @@
 	d.requireFates("answered", "outcome-unknown", "unavailable", "no reply")
 }
 
-// swapVoters changes the voting set and changes it back, with no other fault,
-// so that ids have another owner for a while.
+// replaceVoterAndRestore changes the voter set and restores it, with no other fault active, so
+// that some ids have another owner for a while.
 func (d *deployment) replaceVoterAndRestore() {
 	d.t.Helper()
 	for _, statement := range []string{
@@ -109,10 +109,10 @@
 			return
 		}
 	}
-	d.t.Error("the voting set was not changed")
+	d.t.Errorf("recent changes = %+v, want one that removes voter node-b1", current.Recent)
 }
 
-// fileRepeatedly submits one insert up to four times.
+// insertRepeatedly submits one insert up to four times.
 func (d *deployment) insertRepeatedly(random *rand.Rand, caller int) {
 	submission := newInsert(caller)
 	var concurrent sync.WaitGroup
@@ -127,7 +127,7 @@
 	concurrent.Wait()
 }
 
-// filings returns the submissions of inserts.
+// insertSubmissions returns the submissions of inserts.
 func insertSubmissions(submissions []history.Submission) []history.Submission {
 	var inserts []history.Submission
 	for _, submission := range submissions {
--- a/internal/rehearsal/promises/changes_test.go
+++ b/internal/rehearsal/promises/changes_test.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// forceBound is the freshness window, 5 s by default, with a margin for
-	// the time between the acceptance and the caller's clock reading.
+	// inForceBound is the freshness window, 5 s by default, with a margin for the time between the
+	// acceptance and the caller's clock reading.
 	inForceBound = 5*time.Second + 250*time.Millisecond
-	// sightingPause is the time between two looks at one node.
+	// statusPollInterval is the time between two status requests to a node.
 	statusPollInterval = 30 * time.Millisecond
-	// sightingTimeout bounds a look at a node that may be frozen.
+	// statusTimeout bounds a status request, since the node may be frozen.
 	statusTimeout = time.Second
-	// settleTimeout bounds the time until the fate of a change is known.
+	// fateTimeout bounds the time until the fate of a change is known.
 	fateTimeout = 20 * time.Second
 )
 
-// TestAcceptedChangesStayInForce has operators race at all nodes while the
-// store loses replies and goes down right after writes, and nodes are frozen,
-// killed and replaced. The log is an order of the commands, no node goes back,
-// and no node that takes work is behind after the bound. At the end the service
-// is stopped while a node sleeps until after the bound.
+// TestAcceptedChangesAreDurableAndOrdered guards against accepted changes that are lost, reordered
+// or ignored. Operators send concurrent commands to all nodes while the store loses replies and
+// fails right after writes, and nodes are frozen, killed and replaced. The log must be an order of
+// the commands, no node may go back to an older revision, and no node that accepts work may lag
+// behind after inForceBound. At the end the service is stopped while a node is frozen beyond that
+// bound.
 func TestAcceptedChangesAreDurableAndOrdered(t *testing.T) {
 	d := deploy(t, nil)
 	base, err := d.Catalog(d.ctx, d.node(0))
@@ -56,8 +57,8 @@
 	d.requireFates("answered", "not-run-stopped")
 }
 
-// operate sends one command of an operator to a random node. One in four is
-// made only at the revision that the operator last saw.
+// sendRandomCommand sends an operator's command to a random node. One in four is conditional on
+// the revision that the operator saw last.
 func (d *deployment) sendRandomCommand(random *rand.Rand, operator int) {
 	node := d.node(random.IntN(nodes))
 	statement := fmt.Sprintf("limit %s concurrency %d", service, 1000+random.IntN(1_000_000))
@@ -70,7 +71,7 @@
 	d.sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 }
 
-// change sends a command and records what comes back.
+// sendCommand sends a command and records the response.
 func (d *deployment) sendCommand(node *cluster.Node, operator int, statement string) history.Change {
 	ctx, cancel := context.WithTimeout(d.ctx, replyTimeout)
 	defer cancel()
@@ -86,8 +87,7 @@
 	return d.Status(ctx, node)
 }
 
-// look looks at every node again and again until the function that it returns
-// is called.
+// startStatusPolling polls the status of every node until the returned function is called.
 func (d *deployment) startStatusPolling() (stop func()) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	var polling sync.WaitGroup
@@ -118,8 +118,8 @@
 	})
 }
 
-// outageAfterWrite lets one write take effect with its reply lost and the
-// store down right after.
+// outageAfterWrite loses the reply of one write that takes effect, and makes the store unavailable
+// right after it.
 func (d *deployment) outageAfterWrite() fault {
 	replyLost := d.storeFault(store.Faults{LoseReplies: 1})
 	storeDown := d.storeFault(store.Faults{Outage: store.OutageUnavailable})
@@ -134,8 +134,8 @@
 	}
 }
 
-// replaceInOutage kills a node and starts its replacement while the store is
-// down: that one has to learn the catalog from the others.
+// replaceNodeDuringOutage kills a node and starts its replacement while the store is down. The
+// replacement has to receive the catalog from the other nodes.
 func (d *deployment) replaceNodeDuringOutage(index int) fault {
 	storeDown := d.storeFault(store.Faults{Outage: store.OutageClose})
 	return fault{
@@ -151,10 +151,9 @@
 	}
 }
 
-// stopWhileOneSleeps stops the service while a node is frozen, and wakes the
-// node after the bound. Callers ask all nodes, so that requests wait for the
-// node when it wakes; it returns the accepted command and the time until which
-// the service stays stopped.
+// stopServiceWithFrozenNode stops the service while a node is frozen, and thaws the node after
+// inForceBound. Callers send to all nodes, so that requests are queued at the frozen node when it
+// thaws. It returns the accepted command and the time until which the service stays stopped.
 func (d *deployment) stopServiceWithFrozenNode() (stopped history.Change, until time.Time) {
 	d.t.Helper()
 	stop := d.startLoad(12, func(random *rand.Rand, caller int) {
@@ -175,7 +174,7 @@
 	return stopped, time.Now()
 }
 
-// settle asks for the fate of every change that is unknown until it is known.
+// resolveUnknownChanges queries the fate of every change with an unknown fate until it is known.
 func (d *deployment) resolveUnknownChanges() {
 	d.t.Helper()
 	deadline := time.Now().Add(fateTimeout)
@@ -188,25 +187,26 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				d.t.Fatalf("%s stays unknown: %+v %v", change.Response.ChangeID, fate, err)
+				d.t.Fatalf("fate of change %s is still unknown after %s: %+v, error %v", change.Response.ChangeID, fateTimeout, fate, err)
 			}
 			d.sleep(200 * time.Millisecond)
 		}
 	}
 }
 
-// requireTrueFate compares the fate told later with the log.
+// requireFateMatchesLog compares a fate that was reported later with the log.
 func (d *deployment) requireFateMatchesLog(change history.Change) {
 	d.t.Helper()
 	log, err := d.Catalog(d.ctx, d.node(0))
 	d.requireNoError(err)
 	applied, inLog := log.Lookup(change.Response.ChangeID)
 	if change.Accepted() != inLog || inLog && applied.Revision != change.Response.Revision {
-		d.t.Errorf("%s is told to be %s at revision %d, the log has %+v", change.Response.ChangeID, change.Response.Fate, change.Response.Revision, applied)
+		d.t.Errorf("change %s: reported as %s at revision %d, but the log has %+v", change.Response.ChangeID, change.Response.Fate, change.Response.Revision, applied)
 	}
 }
 
-// reportChanges logs what operators were told.
+// requireChangeFates logs the fates that operators were told. It fails the test unless some
+// changes were accepted and some had an unknown fate, since the checks need both.
 func (d *deployment) requireChangeFates(changes []history.Change) {
 	d.t.Helper()
 	fates := make(map[string]int)
@@ -220,8 +220,8 @@
 			fates["no reply"]++
 		}
 	}
-	d.t.Logf("changes: %v; %d looks at nodes", fates, len(d.recorder.Sightings()))
+	d.t.Logf("changes: %v; %d status responses", fates, len(d.recorder.Sightings()))
 	if fates[string(api.FateInForce)]+fates[string(api.FateAccepted)] == 0 || fates[string(api.FateUnknown)] == 0 {
-		d.t.Errorf("changes accepted and unknown are needed: %v", fates)
+		d.t.Errorf("fates of changes = %v, want accepted and unknown ones", fates)
 	}
 }
--- a/internal/rehearsal/promises/coverage_test.go
+++ b/internal/rehearsal/promises/coverage_test.go
@@ -9,14 +9,14 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 )
 
-// lowCoverage lets a caller take an answer with a part of the shards.
+// lowCoverage is the minimum coverage of callers that accept partial answers.
 var lowCoverage = 0.25
 
-// TestCoverageIsTrue brings about replicas that are frozen or killed, replies
-// that are truncated, lost, delayed or those of other requests, and refusals,
-// two at a time. Each answer holds exactly the rows of the shards that it
-// claims. At the end both replicas of one shard are killed: coverage names
-// just that shard.
+// TestCoverageMatchesRows guards against answers that claim shards whose rows they lack, or the
+// reverse. Replicas are frozen or killed, refuse requests, and truncate, lose, delay or swap
+// replies, two faults at a time. Each answer must hold exactly the rows of the shards that it
+// claims. At the end both replicas of one shard are killed; the coverage must name just that shard
+// as missing.
 func TestCoverageMatchesRows(t *testing.T) {
 	d := deploy(t, nil)
 	stop := d.startLoad(8, func(random *rand.Rand, caller int) {
@@ -50,7 +50,7 @@
 	d.requireFates("answered", "partial")
 }
 
-// replicasOf returns the two leaves of a shard.
+// replicaPair returns the indexes of the two leaves of a shard.
 func (d *deployment) replicaPair(shard int) (replica1, replica2 int) {
 	var holders []int
 	for index, leaf := range d.Leaves {
@@ -59,34 +59,35 @@
 		}
 	}
 	if len(holders) != replicas {
-		d.t.Fatalf("shard %d has leaves %v", shard, holders)
+		d.t.Fatalf("shard %d is on leaves %v, want %d leaves", shard, holders, replicas)
 	}
 	return holders[0], holders[1]
 }
 
-// requireWholeAnswers asks every node once, with one replica of a shard gone.
+// requireFullCoverage sends one query to every node while one replica of a shard is down, and
+// requires full coverage.
 func (d *deployment) requireFullCoverage() {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
 	for index := range nodes {
-		ended := d.submit(d.node(index), newSelect(random, 0, classSweep))
-		if ended.Answer == nil || ended.Answer.Coverage.Answered != shards {
-			d.t.Errorf("node %d, one replica gone: %s %+v", index, ended.Fate(), ended.Problem)
+		result := d.submit(d.node(index), newSelect(random, 0, classSweep))
+		if result.Answer == nil || result.Answer.Coverage.Answered != shards {
+			d.t.Errorf("node %d with one replica down: got %s %+v, want an answer with full coverage", index, result.Fate(), result.Problem)
 		}
 	}
 }
 
-// requireMissing asks every node until each answers without just that shard.
-// What it answers until then is checked like any other answer.
+// requireMissingShard sends one query to every node while both replicas of the shard are down, and
+// requires a partial answer that lacks just that shard.
 func (d *deployment) requireMissingShard(shard int) {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	for index := range nodes {
 		submission := newSelect(random, 0, classPlain)
 		submission.Request.MinimumCoverage = &lowCoverage
-		ended := d.submit(d.node(index), submission)
-		if ended.Answer == nil || !slices.Equal(ended.Answer.Coverage.Missing, []int{shard}) {
-			d.t.Errorf("node %d, both replicas of shard %d gone: %s %+v %+v", index, shard, ended.Fate(), ended.Answer, ended.Problem)
+		result := d.submit(d.node(index), submission)
+		if result.Answer == nil || !slices.Equal(result.Answer.Coverage.Missing, []int{shard}) {
+			d.t.Errorf("node %d with both replicas of shard %d down: got %s %+v %+v, want an answer that lacks just this shard", index, shard, result.Fate(), result.Answer, result.Problem)
 		}
 	}
 }
--- a/internal/rehearsal/promises/deployment_test.go
+++ b/internal/rehearsal/promises/deployment_test.go
@@ -17,7 +17,7 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// The deployment: 3 nodes and 8 leaves, 2 for each of 4 shards.
+// Every deployment has 3 nodes and 8 leaves, 2 for each of 4 shards.
 const (
 	service  = "filing-vault"
 	shards   = 4
@@ -27,31 +27,31 @@
 	slots    = 4
 )
 
-// The classes of the service.
+// The service has these classes of queries.
 const (
 	classSweep = "sweep"
-	// classPlain has no hedging.
+	// classPlain does not use hedging.
 	classPlain = "plain"
-	// classFile runs a request at most once.
+	// classInsert executes a request at most once.
 	classInsert = "file-quote"
 )
 
 const (
-	// queryDeadline is that of selects. Inserts have half of it.
+	// queryDeadline is the deadline of selects. Inserts have half of it.
 	queryDeadline = 2 * time.Second
-	// replyTimeout is when a caller takes a reply for lost. A frozen node
-	// answers as soon as it wakes.
+	// replyTimeout is when a caller gives up waiting for a reply. It leaves time for a frozen
+	// node, which replies as soon as it thaws.
 	replyTimeout = 12 * time.Second
-	// callerPause is the time between two requests of one caller.
+	// callerInterval is the time between two requests of one caller.
 	callerInterval = 10 * time.Millisecond
-	// quietTime is longer than any attempt still on its way to a leaf.
+	// settleTime is longer than any attempt can still be on its way to a leaf.
 	settleTime = queryDeadline + 500*time.Millisecond
 )
 
-// A fault schedule and the callers' choices are the same in each run.
+// seed makes the fault schedules and the choices of the callers the same in each run.
 const seed = 20261202
 
-// deployment is a cluster with the history of what was seen of it.
+// deployment is a running cluster with the recorded history of its responses.
 type deployment struct {
 	*cluster.Cluster
 	t        *testing.T
@@ -62,16 +62,16 @@
 	nodes []*cluster.Node
 }
 
-// shortFreshness makes a replaced owner take ids soon, and a node that is cut
-// off notice soon.
+// shortenFreshness shortens the freshness window, so that the replacement of an owner accepts ids
+// sooner and a node that is cut off notices it sooner.
 func shortenFreshness(configured *settings.Settings) {
 	configured.Freshness.Window = settings.Duration(1500 * time.Millisecond)
 	configured.Freshness.ExchangeInterval = settings.Duration(200 * time.Millisecond)
 	configured.Once.Skew = settings.Duration(100 * time.Millisecond)
 }
 
-// deploy starts a deployment; nil leaves the default settings. It ends with the
-// test.
+// deploy starts a deployment that is stopped at the end of the test. A nil configure leaves the
+// default settings.
 func deploy(t *testing.T, configure func(*settings.Settings)) *deployment {
 	t.Helper()
 	t.Parallel()
@@ -100,18 +100,18 @@
 	return &deployment{Cluster: running, t: t, ctx: ctx, nodes: append([]*cluster.Node(nil), running.Nodes...)}
 }
 
-// node returns the process that now has a slot.
+// node returns the process that currently fills a node slot.
 func (d *deployment) node(index int) *cluster.Node {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.nodes[index%len(d.nodes)]
 }
 
-// replace starts a new process in the slot of a node that is gone or cut off.
+// replaceNode starts a new process in the slot of a node that is down or frozen.
 func (d *deployment) replaceNode(index int) {
 	d.t.Helper()
 	old := d.node(index)
-	d.t.Cleanup(old.Kill) // the cluster forgets a process whose slot is taken over
+	d.t.Cleanup(old.Kill) // the cluster no longer tracks a process that was replaced
 	started, err := d.StartNode(d.ctx, old.Name, old.Zone)
 	if err != nil {
 		d.t.Error(err)
@@ -122,7 +122,7 @@
 	d.nodes[index%len(d.nodes)] = started
 }
 
-// addNode starts a node beyond those of the plan. It is no voter.
+// addNode starts a node in addition to those of the plan. The node is not a voter.
 func (d *deployment) addNode(name, zone string) {
 	d.t.Helper()
 	started, err := d.StartNode(d.ctx, name, zone)
@@ -132,7 +132,7 @@
 	d.nodes = append(d.nodes, started)
 }
 
-// submit sends a request to a node and records what comes back.
+// submit sends a request to a node and records the response.
 func (d *deployment) submit(to *cluster.Node, submission history.Submission) history.Submission {
 	return d.submitWithin(d.ctx, to, submission)
 }
@@ -148,7 +148,7 @@
 	return submission
 }
 
-// sweep makes a select of a random part of the tariffs, under a new id.
+// newSelect returns a select with a random filter and a new request id.
 func newSelect(random *rand.Rand, caller int, class string) history.Submission {
 	lanes := []string{"OTR-SPK", "SPK-OTR", "HKD-SPK", "SPK-KUH", "KUH-OBH", "OBH-ASA", "ASA-WKN", "MRN-HKD"}
 	filter := &history.Filter{Lane: lanes[random.IntN(len(lanes))], Weight: float64(50 + 50*random.IntN(11))}
@@ -163,7 +163,7 @@
 	}
 }
 
-// filing makes an insert that must run at most once, under a new id.
+// newInsert returns an insert that must run at most once, with a new request id.
 func newInsert(caller int) history.Submission {
 	id := ulid.Make().String()
 	return history.Submission{
@@ -176,8 +176,8 @@
 	}
 }
 
-// load runs callers side by side, each in a loop, until stop is called; stop
-// blocks until the last reply.
+// startLoad runs concurrent callers, each in a loop, until stop is called. stop blocks until the
+// last caller has its reply.
 func (d *deployment) startLoad(callers int, step func(random *rand.Rand, caller int)) (stop func()) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	var running sync.WaitGroup
@@ -196,21 +196,21 @@
 	}
 }
 
-// awaitFilings blocks until every node has an insert run: until then the owners
-// refuse ids that a predecessor may have let through.
+// awaitInserts blocks until an insert has succeeded through every node. Until then the owners
+// refuse ids that a predecessor may have executed.
 func (d *deployment) awaitInserts() {
 	d.t.Helper()
 	for index := range nodes {
 		for d.submit(d.node(index), newInsert(0)).Answer == nil {
 			if d.ctx.Err() != nil {
-				d.t.Fatal("no insert runs")
+				d.t.Fatalf("no insert succeeded through node %d: %v", index, d.ctx.Err())
 			}
 			d.sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-// wait lets the deployment run for a while.
+// sleep waits for a duration or until the context of the test ends.
 func (d *deployment) sleep(duration time.Duration) {
 	select {
 	case <-d.ctx.Done():
@@ -218,7 +218,7 @@
 	}
 }
 
-// attempts returns the logs of all leaves, also of those that are gone.
+// executions returns the execution logs of all leaves, including those that are down.
 func (d *deployment) executions() []leaf.Execution {
 	d.t.Helper()
 	var all []leaf.Execution
@@ -232,35 +232,35 @@
 	return all
 }
 
-// maximumShown bounds the violations printed of one check.
+// maxViolationsShown bounds the violations that one check prints.
 const maxViolationsShown = 10
 
-// require fails the test with the violations found.
+// requireNoViolations fails the test if a check found violations.
 func (d *deployment) requireNoViolations(violations []history.Violation) {
 	d.t.Helper()
 	for index, violation := range violations {
 		if index == maxViolationsShown {
-			d.t.Errorf("and %d more", len(violations)-maxViolationsShown)
+			d.t.Errorf("and %d more violations", len(violations)-maxViolationsShown)
 			return
 		}
 		d.t.Error(violation)
 	}
 }
 
-// report logs what the callers were told, and fails the test if a fate that the
-// schedule must bring about did not come about.
+// requireFates logs how many requests ended with each fate. It fails the test if an expected fate
+// is missing, since the schedule then did not exercise it.
 func (d *deployment) requireFates(expected ...string) {
 	d.t.Helper()
 	fates := d.recorder.Fates()
 	d.t.Logf("fates: %v", fates)
 	for _, fate := range expected {
 		if fates[fate] == 0 {
-			d.t.Errorf("no request ended as %q: %v", fate, fates)
+			d.t.Errorf("no request ended with fate %q; fates: %v", fate, fates)
 		}
 	}
 }
 
-// must fails the test at once on an error.
+// requireNoError stops the test if err is set.
 func (d *deployment) requireNoError(err error) {
 	d.t.Helper()
 	if err != nil {
--- a/internal/rehearsal/promises/doc.go
+++ b/internal/rehearsal/promises/doc.go
@@ -1,6 +1,5 @@
-// Package promises holds only tests. It proves what micaplank promises its users
-// through the real programs: each test starts a store, a machine list, leaves and nodes as
-// processes on loopback, puts concurrent callers and faults on them, and checks
-// the recorded history. The proofs of the decisions, over many more schedules,
-// are in the packages of the decisions; docs/PROVED.md lists both.
+// Package promises holds only tests. They check the guarantees of micaplank end to end: each test
+// starts a store, a machine list, leaves and nodes as processes on loopback, runs concurrent
+// callers, injects faults and checks the recorded history. The packages of the decision code check
+// the same guarantees under many more schedules; docs/PROVED.md lists both.
 package promises
--- a/internal/rehearsal/promises/faults_test.go
+++ b/internal/rehearsal/promises/faults_test.go
@@ -14,11 +14,11 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// fault is something that goes wrong for a while.
+// fault is an injected fault that is repaired later.
 type fault struct {
 	name string
-	// targets are the processes that the fault acts on. Two faults of one
-	// process are not brought about at once: a frozen one takes no commands.
+	// targets are the processes that the fault affects. Two faults of the same process are never
+	// active at once, because a frozen process accepts no commands.
 	targets []string
 	inject  func() error
 	repair  func() error
@@ -26,8 +26,8 @@
 
 func (f fault) actsOn(target string) bool { return slices.Contains(f.targets, target) }
 
-// schedule brings the faults about, two at once, in an order drawn with the
-// seed: a pair holds for the time given and is then repaired.
+// runFaults injects the faults in a seeded random order, two at a time. Each pair stays active for
+// hold and is then repaired; pause is the time between two pairs.
 func (d *deployment) runFaults(hold, pause time.Duration, faults []fault) {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, uint64(len(faults))))
@@ -35,18 +35,18 @@
 	for len(faults) > 0 {
 		var pair []fault
 		pair, faults = takeCompatiblePair(faults)
-		for _, each := range pair {
-			d.runStep(each.name, each.inject)
+		for _, injected := range pair {
+			d.runStep(injected.name, injected.inject)
 		}
 		d.sleep(hold)
-		for _, each := range pair {
-			d.runStep(each.name, each.repair)
+		for _, injected := range pair {
+			d.runStep(injected.name, injected.repair)
 		}
 		d.sleep(pause)
 	}
 }
 
-// takePair takes the first fault, and the next one with another target.
+// takeCompatiblePair removes the first fault, and the next one that shares no target with it.
 func takeCompatiblePair(faults []fault) (pair, rest []fault) {
 	first := faults[0]
 	rest = slices.Clone(faults[1:])
@@ -65,10 +65,10 @@
 	}
 }
 
-// noFaults ends every fault of a leaf except a drain.
+// leafFaultsOff is the control request that ends every fault of a leaf except a drain.
 const leafFaultsOff = `{"slow_factor":1,"delay_ms":0,"refuse":"","truncate":false,"cross":false,"lose_reply":0,"report_scale":1,"report_lag_ms":0,"report_state":"","report_fixed":null}`
 
-// leafFault sets faults of a leaf by its control interface.
+// leafFault injects faults into a leaf through its control interface.
 func (d *deployment) leafFault(index int, control string) fault {
 	set := func(control string) func() error {
 		return func() error { return d.ControlLeaf(d.ctx, d.Leaves[index], json.RawMessage(control)) }
@@ -81,8 +81,8 @@
 	}
 }
 
-// freezeFault stops a process from running for the time of the fault. Process
-// is asked for at the time of injection.
+// freezeFault freezes a process. The process is looked up at the time of injection, since an
+// earlier fault may have replaced it.
 func freezeFault(name string, process func() *cluster.Process) fault {
 	var frozen *cluster.Process
 	return fault{
@@ -105,7 +105,7 @@
 	return freezeFault(leafTarget(index), func() *cluster.Process { return d.Leaves[index].Process })
 }
 
-// killNode ends a node without warning; another process takes over its slot.
+// killNode kills a node; a new process replaces it on repair.
 func (d *deployment) killNode(index int) fault {
 	return fault{
 		name:    fmt.Sprintf("kill node %d", index),
@@ -115,7 +115,7 @@
 	}
 }
 
-// storeFault sets the faults of the configuration store.
+// storeFault injects faults into the configuration store.
 func (d *deployment) storeFault(faults store.Faults) fault {
 	set := func(faults store.Faults) func() error {
 		return func() error {
@@ -125,8 +125,8 @@
 	return fault{name: fmt.Sprintf("store %+v", faults), inject: set(faults), repair: set(store.Faults{})}
 }
 
-// statementFault runs one statement of an operator, and another to undo it.
-// Either may fail under another fault, so its fate is only logged.
+// reversibleStatement runs an operator's statement, and on repair another one that reverts it.
+// Either may fail because of another active fault, so a failure is only logged.
 func (d *deployment) reversibleStatement(statement, undo string) fault {
 	return d.reversibleStatements([]string{statement}, []string{undo})
 }
@@ -144,13 +144,13 @@
 }
 
 const (
-	// commandTimeout is how long a node waits until a change is in force.
+	// commandTimeout is how long a node waits for a change to be in force.
 	commandTimeout = time.Second
-	// operatorTimeout is when an operator asks the next node.
+	// operatorTimeout is how long an operator waits for a node before it tries the next one.
 	operatorTimeout = commandTimeout + 500*time.Millisecond
 )
 
-// command sends a statement to one node after the other until one answers.
+// runStatement sends a statement to one node after another until a node reports its fate.
 func (d *deployment) runStatement(statement string) {
 	d.t.Helper()
 	for index := range nodes {
@@ -162,11 +162,11 @@
 		if err == nil && response.Fate != api.FateUnknown {
 			return
 		}
-		d.t.Logf("%s at node %d: %v %+v", statement, index, err, response)
+		d.t.Logf("statement %q at node %d: error %v, response %+v", statement, index, err, response)
 	}
 }
 
-// drainNode stops a node as planned; another process takes over its slot.
+// drainNode terminates a node gracefully; a new process replaces it on repair.
 func (d *deployment) drainNode(index int) fault {
 	return fault{
 		name:    fmt.Sprintf("drain node %d", index),
@@ -176,8 +176,8 @@
 	}
 }
 
-// overtakeNode freezes a node and starts another process in its slot; then the
-// old one wakes.
+// replaceFrozenNode freezes a node and starts a new process in its slot; on repair the old process
+// thaws.
 func (d *deployment) replaceFrozenNode(index int) fault {
 	var old *cluster.Node
 	return fault{
@@ -192,7 +192,7 @@
 	}
 }
 
-// both brings two faults about as one.
+// combine returns a fault that injects and repairs two faults together.
 func combine(first, second fault) fault {
 	return fault{
 		name:    first.name + " and " + second.name,
--- a/internal/rehearsal/promises/leaving_test.go
+++ b/internal/rehearsal/promises/leaving_test.go
@@ -9,23 +9,23 @@
 
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
-	stand "github.com/micaplank/micaplank/internal/rehearsal/machines"
+	machinelist "github.com/micaplank/micaplank/internal/rehearsal/machines"
 	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 )
 
 const (
-	// leavingBound is the time after the word that a leaf is leaving, after
-	// which it gets no new work.
+	// leavingBound is the time after the first leave signal after which a leaf must not receive
+	// new work.
 	leavingBound = 5 * time.Second
-	// cutOffTime is longer than the bound.
+	// freezeDuration is longer than leavingBound.
 	freezeDuration = 6 * time.Second
-	// machineListLag is how long the machine list hides a change.
+	// machineListLagControl makes the machine list report changes 1 s late.
 	machineListLagControl = `{"lag":"1s"}`
-	// flapTime is how long a flapping leaf drains.
+	// flapDuration is how long a flapping leaf drains before it serves again.
 	flapDuration = 400 * time.Millisecond
 )
 
-// word is a way to say that a leaf is leaving.
+// leaveSignal is a way to announce that a leaf is leaving.
 type leaveSignal struct {
 	name   string
 	leaf   *cluster.Leaf
@@ -33,20 +33,20 @@
 	sentAt time.Time
 }
 
-// TestLeavingLeafGetsNoNewWork says by command, by the machine list, by the
-// leaf's replies, by replies against lying reports, and by a flap that one
-// replica of a shard is leaving. One node sleeps from before the words until
-// after the bound.
+// TestLeavingLeafGetsNoNewWork guards against new work for a leaf that is leaving. One replica of
+// each shard is announced as leaving: by a command, by the machine list, by a drain that its load
+// reports contradict, and by a short drain. One node is frozen from before the signals until after
+// leavingBound.
 func TestLeavingLeafGetsNoNewWork(t *testing.T) {
 	d := deploy(t, nil)
-	d.requireNoError(d.Control(d.ctx, d.Machines, stand.ControlPath, json.RawMessage(machineListLagControl)))
+	d.requireNoError(d.Control(d.ctx, d.Machines, machinelist.ControlPath, json.RawMessage(machineListLagControl)))
 	stop := d.startLoad(10, func(random *rand.Rand, caller int) {
 		d.submit(d.node(caller), newSelect(random, caller, []string{classSweep, classPlain}[caller%2]))
 	})
 	d.sleep(500 * time.Millisecond)
 	frozen := d.node(nodes - 1)
 	d.requireNoError(frozen.Freeze())
-	signals := d.signals()
+	signals := d.leaveSignals()
 	for index := range signals {
 		signals[index].sentAt = time.Now()
 		signals[index].send(signals[index].leaf)
@@ -59,15 +59,15 @@
 		executions, err := d.LeafExecutions(signal.leaf)
 		d.requireNoError(err)
 		d.requireNoViolations(history.CheckLeaving(signal.name, executions, signal.sentAt, leavingBound))
-		t.Logf("%s: the last attempt arrived %s after the word", signal.name, history.LastArrival(executions, signal.sentAt))
+		t.Logf("%s: the last attempt arrived %s after the signal", signal.name, history.LastArrival(executions, signal.sentAt))
 	}
 	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
 	d.requireAnswersAtEnd(frozen)
 	d.requireFates("answered")
 }
 
-// words gives one replica of each shard a way to leave.
-func (d *deployment) signals() []leaveSignal {
+// leaveSignals returns a different signal for one replica of each shard.
+func (d *deployment) leaveSignals() []leaveSignal {
 	replica := func(shard int) *cluster.Leaf {
 		first, _ := d.replicaPair(shard)
 		return d.Leaves[first]
@@ -75,7 +75,7 @@
 	return []leaveSignal{
 		{name: "command", leaf: replica(0), send: func(leaf *cluster.Leaf) { d.runStatement("retire leaf " + leaf.Address().String()) }},
 		{name: "machine list", leaf: replica(1), send: d.signalByMachineList},
-		{name: "lying report", leaf: replica(2), send: d.controlSignal(`{"drain":true,"report_state":"serving","report_scale":0}`)},
+		{name: "false load report", leaf: replica(2), send: d.controlSignal(`{"drain":true,"report_state":"serving","report_scale":0}`)},
 		{name: "flap", leaf: replica(3), send: func(leaf *cluster.Leaf) {
 			d.controlSignal(`{"drain":true}`)(leaf)
 			d.sleep(flapDuration)
@@ -89,14 +89,14 @@
 }
 
 func (d *deployment) signalByMachineList(leaf *cluster.Leaf) {
-	d.requireNoError(d.Control(d.ctx, d.Machines, stand.ControlPath, stand.ControlRequest{
+	d.requireNoError(d.Control(d.ctx, d.Machines, machinelist.ControlPath, machinelist.ControlRequest{
 		Add:   []machines.Machine{{Address: leaf.Address(), Kind: machines.KindLeaf, State: machines.StateLive}},
 		Leave: []netip.AddrPort{leaf.Address()},
 	}))
 }
 
-// requireWork fails the test if a node answered nothing after the bound: then
-// nothing would be proved of it.
+// requireAnswersAtEnd fails the test if the node answered no request in the last 2 s, since its
+// behavior after the thaw was then not tested.
 func (d *deployment) requireAnswersAtEnd(node *cluster.Node) {
 	d.t.Helper()
 	answered := 0
@@ -107,8 +107,8 @@
 			answered++
 		}
 	}
-	d.t.Logf("the node that slept answered %d requests at the end", answered)
+	d.t.Logf("the thawed node answered %d requests at the end", answered)
 	if answered == 0 {
-		d.t.Errorf("%s answered nothing after it woke", node.Name)
+		d.t.Errorf("node %s answered no request after it thawed, want at least 1", node.Name)
 	}
 }
--- a/internal/rehearsal/promises/main_test.go
+++ b/internal/rehearsal/promises/main_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// binaries is the folder of the programs under test.
+// binaryDir is the directory of the programs under test.
 var binaryDir string
 
-// deployments bounds how many deployments run at once.
+// deploymentSlots limits the deployments that run concurrently.
 var deploymentSlots = make(chan struct{}, 2)
 
 func TestMain(m *testing.M) {
@@ -20,14 +20,14 @@
 func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "micaplank-promises-")
 	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
+		fmt.Fprintf(os.Stderr, "create the directory of the programs: %v\n", err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
 	build := exec.Command("go", "build", "-o", dir+string(os.PathSeparator),
 		"github.com/micaplank/micaplank/cmd/micaplank", "github.com/micaplank/micaplank/cmd/micarehearse")
 	if output, err := build.CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "build the programs: %v\n%s", err, output)
+		fmt.Fprintf(os.Stderr, "build micaplank and micarehearse: %v\n%s", err, output)
 		return 1
 	}
 	binaryDir = dir
--- a/internal/rehearsal/promises/planned_stop_test.go
+++ b/internal/rehearsal/promises/planned_stop_test.go
@@ -11,21 +11,20 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 )
 
-// exitTimeout is longer than the drain of a process may take here.
+// exitTimeout bounds the graceful exit of a process.
 const exitTimeout = 15 * time.Second
 
-// The queries that are in flight when a node stops last longer than the time
-// that it gives callers to move on.
+// These queries outlast the grace period that a stopping node gives callers to use another node.
 const (
 	defineLongClass = "class long on filing-vault priority 1 deadline 12s coverage 1.0 repeatable"
 	verySlowControl = `{"slow_factor":2000}`
 	slowControl     = `{"slow_factor":15}`
 )
 
-// TestPlannedStopCutsNothingOff stops a node under queries that last longer
-// than its grace, then the service and a retired leaf under slow queries and
-// inserts. Every request gets its whole answer or is told that it ran nowhere,
-// no leaf sees a caller go away, and the processes exit with 0.
+// TestPlannedStopCutsNothingOff guards against planned stops that interrupt requests. It stops a
+// node under queries that outlast its grace period, then the service and a retired leaf under slow
+// queries and inserts. Every request must get its full answer or be reported as not run, no leaf
+// may see a canceled request, and the processes must exit with code 0.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	d := deploy(t, shortenFreshness)
 	d.awaitInserts()
@@ -58,13 +57,13 @@
 
 func (d *deployment) controlLeaves(control string) {
 	d.t.Helper()
-	for _, each := range d.Leaves {
-		d.requireNoError(d.ControlLeaf(d.ctx, each, json.RawMessage(control)))
+	for _, leaf := range d.Leaves {
+		d.requireNoError(d.ControlLeaf(d.ctx, leaf, json.RawMessage(control)))
 	}
 }
 
-// stopNode stops a node as planned. Its callers go to the replacement as soon
-// as there is one; until it drains they stay.
+// stopNode stops a node gracefully. Its callers stay until it has begun to drain and then use the
+// next node.
 func (d *deployment) stopNode(index int) {
 	d.t.Helper()
 	old := d.node(index)
@@ -72,12 +71,12 @@
 	d.requireNoError(old.Terminate())
 	d.sleep(300 * time.Millisecond)
 	d.mutex.Lock()
-	d.nodes[index] = next // the callers of a node that is not ready go elsewhere
+	d.nodes[index] = next // callers leave a node that is not ready
 	d.mutex.Unlock()
 	d.requireCleanExit(old.Process)
 }
 
-// stopLeaf retires a leaf, waits for the bound and stops it.
+// retireAndStopLeaf retires a leaf, waits for leavingBound and stops the process.
 func (d *deployment) retireAndStopLeaf(index int) {
 	d.t.Helper()
 	leaf := d.Leaves[index]
@@ -92,6 +91,6 @@
 	ctx, cancel := context.WithTimeout(d.ctx, exitTimeout)
 	defer cancel()
 	if code := process.Wait(ctx); code != 0 {
-		d.t.Errorf("%s: exit code %d\n%s", process.Name, code, process.Log())
+		d.t.Errorf("%s: exit code %d, want 0\n%s", process.Name, code, process.Log())
 	}
 }
--- a/internal/rehearsal/promises/snapshot_test.go
+++ b/internal/rehearsal/promises/snapshot_test.go
@@ -11,25 +11,25 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 )
 
-// The partition that the service is changed to under running queries.
+// The test repartitions the service once, while queries run.
 const (
 	secondShards = 6
 	secondEpoch  = 2
-	// lastVersion is the index version that the leaves end with.
+	// lastVersion is the last index version that the leaves load.
 	lastVersion = 6
-	// repartitionAt is the version whose roll the repartition runs beside.
+	// repartitionVersion is the index version whose rollout is followed by the repartition.
 	repartitionVersion = 4
 )
 
-// TestAnswersComeFromOneSnapshot rolls index versions over the leaves, each at
-// its own speed and some dropping the old version early, and repartitions the
-// service, while slow queries run. Each answer holds the rows of the one
-// snapshot that it names.
+// TestAnswersComeFromOneSnapshot guards against answers that mix snapshots. While slow queries
+// run, it rolls out index versions at random times, with some leaves dropping the old version
+// early, and repartitions the service. Each answer must hold the rows of the snapshot that it
+// names.
 func TestAnswersComeFromOneSnapshot(t *testing.T) {
 	d := deploy(t, nil)
 	random := rand.New(rand.NewPCG(seed, 1))
-	for _, each := range d.Leaves {
-		d.requireNoError(d.ControlLeaf(d.ctx, each, json.RawMessage(`{"slow_factor":15}`)))
+	for _, leaf := range d.Leaves {
+		d.requireNoError(d.ControlLeaf(d.ctx, leaf, json.RawMessage(`{"slow_factor":15}`)))
 	}
 	stop := d.startLoad(8, func(random *rand.Rand, caller int) {
 		submission := newSelect(random, caller, []string{classSweep, classPlain}[caller%2])
@@ -51,8 +51,8 @@
 	d.requireFates("answered")
 }
 
-// roll brings a version to all leaves. A quarter of them drop the version
-// before it at once, the others once every leaf has the new one.
+// rollOutVersion loads an index version on all leaves. A quarter of them drop the previous version
+// at once, the others after every leaf has the new one.
 func (d *deployment) rollOutVersion(random *rand.Rand, version int) {
 	d.t.Helper()
 	order := random.Perm(len(d.Leaves))
@@ -72,14 +72,14 @@
 	}
 }
 
-// repartition brings the shards of the next epoch to the leaves, changes the
-// catalog, and drops the shards of the first epoch.
+// repartition loads the shards of the second epoch on the leaves, changes the catalog, and drops
+// the shards of the first epoch.
 func (d *deployment) repartition(random *rand.Rand) {
 	d.t.Helper()
-	for index, each := range d.Leaves {
+	for index, leaf := range d.Leaves {
 		first, second := index%secondShards, (index+secondShards/2)%secondShards
 		control := fmt.Sprintf(`{"add_partition":{"epoch":%d,"shards":%d,"hold":[%d,%d]}}`, secondEpoch, secondShards, first, second)
-		d.requireNoError(d.ControlLeaf(d.ctx, each, json.RawMessage(control)))
+		d.requireNoError(d.ControlLeaf(d.ctx, leaf, json.RawMessage(control)))
 	}
 	d.runStatement(fmt.Sprintf("repartition service %s shards %d", service, secondShards))
 	d.sleep(time.Second)
@@ -89,8 +89,8 @@
 	}
 }
 
-// requireSnapshots fails the test if the answers do not come from snapshots of
-// every version and of both epochs: the check of rows would be an empty one.
+// requireAllSnapshots fails the test unless answers come from every index version and from both
+// epochs. Without them the check of rows would miss some snapshots.
 func (d *deployment) requireAllSnapshots(submissions []history.Submission) {
 	d.t.Helper()
 	answers := make(map[catalog.Snapshot]int)
@@ -104,7 +104,7 @@
 		firstEpochAnswers := answers[catalog.Snapshot{Version: uint64(version), Epoch: 1}]
 		secondEpochAnswers := answers[catalog.Snapshot{Version: uint64(version), Epoch: secondEpoch}]
 		if firstEpochAnswers+secondEpochAnswers == 0 || version > repartitionVersion && secondEpochAnswers == 0 {
-			d.t.Errorf("version %d: %d answers of the first epoch, %d of the later one", version, firstEpochAnswers, secondEpochAnswers)
+			d.t.Errorf("version %d: %d answers from the first epoch and %d from the second, want some from this version, and from the second after version %d", version, firstEpochAnswers, secondEpochAnswers, repartitionVersion)
 		}
 	}
 }
