--- a/internal/rehearsal/simulation/config_test.go
+++ b/internal/rehearsal/simulation/config_test.go
@@ -10,7 +10,7 @@
 // Time is virtual time since the start of a run.
 type Time = dispatch.Time
 
-// Deployment describes the zones, nodes, network and leaf behavior of one site.
+// Deployment describes the zones, nodes, network and leaf behaviour of one site.
 type Deployment struct {
 	Zones []string
 	// Nodes lists the zone of each node.
@@ -42,7 +42,7 @@
 	DialTimeout time.Duration
 }
 
-// LeafModel describes the behavior of all leaves, independent of their service.
+// LeafModel describes the behaviour of all leaves, independent of their service.
 type LeafModel struct {
 	// QueueLimit bounds the queue of a leaf. Requests beyond it are shed.
 	QueueLimit int
--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -71,11 +71,11 @@
 		return
 	}
 	l.stop(liveness)
-	after := time.Duration(0)
+	timeout := time.Duration(0)
 	if liveness == leafSilent {
-		after = s.config.Deployment.Network.SilenceTimeout
+		timeout = s.config.Deployment.Network.SilenceTimeout
 	}
-	s.network.breakLinks(l, after)
+	s.network.breakLinks(l, timeout)
 }
 
 func (s *simulator) restartLeaf(l *emulatedLeaf) {
@@ -230,20 +230,20 @@
 	if l.liveness != leafUp {
 		return
 	}
-	updated := slices.Clone(l.updated)
+	updated := slices.Clone(l.holdings)
 	for _, holding := range loaded {
 		held := slices.ContainsFunc(updated, func(old leaf.Holding) bool { return old.Snapshot == holding.Snapshot })
 		if !held {
 			updated = append(updated, holding)
 		}
 	}
-	l.updated = updated
+	l.holdings = updated
 }
 
 // dropOlderHoldings drops all holdings with older snapshots than the current ones.
 func (l *emulatedLeaf) dropOlderHoldings(current []leaf.Holding) {
 	newest := current[len(current)-1].Snapshot
-	l.updated = slices.DeleteFunc(slices.Clone(l.updated), func(old leaf.Holding) bool {
+	l.holdings = slices.DeleteFunc(slices.Clone(l.holdings), func(old leaf.Holding) bool {
 		return old.Snapshot.Less(newest)
 	})
 }
--- a/internal/rehearsal/simulation/leaf_admission_test.go
+++ b/internal/rehearsal/simulation/leaf_admission_test.go
@@ -9,7 +9,7 @@
 // receive admits, queues or refuses work that arrived over the network.
 func (l *emulatedLeaf) receive(work *work) {
 	if work.state == workDone {
-		return // canceled in transit
+		return // cancelled in transit
 	}
 	l.simulator.recordReceived(l, work)
 	if refusal := l.checkAdmission(work); refusal != leaf.RefusedNone {
--- a/internal/rehearsal/simulation/leaf_faults_test.go
+++ b/internal/rehearsal/simulation/leaf_faults_test.go
@@ -4,12 +4,12 @@
 
 // pause stops the leaf for a duration. Running work finishes later by the time that the pause
 // adds.
-func (l *emulatedLeaf) pause(length time.Duration) {
+func (l *emulatedLeaf) pause(duration time.Duration) {
 	now := l.simulator.engine.now
-	begin := max(now, l.pausedUntil)
-	l.pausedUntil = max(l.pausedUntil, now+length)
+	start := max(now, l.pausedUntil)
+	l.pausedUntil = max(l.pausedUntil, now+duration)
 	for _, work := range l.running {
-		work.finishAt += l.pausedUntil - begin
+		work.finishAt += l.pausedUntil - start
 	}
 }
 
@@ -37,6 +37,6 @@
 	l.pausedUntil = now
 	l.coldUntil = now + model.ColdDuration
 	l.warmAt = l.coldUntil + model.WarmUpDuration
-	l.updated = l.simulator.newestHoldings(l.index)
+	l.holdings = l.simulator.newestHoldings(l.index)
 	l.publishedLoad = l.loadSummary()
 }
--- a/internal/rehearsal/simulation/leaf_test.go
+++ b/internal/rehearsal/simulation/leaf_test.go
@@ -39,7 +39,7 @@
 	pausedUntil       Time
 	reportsIdle       bool
 	staleReplyRatio   float64
-	updated           []leaf.Holding
+	holdings          []leaf.Holding
 	connections       int
 	running           []*work
 	queue             []*work
@@ -83,14 +83,14 @@
 func (l *emulatedLeaf) loadReport() leaf.LoadReport {
 	return leaf.LoadReport{
 		BootID: l.bootID(), LoadSummary: l.publishedLoad,
-		Service: l.simulator.config.Service.Name, Holdings: slices.Clone(l.updated),
+		Service: l.simulator.config.Service.Name, Holdings: slices.Clone(l.holdings),
 	}
 }
 
 // holds reports whether the leaf has a shard at a snapshot, and whether it has the shard at any
 // snapshot of the same partition epoch.
 func (l *emulatedLeaf) holds(snapshot catalog.Snapshot, shard int) (held, epochHeld bool) {
-	for _, holding := range l.updated {
+	for _, holding := range l.holdings {
 		if holding.Snapshot.Epoch != snapshot.Epoch || !slices.Contains(holding.Shards, shard) {
 			continue
 		}
--- a/internal/rehearsal/simulation/load_test.go
+++ b/internal/rehearsal/simulation/load_test.go
@@ -48,7 +48,7 @@
 }
 
 // generateQuery sends a new query from a client to a random node. A share of CancelRatio of the
-// queries is canceled before the deadline.
+// queries is cancelled before the deadline.
 func (s *simulator) generateQuery() {
 	q := &query{
 		index: uint64(len(s.queries)), class: s.drawClass(), sentAt: s.engine.now,
--- a/internal/rehearsal/simulation/network_test.go
+++ b/internal/rehearsal/simulation/network_test.go
@@ -105,8 +105,8 @@
 }
 
 // scheduleFailure fails an attempt at its node after a delay.
-func (n *network) scheduleFailure(link *link, a *attempt, after time.Duration, sent bool) {
-	n.simulator.engine.scheduleAfter(after, func() { n.failAttempt(link, a, sent) })
+func (n *network) scheduleFailure(link *link, a *attempt, delay time.Duration, sent bool) {
+	n.simulator.engine.scheduleAfter(delay, func() { n.failAttempt(link, a, sent) })
 }
 
 func (n *network) failAttempt(link *link, a *attempt, sent bool) {
@@ -183,11 +183,11 @@
 
 // breakLinks breaks all connections to a leaf. Each node notices it after the given time plus the
 // network delay.
-func (n *network) breakLinks(l *emulatedLeaf, after time.Duration) {
+func (n *network) breakLinks(l *emulatedLeaf, timeout time.Duration) {
 	for _, row := range n.links {
 		link := row[l.index]
 		generation := link.generation
-		n.simulator.engine.scheduleAfter(after+link.delay, func() {
+		n.simulator.engine.scheduleAfter(timeout+link.delay, func() {
 			if link.generation == generation {
 				n.breakLink(link)
 			}
--- a/internal/rehearsal/simulation/simulator_test.go
+++ b/internal/rehearsal/simulation/simulator_test.go
@@ -110,7 +110,7 @@
 		slots:   s.config.Service.Slots,
 		boot:    1, slowFactor: 1,
 	}
-	l.updated = []leaf.Holding{{
+	l.holdings = []leaf.Holding{{
 		Snapshot: catalog.Snapshot{Version: 1, Epoch: 1},
 		Shards:   s.config.Service.placement(index, s.config.Service.Shards),
 	}}
@@ -166,11 +166,11 @@
 
 // startPolling starts the load polls of all nodes at random offsets within PollInterval.
 func (s *simulator) startPolling() {
-	every := s.config.Deployment.Leaf.PollInterval
+	interval := s.config.Deployment.Leaf.PollInterval
 	random := newRandom(s.config.Seed, streamNetwork, 1)
 	for _, n := range s.nodes {
 		for _, l := range s.leaves {
-			s.engine.scheduleAt(scale(every, random.Float64()), func() { n.poll(l) })
+			s.engine.scheduleAt(scale(interval, random.Float64()), func() { n.poll(l) })
 		}
 	}
 }
