--- a/internal/rehearsal/promises/changes_test.go
+++ b/internal/rehearsal/promises/changes_test.go
@@ -63,8 +63,8 @@
 	node := d.node(random.IntN(nodes))
 	statement := fmt.Sprintf("limit %s concurrency %d", service, 1000+random.IntN(1_000_000))
 	if random.IntN(4) == 0 {
-		if seen, err := d.fetchStatus(node); err == nil {
-			statement += fmt.Sprintf(" if revision %d", seen.Revision)
+		if status, err := d.fetchStatus(node); err == nil {
+			statement += fmt.Sprintf(" if revision %d", status.Revision)
 		}
 	}
 	d.sendCommand(node, operator, statement)
@@ -109,7 +109,7 @@
 	called := time.Now()
 	status, err := d.fetchStatus(node)
 	if err != nil {
-		return // the node is frozen or gone
+		return // the node is frozen or down
 	}
 	d.recorder.Saw(history.Sighting{
 		Process: fmt.Sprintf("%s/%s", node.Name, node.HTTP),
@@ -182,8 +182,8 @@
 		for change.Unsettled() {
 			fate, err := d.Fate(d.ctx, d.node(0), change.Response.ChangeID)
 			if err == nil && fate.Fate != api.FateUnknown {
-				settled := history.Change{Statement: change.Statement, Called: change.Called, Returned: time.Now(), Response: fate}
-				d.requireFateMatchesLog(settled)
+				resolved := history.Change{Statement: change.Statement, Called: change.Called, Returned: time.Now(), Response: fate}
+				d.requireFateMatchesLog(resolved)
 				break
 			}
 			if time.Now().After(deadline) {
--- a/internal/rehearsal/promises/deployment_test.go
+++ b/internal/rehearsal/promises/deployment_test.go
@@ -107,7 +107,7 @@
 	return d.nodes[index%len(d.nodes)]
 }
 
-// replaceNode starts a new process in the slot of a node that is down or frozen.
+// replaceNode starts a new process in the slot of a node that is stopped or frozen.
 func (d *deployment) replaceNode(index int) {
 	d.t.Helper()
 	old := d.node(index)
--- a/internal/rehearsal/promises/faults_test.go
+++ b/internal/rehearsal/promises/faults_test.go
@@ -181,7 +181,7 @@
 func (d *deployment) replaceFrozenNode(index int) fault {
 	var old *cluster.Node
 	return fault{
-		name:    fmt.Sprintf("overtake frozen node %d", index),
+		name:    fmt.Sprintf("replace frozen node %d", index),
 		targets: []string{nodeTarget(index)},
 		inject: func() error {
 			old = d.node(index)
--- a/internal/rehearsal/promises/leaving_test.go
+++ b/internal/rehearsal/promises/leaving_test.go
@@ -96,7 +96,7 @@
 }
 
 // requireAnswersAtEnd fails the test if the node answered no request in the last 2 s, since its
-// behavior after the thaw was then not tested.
+// behaviour after the thaw was then not tested.
 func (d *deployment) requireAnswersAtEnd(node *cluster.Node) {
 	d.t.Helper()
 	answered := 0
--- a/internal/rehearsal/promises/planned_stop_test.go
+++ b/internal/rehearsal/promises/planned_stop_test.go
@@ -24,7 +24,7 @@
 // TestPlannedStopCutsNothingOff guards against planned stops that interrupt requests. It stops a
 // node under queries that outlast its grace period, then the service and a retired leaf under slow
 // queries and inserts. Every request must get its full answer or be reported as not run, no leaf
-// may see a canceled request, and the processes must exit with code 0.
+// may see a cancelled request, and the processes must exit with code 0.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	d := deploy(t, shortenFreshness)
 	d.awaitInserts()
