--- a/internal/rehearsal/promises/changes_test.go
+++ b/internal/rehearsal/promises/changes_test.go
@@ -16,62 +16,63 @@
 )
 
 const (
-	// forceBound is the freshness window, 5 s by default, with a margin for
-	// the time between the acceptance and the caller's clock reading.
-	forceBound = 5*time.Second + 250*time.Millisecond
-	// sightingPause is the time between two looks at one node.
-	sightingPause = 30 * time.Millisecond
-	// sightingTimeout bounds a look at a node that may be frozen.
-	sightingTimeout = time.Second
-	// settleTimeout bounds the time until the fate of a change is known.
-	settleTimeout = 20 * time.Second
+	// inForceBound is the freshness window, 5 s by default, with a margin for the time between the
+	// acceptance and the caller's clock reading.
+	inForceBound = 5*time.Second + 250*time.Millisecond
+	// statusPollInterval is the time between two status requests to a node.
+	statusPollInterval = 30 * time.Millisecond
+	// statusTimeout bounds a status request, since the node may be frozen.
+	statusTimeout = time.Second
+	// fateTimeout bounds the time until the fate of a change is known.
+	fateTimeout = 20 * time.Second
 )
 
-// TestAcceptedChangesStayInForce has operators race at all nodes while the
-// store loses replies and goes down right after writes, and nodes are frozen,
-// killed and replaced. The log is an order of the commands, no node goes back,
-// and no node that takes work is behind after the bound. At the end the service
-// is stopped while a node sleeps until after the bound.
-func TestAcceptedChangesStayInForce(t *testing.T) {
+// TestAcceptedChangesAreDurableAndOrdered guards against accepted changes that are lost, reordered
+// or ignored. Operators send concurrent commands to all nodes while the store loses replies and
+// fails right after writes, and nodes are frozen, killed and replaced. The log must be an order of
+// the commands, no node may go back to an older revision, and no node that accepts work may lag
+// behind after inForceBound. At the end the service is stopped while a node is frozen beyond that
+// bound.
+func TestAcceptedChangesAreDurableAndOrdered(t *testing.T) {
 	d := deploy(t, nil)
 	base, err := d.Catalog(d.ctx, d.node(0))
-	d.must(err)
-	stopLooking := d.look()
-	stopOperators := d.load(4, d.operate)
-	d.schedule(1200*time.Millisecond, 600*time.Millisecond, []fault{
+	d.requireNoError(err)
+	stopPolling := d.startStatusPolling()
+	stopOperators := d.startLoad(4, d.sendRandomCommand)
+	d.runFaults(1200*time.Millisecond, 600*time.Millisecond, []fault{
 		d.storeFault(store.Faults{LoseReplies: 1}), d.storeFault(store.Faults{LoseReplies: 4}), d.storeFault(store.Faults{Outage: store.OutageHang}),
-		d.outageAfterWrite(), d.killNode(1), d.freezeNode(0), d.overtakeNode(2), d.replaceInOutage(2),
+		d.outageAfterWrite(), d.killNode(1), d.freezeNode(0), d.replaceFrozenNode(2), d.replaceNodeDuringOutage(2),
 	})
 	stopOperators()
-	stopped, until := d.stopWhileOneSleeps()
-	stopLooking()
-	d.settle()
+	stopped, until := d.stopServiceWithFrozenNode()
+	stopPolling()
+	d.resolveUnknownChanges()
 	log, err := d.Catalog(d.ctx, d.node(0))
-	d.must(err)
+	d.requireNoError(err)
 	changes := d.recorder.Changes()
-	d.require(history.CheckLog(changes, base.Revision, log.Recent))
-	d.require(history.CheckSightings(d.recorder.Sightings(), changes, forceBound))
-	d.require(history.CheckStopped(d.recorder.Submissions(), stopped, until, forceBound))
-	d.reportChanges(changes)
-	d.report("answered", "not-run-stopped")
+	d.requireNoViolations(history.CheckLog(changes, base.Revision, log.Recent))
+	d.requireNoViolations(history.CheckSightings(d.recorder.Sightings(), changes, inForceBound))
+	d.requireNoViolations(history.CheckStopped(d.recorder.Submissions(), stopped, until, inForceBound))
+	d.requireChangeFates(changes)
+	d.requireFates("answered", "not-run-stopped")
 }
 
-// operate sends one command of an operator to a random node. One in four is
-// made only at the revision that the operator last saw.
-func (d *deployment) operate(random *rand.Rand, operator int) {
+// sendRandomCommand sends an operator's command to a random node. One in four is conditional on
+// the revision that the operator saw last.
+func (d *deployment) sendRandomCommand(random *rand.Rand, operator int) {
 	node := d.node(random.IntN(nodes))
 	statement := fmt.Sprintf("limit %s concurrency %d", service, 1000+random.IntN(1_000_000))
 	if random.IntN(4) == 0 {
-		if seen, err := d.statusOf(node); err == nil {
-			statement += fmt.Sprintf(" if revision %d", seen.Revision)
+		if status, err := d.fetchStatus(node); err == nil {
+			statement += fmt.Sprintf(" if revision %d", status.Revision)
 		}
 	}
-	d.change(node, operator, statement)
-	d.wait(time.Duration(random.IntN(100)) * time.Millisecond)
+	d.sendCommand(node, operator, statement)
+	d.sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 }
 
-// change sends a command and records what comes back.
-func (d *deployment) change(node *cluster.Node, operator int, statement string) history.Change {
+// sendCommand sends a command and records the response.
+func (d *deployment) sendCommand(node *cluster.Node, operator int, statement string) history.Change {
 	ctx, cancel := context.WithTimeout(d.ctx, replyTimeout)
 	defer cancel()
 	change := history.Change{Operator: operator, Node: node.Name, Statement: statement, Called: time.Now()}
@@ -80,36 +81,35 @@
 	return change
 }
 
-func (d *deployment) statusOf(node *cluster.Node) (*api.StatusResponse, error) {
-	ctx, cancel := context.WithTimeout(d.ctx, sightingTimeout)
+func (d *deployment) fetchStatus(node *cluster.Node) (*api.StatusResponse, error) {
+	ctx, cancel := context.WithTimeout(d.ctx, statusTimeout)
 	defer cancel()
 	return d.Status(ctx, node)
 }
 
-// look looks at every node again and again until the function that it returns
-// is called.
-func (d *deployment) look() (stop func()) {
+// startStatusPolling polls the status of every node until the returned function is called.
+func (d *deployment) startStatusPolling() (stop func()) {
 	ctx, cancel := context.WithCancel(d.ctx)
-	var looking sync.WaitGroup
+	var polling sync.WaitGroup
 	for index := range nodes {
-		looking.Go(func() {
+		polling.Go(func() {
 			for ctx.Err() == nil {
-				d.lookAt(d.node(index))
-				time.Sleep(sightingPause)
+				d.recordStatus(d.node(index))
+				time.Sleep(statusPollInterval)
 			}
 		})
 	}
 	return func() {
 		cancel()
-		looking.Wait()
+		polling.Wait()
 	}
 }
 
-func (d *deployment) lookAt(node *cluster.Node) {
+func (d *deployment) recordStatus(node *cluster.Node) {
 	called := time.Now()
-	status, err := d.statusOf(node)
+	status, err := d.fetchStatus(node)
 	if err != nil {
-		return // the node is frozen or gone
+		return // the node is frozen or down
 	}
 	d.recorder.Saw(history.Sighting{
 		Process: fmt.Sprintf("%s/%s", node.Name, node.HTTP),
@@ -118,96 +118,96 @@
 	})
 }
 
-// outageAfterWrite lets one write take effect with its reply lost and the
-// store down right after.
+// outageAfterWrite loses the reply of one write that takes effect, and makes the store unavailable
+// right after it.
 func (d *deployment) outageAfterWrite() fault {
-	lost := d.storeFault(store.Faults{LoseReplies: 1})
-	down := d.storeFault(store.Faults{Outage: store.OutageUnavailable})
+	replyLost := d.storeFault(store.Faults{LoseReplies: 1})
+	storeDown := d.storeFault(store.Faults{Outage: store.OutageUnavailable})
 	return fault{
 		name: "outage right after a write",
 		inject: func() error {
-			err := lost.inject()
-			d.wait(50 * time.Millisecond)
-			return errors.Join(err, down.inject())
+			err := replyLost.inject()
+			d.sleep(50 * time.Millisecond)
+			return errors.Join(err, storeDown.inject())
 		},
-		repair: down.repair,
+		repair: storeDown.repair,
 	}
 }
 
-// replaceInOutage kills a node and starts its replacement while the store is
-// down: that one has to learn the catalog from the others.
-func (d *deployment) replaceInOutage(index int) fault {
-	down := d.storeFault(store.Faults{Outage: store.OutageClose})
+// replaceNodeDuringOutage kills a node and starts its replacement while the store is down. The
+// replacement has to receive the catalog from the other nodes.
+func (d *deployment) replaceNodeDuringOutage(index int) fault {
+	storeDown := d.storeFault(store.Faults{Outage: store.OutageClose})
 	return fault{
 		name:    fmt.Sprintf("replace node %d in an outage", index),
 		targets: []string{nodeTarget(index)},
 		inject: func() error {
-			err := down.inject()
+			err := storeDown.inject()
 			d.node(index).Kill()
-			d.replace(index)
+			d.replaceNode(index)
 			return err
 		},
-		repair: down.repair,
+		repair: storeDown.repair,
 	}
 }
 
-// stopWhileOneSleeps stops the service while a node is frozen, and wakes the
-// node after the bound. Callers ask all nodes, so that requests wait for the
-// node when it wakes; it returns the accepted command and the time until which
-// the service stays stopped.
-func (d *deployment) stopWhileOneSleeps() (stopped history.Change, until time.Time) {
+// stopServiceWithFrozenNode stops the service while a node is frozen, and thaws the node after
+// inForceBound. Callers send to all nodes, so that requests are queued at the frozen node when it
+// thaws. It returns the accepted command and the time until which the service stays stopped.
+func (d *deployment) stopServiceWithFrozenNode() (stopped history.Change, until time.Time) {
 	d.t.Helper()
-	stop := d.load(12, func(random *rand.Rand, caller int) {
-		ctx, cancel := context.WithTimeout(d.ctx, sightingTimeout)
+	stop := d.startLoad(12, func(random *rand.Rand, caller int) {
+		ctx, cancel := context.WithTimeout(d.ctx, statusTimeout)
 		defer cancel()
-		d.submitWithin(ctx, d.node(caller), sweep(random, caller, classPlain))
+		d.submitWithin(ctx, d.node(caller), newSelect(random, caller, classPlain))
 	})
-	d.wait(500 * time.Millisecond)
-	sleeper := d.node(2)
-	d.must(sleeper.Freeze())
+	d.sleep(500 * time.Millisecond)
+	frozen := d.node(2)
+	d.requireNoError(frozen.Freeze())
 	for !stopped.Accepted() && d.ctx.Err() == nil {
-		stopped = d.change(d.node(0), 0, "stop service "+service)
+		stopped = d.sendCommand(d.node(0), 0, "stop service "+service)
 	}
-	d.wait(time.Until(stopped.Returned.Add(forceBound + sightingTimeout/2)))
-	d.must(sleeper.Thaw())
-	d.wait(2 * time.Second)
+	d.sleep(time.Until(stopped.Returned.Add(inForceBound + statusTimeout/2)))
+	d.requireNoError(frozen.Thaw())
+	d.sleep(2 * time.Second)
 	stop()
 	return stopped, time.Now()
 }
 
-// settle asks for the fate of every change that is unknown until it is known.
-func (d *deployment) settle() {
+// resolveUnknownChanges queries the fate of every change with an unknown fate until it is known.
+func (d *deployment) resolveUnknownChanges() {
 	d.t.Helper()
-	deadline := time.Now().Add(settleTimeout)
+	deadline := time.Now().Add(fateTimeout)
 	for _, change := range d.recorder.Changes() {
 		for change.Unsettled() {
 			fate, err := d.Fate(d.ctx, d.node(0), change.Response.ChangeID)
 			if err == nil && fate.Fate != api.FateUnknown {
-				settled := history.Change{Statement: change.Statement, Called: change.Called, Returned: time.Now(), Response: fate}
-				d.requireTrueFate(settled)
+				resolved := history.Change{Statement: change.Statement, Called: change.Called, Returned: time.Now(), Response: fate}
+				d.requireFateMatchesLog(resolved)
 				break
 			}
 			if time.Now().After(deadline) {
-				d.t.Fatalf("%s stays unknown: %+v %v", change.Response.ChangeID, fate, err)
+				d.t.Fatalf("fate of change %s is still unknown after %s: %+v, error %v", change.Response.ChangeID, fateTimeout, fate, err)
 			}
-			d.wait(200 * time.Millisecond)
+			d.sleep(200 * time.Millisecond)
 		}
 	}
 }
 
-// requireTrueFate compares the fate told later with the log.
-func (d *deployment) requireTrueFate(change history.Change) {
+// requireFateMatchesLog compares a fate that was reported later with the log.
+func (d *deployment) requireFateMatchesLog(change history.Change) {
 	d.t.Helper()
 	log, err := d.Catalog(d.ctx, d.node(0))
-	d.must(err)
-	applied, found := log.Lookup(change.Response.ChangeID)
-	if change.Accepted() != found || found && applied.Revision != change.Response.Revision {
-		d.t.Errorf("%s is told to be %s at revision %d, the log has %+v", change.Response.ChangeID, change.Response.Fate, change.Response.Revision, applied)
+	d.requireNoError(err)
+	applied, inLog := log.Lookup(change.Response.ChangeID)
+	if change.Accepted() != inLog || inLog && applied.Revision != change.Response.Revision {
+		d.t.Errorf("change %s: reported as %s at revision %d, but the log has %+v", change.Response.ChangeID, change.Response.Fate, change.Response.Revision, applied)
 	}
 }
 
-// reportChanges logs what operators were told.
-func (d *deployment) reportChanges(changes []history.Change) {
+// requireChangeFates logs the fates that operators were told. It fails the test unless some
+// changes were accepted and some had an unknown fate, since the checks need both.
+func (d *deployment) requireChangeFates(changes []history.Change) {
 	d.t.Helper()
 	fates := make(map[string]int)
 	for _, change := range changes {
@@ -220,8 +220,8 @@
 			fates["no reply"]++
 		}
 	}
-	d.t.Logf("changes: %v; %d looks at nodes", fates, len(d.recorder.Sightings()))
+	d.t.Logf("changes: %v; %d status responses", fates, len(d.recorder.Sightings()))
 	if fates[string(api.FateInForce)]+fates[string(api.FateAccepted)] == 0 || fates[string(api.FateUnknown)] == 0 {
-		d.t.Errorf("changes accepted and unknown are needed: %v", fates)
+		d.t.Errorf("fates of changes = %v, want accepted and unknown ones", fates)
 	}
 }
--- a/internal/rehearsal/simulation/leaf_faults_test.go
+++ b/internal/rehearsal/simulation/leaf_faults_test.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// pause stops the leaf until a moment: running work ends later by as much.
-func (l *emulatedLeaf) pause(length time.Duration) {
-	now := l.world.engine.now
-	begin := max(now, l.pausedUntil)
-	l.pausedUntil = max(l.pausedUntil, now+length)
+// pause stops the leaf for a duration. Running work finishes later by the time that the pause
+// adds.
+func (l *emulatedLeaf) pause(duration time.Duration) {
+	now := l.simulator.engine.now
+	start := max(now, l.pausedUntil)
+	l.pausedUntil = max(l.pausedUntil, now+duration)
 	for _, work := range l.running {
-		work.finishAt += l.pausedUntil - begin
+		work.finishAt += l.pausedUntil - start
 	}
 }
 
-// stop drops everything: the process or the machine is gone.
-func (l *emulatedLeaf) stop(state leafState) {
-	l.up = state
+// stop drops all work and connections, as when the process or the machine is gone.
+func (l *emulatedLeaf) stop(liveness leafLiveness) {
+	l.liveness = liveness
 	for _, work := range l.running {
 		work.state = workDone
-		l.busy += l.world.engine.now - work.started
+		l.busyTime += l.simulator.engine.now - work.startedAt
 	}
 	for _, work := range l.queue {
 		work.state = workDone
@@ -26,16 +27,16 @@
 	l.connections = 0
 }
 
-// restart brings the leaf back as a new boot, cold.
+// restart starts the leaf with a new boot id, cold and with the newest holdings.
 func (l *emulatedLeaf) restart() {
-	now := l.world.engine.now
-	model := &l.world.config.Deployment.Leaf
-	l.up = leafUp
+	now := l.simulator.engine.now
+	model := &l.simulator.config.Deployment.Leaf
+	l.liveness = leafUp
 	l.boot++
 	l.draining, l.leaving = false, false
 	l.pausedUntil = now
-	l.coldUntil = now + model.ColdRefuse
-	l.warmAt = l.coldUntil + model.WarmUp
-	l.holdings = l.world.currentHoldings(l.index)
-	l.published = l.summary()
+	l.coldUntil = now + model.ColdDuration
+	l.warmAt = l.coldUntil + model.WarmUpDuration
+	l.holdings = l.simulator.newestHoldings(l.index)
+	l.publishedLoad = l.loadSummary()
 }
--- a/internal/rehearsal/simulation/leaf_test.go
+++ b/internal/rehearsal/simulation/leaf_test.go
@@ -10,92 +10,94 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// leafState is whether a leaf's machine answers.
-type leafState uint8
+// leafLiveness says whether a leaf is up, its process has crashed or its machine does not respond.
+type leafLiveness uint8
 
 const (
-	leafUp leafState = iota
+	leafUp leafLiveness = iota
 	leafCrashed
 	leafSilent
 )
 
-// emulatedLeaf is one leaf: slots, a queue in order of arrival, and faults.
+// emulatedLeaf emulates a leaf with slots, a FIFO queue and injected faults.
 type emulatedLeaf struct {
-	world   *world
-	index   int
-	address netip.AddrPort
-	zone    string
-	slots   int
-	up      leafState
-	boot    int
-	// bootName is the id of the boot namedBoot.
-	bootName  string
-	namedBoot int
-	draining  bool
-	// coldUntil ends the time in which work is refused, warmAt the time in
-	// which it is slow.
+	simulator *simulator
+	index     int
+	address   netip.AddrPort
+	zone      string
+	slots     int
+	liveness  leafLiveness
+	boot      int
+	// cachedBootID is the boot id that belongs to cachedBoot.
+	cachedBootID string
+	cachedBoot   int
+	draining     bool
+	// coldUntil is when the leaf stops refusing work as cold, warmAt when its work stops being
+	// slowed down by the cold start.
 	coldUntil, warmAt Time
-	slow              float64
+	slowFactor        float64
 	pausedUntil       Time
-	lying             bool
-	staleShare        float64
+	reportsIdle       bool
+	staleReplyRatio   float64
 	holdings          []leaf.Holding
 	connections       int
 	running           []*work
 	queue             []*work
-	published         leaf.LoadSummary
-	// leavingSince is when the first source reported that this boot leaves.
+	publishedLoad     leaf.LoadSummary
+	// leavingSince is when the first source reported that this boot is leaving.
 	leavingSince Time
 	leaving      bool
-	// added counts how often an operator added the leaf again.
-	added int
-	// received counts the attempts that arrived, executed those that ran.
+	// readdCount is how often an operator added the leaf again.
+	readdCount int
+	// received is the number of attempts that arrived, executed the number that were started.
 	received, executed int
-	busy               time.Duration // time of its slots at work
+	busyTime           time.Duration // total time during which its slots were in use
 }
 
 func (l *emulatedLeaf) bootID() string {
-	if l.namedBoot != l.boot {
-		l.namedBoot = l.boot
-		l.bootName = fmt.Sprintf("%d-%d", l.index, l.boot)
+	if l.cachedBoot != l.boot {
+		l.cachedBoot = l.boot
+		l.cachedBootID = fmt.Sprintf("%d-%d", l.index, l.boot)
 	}
-	return l.bootName
+	return l.cachedBootID
 }
 
-// summary is the leaf's true load, or its lie.
-func (l *emulatedLeaf) summary() leaf.LoadSummary {
+// loadSummary returns the load of the leaf. A leaf with reportsIdle hides its busy slots and
+// queue.
+func (l *emulatedLeaf) loadSummary() leaf.LoadSummary {
 	summary := leaf.LoadSummary{State: leaf.StateServing, SlotsBusy: len(l.running), Slots: l.slots, Queue: len(l.queue)}
-	if l.lying {
+	if l.reportsIdle {
 		summary.SlotsBusy, summary.Queue = 0, 0
 	}
 	switch {
 	case l.draining:
 		summary.State = leaf.StateDraining
-	case l.world.engine.now < l.coldUntil:
+	case l.simulator.engine.now < l.coldUntil:
 		summary.State = leaf.StateCold
 	}
 	return summary
 }
 
-// report is what a poll of the load gets: the state of a while ago.
-func (l *emulatedLeaf) report() leaf.LoadReport {
+// loadReport returns the reply to a load poll. Its summary is the one published last, which may be
+// up to ReportLag old.
+func (l *emulatedLeaf) loadReport() leaf.LoadReport {
 	return leaf.LoadReport{
-		BootID: l.bootID(), LoadSummary: l.published,
-		Service: l.world.config.Service.Name, Holdings: slices.Clone(l.holdings),
+		BootID: l.bootID(), LoadSummary: l.publishedLoad,
+		Service: l.simulator.config.Service.Name, Holdings: slices.Clone(l.holdings),
 	}
 }
 
-// holds reports whether the leaf has a shard at a snapshot, and whether it
-// has the partition epoch at all.
-func (l *emulatedLeaf) holds(snapshot catalog.Snapshot, shard int) (held, epoch bool) {
+// holds reports whether the leaf has a shard at a snapshot, and whether it has the shard at any
+// snapshot of the same partition epoch.
+func (l *emulatedLeaf) holds(snapshot catalog.Snapshot, shard int) (held, epochHeld bool) {
 	for _, holding := range l.holdings {
 		if holding.Snapshot.Epoch != snapshot.Epoch || !slices.Contains(holding.Shards, shard) {
 			continue
 		}
-		epoch = true
+		epochHeld = true
 		if holding.Snapshot == snapshot {
 			return true, true
 		}
 	}
-	return false, epoch
+	return false, epochHeld
 }
