--- a/cmd/micarehearse/deploy.go
+++ b/cmd/micarehearse/cluster.go
@@ -11,14 +11,14 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/cluster"
 )
 
-// clusterCommand keeps the deployment of the demo running for a while.
+// clusterCommand runs the deployment of the demo for a given duration.
 type clusterCommand struct {
 	binaries string
 	duration time.Duration
 	profiles string
 }
 
-func (c *clusterCommand) attach() *flaggy.Subcommand {
+func (c *clusterCommand) declare() *flaggy.Subcommand {
 	c.binaries, c.duration = "bin", time.Minute
 	sub := flaggy.NewSubcommand("cluster")
 	sub.Description = "Run the deployment of the demo on loopback for a while, to try commands and load."
--- a/internal/catalog/apply_benchmark_test.go
+++ b/internal/catalog/apply_benchmark_test.go
@@ -8,12 +8,13 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// largeCatalog has services of 760 leaves each, and a full memory of changes.
+// largeCatalog returns a catalog with the given number of services of 760 leaves each and with
+// RetainedChanges entries in Recent.
 func largeCatalog(b *testing.B, services int) *catalog.Catalog {
 	const leaves = 760
 	current := catalog.Empty()
 	apply := func(command catalog.Command) {
-		next, err := catalog.Apply(current, changeAt(current.Revision+1, command))
+		next, err := catalog.Apply(current, newChange(current.Revision+1, command))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -30,7 +31,7 @@
 	return current
 }
 
-// BenchmarkApply is one change on a catalog of 19,000 leaves.
+// BenchmarkApply applies one change to a catalog of 19,000 leaves.
 func BenchmarkApply(b *testing.B) {
 	current := largeCatalog(b, 25)
 	commands := map[string]catalog.Command{
@@ -38,7 +39,7 @@
 		"retire-leaf": {RetireLeaf: &catalog.RetireLeaf{Address: netip.MustParseAddrPort("10.7.0.1:7101")}},
 	}
 	for name, command := range commands {
-		change := changeAt(current.Revision+1, command)
+		change := newChange(current.Revision+1, command)
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -50,7 +51,7 @@
 	}
 }
 
-// BenchmarkEncode is a checkpoint of a catalog of 19,000 leaves.
+// BenchmarkEncode encodes a checkpoint of a catalog of 19,000 leaves.
 func BenchmarkEncode(b *testing.B) {
 	current := largeCatalog(b, 25)
 	b.ReportAllocs()
--- a/internal/decide/combiners/combiners_test.go
+++ b/internal/decide/combiners/combiners_test.go
@@ -9,94 +9,94 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-func members(zones ...string) []roster.Member {
-	var all []roster.Member
+func newMembers(zones ...string) []roster.Member {
+	var members []roster.Member
 	for number, zone := range zones {
-		all = append(all, roster.Member{
+		members = append(members, roster.Member{
 			Name: fmt.Sprint("node-", number), Zone: zone, Peer: netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 7000+number)),
 		})
 	}
-	return all
+	return members
 }
 
-// newTable returns the table of node-0 of zone a.
+// newTable returns the table of node-0, which is in the first of the zones.
 func newTable(zones ...string) *Table {
-	all := members(zones...)
-	b := NewTable(DefaultConfig())
-	b.Replace(all[0], all)
-	return b
+	members := newMembers(zones...)
+	table := NewTable(DefaultConfig())
+	table.Replace(members[0], members)
+	return table
 }
 
-func TestTableKeepsAFewOfEachOtherZone(t *testing.T) {
-	b := newTable("a", "a", "b", "b", "b", "c")
-	if len(b.zones["a"]) != 0 || len(b.zones["b"]) != b.config.CombinersPerZone || len(b.zones["c"]) != 1 {
-		t.Errorf("combiners %v", b.zones)
+func TestReplaceKeepsAtMostCombinersPerZone(t *testing.T) {
+	table := newTable("a", "a", "b", "b", "b", "c")
+	if len(table.zones["a"]) != 0 || len(table.zones["b"]) != table.config.CombinersPerZone || len(table.zones["c"]) != 1 {
+		t.Errorf("got combiners %v, want none in zone a, %d in zone b and 1 in zone c", table.zones, table.config.CombinersPerZone)
 	}
 }
 
-// TestSilentCombinerIsLost asks it once it is silent, and gives up its attempts
-// when no answer comes.
+// TestSilentCombinerIsLost checks that a silent combiner is sent a heartbeat, and that its attempts
+// end if no answer comes.
 func TestSilentCombinerIsLost(t *testing.T) {
-	b := newTable("a", "b")
-	one := b.zones["b"][0]
-	if b.Choose("b") != nil {
-		t.Fatal("a combiner is used that was never heard")
+	table := newTable("a", "b")
+	combiner := table.zones["b"][0]
+	if table.Choose("b") != nil {
+		t.Fatal("a combiner is chosen before its first answer")
 	}
 	now := time.Second
-	one.Answered(now, time.Millisecond)
-	alive := one.Alive()
-	if asked, _ := b.Due(now + b.config.HeartbeatInterval/2); len(asked) != 0 || b.Choose("b") != one {
-		t.Fatalf("asked %v right after it was heard", asked)
+	combiner.RecordAnswer(now, time.Millisecond)
+	alive := combiner.Alive()
+	if due, _ := table.DueHeartbeats(now + table.config.HeartbeatInterval/2); len(due) != 0 || table.Choose("b") != combiner {
+		t.Fatalf("heartbeats due to %v and chosen %v right after an answer, want none due and the combiner chosen", due, table.Choose("b"))
 	}
-	if asked, lost := b.Due(now + b.config.HeartbeatInterval); len(asked) != 1 || len(lost) != 0 {
-		t.Fatalf("asked %v, lost %v when it was silent", asked, lost)
+	if due, lost := table.DueHeartbeats(now + table.config.HeartbeatInterval); len(due) != 1 || len(lost) != 0 {
+		t.Fatalf("after HeartbeatInterval: due %v and lost %v, want one due and none lost", due, lost)
 	}
-	if asked, lost := b.Due(now + b.config.HeartbeatTimeout + 1); len(asked) != 0 || len(lost) != 1 || alive.Err() == nil {
-		t.Fatalf("asked %v, lost %v after its time", asked, lost)
+	if due, lost := table.DueHeartbeats(now + table.config.HeartbeatTimeout + 1); len(due) != 0 || len(lost) != 1 || alive.Err() == nil {
+		t.Fatalf("after HeartbeatTimeout: due %v and lost %v, want none due, one lost and its context ended", due, lost)
 	}
-	if b.Choose("b") != nil {
-		t.Error("a lost combiner is used")
+	if table.Choose("b") != nil {
+		t.Error("a lost combiner is chosen")
 	}
-	one.Heard(2 * time.Second)
-	if b.Choose("b") != nil {
-		t.Error("a late answer brought it back")
+	combiner.RecordMessage(2 * time.Second)
+	if table.Choose("b") != nil {
+		t.Error("a combiner is chosen after a message that is not an answer to a heartbeat")
 	}
-	one.Answered(2*time.Second, time.Millisecond)
-	if b.Choose("b") != one {
-		t.Error("it is not used again")
+	combiner.RecordAnswer(2*time.Second, time.Millisecond)
+	if table.Choose("b") != combiner {
+		t.Error("a combiner is not chosen after it answered again")
 	}
 }
 
 func TestSlowCombinerIsNotUsed(t *testing.T) {
-	b := newTable("a", "b")
-	one := b.zones["b"][0]
-	one.Answered(1, time.Millisecond)
+	table := newTable("a", "b")
+	combiner := table.zones["b"][0]
+	combiner.RecordAnswer(1, time.Millisecond)
 	for range 20 {
-		one.Answered(1, 4*b.config.MaxRoundTrip)
+		combiner.RecordAnswer(1, 4*table.config.MaxRoundTrip)
 	}
-	if b.Choose("b") != nil {
-		t.Error("a slow combiner is used")
+	if table.Choose("b") != nil {
+		t.Error("a slow combiner is chosen")
 	}
 	for range 20 {
-		one.Answered(1, time.Millisecond)
+		combiner.RecordAnswer(1, time.Millisecond)
 	}
-	if b.Choose("b") != one {
-		t.Error("it is not used again")
+	if table.Choose("b") != combiner {
+		t.Error("a combiner is not chosen after it became fast again")
 	}
 }
 
-// TestCombinerThatIsNotPreferredAnyMore gets no attempts, and ends those that it
-// has in hand.
-func TestCombinerThatIsNotPreferredAnyMore(t *testing.T) {
-	b := newTable("a", "b")
-	one := b.zones["b"][0]
-	one.Answered(1, time.Millisecond)
-	alive := one.Alive()
-	b.Replace(members("a")[0], members("a"))
+// TestReplacedCombinerFinishesItsAttempts checks that a combiner that is no longer preferred gets
+// no new attempts, while its attempts in flight continue.
+func TestReplacedCombinerFinishesItsAttempts(t *testing.T) {
+	table := newTable("a", "b")
+	combiner := table.zones["b"][0]
+	combiner.RecordAnswer(1, time.Millisecond)
+	alive := combiner.Alive()
+	table.Replace(newMembers("a")[0], newMembers("a"))
 	if alive.Err() != nil {
-		t.Error("its attempts were cut off")
+		t.Error("the attempts in flight of a replaced combiner were cancelled")
 	}
-	if b.Choose("b") != nil || one.usable(time.Hour) {
-		t.Error("it gets more attempts")
+	if table.Choose("b") != nil || combiner.isUsable(time.Hour) {
+		t.Error("a replaced combiner is chosen or usable")
 	}
 }
--- a/internal/decide/dispatch/admit.go
+++ b/internal/decide/dispatch/admit.go
@@ -1,23 +1,20 @@
-// Rule: admit or refuse. A query is refused at once if it cannot be served at all (service
-// stopped, deadline passed, no snapshot, too few shards with a leaf, or with one that is
-// not down) or if its predicted
-// wait and service time fill more of its remaining time than admission.Config allows.
-// The wait is predicted for its slowest shard: for each class that goes first, the waiting
-// work over the rate at which such work was sent, or could be sent into free slots.
+// Rule: admission. A query is refused immediately if it cannot be served at all, or if its
+// predicted wait and service time exceed the part of its remaining time that admission.Config
+// allows. A query cannot be served if the service is stopped, its deadline has passed, there is no
+// snapshot, or too few of its shards have a leaf that is not down. The predicted wait is that of
+// the query's slowest shard: for each class of equal or higher urgency, the waiting work divided by
+// the rate at which such work was sent recently or fits into free slots.
 //
-// Inputs: waiting work by class (seconds of one slot), rates of work sent (seconds of work
-// a second), slots that others leave free, slowness (ratio), time until the deadline and
-// until the promotion of the query, saturation (share of slots in use).
+// Inputs: waiting work by class (seconds of one slot), rates of work sent (seconds of work per
+// second), slots not used by other nodes, slowness (ratio), time until the deadline and until the
+// promotion of the query, saturation (share of slots in use).
 //
-// Reason: a caller that is refused at once can retry elsewhere or later; one that waits
-// until its deadline has lost its time, and leaves have worked for nothing.
-//
-// Measured (simulation at 150 % load): without admission 0.22 and 0.33 of the urgent
-// queries were answered whole in place of 1.0000, and refusals took 1,000 and 1,800 ms at
-// the 99th percentile in place of less than 1 ms. The end of the wait at the promotion:
-// sweeps answered whole while a version rolls out 0.9993 without, 1.0000 with (10 seeds).
-// Refusing what cannot reach its coverage, worth before and after: 0.562 and 0.567, 0.570
-// and 0.574, 0.749 and 0.750, 0.530 and 0.507 (pairs of four days).
+// Reason: a caller that is refused immediately can retry elsewhere or later. A query that waits
+// until its deadline has lost its time, and any attempts for it were wasted work on the leaves. At
+// 150 % load, 0.22 to 0.33 of the urgent queries get a complete answer without admission and all of
+// them with it, and the 99th percentile of the time of a refusal is over 1 s without and below 1 ms
+// with it. The predicted wait ends at the promotion, because otherwise the prediction refuses
+// queries that would be served while a version rolls out.
 
 package dispatch
 
@@ -28,7 +25,7 @@
 	"github.com/micaplank/micaplank/internal/decide/admission"
 )
 
-// rejectReason returns why a query cannot be taken at all.
+// rejectReason returns the reason why a query cannot be accepted, or ReasonNone.
 func (d *Dispatcher) rejectReason(q *query) Reason {
 	switch {
 	case d.fleet.topology.Stopped:
@@ -42,15 +39,15 @@
 	}
 }
 
-// reject answers a query that was not taken.
+// reject ends a query that was not accepted.
 func (d *Dispatcher) reject(q *query, reason Reason) {
 	d.counters.NotRun++
 	d.actions = append(d.actions, Finish{Query: q.ID, Outcome: OutcomeNotRun, Reason: reason})
 }
 
-// servable reports whether enough shards have a leaf for the coverage that the query
-// needs. Otherwise its attempts would be work for nothing.
-func (d *Dispatcher) servable(q *query) bool {
+// coverageAttainable reports whether enough shards have a leaf that is not down to reach the
+// minimum coverage of the query. Attempts for any other query would be wasted work.
+func (d *Dispatcher) coverageAttainable(q *query) bool {
 	if !d.config.RequireCoverage {
 		return true
 	}
@@ -60,18 +57,17 @@
 			reachable.Unavailable++
 		}
 	}
-	return reachable.Attainable(q.MinimumCoverage)
+	return reachable.CanMeetMinimum(q.MinimumCoverage)
 }
 
-// admit predicts the wait of the slowest shard of a query and reports whether
-// the query is taken.
+// admit predicts the wait of the query's slowest shard and reports whether the query is admitted.
 func (d *Dispatcher) admit(q *query) (time.Duration, bool) {
 	urgent := d.classes.mostUrgent(q.class)
 	if urgent {
-		d.load.urgent.add(d.now, shortMemory, q.class.base*float64(len(q.shards)))
+		d.load.urgentArrivals.add(d.now, shortTimeConstant, q.class.serviceTime*float64(len(q.shards)))
 	}
 	d.sampleSaturation()
-	if d.waiting.count == 0 {
+	if d.waiting.queued == 0 {
 		return 0, true
 	}
 	wait := time.Duration(0)
@@ -81,17 +77,17 @@
 		}
 	}
 	return wait, d.config.Admission.Admit(admission.Prediction{
-		Wait:      wait,
-		Service:   seconds(q.class.base),
-		Remaining: q.Deadline - d.now,
-		Urgent:    urgent,
-		Saturated: d.load.saturation.full(),
-		Left:      d.load.leftByUrgent(d.now),
+		Wait:           wait,
+		Service:        seconds(q.class.serviceTime),
+		Remaining:      q.Deadline - d.now,
+		Urgent:         urgent,
+		Saturated:      d.load.saturation.saturated(),
+		NonUrgentShare: d.load.shareLeftByUrgent(d.now),
 	})
 }
 
-// admitPending refuses a postponed query if the queries before it are expected
-// to take too long.
+// admitPending refuses a query that waits for the concurrency limit if the queries ahead of it are
+// expected to take too long.
 func (d *Dispatcher) admitPending(q *query) {
 	ahead := slices.Index(d.queries.pending, q) + 1
 	wait := seconds(float64(ahead) * d.means.queryTime / float64(d.fleet.topology.Concurrency))
@@ -102,32 +98,33 @@
 		Urgent:    true,
 	})
 	if !admitted {
-		d.refuseForLoad(q, wait)
+		d.refuseOverload(q, wait)
 	}
 }
 
-// refuseForLoad ends a query that is not taken because of load.
-func (d *Dispatcher) refuseForLoad(q *query, wait time.Duration) {
+// refuseOverload ends a query that is not admitted because of overload.
+func (d *Dispatcher) refuseOverload(q *query, wait time.Duration) {
 	d.counters.Overloaded++
 	d.setPredictedWait(q, wait)
 	d.finish(q, OutcomeNotRun, ReasonOverload)
 }
 
-// predictWait returns the time until a new query gets a slot of the group: for
-// each class that goes first, the work that waits for the leaves of the group
-// over the rate at which such work can be sent there. That is the recent rate,
-// or that of the slots that others and the classes before it leave free. Unless the service is saturated, the query waits until its promotion, and
-// then for the most urgent work only.
-func (d *Dispatcher) predictWait(g *group, q *query) time.Duration {
+// predictWait returns the expected time until a new query gets a slot of the replica group: for
+// each class of equal or higher urgency, the work that waits for the leaves of the group divided by
+// the rate at which such work can be sent to them. That rate is the larger one of the recent rate
+// and the rate allowed by the slots that other nodes and more urgent classes leave free. Unless the
+// service is saturated, the query waits at most until its promotion, and from then on only for the
+// most urgent work.
+func (d *Dispatcher) predictWait(g *replicaGroup, q *query) time.Duration {
 	d.scratch.loads = d.scratch.loads[:0]
 	for _, l := range g.leaves {
-		if l.takesWork() && !l.holdOff.active(d.now) {
-			d.scratch.loads = append(d.scratch.loads, leafLoad{leaf: l, slowness: d.slowness(l), spare: float64(l.slots) - l.reports.longMean})
+		if l.acceptsWork() && !l.backoff.active(d.now) {
+			d.scratch.loads = append(d.scratch.loads, leafLoad{leaf: l, slowness: d.slowness(l), freeSlots: float64(l.slots) - l.loadReports.longMeanOthers})
 		}
 	}
 	longest, urgent := time.Duration(0), time.Duration(0)
 	for _, other := range d.classes.ranked {
-		longest = max(longest, d.predictClass(g, other))
+		longest = max(longest, d.predictClassWait(g, other))
 		if d.classes.mostUrgent(other) {
 			urgent = longest
 		}
@@ -135,23 +132,24 @@
 			break
 		}
 	}
-	if d.load.saturation.full() {
+	if d.load.saturation.saturated() {
 		return longest
 	}
 	return min(longest, urgent+q.promoteAt-d.now)
 }
 
-// predictClass predicts the wait for the work of one class, and takes its
-// slots from the loads. The wait is at least that of the first that waits.
-func (d *Dispatcher) predictClass(g *group, class *classState) time.Duration {
+// predictClassWait predicts the wait caused by the work of one class and subtracts the slots of
+// that class from the leaf loads. The result is at least the age of the first waiting shard of the
+// class.
+func (d *Dispatcher) predictClassWait(g *replicaGroup, class *classState) time.Duration {
 	work, sent, free := 0.0, 0.0, 0.0
 	for index := range d.scratch.loads {
 		load := &d.scratch.loads[index]
-		work += load.leaf.waiting.of(class).Seconds()
-		least := leastShare(d.classes.mostUrgent(class)) * float64(load.leaf.limiter.Current())
-		free += max(load.spare, least) / load.slowness
-		rate := load.leaf.sent.of(class).rate(d.now, longMemory)
-		load.spare -= rate * load.slowness
+		work += load.leaf.waitingWork.get(class).Seconds()
+		minimum := minimumShare(d.classes.mostUrgent(class)) * float64(load.leaf.limiter.Current())
+		free += max(load.freeSlots, minimum) / load.slowness
+		rate := load.leaf.sentWork.get(class).rate(d.now, longTimeConstant)
+		load.freeSlots -= rate * load.slowness
 		sent += rate
 	}
 	rate := max(sent, free)
@@ -161,27 +159,25 @@
 	return max(seconds(work/rate), g.waiting.age(class, d.now))
 }
 
-// leafLoad is a leaf of a group while a wait is predicted.
+// leafLoad is the remaining capacity of a leaf during a prediction.
 type leafLoad struct {
-	leaf     *leafState
-	slowness float64
-	spare    float64 // slots that others and the classes before leave free
+	leaf      *leafState
+	slowness  float64
+	freeSlots float64 // not used by other nodes or more urgent classes
 }
 
-// The shares of the limit of a leaf that work of a class is assumed to get at least, so
-// that a leaf which seems full does not make its predicted wait infinite. Not measured:
-// chosen because the most urgent work has only itself to wait for, while other work may
-// starve.
+// The minimum shares of a leaf's limit that the prediction grants to the work of a class, so that a
+// leaf which seems full does not make the predicted wait infinite. The share of the most urgent
+// work is large because it waits only for its own class, while other work may starve.
 const (
-	leastUrgentShare = 0.25
-	leastOtherShare  = 0.005
+	minimumUrgentShare = 0.25
+	minimumOtherShare  = 0.005
 )
 
-// leastShare returns the share of the limit that work of a class is assumed to get at
-// least.
-func leastShare(urgent bool) float64 {
+// minimumShare returns the minimum share of the limit that the prediction grants to a class.
+func minimumShare(urgent bool) float64 {
 	if urgent {
-		return leastUrgentShare
+		return minimumUrgentShare
 	}
-	return leastOtherShare
+	return minimumOtherShare
 }
--- a/internal/decide/dispatch/dispatcher.go
+++ b/internal/decide/dispatch/dispatcher.go
@@ -9,10 +9,9 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Dispatcher is the state machine of one service on one node. Its methods
-// never block; the times handed to them should not decrease, and an earlier
-// one counts as the latest one seen. The actions returned belong to the
-// caller.
+// Dispatcher is the state machine of one service on one node. Its methods never block. The times
+// passed to them should not decrease; an earlier time counts as the latest time seen. The returned
+// actions belong to the caller.
 type Dispatcher struct {
 	config  Config
 	chooser replica.Chooser
@@ -25,65 +24,64 @@
 	waiting  waitingShards
 
 	classes    classTable
-	means      means
+	means      runningMeans
 	load       loadEstimate
 	budgets    budgets
 	allowances allowances
 
-	counters Counters
-	actions  []Action // of the present call
-	spare    shardPool
-	scratch  scratch
+	counters  Counters
+	actions   []Action // of the current call
+	shardPool shardPool
+	scratch   scratch
 }
 
-// scratch is space that choose and predictWait use again.
+// scratch holds buffers that choose and predictWait reuse.
 type scratch struct {
 	candidates []replica.Candidate
 	leaves     []*leafState // of the candidates
 	loads      []leafLoad
 }
 
-// New returns a Dispatcher without a topology: it answers every query with
-// OutcomeNotRun until SetTopology is called. It keeps random.
+// New returns a Dispatcher without a topology. It answers every query with OutcomeNotRun until
+// SetTopology is called. The Dispatcher keeps random.
 func New(config Config, random *rand.Rand) *Dispatcher {
-	config.Budget.Chance = random.Float64
+	config.Budget.Random = random.Float64
 	return &Dispatcher{
 		config:  config,
 		chooser: replica.NewChooser(config.Score, random),
 		fleet:   fleet{byAddress: make(map[netip.AddrPort]*leafState)},
 		queries: queryTable{byID: make(map[QueryID]*query)},
 		classes: newClassTable(config.InitialLatency),
-		means:   means{attemptWork: config.InitialLatency.Seconds()},
+		means:   runningMeans{attemptWork: config.InitialLatency.Seconds()},
 		budgets: newBudgets(config.Budget, config.BudgetByShard),
 	}
 }
 
-// begin starts a call.
+// begin prepares the state for a call at the given time.
 func (d *Dispatcher) begin(now Time) {
 	d.now = max(d.now, now)
 	d.actions = nil
 }
 
-// Submit takes a query. Its id must not be in use; a query whose id is in use
-// is ignored.
+// Submit accepts or refuses a query. A query whose ID is in use is ignored.
 func (d *Dispatcher) Submit(now Time, request Query) []Action {
 	d.begin(now)
-	if _, known := d.queries.byID[request.ID]; known {
+	if _, ok := d.queries.byID[request.ID]; ok {
 		return nil
 	}
 	d.counters.Submitted++
 	q := &query{
 		Query: request,
-		class: d.classes.of(request.Class),
+		class: d.classes.get(request.Class),
 		schedule: schedule{
 			submitted: d.now,
 			settleAt:  d.config.Settle.SettleAt(d.now, request.Deadline, request.Objective),
-			promoteAt: d.now + time.Duration(d.config.Promotion*float64(request.Deadline-d.now)),
+			promoteAt: d.now + time.Duration(d.config.PromoteAfter*float64(request.Deadline-d.now)),
 		},
 		timer: timer{index: -1},
 	}
 	if d.mayHedge(q) {
-		q.hedging.rescueAt = d.now + time.Duration(d.config.Hedge.Rescue*float64(request.Deadline-d.now))
+		q.hedging.chargeAsRetryAt = d.now + time.Duration(d.config.Hedge.ChargeAsRetryAfter*float64(request.Deadline-d.now))
 	}
 	if reason := d.rejectReason(q); reason != ReasonNone {
 		d.reject(q, reason)
@@ -101,67 +99,67 @@
 	return d.actions
 }
 
-// Cancel ends a query whose caller went away, and aborts its attempts.
+// Cancel ends a query whose caller no longer waits, and aborts its attempts.
 func (d *Dispatcher) Cancel(now Time, id QueryID) []Action {
 	d.begin(now)
-	if q, known := d.queries.byID[id]; known {
-		d.finish(q, q.failure(), ReasonCancelled)
+	if q, ok := d.queries.byID[id]; ok {
+		d.finish(q, q.failureOutcome(), ReasonCancelled)
 	}
 	return d.actions
 }
 
-// Observe takes in a load report that did not come with a reply. It may lag
-// or mislead, except that a leaf which says it drains gets no more work.
+// Observe records a load report that did not arrive with a reply. The report may be outdated or
+// wrong, except that a leaf which reports that it drains gets no more work.
 func (d *Dispatcher) Observe(now Time, address netip.AddrPort, load leaf.LoadSummary) []Action {
 	d.begin(now)
-	if l, known := d.fleet.byAddress[address]; known {
-		d.observe(l, l.boot(), load, len(l.running))
-		d.pump(l)
+	if l, ok := d.fleet.byAddress[address]; ok {
+		d.applyLoadReport(l, l.currentBoot(), load, len(l.running))
+		d.dispatchTo(l)
 	}
 	return d.actions
 }
 
-// Tick performs what is due; see NextTick.
+// Tick performs the actions that are due; see NextTick.
 func (d *Dispatcher) Tick(now Time) []Action {
 	d.begin(now)
-	if d.fleet.goneUntil > 0 && d.now >= d.fleet.goneUntil {
-		d.rebuild()
+	if d.fleet.missingUntil > 0 && d.now >= d.fleet.missingUntil {
+		d.rebuildViews()
 	}
 	for len(d.timers) > 0 && d.timers[0].timer.at <= d.now {
 		q := d.timers[0]
 		if q.hedgeDue(d.now) {
-			d.hedge(q)
+			d.sendHedges(q)
 		}
-		d.review(q)
+		d.advance(q)
 	}
-	if d.waiting.any() && d.now >= d.waiting.reviewAt {
-		d.pumpAll()
+	if d.waiting.hasWaiting() && d.now >= d.waiting.rescanAt {
+		d.dispatchAllWaiting()
 	}
 	return d.actions
 }
 
-// NextTick returns when Tick has to be called next, and false if no time is
-// known. It changes with each call of the other methods.
+// NextTick returns the time at which Tick has to be called next, and false if no call is due. Any
+// other method may change the result.
 func (d *Dispatcher) NextTick() (Time, bool) {
-	next, known := Time(0), false
+	next, scheduled := Time(0), false
 	consider := func(at Time) {
-		if !known || at < next {
-			next, known = at, true
+		if !scheduled || at < next {
+			next, scheduled = at, true
 		}
 	}
 	if len(d.timers) > 0 {
 		consider(d.timers[0].timer.at)
 	}
-	if d.waiting.any() {
-		consider(d.waiting.reviewAt)
+	if d.waiting.hasWaiting() {
+		consider(d.waiting.rescanAt)
 	}
-	if d.fleet.goneUntil > 0 {
-		consider(d.fleet.goneUntil)
+	if d.fleet.missingUntil > 0 {
+		consider(d.fleet.missingUntil)
 	}
-	return next, known
+	return next, scheduled
 }
 
-// SetProbeInterval changes the time between two probes of a slow leaf by this node.
+// SetProbeInterval changes the interval between two probes of a slow leaf by this node.
 func (d *Dispatcher) SetProbeInterval(interval time.Duration) {
 	d.config.Probation.ProbeInterval = interval
 }
--- a/internal/decide/dispatch/lifecycle.go
+++ b/internal/decide/dispatch/lifecycle.go
@@ -4,14 +4,14 @@
 
 // queryTable holds the unfinished queries.
 type queryTable struct {
-	byID       map[QueryID]*query
-	running    []*query // all, started or not
-	pending    []*query // those that wait for the concurrency limit, in order
-	started    int
-	startsHeld bool // startPending must not start any now
+	byID          map[QueryID]*query
+	running       []*query // all unfinished queries, started or not
+	pending       []*query // those that wait for the concurrency limit, in order
+	started       int
+	startsBlocked bool // startPending must not start queries now
 }
 
-// remove takes a query out of those that run.
+// remove removes a query from the unfinished queries.
 func (t *queryTable) remove(q *query) {
 	delete(t.byID, q.ID)
 	last := len(t.running) - 1
@@ -21,7 +21,7 @@
 	t.running = t.running[:last]
 }
 
-// removePending takes a query out of those that wait for the concurrency limit.
+// removePending removes a query from those that wait for the concurrency limit.
 func (t *queryTable) removePending(q *query) {
 	if index := slices.Index(t.pending, q); index >= 0 {
 		t.pending = append(t.pending[:index], t.pending[index+1:]...)
@@ -34,32 +34,32 @@
 	q.startedAt = d.now
 	d.queries.started++
 	if reason := d.pin(q); reason != ReasonNone {
-		d.finish(q, q.failure(), reason)
+		d.finish(q, q.failureOutcome(), reason)
 		return
 	}
 	if !q.Class.Repeatable && q.progress.Total != 1 {
 		d.finish(q, OutcomeNotRun, ReasonInvalid)
 		return
 	}
-	if !d.servable(q) {
+	if !d.coverageAttainable(q) {
 		d.finish(q, OutcomeNotRun, ReasonNoLeaf)
 		return
 	}
 	if wait, admitted := d.admit(q); !admitted {
-		d.refuseForLoad(q, wait)
+		d.refuseOverload(q, wait)
 		return
 	}
 	for position := range q.shards {
 		d.place(q, int32(position))
 	}
-	d.review(q)
+	d.advance(q)
 }
 
-// review ends the query if it is to end now, and otherwise sets its timer.
-// Every event of a query ends with it.
-func (d *Dispatcher) review(q *query) {
+// advance ends the query if an end condition holds, and otherwise sets its timer. The handling of
+// each event of a query ends with a call of advance.
+func (d *Dispatcher) advance(q *query) {
 	if q.finished || !q.started {
-		d.reviewPending(q)
+		d.expirePending(q)
 		return
 	}
 	d.releaseWithheld(q)
@@ -77,44 +77,44 @@
 	d.setTimer(q)
 }
 
-// reviewPending ends a query that waits for the concurrency limit, at its deadline.
-func (d *Dispatcher) reviewPending(q *query) {
+// expirePending ends a query that still waits for the concurrency limit at its deadline.
+func (d *Dispatcher) expirePending(q *query) {
 	if !q.finished && d.now >= q.Deadline {
 		d.finish(q, OutcomeNotRun, ReasonDeadline)
 	}
 }
 
-// setTimer sets the time of the next event of a query without one from outside.
+// setTimer schedules the next time-based event of a query.
 func (d *Dispatcher) setTimer(q *query) {
 	next := q.Deadline
 	if q.settleAt > d.now {
 		next = min(next, q.settleAt)
 	}
-	if q.hedging.at > 0 {
-		next = min(next, max(q.hedging.at, d.now+1))
+	if q.hedging.nextCheckAt > 0 {
+		next = min(next, max(q.hedging.nextCheckAt, d.now+1))
 	}
-	if q.hedging.rescueAt > d.now {
-		next = min(next, q.hedging.rescueAt)
+	if q.hedging.chargeAsRetryAt > d.now {
+		next = min(next, q.hedging.chargeAsRetryAt)
 	}
 	if next != q.timer.at || q.timer.index < 0 {
 		d.timers.set(q, next)
 	}
 }
 
-// abandon aborts and withdraws all that the query has under way, and returns
-// the number of its attempts that may have executed.
-func (d *Dispatcher) abandon(q *query) int {
+// abortAll aborts all attempts of the query and removes its shards from the queues. It returns the
+// number of shards whose attempts may have executed.
+func (d *Dispatcher) abortAll(q *query) int {
 	executed := 0
 	for position := range q.shards {
 		shard := &q.shards[position]
-		if shard.status == shardWaiting && shard.waitFor != 0 {
+		if shard.status == shardWaiting && shard.waitTicket != 0 {
 			d.withdraw(q, shard)
 		}
-		if shard.status == shardAnswered || shard.needsRetry || shard.first != none {
+		if shard.status == shardAnswered || shard.needsRetry || shard.firstAttempt != noAttempt {
 			executed++
 		}
-		for shard.first != none {
-			d.abort(&d.attempts.slots[shard.first])
+		for shard.firstAttempt != noAttempt {
+			d.abortAttempt(&d.attempts.slots[shard.firstAttempt])
 		}
 	}
 	return executed
@@ -122,11 +122,11 @@
 
 // finish ends a query.
 func (d *Dispatcher) finish(q *query, outcome Outcome, reason Reason) {
-	d.abandon(q)
+	d.abortAll(q)
 	q.finished = true
 	d.timers.remove(q)
 	d.queries.remove(q)
-	d.counters.finished(outcome)
+	d.counters.countOutcome(outcome)
 	if q.started && q.progress.Answered > 0 {
 		d.means.queryTime += queryTimeWeight * ((d.now - q.startedAt).Seconds() - d.means.queryTime)
 	}
@@ -137,7 +137,7 @@
 		result.RetryAfter = d.retryAfter(q, reason)
 	}
 	d.actions = append(d.actions, result)
-	d.spare.give(q.shards)
+	d.shardPool.put(q.shards)
 	q.shards = nil
 	if q.started {
 		d.queries.started--
@@ -147,6 +147,6 @@
 	d.queries.removePending(q)
 }
 
-// queryTimeWeight is the weight of one query in the mean time of queries. Not measured:
-// chosen so that the mean follows some twenty queries.
+// queryTimeWeight is the weight of a query in the mean duration of queries, which averages over
+// about twenty queries.
 const queryTimeWeight = 0.05
--- a/internal/decide/dispatch/pin.go
+++ b/internal/decide/dispatch/pin.go
@@ -12,10 +12,10 @@
 	return snapshot.Need{KeyHash: q.KeyHash, HasKey: q.HasKey, Shards: q.Shards}
 }
 
-// pin fixes the snapshot of a query and the shards that it needs there.
+// pin selects the snapshot of a query and the shards that the query needs there.
 func (d *Dispatcher) pin(q *query) Reason {
-	index, found := snapshot.Pick(d.fleet.snapshots, q.need())
-	if !found {
+	index, ok := snapshot.Pick(d.fleet.snapshots, q.need())
+	if !ok {
 		if len(d.fleet.views) == 0 {
 			return ReasonNoSnapshot
 		}
@@ -25,34 +25,35 @@
 	return ReasonNone
 }
 
-// pinTo fixes the snapshot, and starts with none of its shards sent.
+// pinTo sets the snapshot of a query and resets the state of its shards.
 func (d *Dispatcher) pinTo(q *query, pinned *view) {
 	q.snapshot = pinned.snapshot
 	q.firstShard = 0
 	count := len(pinned.groups)
-	if shard, single := q.need().Shard(count); single {
+	if shard, single := q.need().SingleShard(count); single {
 		q.firstShard, count = shard, 1
 	}
 	if len(q.Shards) > 0 {
 		count = len(q.Shards)
 	}
-	q.shards = d.spare.take(count)
+	q.shards = d.shardPool.get(count)
 	for position := range q.shards {
 		q.shards[position].group = pinned.group(q.shardAt(position))
-		q.shards[position].first = none
+		q.shards[position].firstAttempt = noAttempt
 	}
 	d.actions = slices.Grow(d.actions, count)
 	q.progress = coverage.Progress{Total: count}
 }
 
-// shardPool keeps the lists of shards of finished queries.
+// shardPool keeps the shard slices of finished queries for reuse.
 type shardPool [][]shardState
 
-// shardPoolLimit is how many lists are kept. Not measured: chosen to bound the memory.
+// shardPoolLimit is the maximum number of slices kept. It bounds the memory.
 const shardPoolLimit = 16
 
-// take returns count zero shards, if possible from a finished query.
-func (p *shardPool) take(count int) []shardState {
+// get returns a slice of count zero shards, reusing a slice of a finished query if it is large
+// enough.
+func (p *shardPool) get(count int) []shardState {
 	lists := *p
 	last := len(lists) - 1
 	if last < 0 || cap(lists[last]) < count {
@@ -64,8 +65,8 @@
 	return shards
 }
 
-// give keeps the shards of a finished query. Nothing looks at them any more.
-func (p *shardPool) give(shards []shardState) {
+// put returns the shards of a finished query to the pool. The caller must not use them afterwards.
+func (p *shardPool) put(shards []shardState) {
 	if len(*p) < shardPoolLimit && shards != nil {
 		*p = append(*p, shards)
 	}
--- a/internal/decide/dispatch/topology.go
+++ b/internal/decide/dispatch/topology.go
@@ -11,125 +11,127 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// fleet is the topology with what is computed from it and known of its leaves.
+// fleet is the current topology, the data derived from it and the state of its leaves.
 type fleet struct {
-	topology   Topology
-	topologies uint64       // number of topologies so far
-	leaves     []*leafState // those of the topology, in its order
-	byAddress  map[netip.AddrPort]*leafState
-	restarted  []*leafState    // those that the topology being taken in lists with a new boot ID
-	views      []view          // newest first
-	snapshots  []snapshot.View // of the views
-	goneUntil  Time            // when the next override of a holding ends; zero if none
-	down       int             // leaves that are down, see setDown
+	topology     Topology
+	generation   uint64       // number of topologies so far
+	leaves       []*leafState // those of the topology, in its order
+	byAddress    map[netip.AddrPort]*leafState
+	restarted    []*leafState    // those that the topology being applied lists with a new boot ID
+	views        []view          // newest first
+	snapshots    []snapshot.View // of the views
+	missingUntil Time            // when the next missingHolding expires; zero if there is none
+	downCount    int             // leaves that are down, see setDown
 }
 
-// SetTopology replaces the topology. A leaf that is not usable in it gets no
-// new attempt from now on; its attempts in flight are left to finish.
+// SetTopology replaces the topology. A leaf that is not usable in it gets no new attempt from now
+// on; its attempts in flight continue.
 func (d *Dispatcher) SetTopology(now Time, topology Topology) []Action {
 	d.begin(now)
 	changed := !slices.Equal(d.fleet.topology.Partitions, topology.Partitions)
 	d.fleet.topology = topology
-	d.fleet.topologies++
-	former := d.fleet.leaves
+	d.fleet.generation++
+	previous := d.fleet.leaves
 	d.fleet.leaves = make([]*leafState, 0, len(topology.Leaves))
 	for index := range topology.Leaves {
 		listed := &topology.Leaves[index]
-		l, known := d.fleet.byAddress[listed.Address]
-		if !known {
+		l, ok := d.fleet.byAddress[listed.Address]
+		if !ok {
 			l = d.newLeaf(listed)
 			d.fleet.byAddress[listed.Address] = l
 		}
-		if l.listedIn == d.fleet.topologies {
-			continue // listed twice: the first entry counts
+		if l.listedGeneration == d.fleet.generation {
+			continue // a duplicate; the first entry counts
 		}
-		l.listedIn = d.fleet.topologies
-		changed = d.update(l, listed) || changed
+		l.listedGeneration = d.fleet.generation
+		changed = d.applyListing(l, listed) || changed
 		d.fleet.leaves = append(d.fleet.leaves, l)
 	}
-	changed = d.dropUnlisted(former) || changed
+	changed = d.retireUnlisted(previous) || changed
 	if changed {
-		d.rebuild()
+		d.rebuildViews()
 	}
-	d.loseFormerAttempts()
+	d.failOrphanedAttempts()
 	d.startPending()
-	d.pumpAll()
+	d.dispatchAllWaiting()
 	return d.actions
 }
 
+// newLeaf returns the initial state of a leaf.
 func (d *Dispatcher) newLeaf(listed *Leaf) *leafState {
-	slots := slotsOf(listed)
+	slots := listedSlots(listed)
 	return &leafState{
 		listing:   listing{address: listed.Address, slots: slots},
 		limiter:   limit.New(&d.config.Limit, slots, listed.Cold),
-		speed:     replica.NewSpeed(&d.config.Speed),
+		speed:     replica.NewSlownessEstimator(&d.config.Speed),
 		probation: probation{lastSent: d.now},
-		overdue:   overdueSum{at: unknown},
+		overdue:   overdueSum{at: noTime},
 	}
 }
 
-// defaultSlots are assumed of a leaf that names none. Not measured: chosen as the fewest
-// with which a leaf can work on two attempts at once.
+// defaultSlots is the number of slots assumed of a leaf that names none: the smallest number with
+// which a leaf works on two attempts at the same time.
 const defaultSlots = 2
 
-func slotsOf(listed *Leaf) int {
+// listedSlots returns the slots of a leaf in the topology, or the default.
+func listedSlots(listed *Leaf) int {
 	if listed.Slots > 0 {
 		return listed.Slots
 	}
 	return defaultSlots
 }
 
-// update takes over what the topology says of a leaf and reports whether its
-// holdings changed.
-func (d *Dispatcher) update(l *leafState, listed *Leaf) bool {
-	took := l.takesWork()
+// applyListing copies the topology entry of a leaf to its state and reports whether the views have
+// to be rebuilt because of it.
+func (d *Dispatcher) applyListing(l *leafState, listed *Leaf) bool {
+	accepted := l.acceptsWork()
 	canary := l.canary
 	l.zone = listed.Zone
-	l.near = listed.Zone == d.config.Zone
+	l.sameZone = listed.Zone == d.config.Zone
 	l.usable = listed.Usable
 	l.standby = listed.Standby
 	l.canary = listed.Canary
 	l.warmAt = listed.WarmAt
 	l.warmup.set(d.now, listed.ColdUntil, listed.ColdRate)
 	l.listedBoot = listed.BootID
-	if slots := slotsOf(listed); slots != l.slots {
+	if slots := listedSlots(listed); slots != l.slots {
 		l.slots = slots
-		l.limiter.Resize(slots)
+		l.limiter.SetSlots(slots)
 	}
-	if l.noteBoot(listed.BootID) {
+	if l.recordBoot(listed.BootID) {
 		d.resetLeaf(l, listed.Cold)
 		d.fleet.restarted = append(d.fleet.restarted, l)
 	}
 	same := slices.EqualFunc(l.holdings, listed.Holdings, equalHoldings)
 	l.holdings = listed.Holdings
-	return took != l.takesWork() || canary != l.canary || !same
+	return accepted != l.acceptsWork() || canary != l.canary || !same
 }
 
 func equalHoldings(a, b leaf.Holding) bool {
 	return a.Snapshot == b.Snapshot && slices.Equal(a.Shards, b.Shards)
 }
 
-// resetLeaf forgets what was learned of a leaf before it restarted.
+// resetLeaf discards the state that belongs to the previous incarnation of a leaf.
 func (d *Dispatcher) resetLeaf(l *leafState, cold bool) {
-	l.limiter.Restart(cold)
-	l.speed = replica.NewSpeed(&d.config.Speed)
-	l.losses = replica.Losses{}
-	l.holdOff = holdOff{}
+	l.limiter.Reset(cold)
+	l.speed = replica.NewSlownessEstimator(&d.config.Speed)
+	l.losses = replica.LossEstimator{}
+	l.backoff = backoff{}
 	d.setDown(l, false)
-	l.gone = nil
+	l.missing = nil
 }
 
-// unlistedMemory is how long a leaf that left the topology is remembered, with what it
-// said of draining. Not measured: chosen longer than a leaf takes to stop.
-const unlistedMemory = 10 * time.Minute
+// unlistedRetention is the time for which the state of a leaf that left the topology is kept,
+// including whether it drains. It is longer than a leaf takes to stop.
+const unlistedRetention = 10 * time.Minute
 
-// dropUnlisted gives no more work to the leaves that left the topology, and
-// forgets them later. It reports whether one of them could get work before.
-func (d *Dispatcher) dropUnlisted(former []*leafState) bool {
+// retireUnlisted stops sending work to the leaves that left the topology, and deletes their state
+// after unlistedRetention. It reports whether one of them accepted work before.
+func (d *Dispatcher) retireUnlisted(previous []*leafState) bool {
 	dropped := false
-	for _, l := range former {
-		if l.listedIn != d.fleet.topologies {
-			dropped = dropped || l.takesWork()
+	for _, l := range previous {
+		if l.listedGeneration != d.fleet.generation {
+			dropped = dropped || l.acceptsWork()
 			l.usable = false
 			l.groups = nil
 			d.setDown(l, false)
@@ -137,7 +139,7 @@
 		}
 	}
 	for address, l := range d.fleet.byAddress {
-		if l.listedIn != d.fleet.topologies && d.now-l.unlistedAt > unlistedMemory {
+		if l.listedGeneration != d.fleet.generation && d.now-l.unlistedAt > unlistedRetention {
 			delete(d.fleet.byAddress, address)
 		}
 	}
--- a/internal/decide/dispatch/withhold_test.go
+++ b/internal/decide/dispatch/withhold_test.go
@@ -8,31 +8,31 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// shardsOf returns a rig with some shards of two leaves each.
-func shardsOf(t *testing.T, shards int) *rig {
+// newShardedRig returns a rig with the given number of shards and two leaves for each.
+func newShardedRig(t *testing.T, shards int) *rig {
 	r := newRig(t, 2*shards, func(config *Config) { config.Budget.Initial = 20 })
 	r.topology.Partitions = []catalog.Partition{{Epoch: 1, Shards: shards}}
 	for index := range r.topology.Leaves {
-		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: first, Shards: []int{index / 2}}}
+		r.topology.Leaves[index].Holdings = []leaf.Holding{{Snapshot: firstSnapshot, Shards: []int{index / 2}}}
 	}
 	r.perform(r.d.SetTopology(r.now, r.topology))
 	return r
 }
 
-// close ends the first open attempt with its leaf.
-func (r *rig) close() {
+// closeConnection ends the first open attempt by a closed connection of its leaf.
+func (r *rig) closeConnection() {
 	send := r.open[0]
 	r.open = r.open[1:]
-	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true, Closed: true}))
+	r.perform(r.d.Fail(r.now, send.Attempt, Failure{Sent: true, ConnectionClosed: true}))
 }
 
-// TestQueryUnderWhichLeavesEndGetsNoSecondOnes: one leaf of each shard, and one more for
-// the first that is lost, before two have been.
-func TestQueryUnderWhichLeavesEndGetsNoSecondOnes(t *testing.T) {
-	r := shardsOf(t, 4)
+// A query that crashes each leaf may crash at most one leaf of each shard, and one more by the
+// retry that is sent before the second crash. The query must then fail.
+func TestRetriesOfCrashingQueryAreWithheld(t *testing.T) {
+	r := newShardedRig(t, 4)
 	id := r.submit(1)
 	for len(r.open) > 0 {
-		r.close()
+		r.closeConnection()
 		r.run(time.Millisecond)
 	}
 	sent := 0
@@ -40,27 +40,27 @@
 		sent += count
 	}
 	finish, ended := r.finishes[id]
-	if !ended || finish.Outcome != OutcomeFailed || finish.Reason != ReasonLost {
-		t.Errorf("%+v, %v", finish, ended)
+	if !ended || finish.Outcome != OutcomeFailed || finish.Reason != ReasonConnectionLost {
+		t.Errorf("got %+v, ended %v, want outcome failed with reason connection_lost", finish, ended)
 	}
 	if sent > 5 {
-		t.Errorf("sent to %d leaves", sent)
+		t.Errorf("got attempts at %d leaves, want at most 5", sent)
 	}
 }
 
-// TestAnswerLetsSecondAttemptsGo: leaves that end beside a query cost it none of its
-// shards.
-func TestAnswerLetsSecondAttemptsGo(t *testing.T) {
-	r := shardsOf(t, 4)
+// Crashes that the query does not cause must not cost it shards: the first answer must release its
+// withheld retries.
+func TestAnswerReleasesWithheldRetries(t *testing.T) {
+	r := newShardedRig(t, 4)
 	id := r.submit(1)
 	for range 3 {
-		r.close()
+		r.closeConnection()
 	}
 	if r.d.queries.byID[id].withheld != 2 {
-		t.Fatalf("%d shards held back", r.d.queries.byID[id].withheld)
+		t.Fatalf("got %d withheld shards, want 2", r.d.queries.byID[id].withheld)
 	}
 	r.run(50 * time.Millisecond)
 	if finish := r.finishes[id]; finish.Outcome != OutcomeAnswered {
-		t.Errorf("%+v", finish)
+		t.Errorf("got %+v, want outcome answered", finish)
 	}
 }
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -18,24 +18,25 @@
 			before := limiter.Current()
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				limiter.Refused(now)
+				limiter.RecordRefusal(now)
 				if limiter.Current() > before {
-					t.Fatal("a refusal raised the limit")
+					t.Fatalf("a refusal raised the limit from %d to %d", before, limiter.Current())
 				}
 			case 1:
-				limiter.Restart(rapid.Bool().Draw(t, "cold"))
+				limiter.Reset(rapid.Bool().Draw(t, "cold"))
 			default:
-				limiter.Succeeded(now, before, rapid.IntRange(0, 10).Draw(t, "queue"))
+				limiter.RecordSuccess(now, before, rapid.IntRange(0, 10).Draw(t, "queue"))
 			}
 			if current := limiter.Current(); current < 1 || current > max(slots, 1)+config.Headroom {
-				t.Fatalf("limit %d with %d slots", current, slots)
+				t.Fatalf("got limit %d, want 1 to %d with %d slots", current, max(slots, 1)+config.Headroom, slots)
 			}
 		}
 	})
 }
 
-// Four nodes that always want more than their limit share a leaf.
-func TestNodesConvergeToShares(t *testing.T) {
+// TestLimitsConvergeToSharesOfSlots lets four nodes that always want more than their limit share
+// one leaf.
+func TestLimitsConvergeToSharesOfSlots(t *testing.T) {
 	const nodes, slots = 4, 5
 	config := DefaultConfig()
 	limiters := make([]Limiter, nodes)
@@ -51,20 +52,20 @@
 	}
 	for step := range 2000 {
 		limiter := &limiters[step%nodes]
-		limiter.Succeeded(time.Duration(step)*time.Millisecond, limiter.Current(), max(total()-slots, 0))
+		limiter.RecordSuccess(time.Duration(step)*time.Millisecond, limiter.Current(), max(total()-slots, 0))
 	}
 	if sum := total(); sum < slots || sum > 2*slots {
-		t.Errorf("%d attempts in flight on %d slots", sum, slots)
+		t.Errorf("%d attempts in flight on %d slots, want %d to %d", sum, slots, slots, 2*slots)
 	}
 }
 
-func TestColdLeafStartsWithOne(t *testing.T) {
+func TestColdLeafLimitStartsAtOne(t *testing.T) {
 	config := DefaultConfig()
 	limiter := New(&config, 4, true)
 	for want := 1; want <= 4; want++ {
 		if limiter.Current() != want {
-			t.Fatalf("limit %d after %d successes", limiter.Current(), want-1)
+			t.Fatalf("got limit %d after %d successes, want %d", limiter.Current(), want-1, want)
 		}
-		limiter.Succeeded(0, 1, 0)
+		limiter.RecordSuccess(0, 1, 0)
 	}
 }
--- a/internal/decide/linger/linger_test.go
+++ b/internal/decide/linger/linger_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTime(t *testing.T) {
+func TestLingerTime(t *testing.T) {
 	for _, test := range []struct {
 		allowed time.Duration
 		overdue bool
@@ -16,8 +16,8 @@
 		{0, false, 0},
 		{0, true, 0},
 	} {
-		if got := Time(test.allowed, test.overdue); got != test.want {
-			t.Errorf("%v, overdue %v: %v, want %v", test.allowed, test.overdue, got, test.want)
+		if got := Duration(test.allowed, test.overdue); got != test.want {
+			t.Errorf("configured %v, overdue %v: got %v, want %v", test.allowed, test.overdue, got, test.want)
 		}
 	}
 }
--- a/internal/decide/quarantine/survivors_test.go
+++ b/internal/decide/quarantine/survivors_test.go
@@ -8,158 +8,161 @@
 	"pgregory.net/rapid"
 )
 
-// held returns a play in which this node held a request.
-func held(t *testing.T, content Content) *play {
+// newHeldScenario returns a scenario in which this node holds a request.
+func newHeldScenario(t *testing.T, content Content) *scenario {
 	t.Helper()
-	p := newPlay(t)
-	p.table.Suspect(p.now, content, "r", p.leaves(3))
-	p.fail(content, 0.05)
-	if !p.fail(content, 0.05) {
-		t.Fatal("not held")
+	s := newScenario(t)
+	s.table.RecordCrashes(s.now, content, "r", s.newCrashes(3))
+	s.crashTrial(content, 0.05)
+	if !s.crashTrial(content, 0.05) {
+		t.Fatal("request not held after two trials")
 	}
-	return p
+	return s
 }
 
-// announced says that all leaves in question are announced, or that none is.
-func (p *play) announced(all bool) map[string]bool {
-	found := make(map[string]bool)
-	for _, leaf := range p.table.Suspects() {
-		found[leaf] = all
+// announcedLeaves reports all unresolved leaves as announced, or none of them.
+func (s *scenario) announcedLeaves(all bool) map[string]bool {
+	announced := make(map[string]bool)
+	for _, leaf := range s.table.UnresolvedLeaves() {
+		announced[leaf] = all
 	}
-	return found
+	return announced
 }
 
-// TestSurvivorsReleaseARequest: leaves that are still announced when they would have
-// lapsed did not crash under it, and the store is told; those that are gone did.
-func TestSurvivorsReleaseARequest(t *testing.T) {
-	p := held(t, good)
-	p.table.Review(p.now, p.announced(true))
-	if wait := p.require(good, Refuse); wait.RetryAfter != lapse {
-		t.Errorf("while nothing is known of its leaves: %+v", wait)
+// TestSurvivorsReleaseHeldRequest checks that leaves that are still announced after their
+// announcements would have expired release the request and clear the stored hold, while leaves that
+// are gone keep it held.
+func TestSurvivorsReleaseHeldRequest(t *testing.T) {
+	s := newHeldScenario(t, harmlessContent)
+	s.table.DetectSurvivors(s.now, s.announcedLeaves(true))
+	if decision := s.requireVerdict(harmlessContent, Refuse); decision.RetryAfter != announcementExpiry {
+		t.Errorf("decision %+v before survivors are known, want RetryAfter %v", decision, announcementExpiry)
 	}
-	p.now += lapse
+	s.now += announcementExpiry
 	released := 0
-	for _, one := range p.table.Review(p.now, p.announced(true)) {
-		if one.Released {
+	for _, survivor := range s.table.DetectSurvivors(s.now, s.announcedLeaves(true)) {
+		if survivor.Released {
 			released++
 		}
 	}
 	if released != 1 {
-		t.Errorf("released %d times", released)
+		t.Errorf("released %d times, want once", released)
 	}
-	p.require(good, Run)
-	change, wanted := p.table.Change(good)
-	if !wanted || change.Record.Held || change.Record.crashed() != 0 {
-		t.Errorf("change %+v, %v", change, wanted)
+	s.requireVerdict(harmlessContent, Run)
+	change, pending := s.table.PendingChange(harmlessContent)
+	if !pending || change.Record.Held || change.Record.countCrashedLeaves() != 0 {
+		t.Errorf("change %+v, pending %v, want one without a hold and without crashed leaves", change, pending)
 	}
-	gone := held(t, bad)
-	gone.now += lapse
-	if survivors := gone.table.Review(gone.now, gone.announced(false)); len(survivors) > 0 {
-		t.Errorf("%v lived on", survivors)
+	goneLeaves := newHeldScenario(t, crashingContent)
+	goneLeaves.now += announcementExpiry
+	if survivors := goneLeaves.table.DetectSurvivors(goneLeaves.now, goneLeaves.announcedLeaves(false)); len(survivors) > 0 {
+		t.Errorf("survivors %v, want none of the leaves that are gone", survivors)
 	}
-	gone.require(bad, Refuse)
+	goneLeaves.requireVerdict(crashingContent, Refuse)
 }
 
-// TestOneSurvivorReleasesARequest where the trials prove too little without it: it is
-// suspected still, and tried.
-func TestOneSurvivorReleasesARequest(t *testing.T) {
-	p := held(t, good)
-	announced := p.announced(false)
-	announced["leaf-5"] = true
-	p.now += lapse
-	p.table.Review(p.now, announced)
-	p.require(good, Trial)
+// TestSingleSurvivorReleasesHeldRequest checks that one survivor releases a request if the odds of
+// the remaining trials are too low. The request stays suspected, and is tried again.
+func TestSingleSurvivorReleasesHeldRequest(t *testing.T) {
+	s := newHeldScenario(t, harmlessContent)
+	announcedLeaves := s.announcedLeaves(false)
+	announcedLeaves["leaf-5"] = true
+	s.now += announcementExpiry
+	s.table.DetectSurvivors(s.now, announcedLeaves)
+	s.requireVerdict(harmlessContent, Trial)
 }
 
-// TestOtherNodesSeeSurvivorsThemselves, without a write of each: a node that starts and
-// finds a record refuses until its leaves would have lapsed.
-func TestOtherNodesSeeSurvivorsThemselves(t *testing.T) {
-	p := held(t, good)
-	change, _ := p.table.Change(good)
-	other := newPlay(t)
-	other.table.Set(other.now, good, Known{Record: change.Record, Revision: 7})
-	other.require(good, Refuse)
-	other.now += lapse
-	if survivors := other.table.Review(other.now, other.announced(true)); len(survivors) != 5 {
-		t.Errorf("%d survivors", len(survivors))
+// TestEachNodeDetectsSurvivors checks that a node that reads a record refuses the request until the
+// leaves' announcements would have expired, then releases it without writing the record.
+func TestEachNodeDetectsSurvivors(t *testing.T) {
+	s := newHeldScenario(t, harmlessContent)
+	change, _ := s.table.PendingChange(harmlessContent)
+	otherNode := newScenario(t)
+	otherNode.table.ApplyStored(otherNode.now, harmlessContent, StoredRecord{Record: change.Record, Revision: 7})
+	otherNode.requireVerdict(harmlessContent, Refuse)
+	otherNode.now += announcementExpiry
+	if survivors := otherNode.table.DetectSurvivors(otherNode.now, otherNode.announcedLeaves(true)); len(survivors) != 5 {
+		t.Errorf("%d survivors, want 5", len(survivors))
 	}
-	other.require(good, Run)
-	if len(other.table.Unwritten()) > 0 {
-		t.Error("it writes what the others see, too")
+	otherNode.requireVerdict(harmlessContent, Run)
+	if len(otherNode.table.PendingWrites()) > 0 {
+		t.Error("node writes survivors that it did not lose itself")
 	}
-	other.table.Set(other.now, good, Known{Record: change.Record, Revision: 8})
-	other.require(good, Run)
-	p.now += lapse
-	p.table.Review(p.now, p.announced(true))
-	told, _ := p.table.Change(good)
-	late := newPlay(t)
-	late.table.Set(late.now, good, Known{Record: told.Record, Revision: 9})
-	late.require(good, Run)
+	otherNode.table.ApplyStored(otherNode.now, harmlessContent, StoredRecord{Record: change.Record, Revision: 8})
+	otherNode.requireVerdict(harmlessContent, Run)
+	s.now += announcementExpiry
+	s.table.DetectSurvivors(s.now, s.announcedLeaves(true))
+	update, _ := s.table.PendingChange(harmlessContent)
+	lateNode := newScenario(t)
+	lateNode.table.ApplyStored(lateNode.now, harmlessContent, StoredRecord{Record: update.Record, Revision: 9})
+	lateNode.requireVerdict(harmlessContent, Run)
 }
 
-// TestRecordOfAFormerVersionHolds: nodes that do not say which crashes trials saw.
-func TestRecordOfAFormerVersionHolds(t *testing.T) {
-	p := newPlay(t)
-	p.table.Set(p.now, bad, Known{Record: Record{Crashes: p.leaves(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
-	p.now += lapse
-	p.table.Review(p.now, p.announced(false))
-	p.require(bad, Refuse)
+// TestRecordWithoutTrialCrashesStaysHeld checks that a record of a former version, without the
+// crashes that trials observed, keeps the request held.
+func TestRecordWithoutTrialCrashesStaysHeld(t *testing.T) {
+	s := newScenario(t)
+	s.table.ApplyStored(s.now, crashingContent, StoredRecord{Record: Record{Crashes: s.newCrashes(3), Odds: 400, Trials: 2, Held: true}, Revision: 5})
+	s.now += announcementExpiry
+	s.table.DetectSurvivors(s.now, s.announcedLeaves(false))
+	s.requireVerdict(crashingContent, Refuse)
 }
 
-// TestRoomIsKeptForTrials: a record is full of leaves that no trial lost.
-func TestRoomIsKeptForTrials(t *testing.T) {
-	p := newPlay(t)
-	p.table.Suspect(p.now, bad, "r", p.leaves(maxCrashes+3))
-	p.fail(bad, 0.05)
-	if !p.fail(bad, 0.05) {
-		t.Error("not held")
+// TestTrialCrashesReplaceOthersInFullRecord guards against a record that is full of crashes that no
+// trial observed, and therefore could not take those of trials.
+func TestTrialCrashesReplaceOthersInFullRecord(t *testing.T) {
+	s := newScenario(t)
+	s.table.RecordCrashes(s.now, crashingContent, "r", s.newCrashes(maxCrashes+3))
+	s.crashTrial(crashingContent, 0.05)
+	if !s.crashTrial(crashingContent, 0.05) {
+		t.Error("request not held after two trials")
 	}
 }
 
-// resets is some nodes that lose connections to a few starts of leaves, which live on.
-type resets struct {
+// resetFleet is a group of nodes that lose connections to a few incarnations, all of which survive.
+type resetFleet struct {
 	*fleet
 	leaves []string
 	sent   int
 }
 
-// ask sends a request to one node, whose attempt at a leaf is lost.
-func (r *resets) ask(node int, leaf string) {
+// sendRequest sends a request to a node, whose attempt at a leaf loses its connection.
+func (r *resetFleet) sendRequest(node int, leaf string) {
 	table := r.tables[node]
-	decision := table.Admit(r.now, bad)
+	decision := table.Admit(r.now, crashingContent)
 	if decision.Verdict == Refuse {
 		return
 	}
 	if decision.Verdict == Trial && !r.store.write(decision.Change) {
-		table.Withdraw(bad)
-		r.hear(node)
+		table.CancelTrial(crashingContent)
+		r.readStore(node)
 		return
 	}
 	r.sent++
 	sent := r.now
 	r.now += time.Millisecond
-	crash, crashed := table.Lost(leaf, sent, r.now)
+	crash, crashed := table.RecordLoss(leaf, sent, r.now)
 	crashes := []Crash{{Leaf: crash, Request: fmt.Sprint(r.sent)}}
 	switch {
 	case decision.Verdict == Trial && crashed:
-		table.Written(r.now, decision.Change, r.store.revision)
-		table.TrialCrashed(r.now, bad, crashes, 0.05)
+		table.MarkWritten(r.now, decision.Change, r.store.revision)
+		table.RecordTrialCrash(r.now, crashingContent, crashes, 0.05)
 	case decision.Verdict == Trial:
-		table.Written(r.now, decision.Change, r.store.revision)
-		table.TrialInconclusive(r.now, bad)
+		table.MarkWritten(r.now, decision.Change, r.store.revision)
+		table.RecordInconclusiveTrial(r.now, crashingContent)
 	case crashed:
-		table.Suspect(r.now, bad, "r", crashes)
+		table.RecordCrashes(r.now, crashingContent, "r", crashes)
 	}
 }
 
-// TestResetsHoldNothingForLong lets connections to leaves that live on be reset, for all
-// nodes, in any order with what these write and hear: two starts are never enough to have
-// a request held, and whatever is held because of more runs again once their announcements
-// have outlasted three heartbeats, at all nodes.
-func TestResetsHoldNothingForLong(t *testing.T) {
+// TestConnectionResetsReleaseRequest guards against lasting holds because of connection resets.
+// Nodes lose connections to leaves that survive, interleaved with writes and reads: two
+// incarnations must never be enough for a hold, and a request that is held because of more must run
+// again at all nodes once the announcements have outlasted three heartbeats.
+func TestConnectionResetsReleaseRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 4
-		r := &resets{fleet: &fleet{T: t}}
+		r := &resetFleet{fleet: &fleet{T: t}}
 		for leaf := range rapid.IntRange(1, 8).Draw(t, "leaves") {
 			r.leaves = append(r.leaves, fmt.Sprint("leaf-", leaf))
 		}
@@ -170,16 +173,16 @@
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				r.ask(node, rapid.SampledFrom(r.leaves).Draw(t, "leaf"))
+				r.sendRequest(node, rapid.SampledFrom(r.leaves).Draw(t, "leaf"))
 			case 1:
 				r.flush(node)
 			case 2:
-				r.hear(node)
+				r.readStore(node)
 			case 3:
 				r.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			}
 			if _, held := r.tables[node].Len(); held > 0 && len(r.leaves) < 3 {
-				t.Fatalf("held for %d starts", len(r.leaves))
+				t.Fatalf("request held after losses of %d incarnations, want at least 3", len(r.leaves))
 			}
 		}
 		announced := make(map[string]bool)
@@ -189,14 +192,14 @@
 		for range 3 {
 			for node := range nodes {
 				r.flush(node)
-				r.hear(node)
-				r.tables[node].Review(r.now, announced)
+				r.readStore(node)
+				r.tables[node].DetectSurvivors(r.now, announced)
 			}
-			r.now += lapse
+			r.now += announcementExpiry
 		}
 		for node := range nodes {
-			if got := r.tables[node].Admit(r.now, bad); got.Verdict != Run {
-				t.Fatalf("node %d: %+v", node, got)
+			if got := r.tables[node].Admit(r.now, crashingContent); got.Verdict != Run {
+				t.Fatalf("node %d: decision %+v, want the request to run", node, got)
 			}
 		}
 	})
--- a/internal/decide/quarantine/trial_test.go
+++ b/internal/decide/quarantine/trial_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestTrialReachesOneLeafOfOneShard plans the trials of requests of one and of many
+// TestPlanTrialUsesOneShardAndOneAttempt plans trials of requests of one shard and of several
 // shards.
-func TestTrialReachesOneLeafOfOneShard(t *testing.T) {
+func TestPlanTrialUsesOneShardAndOneAttempt(t *testing.T) {
 	last := func(count int) int { return count - 1 }
 	for _, test := range []struct {
 		shards  []int
@@ -20,19 +20,19 @@
 		{[]int{7, 8, 9}, []int{9}, 500 * time.Millisecond, false},
 	} {
 		plan := PlanTrial(test.shards, time.Second, last)
-		if !slices.Equal(plan.Shards, test.want) || plan.Timeout != test.timeout || plan.Whole != test.whole || plan.Attempts != 1 {
-			t.Errorf("shards %v: %+v", test.shards, plan)
+		if !slices.Equal(plan.Shards, test.want) || plan.Timeout != test.timeout || plan.CoversRequest != test.whole || plan.Attempts != 1 {
+			t.Errorf("shards %v: plan %+v, want shards %v, timeout %v, whole %v and 1 attempt", test.shards, plan, test.want, test.timeout, test.whole)
 		}
 	}
 }
 
-// TestTrialIsWrittenUnlessTheStoreIsAway, and a hold lasts as long as its record does at
-// least.
-func TestTrialIsWrittenUnlessTheStoreIsAway(t *testing.T) {
-	if !WritesTrial(false) || WritesTrial(true) {
-		t.Error("a trial is written to a store that is away, or not to one that answers")
+// TestTrialIsWrittenUnlessStoreIsUnavailable also checks that a hold lasts for the minimum lifetime
+// of its record.
+func TestTrialIsWrittenUnlessStoreIsUnavailable(t *testing.T) {
+	if !MustWriteTrial(false) || MustWriteTrial(true) {
+		t.Error("trial written to an unavailable store, or not written to an available one")
 	}
-	if hold := DefaultConfig("self").HoldTime; hold != RecordTTL/2 {
-		t.Errorf("held for %s, while records stay for %s", hold, RecordTTL)
+	if hold := DefaultConfig("self").HoldDuration; hold != RecordTTL/2 {
+		t.Errorf("HoldDuration %s, want half of RecordTTL %s", hold, RecordTTL)
 	}
 }
--- a/internal/decide/rollout/allowance_test.go
+++ b/internal/decide/rollout/allowance_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAllowanceKeepsItsBound spends whatever one node may, under any order of
+// TestAllowanceStaysWithinBounds spends as much as one node may, under random sequences of
 // requests, grants, bursts and restarts.
-func TestAllowanceKeepsItsBound(t *testing.T) {
+func TestAllowanceStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), Slack: rapid.Float64Range(0, 60).Draw(t, "slack")}
 		chance := func() float64 { return rapid.Float64Range(0, 0.99).Draw(t, "chance") }
@@ -26,7 +26,7 @@
 				allowance.Grant(granted)
 			case 1:
 				allowance.Burst()
-			case 2: // the process starts again
+			case 2: // the process restarts
 				allowance = NewAllowance(bounds, 0, deadline, chance)
 				granted = 0
 			case 3, 4, 5:
@@ -37,23 +37,23 @@
 					continue
 				}
 				if now >= granted || now >= deadline {
-					t.Fatalf("spent at %s, the grant ended at %s", now, granted)
+					t.Fatalf("spent at %s, want no spending after the grant ended at %s or the deadline at %s", now, granted, deadline)
 				}
 				allowance.Spend()
 				spent++
 			}
 		}
 		if allowed := bounds.Ratio*float64(earned) + bounds.Slack; float64(spent) > allowed+2 {
-			t.Fatalf("%d spent, %.1f allowed", spent, allowed)
+			t.Fatalf("%d attempts spent, want at most %.1f + 2", spent, allowed)
 		}
 	})
 }
 
-// TestPartsOfTheSlackAddUp divides the slack among many nodes.
-func TestPartsOfTheSlackAddUp(t *testing.T) {
+// TestSlackSharesAddUp checks the total that many nodes spend of the slack they share.
+func TestSlackSharesAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	bounds := Bounds{Slack: 50}
-	for _, nodes := range []int{1, 3, 66, mostNodes} {
+	for _, nodes := range []int{1, 3, 66, maxParticipants} {
 		sum, most := 0, 0
 		for range 200 {
 			spent := 0
@@ -70,7 +70,7 @@
 			most = max(most, spent)
 		}
 		if mean := float64(sum) / 200; mean < 26 || mean > 29 || most > 50 {
-			t.Errorf("%d nodes: %.1f spent on average, %d at most, of 50", nodes, mean, most)
+			t.Errorf("%d nodes: %.1f attempts spent on average and %d at most, want 26 to 29 and at most 50", nodes, mean, most)
 		}
 	}
 }
--- a/internal/decide/rollout/benchmark_test.go
+++ b/internal/decide/rollout/benchmark_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// reported returns the report of a node on some orders: two routes each, and three
-// leaves of each version that have been tried.
-func reported(node string, orders int) Report {
+// newBenchmarkReport returns the report of a node on some orders: two routes for each order, and
+// three leaves of each version with attempts.
+func newBenchmarkReport(node string, orders int) Report {
 	counter := NewCounter()
 	report := Report{Node: node}
 	for order := range orders {
@@ -19,26 +19,26 @@
 		for _, route := range []string{"sweep", "glance"} {
 			for attempt := range 200 {
 				control := Subject{Service: service, Order: 7, Route: route, Zone: "zone-a", Leaf: fmt.Sprint("i-58d01b2", attempt%3)}
-				counter.Took(control, time.Duration(5+attempt%40)*time.Millisecond)
-				counter.First(control, 0)
+				counter.CountDuration(control, time.Duration(5+attempt%40)*time.Millisecond)
+				counter.CountFirst(control, 0)
 			}
 			for leaf := range 3 {
 				target := Subject{Service: service, Order: 7, Route: route, Target: true, Zone: "zone-a", Leaf: fmt.Sprint("i-7f3a91c", leaf)}
-				counter.Took(target, 12*time.Millisecond)
-				counter.First(target, 0)
+				counter.CountDuration(target, 12*time.Millisecond)
+				counter.CountFirst(target, 0)
 			}
 		}
 	}
-	report.Rows = counter.Changed(nil)
+	report.Rows = counter.ChangedRows(nil)
 	return report
 }
 
-// BenchmarkReport tells the bytes of a report on a connection that has carried one,
-// and of its answer.
+// BenchmarkReport measures the encoding of a report, and its size on a connection that has already
+// carried one.
 func BenchmarkReport(b *testing.B) {
 	for _, orders := range []int{1, 225} {
 		b.Run(fmt.Sprintf("orders=%d", orders), func(b *testing.B) {
-			report := reported("edge-01/01JE", orders)
+			report := newBenchmarkReport("edge-01/01JE", orders)
 			var stream bytes.Buffer
 			encoder := gob.NewEncoder(&stream)
 			if err := encoder.Encode(report); err != nil {
@@ -56,9 +56,9 @@
 	}
 }
 
-// BenchmarkTick judges the reports of all nodes once.
+// BenchmarkTick measures one evaluation of the reports of all nodes.
 func BenchmarkTick(b *testing.B) {
-	for _, size := range []struct{ nodes, orders int }{{66, 1}, {mostNodes, 1}, {66, 225}} {
+	for _, size := range []struct{ nodes, orders int }{{66, 1}, {maxParticipants, 1}, {66, 225}} {
 		b.Run(fmt.Sprintf("nodes=%d/orders=%d", size.nodes, size.orders), func(b *testing.B) {
 			table := NewTable()
 			for order := range size.orders {
@@ -68,14 +68,14 @@
 			}
 			decider := NewDecider(table, "d")
 			for node := range size.nodes {
-				decider.Report(0, reported(fmt.Sprint(node), size.orders))
+				decider.Report(0, newBenchmarkReport(fmt.Sprint(node), size.orders))
 			}
 			supply := func(string) Supply { return Supply{Target: 6, Control: 6, Mixed: true} }
 			now := time.Duration(0)
 			for b.Loop() {
-				now = min(now+300*time.Millisecond, longGone/2) // later the nodes count as gone
-				if steps := decider.Tick(now, time.Time{}, supply); len(steps) > 0 {
-					b.Fatalf("%+v", steps[0])
+				now = min(now+300*time.Millisecond, reportRetention/2) // nodes expire after reportRetention
+				if transitions := decider.Tick(now, time.Time{}, supply); len(transitions) > 0 {
+					b.Fatalf("transition %+v, want none", transitions[0])
 				}
 			}
 		})
--- a/internal/decide/rollout/report_test.go
+++ b/internal/decide/rollout/report_test.go
@@ -18,55 +18,56 @@
 		}
 		members = append(members, roster.Member{Name: fmt.Sprint("node-", index), Cores: cores})
 	}
-	taking := Participants(members)
+	participants := Participants(members)
 	large := 0
-	for _, one := range taking {
-		if one.Cores == 0.8 {
+	for _, member := range participants {
+		if member.Cores == 0.8 {
 			large++
 		}
 	}
-	if len(taking) != mostNodes || large != 10 {
-		t.Errorf("%d take part, %d large ones", len(taking), large)
+	if len(participants) != maxParticipants || large != 10 {
+		t.Errorf("%d participants, %d of them large, want %d and 10", len(participants), large, maxParticipants)
 	}
-	deciding := Candidates(members)
-	left := slices.DeleteFunc(slices.Clone(members), func(one roster.Member) bool { return one.Name == deciding[0].Name })
-	if next := Candidates(left); next[0] != deciding[1] || deciding[0].Cores != 0.8 {
-		t.Errorf("%v decides once %v is gone, want %v", next[0], deciding[0], deciding[1])
+	deciders := Candidates(members)
+	remaining := slices.DeleteFunc(slices.Clone(members), func(member roster.Member) bool { return member.Name == deciders[0].Name })
+	if next := Candidates(remaining); next[0] != deciders[1] || deciders[0].Cores != 0.8 {
+		t.Errorf("%v decides without %v, want %v after a node of 0.8 cores", next[0], deciders[0], deciders[1])
 	}
 	for _, test := range []struct {
 		nodes int
 		want  time.Duration
-	}{{1, leastInterval}, {66, 330 * time.Millisecond}, {mostNodes, 640 * time.Millisecond}} {
+	}{{1, minReportInterval}, {66, 330 * time.Millisecond}, {maxParticipants, 640 * time.Millisecond}} {
 		if got := Interval(test.nodes); got != test.want {
-			t.Errorf("%d nodes report each %s, want %s", test.nodes, got, test.want)
+			t.Errorf("%d nodes: report interval %s, want %s", test.nodes, got, test.want)
 		}
 	}
 }
 
-// TestCountsAreToldOnce: what a decider has answered to is reported again only once it
-// has changed, and stays with a decider that does not know the order yet.
-func TestCountsAreToldOnce(t *testing.T) {
+// TestUnchangedCountsAreReportedOnce checks that counts that a decider has acknowledged are
+// reported again only after they changed, and that a decider keeps counts of an order that it does
+// not know yet.
+func TestUnchangedCountsAreReportedOnce(t *testing.T) {
 	counter, reported := NewCounter(), make(map[Subject]Counts)
-	subject := Subject{Service: playService, Order: 1, Route: playRoute, Target: true, Leaf: "a", Zone: "z"}
-	counter.Failed(subject)
-	rows := counter.Changed(reported)
+	subject := Subject{Service: testService, Order: 1, Route: testRoute, Target: true, Leaf: "a", Zone: "z"}
+	counter.CountFailure(subject)
+	rows := counter.ChangedRows(reported)
 	if len(rows) != 1 {
-		t.Fatalf("%d rows", len(rows))
+		t.Fatalf("%d changed rows, want 1", len(rows))
 	}
 	reported[subject] = rows[0].Counts
-	if again := counter.Changed(reported); len(again) != 0 {
-		t.Errorf("reported again: %+v", again)
+	if again := counter.ChangedRows(reported); len(again) != 0 {
+		t.Errorf("unchanged rows %+v reported again, want none", again)
 	}
 	table := NewTable()
 	decider := NewDecider(table, "d")
 	decider.Report(0, Report{Node: "n", Rows: rows})
 	decider.Tick(0, time.Time{}, nil)
-	table.SetOrder(0, Order{Service: playService, Version: "v2", Duration: time.Second, Revision: 1})
-	if counted := amountOf(decider.collect()[playService]); counted.target != 1 {
-		t.Errorf("%+v is known", counted)
+	table.SetOrder(0, Order{Service: testService, Version: "v2", Duration: time.Second, Revision: 1})
+	if totals := sumAttempts(decider.aggregateCounts()[testService]); totals.target != 1 {
+		t.Errorf("attempts %+v, want 1 at the target", totals)
 	}
-	counter.Retain(map[string]uint64{playService: 2})
-	if left := counter.Changed(nil); len(left) != 0 {
-		t.Errorf("of a former order: %+v", left)
+	counter.Retain(map[string]uint64{testService: 2})
+	if left := counter.ChangedRows(nil); len(left) != 0 {
+		t.Errorf("rows %+v of a former order, want none", left)
 	}
 }
--- a/internal/decide/rollout/steps.go
+++ b/internal/decide/rollout/steps.go
@@ -6,61 +6,61 @@
 )
 
 const (
-	// longestTail is the part of an order's time, before its deadline, in which the
-	// traffic shifts; a short order has half of its time for that. It holds the burst
-	// (1.5 s), the news of the shift to all nodes (0.3 to 1 s), requests in flight (most
-	// end within 1 s) and two calls to the store.
-	longestTail = 5 * time.Second
-	// burstTime is how long the burst lasts until its verdict: nodes learn of it within
-	// 0.3 to 1 s, and report again.
-	burstTime = 1500 * time.Millisecond
-	// shiftTime is the least time of the shift: a report that control is idle may be older
-	// than the first request after it. Not measured: chosen because it is two intervals of
-	// reports.
-	shiftTime = 700 * time.Millisecond
-	// overtime is how long after the deadline requests at the other version may keep a
-	// roll-out from completing. Not measured: chosen because a node that hangs must not
-	// hold it up for good.
-	overtime = 5 * time.Second
-	// leastSlots is the part of the control's slots that the target needs for a shift. Not
-	// measured: chosen because the rest of its leaves may still be starting.
-	leastSlots = 0.5
-	// leastEvidence is how many attempts at the target a shift needs, at a service with
-	// busyTraffic requests or more. Not measured: chosen because with fewer requests the
-	// allowance may not come to so many attempts.
-	leastEvidence = 10
-	busyTraffic   = 100
+	// maxShiftTime is the time before an order's deadline at which the burst and the shift start; a
+	// short order uses half of its time. It covers the burst (1.5 s), the propagation of the shift
+	// to all nodes (0.3 to 1 s), requests in flight (most end within 1 s) and two calls to the
+	// store.
+	maxShiftTime = 5 * time.Second
+	// minBurstTime is the duration of the burst before the decision about the shift: nodes learn of
+	// the burst within 0.3 to 1 s, and must report again afterwards.
+	minBurstTime = 1500 * time.Millisecond
+	// minShiftTime is the minimum duration of the shift, two report intervals: a report that the
+	// control is idle may be older than the first request after the report.
+	minShiftTime = 700 * time.Millisecond
+	// completionGrace is the time after the deadline for which requests at the control may delay
+	// the completion of a roll-out. It keeps a hanging node from delaying the completion forever.
+	completionGrace = 5 * time.Second
+	// minSlotRatio is the ratio of the target's slots to the control's slots that a shift needs.
+	// The remaining leaves of the target may still be starting.
+	minSlotRatio = 0.5
+	// minTargetAttempts is the number of attempts at the target that a shift needs, at a service
+	// with significantTraffic requests or more. With fewer requests the allowance may not be
+	// sufficient for that many attempts.
+	minTargetAttempts  = 10
+	significantTraffic = 100
 )
 
-// next returns the phase to go to, and why; PhaseNone to stay.
-func (d *Decider) next(now time.Duration, known *Rollout, judged *judgement, counted amount, supply Supply) (Phase, string) {
-	age, deadline := known.Age(now), known.Order.Duration
-	tail := min(longestTail, deadline/2)
+// nextPhase returns the phase to move to, and the reason; PhaseNone to stay in the current phase.
+func (d *Decider) nextPhase(now time.Duration, rollout *Rollout, eval *evaluation, attempts attemptTotals, supply Supply) (Phase, string) {
+	age, deadline := rollout.Age(now), rollout.Order.Duration
+	shiftTime := min(maxShiftTime, deadline/2)
 	switch {
-	case known.Order.Revision == 0:
+	case rollout.Order.Revision == 0:
 		return PhaseRolledBack, "the order was withdrawn"
-	case known.Bad != "":
-		return PhaseRolledBack, known.Bad
+	case rollout.Bad != "":
+		return PhaseRolledBack, rollout.Bad
 	}
-	switch known.Phase() {
+	switch rollout.Phase() {
 	case PhaseNone:
 		return PhaseTrial, "the order was heard"
 	case PhaseTrial:
-		return nextOfTrial(age, deadline, deadline-tail, supply)
+		return nextFromTrial(age, deadline, deadline-shiftTime, supply)
 	case PhaseBurst:
-		return nextOfBurst(now-judged.since, age, deadline, counted)
+		return nextFromBurst(now-eval.phaseSince, age, deadline, attempts)
 	case PhaseShift:
-		return d.nextOfShift(now, known, judged, age-deadline)
+		return d.nextFromShift(now, rollout, eval, age-deadline)
 	}
 	return PhaseNone, ""
 }
 
-func nextOfTrial(age, deadline, burst time.Duration, supply Supply) (Phase, string) {
-	ample := supply.Target > 0 && float64(supply.Target) >= leastSlots*float64(supply.Control)
+// nextFromTrial returns the next phase of a roll-out in its trial. The burst may start at the age
+// burstAt.
+func nextFromTrial(age, deadline, burstAt time.Duration, supply Supply) (Phase, string) {
+	enoughSlots := supply.Target > 0 && float64(supply.Target) >= minSlotRatio*float64(supply.Control)
 	switch {
 	case !supply.Mixed && supply.Target > 0:
 		return PhaseCompleted, "all leaves have the version"
-	case age >= burst && ample:
+	case age >= burstAt && enoughSlots:
 		return PhaseBurst, fmt.Sprintf("the trial is over; slots: %d of the target, %d of the others", supply.Target, supply.Control)
 	case age >= deadline:
 		return PhaseRolledBack, fmt.Sprintf("too few leaves of the version came; slots: %d, of the others %d", supply.Target, supply.Control)
@@ -68,44 +68,47 @@
 	return PhaseNone, ""
 }
 
-func nextOfBurst(since, age, deadline time.Duration, counted amount) (Phase, string) {
-	known := counted.target >= leastEvidence || counted.all < busyTraffic
+// nextFromBurst returns the next phase of a roll-out that has been in its burst for inPhase.
+func nextFromBurst(inPhase, age, deadline time.Duration, attempts attemptTotals) (Phase, string) {
+	enoughEvidence := attempts.target >= minTargetAttempts || attempts.all < significantTraffic
 	switch {
-	case since >= burstTime && known:
+	case inPhase >= minBurstTime && enoughEvidence:
 		return PhaseShift, ""
-	case since >= burstTime && age >= deadline:
-		return PhaseRolledBack, fmt.Sprintf("only %d of %d attempts tried the version", counted.target, counted.all)
+	case inPhase >= minBurstTime && age >= deadline:
+		return PhaseRolledBack, fmt.Sprintf("only %d of %d attempts tried the version", attempts.target, attempts.all)
 	}
 	return PhaseNone, ""
 }
 
-func (d *Decider) nextOfShift(now time.Duration, known *Rollout, judged *judgement, late time.Duration) (Phase, string) {
-	if now-judged.since < shiftTime {
+// nextFromShift returns the next phase of a roll-out in its shift. PastDeadline is negative before
+// the deadline.
+func (d *Decider) nextFromShift(now time.Duration, rollout *Rollout, eval *evaluation, pastDeadline time.Duration) (Phase, string) {
+	if now-eval.phaseSince < minShiftTime {
 		return PhaseNone, ""
 	}
-	busy, nodes := d.busy(now, known)
+	busy, nodes := d.countBusyNodes(now, rollout)
 	switch {
 	case busy == 0 && nodes > 0:
 		return PhaseCompleted, fmt.Sprintf("the other leaves are idle, by the word of %d nodes", nodes)
-	case late >= overtime:
+	case pastDeadline >= completionGrace:
 		return PhaseCompleted, fmt.Sprintf("%d of %d nodes still use other leaves, or are behind", busy, nodes)
 	}
 	return PhaseNone, ""
 }
 
-// busy returns how many nodes still have attempts at other leaves, or may send some,
-// and how many have reported lately.
-func (d *Decider) busy(now time.Duration, known *Rollout) (busy, nodes int) {
+// countBusyNodes returns the number of nodes that still have attempts in flight at the control, or
+// may still send some, and the number of nodes that reported within reportTTL.
+func (d *Decider) countBusyNodes(now time.Duration, rollout *Rollout) (busy, nodes int) {
 	for _, report := range d.reports {
-		if now-report.at >= reportMemory {
+		if now-report.receivedAt >= reportTTL {
 			continue
 		}
-		for _, one := range report.orders {
-			if one.Service != known.Order.Service || one.Order != known.Order.Revision {
+		for _, progress := range report.orders {
+			if progress.Service != rollout.Order.Service || progress.Order != rollout.Order.Revision {
 				continue
 			}
 			nodes++
-			if !one.Phase.Shifted() || one.Busy > 0 {
+			if !progress.Phase.Shifted() || progress.Busy > 0 {
 				busy++
 			}
 		}
--- a/internal/decide/timeleft/waits_test.go
+++ b/internal/decide/timeleft/waits_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// TestWaitBeforeArrivalIsWhatIsMissingFromTheLongestTimeout feeds the timeouts of first
-// tries and of retries.
-func TestWaitBeforeArrivalIsWhatIsMissingFromTheLongestTimeout(t *testing.T) {
-	w := NewWaits()
+// TestBeforeArrivalIsDifferenceFromLongestTimeout records the timeouts of first attempts and of
+// retries.
+func TestBeforeArrivalIsDifferenceFromLongestTimeout(t *testing.T) {
+	estimator := NewWaitEstimator()
 	for _, test := range []struct{ left, want time.Duration }{
 		{800, 0}, {797, 3}, {650, 150}, {0, 0}, {800, 0},
 	} {
-		if got := w.BeforeArrival("check", test.left*time.Millisecond); got != test.want*time.Millisecond {
-			t.Errorf("%d ms left: %v before its arrival", test.left, got)
+		if got := estimator.BeforeArrival("check", test.left*time.Millisecond); got != test.want*time.Millisecond {
+			t.Errorf("%d ms left: got %v before arrival, want %v", test.left, got, test.want*time.Millisecond)
 		}
 	}
-	if got := w.BeforeArrival("sweep", 500*time.Millisecond); got != 0 {
-		t.Errorf("another kind: %v before its arrival", got)
+	if got := estimator.BeforeArrival("sweep", 500*time.Millisecond); got != 0 {
+		t.Errorf("another kind: got %v before arrival, want 0s", got)
 	}
 }
 
-// TestLongestTimeoutIsForgotten follows clients that begin to wait less.
-func TestLongestTimeoutIsForgotten(t *testing.T) {
-	w := NewWaits()
-	w.BeforeArrival("check", time.Second)
-	for range 2 * (waitsMemory + 1) {
-		w.BeforeArrival("check", 500*time.Millisecond)
+// TestLongestTimeoutExpires covers clients that begin to send a shorter timeout.
+func TestLongestTimeoutExpires(t *testing.T) {
+	estimator := NewWaitEstimator()
+	estimator.BeforeArrival("check", time.Second)
+	for range 2 * (windowSize + 1) {
+		estimator.BeforeArrival("check", 500*time.Millisecond)
 	}
-	if got := w.BeforeArrival("check", 500*time.Millisecond); got != 0 {
-		t.Errorf("%v before its arrival", got)
+	if got := estimator.BeforeArrival("check", 500*time.Millisecond); got != 0 {
+		t.Errorf("got %v before arrival, want 0s", got)
 	}
 }
--- a/internal/edge/delegate/client_test.go
+++ b/internal/edge/delegate/client_test.go
@@ -13,194 +13,199 @@
 )
 
 func TestNearExecutorIsPreferred(t *testing.T) {
-	r := newRig(t)
-	r.wantExecutor("large-1")
+	h := newTestHarness(t)
+	h.wantExecutor("large-1")
 }
 
-func TestNoExecutorInTouch(t *testing.T) {
-	r := newRig(t)
-	r.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
-	r.wantExecutor("")
-	r.beat()
-	r.wantExecutor("large-1")
+func TestNoReachableExecutor(t *testing.T) {
+	h := newTestHarness(t)
+	h.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
+	h.wantExecutor("")
+	h.sendHeartbeats()
+	h.wantExecutor("large-1")
 }
 
-func TestExecutorOfAnotherVersionIsNotAsked(t *testing.T) {
-	r := newRig(t)
-	r.peers.status.Version = version + 1
-	r.beat()
-	r.wantExecutor("")
-	if len(r.peers.calls) != 0 {
-		t.Errorf("%d calls", len(r.peers.calls))
+func TestExecutorOfOtherVersionIsSkipped(t *testing.T) {
+	h := newTestHarness(t)
+	h.peers.status.Version = version + 1
+	h.sendHeartbeats()
+	h.wantExecutor("")
+	if len(h.peers.calls) != 0 {
+		t.Errorf("%d calls", len(h.peers.calls))
 	}
 }
 
-// TestExecutorThatHasNotHeardOfACordonIsNotAsked, and one that knows more is.
-func TestExecutorThatHasNotHeardOfACordonIsNotAsked(t *testing.T) {
-	r := newRig(t)
+// TestExecutorUnawareOfCordonIsSkipped checks that an executor gets no request if it does not know
+// of a cordon that the request's terms contain. An executor that knows more cordons gets the
+// request.
+func TestExecutorUnawareOfCordonIsSkipped(t *testing.T) {
+	h := newTestHarness(t)
 	cordoned := terms
 	cordoned.Cordoned = []string{"b"}
-	ask := func() bool {
-		r.beat()
-		_, done := r.client.Execute(context.Background(), cordoned, &forward.Request{ID: "x"})
+	execute := func() bool {
+		h.sendHeartbeats()
+		_, done := h.client.Execute(context.Background(), cordoned, &forward.Request{ID: "x"})
 		return done
 	}
-	if ask() {
-		t.Error("handed to an executor that would send work to a zone out of service")
+	if execute() {
+		t.Error("request was handed to an executor that does not know of a cordon")
 	}
-	r.peers.status.Cordoned = []string{"a", "b"}
-	if !ask() {
-		t.Error("not handed to an executor that knows more")
+	h.peers.status.Cordoned = []string{"a", "b"}
+	if !execute() {
+		t.Error("request was not handed to an executor that knows more cordons")
 	}
 }
 
-// TestOutageOfTheStoreForBoth: an executor without the store runs the requests
-// of a node without it, and of no other.
-func TestOutageOfTheStoreForBoth(t *testing.T) {
-	r := newRig(t)
-	r.peers.status.Fresh = false
-	r.beat()
-	r.wantExecutor("")
-	answer, done := r.client.Execute(context.Background(), executors.Terms{Version: version}, &forward.Request{ID: "x"})
+// TestStaleExecutorRunsOnlyStaleRequests checks that an executor without the store runs requests of
+// a node that is without the store too, and of no other node.
+func TestStaleExecutorRunsOnlyStaleRequests(t *testing.T) {
+	h := newTestHarness(t)
+	h.peers.status.Fresh = false
+	h.sendHeartbeats()
+	h.wantExecutor("")
+	answer, done := h.client.Execute(context.Background(), executors.Terms{Version: version}, &forward.Request{ID: "x"})
 	if !done || answer.Executor != "large-1" {
-		t.Errorf("%+v, %v", answer, done)
+		t.Errorf("answer %+v, done %v, want it executed by large-1", answer, done)
 	}
 }
 
-// TestProofThatNothingRanLeadsToTheNext covers refusals and calls not sent.
-func TestProofThatNothingRanLeadsToTheNext(t *testing.T) {
+// TestNotExecutedRequestGoesToNextExecutor covers refused requests and calls that were not sent.
+func TestNotExecutedRequestGoesToNextExecutor(t *testing.T) {
 	for name, fail := range map[string]func(context.Context, *executeRequest) (executeResponse, error){
 		"refused": func(context.Context, *executeRequest) (executeResponse, error) {
 			return executeResponse{Refusal: refusedTerms}, nil
 		},
 		"not sent": func(context.Context, *executeRequest) (executeResponse, error) {
-			return executeResponse{}, &peer.Error{NotExecuted: true, Err: peer.ErrLost}
+			return executeResponse{}, &peer.Error{NotExecuted: true, Err: peer.ErrConnectionLost}
 		},
 	} {
-		r := newRig(t)
-		r.peers.execute[r.near.Peer] = fail
-		r.wantExecutor("large-2")
-		r.wantExecutor("large-2")
-		if len(r.peers.calls) != 3 {
-			t.Errorf("%s: %d calls; the executor is asked again before its next word", name, len(r.peers.calls))
+		h := newTestHarness(t)
+		h.peers.execute[h.near.Peer] = fail
+		h.wantExecutor("large-2")
+		h.wantExecutor("large-2")
+		if len(h.peers.calls) != 3 {
+			t.Errorf("%s: %d calls, want 3: an executor is not asked again before its next heartbeat", name, len(h.peers.calls))
 		}
-		r.peers.execute[r.far.Peer] = fail
-		r.wantExecutor("")
+		h.peers.execute[h.far.Peer] = fail
+		h.wantExecutor("")
 	}
 }
 
-// TestLostRequestIsNotRunAgain fails a request that may have run.
-func TestLostRequestIsNotRunAgain(t *testing.T) {
-	r := newRig(t)
-	r.peers.execute[r.near.Peer] = func(context.Context, *executeRequest) (executeResponse, error) {
-		return executeResponse{}, &peer.Error{Sent: true, Err: peer.ErrLost}
+// TestLostRequestIsNotRetried checks that a request which may have run fails.
+func TestLostRequestIsNotRetried(t *testing.T) {
+	h := newTestHarness(t)
+	h.peers.execute[h.near.Peer] = func(context.Context, *executeRequest) (executeResponse, error) {
+		return executeResponse{}, &peer.Error{Sent: true, Err: peer.ErrConnectionLost}
 	}
-	answer, done := r.execute()
-	if !done || answer.Fate != forward.FateFailed || len(r.peers.calls) != 1 {
-		t.Errorf("%+v, %v, %d calls", answer, done, len(r.peers.calls))
+	answer, done := h.execute()
+	if !done || answer.Fate != forward.FateFailed || len(h.peers.calls) != 1 {
+		t.Errorf("answer %+v, done %v, %d calls, want fate %s after 1 call", answer, done, len(h.peers.calls), forward.FateFailed)
 	}
-	r.wantExecutor("large-2")
+	h.wantExecutor("large-2")
 }
 
-// TestSilentExecutorEndsItsRequests at once, not at their deadline.
-func TestSilentExecutorEndsItsRequests(t *testing.T) {
-	r := newRig(t)
-	begun := make(chan struct{})
-	r.peers.execute[r.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
-		close(begun)
+// TestHeartbeatTimeoutEndsRequests checks that the requests of an executor that misses its
+// heartbeats end immediately instead of at their deadline.
+func TestHeartbeatTimeoutEndsRequests(t *testing.T) {
+	h := newTestHarness(t)
+	started := make(chan struct{})
+	h.peers.execute[h.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
+		close(started)
 		<-ctx.Done()
 		return executeResponse{}, &peer.Error{Sent: true, Err: ctx.Err()}
 	}
-	ended := make(chan forward.Answer)
+	answers := make(chan forward.Answer)
 	go func() {
-		answer, _ := r.execute()
-		ended <- answer
+		answer, _ := h.execute()
+		answers <- answer
 	}()
-	<-begun
-	r.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
-	r.client.due()
-	if answer := <-ended; answer.Fate != forward.FateFailed {
-		t.Errorf("%+v", answer)
+	<-started
+	h.clock.now += executors.DefaultConfig().HeartbeatTimeout + 1
+	h.client.dueHeartbeats()
+	if answer := <-answers; answer.Fate != forward.FateFailed {
+		t.Errorf("answer %+v, want fate %s", answer, forward.FateFailed)
 	}
 }
 
-// TestClientThatLeavesEndsTheCall, and that is no sign of a lost executor.
-func TestClientThatLeavesEndsTheCall(t *testing.T) {
-	r := newRig(t)
-	ctx, leave := context.WithCancel(context.Background())
-	r.peers.execute[r.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
-		leave()
+// TestClientCancellationEndsCall checks that the call ends when the client disconnects, and that
+// the executor is not marked as lost.
+func TestClientCancellationEndsCall(t *testing.T) {
+	h := newTestHarness(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	h.peers.execute[h.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
+		cancel()
 		<-ctx.Done()
 		return executeResponse{}, &peer.Error{Sent: true, Err: ctx.Err()}
 	}
-	if _, done := r.client.Execute(ctx, terms, &forward.Request{ID: "x"}); !done || !errors.Is(ctx.Err(), context.Canceled) {
-		t.Error("the request of a client that left is run again")
+	if _, done := h.client.Execute(ctx, terms, &forward.Request{ID: "x"}); !done || !errors.Is(ctx.Err(), context.Canceled) {
+		t.Error("request of a disconnected client: got done false, which runs it again, or no cancellation")
 	}
-	r.peers.execute[r.near.Peer] = answered("large-1")
-	r.wantExecutor("large-1")
+	h.peers.execute[h.near.Peer] = executedBy("large-1")
+	h.wantExecutor("large-1")
 }
 
-// TestWayToTheExecutorCounts for the objective of a request.
-func TestWayToTheExecutorCounts(t *testing.T) {
-	r := newRig(t)
-	r.client.executors.Watched()[0].RoundTrip = 5 * time.Millisecond
-	var away time.Duration
-	r.peers.execute[r.near.Peer] = func(_ context.Context, request *executeRequest) (executeResponse, error) {
-		away = request.Away
+// TestRelayTimeIncludesRoundTrip checks that the relay time, which counts towards the objective of
+// a request, includes the round trip to the executor.
+func TestRelayTimeIncludesRoundTrip(t *testing.T) {
+	h := newTestHarness(t)
+	h.client.executors.Monitored()[0].RoundTrip = 5 * time.Millisecond
+	var relayTime time.Duration
+	h.peers.execute[h.near.Peer] = func(_ context.Context, request *executeRequest) (executeResponse, error) {
+		relayTime = request.Away
 		return executeResponse{Fate: forward.FateMerged, Body: []byte("large-1")}, nil
 	}
-	r.wantExecutor("large-1")
-	if away != 5*time.Millisecond+executors.Handling {
-		t.Errorf("away for %v", away)
+	h.wantExecutor("large-1")
+	if relayTime != 5*time.Millisecond+executors.HandlingTime {
+		t.Errorf("relay time %v, want %v", relayTime, 5*time.Millisecond+executors.HandlingTime)
 	}
 }
 
-// TestSlowExecutorIsPassedOver by its mean latency.
-func TestSlowExecutorIsPassedOver(t *testing.T) {
-	r := newRig(t)
-	for _, one := range r.client.executors.Watched() {
-		one.Near = true
-	}
-	took := map[string]time.Duration{"large-1": 300 * time.Millisecond, "large-2": 100 * time.Millisecond}
-	for _, member := range []roster.Member{r.near, r.far} {
-		r.peers.execute[member.Peer] = func(context.Context, *executeRequest) (executeResponse, error) {
-			r.clock.now += took[member.Name]
+// TestSlowExecutorIsSkipped checks that an executor with a higher mean latency gets no requests.
+func TestSlowExecutorIsSkipped(t *testing.T) {
+	h := newTestHarness(t)
+	for _, executor := range h.client.executors.Monitored() {
+		executor.SameZone = true
+	}
+	latencies := map[string]time.Duration{"large-1": 300 * time.Millisecond, "large-2": 100 * time.Millisecond}
+	for _, member := range []roster.Member{h.near, h.far} {
+		h.peers.execute[member.Peer] = func(context.Context, *executeRequest) (executeResponse, error) {
+			h.clock.now += latencies[member.Name]
 			return executeResponse{Fate: forward.FateMerged, Body: []byte(member.Name)}, nil
 		}
 	}
-	for _, one := range r.client.executors.Watched() {
-		one.Completed(took[one.Name])
+	for _, executor := range h.client.executors.Monitored() {
+		executor.RecordLatency(latencies[executor.Name])
 	}
 	for range 5 {
-		r.beat()
-		r.wantExecutor("large-2")
+		h.sendHeartbeats()
+		h.wantExecutor("large-2")
 	}
 }
 
-// TestRequestOnADroppedExecutorIsLeftToFinish: the executor may be well, and only
-// others are preferred now.
-func TestRequestOnADroppedExecutorIsLeftToFinish(t *testing.T) {
-	r := newRig(t)
-	r.peers.execute[r.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
-		r.client.SetRoles(executors.Roles{}, terms)
-		r.client.due()
+// TestRequestOnRemovedExecutorFinishes checks that removing an executor does not cancel its
+// requests: it may be healthy, and another one is merely preferred.
+func TestRequestOnRemovedExecutorFinishes(t *testing.T) {
+	h := newTestHarness(t)
+	h.peers.execute[h.near.Peer] = func(ctx context.Context, _ *executeRequest) (executeResponse, error) {
+		h.client.SetRoles(executors.Roles{}, terms)
+		h.client.dueHeartbeats()
 		select {
 		case <-ctx.Done():
 			return executeResponse{}, &peer.Error{Sent: true, Err: ctx.Err()}
-		case <-time.After(50 * time.Millisecond): // a cancellation comes at once
+		case <-time.After(50 * time.Millisecond): // a cancellation would arrive immediately
 			return executeResponse{Fate: forward.FateMerged, Body: []byte("large-1")}, nil
 		}
 	}
-	r.wantExecutor("large-1")
+	h.wantExecutor("large-1")
 }
 
-// TestRolesChangeWhileRequestsRun drops executors that are no members any more.
-func TestRolesChangeWhileRequestsRun(t *testing.T) {
-	r := newRig(t)
-	r.client.SetRoles(executors.Roles{}, terms)
-	r.wantExecutor("")
-	r.client.SetRoles(executors.Roles{Self: executors.RoleDelegator, Executors: []roster.Member{r.far}}, terms)
-	r.wantExecutor("")
-	r.beat()
-	r.wantExecutor("large-2")
+// TestRoleChangeRemovesExecutors checks that executors that are no longer members get no requests.
+func TestRoleChangeRemovesExecutors(t *testing.T) {
+	h := newTestHarness(t)
+	h.client.SetRoles(executors.Roles{}, terms)
+	h.wantExecutor("")
+	h.client.SetRoles(executors.Roles{Self: executors.RoleDelegator, Executors: []roster.Member{h.far}}, terms)
+	h.wantExecutor("")
+	h.sendHeartbeats()
+	h.wantExecutor("large-2")
 }
--- a/internal/edge/delegate/rig_test.go
+++ b/internal/edge/delegate/helpers_test.go
@@ -16,16 +16,16 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-func node(name, zone string, cores float64) roster.Member {
+func newMember(name, zone string, cores float64) roster.Member {
 	return roster.Member{Name: name, Zone: zone, Cores: cores, Peer: netip.MustParseAddrPort("127.0.0.1:" + fmt.Sprint(1000+len(name)+int(name[len(name)-1])))}
 }
 
-// fakeClock is set by a test.
+// fakeClock is set by the test.
 type fakeClock struct{ now time.Duration }
 
 func (c *fakeClock) Now() time.Duration { return c.now }
 
-// fakePeers answers calls by the executor's address.
+// fakePeers responds to calls by the executor's address.
 type fakePeers struct {
 	mutex   sync.Mutex
 	status  executors.Status
@@ -53,8 +53,8 @@
 
 var terms = executors.Terms{Version: version, Fresh: true}
 
-// rig is a Client in touch with two executors.
-type rig struct {
+// testHarness is a Client that is connected to two executors.
+type testHarness struct {
 	*testing.T
 	client *Client
 	clock  *fakeClock
@@ -63,47 +63,47 @@
 	far    roster.Member
 }
 
-func newRig(t *testing.T) *rig {
+func newTestHarness(t *testing.T) *testHarness {
 	t.Helper()
-	r := &rig{
-		T: t, clock: &fakeClock{now: time.Second}, near: node("large-1", "a", 0.8), far: node("large-2", "b", 0.8),
+	h := &testHarness{
+		T: t, clock: &fakeClock{now: time.Second}, near: newMember("large-1", "a", 0.8), far: newMember("large-2", "b", 0.8),
 		peers: &fakePeers{
 			status:  executors.Status{Version: version, Accepting: true, Fresh: true},
 			execute: make(map[netip.AddrPort]func(context.Context, *executeRequest) (executeResponse, error)),
 		},
 	}
-	self := node("small-1", "a", 0.2)
-	r.client = New(executors.DefaultConfig(), self, r.peers, r.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
-	r.client.SetRoles(executors.Assign(self, []roster.Member{r.near, r.far, self}), terms)
-	for _, member := range []roster.Member{r.near, r.far} {
-		r.peers.execute[member.Peer] = answered(member.Name)
+	self := newMember("small-1", "a", 0.2)
+	h.client = New(executors.DefaultConfig(), self, h.peers, h.clock, prometheus.NewRegistry(), slog.New(slog.DiscardHandler))
+	h.client.SetRoles(executors.Assign(self, []roster.Member{h.near, h.far, self}), terms)
+	for _, member := range []roster.Member{h.near, h.far} {
+		h.peers.execute[member.Peer] = executedBy(member.Name)
 	}
-	r.beat()
-	return r
+	h.sendHeartbeats()
+	return h
 }
 
-func answered(by string) func(context.Context, *executeRequest) (executeResponse, error) {
+func executedBy(executor string) func(context.Context, *executeRequest) (executeResponse, error) {
 	return func(context.Context, *executeRequest) (executeResponse, error) {
-		return executeResponse{Fate: forward.FateMerged, Body: []byte(by)}, nil
+		return executeResponse{Fate: forward.FateMerged, Body: []byte(executor)}, nil
 	}
 }
 
-// beat asks all executors once.
-func (r *rig) beat() {
-	for _, one := range r.client.due() {
-		r.client.ask(context.Background(), one)
+// sendHeartbeats sends one heartbeat to each executor.
+func (h *testHarness) sendHeartbeats() {
+	for _, executor := range h.client.dueHeartbeats() {
+		h.client.sendHeartbeat(context.Background(), executor)
 	}
 }
 
-func (r *rig) execute() (forward.Answer, bool) {
-	return r.client.Execute(context.Background(), terms, &forward.Request{ID: "x", ClientTimeout: time.Second})
+func (h *testHarness) execute() (forward.Answer, bool) {
+	return h.client.Execute(context.Background(), terms, &forward.Request{ID: "x", ClientTimeout: time.Second})
 }
 
-// wantExecutor expects an answer by a node; empty for none.
-func (r *rig) wantExecutor(name string) {
-	r.Helper()
-	answer, done := r.execute()
+// wantExecutor checks that the named executor answers a request, or none if the name is empty.
+func (h *testHarness) wantExecutor(name string) {
+	h.Helper()
+	answer, done := h.execute()
 	if done != (name != "") || string(answer.Body) != name || answer.Executor != name {
-		r.Errorf("executed by %q (%v), want %q", answer.Executor, done, name)
+		h.Errorf("executed by %q (done %v), want %q", answer.Executor, done, name)
 	}
 }
--- a/internal/edge/delegate/wire_test.go
+++ b/internal/edge/delegate/wire_test.go
@@ -7,10 +7,11 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
-	wiretest.Gob[statusRequest](t, "relay.status.request")
-	wiretest.Gob[executors.Status](t, "relay.status.response")
-	wiretest.Gob[executeRequest](t, "relay.execute.request")
-	wiretest.Gob[executeResponse](t, "relay.execute.response")
+// TestRecordedMessagesDecode checks that recorded messages decode, because a fleet may run two
+// versions.
+func TestRecordedMessagesDecode(t *testing.T) {
+	wiretest.CheckGob[statusRequest](t, "relay.status.request")
+	wiretest.CheckGob[executors.Status](t, "relay.status.response")
+	wiretest.CheckGob[executeRequest](t, "relay.execute.request")
+	wiretest.CheckGob[executeResponse](t, "relay.execute.response")
 }
--- a/internal/edge/http1/client.go
+++ b/internal/edge/http1/client.go
@@ -1,13 +1,13 @@
-// Package http1 is an HTTP/1.1 client for back ends that take few connections and where
-// each request must be counted.
+// Package http1 is an HTTP/1.1 client for back ends that accept few connections, with exact control
+// over what is sent.
 //
-// It sends every request once at most: unlike http.Transport it never retries one by
-// itself. It bounds the connections to each target and reuses them, and it does not use a
-// connection again after any doubt: surplus bytes, a body cut short, a body without a
-// length, or a request given up. Errors say whether a byte can have left.
+// It sends every request at most once: unlike http.Transport it never retries a request. It bounds
+// the connections to each target and reuses them. A connection is not reused after surplus bytes, a
+// truncated body, a body without a length, or a cancelled request. Errors say whether a byte of the
+// request may have been sent.
 //
-// The package owns the connections, by target, and their metrics. It relies on net for
-// them, on net/http for the parsing of answers, and on leaf for the type of its errors.
+// The package owns the connections of each target and their metrics. It relies on net for the
+// connections, on net/http for parsing responses, and on leaf for the type of its errors.
 package http1
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// The steps of an exchange, as errors name them.
+// The steps of an exchange, as named in errors.
 const (
 	StepConnect leaf.Step = "http1_connect"
 	StepSend    leaf.Step = "http1_send"
@@ -34,61 +34,60 @@
 
 // Errors of exchanges.
 var (
-	errClosed   = errors.New("client is closed")
-	errTooLarge = errors.New("answer is larger than the limit")
-	errMismatch = errors.New("answer belongs to another request")
+	errClosed           = errors.New("client is closed")
+	errBodyTooLarge     = errors.New("response body exceeds the limit")
+	errResponseMismatch = errors.New("response belongs to another request")
 )
 
-// Target is one incarnation of a back end. A connection to one incarnation is
-// never used for another.
+// Target is one incarnation of a back end. A connection to one incarnation is never used for
+// another.
 type Target struct {
 	Address netip.AddrPort
-	// BootID names the incarnation: one start of the process.
+	// BootID identifies the incarnation: one start of the process.
 	BootID string
 }
 
-// Config bounds what a Client does. All fields must be set.
+// Config bounds the resources of a Client. All fields must be set.
 type Config struct {
-	// ConnectionsPerTarget is the most connections to one target.
+	// ConnectionsPerTarget is the maximum number of connections to one target.
 	ConnectionsPerTarget int
 	// DialTimeout is the longest time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is when an unused connection is closed, unless the back end
-	// names a shorter time.
+	// IdleTimeout is the time after which an idle connection is closed, unless the back end names a
+	// shorter time.
 	IdleTimeout time.Duration
-	// BodyBytes is the largest body of an answer.
+	// BodyBytes is the maximum size of a response body.
 	BodyBytes int64
-	// MaxSkipped is how many answers to other requests are skipped on a connection before
-	// the awaited one.
-	MaxSkipped int
+	// MaxSkippedResponses is the number of responses to other requests that are skipped on a
+	// connection before the awaited response.
+	MaxSkippedResponses int
 }
 
-// DefaultConfig returns the bounds that seldom need to be changed; those that depend on the
-// deployment are zero. Not measured: chosen because they only bound what a faulty back end
-// can cost.
+// DefaultConfig returns the bounds that seldom need to be changed. They only limit the cost of a
+// faulty back end. The bounds that depend on the deployment are zero.
 func DefaultConfig() Config {
-	return Config{IdleTimeout: 20 * time.Second, BodyBytes: 16 << 20, MaxSkipped: 2}
+	return Config{IdleTimeout: 20 * time.Second, BodyBytes: 16 << 20, MaxSkippedResponses: 2}
 }
 
-// Response is a whole answer.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Matcher reports whether an answer belongs to the request that was sent.
+// Matcher reports whether a response belongs to the request that was sent.
 type Matcher func(*Response) bool
 
-// Client keeps the connections. It is safe for concurrent use.
+// Client keeps connections to targets. It is safe for concurrent use.
 type Client struct {
 	config  Config
 	metrics *metrics
 
-	mutex  sync.Mutex
-	pools  map[Target]*pool
-	retain map[Target]int // see Retain
-	closed bool
+	mutex   sync.Mutex
+	pools   map[Target]*pool
+	maxIdle map[Target]int // see Retain
+	closed  bool
 }
 
 // New returns a Client and registers its metrics.
@@ -96,40 +95,39 @@
 	return &Client{config: config, metrics: newMetrics(registerer), pools: make(map[Target]*pool)}
 }
 
-// Do sends a request once and blocks until its whole answer has arrived or ctx ends; then
-// the connection is closed. An error is a *leaf.TransportError, whose step is one of those
-// of this package.
+// Do sends a request once and blocks until the complete response has arrived. If ctx ends first,
+// the connection is closed. An error is a *leaf.TransportError whose step is one of this package.
 func (c *Client) Do(ctx context.Context, target Target, message Message, match Matcher) (*Response, error) {
-	connection, err := c.acquire(ctx, target, message.Once)
+	connection, err := c.acquire(ctx, target, message.AtMostOnce)
 	if err != nil {
-		failed := unsent(StepConnect, target, err)
-		failed.Refused = errors.Is(err, syscall.ECONNREFUSED)
-		return nil, failed
+		transportErr := notSentError(StepConnect, target, err)
+		transportErr.Refused = errors.Is(err, syscall.ECONNREFUSED)
+		return nil, transportErr
 	}
 	if err := ctx.Err(); err != nil {
 		connection.release()
-		return nil, unsent(StepSend, target, err)
+		return nil, notSentError(StepSend, target, err)
 	}
 	exchange := &exchange{method: message.Method, match: match, done: make(chan result, 1)}
-	if sent, err := connection.start(ctx, exchange, message.bytes()); err != nil {
+	if sent, err := connection.send(ctx, exchange, message.encode()); err != nil {
 		return nil, &leaf.TransportError{Step: StepSend, Peer: target.Address, Sent: sent, Err: err}
 	}
 	select {
-	case ended := <-exchange.done:
-		if ended.err != nil {
-			c.metrics.broken.Inc()
+	case outcome := <-exchange.done:
+		if outcome.err != nil {
+			c.metrics.brokenExchanges.Inc()
 			return nil, &leaf.TransportError{
-				Step: StepReceive, Peer: target.Address, Sent: true, Closed: ended.closed, Err: ended.err,
+				Step: StepReceive, Peer: target.Address, Sent: true, Closed: outcome.closed, Err: outcome.err,
 			}
 		}
-		return ended.response, nil
+		return outcome.response, nil
 	case <-ctx.Done():
 		connection.close()
 		return nil, &leaf.TransportError{Step: StepReceive, Peer: target.Address, Sent: true, Err: ctx.Err()}
 	}
 }
 
-func unsent(step leaf.Step, target Target, err error) *leaf.TransportError {
+func notSentError(step leaf.Step, target Target, err error) *leaf.TransportError {
 	return &leaf.TransportError{Step: step, Peer: target.Address, Sent: false, Err: err}
 }
 
@@ -139,35 +137,35 @@
 		c.mutex.Unlock()
 		return nil, errClosed
 	}
-	from := c.poolOf(target)
+	targetPool := c.getPool(target)
 	c.mutex.Unlock()
-	return from.acquire(ctx, once)
+	return targetPool.acquire(ctx, once)
 }
 
-// poolOf returns the pool of a target. The caller holds the mutex.
-func (c *Client) poolOf(target Target) *pool {
-	from, known := c.pools[target]
-	if !known {
-		from = newPool(c, target)
-		if maxIdle, given := c.retain[target]; given {
-			from.setMaxIdle(maxIdle)
+// getPool returns the pool of a target and creates it if needed. The caller holds the mutex.
+func (c *Client) getPool(target Target) *pool {
+	targetPool, ok := c.pools[target]
+	if !ok {
+		targetPool = newPool(c, target)
+		if maxIdle, ok := c.maxIdle[target]; ok {
+			targetPool.setMaxIdle(maxIdle)
 		}
-		c.pools[target] = from
+		c.pools[target] = targetPool
 	}
-	return from
+	return targetPool
 }
 
-// Retain closes the idle connections of all targets but those given, and
-// forgets these targets. Each target comes with the number of connections that
-// may be idle: with none, one is opened for each request and closed after it.
+// Retain closes the idle connections of all targets that are not in maxIdle and removes these
+// targets. For each target, maxIdle holds the number of connections that may be idle. If it is
+// zero, a connection is opened for each request and closed after it.
 func (c *Client) Retain(maxIdle map[Target]int) {
 	var dropped []*pool
 	c.mutex.Lock()
-	c.retain = maxIdle
+	c.maxIdle = maxIdle
 	for target, candidate := range c.pools {
-		connections, stays := maxIdle[target]
-		if stays {
-			candidate.setMaxIdle(connections)
+		targetMaxIdle, ok := maxIdle[target]
+		if ok {
+			candidate.setMaxIdle(targetMaxIdle)
 			continue
 		}
 		delete(c.pools, target)
@@ -179,8 +177,8 @@
 	}
 }
 
-// Close closes the idle connections. Exchanges in progress go on, and close
-// theirs at their end.
+// Close closes the idle connections. Exchanges in progress continue and close their connections
+// when they end.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -191,10 +189,10 @@
 func (c *Client) dial(ctx context.Context, target Target) (net.Conn, error) {
 	c.metrics.dials.Inc()
 	dialer := net.Dialer{Timeout: c.config.DialTimeout, KeepAlive: -1}
-	dialed, err := dialer.DialContext(ctx, "tcp", target.Address.String())
+	socket, err := dialer.DialContext(ctx, "tcp", target.Address.String())
 	if err != nil {
 		c.metrics.dialFailures.Inc()
 		return nil, err
 	}
-	return dialed, nil
+	return socket, nil
 }
--- a/internal/edge/lease/shared_test.go
+++ b/internal/edge/lease/shared_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestSharedLeaseHasHalfOfItsTimeLeft, and is granted anew only for that, or when it
-// was lost.
-func TestSharedLeaseHasHalfOfItsTimeLeft(t *testing.T) {
-	store := &model{random: rand.New(rand.NewPCG(1, 1)), leases: make(map[uint64]bool)}
+// TestSharedLeaseIsReplacedAtHalfOfTTL checks that a lease is granted only when half of the TTL has
+// passed or the lease was lost.
+func TestSharedLeaseIsReplacedAtHalfOfTTL(t *testing.T) {
+	store := &storeModel{random: rand.New(rand.NewPCG(1, 1)), leases: make(map[uint64]bool)}
 	now := time.Duration(0)
 	shared := NewShared(store, 10*time.Second, func() time.Duration { return now })
-	ask := func() uint64 {
+	leaseID := func() uint64 {
 		t.Helper()
 		id, err := shared.ID(context.Background())
 		if err != nil {
@@ -21,27 +21,27 @@
 		}
 		return id
 	}
-	first := ask()
+	first := leaseID()
 	now = 4 * time.Second
-	if again := ask(); again != first {
-		t.Errorf("lease %d after 4 s, %d before", again, first)
+	if again := leaseID(); again != first {
+		t.Errorf("lease after 4 s: got %d, want %d", again, first)
 	}
 	now = 5 * time.Second
-	second := ask()
+	second := leaseID()
 	if second == first {
-		t.Error("the same lease with half of its time left")
+		t.Error("lease after 5 s: got the same one, want a new one")
 	}
-	shared.Lapsed(first)
-	if again := ask(); again != second {
-		t.Error("the end of a former lease ended this one")
+	shared.Invalidate(first)
+	if again := leaseID(); again != second {
+		t.Error("Invalidate of an earlier lease has replaced the current one")
 	}
-	shared.Lapsed(second)
-	if ask() == second {
-		t.Error("a lease that was lost is used again")
+	shared.Invalidate(second)
+	if leaseID() == second {
+		t.Error("lease after Invalidate: got the same one, want a new one")
 	}
 	store.down = true
 	now = time.Hour
 	if _, err := shared.ID(context.Background()); err == nil {
-		t.Error("a lease without a store")
+		t.Error("unavailable store: got a lease, want an error")
 	}
 }
--- a/internal/edge/mirror/snapshot.go
+++ b/internal/edge/mirror/snapshot.go
@@ -10,20 +10,19 @@
 
 // The states of an Offer.
 const (
-	// OfferCurrent means that the node has a copy, and is in touch with the
-	// store.
+	// OfferCurrent means that the node has a copy and is connected to the store.
 	OfferCurrent OfferState = "current"
-	// OfferLost means that it has a copy, and has lost the store.
-	OfferLost OfferState = "lost"
-	// OfferLoading means that it has no copy yet.
+	// OfferDisconnected means that the node has a copy but cannot reach the store.
+	OfferDisconnected OfferState = "lost"
+	// OfferLoading means that the node has no copy yet.
 	OfferLoading OfferState = "loading"
 )
 
-// Offer says what copy of the store a node could hand over.
+// Offer describes the copy of the store that a node can hand over.
 type Offer struct {
 	State    OfferState
 	Revision uint64
-	// Age is the time since the store, or a watcher for it, last answered.
+	// Age is the time since the store last responded to the node, directly or through a watcher.
 	Age time.Duration
 }
 
@@ -34,13 +33,14 @@
 	Packed []byte
 }
 
-// Offer answers a node that starts. Without a copy it waits for one, for a time.
+// Offer handles the request of a node that starts. Without a copy it waits for one, up to the given
+// time.
 func (s *Shared) Offer(ctx context.Context, wait time.Duration) Offer {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.mutex.Lock()
-		offer, changed := s.offer(), s.history.changed
+		offer, changed := s.currentOffer(), s.history.changed
 		s.mutex.Unlock()
 		if offer.State != OfferLoading {
 			return offer
@@ -55,32 +55,32 @@
 	}
 }
 
-// offer describes the copy.
-func (s *Shared) offer() Offer {
-	if s.contents.items == nil {
+// currentOffer describes the copy as it is now. The caller holds the mutex.
+func (s *Shared) currentOffer() Offer {
+	if s.replica.items == nil {
 		return Offer{State: OfferLoading}
 	}
-	offer := Offer{State: OfferCurrent, Revision: s.contents.revision, Age: s.clock.Now() - s.heardAt}
-	if s.history.lost || offer.Age > s.config.Fresh {
-		offer.State = OfferLost
+	offer := Offer{State: OfferCurrent, Revision: s.replica.revision, Age: s.clock.Now() - s.lastContactAt}
+	if s.history.disconnected || offer.Age > s.config.MaxCopyAge {
+		offer.State = OfferDisconnected
 	}
 	return offer
 }
 
-// Snapshot hands over the copy. It is packed once for each revision.
+// Snapshot returns the copy. It is packed once per revision.
 func (s *Shared) Snapshot() (Snapshot, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	offer := s.offer()
+	offer := s.currentOffer()
 	if offer.State == OfferLoading {
 		return Snapshot{Offer: offer}, nil
 	}
-	if s.packed == nil || s.packedAt != s.contents.revision {
-		packed, err := pack(s.contents.list())
+	if s.packedItems == nil || s.packedRevision != s.replica.revision {
+		packed, err := pack(s.replica.list())
 		if err != nil {
 			return Snapshot{}, err
 		}
-		s.packed, s.packedAt = packed, s.contents.revision
+		s.packedItems, s.packedRevision = packed, s.replica.revision
 	}
-	return Snapshot{Offer: offer, Packed: s.packed}, nil
+	return Snapshot{Offer: offer, Packed: s.packedItems}, nil
 }
--- a/internal/edge/mirror/wire_test.go
+++ b/internal/edge/mirror/wire_test.go
@@ -6,8 +6,9 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestPackedReadsAsRecorded guards a fleet of two versions: what pack wrote is read.
-func TestPackedReadsAsRecorded(t *testing.T) {
-	wiretest.Gob[[]Item](t, "packed.items")
-	wiretest.Gob[[]Event](t, "packed.events")
+// TestRecordedPackedValuesDecode checks that packed values written by an older version decode,
+// because a fleet may run two versions.
+func TestRecordedPackedValuesDecode(t *testing.T) {
+	wiretest.CheckGob[[]Item](t, "packed.items")
+	wiretest.CheckGob[[]Event](t, "packed.events")
 }
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -18,7 +18,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// configConsumer runs requests by the configuration that it is given; it is a
+// configConsumer runs requests by the configuration that it is given. It is implemented by
 // forward.Forwarder.
 type configConsumer interface {
 	Table() *route.Table
@@ -28,27 +28,27 @@
 	SetOutage(outage bool)
 }
 
-// storedRollouts follows the orders and records of roll-outs in the store. It returns
-// whether a change alters the topology.
-type storedRollouts interface {
+// rolloutSink receives rollout orders and records from the store. The boolean results report
+// whether the topology has to be published again.
+type rolloutSink interface {
 	decode(items []mirror.Item) rolloutItems
-	// replace is called with the mutex of the view held, and changeOrder and
-	// changeRecord without.
-	replace(all rolloutItems, stale bool)
-	changeOrder(changed mirror.Event) bool
-	changeRecord(changed mirror.Event) bool
+	// replace is called with the mutex of the view held, applyOrderEvent and applyRecordEvent
+	// without it.
+	replace(decoded rolloutItems, stale bool)
+	applyOrderEvent(change mirror.Event) bool
+	applyRecordEvent(change mirror.Event) bool
 }
 
-// storedQuarantine follows the records of requests under which leaves end.
-type storedQuarantine interface {
-	replace(items map[quarantine.Content]quarantine.Known, stale bool)
-	set(content quarantine.Content, stored quarantine.Known)
+// quarantineSink receives the quarantine records of the store.
+type quarantineSink interface {
+	replace(items map[quarantine.Content]quarantine.StoredRecord, stale bool)
+	set(content quarantine.Content, record quarantine.StoredRecord)
 	remove(content quarantine.Content, revision uint64)
-	setStoreAway(away bool)
+	setStoreUnavailable(unavailable bool)
 }
 
-// follower applies what the store holds, and its changes, to a node. It implements
-// mirror.Sink and plans the start.
+// follower applies the content of the store and its changes to the parts of a node. It implements
+// mirror.Sink and plans the start from a copy of another node.
 type follower struct {
 	decoder    Decoder
 	self       roster.Member
@@ -59,8 +59,8 @@
 	view       *view
 	announcer  *announcer
 	config     configConsumer
-	rollouts   storedRollouts
-	quarantine storedQuarantine
+	rollouts   rolloutSink
+	quarantine quarantineSink
 	publisher  interface {
 		publish()
 		publishLocked()
@@ -71,147 +71,146 @@
 
 var _ mirror.Sink = (*follower)(nil)
 
-// reading is what one reading of the store holds, decoded.
-type reading struct {
-	config         *route.Config // nil if it brings no newer one
+// decodedItems is the decoded content of one full read of the store.
+type decodedItems struct {
+	config         *route.Config // nil if the read has no newer one
 	configRevision uint64
 	leaves         []registry.Leaf
 	nodes          map[string]roster.Member // by key
-	cordons        []string                 // zones out of service
+	cordons        []string                 // cordoned zones
 	rollouts       rolloutItems
-	quarantined    map[quarantine.Content]quarantine.Known
+	quarantined    map[quarantine.Content]quarantine.StoredRecord
 }
 
-// decode decodes all items of a reading. Those that can't be read are logged and left
-// out.
-func (f *follower) decode(items []mirror.Item) reading {
-	all := reading{
+// decode decodes all items of a full read. Items that cannot be decoded are logged and left out.
+func (f *follower) decode(items []mirror.Item) decodedItems {
+	decoded := decodedItems{
 		nodes:       make(map[string]roster.Member),
-		quarantined: make(map[quarantine.Content]quarantine.Known),
+		quarantined: make(map[quarantine.Content]quarantine.StoredRecord),
 		rollouts:    f.rollouts.decode(items),
 	}
 	for _, item := range items {
 		switch f.decoder.Kind(item.Key) {
 		case KindConfig:
-			all.config, all.configRevision = f.newerConfig(item), item.Revision
+			decoded.config, decoded.configRevision = f.decodeNewerConfig(item), item.Revision
 		case KindLeaf:
-			if leaf, ok := f.leaf(item); ok {
-				all.leaves = append(all.leaves, leaf)
+			if leaf, ok := f.decodeLeaf(item); ok {
+				decoded.leaves = append(decoded.leaves, leaf)
 			}
 		case KindNode:
-			if member, ok := f.member(item); ok {
-				all.nodes[item.Key] = member
+			if member, ok := f.decodeMember(item); ok {
+				decoded.nodes[item.Key] = member
 			}
 		case KindCordon:
-			all.cordons = append(all.cordons, f.decoder.CordonedZone(item.Key))
+			decoded.cordons = append(decoded.cordons, f.decoder.CordonedZone(item.Key))
 		case KindQuarantine:
-			if content, known, ok := f.quarantineRecord(item); ok {
-				all.quarantined[content] = known
+			if content, record, ok := f.decodeQuarantineRecord(item); ok {
+				decoded.quarantined[content] = record
 			}
 		}
 	}
-	return all
+	return decoded
 }
 
-// Replace implements mirror.Sink. The leaves come into use before the configuration
-// that may name them: else its requests would be refused for want of leaves.
-func (f *follower) Replace(items []mirror.Item, read mirror.Reading) {
-	all := f.decode(items)
-	f.quarantine.replace(all.quarantined, read.Stale)
-	cordonsChanged := f.replaceView(all, f.announcer.formerLease(items), read.Stale)
-	if all.config != nil {
-		f.install(all.config, all.configRevision)
+// Replace implements mirror.Sink. The leaves are published before the configuration that may name
+// them; otherwise its first requests would be refused because no leaf is known.
+func (f *follower) Replace(items []mirror.Item, read mirror.ReadInfo) {
+	decoded := f.decode(items)
+	f.quarantine.replace(decoded.quarantined, read.Stale)
+	cordonsChanged := f.replaceView(decoded, f.announcer.findPreviousLease(items), read.Stale)
+	if decoded.config != nil {
+		f.installConfig(decoded.config, decoded.configRevision)
 	}
 	for _, zone := range cordonsChanged {
-		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: slices.Contains(all.cordons, zone)})
+		event.Log(f.logger, event.ZoneCordoned{Zone: zone, Cordoned: slices.Contains(decoded.cordons, zone)})
 	}
-	event.Log(f.logger, event.StoreRead{Leaves: len(all.leaves), Nodes: len(all.nodes), AfterGap: read.Gap, Stale: read.Stale})
+	event.Log(f.logger, event.StoreSnapshotRead{Leaves: len(decoded.leaves), Nodes: len(decoded.nodes), AfterGap: read.Gap, Stale: read.Stale})
 	f.config.SetFresh(!read.Stale)
 	if !read.Stale {
 		f.metrics.storeUp.Set(1)
 	}
 }
 
-// replaceView applies a reading to the view and publishes it. It returns the zones that
-// were taken out of service or put back.
-func (f *follower) replaceView(all reading, formerLease uint64, stale bool) (cordonsChanged []string) {
+// replaceView applies a full read to the view and publishes it. It returns the zones that were
+// cordoned or uncordoned.
+func (f *follower) replaceView(decoded decodedItems, previousLease uint64, stale bool) (cordonsChanged []string) {
 	f.view.mutex.Lock()
 	defer f.view.mutex.Unlock()
-	f.view.leaves.Replace(f.clock.Now(), all.leaves)
-	cordonsChanged = f.view.leaves.ReplaceCordons(f.clock.Now(), all.cordons, stale)
-	f.rollouts.replace(all.rollouts, stale)
-	if !f.view.leavesKnown {
-		f.announcer.begin(formerLease)
+	f.view.leaves.Replace(f.clock.Now(), decoded.leaves)
+	cordonsChanged = f.view.leaves.ReplaceCordons(f.clock.Now(), decoded.cordons, stale)
+	f.rollouts.replace(decoded.rollouts, stale)
+	if !f.view.leavesLoaded {
+		f.announcer.start(previousLease)
 	}
-	f.view.leavesKnown = true
-	f.view.nodes.Replace(f.clock.Now(), all.nodes)
-	if all.config != nil {
-		f.view.applyServices(all.config)
+	f.view.leavesLoaded = true
+	f.view.nodes.Replace(f.clock.Now(), decoded.nodes)
+	if decoded.config != nil {
+		f.view.applyServices(decoded.config)
 	}
 	f.publisher.publishLocked()
 	return cordonsChanged
 }
 
-// Change implements mirror.Sink. The removal of the configuration changes
-// nothing: the last one stays in force.
-func (f *follower) Change(events []mirror.Event) {
-	changed := false
-	for _, one := range events {
-		switch f.decoder.Kind(one.Key) {
+// Apply implements mirror.Sink. If the configuration is removed from the store, the last one stays
+// in force.
+func (f *follower) Apply(events []mirror.Event) {
+	republish := false
+	for _, change := range events {
+		switch f.decoder.Kind(change.Key) {
 		case KindConfig:
-			if !one.Removed {
-				f.changeConfig(one.Item)
+			if !change.Removed {
+				f.applyConfig(change.Item)
 			}
 		case KindLeaf:
-			f.changeLeaf(one)
-			changed = true
+			f.applyLeafEvent(change)
+			republish = true
 		case KindNode:
-			f.changeNode(one)
-			changed = true
+			f.applyNodeEvent(change)
+			republish = true
 		case KindCordon:
-			f.changeCordon(one)
-			changed = true
-		case KindOrder:
-			changed = f.rollouts.changeOrder(one) || changed
-		case KindRecord:
-			changed = f.rollouts.changeRecord(one) || changed
+			f.applyCordonEvent(change)
+			republish = true
+		case KindRolloutOrder:
+			republish = f.rollouts.applyOrderEvent(change) || republish
+		case KindRolloutRecord:
+			republish = f.rollouts.applyRecordEvent(change) || republish
 		case KindQuarantine:
-			f.changeQuarantine(one)
+			f.applyQuarantineEvent(change)
 		}
 	}
 	f.config.SetFresh(true)
-	if changed {
+	if republish {
 		f.publisher.publish()
 	}
 }
 
-// Lost implements mirror.Sink.
-func (f *follower) Lost(err error) {
+// Disconnected implements mirror.Sink.
+func (f *follower) Disconnected(err error) {
 	f.config.SetFresh(false)
 	f.config.SetOutage(true)
-	f.quarantine.setStoreAway(true)
+	f.quarantine.setStoreUnavailable(true)
 	f.metrics.storeUp.Set(0)
 	event.Log(f.logger, event.StoreLost{Error: err})
 }
 
-// Regained implements mirror.Sink.
-func (f *follower) Regained(away time.Duration) {
+// Reconnected implements mirror.Sink.
+func (f *follower) Reconnected(outage time.Duration) {
 	f.view.mutex.Lock()
-	f.view.leaves.Outage(f.clock.Now())
+	f.view.leaves.RecordOutage(f.clock.Now())
 	f.view.mutex.Unlock()
 	f.config.SetOutage(false)
-	f.quarantine.setStoreAway(false)
+	f.quarantine.setStoreUnavailable(false)
 	f.metrics.storeUp.Set(1)
-	event.Log(f.logger, event.StoreRegained{Away: away})
+	event.Log(f.logger, event.StoreRegained{Outage: outage})
 }
 
 // planStart implements mirror.Planner.
 func (f *follower) planStart(items []mirror.Item) startup.Plan {
-	known := roster.New(nodesMemory, 0)
+	nodes := roster.New(nodeRetention, 0)
 	for _, item := range items {
-		if member, ok := f.member(item); ok {
-			known.Add(f.clock.Now(), item.Key, member)
+		if member, ok := f.decodeMember(item); ok {
+			nodes.Add(f.clock.Now(), item.Key, member)
 		}
 	}
-	return startup.NewPlan(f.self.Peer, known.Members(f.clock.Now()), f.seeds, rand.Shuffle)
+	return startup.NewPlan(f.self.Peer, nodes.Members(f.clock.Now()), f.seeds, rand.Shuffle)
 }
--- a/internal/edge/node/follower_test.go
+++ b/internal/edge/node/follower_test.go
@@ -22,24 +22,28 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// keyDecoder reads items that say everything in their keys: "config", whose value
-// is the service of its one route, and "leaf/SERVICE".
+// keyDecoder decodes the keys "config", whose value is the service of its only route, and
+// "leaf/SERVICE".
 type keyDecoder struct{}
 
 func (keyDecoder) Prefix() string               { return "" }
-func (keyDecoder) OrderedService(string) string { return "" }
+func (keyDecoder) RolloutService(string) string { return "" }
 
-func (keyDecoder) Order(mirror.Item) (rollout.Order, error) { return rollout.Order{}, nil }
+func (keyDecoder) RolloutOrder(mirror.Item) (rollout.Order, error) { return rollout.Order{}, nil }
 
-func (keyDecoder) Record(mirror.Item) (rollout.Record, error) { return rollout.Record{}, nil }
+func (keyDecoder) RolloutRecord(mirror.Item) (rollout.Record, error) { return rollout.Record{}, nil }
 
-func (keyDecoder) Quarantined(string) (quarantine.Content, error) { return quarantine.Content{}, nil }
+func (keyDecoder) QuarantinedContent(string) (quarantine.Content, error) {
+	return quarantine.Content{}, nil
+}
 
-func (keyDecoder) Quarantine(mirror.Item) (quarantine.Known, error) { return quarantine.Known{}, nil }
+func (keyDecoder) QuarantineRecord(mirror.Item) (quarantine.StoredRecord, error) {
+	return quarantine.StoredRecord{}, nil
+}
 
 func (keyDecoder) CordonedZone(string) string    { return "" }
 func (keyDecoder) NodePrefix() string            { return "node/" }
-func (keyDecoder) Node(key string) string        { return key }
+func (keyDecoder) NodeName(key string) string    { return key }
 func (keyDecoder) NodeKey(name, _ string) string { return "node/" + name }
 
 func (keyDecoder) Kind(key string) Kind {
@@ -50,13 +54,13 @@
 }
 
 func (keyDecoder) Config(item mirror.Item) (*route.Config, error) {
-	served := string(item.Value)
+	service := string(item.Value)
 	return &route.Config{
 		Version:  item.Revision,
-		Services: []route.Service{{Name: served}},
+		Services: []route.Service{{Name: service}},
 		Routes: []route.Route{{
 			Name: "all", Host: "host", Prefix: "/", Repeatable: true, Timeout: time.Second, MaxAttempts: 1,
-			Targets: []route.Target{{Service: served, Weight: 1}},
+			Targets: []route.Target{{Service: service, Weight: 1}},
 		}},
 	}, nil
 }
@@ -69,7 +73,7 @@
 	return registry.Leaf{ID: service, Service: service, Address: address, Slots: 1, Revision: item.Revision}, nil
 }
 
-// servingLeaves answer each attempt.
+// servingLeaves answers each attempt.
 type servingLeaves struct{}
 
 func (servingLeaves) Execute(_ context.Context, attempt scatter.Attempt[*forward.Request]) (*scatter.Response[forward.Part], error) {
@@ -79,69 +83,70 @@
 	}, nil
 }
 
-// onLine calls a function at each log line.
-type onLine struct{ call func() }
+// logHook calls a function for each log line.
+type logHook struct{ handle func() }
 
-func (onLine) Enabled(context.Context, slog.Level) bool    { return true }
-func (h onLine) Handle(context.Context, slog.Record) error { h.call(); return nil }
-func (h onLine) WithAttrs([]slog.Attr) slog.Handler        { return h }
-func (h onLine) WithGroup(string) slog.Handler             { return h }
+func (logHook) Enabled(context.Context, slog.Level) bool    { return true }
+func (h logHook) Handle(context.Context, slog.Record) error { h.handle(); return nil }
+func (h logHook) WithAttrs([]slog.Attr) slog.Handler        { return h }
+func (h logHook) WithGroup(string) slog.Handler             { return h }
 
-// TestNodeIsReadyOnlyWithLeaves sends a request at each moment of the reading of a
-// store at which a line is logged: a node that says it is ready knows the leaves
-// of the configuration in force, and refuses nothing for want of them.
-func TestNodeIsReadyOnlyWithLeaves(t *testing.T) {
+// TestReadyNodeHasLeavesOfConfiguration guards against a node that reports that it is ready while
+// the leaves of the configuration in force are not published yet: it would refuse requests for want
+// of leaves. A request is sent at each line that is logged while the store is read.
+func TestReadyNodeHasLeavesOfConfiguration(t *testing.T) {
 	var n *Node
-	asking, served, published := false, 0, 0
-	logger := slog.New(onLine{call: func() {
-		if asking || !n.ready() {
+	executing, served, publications := false, 0, 0
+	logger := slog.New(logHook{handle: func() {
+		if executing || !n.isReady() {
 			return
 		}
-		asking = true
-		defer func() { asking = false }()
+		executing = true
+		defer func() { executing = false }()
 		answer := n.Execute(t.Context(), &forward.Request{ID: "r", Host: "host", Path: "/"})
 		if answer.Fate != forward.FateAnswered {
-			t.Errorf("a node that is ready refuses: %+v", answer)
+			t.Errorf("request to a ready node: got answer %+v, want fate %q", answer, forward.FateAnswered)
 			return
 		}
 		served++
 	}})
 	n = New(settings.Defaults(), Ports{
-		Decoder:  keyDecoder{},
-		Leaves:   servingLeaves{},
-		OnLeaves: func([]LeafShare) { published++ },
+		Decoder:      keyDecoder{},
+		Leaves:       servingLeaves{},
+		OnLeafShares: func([]LeafShare) { publications++ },
 	}, telemetry.NewRegistry("test"), logger)
 	sink := n.follower
 	sink.Replace([]mirror.Item{
 		{Key: "config", Value: []byte("desk"), Revision: 2},
 		{Key: "leaf/desk", Revision: 1},
-	}, mirror.Reading{})
-	if served == 0 || published != 1 {
-		t.Errorf("after the first reading %d served, %d topologies", served, published)
+	}, mirror.ReadInfo{})
+	if served == 0 || publications != 1 {
+		t.Errorf("after the first read: got %d requests answered, %d topologies published; want at least 1 and exactly 1", served, publications)
 	}
 	served = 0
 	sink.Replace([]mirror.Item{
 		{Key: "config", Value: []byte("board"), Revision: 4},
 		{Key: "leaf/board", Revision: 3},
 		{Key: "leaf/desk", Revision: 1},
-	}, mirror.Reading{Gap: true})
+	}, mirror.ReadInfo{Gap: true})
 	if served == 0 {
-		t.Error("nothing was asked after the second reading")
+		t.Error("after the second read: got no request answered, want at least 1")
 	}
 }
 
-// TestStoreIsUpFromTheFirstReading, and not from a stale copy of another node.
-func TestStoreIsUpFromTheFirstReading(t *testing.T) {
+// TestStoreUpMetricAfterFirstRead checks that a read of the store sets the metric, and that a stale
+// copy of another node does not.
+func TestStoreUpMetricAfterFirstRead(t *testing.T) {
 	for _, test := range []struct {
-		read mirror.Reading
+		read mirror.ReadInfo
 		want float64
-	}{{mirror.Reading{}, 1}, {mirror.Reading{Stale: true}, 0}} {
+	}{{mirror.ReadInfo{}, 1}, {mirror.ReadInfo{Stale: true}, 0}} {
 		n := New(settings.Defaults(), Ports{
-			Decoder: keyDecoder{}, Leaves: servingLeaves{}, OnLeaves: func([]LeafShare) {},
+			Decoder: keyDecoder{}, Leaves: servingLeaves{}, OnLeafShares: func([]LeafShare) {},
 		}, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
 		n.follower.Replace([]mirror.Item{{Key: "leaf/desk", Revision: 1}}, test.read)
 		if got := testutil.ToFloat64(n.metrics.storeUp); got != test.want {
-			t.Errorf("%+v: %v, want %v", test.read, got, test.want)
+			t.Errorf("store_up after a read with %+v: got %v, want %v", test.read, got, test.want)
 		}
 	}
 }
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -14,16 +14,16 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// topologyConsumer gets each topology, and the bounds that go with it. It is a
-// scatter.Conn.
+// topologyConsumer receives each topology and the limits that belong to it. It is implemented by
+// scatter.QueryRunner.
 type topologyConsumer interface {
 	ResizeBudgets(bounds func(shard int) hedge.Bounds)
 	SetProbeInterval(interval time.Duration)
 	SetTopology(topology dispatch.Topology)
 }
 
-// rolloutStages says which leaves the roll-outs allow, and gives out what this node
-// may send to new versions. The caller holds the mutex of the view.
+// rolloutStages returns the stages of the rollouts, and hands out the allowances by which this node
+// may send attempts to new versions. The caller holds the mutex of the view.
 type rolloutStages interface {
 	stages() map[string]registry.Stage
 	setAllowances(members []roster.Member)
@@ -44,8 +44,8 @@
 	onLeaves func([]LeafShare)
 }
 
-// publisher hands what a node knows of leaves and nodes to the parts that use it: the
-// leaves as a topology, and the share of this node in what all nodes have together.
+// publisher passes the node's view to the parts that use it: the leaves as a topology, and this
+// node's share of the limits that all nodes have in common.
 type publisher struct {
 	subscribers
 	settings settings.Settings
@@ -55,70 +55,71 @@
 	config   interface{ Table() *route.Table }
 	metrics  *metrics
 	roles    executors.Assigner
-	// expiry publishes again when the next leaf is not doubted any more.
-	expiry *time.Timer
+	// expiryTimer publishes again when the next delayed removal of a leaf takes effect.
+	expiryTimer *time.Timer
 }
 
-// start returns p with what it needs to publish by itself.
+// start completes p, so that it can publish by its timer.
 func (p *publisher) start() *publisher {
 	p.roles = executors.Assigner{EqualNodes: p.settings.Forward.EqualNodes}
-	p.expiry = time.AfterFunc(time.Hour, p.publish) // any time: it runs once it is reset
-	p.expiry.Stop()
+	p.expiryTimer = time.AfterFunc(time.Hour, p.publish) // the duration does not matter, Reset sets it
+	p.expiryTimer.Stop()
 	return p
 }
 
-// stop ends the publication by time.
-func (p *publisher) stop() { p.expiry.Stop() }
+// stop ends the publication by the timer.
+func (p *publisher) stop() { p.expiryTimer.Stop() }
 
-// publish publishes what the view holds now.
+// publish publishes the current view.
 func (p *publisher) publish() {
 	p.view.mutex.Lock()
 	defer p.view.mutex.Unlock()
 	p.publishLocked()
 }
 
-// publishLocked drops the leaves whose doubt has ended, and publishes the others. The
-// caller holds the mutex of the view.
+// publishLocked drops the leaves whose removal is due, and publishes the others. The caller holds
+// the mutex of the view.
 func (p *publisher) publishLocked() {
 	now := p.view.clock.Now()
-	_, next := p.view.leaves.Expire(now)
-	if next > 0 {
-		p.expiry.Reset(max(next-p.view.clock.Now(), 0))
+	_, nextExpiry := p.view.leaves.Expire(now)
+	if nextExpiry > 0 {
+		p.expiryTimer.Reset(max(nextExpiry-p.view.clock.Now(), 0))
 	}
 	nodes := p.view.nodes.Count(now)
 	p.metrics.nodes.Set(float64(nodes))
 	p.quarantine.setNodes(nodes)
-	topology := p.topology()
+	topology := p.buildTopology()
 	members := p.view.nodes.Members(p.view.clock.Now())
 	p.rollouts.setAllowances(members)
 	roles := p.roles.Assign(p.self, members)
-	p.delegate.SetRoles(roles, p.terms.now())
+	p.delegate.SetRoles(roles, p.terms.current())
 	p.combine.SetMembers(roles.Combiners(members))
 	p.setWatchers(members)
-	divided := share.Of(roles, members, nodes)
-	p.dispatcher.ResizeBudgets(p.budgets(roles, members, nodes))
-	p.dispatcher.SetProbeInterval(divided.ProbeInterval())
+	nodeShare := share.ForConnections(roles, members, nodes)
+	p.dispatcher.ResizeBudgets(p.budgetsByShard(roles, members, nodes))
+	p.dispatcher.SetProbeInterval(nodeShare.ProbeInterval())
 	p.boundColdLeaves(&topology, roles, members)
-	p.onLeaves(p.shareLeaves(&topology, divided))
+	p.onLeaves(p.shareLeaves(&topology, nodeShare))
 	p.dispatcher.SetTopology(topology)
 }
 
-// topology returns the leaves as the roll-outs and the zones out of service allow.
-func (p *publisher) topology() dispatch.Topology {
+// buildTopology returns the leaves that rollouts and cordons permit, and updates the gauges of
+// leaves and cordoned zones.
+func (p *publisher) buildTopology() dispatch.Topology {
 	p.view.leaves.SetStages(p.rollouts.stages())
 	topology := p.view.leaves.Topology()
 	p.metrics.leaves.Set(float64(len(topology.Leaves)))
 	cordoned := p.view.leaves.Cordoned()
 	p.terms.setCordoned(cordoned)
-	p.metrics.cordoned.Set(float64(len(cordoned)))
+	p.metrics.zonesCordoned.Set(float64(len(cordoned)))
 	return topology
 }
 
-// setWatchers says which nodes watch the store for the others.
+// setWatchers selects the nodes that watch the store for all nodes.
 func (p *publisher) setWatchers(members []roster.Member) {
 	watching := false
 	var others []netip.AddrPort
-	for _, watcher := range roster.Preferred(p.self, roster.Watchers(members, p.settings.Peers.Seeds...)) {
+	for _, watcher := range roster.OrderByZone(p.self, roster.SelectWatchers(members, p.settings.Peers.Seeds...)) {
 		if watcher.Name == p.self.Name {
 			watching = true
 			continue
--- a/internal/edge/node/quarantine.go
+++ b/internal/edge/node/quarantine.go
@@ -19,45 +19,46 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// announcedLeaves says which of some starts of leaves are announced now. It is a view.
-type announcedLeaves interface {
-	announced(starts []string) map[string]bool
+// announcementView reports which incarnations of leaves are announced now. It is implemented by
+// view.
+type announcementView interface {
+	findAnnounced(incarnations []string) map[string]bool
 }
 
-// quarantineDriver keeps requests under which leaves crash from the leaves, by what all
-// nodes know of them together. Package quarantine decides. It implements
-// forward.Quarantine and is safe for concurrent use.
+// quarantineDriver keeps requests that crash leaves away from them, by what all nodes have observed
+// together. Package quarantine has the rules. It implements forward.Quarantine and is safe for
+// concurrent use.
 type quarantineDriver struct {
 	store     Quarantine
-	announced announcedLeaves
+	announced announcementView
 	clock     clock.Clock
 	logger    *slog.Logger
 	enabled   bool
-	// minCrashes is how many leaves have to crash under a request.
+	// minCrashes is the number of leaves that must crash under a request before it is suspected.
 	minCrashes int
 	lease      *lease.Shared
 	metrics    *quarantineMetrics
-	// wake wakes the writer when there is something to write.
+	// wake signals the writer that there are changes to write.
 	wake chan struct{}
-	// storeAway is set while the store does not answer.
-	storeAway atomic.Bool
+	// storeUnavailable is set while the store does not answer.
+	storeUnavailable atomic.Bool
 
 	mutex sync.Mutex
 	table *quarantine.Table
-	// changed is closed with each change of the table.
+	// changed is closed and replaced at each change of the table.
 	changed    chan struct{}
-	recent     *quarantine.Recent
-	background quarantine.Background
+	recent     *quarantine.RecentAnswers
+	background quarantine.BackgroundRate
 }
 
 var _ forward.Quarantine = (*quarantineDriver)(nil)
 
-// newQuarantineDriver returns the driver of a node by name. It admits everything if it has
-// no store, or if the settings name no number of leaves.
-func newQuarantineDriver(name string, from settings.Forward, store Quarantine, announced announcedLeaves, clock clock.Clock, logger *slog.Logger, registerer prometheus.Registerer) *quarantineDriver {
+// newQuarantineDriver returns the driver of the named node. It admits every request if there is no
+// store, or if the settings set no number of crashes.
+func newQuarantineDriver(name string, configured settings.Forward, store Quarantine, announced announcementView, clock clock.Clock, logger *slog.Logger, registerer prometheus.Registerer) *quarantineDriver {
 	config := quarantine.DefaultConfig(name + "/" + ulid.Make().String())
-	config.MinCrashes = from.QuarantineAfter
-	config.Heartbeat = from.LeafHeartbeat.Duration()
+	config.MinCrashes = configured.QuarantineAfter
+	config.HeartbeatInterval = configured.LeafHeartbeat.Duration()
 	return &quarantineDriver{
 		store:      store,
 		announced:  announced,
@@ -70,7 +71,7 @@
 		wake:       make(chan struct{}, 1),
 		table:      quarantine.NewTable(config),
 		changed:    make(chan struct{}),
-		recent:     quarantine.NewRecent(),
+		recent:     quarantine.NewRecentAnswers(),
 	}
 }
 
@@ -80,7 +81,7 @@
 		return forward.Admission{}
 	}
 	for range quarantine.MaxTrialWrites {
-		decision := q.await(ctx, content)
+		decision := q.awaitDecision(ctx, content)
 		switch decision.Verdict {
 		case quarantine.Run:
 			return forward.Admission{}
@@ -91,16 +92,17 @@
 		if err == nil {
 			return forward.Admission{Verdict: quarantine.Trial}
 		}
-		if !errors.Is(err, ErrOvertaken) {
+		if !errors.Is(err, ErrConflict) {
 			break
 		}
 	}
-	return q.refuse(quarantine.Decision{RetryAfter: retryafter.Unknown})
+	return q.refuse(quarantine.Decision{RetryAfter: retryafter.StoreReadDelay})
 }
 
-// await decides on a request once no trial of it is running, or after a while. Otherwise
-// its client would spend a retry on what is known in a moment.
-func (q *quarantineDriver) await(ctx context.Context, content quarantine.Content) quarantine.Decision {
+// awaitDecision decides on a request once no trial of it is running, or after the decision's retry
+// delay. Without the wait, the client would spend a retry on an answer that is known a moment
+// later.
+func (q *quarantineDriver) awaitDecision(ctx context.Context, content quarantine.Content) quarantine.Decision {
 	decision, changed := q.admit(content)
 	if !decision.TrialRunning {
 		return decision
@@ -120,8 +122,8 @@
 	return decision
 }
 
-// admit decides on a request at present, and returns what is closed with the next
-// change.
+// admit returns the current decision on a request, and a channel that is closed at the next change
+// of the table.
 func (q *quarantineDriver) admit(content quarantine.Content) (quarantine.Decision, <-chan struct{}) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -137,19 +139,20 @@
 	return refusal
 }
 
-// beginTrial writes that a trial begins, if that is to be written.
+// beginTrial writes the start of a trial to the store, unless trials are not written in the present
+// state of the store.
 func (q *quarantineDriver) beginTrial(ctx context.Context, change quarantine.Change) error {
-	if !quarantine.WritesTrial(q.storeAway.Load()) {
+	if !quarantine.MustWriteTrial(q.storeUnavailable.Load()) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantine.TrialWriteTimeout)
 	defer cancel()
-	return q.write(ctx, change, func() { q.table.Withdraw(change.Content) })
+	return q.write(ctx, change, func() { q.table.CancelTrial(change.Content) })
 }
 
-// tableChanged wakes those that wait for a change of the table, and counts what is in it. The
-// caller holds the mutex.
-func (q *quarantineDriver) tableChanged() {
+// notifyTableChange wakes the goroutines that wait for a change of the table, and updates the
+// gauges. The caller holds the mutex.
+func (q *quarantineDriver) notifyTableChange() {
 	close(q.changed)
 	q.changed = make(chan struct{})
 	known, held := q.table.Len()
--- a/internal/edge/node/quarantine_metrics.go
+++ b/internal/edge/node/quarantine_metrics.go
@@ -7,7 +7,7 @@
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// quarantineMetrics are those of requests under which leaves crash.
+// quarantineMetrics holds the metrics of requests that crash leaves.
 type quarantineMetrics struct {
 	known   prometheus.Gauge
 	held    prometheus.Gauge
@@ -15,47 +15,48 @@
 	trials  *prometheus.CounterVec
 	refused *prometheus.CounterVec
 	writes  *prometheus.CounterVec
-	// void counts losses that were no crash, and survived leaves that lived on.
-	void     prometheus.Counter
-	survived prometheus.Counter
+	// voidLosses counts lost connections that do not count as crashes.
+	voidLosses prometheus.Counter
+	// survivors counts leaves that turned out to be alive after they had been reported as crashed.
+	survivors prometheus.Counter
 }
 
 func newQuarantineMetrics(registerer prometheus.Registerer) *quarantineMetrics {
-	create := telemetry.NewFactory(registerer)
+	factory := telemetry.NewFactory(registerer)
 	return &quarantineMetrics{
-		known: create.Gauge("micaplank_quarantine_known",
-			"Requests that are known to have lost leaves without an answer, those that are held among them."),
-		held: create.Gauge("micaplank_quarantine_held",
-			"Requests that get no leaf, since their trials ended with their leaves."),
-		reports: create.Counters("micaplank_quarantine_reports_total",
-			"Requests that ended without an answer and with leaves that ended under them, by result: kept, or left (nothing new, or too many at once).",
+		known: factory.Gauge("micaplank_quarantine_known",
+			"Requests under which leaves were lost and that were not answered, including those that are held."),
+		held: factory.Gauge("micaplank_quarantine_held",
+			"Requests that are sent to no leaf, because leaves crashed in their trials."),
+		reports: factory.CounterVec("micaplank_quarantine_reports_total",
+			"Requests that ended without an answer after leaves crashed under them, by result: kept, or left (nothing new, or too many at once).",
 			"result"),
-		trials: create.Counters("micaplank_quarantine_trials_total",
-			"Requests tried on one leaf alone, by result: answered, ended (the leaf did) or open.",
+		trials: factory.CounterVec("micaplank_quarantine_trials_total",
+			"Requests tried on a single leaf, by result: answered, ended (the leaf crashed) or open.",
 			"result"),
-		refused: create.Counters("micaplank_quarantine_refused_total",
-			"Requests refused without a leaf, by reason: quarantined (held) or trial (one is under way, or was a moment ago).",
+		refused: factory.CounterVec("micaplank_quarantine_refused_total",
+			"Requests refused without being sent to a leaf, by reason: quarantined (held) or trial (one is running or has just ended).",
 			"reason"),
-		writes: create.Counters("micaplank_quarantine_writes_total",
-			"Changes of records in the store, by result: written, overtaken or failed.",
+		writes: factory.CounterVec("micaplank_quarantine_writes_total",
+			"Changes of quarantine records in the store, by result: written, overtaken or failed.",
 			"result"),
-		void: create.Counter("micaplank_quarantine_void_losses_total",
-			"Connections that leaves closed or reset before a byte of an answer, and that count as no crash: the leaf had been lost before the attempt was sent, and had not answered since."),
-		survived: create.Counter("micaplank_quarantine_survivors_total",
-			"Leaves that were seen to live on after it was said that they ended under a request."),
+		voidLosses: factory.Counter("micaplank_quarantine_void_losses_total",
+			"Connections that leaves closed or reset before the first byte of an answer, and that do not count as a crash: the leaf had been lost before the attempt was sent, and had not answered since."),
+		survivors: factory.Counter("micaplank_quarantine_survivors_total",
+			"Leaves that were seen alive after they had been reported as crashed under a request."),
 	}
 }
 
-// reported counts a report; news says that it brought some.
-func (m *quarantineMetrics) reported(news bool) {
-	if news {
+// countReport counts a report by whether it added anything to the table.
+func (m *quarantineMetrics) countReport(added bool) {
+	if added {
 		m.reports.WithLabelValues("kept").Inc()
 		return
 	}
 	m.reports.WithLabelValues("left").Inc()
 }
 
-// trialResult says how a trial ended.
+// trialResult returns the label for the end of a trial.
 func trialResult(crashes []quarantine.Crash, answered bool) string {
 	switch {
 	case answered:
--- a/internal/edge/node/rollout.go
+++ b/internal/edge/node/rollout.go
@@ -23,8 +23,8 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// rolloutDispatcher sends attempts to leaves of a new version by allowances; it is a
-// scatter.Conn.
+// rolloutDispatcher sends attempts to leaves of a new version within allowances. It is implemented
+// by scatter.QueryRunner.
 type rolloutDispatcher interface {
 	SetAllowance(shard int, allowance *rollout.Allowance)
 	Grant(shard int, until dispatch.Time)
@@ -32,7 +32,7 @@
 	InFlightAt(selects func(boot string) bool) int
 }
 
-// rolloutPorts is what a rolloutDriver uses of a node.
+// rolloutPorts are the dependencies of a rolloutDriver.
 type rolloutPorts struct {
 	self       roster.Member
 	clock      clock.Clock
@@ -44,16 +44,16 @@
 	peers      interface {
 		Call(ctx context.Context, to netip.AddrPort, method string, request, response any) error
 	}
-	// publish publishes the view. It is called with the mutex of the view held.
+	// publish publishes the view. The caller holds the mutex of the view.
 	publish func()
-	// mayDecide reports whether this node is one that may decide on roll-outs.
+	// mayDecide reports whether this node may decide on rollouts now.
 	mayDecide func() bool
 }
 
-// rolloutDriver does what a node does for roll-outs: it gives the Dispatcher its
-// allowances, counts attempts, reports them to the node that decides, and, as that one,
-// takes the steps. Package rollout decides. The mutex of the view guards the fields,
-// unless they say otherwise; the methods say if they lock it.
+// rolloutDriver is a node's part in rollouts: it sets the allowances of the Dispatcher, counts
+// attempts, reports the counts to the deciding node, and, if it is the decider itself, writes the
+// steps. Package rollout has the rules. The mutex of the view guards the fields unless a field says
+// otherwise; each method documents whether it locks that mutex.
 type rolloutDriver struct {
 	rolloutPorts
 	enabled bool
@@ -65,35 +65,36 @@
 	table   *rollout.Table
 	counter *rollout.Counter
 	decider *rollout.Decider
-	// allowances are those of the services with an order that is open.
+	// allowances holds the allowances of the services with an open order.
 	allowances map[string]allowance
-	// open is set while there are roll-outs with steps left; it needs no mutex.
+	// open is set while a rollout has steps left; it is accessed without the mutex.
 	open atomic.Bool
-	// wake wakes the reporter when the first of them comes.
+	// wake signals the reporting loop that a rollout has opened.
 	wake chan struct{}
 
-	// reports chooses the node to report to. That was reportedTo the last time, and
-	// reportFailure is how it failed; nil if it did not.
-	reports       *rollout.Reporting
-	reportedTo    string
+	// reporting chooses the node to report to.
+	reporting *rollout.DeciderSelector
+	// reportedTo is the node that received the last report.
+	reportedTo string
+	// reportFailure is the error of the last report; nil if it succeeded.
 	reportFailure error
-	// writing holds the services whose step is being written.
+	// writing holds the services whose next step is being written.
 	writing map[string]bool
-	// nextTick is when roll-outs are judged again at the earliest: rollout.TickPause.
+	// nextTick is the earliest time of the next decision on steps; see rollout.TickPause.
 	nextTick time.Duration
-	// unwritableUntil is until when this node counts the store as one that rejects its
-	// writes.
+	// unwritableUntil is the time until which this node assumes that the store rejects its writes,
+	// and does not decide.
 	unwritableUntil time.Duration
 }
 
-// allowance says for which order the Dispatcher has an Allowance.
+// allowance records the order for which the Dispatcher has an allowance.
 type allowance struct {
 	order uint64
 	burst bool
 }
 
-func newRolloutDriver(ports rolloutPorts, from settings.Forward, registerer prometheus.Registerer) *rolloutDriver {
-	bounds := rollout.Bounds{Ratio: from.CanaryRatio, Slack: from.CanarySlack}
+func newRolloutDriver(ports rolloutPorts, configured settings.Forward, registerer prometheus.Registerer) *rolloutDriver {
+	bounds := rollout.Bounds{Ratio: configured.CanaryRatio, Slack: configured.CanarySlack}
 	table := rollout.NewTable()
 	incarnation := ports.self.Name + "/" + ulid.Make().String()
 	return &rolloutDriver{
@@ -107,40 +108,41 @@
 		decider:      rollout.NewDecider(table, incarnation),
 		allowances:   make(map[string]allowance),
 		wake:         make(chan struct{}, 1),
-		reports:      rollout.NewReporting(),
+		reporting:    rollout.NewDeciderSelector(),
 		writing:      make(map[string]bool),
 	}
 }
 
-func (r *rolloutDriver) logPhase(known *rollout.Rollout) {
+func (r *rolloutDriver) logPhase(state *rollout.Rollout) {
 	event.Log(r.logger, event.RolloutChanged{
-		Service: known.Record.Service, Version: known.Record.Version, Phase: string(known.Phase()),
-		Reason: known.Record.Reason, Age: known.Age(r.clock.Now()).Round(time.Millisecond), Order: known.Order.Revision,
+		Service: state.Record.Service, Target: state.Record.Version, Phase: string(state.Phase()),
+		Reason: state.Record.Reason, Age: state.Age(r.clock.Now()).Round(time.Millisecond), Order: state.Order.Revision,
 	})
 }
 
-// tableChanged follows a change of the table. The caller holds the mutex of the view.
-func (r *rolloutDriver) tableChanged() {
-	open := r.table.Open()
+// applyTableChange updates everything that depends on the set of open rollouts. The caller holds
+// the mutex of the view.
+func (r *rolloutDriver) applyTableChange() {
+	open := r.table.OpenServices()
 	r.metrics.open.Set(float64(len(open)))
 	r.open.Store(len(open) > 0)
 	orders := make(map[string]uint64, len(open))
 	for _, service := range open {
-		orders[service] = r.table.Of(service).Order.Revision
+		orders[service] = r.table.Lookup(service).Order.Revision
 	}
 	r.counter.Retain(orders)
 	if len(open) == 0 {
-		r.reports.Forget()
+		r.reporting.Reset()
 		return
 	}
 	select {
 	case r.wake <- struct{}{}:
-	default: // it is awake
+	default: // the loop is already signalled
 	}
 }
 
-// stages returns the roll-outs as the registry takes them; nil without any. The
-// caller holds the mutex of the view.
+// stages returns the rollouts in the form that the registry takes; nil without rollouts. The caller
+// holds the mutex of the view.
 func (r *rolloutDriver) stages() map[string]registry.Stage {
 	services := r.table.Services()
 	if len(services) == 0 {
@@ -148,24 +150,24 @@
 	}
 	stages := make(map[string]registry.Stage, len(services))
 	for _, service := range services {
-		known := r.table.Of(service)
-		if known.Version() == "" {
+		state := r.table.Lookup(service)
+		if state.Version() == "" {
 			continue
 		}
 		stages[service] = registry.Stage{
-			Order: known.Order.Revision, Version: known.Version(), Phase: known.Phase(), Recorded: known.Record.Revision,
+			Order: state.Order.Revision, Version: state.Version(), Phase: state.Phase(), Recorded: state.Record.Revision,
 		}
 	}
 	return stages
 }
 
-// setAllowances hands the Dispatcher the allowances of this node: all that take part
-// divide the slack. The caller holds the mutex of the view.
+// setAllowances sets the Dispatcher's allowances for this node. The participating nodes divide the
+// slack among them. The caller holds the mutex of the view.
 func (r *rolloutDriver) setAllowances(members []roster.Member) {
-	open := r.table.Open()
+	open := r.table.OpenServices()
 	for service := range r.allowances {
-		if !slices.Contains(open, service) || r.table.Of(service).Phase().Shifted() {
-			r.dispatcher.SetAllowance(r.view.index.Of(service), nil)
+		if !slices.Contains(open, service) || r.table.Lookup(service).Phase().Shifted() {
+			r.dispatcher.SetAllowance(r.view.index.Assign(service), nil)
 			delete(r.allowances, service)
 		}
 	}
@@ -173,89 +175,89 @@
 		return
 	}
 	participants := rollout.Participants(members)
-	if !rollout.HasAllowance(r.self.Name, participants) {
+	if !rollout.MaySpend(r.self.Name, participants) {
 		return
 	}
 	for _, service := range open {
-		known := r.table.Of(service)
-		if known.Order.Revision != 0 && !known.Phase().Shifted() {
-			r.allow(known, len(participants))
+		state := r.table.Lookup(service)
+		if state.Order.Revision != 0 && !state.Phase().Shifted() {
+			r.giveAllowance(state, len(participants))
 		}
 	}
 }
 
-// allow gives an order its allowance, and lets it burst in time.
-func (r *rolloutDriver) allow(known *rollout.Rollout, participants int) {
-	service, order := known.Order.Service, known.Order.Revision
-	given := r.allowances[service]
-	if given.order != order {
-		part := rollout.PartOfSlack(participants, known.Found)
+// giveAllowance sets the allowance of an order, and starts its burst once it reaches that phase.
+func (r *rolloutDriver) giveAllowance(state *rollout.Rollout, participants int) {
+	service, order := state.Order.Service, state.Order.Revision
+	issued := r.allowances[service]
+	if issued.order != order {
+		part := rollout.SlackShare(participants, state.FoundAtStart)
 		now := r.clock.Now()
-		deadline := now - known.Age(now) + known.Order.Duration
-		r.dispatcher.SetAllowance(r.view.index.Of(service), rollout.NewAllowance(r.bounds, part, deadline, rand.Float64))
-		given = allowance{order: order}
+		deadline := now - state.Age(now) + state.Order.Duration
+		r.dispatcher.SetAllowance(r.view.index.Assign(service), rollout.NewAllowance(r.bounds, part, deadline, rand.Float64))
+		issued = allowance{order: order}
 	}
-	if known.Phase() == rollout.PhaseBurst && !given.burst {
-		r.dispatcher.Burst(r.view.index.Of(service))
-		given.burst = true
+	if state.Phase() == rollout.PhaseBurst && !issued.burst {
+		r.dispatcher.Burst(r.view.index.Assign(service))
+		issued.burst = true
 	}
-	r.allowances[service] = given
+	r.allowances[service] = issued
 }
 
-// observe counts the attempts of a request, if their services are being rolled
-// out. It locks the mutex of the view.
-func (r *rolloutDriver) observe(answer forward.Answer, took time.Duration) {
+// observe counts the attempts of a request whose services are being rolled out. It locks the mutex
+// of the view.
+func (r *rolloutDriver) observe(answer forward.Answer, duration time.Duration) {
 	if !r.open.Load() {
 		return
 	}
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	for index := range answer.Attempts {
-		r.count(&answer, &answer.Attempts[index], took)
+		r.countAttempt(&answer, &answer.Attempts[index], duration)
 	}
 }
 
-// count counts one attempt of a request.
-func (r *rolloutDriver) count(answer *forward.Answer, attempt *scatter.AttemptTrace, took time.Duration) {
+// countAttempt counts one attempt of a request. The caller holds the mutex of the view.
+func (r *rolloutDriver) countAttempt(answer *forward.Answer, attempt *scatter.AttemptTrace, duration time.Duration) {
 	service := r.view.index.Name(attempt.Shard)
-	known := r.table.Of(service)
-	if known == nil || !known.Open() || known.Order.Revision == 0 {
+	state := r.table.Lookup(service)
+	if state == nil || !state.IsOpen() || state.Order.Revision == 0 {
 		return
 	}
-	version, zone, listed := r.view.leaves.Version(attempt.BootID)
-	if !listed {
-		return // it left while it ran
+	version, zone, exists := r.view.leaves.VersionAndZone(attempt.BootID)
+	if !exists {
+		return // the leaf was removed while the attempt ran
 	}
 	subject := rollout.Subject{
-		Service: service, Order: known.Order.Revision, Route: answer.Route,
-		Target: version == known.Order.Version, Zone: zone, Leaf: attempt.BootID,
+		Service: service, Order: state.Order.Revision, Route: answer.Route,
+		Target: version == state.Order.Version, Zone: zone, Leaf: attempt.BootID,
 	}
 	switch {
 	case attempt.End == scatter.EndOpen && answer.Reason == dispatch.ReasonCancelled:
-		return // its client left: that says nothing of the leaf
+		return // the client cancelled, which says nothing about the leaf
 	case attempt.End == scatter.EndOpen:
-		r.counter.Took(subject, took-attempt.At)
+		r.counter.CountDuration(subject, duration-attempt.SentAfter)
 	case attempt.End == scatter.EndAnswered, attempt.Aborted:
-		r.counter.Took(subject, attempt.Took)
+		r.counter.CountDuration(subject, attempt.Duration)
 	default:
-		r.counter.Failed(subject)
+		r.counter.CountFailure(subject)
 	}
 	if attempt.Cause == dispatch.CauseNeeded {
-		r.counter.First(subject, overtaken(answer, attempt))
+		r.counter.CountFirst(subject, overtakenAfter(answer, attempt))
 	}
 	r.metrics.count(subject, attempt)
 }
 
-// overtaken returns how long an attempt was open when a later one at its shard was answered;
-// zero if none was.
-func overtaken(answer *forward.Answer, attempt *scatter.AttemptTrace) time.Duration {
+// overtakenAfter returns how long an attempt had been open when a later attempt at the same shard
+// was answered; zero if none was.
+func overtakenAfter(answer *forward.Answer, attempt *scatter.AttemptTrace) time.Duration {
 	if attempt.End != scatter.EndOpen && !attempt.Aborted {
 		return 0
 	}
 	for index := range answer.Attempts {
 		other := &answer.Attempts[index]
-		if other.Shard == attempt.Shard && other.At > attempt.At && other.End == scatter.EndAnswered {
-			return other.At + other.Took - attempt.At
+		if other.Shard == attempt.Shard && other.SentAfter > attempt.SentAfter && other.End == scatter.EndAnswered {
+			return other.SentAfter + other.Duration - attempt.SentAfter
 		}
 	}
 	return 0
--- a/internal/edge/node/rollout_store.go
+++ b/internal/edge/node/rollout_store.go
@@ -8,35 +8,35 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// rolloutItems is what a reading of the store holds of roll-outs.
+// rolloutItems holds the orders and records of one full read of the store.
 type rolloutItems struct {
 	orders  []rollout.Order
 	records []rollout.Record
 }
 
-// decode decodes the roll-outs of a reading. It needs no mutex.
+// decode decodes the rollouts of a full read. It works without the mutex of the view.
 func (r *rolloutDriver) decode(items []mirror.Item) rolloutItems {
-	var all rolloutItems
+	var decoded rolloutItems
 	if !r.enabled {
-		return all
+		return decoded
 	}
 	for _, item := range items {
 		switch r.decoder.Kind(item.Key) {
-		case KindOrder:
-			if order, ok := r.order(item); ok {
-				all.orders = append(all.orders, order)
+		case KindRolloutOrder:
+			if order, ok := r.decodeOrder(item); ok {
+				decoded.orders = append(decoded.orders, order)
 			}
-		case KindRecord:
-			if record, ok := r.record(item); ok {
-				all.records = append(all.records, record)
+		case KindRolloutRecord:
+			if record, ok := r.decodeRecord(item); ok {
+				decoded.records = append(decoded.records, record)
 			}
 		}
 	}
-	return all
+	return decoded
 }
 
-func (r *rolloutDriver) order(item mirror.Item) (rollout.Order, bool) {
-	order, err := r.decoder.Order(item)
+func (r *rolloutDriver) decodeOrder(item mirror.Item) (rollout.Order, bool) {
+	order, err := r.decoder.RolloutOrder(item)
 	if err != nil {
 		event.Log(r.logger, event.RolloutRejected{Key: item.Key, Revision: item.Revision, Error: err})
 		return rollout.Order{}, false
@@ -44,8 +44,8 @@
 	return order, true
 }
 
-func (r *rolloutDriver) record(item mirror.Item) (rollout.Record, bool) {
-	record, err := r.decoder.Record(item)
+func (r *rolloutDriver) decodeRecord(item mirror.Item) (rollout.Record, bool) {
+	record, err := r.decoder.RolloutRecord(item)
 	if err != nil {
 		event.Log(r.logger, event.RolloutRejected{Key: item.Key, Revision: item.Revision, Error: err})
 		return rollout.Record{}, false
@@ -53,40 +53,40 @@
 	return record, true
 }
 
-// replace applies all roll-outs there are. The caller holds the mutex of the view, and
-// publishes.
-func (r *rolloutDriver) replace(all rolloutItems, stale bool) {
+// replace applies the rollouts of a full read. The caller holds the mutex of the view, and
+// publishes afterwards.
+func (r *rolloutDriver) replace(decoded rolloutItems, stale bool) {
 	if !r.enabled {
 		return
 	}
-	former := r.phases()
-	r.table.Replace(r.clock.Now(), time.Now(), all.orders, all.records, stale)
+	previousPhases := r.phases()
+	r.table.Replace(r.clock.Now(), time.Now(), decoded.orders, decoded.records, stale)
 	for _, service := range r.table.Services() {
-		if known := r.table.Of(service); known.Phase() != former[service] {
-			r.logPhase(known)
+		if state := r.table.Lookup(service); state.Phase() != previousPhases[service] {
+			r.logPhase(state)
 		}
 	}
-	r.tableChanged()
+	r.applyTableChange()
 }
 
 func (r *rolloutDriver) phases() map[string]rollout.Phase {
 	phases := make(map[string]rollout.Phase)
 	for _, service := range r.table.Services() {
-		phases[service] = r.table.Of(service).Phase()
+		phases[service] = r.table.Lookup(service).Phase()
 	}
 	return phases
 }
 
-// changeOrder applies an order, or its removal. It locks the mutex of the view, and
-// reports whether it changes anything.
-func (r *rolloutDriver) changeOrder(changed mirror.Event) bool {
+// applyOrderEvent applies an order or its removal, and reports whether the rollout changed. It
+// locks the mutex of the view.
+func (r *rolloutDriver) applyOrderEvent(change mirror.Event) bool {
 	if !r.enabled {
 		return false
 	}
-	service := r.decoder.OrderedService(changed.Key)
+	service := r.decoder.RolloutService(change.Key)
 	order, ok := rollout.Order{Service: service}, true
-	if !changed.Removed {
-		order, ok = r.order(changed.Item)
+	if !change.Removed {
+		order, ok = r.decodeOrder(change.Item)
 	}
 	if !ok {
 		return false
@@ -94,27 +94,27 @@
 	r.view.mutex.Lock()
 	defer r.view.mutex.Unlock()
 	applied := false
-	if changed.Removed {
+	if change.Removed {
 		applied = r.table.Withdraw(service)
 	} else {
 		applied = r.table.SetOrder(r.clock.Now(), order)
 	}
 	if applied {
 		event.Log(r.logger, event.RolloutOrdered{
-			Service: service, Version: order.Version, Duration: order.Duration, Withdrawn: changed.Removed, Revision: changed.Revision,
+			Service: service, Target: order.Version, Duration: order.Duration, Withdrawn: change.Removed, Revision: change.Revision,
 		})
-		r.tableChanged()
+		r.applyTableChange()
 	}
 	return applied
 }
 
-// changeRecord applies a record. One that is gone changes nothing. It locks the
-// mutex of the view, and reports whether the phase changes.
-func (r *rolloutDriver) changeRecord(changed mirror.Event) bool {
-	if !r.enabled || changed.Removed {
+// applyRecordEvent applies a record, and reports whether the phase changed. The removal of a record
+// changes nothing. It locks the mutex of the view.
+func (r *rolloutDriver) applyRecordEvent(change mirror.Event) bool {
+	if !r.enabled || change.Removed {
 		return false
 	}
-	record, ok := r.record(changed.Item)
+	record, ok := r.decodeRecord(change.Item)
 	if !ok {
 		return false
 	}
@@ -123,13 +123,13 @@
 	return r.setRecord(record)
 }
 
-// setRecord applies a record, and reports whether the phase changes. The caller
-// holds the mutex of the view.
+// setRecord applies a record, and reports whether the phase changed. The caller holds the mutex of
+// the view.
 func (r *rolloutDriver) setRecord(record rollout.Record) bool {
 	if !r.table.SetRecord(record) {
 		return false
 	}
-	r.logPhase(r.table.Of(record.Service))
-	r.tableChanged()
+	r.logPhase(r.table.Lookup(record.Service))
+	r.applyTableChange()
 	return true
 }
--- a/internal/edge/node/runner.go
+++ b/internal/edge/node/runner.go
@@ -10,8 +10,8 @@
 	"github.com/micaplank/micaplank/internal/edge/forward"
 )
 
-// localRunner runs requests on this node. It implements delegate.Runner for those of
-// other nodes.
+// localRunner runs requests on this node. It implements delegate.Runner for the requests of other
+// nodes.
 type localRunner struct {
 	clock     clock.Clock
 	logger    *slog.Logger
@@ -21,13 +21,13 @@
 	}
 	workload *workload
 	rollouts interface {
-		observe(answer forward.Answer, took time.Duration)
+		observe(answer forward.Answer, duration time.Duration)
 	}
 	terms *terms
 	ready func() bool
 }
 
-// execute runs a request of a caller of this node.
+// execute runs a request that this node received from its client.
 func (r *localRunner) execute(ctx context.Context, request *forward.Request) forward.Answer {
 	started := r.clock.Now()
 	answer := r.forwarder.Execute(ctx, request)
@@ -35,32 +35,32 @@
 	return answer
 }
 
-// record counts a request that took some time.
-func (r *localRunner) record(answer forward.Answer, took time.Duration) {
+// record counts a request and how long it took.
+func (r *localRunner) record(answer forward.Answer, duration time.Duration) {
 	r.workload.add(answer.Total)
-	r.rollouts.observe(answer, took)
+	r.rollouts.observe(answer, duration)
 }
 
 // Status implements delegate.Runner.
 func (r *localRunner) Status() executors.Status {
-	now := r.terms.now()
+	current := r.terms.current()
 	return executors.Status{
-		Version:   now.Version,
+		Version:   current.Version,
 		Accepting: r.workload.accepts() && r.ready(),
-		Fresh:     now.Fresh,
-		Cordoned:  now.Cordoned,
+		Fresh:     current.Fresh,
+		Cordoned:  current.Cordoned,
 	}
 }
 
 // Run implements delegate.Runner.
-func (r *localRunner) Run(ctx context.Context, from string, version uint64, request *forward.Request) (forward.Answer, bool) {
+func (r *localRunner) Run(ctx context.Context, receivedBy string, version uint64, request *forward.Request) (forward.Answer, bool) {
 	started := r.clock.Now()
-	request.Arrived = started
+	request.ArrivedAt = started
 	answer, ran := r.forwarder.ExecuteVersion(ctx, version, request)
 	if ran {
-		took := r.clock.Now() - started
-		r.record(answer, took)
-		logRequest(r.logger, request, answer, took, from)
+		duration := r.clock.Now() - started
+		r.record(answer, duration)
+		logRequest(r.logger, request, answer, duration, receivedBy)
 	}
 	return answer, ran
 }
--- a/internal/edge/node/view.go
+++ b/internal/edge/node/view.go
@@ -10,63 +10,63 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// view is what a node knows from the store of leaves, other nodes and services.
+// view is the node's knowledge of leaves, other nodes and services from the store.
 type view struct {
 	clock clock.Clock
 	index *registry.Index
 
-	// mutex guards the fields below, the roll-outs, and the publication of all of them
-	// as a topology.
+	// mutex guards the fields below, the rollouts, and the publication of all of them as a
+	// topology.
 	mutex    sync.Mutex
 	leaves   *registry.Table
 	nodes    *roster.Roster
-	services services
-	// leavesKnown is set once the Dispatcher has the leaves of a first reading.
-	leavesKnown bool
+	services servicePolicies
+	// leavesLoaded is set once the leaves of the first read are published to the Dispatcher.
+	leavesLoaded bool
 }
 
-func newView(from settings.Forward, clock clock.Clock) *view {
+func newView(configured settings.Forward, clock clock.Clock) *view {
 	index := registry.NewIndex()
 	return &view{
 		clock: clock,
 		index: index,
 		leaves: registry.NewTable(registry.Config{
-			Doubt:    from.LeafDoubt.Duration(),
-			Settling: from.LeafSettling.Duration(),
+			GracePeriod:  configured.LeafDoubt.Duration(),
+			SettlingTime: configured.LeafSettling.Duration(),
 		}, index),
-		nodes: roster.New(nodesMemory, from.ExtraNodes),
+		nodes: roster.New(nodeRetention, configured.ExtraNodes),
 	}
 }
 
-// applyServices applies what a configuration says of services and their leaves, which
-// the next topology shows. The caller holds the mutex.
+// applyServices applies what a configuration declares about services and their leaves. The next
+// topology contains the result. The caller holds the mutex.
 func (v *view) applyServices(config *route.Config) {
-	for _, declared := range config.Services {
-		v.index.Of(declared.Name)
+	for _, service := range config.Services {
+		v.index.Assign(service.Name)
 	}
 	for index := range config.Routes {
 		for _, service := range config.Routes[index].Services() {
-			v.index.Of(service)
+			v.index.Assign(service)
 		}
 	}
-	v.services = servicesOf(config)
+	v.services = newServicePolicies(config)
 	v.leaves.SetColdTimes(v.services.coldTimes)
 }
 
-// hasLeaves reports whether the Dispatcher has the leaves of a first reading.
-func (v *view) hasLeaves() bool {
+// areLeavesLoaded reports whether the leaves of the first read are published to the Dispatcher.
+func (v *view) areLeavesLoaded() bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.leavesKnown
+	return v.leavesLoaded
 }
 
-// announced implements announcedLeaves.
-func (v *view) announced(starts []string) map[string]bool {
+// findAnnounced implements announcementView.
+func (v *view) findAnnounced(incarnations []string) map[string]bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	found := make(map[string]bool, len(starts))
-	for _, start := range starts {
-		found[start] = v.leaves.Announced(start)
+	announced := make(map[string]bool, len(incarnations))
+	for _, incarnation := range incarnations {
+		announced[incarnation] = v.leaves.Announced(incarnation)
 	}
-	return found
+	return announced
 }
--- a/internal/edge/registry/cordon.go
+++ b/internal/edge/registry/cordon.go
@@ -6,32 +6,32 @@
 	"github.com/micaplank/micaplank/internal/decide/cordon"
 )
 
-// Cordon takes in that operators took a zone out of service, or put it back, by the
-// rule of package cordon. It reports whether that is news.
-func (t *Table) Cordon(now time.Duration, zone string, cordoned bool) bool {
+// SetCordon records that operators cordoned or uncordoned a zone, and applies the rule of package
+// cordon. It reports whether the state of the zone changed.
+func (t *Table) SetCordon(now time.Duration, zone string, cordoned bool) bool {
 	if !t.zones.Set(cordon.Change{Zone: zone, Cordoned: cordoned}) {
 		return false
 	}
 	if cordoned {
 		return true
 	}
-	for _, known := range t.entries {
-		if known.Zone == zone {
-			known.coldUntil = cordon.ColdUntil(known.coldUntil, now, t.coldTimes[known.Service])
+	for _, entry := range t.entries {
+		if entry.Zone == zone {
+			entry.coldUntil = cordon.ColdUntil(entry.coldUntil, now, t.coldTimes[entry.Service])
 		}
 	}
 	return true
 }
 
-// ReplaceCordons takes in all zones that are out of service, and returns those whose
-// state changed. A stale list may lack the newest changes.
+// ReplaceCordons applies the list of all cordoned zones, and returns the zones whose state changed.
+// A stale list may lack the newest changes.
 func (t *Table) ReplaceCordons(now time.Duration, zones []string, stale bool) (changed []string) {
-	for _, change := range t.zones.Changes(zones, stale) {
-		t.Cordon(now, change.Zone, change.Cordoned)
+	for _, change := range t.zones.Diff(zones, stale) {
+		t.SetCordon(now, change.Zone, change.Cordoned)
 		changed = append(changed, change.Zone)
 	}
 	return changed
 }
 
-// Cordoned returns the zones that are out of service, by name.
+// Cordoned returns the cordoned zones, sorted by name.
 func (t *Table) Cordoned() []string { return t.zones.Names() }
--- a/internal/edge/registry/incarnation.go
+++ b/internal/edge/registry/incarnation.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// bornMark stands between the id of a leaf and its start.
-const bornMark = "@"
+// startTimeSeparator stands between the ID of a leaf and its start time.
+const startTimeSeparator = "@"
 
-// Incarnation names one start of the leaf: its id, with the Unix millisecond of the
-// start where that is known. All that is learned of a leaf is learned of it.
+// Incarnation names one start of the leaf: its ID, followed by the start time in Unix milliseconds
+// if that is known. All observations of a leaf are kept per incarnation.
 func (l *Leaf) Incarnation() string {
-	born := int64(0)
-	if !l.Born.IsZero() {
-		born = l.Born.UnixMilli()
+	startMillis := int64(0)
+	if !l.StartedAt.IsZero() {
+		startMillis = l.StartedAt.UnixMilli()
 	}
-	if born == 0 && !strings.Contains(l.ID, bornMark) {
+	if startMillis == 0 && !strings.Contains(l.ID, startTimeSeparator) {
 		return l.ID
 	}
-	return l.ID + bornMark + strconv.FormatInt(born, 10)
+	return l.ID + startTimeSeparator + strconv.FormatInt(startMillis, 10)
 }
 
-// IDOf returns the id in the name of an incarnation.
-func IDOf(incarnation string) string {
-	if at := strings.LastIndex(incarnation, bornMark); at >= 0 {
-		return incarnation[:at]
+// LeafID returns the ID in the name of an incarnation.
+func LeafID(incarnation string) string {
+	if index := strings.LastIndex(incarnation, startTimeSeparator); index >= 0 {
+		return incarnation[:index]
 	}
 	return incarnation
 }
 
-// birthMemory is how long the start of a leaf is remembered whose announcement vanished.
-// Not measured: chosen because it is longer than a write can be late, or a copy of the
-// store behind.
-const birthMemory = 10 * time.Minute
+// startTimeRetention is how long the start time of a leaf is kept after its last announcement. It
+// is longer than a write can be delayed and than a copy of the store can lag behind.
+const startTimeRetention = 10 * time.Minute
 
-// births are the newest starts by the id of the leaf, also of leaves that are gone.
-type births map[string]birth
+// startTimes holds the newest start time by the ID of the leaf, also of leaves that are gone.
+type startTimes map[string]startRecord
 
-type birth struct {
-	born time.Time
-	seen time.Duration
+type startRecord struct {
+	startedAt time.Time
+	seenAt    time.Duration
 }
 
-// newest reports whether an announcement is of the newest start of its leaf that is known,
-// and remembers it. One that does not say of which start it is not, if another did.
-func (b births) newest(now time.Duration, announced Leaf) bool {
-	known, found := b[announced.ID]
-	if found && announced.Born.Before(known.born) {
+// recordNewest reports whether an announcement belongs to the newest incarnation of its leaf that
+// is known, and records its start time. An announcement without a start time does not belong to it
+// if an earlier announcement had one.
+func (s startTimes) recordNewest(now time.Duration, announced Leaf) bool {
+	newest, exists := s[announced.ID]
+	if exists && announced.StartedAt.Before(newest.startedAt) {
 		return false
 	}
-	if !announced.Born.IsZero() {
-		b[announced.ID] = birth{born: announced.Born, seen: now}
+	if !announced.StartedAt.IsZero() {
+		s[announced.ID] = startRecord{startedAt: announced.StartedAt, seenAt: now}
 	}
 	return true
 }
 
-// expire forgets the starts that were announced for the last time long ago.
-func (b births) expire(now time.Duration) {
-	for id, known := range b {
-		if now-known.seen > birthMemory {
-			delete(b, id)
+// expire drops the start times that were last announced more than startTimeRetention ago.
+func (s startTimes) expire(now time.Duration) {
+	for id, record := range s {
+		if now-record.seenAt > startTimeRetention {
+			delete(s, id)
 		}
 	}
 }
--- a/internal/edge/route/route_test.go
+++ b/internal/edge/route/route_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func sound() Route {
+func validRoute() Route {
 	return Route{
 		Name: "lookup", Host: "a.example", Prefix: "/x/", Timeout: time.Second, MaxAttempts: 1,
 		Targets: []Target{{Service: "vault", Weight: 1}},
@@ -21,9 +21,9 @@
 	for _, test := range []struct {
 		name   string
 		change func(*Route)
-		want   string // part of the error; empty for none
+		want   string // substring of the error; empty for none
 	}{
-		{"sound", func(*Route) {}, ""},
+		{"valid", func(*Route) {}, ""},
 		{"no host", func(r *Route) { r.Host = "" }, "host"},
 		{"prefix without slash", func(r *Route) { r.Prefix = "/x" }, "prefix"},
 		{"no timeout", func(r *Route) { r.Timeout = 0 }, "timeout"},
@@ -39,22 +39,22 @@
 		}, "once"},
 		{"coverage above one", func(r *Route) { r.MinCoverage = 1.5 }, "coverage"},
 	} {
-		route := sound()
+		route := validRoute()
 		test.change(&route)
 		err := (&Config{Version: 1, Routes: []Route{route}}).Validate()
 		if (err == nil) != (test.want == "") || err != nil && !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: got error %v, want one that contains %q", test.name, err, test.want)
 		}
 	}
 	if err := (&Config{}).Validate(); err == nil {
-		t.Error("version 0 is taken")
+		t.Error("version 0: got no error")
 	}
 }
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	config := &Config{Version: 1}
-	for _, declared := range [][2]string{{"a.example", "/"}, {"a.example", "/x/"}, {"a.example", "/x/y/"}, {"b.example", "/z/"}} {
-		config.Routes = append(config.Routes, Route{Name: declared[0] + declared[1], Host: declared[0], Prefix: declared[1]})
+	for _, hostAndPrefix := range [][2]string{{"a.example", "/"}, {"a.example", "/x/"}, {"a.example", "/x/y/"}, {"b.example", "/z/"}} {
+		config.Routes = append(config.Routes, Route{Name: hostAndPrefix[0] + hostAndPrefix[1], Host: hostAndPrefix[0], Prefix: hostAndPrefix[1]})
 	}
 	table := NewTable(config)
 	for _, test := range []struct{ host, path, want string }{
@@ -65,15 +65,15 @@
 		{"b.example", "/z", ""},
 		{"c.example", "/x/", ""},
 	} {
-		found, ok := table.Match(test.host, test.path)
-		if ok != (test.want != "") || ok && found.Name != test.want {
-			t.Errorf("%s%s: %+v", test.host, test.path, found)
+		matched, ok := table.Match(test.host, test.path)
+		if ok != (test.want != "") || ok && matched.Name != test.want {
+			t.Errorf("%s%s: got route %+v, want %q", test.host, test.path, matched, test.want)
 		}
 	}
 }
 
-// TestSplitterFollowsTheWeights counts any run of requests: each target is
-// within one request for each other target of its share.
+// TestSplitterFollowsTheWeights checks that after any number of requests, each target's count
+// differs from its share by at most one request for each target.
 func TestSplitterFollowsTheWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 20), 1, 5).Draw(t, "weights")
@@ -83,40 +83,41 @@
 			route.Targets = append(route.Targets, Target{Service: string(rune('a' + index)), Weight: float64(weight)})
 			total += weight
 		}
-		splitter := NewSplitter(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "begin") })
+		splitter := NewSplitter(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "start position") })
 		counts := make(map[string]int)
 		requests := rapid.IntRange(1, 200).Draw(t, "requests")
 		for range requests {
-			counts[splitter.Pick(route)]++
+			counts[splitter.PickService(route)]++
 		}
 		for index, weight := range weights {
 			share := float64(requests*weight) / float64(total)
 			if got := float64(counts[string(rune('a'+index))]); math.Abs(got-share) > float64(len(weights)) {
-				t.Fatalf("target %d got %v of %d, its share is %.1f", index, got, requests, share)
+				t.Fatalf("target %d: got %v of %d requests, want about %.1f", index, got, requests, share)
 			}
 		}
 	})
 }
 
-// TestSplitOfManyNodesFollowsTheWeights: each of them gets a few requests only.
-func TestSplitOfManyNodesFollowsTheWeights(t *testing.T) {
+// TestSplittersOfManyNodesFollowTheWeights guards against nodes that all begin with the heaviest
+// target: with a few requests at each node, the lighter ones would get none.
+func TestSplittersOfManyNodesFollowTheWeights(t *testing.T) {
 	const nodes = 76
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, weight := range []float64{0.05, 0.1, 0.2, 0.5} {
-		for _, requests := range []int{1, 2, 4, 9} { // of each node
+		for _, requests := range []int{1, 2, 4, 9} { // per node
 			route := &Route{Name: "r", Targets: []Target{{"new", weight}, {"old", 1 - weight}}}
 			count := 0
 			for range nodes {
 				splitter := NewSplitter(random.IntN)
 				for range requests {
-					if splitter.Pick(route) == "new" {
+					if splitter.PickService(route) == "new" {
 						count++
 					}
 				}
 			}
 			got := float64(count) / float64(nodes*requests)
 			if allowed := 1.5 / math.Sqrt(nodes); math.Abs(got-weight) > allowed*math.Sqrt(weight) {
-				t.Errorf("%d requests of each node: a share of %.3f, want %.2f", requests, got, weight)
+				t.Errorf("%d requests per node: got a share of %.3f, want about %.2f", requests, got, weight)
 			}
 		}
 	}
@@ -125,9 +126,9 @@
 func TestSplitterForgetsDroppedRoutes(t *testing.T) {
 	splitter := NewSplitter(rand.IntN)
 	route := Route{Name: "r", Targets: []Target{{"a", 1}, {"b", 1}}}
-	splitter.Pick(&route)
+	splitter.PickService(&route)
 	splitter.Retain(&Config{})
 	if len(splitter.routes) != 0 {
-		t.Error("a dropped route is kept")
+		t.Error("state of a dropped route is kept")
 	}
 }
--- a/internal/leaf/metrics.go
+++ b/internal/leaf/metrics.go
@@ -18,6 +18,7 @@
 	outcomeRejected  = "rejected"
 )
 
+// metrics holds the metrics of a Client.
 type metrics struct {
 	attempts    *prometheus.CounterVec
 	crossed     prometheus.Counter
@@ -27,17 +28,17 @@
 	replyBytes  prometheus.Counter
 }
 
-// newMetrics registers the metrics, unless the registerer is nil.
+// newMetrics creates the metrics and registers them if the registerer is not nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	return &metrics{
-		attempts: factory.Counters("micaplank_leaf_attempts_total",
+		attempts: factory.CounterVec("micaplank_leaf_attempts_total",
 			"Execute calls to leaves, by outcome: executed, refused, unsent, lost, cancelled or rejected (an unusable reply).", "outcome"),
 		crossed: factory.Counter("micaplank_leaf_crossed_replies_total",
 			"Replies that belong to another request; they are dropped."),
 		truncated: factory.Counter("micaplank_leaf_truncated_replies_total",
 			"Replies with missing rows; they are dropped."),
-		dials: factory.Counters("micaplank_leaf_dials_total",
+		dials: factory.CounterVec("micaplank_leaf_dials_total",
 			"Connections dialed to leaves, by result: opened or failed.", "result"),
 		connections: factory.Gauge("micaplank_leaf_open_connections",
 			"Connections to leaves that are open."),
@@ -46,7 +47,7 @@
 	}
 }
 
-func (m *metrics) dialed(err error) {
+func (m *metrics) recordDial(err error) {
 	result := "opened"
 	if err != nil {
 		result = "failed"
@@ -54,7 +55,7 @@
 	m.dials.WithLabelValues(result).Inc()
 }
 
-func (m *metrics) attempted(response *ExecuteResponse, err error, cancelled bool) {
+func (m *metrics) recordAttempt(response *ExecuteResponse, err error, cancelled bool) {
 	m.attempts.WithLabelValues(attemptOutcome(response, err, cancelled)).Inc()
 	switch {
 	case errors.Is(err, ErrCrossedReply):
