--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,7 +1,8 @@
-// Package losses is behind "micactl losses": it adds up, from the logs of nodes,
-// the requests without an answer and the shards that answers lack, by cause. It is
-// pure, owns the causes (causes.go), and relies on internal/explain to read the
-// lines, and on scatter and dispatch for the names of ends and reasons.
+// Package losses computes the report of "micactl losses". From the logs of nodes it sums up
+// requests without an answer and shards that are missing in answers, grouped by cause, route,
+// second and node. The package defines the causes and has no side effects. internal/explain
+// reads the lines; the outcomes of attempts and the reasons are those of packages scatter and
+// dispatch.
 package losses
 
 import (
@@ -16,120 +17,120 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// The fates of requests as event.Request writes them.
+// Fates of requests, as written by event.Request.
 const (
-	fateAnswered = "answered" // by one leaf
-	fateMerged   = "merged"   // from parts
+	fateAnswered = "answered" // answered by one leaf
+	fateMerged   = "merged"   // merged from the parts of shards
 	fateNoRoute  = "no_route"
 	fateNotRun   = "not_run"
 )
 
-// worstRequests is how many requests are named. Not measured: chosen to keep the
-// report short.
-const worstRequests = 10
+// maxWorstRequests limits the list of requests with the greatest loss, to keep the report short.
+const maxWorstRequests = 10
 
-// Part is what was lost in one group of requests. Lost is in whole requests: one
-// without an answer counts 1, one that lacks shards 1 less the square of the share
-// that is in, by which users value it.
-type Part struct {
+// Group is the total loss of a group of requests. The unit of Lost is one request: a request
+// without an answer counts as 1. An answer with a share s of its shards counts as 1 - s*s, because
+// the value of an answer to users is the square of the share.
+type Group struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
 	Lost     float64 `json:"lost"`
 }
 
-// Worst names a request that lost much.
-type Worst struct {
+// WorstRequest identifies a request with a great loss, and its main cause.
+type WorstRequest struct {
 	RequestID string  `json:"request_id"`
 	Node      string  `json:"node"`
 	Cause     Cause   `json:"cause"`
 	Lost      float64 `json:"lost"`
 }
 
-// Report is what the logs tell.
+// Report summarizes the losses in the logs.
 type Report struct {
-	// Requests is how many were taken from clients, of those logged; NoRoute of them
-	// had no route, and are not counted further.
-	Requests int     `json:"requests"`
-	NoRoute  int     `json:"no_route"`
-	Lost     float64 `json:"lost"`
-	// Dropped counts lines that the nodes did not write for their rate. The figures
-	// lack these requests.
-	Dropped  int     `json:"dropped_lines"`
-	ByCause  []Part  `json:"by_cause"`
-	ByRoute  []Part  `json:"by_route"`
-	BySecond []Part  `json:"by_second"`
-	ByNode   []Part  `json:"by_node"`
-	Worst    []Worst `json:"worst"`
+	// Requests counts the logged requests that were received from clients.
+	Requests int `json:"requests"`
+	// NoRoute counts the requests among them that matched no route. They count as no loss and
+	// belong to no group.
+	NoRoute int     `json:"no_route"`
+	Lost    float64 `json:"lost"`
+	// DroppedLines counts the lines that the nodes dropped because of the rate limit. The
+	// requests of these lines are missing in the report.
+	DroppedLines  int            `json:"dropped_lines"`
+	ByCause       []Group        `json:"by_cause"`
+	ByRoute       []Group        `json:"by_route"`
+	BySecond      []Group        `json:"by_second"`
+	ByNode        []Group        `json:"by_node"`
+	WorstRequests []WorstRequest `json:"worst"`
 }
 
-// request is what the lines of one request tell: that of the node that took it, and
-// that of the node that ran it.
-type request struct {
-	taken, ran *explain.Line
+// loggedRequest holds the log lines of a request. A line is nil if it is missing.
+type loggedRequest struct {
+	received *explain.Line // line of the node that received the request from the client
+	executed *explain.Line // line of the node that ran the request
 }
 
-// Add adds up the lines that are not older than since.
-func Add(lines []explain.Line, since time.Time) Report {
+// NewReport sums up the lines that are not older than since.
+func NewReport(lines []explain.Line, since time.Time) Report {
 	var report Report
-	requests := make(map[string]request)
+	requests := make(map[string]loggedRequest)
 	for index := range lines {
 		line := &lines[index]
 		if line.Message != (event.Request{}).Kind().Message || line.Time.Before(since) {
 			continue
 		}
-		report.Dropped += line.Dropped
-		found := requests[line.RequestID]
+		report.DroppedLines += line.DroppedBefore
+		logged := requests[line.RequestID]
 		if line.Node == line.From {
-			found.taken = line
+			logged.received = line
 		}
 		if line.Executor == "" {
-			found.ran = line
+			logged.executed = line
 		}
-		requests[line.RequestID] = found
+		requests[line.RequestID] = logged
 	}
-	groups := newGroups()
+	tallies := newTallies()
 	for _, id := range slices.Sorted(maps.Keys(requests)) {
-		if one := requests[id]; one.taken != nil {
-			report.add(one, groups)
+		if request := requests[id]; request.received != nil {
+			report.addRequest(request, tallies)
 		}
 	}
-	report.ByCause, report.ByRoute = groups.cause.parts(byLoss), groups.route.parts(byLoss)
-	report.BySecond, report.ByNode = groups.second.parts(byName), groups.node.parts(byLoss)
-	slices.SortStableFunc(report.Worst, func(a, b Worst) int { return cmp.Compare(b.Lost, a.Lost) })
-	report.Worst = report.Worst[:min(len(report.Worst), worstRequests)]
+	report.ByCause, report.ByRoute = tallies.cause.sorted(compareLoss), tallies.route.sorted(compareLoss)
+	report.BySecond, report.ByNode = tallies.second.sorted(compareName), tallies.node.sorted(compareLoss)
+	slices.SortStableFunc(report.WorstRequests, func(a, b WorstRequest) int { return cmp.Compare(b.Lost, a.Lost) })
+	report.WorstRequests = report.WorstRequests[:min(len(report.WorstRequests), maxWorstRequests)]
 	return report
 }
 
-// add adds one request.
-func (r *Report) add(one request, groups *groups) {
+// addRequest adds a request to the report and to the tallies.
+func (r *Report) addRequest(request loggedRequest, tallies *tallies) {
 	r.Requests++
-	if one.taken.Fate == fateNoRoute {
+	if request.received.Fate == fateNoRoute {
 		r.NoRoute++
 		return
 	}
-	shares := sharesOf(one)
+	shares := lossByCause(request)
 	lost := 0.0
-	worst, most := CauseUnknown, 0.0
+	worstCause, worstLoss := CauseUnknown, 0.0
 	for _, cause := range slices.Sorted(maps.Keys(shares)) {
 		share := shares[cause]
 		lost += share
-		groups.cause.add(string(cause), share)
-		if share > most {
-			worst, most = cause, share
+		tallies.cause.add(string(cause), share)
+		if share > worstLoss {
+			worstCause, worstLoss = cause, share
 		}
 	}
-	groups.route.add(one.taken.Route, lost)
-	groups.second.add(one.taken.Time.Truncate(time.Second).Format(time.RFC3339), lost)
-	groups.node.add(one.taken.Node, lost)
+	tallies.route.add(request.received.Route, lost)
+	tallies.second.add(request.received.Time.Truncate(time.Second).Format(time.RFC3339), lost)
+	tallies.node.add(request.received.Node, lost)
 	if lost > 0 {
 		r.Lost += lost
-		r.Worst = append(r.Worst, Worst{RequestID: one.taken.RequestID, Node: one.taken.Node, Cause: worst, Lost: lost})
+		r.WorstRequests = append(r.WorstRequests, WorstRequest{RequestID: request.received.RequestID, Node: request.received.Node, Cause: worstCause, Lost: lost})
 	}
 }
 
-// sharesOf returns what a request lost, by cause.
-func sharesOf(one request) map[Cause]float64 {
-	line := one.taken
+// lossByCause returns the loss of a request for each of its causes.
+func lossByCause(request loggedRequest) map[Cause]float64 {
+	line := request.received
 	switch {
 	case line.Fate == fateAnswered && line.Status < http.StatusInternalServerError:
 		return nil
@@ -139,32 +140,33 @@
 		return nil
 	case line.Fate == fateMerged:
 		share := float64(line.Answered) / float64(max(line.Total, 1))
-		return divided(one.ran, 1-share*share)
+		return divideByShard(request.executed, 1-share*share)
 	case line.Fate == fateNotRun:
-		return map[Cause]float64{refusal(line.Reason): 1}
-	case one.ran == nil && line.Executor != "":
+		return map[Cause]float64{refusalCause(line.Reason): 1}
+	case request.executed == nil && line.Executor != "":
 		return map[Cause]float64{CauseExecutorLost: 1}
 	default:
-		return divided(one.ran, 1)
+		return divideByShard(request.executed, 1)
 	}
 }
 
-// divided divides a loss among the causes of the shards that brought no part.
-func divided(ran *explain.Line, lost float64) map[Cause]float64 {
-	if ran == nil {
+// divideByShard divides a loss evenly among the shards that returned no part, and sums it up by
+// their causes.
+func divideByShard(executed *explain.Line, lost float64) map[Cause]float64 {
+	if executed == nil {
 		return map[Cause]float64{CauseUnknown: lost}
 	}
 	shards := make(map[int][]event.Attempt)
-	for _, attempt := range ran.Attempts {
+	for _, attempt := range executed.Attempts {
 		shards[attempt.Shard] = append(shards[attempt.Shard], attempt)
 	}
 	counts := make(map[Cause]float64)
 	total := 0.0
 	for _, attempts := range shards {
-		if slices.ContainsFunc(attempts, func(one event.Attempt) bool { return one.End == string(scatter.EndAnswered) }) {
+		if slices.ContainsFunc(attempts, func(candidate event.Attempt) bool { return candidate.End == string(scatter.EndAnswered) }) {
 			continue
 		}
-		counts[causeOf(attempts)]++
+		counts[shardCause(attempts)]++
 		total++
 	}
 	if total == 0 {
--- a/internal/peer/benchmark_test.go
+++ b/internal/peer/benchmark_test.go
@@ -8,8 +8,7 @@
 	"github.com/micaplank/micaplank/internal/peer"
 )
 
-// BenchmarkCall is a call with 1 KiB each way over loopback, many at once on
-// one connection.
+// BenchmarkCall measures concurrent calls with 1 KiB in each direction on one loopback connection.
 func BenchmarkCall(b *testing.B) {
 	server, err := peer.Listen(loopback, nil)
 	if err != nil {
@@ -18,7 +17,7 @@
 	peer.Register(server, "echo", func(_ context.Context, _ netip.AddrPort, request *echoRequest) (*echoResponse, error) {
 		return &echoResponse{Data: request.Data}, nil
 	})
-	server.Serve()
+	server.Start()
 	client := peer.NewClient(peer.ClientOptions{}, nil)
 	defer func() {
 		_ = client.Close()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -31,7 +31,8 @@
 	Data   []byte
 }
 
-// startServer serves echo (answers at once) and hold (answers on release).
+// startServer starts a server with the methods echo (responds immediately), hold (reports its start
+// and responds after release is closed) and grow (returns a response that is too large).
 func startServer(t *testing.T) (server *peer.Server, started chan int, release chan struct{}) {
 	t.Helper()
 	server, err := peer.Listen(loopback, nil)
@@ -57,14 +58,14 @@
 		}
 	})
 	peer.Register(server, "grow", func(context.Context, netip.AddrPort, *echoRequest) (*echoResponse, error) {
-		return &echoResponse{Data: make([]byte, peer.MaximumMessage+1)}, nil
+		return &echoResponse{Data: make([]byte, peer.MaxMessageSize+1)}, nil
 	})
-	server.Serve()
-	t.Cleanup(func() { _ = server.Close(endedContext()) })
+	server.Start()
+	t.Cleanup(func() { _ = server.Close(cancelledContext()) })
 	return server, started, release
 }
 
-func endedContext() context.Context {
+func cancelledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
@@ -77,7 +78,7 @@
 	return client
 }
 
-func wantError(t *testing.T, err error, step peer.Step, sent, notExecuted bool) {
+func checkError(t *testing.T, err error, step peer.Step, sent, notExecuted bool) {
 	t.Helper()
 	var failure *peer.Error
 	if !errors.As(err, &failure) {
@@ -89,7 +90,7 @@
 	}
 }
 
-func TestCallsShareConnectionsAndGetTheirOwnResponses(t *testing.T) {
+func TestConcurrentCallsGetTheirResponses(t *testing.T) {
 	server, _, _ := startServer(t)
 	client := newClient(t, peer.ClientOptions{ConnectionsPerPeer: 2})
 	var calls sync.WaitGroup
@@ -99,44 +100,45 @@
 			var response echoResponse
 			err := client.Call(context.Background(), server.Address(), "echo", &echoRequest{number, data}, &response)
 			if err != nil || response.Number != number || !bytes.Equal(response.Data, data) {
-				t.Errorf("call %d got %d with %d bytes, error %v", number, response.Number, len(response.Data), err)
+				t.Errorf("call %d: got number %d with %d bytes and error %v, want %d with %d bytes",
+					number, response.Number, len(response.Data), err, number, len(data))
 			}
 		})
 	}
 	calls.Wait()
 }
 
-func TestErrorsSayWhetherThePeerCanHaveExecuted(t *testing.T) {
+func TestCallErrors(t *testing.T) {
 	server, started, release := startServer(t)
 	client := newClient(t, peer.ClientOptions{})
 	ctx := context.Background()
 	var response echoResponse
 
-	wantError(t, client.Call(ctx, netip.MustParseAddrPort("127.0.0.1:1"), "echo", &echoRequest{}, &response),
+	checkError(t, client.Call(ctx, netip.MustParseAddrPort("127.0.0.1:1"), "echo", &echoRequest{}, &response),
 		peer.StepDial, false, true)
-	wantError(t, client.Call(ctx, server.Address(), "nothing", &echoRequest{}, &response), peer.StepRefused, true, true)
-	wantError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Number: -1}, &response),
+	checkError(t, client.Call(ctx, server.Address(), "nothing", &echoRequest{}, &response), peer.StepRefused, true, true)
+	checkError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Number: -1}, &response),
 		peer.StepHandler, true, false)
-	wantError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Data: make([]byte, peer.MaximumMessage+1)}, &response),
+	checkError(t, client.Call(ctx, server.Address(), "echo", &echoRequest{Data: make([]byte, peer.MaxMessageSize+1)}, &response),
 		peer.StepEncode, false, true)
-	wantError(t, client.Call(ctx, server.Address(), "grow", &echoRequest{}, &response), peer.StepHandler, true, false)
+	checkError(t, client.Call(ctx, server.Address(), "grow", &echoRequest{}, &response), peer.StepHandler, true, false)
 
 	limited, cancel := context.WithCancel(ctx)
 	go func() {
 		<-started
 		cancel()
 	}()
-	wantError(t, client.Call(limited, server.Address(), "hold", &echoRequest{Number: 7}, &response), peer.StepWait, true, false)
+	checkError(t, client.Call(limited, server.Address(), "hold", &echoRequest{Number: 7}, &response), peer.StepWait, true, false)
 	if stopped := <-started; stopped != -7 {
-		t.Fatalf("the handler ended with %d, want its context cancelled", stopped)
+		t.Fatalf("got %d from the handler, want -7 because its context was cancelled", stopped)
 	}
 	close(release)
 	if err := client.Call(ctx, server.Address(), "echo", &echoRequest{Number: 3}, &response); err != nil || response.Number != 3 {
-		t.Fatalf("the connection is unusable after failures: %v", err)
+		t.Fatalf("call after failed calls: got number %d and error %v, want 3", response.Number, err)
 	}
 }
 
-func TestCloseOfTheServerLetsCallsFinish(t *testing.T) {
+func TestServerCloseFinishesRunningCalls(t *testing.T) {
 	server, started, release := startServer(t)
 	client := newClient(t, peer.ClientOptions{})
 	var calls sync.WaitGroup
@@ -145,7 +147,7 @@
 			var response echoResponse
 			err := client.Call(context.Background(), server.Address(), "hold", &echoRequest{Number: number}, &response)
 			if err != nil || response.Number != number {
-				t.Errorf("call %d was cut off: %v", number, err)
+				t.Errorf("call %d: got number %d and error %v, want %d", number, response.Number, err, number)
 			}
 		})
 	}
@@ -154,39 +156,39 @@
 	}
 	closed := make(chan error)
 	go func() { closed <- server.Close(context.Background()) }()
-	// Once the peer drains, new calls fail and provably do not execute.
+	// When the server drains, new calls must fail with NotExecuted.
 	for {
 		err := client.Call(context.Background(), server.Address(), "echo", &echoRequest{}, &echoResponse{})
 		if err == nil {
 			continue
 		}
 		if !peer.NotExecuted(err) {
-			t.Errorf("a call to a draining server: %v", err)
+			t.Errorf("call to a draining server: got error %v, want one with NotExecuted", err)
 		}
 		break
 	}
 	close(release)
 	if err := <-closed; err != nil {
-		t.Errorf("close: %v", err)
+		t.Errorf("got error %v from Close, want none", err)
 	}
 	calls.Wait()
 }
 
-func TestLostConnectionEndsCallsAtOnce(t *testing.T) {
+func TestLostConnectionFailsCalls(t *testing.T) {
 	server, started, _ := startServer(t)
 	client := newClient(t, peer.ClientOptions{})
 	go func() {
 		<-started
-		_ = server.Close(endedContext())
+		_ = server.Close(cancelledContext())
 	}()
 	err := client.Call(context.Background(), server.Address(), "hold", &echoRequest{}, &echoResponse{})
 	var failure *peer.Error
 	if !errors.As(err, &failure) || !failure.Sent || failure.NotExecuted {
-		t.Fatalf("got %v, want an error that leaves execution open", err)
+		t.Fatalf("got error %v, want one with Sent true and NotExecuted false", err)
 	}
 }
 
-func TestIdleConnectionsAreClosedAndReopened(t *testing.T) {
+func TestCallsAfterIdleTimeout(t *testing.T) {
 	server, _, _ := startServer(t)
 	client := newClient(t, peer.ClientOptions{IdleTimeout: time.Millisecond})
 	for range 20 {
@@ -197,64 +199,64 @@
 	}
 }
 
-func TestWrongPeerIsToldClearly(t *testing.T) {
+func TestHandshakeMismatch(t *testing.T) {
 	web := httptest.NewServer(http.NotFoundHandler())
 	defer web.Close()
 	address := netip.MustParseAddrPort(web.Listener.Addr().String())
 	client := newClient(t, peer.ClientOptions{})
 	err := client.Call(context.Background(), address, "echo", &echoRequest{}, &echoResponse{})
-	wantError(t, err, peer.StepHandshake, false, true)
+	checkError(t, err, peer.StepHandshake, false, true)
 	if !errors.Is(err, peer.ErrHandshake) || !bytes.Contains([]byte(err.Error()), []byte("HTTP/1.1 400")) {
-		t.Fatalf("got %v, want the greeting of the wrong peer", err)
+		t.Fatalf("got error %v, want %v with the greeting of the wrong peer", err, peer.ErrHandshake)
 	}
 
 	server, _, _ := startServer(t)
-	connection, dialErr := net.Dial("tcp", server.Address().String())
+	conn, dialErr := net.Dial("tcp", server.Address().String())
 	if dialErr != nil {
 		t.Fatal(dialErr)
 	}
-	defer connection.Close()
-	_, _ = connection.Write([]byte("micaplank-peer 999\n"))
+	defer conn.Close()
+	_, _ = conn.Write([]byte("micaplank-peer 999\n"))
 	got := make([]byte, 64)
-	n, _ := connection.Read(got)
+	n, _ := conn.Read(got)
 	if string(got[:n]) != peer.Greeting {
-		t.Fatalf("a peer of another version was told %q", got[:n])
+		t.Fatalf("peer of another version: got greeting %q, want %q", got[:n], peer.Greeting)
 	}
 }
 
-func TestDatagramsReachTheHandlerOfTheirKind(t *testing.T) {
-	server, left, err := peer.ListenPair(loopback, nil)
+func TestDatagramDispatchByKind(t *testing.T) {
+	server, sender, err := peer.ListenPair(loopback, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close(context.Background()) }()
-	defer left.Close()
-	if server.Address() != left.Address() {
-		t.Fatalf("pair listens on %s and %s", server.Address(), left.Address())
+	defer sender.Close()
+	if server.Address() != sender.Address() {
+		t.Fatalf("got addresses %s and %s, want equal ones", server.Address(), sender.Address())
 	}
-	right, err := peer.ListenDatagrams(loopback)
+	receiver, err := peer.ListenDatagrams(loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer right.Close()
+	defer receiver.Close()
 	type arrival struct {
 		from    netip.AddrPort
 		payload string
 	}
 	arrivals := make(chan arrival, 1)
-	right.Handle(peer.KindExchange, func(from netip.AddrPort, payload []byte) { arrivals <- arrival{from, string(payload)} })
-	right.Handle(peer.KindMembership, func(netip.AddrPort, []byte) { t.Error("wrong handler") })
-	if err := left.Send(peer.KindTopology, right.Address(), []byte("nobody listens")); err != nil {
+	receiver.Handle(peer.KindExchange, func(from netip.AddrPort, payload []byte) { arrivals <- arrival{from, string(payload)} })
+	receiver.Handle(peer.KindMembership, func(netip.AddrPort, []byte) { t.Error("got a call of the handler of another kind, want none") })
+	if err := sender.Send(peer.KindTopology, receiver.Address(), []byte("no handler")); err != nil {
 		t.Fatal(err)
 	}
-	if err := left.Send(peer.KindExchange, right.Address(), []byte("hello")); err != nil {
+	if err := sender.Send(peer.KindExchange, receiver.Address(), []byte("hello")); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-arrivals; got.from != left.Address() || got.payload != "hello" {
-		t.Fatalf("got %v", got)
+	if got := <-arrivals; got.from != sender.Address() || got.payload != "hello" {
+		t.Fatalf("got %q from %s, want %q from %s", got.payload, got.from, "hello", sender.Address())
 	}
-	err = left.Send(peer.KindExchange, right.Address(), make([]byte, peer.MaximumDatagram+1))
+	err = sender.Send(peer.KindExchange, receiver.Address(), make([]byte, peer.MaxDatagramSize+1))
 	if !errors.Is(err, peer.ErrTooLarge) {
-		t.Fatalf("got %v, want ErrTooLarge", err)
+		t.Fatalf("got error %v, want %v", err, peer.ErrTooLarge)
 	}
 }
--- a/internal/rehearsal/cluster/cluster.go
+++ b/internal/rehearsal/cluster/cluster.go
@@ -20,33 +20,32 @@
 	rehearsalProgram = "micarehearse"
 )
 
-// startsAtOnce bounds how many processes start side by side.
-const startsAtOnce = 8
+// maximumConcurrentStarts bounds how many leaf processes start at the same time.
+const maximumConcurrentStarts = 8
 
-// anyPort lets a process pick a free port of the loopback address.
+// anyPort is the loopback address with a port that the process selects.
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// Cluster is a running deployment.
+// Cluster is a running deployment of nodes, leaves and a simulated platform.
 type Cluster struct {
 	Store    *Process
 	Machines *Process
 	Leaves   []*Leaf
 	Nodes    []*Node
 
-	plan   Plan
-	folder string
-	client *http.Client
+	plan      Plan
+	directory string
+	client    *http.Client
 }
 
-// Start starts all processes of a plan and configures the catalog. It blocks
-// until every node is ready. The caller has to Close the cluster; after an
-// error everything is closed already.
+// Start starts all processes of a plan, configures the catalog and blocks until every node is
+// ready. The caller must Close the cluster. After an error, Start has already closed it.
 func Start(ctx context.Context, plan Plan) (*Cluster, error) {
-	folder, err := os.MkdirTemp("", "micaplank-cluster-")
+	directory, err := os.MkdirTemp("", "micaplank-cluster-")
 	if err != nil {
 		return nil, oops.With("step", "start cluster").Wrap(err)
 	}
-	cluster := &Cluster{plan: plan, folder: folder, client: newClient()}
+	cluster := &Cluster{plan: plan, directory: directory, client: newClient()}
 	if err := cluster.start(ctx); err != nil {
 		cluster.Close()
 		return nil, err
@@ -55,7 +54,7 @@
 }
 
 func (c *Cluster) start(ctx context.Context) error {
-	steps := []func(context.Context) error{c.startPlatform, c.startLeaves, c.startNodes, c.configure, c.AwaitReady}
+	steps := []func(context.Context) error{c.startPlatform, c.startLeaves, c.startNodes, c.configureCatalog, c.AwaitReady}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
@@ -64,29 +63,32 @@
 	return nil
 }
 
-func (c *Cluster) binary(name string) string {
+// programPath returns the path of a program of the plan.
+func (c *Cluster) programPath(name string) string {
 	return filepath.Join(c.plan.Binaries, name)
 }
 
+// startPlatform starts the stand-ins of the platform: the store and the machine list.
 func (c *Cluster) startPlatform(ctx context.Context) (err error) {
-	if c.Store, err = startProcess(ctx, "store", c.binary(rehearsalProgram), "store"); err != nil {
+	if c.Store, err = startProcess(ctx, "store", c.programPath(rehearsalProgram), "store"); err != nil {
 		return err
 	}
-	c.Machines, err = startProcess(ctx, "machines", c.binary(rehearsalProgram), "machines")
+	c.Machines, err = startProcess(ctx, "machines", c.programPath(rehearsalProgram), "machines")
 	return err
 }
 
+// startLeaves starts the leaves of all services and distributes them over the zones in turn.
 func (c *Cluster) startLeaves(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(startsAtOnce)
+	group.SetLimit(maximumConcurrentStarts)
 	for _, service := range c.plan.Services {
 		for index := range service.Leaves {
 			leaf := &Leaf{
 				Service: service.Name,
 				Zone:    c.plan.Zones[index%len(c.plan.Zones)],
-				Shards:  service.shardsOf(index),
+				Shards:  service.assignShards(index),
 
-				executionLog: filepath.Join(c.folder, fmt.Sprintf("%s-%d.executions", service.Name, index)),
+				executionLog: filepath.Join(c.directory, fmt.Sprintf("%s-%d.executions", service.Name, index)),
 			}
 			c.Leaves = append(c.Leaves, leaf)
 			group.Go(func() error { return c.startLeaf(ctx, service, leaf, anyPort) })
@@ -96,31 +98,32 @@
 }
 
 func (c *Cluster) startLeaf(ctx context.Context, service Service, leaf *Leaf, listen netip.AddrPort) (err error) {
-	leaf.Process, err = startProcess(ctx, service.Name, c.binary(rehearsalProgram), "leaf",
+	leaf.Process, err = startProcess(ctx, service.Name, c.programPath(rehearsalProgram), "leaf",
 		"--listen", listen.String(),
 		"--service", service.Name,
 		"--zone", leaf.Zone,
-		"--shards", joinShards(leaf.Shards),
+		"--shards", formatShards(leaf.Shards),
 		"--shard-count", fmt.Sprint(service.Shards),
 		"--slots", fmt.Sprint(service.Slots),
 		"--execution-log", leaf.executionLog)
 	return err
 }
 
-// Statements returns the commands that configure the deployment.
-func (c *Cluster) Statements() []string {
+// buildCatalogStatements returns the statements that configure the catalog of the plan.
+func (c *Cluster) buildCatalogStatements() []string {
 	var statements []string
 	for _, node := range c.Nodes {
 		statements = append(statements, fmt.Sprintf("add voter %s zone %s", node.Name, node.Zone))
 	}
 	for _, service := range c.plan.Services {
-		statements = append(statements, service.statements(c.Leaves)...)
+		statements = append(statements, service.buildStatements(c.Leaves)...)
 	}
 	return statements
 }
 
-func (c *Cluster) configure(ctx context.Context) error {
-	for _, statement := range c.Statements() {
+// configureCatalog runs the statements on the first node and fails unless each of them is accepted.
+func (c *Cluster) configureCatalog(ctx context.Context) error {
+	for _, statement := range c.buildCatalogStatements() {
 		response, err := c.Change(ctx, c.Nodes[0], statement)
 		if err != nil {
 			return oops.With("step", "configure").Wrapf(err, "%s", statement)
@@ -132,26 +135,27 @@
 	return nil
 }
 
-// Close ends all processes and removes the settings files.
+// Close kills all processes and removes the settings files and the execution logs.
 func (c *Cluster) Close() {
-	for _, process := range c.processes() {
+	for _, process := range c.startedProcesses() {
 		process.Kill()
 	}
 	c.client.CloseIdleConnections()
-	_ = os.RemoveAll(c.folder) // a temporary folder that stays does no harm
+	_ = os.RemoveAll(c.directory) // a temporary directory that cannot be removed is harmless
 }
 
-func (c *Cluster) processes() []*Process {
-	var all []*Process
+// startedProcesses returns the processes that have been started, the nodes first.
+func (c *Cluster) startedProcesses() []*Process {
+	var processes []*Process
 	for _, node := range c.Nodes {
-		all = append(all, node.Process)
+		processes = append(processes, node.Process)
 	}
 	for _, leaf := range c.Leaves {
-		all = append(all, leaf.Process)
+		processes = append(processes, leaf.Process)
 	}
-	all = append(all, c.Store, c.Machines)
+	processes = append(processes, c.Store, c.Machines)
 	var started []*Process
-	for _, process := range all {
+	for _, process := range processes {
 		if process != nil {
 			started = append(started, process)
 		}
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -17,31 +17,30 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Executions returns what the leaves executed of a request; all requests if the
-// id is empty. Leaves that are frozen or gone count too.
-func (c *Cluster) Executions(_ context.Context, requestID string) ([]leaf.Execution, error) {
-	var found []leaf.Execution
-	for _, each := range c.Leaves {
-		executions, err := c.LeafExecutions(each)
+// ReadExecutions returns the executions of a request on all leaves, or those of all requests if the
+// id is empty. It reads the log files, so frozen and exited leaves are included.
+func (c *Cluster) ReadExecutions(_ context.Context, requestID string) ([]leaf.Execution, error) {
+	var executed []leaf.Execution
+	for _, leafProcess := range c.Leaves {
+		executions, err := c.LeafExecutions(leafProcess)
 		if err != nil {
 			return nil, err
 		}
 		for _, execution := range executions {
-			wanted := requestID == "" || execution.RequestID == requestID
-			if wanted && execution.Outcome == leaf.OutcomeExecuted {
-				found = append(found, execution)
+			matches := requestID == "" || execution.RequestID == requestID
+			if matches && execution.Outcome == leaf.OutcomeExecuted {
+				executed = append(executed, execution)
 			}
 		}
 	}
-	return found, nil
+	return executed, nil
 }
 
-// LeafExecutions returns the whole execution log of one leaf, which may be
-// frozen or gone.
-func (c *Cluster) LeafExecutions(from *Leaf) ([]leaf.Execution, error) {
-	file, err := os.Open(from.executionLog)
+// LeafExecutions returns all entries of a leaf's execution log. The leaf may be frozen or exited.
+func (c *Cluster) LeafExecutions(leafProcess *Leaf) ([]leaf.Execution, error) {
+	file, err := os.Open(leafProcess.executionLog)
 	if err != nil {
-		return nil, oops.With("step", "read executions", "peer", from.Name).Wrap(err)
+		return nil, oops.With("step", "read executions", "peer", leafProcess.Name).Wrap(err)
 	}
 	defer file.Close()
 	var executions []leaf.Execution
@@ -50,23 +49,23 @@
 		var execution leaf.Execution
 		err := decoder.Decode(&execution)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return executions, nil // a line may be cut off by the leaf's end
+			return executions, nil // a killed leaf can leave an incomplete last line
 		}
 		if err != nil {
-			return nil, oops.With("step", "read executions", "peer", from.Name).Wrap(err)
+			return nil, oops.With("step", "read executions", "peer", leafProcess.Name).Wrap(err)
 		}
 		executions = append(executions, execution)
 	}
 }
 
-// Fate asks a node for the fate of an earlier change.
+// Fate returns a node's information about an earlier change.
 func (c *Cluster) Fate(ctx context.Context, node *Node, changeID string) (*api.StatementResponse, error) {
 	response := new(api.StatementResponse)
 	path := strings.Replace(api.ChangePath, "{id}", changeID, 1)
 	return response, c.get(ctx, node.Process, path, response)
 }
 
-// Status returns what a node knows of the deployment.
+// Status returns the state of the deployment as observed by a node.
 func (c *Cluster) Status(ctx context.Context, node *Node) (*api.StatusResponse, error) {
 	response := new(api.StatusResponse)
 	return response, c.get(ctx, node.Process, api.StatusPath, response)
@@ -78,38 +77,40 @@
 	return response, c.get(ctx, node.Process, api.CatalogPath, response)
 }
 
-func (c *Cluster) get(ctx context.Context, from *Process, path string, target any) error {
-	return c.control(ctx, http.MethodGet, from, path, nil, target)
+func (c *Cluster) get(ctx context.Context, process *Process, path string, target any) error {
+	return c.sendControl(ctx, http.MethodGet, process, path, nil, target)
 }
 
 // ControlLeaf injects faults into a leaf.
-func (c *Cluster) ControlLeaf(ctx context.Context, to *Leaf, request any) error {
-	return c.control(ctx, http.MethodPost, to.Process, leaf.ControlPath, request, nil)
+func (c *Cluster) ControlLeaf(ctx context.Context, leafProcess *Leaf, request any) error {
+	return c.sendControl(ctx, http.MethodPost, leafProcess.Process, leaf.ControlPath, request, nil)
 }
 
 // Control sends a control request to a stand-in of the platform.
-func (c *Cluster) Control(ctx context.Context, to *Process, path string, request any) error {
-	return c.control(ctx, http.MethodPost, to, path, request, nil)
+func (c *Cluster) Control(ctx context.Context, process *Process, path string, request any) error {
+	return c.sendControl(ctx, http.MethodPost, process, path, request, nil)
 }
 
-func (c *Cluster) control(ctx context.Context, method string, to *Process, path string, body, target any) error {
-	failed := oops.With("step", "control", "peer", to.Name)
+// sendControl sends a request with a JSON body to a process. It decodes the response into target
+// unless target is nil.
+func (c *Cluster) sendControl(ctx context.Context, method string, process *Process, path string, body, target any) error {
+	errorBuilder := oops.With("step", "control", "peer", process.Name)
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return failed.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+to.HTTP.String()+path, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+process.HTTP.String()+path, bytes.NewReader(encoded))
 	if err != nil {
-		return failed.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
 	if err != nil {
-		return failed.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest {
-		return failed.Errorf("%s %s: status %d", method, path, response.StatusCode)
+		return errorBuilder.Errorf("%s %s: status %d", method, path, response.StatusCode)
 	}
 	if target == nil {
 		return nil
--- a/internal/rehearsal/promises/coverage_test.go
+++ b/internal/rehearsal/promises/coverage_test.go
@@ -9,18 +9,18 @@
 	"github.com/micaplank/micaplank/internal/rehearsal/history"
 )
 
-// lowCoverage lets a caller take an answer with a part of the shards.
+// lowCoverage is the minimum coverage of callers that accept partial answers.
 var lowCoverage = 0.25
 
-// TestCoverageIsTrue brings about replicas that are frozen or killed, replies
-// that are truncated, lost, delayed or those of other requests, and refusals,
-// two at a time. Each answer holds exactly the rows of the shards that it
-// claims. At the end both replicas of one shard are killed: coverage names
-// just that shard.
-func TestCoverageIsTrue(t *testing.T) {
+// TestCoverageMatchesRows guards against answers that claim shards whose rows they lack, or the
+// reverse. Replicas are frozen or killed, refuse requests, and truncate, lose, delay or swap
+// replies, two faults at a time. Each answer must hold exactly the rows of the shards that it
+// claims. At the end both replicas of one shard are killed; the coverage must name just that shard
+// as missing.
+func TestCoverageMatchesRows(t *testing.T) {
 	d := deploy(t, nil)
-	stop := d.load(8, func(random *rand.Rand, caller int) {
-		submission := sweep(random, caller, []string{classSweep, classPlain}[caller%2])
+	stop := d.startLoad(8, func(random *rand.Rand, caller int) {
+		submission := newSelect(random, caller, []string{classSweep, classPlain}[caller%2])
 		if caller%4 < 2 {
 			submission.Request.MinimumCoverage = &lowCoverage
 			submission.Request.DeadlineMilliseconds = 150
@@ -29,64 +29,65 @@
 	})
 	var faults []fault
 	for shard := range shards {
-		first, second := d.replicasOf(shard)
+		replica1, replica2 := d.replicaPair(shard)
 		for _, control := range []string{
 			`{"truncate":true}`, `{"lose_reply":30}`, `{"delay_ms":200}`, `{"cross":true}`,
 			`{"refuse":"shed"}`, `{"refuse":"shard_moved"}`, `{"refuse":"snapshot_gone"}`, `{"refuse":"cold"}`,
 		} {
-			faults = append(faults, both(d.leafFault(first, control), d.leafFault(second, control)))
+			faults = append(faults, combine(d.leafFault(replica1, control), d.leafFault(replica2, control)))
 		}
-		faults = append(faults, d.freezeLeaf(second), both(d.freezeLeaf(first), d.freezeLeaf(second)), d.leafFault(first, `{"truncate":true}`))
+		faults = append(faults, d.freezeLeaf(replica2), combine(d.freezeLeaf(replica1), d.freezeLeaf(replica2)), d.leafFault(replica1, `{"truncate":true}`))
 	}
-	d.schedule(400*time.Millisecond, 100*time.Millisecond, faults)
-	first, second := d.replicasOf(1)
-	d.Leaves[first].Kill()
-	d.wait(time.Second)
+	d.runFaults(400*time.Millisecond, 100*time.Millisecond, faults)
+	replica1, replica2 := d.replicaPair(1)
+	d.Leaves[replica1].Kill()
+	d.sleep(time.Second)
 	stop()
-	d.requireWholeAnswers()
-	d.Leaves[second].Kill()
-	d.requireMissing(1)
-	d.require(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
-	d.report("answered", "partial")
+	d.requireFullCoverage()
+	d.Leaves[replica2].Kill()
+	d.requireMissingShard(1)
+	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
+	d.requireFates("answered", "partial")
 }
 
-// replicasOf returns the two leaves of a shard.
-func (d *deployment) replicasOf(shard int) (first, second int) {
+// replicaPair returns the indexes of the two leaves of a shard.
+func (d *deployment) replicaPair(shard int) (replica1, replica2 int) {
 	var holders []int
-	for index, each := range d.Leaves {
-		if each.Holds(shard) {
+	for index, leaf := range d.Leaves {
+		if leaf.Holds(shard) {
 			holders = append(holders, index)
 		}
 	}
 	if len(holders) != replicas {
-		d.t.Fatalf("shard %d has leaves %v", shard, holders)
+		d.t.Fatalf("shard %d is on leaves %v, want %d leaves", shard, holders, replicas)
 	}
 	return holders[0], holders[1]
 }
 
-// requireWholeAnswers asks every node once, with one replica of a shard gone.
-func (d *deployment) requireWholeAnswers() {
+// requireFullCoverage sends one query to every node while one replica of a shard is down, and
+// requires full coverage.
+func (d *deployment) requireFullCoverage() {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
 	for index := range nodes {
-		ended := d.submit(d.node(index), sweep(random, 0, classSweep))
-		if ended.Answer == nil || ended.Answer.Coverage.Answered != shards {
-			d.t.Errorf("node %d, one replica gone: %s %+v", index, ended.Fate(), ended.Problem)
+		result := d.submit(d.node(index), newSelect(random, 0, classSweep))
+		if result.Answer == nil || result.Answer.Coverage.Answered != shards {
+			d.t.Errorf("node %d with one replica down: got %s %+v, want an answer with full coverage", index, result.Fate(), result.Problem)
 		}
 	}
 }
 
-// requireMissing asks every node until each answers without just that shard.
-// What it answers until then is checked like any other answer.
-func (d *deployment) requireMissing(shard int) {
+// requireMissingShard sends one query to every node while both replicas of the shard are down, and
+// requires a partial answer that lacks just that shard.
+func (d *deployment) requireMissingShard(shard int) {
 	d.t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	for index := range nodes {
-		submission := sweep(random, 0, classPlain)
+		submission := newSelect(random, 0, classPlain)
 		submission.Request.MinimumCoverage = &lowCoverage
-		ended := d.submit(d.node(index), submission)
-		if ended.Answer == nil || !slices.Equal(ended.Answer.Coverage.Missing, []int{shard}) {
-			d.t.Errorf("node %d, both replicas of shard %d gone: %s %+v %+v", index, shard, ended.Fate(), ended.Answer, ended.Problem)
+		result := d.submit(d.node(index), submission)
+		if result.Answer == nil || !slices.Equal(result.Answer.Coverage.Missing, []int{shard}) {
+			d.t.Errorf("node %d with both replicas of shard %d down: got %s %+v %+v, want an answer that lacks just this shard", index, shard, result.Fate(), result.Answer, result.Problem)
 		}
 	}
 }
--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -9,115 +9,115 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// scheduleFaults puts the faults of the scenario on the schedule.
-func (w *world) scheduleFaults() {
-	for _, fault := range w.config.Scenario.Faults {
-		w.engine.at(fault.At, func() { w.begin(fault) })
+// scheduleFaults schedules the faults of the scenario.
+func (s *simulator) scheduleFaults() {
+	for _, fault := range s.config.Scenario.Faults {
+		s.engine.scheduleAt(fault.At, func() { s.injectFault(fault) })
 	}
 }
 
-// later undoes a fault after its duration, if it has one.
-func (w *world) later(fault Fault, undo func()) {
+// scheduleUndo schedules the end of a fault that has a duration.
+func (s *simulator) scheduleUndo(fault Fault, undo func()) {
 	if fault.Duration > 0 {
-		w.engine.after(fault.Duration, undo)
+		s.engine.scheduleAfter(fault.Duration, undo)
 	}
 }
 
-func (w *world) begin(fault Fault) {
-	l := w.leaves[fault.Leaf]
+func (s *simulator) injectFault(fault Fault) {
+	l := s.leaves[fault.Leaf]
 	switch fault.Kind {
 	case FaultSlow:
-		l.slow = fault.Factor
-		w.later(fault, func() { l.slow = 1 })
+		l.slowFactor = fault.Factor
+		s.scheduleUndo(fault, func() { l.slowFactor = 1 })
 	case FaultPause:
 		l.pause(fault.Duration)
 	case FaultCrash:
-		w.stopLeaf(l, leafCrashed)
-		w.later(fault, func() { w.restartLeaf(l) })
-	case FaultLose:
-		w.stopLeaf(l, leafSilent)
-		w.later(fault, func() { w.restartLeaf(l) })
-	case FaultLoseZone:
-		w.loseZone(fault)
+		s.stopLeaf(l, leafCrashed)
+		s.scheduleUndo(fault, func() { s.restartLeaf(l) })
+	case FaultSilence:
+		s.stopLeaf(l, leafSilent)
+		s.scheduleUndo(fault, func() { s.restartLeaf(l) })
+	case FaultSilenceZone:
+		s.silenceZone(fault)
 	case FaultDrain:
 		l.draining = true
-		w.noteLeaving(l)
-		w.later(fault, func() { w.restartLeaf(l) })
+		s.recordLeaving(l)
+		s.scheduleUndo(fault, func() { s.restartLeaf(l) })
 	case FaultRetire:
-		w.retire(l, true)
-		w.later(fault, func() { w.retire(l, false) })
-	case FaultListLeaving:
-		w.listLeaving(l)
-	case FaultLie:
-		l.lying = true
-		w.later(fault, func() { l.lying = false })
+		s.setRetiring(l, true)
+		s.scheduleUndo(fault, func() { s.setRetiring(l, false) })
+	case FaultMachineListLeaving:
+		s.announceLeaving(l)
+	case FaultFalseReport:
+		l.reportsIdle = true
+		s.scheduleUndo(fault, func() { l.reportsIdle = false })
 	case FaultStaleReply:
-		l.staleShare = fault.Factor
-		w.later(fault, func() { l.staleShare = 0 })
-	case FaultRoll:
-		w.roll(fault.Duration, fault.Factor)
+		l.staleReplyRatio = fault.Factor
+		s.scheduleUndo(fault, func() { l.staleReplyRatio = 0 })
+	case FaultRollout:
+		s.rollOutVersion(fault.Duration, fault.Factor)
 	case FaultRepartition:
-		w.repartition(fault.Shards, fault.Duration)
+		s.repartition(fault.Shards, fault.Duration)
 	case FaultFreezeNode:
-		n := w.nodes[fault.Node]
-		n.thawAt = max(n.thawAt, w.engine.now+fault.Duration)
+		n := s.nodes[fault.Node]
+		n.thawAt = max(n.thawAt, s.engine.now+fault.Duration)
 	}
 }
 
-// stopLeaf ends a leaf without warning. Its connections are reset if only the
-// process died; a silent machine shows after a timeout.
-func (w *world) stopLeaf(l *emulatedLeaf, state leafState) {
-	if l.up != leafUp {
+// stopLeaf stops a leaf abruptly. If only the process crashed, its connections are reset at once.
+// If the machine stopped responding, nodes notice only after SilenceTimeout.
+func (s *simulator) stopLeaf(l *emulatedLeaf, liveness leafLiveness) {
+	if l.liveness != leafUp {
 		return
 	}
-	l.stop(state)
-	after := time.Duration(0)
-	if state == leafSilent {
-		after = w.config.Deployment.Network.SilenceTimeout
+	l.stop(liveness)
+	timeout := time.Duration(0)
+	if liveness == leafSilent {
+		timeout = s.config.Deployment.Network.SilenceTimeout
 	}
-	w.network.breakLinks(l, after)
+	s.network.breakLinks(l, timeout)
 }
 
-func (w *world) restartLeaf(l *emulatedLeaf) {
-	if l.up == leafUp {
+func (s *simulator) restartLeaf(l *emulatedLeaf) {
+	if l.liveness == leafUp {
 		l.stop(leafCrashed)
 	}
 	l.restart()
-	w.network.breakLinks(l, 0)
+	s.network.breakLinks(l, 0)
 }
 
-// loseZone takes the leaves and the nodes of a zone away. The leaves come back
-// if the fault has a duration; the nodes' queries are lost with them.
-func (w *world) loseZone(fault Fault) {
-	for _, l := range w.leaves {
+// silenceZone stops all leaves and nodes of a zone. The leaves restart if the fault has a
+// duration; the nodes stay down and their queries are lost.
+func (s *simulator) silenceZone(fault Fault) {
+	for _, l := range s.leaves {
 		if l.zone == fault.Zone {
-			w.stopLeaf(l, leafSilent)
-			w.later(fault, func() { w.restartLeaf(l) })
+			s.stopLeaf(l, leafSilent)
+			s.scheduleUndo(fault, func() { s.restartLeaf(l) })
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		if n.zone != fault.Zone {
 			continue
 		}
-		n.dead = true
+		n.down = true
 		for _, q := range n.queries {
 			q.lost = true
 		}
 	}
 }
 
-// noteLeaving remembers when the first source called the leaf leaving.
-func (w *world) noteLeaving(l *emulatedLeaf) {
+// recordLeaving records when the first source reported the leaf as leaving.
+func (s *simulator) recordLeaving(l *emulatedLeaf) {
 	if !l.leaving {
 		l.leaving = true
-		l.leavingSince = w.engine.now
+		l.leavingSince = s.engine.now
 	}
 }
 
-// retire changes the catalog by an operator's command; nodes receive it within
-// the lag of commands.
-func (w *world) retire(l *emulatedLeaf, retiring bool) {
-	w.changeCatalog(func(service *catalog.Service, revision uint64) {
+// setRetiring changes the catalog as an operator's command does. Nodes receive the change within
+// CommandLag.
+func (s *simulator) setRetiring(l *emulatedLeaf, retiring bool) {
+	s.updateCatalog(func(service *catalog.Service, revision uint64) {
 		changed := service.Leaves[l.address]
 		changed.Retiring = retiring
 		if !retiring {
@@ -126,22 +126,23 @@
 		service.Leaves[l.address] = changed
 	})
 	if retiring {
-		w.noteLeaving(l)
+		s.recordLeaving(l)
 	} else {
 		l.leaving = false
-		l.added++
+		l.readdCount++
 	}
 }
 
-// listLeaving lets the machine list call a leaf leaving, for good. An operator
-// who adds the leaf again while the list lags overrides it.
-func (w *world) listLeaving(l *emulatedLeaf) {
-	boot, added := l.bootID(), l.added
-	w.engine.after(w.config.Deployment.Leaf.MachineListLag, func() {
-		if l.bootID() == boot && l.added == added {
-			w.noteLeaving(l)
+// announceLeaving reports the current boot of a leaf as leaving in the machine list, permanently.
+// The report does not count if the leaf restarts, or an operator adds it again, before the list is
+// updated.
+func (s *simulator) announceLeaving(l *emulatedLeaf) {
+	boot, readdCount := l.bootID(), l.readdCount
+	s.engine.scheduleAfter(s.config.Deployment.Leaf.MachineListLag, func() {
+		if l.bootID() == boot && l.readdCount == readdCount {
+			s.recordLeaving(l)
 		}
-		for _, n := range w.nodes {
+		for _, n := range s.nodes {
 			n.deliver(func() {
 				n.table.MachineLeaving(l.address, boot)
 				n.refreshTopology()
@@ -150,97 +151,97 @@
 	})
 }
 
-// changeCatalog makes the next revision and spreads it to the nodes.
-func (w *world) changeCatalog(change func(service *catalog.Service, revision uint64)) {
-	next := *w.catalog
+// updateCatalog creates the next revision of the catalog and sends it to all nodes.
+func (s *simulator) updateCatalog(change func(service *catalog.Service, revision uint64)) {
+	next := *s.catalog
 	next.Revision++
-	service := next.Services[w.config.Service.Name]
+	service := next.Services[s.config.Service.Name]
 	service.Leaves = maps.Clone(service.Leaves)
 	service.Partitions = slices.Clone(service.Partitions)
 	change(&service, next.Revision)
 	next.Services = map[string]catalog.Service{service.Name: service}
-	w.catalog = &next
-	for _, n := range w.nodes {
-		lag := scale(w.config.Deployment.Leaf.CommandLag, w.faultRandom.Float64())
-		w.engine.after(lag, func() {
-			n.deliver(func() { n.install(&next) })
+	s.catalog = &next
+	for _, n := range s.nodes {
+		lag := scale(s.config.Deployment.Leaf.CommandLag, s.faultRandom.Float64())
+		s.engine.scheduleAfter(lag, func() {
+			n.deliver(func() { n.installCatalog(&next) })
 		})
 	}
 }
 
-// install takes a catalog unless the node holds a newer one.
-func (n *node) install(next *catalog.Catalog) {
-	if next.Revision < n.known.Revision {
+// installCatalog installs a catalog unless the node has a newer one.
+func (n *node) installCatalog(next *catalog.Catalog) {
+	if next.Revision < n.currentTopology.Revision {
 		return
 	}
 	n.table.SetCatalog(next)
 	n.refreshTopology()
 }
 
-// roll gives every leaf the next index version, one after another, and takes
-// the older ones away after as long again and kept times the spread.
-func (w *world) roll(spread time.Duration, kept float64) {
-	for _, l := range w.leaves {
-		load := scale(spread, w.faultRandom.Float64())
-		drop := load + scale(spread, w.faultRandom.Float64()+kept)
-		w.engine.after(load, func() {
-			w.versions[l.index]++
-			l.addHoldings(w.currentHoldings(l.index))
+// rollOutVersion loads the next index version on every leaf, at a random time within spread. A
+// leaf drops its older versions after a further random part of spread plus retention times spread.
+func (s *simulator) rollOutVersion(spread time.Duration, retention float64) {
+	for _, l := range s.leaves {
+		load := scale(spread, s.faultRandom.Float64())
+		drop := load + scale(spread, s.faultRandom.Float64()+retention)
+		s.engine.scheduleAfter(load, func() {
+			s.leafVersions[l.index]++
+			l.addHoldings(s.newestHoldings(l.index))
 		})
-		w.engine.after(drop, func() { l.dropOldest(w.currentHoldings(l.index)) })
+		s.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(s.newestHoldings(l.index)) })
 	}
 }
 
-// repartition adds a partition, which the leaves load one after another. Zero
-// shards means that each shard is split in two.
-func (w *world) repartition(shards int, spread time.Duration) {
+// repartition adds a partition that every leaf loads at a random time within spread. If shards is
+// zero, each shard is split in two.
+func (s *simulator) repartition(shards int, spread time.Duration) {
 	if shards == 0 {
-		shards = 2 * w.epochShards[len(w.epochShards)-1]
+		shards = 2 * s.epochShards[len(s.epochShards)-1]
 	}
-	w.epochShards = append(w.epochShards, shards)
-	w.changeCatalog(func(service *catalog.Service, _ uint64) {
+	s.epochShards = append(s.epochShards, shards)
+	s.updateCatalog(func(service *catalog.Service, _ uint64) {
 		epoch := service.Partitions[len(service.Partitions)-1].Epoch + 1
 		service.Partitions = append(service.Partitions, catalog.Partition{Epoch: epoch, Shards: shards})
 		if len(service.Partitions) > catalog.RetainedPartitions {
 			service.Partitions = service.Partitions[1:]
 		}
 	})
-	for _, l := range w.leaves {
-		load := scale(spread, w.faultRandom.Float64())
-		drop := spread + scale(spread, w.faultRandom.Float64())
-		w.engine.after(load, func() { l.addHoldings(w.currentHoldings(l.index)) })
-		w.engine.after(drop, func() { l.dropOldest(w.currentHoldings(l.index)) })
+	for _, l := range s.leaves {
+		load := scale(spread, s.faultRandom.Float64())
+		drop := spread + scale(spread, s.faultRandom.Float64())
+		s.engine.scheduleAfter(load, func() { l.addHoldings(s.newestHoldings(l.index)) })
+		s.engine.scheduleAfter(drop, func() { l.dropOlderHoldings(s.newestHoldings(l.index)) })
 	}
 }
 
-// currentHoldings is what a leaf would load now: its newest index version in
-// the newest partition.
-func (w *world) currentHoldings(index int) []leaf.Holding {
-	partitions := w.catalog.Services[w.config.Service.Name].Partitions
+// newestHoldings returns what a leaf loads now: the newest index version that it was given, in the
+// newest partition.
+func (s *simulator) newestHoldings(index int) []leaf.Holding {
+	partitions := s.catalog.Services[s.config.Service.Name].Partitions
 	newest := partitions[len(partitions)-1]
 	return []leaf.Holding{{
-		Snapshot: catalog.Snapshot{Version: w.versions[index], Epoch: newest.Epoch},
-		Shards:   w.config.Service.placement(index, newest.Shards),
+		Snapshot: catalog.Snapshot{Version: s.leafVersions[index], Epoch: newest.Epoch},
+		Shards:   s.config.Service.placement(index, newest.Shards),
 	}}
 }
 
-// addHoldings adds what the leaf does not hold yet.
+// addHoldings adds the holdings whose snapshots the leaf does not hold yet.
 func (l *emulatedLeaf) addHoldings(loaded []leaf.Holding) {
-	if l.up != leafUp {
+	if l.liveness != leafUp {
 		return
 	}
-	held := slices.Clone(l.holdings)
+	updated := slices.Clone(l.holdings)
 	for _, holding := range loaded {
-		known := slices.ContainsFunc(held, func(old leaf.Holding) bool { return old.Snapshot == holding.Snapshot })
-		if !known {
-			held = append(held, holding)
+		held := slices.ContainsFunc(updated, func(old leaf.Holding) bool { return old.Snapshot == holding.Snapshot })
+		if !held {
+			updated = append(updated, holding)
 		}
 	}
-	l.holdings = held
+	l.holdings = updated
 }
 
-// dropOldest drops all that is older than what the leaf loads now.
-func (l *emulatedLeaf) dropOldest(current []leaf.Holding) {
+// dropOlderHoldings drops all holdings with older snapshots than the current ones.
+func (l *emulatedLeaf) dropOlderHoldings(current []leaf.Holding) {
 	newest := current[len(current)-1].Snapshot
 	l.holdings = slices.DeleteFunc(slices.Clone(l.holdings), func(old leaf.Holding) bool {
 		return old.Snapshot.Less(newest)
--- a/internal/rehearsal/simulation/network_test.go
+++ b/internal/rehearsal/simulation/network_test.go
@@ -8,33 +8,35 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// network carries messages between nodes and leaves, in order for each pair.
+// network delivers messages between nodes and leaves. Messages of a node to a leaf stay in order,
+// and so do those of the leaf to the node.
 type network struct {
-	world  *world
-	random *rand.Rand
-	links  [][]*link // by node, then leaf
+	simulator *simulator
+	random    *rand.Rand
+	links     [][]*link // by node, then leaf
 }
 
-// link is the connections of one node to one leaf.
+// link holds the connections from one node to one leaf.
 type link struct {
-	open int
-	// epoch grows when all connections break.
-	epoch    int
-	inFlight map[dispatch.AttemptID]*attempt
-	// lastThere and lastBack keep messages in order.
-	lastThere, lastBack Time
-	delay               time.Duration
-}
-
-func newNetwork(w *world) *network {
-	n := &network{world: w, random: newRandom(w.config.Seed, streamNetwork, 0)}
-	for _, from := range w.nodes {
-		row := make([]*link, 0, len(w.leaves))
-		for _, to := range w.leaves {
+	openConnections int
+	// generation is incremented when all connections break.
+	generation int
+	inFlight   map[dispatch.AttemptID]*attempt
+	// lastRequestArrival and lastReplyArrival are the latest arrivals in each direction. No later
+	// message may arrive before them.
+	lastRequestArrival, lastReplyArrival Time
+	delay                                time.Duration
+}
+
+func newNetwork(s *simulator) *network {
+	n := &network{simulator: s, random: newRandom(s.config.Seed, streamNetwork, 0)}
+	for _, from := range s.nodes {
+		row := make([]*link, 0, len(s.leaves))
+		for _, to := range s.leaves {
 			row = append(row, &link{
-				open:     1,
-				inFlight: make(map[dispatch.AttemptID]*attempt),
-				delay:    w.delay(from.zone, to.zone),
+				openConnections: 1,
+				inFlight:        make(map[dispatch.AttemptID]*attempt),
+				delay:           s.oneWayDelay(from.zone, to.zone),
 			})
 			to.connections++
 		}
@@ -43,67 +45,68 @@
 	return n
 }
 
-// delay is the one-way delay between two zones.
-func (w *world) delay(from, to string) time.Duration {
+// oneWayDelay returns the one-way delay between two zones.
+func (s *simulator) oneWayDelay(from, to string) time.Duration {
 	if from == to {
-		return w.config.Deployment.Network.WithinZone
+		return s.config.Deployment.Network.IntraZoneDelay
 	}
-	return w.config.Deployment.Network.BetweenZones
+	return s.config.Deployment.Network.InterZoneDelay
 }
 
-func (n *network) link(a *attempt) *link { return n.links[a.node.index][a.leaf.index] }
+func (n *network) linkFor(a *attempt) *link { return n.links[a.node.index][a.leaf.index] }
 
-func (n *network) jitter() time.Duration {
-	return exponential(n.random, n.world.config.Deployment.Network.Jitter)
+func (n *network) drawJitter() time.Duration {
+	return exponential(n.random, n.simulator.config.Deployment.Network.MeanJitter)
 }
 
-// there returns when a message sent now reaches the leaf.
-func (n *network) there(link *link, extra time.Duration) Time {
-	arrival := n.world.engine.now + extra + link.delay + n.jitter()
-	link.lastThere = max(arrival, link.lastThere)
-	return link.lastThere
+// nextRequestArrival returns when a message that is sent now arrives at the leaf.
+func (n *network) nextRequestArrival(link *link, extra time.Duration) Time {
+	arrival := n.simulator.engine.now + extra + link.delay + n.drawJitter()
+	link.lastRequestArrival = max(arrival, link.lastRequestArrival)
+	return link.lastRequestArrival
 }
 
-// back returns when a message sent now reaches the node.
-func (n *network) back(link *link) Time {
-	arrival := n.world.engine.now + link.delay + n.jitter()
-	link.lastBack = max(arrival, link.lastBack)
-	return link.lastBack
+// nextReplyArrival returns when a message that is sent now arrives at the node.
+func (n *network) nextReplyArrival(link *link) Time {
+	arrival := n.simulator.engine.now + link.delay + n.drawJitter()
+	link.lastReplyArrival = max(arrival, link.lastReplyArrival)
+	return link.lastReplyArrival
 }
 
-// send carries an attempt's work to its leaf, over a new connection if those
-// at hand are full.
+// send sends the work of an attempt to its leaf. It opens a new connection if the existing ones
+// are full.
 func (n *network) send(a *attempt) {
-	link := n.link(a)
+	link := n.linkFor(a)
 	link.inFlight[a.id] = a
-	settings := &n.world.config.Deployment.Network
-	full := len(link.inFlight) > link.open*settings.StreamsPerConnection
-	if link.open == 0 || full && link.open < settings.ConnectionsPerNode {
+	settings := &n.simulator.config.Deployment.Network
+	full := len(link.inFlight) > link.openConnections*settings.MaxStreamsPerConnection
+	if link.openConnections == 0 || full && link.openConnections < settings.MaxConnectionsPerLink {
 		n.dial(link, a)
 		return
 	}
 	n.transmit(link, a, 0)
 }
 
-// dial opens a connection and then sends, or reports that nothing was sent.
+// dial opens a connection and sends the request. If the connection fails, the attempt fails with
+// nothing sent.
 func (n *network) dial(link *link, a *attempt) {
-	settings := &n.world.config.Deployment.Network
-	if a.leaf.up == leafSilent {
-		n.failLater(link, a, settings.DialTimeout, false)
+	settings := &n.simulator.config.Deployment.Network
+	if a.leaf.liveness == leafSilent {
+		n.scheduleFailure(link, a, settings.DialTimeout, false)
 		return
 	}
-	if a.leaf.up == leafCrashed || a.leaf.connections >= n.world.config.Service.Connections {
-		n.failLater(link, a, 2*link.delay, false)
+	if a.leaf.liveness == leafCrashed || a.leaf.connections >= n.simulator.config.Service.MaxConnectionsPerLeaf {
+		n.scheduleFailure(link, a, 2*link.delay, false)
 		return
 	}
-	link.open++
+	link.openConnections++
 	a.leaf.connections++
-	n.transmit(link, a, settings.ConnectionCost)
+	n.transmit(link, a, settings.ConnectionSetupTime)
 }
 
-// failLater ends an attempt at the node after a while.
-func (n *network) failLater(link *link, a *attempt, after time.Duration, sent bool) {
-	n.world.engine.after(after, func() { n.failAttempt(link, a, sent) })
+// scheduleFailure fails an attempt at its node after a delay.
+func (n *network) scheduleFailure(link *link, a *attempt, delay time.Duration, sent bool) {
+	n.simulator.engine.scheduleAfter(delay, func() { n.failAttempt(link, a, sent) })
 }
 
 func (n *network) failAttempt(link *link, a *attempt, sent bool) {
@@ -114,77 +117,78 @@
 	a.node.deliver(func() { a.node.fail(a, dispatch.Failure{Sent: sent}) })
 }
 
-// transmit puts the request on the wire.
+// transmit sends the request over an open connection.
 func (n *network) transmit(link *link, a *attempt, extra time.Duration) {
 	a.state = attemptSent
-	boot, epoch := a.leaf.boot, link.epoch
-	n.world.engine.at(n.there(link, extra), func() {
-		if a.leaf.up != leafUp || a.leaf.boot != boot || link.epoch != epoch {
+	boot, generation := a.leaf.boot, link.generation
+	n.simulator.engine.scheduleAt(n.nextRequestArrival(link, extra), func() {
+		if a.leaf.liveness != leafUp || a.leaf.boot != boot || link.generation != generation {
 			a.work.state = workDone
-			n.failBroken(link, a)
+			n.failBrokenAttempt(link, a)
 			return
 		}
 		a.leaf.receive(a.work)
 	})
 }
 
-// failBroken ends an attempt that reached a dead process on a live machine;
-// a silent machine says nothing, until breakLinks.
-func (n *network) failBroken(link *link, a *attempt) {
-	if a.leaf.up == leafSilent {
+// failBrokenAttempt fails an attempt that arrives at a machine whose process is gone. A machine
+// that does not respond sends no reset; breakLinks fails its attempts later.
+func (n *network) failBrokenAttempt(link *link, a *attempt) {
+	if a.leaf.liveness == leafSilent {
 		return
 	}
-	n.failLater(link, a, link.delay, true)
+	n.scheduleFailure(link, a, link.delay, true)
 }
 
-// abort resets the stream of an attempt: the node is done with it at once, the
-// leaf receives the reset later.
+// abort resets the stream of an attempt. The node forgets the attempt at once; the leaf receives
+// the reset after the network delay.
 func (n *network) abort(a *attempt) {
-	link := n.link(a)
+	link := n.linkFor(a)
 	delete(link.inFlight, a.id)
 	if a.state != attemptSent {
 		return
 	}
 	boot := a.leaf.boot
-	n.world.engine.at(n.there(link, 0), func() {
-		if a.leaf.up == leafUp && a.leaf.boot == boot {
+	n.simulator.engine.scheduleAt(n.nextRequestArrival(link, 0), func() {
+		if a.leaf.liveness == leafUp && a.leaf.boot == boot {
 			a.leaf.cancel(a.work)
 		}
 	})
 }
 
-// deliverReply carries a reply back.
+// deliverReply sends a reply to the node of the attempt.
 func (n *network) deliverReply(a *attempt, answer reply) {
-	n.deliverBack(a, func() { a.node.reply(a, answer) })
+	n.deliverToNode(a, func() { a.node.reply(a, answer) })
 }
 
-// deliverRefusal carries a refusal back.
+// deliverRefusal sends a refusal to the node of the attempt.
 func (n *network) deliverRefusal(a *attempt, refusal leaf.Refusal, retryAfter time.Duration) {
 	answer := dispatch.Refusal{
-		Reason: refusal, RetryAfter: retryAfter, BootID: a.leaf.bootID(), Load: a.leaf.summary(),
+		Reason: refusal, RetryAfter: retryAfter, BootID: a.leaf.bootID(), Load: a.leaf.loadSummary(),
 	}
-	n.deliverBack(a, func() { a.node.refuse(a, answer) })
+	n.deliverToNode(a, func() { a.node.refuse(a, answer) })
 }
 
-func (n *network) deliverBack(a *attempt, do func()) {
-	link := n.link(a)
-	epoch := link.epoch
-	n.world.engine.at(n.back(link), func() {
-		if link.epoch != epoch {
-			return // the connection broke; the attempt was failed
+func (n *network) deliverToNode(a *attempt, action func()) {
+	link := n.linkFor(a)
+	generation := link.generation
+	n.simulator.engine.scheduleAt(n.nextReplyArrival(link), func() {
+		if link.generation != generation {
+			return // the connection broke and the attempt has already failed
 		}
 		delete(link.inFlight, a.id)
-		a.node.deliver(do)
+		a.node.deliver(action)
 	})
 }
 
-// breakLinks ends all connections to a leaf as its nodes notice, after a while.
-func (n *network) breakLinks(l *emulatedLeaf, after time.Duration) {
+// breakLinks breaks all connections to a leaf. Each node notices it after the given time plus the
+// network delay.
+func (n *network) breakLinks(l *emulatedLeaf, timeout time.Duration) {
 	for _, row := range n.links {
 		link := row[l.index]
-		epoch := link.epoch
-		n.world.engine.after(after+link.delay, func() {
-			if link.epoch == epoch {
+		generation := link.generation
+		n.simulator.engine.scheduleAfter(timeout+link.delay, func() {
+			if link.generation == generation {
 				n.breakLink(link)
 			}
 		})
@@ -192,8 +196,8 @@
 }
 
 func (n *network) breakLink(link *link) {
-	link.epoch++
-	link.open = 0
+	link.generation++
+	link.openConnections = 0
 	for _, a := range sortedAttempts(link.inFlight) {
 		if a.state == attemptSent {
 			n.failAttempt(link, a, true)
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -9,55 +9,55 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-// minimumTick bounds how often a Decider may ask to be woken.
+// minimumTick is the shortest time between now and the next tick that a Decider may ask for.
 const minimumTick = 50 * time.Microsecond
 
-// node drives one Decider, as the scatter driver of a real node does.
+// node drives a Decider as the scatter driver of a real node does.
 type node struct {
-	world    *world
-	index    int
-	zone     string
-	decider  Decider
-	table    *topology.Table
-	known    dispatch.Topology
-	attempts map[dispatch.AttemptID]*attempt
-	queries  map[dispatch.QueryID]*query
-	// wakeAt is when the next tick is scheduled; zero means none.
-	wakeAt Time
-	thawAt Time
-	dead   bool
+	simulator       *simulator
+	index           int
+	zone            string
+	decider         Decider
+	table           *topology.Table
+	currentTopology dispatch.Topology
+	attempts        map[dispatch.AttemptID]*attempt
+	queries         map[dispatch.QueryID]*query
+	// nextTickAt is when the next tick is scheduled; zero means that none is.
+	nextTickAt Time
+	thawAt     Time
+	down       bool
 }
 
-func newNode(w *world, index int, zone string) *node {
+func newNode(s *simulator, index int, zone string) *node {
 	return &node{
-		world: w, index: index, zone: zone,
+		simulator: s, index: index, zone: zone,
 		table:    topology.New(topology.DefaultConfig()),
 		attempts: make(map[dispatch.AttemptID]*attempt),
 		queries:  make(map[dispatch.QueryID]*query),
 	}
 }
 
-// deliver runs what happens at the node now, or when it thaws.
-func (n *node) deliver(do func()) {
+// deliver runs an event of the node now, or when the node thaws. A node that is down drops it.
+func (n *node) deliver(action func()) {
 	switch {
-	case n.dead:
-	case n.world.engine.now < n.thawAt:
-		n.world.engine.at(n.thawAt, func() { n.deliver(do) })
+	case n.down:
+	case n.simulator.engine.now < n.thawAt:
+		n.simulator.engine.scheduleAt(n.thawAt, func() { n.deliver(action) })
 	default:
-		do()
+		action()
 	}
 }
 
-// submit hands a query to the Decider.
+// submit passes a query to the Decider.
 func (n *node) submit(q *query) {
-	now := n.world.engine.now
-	class := n.world.config.Service.Classes[q.class]
+	now := n.simulator.engine.now
+	class := n.simulator.config.Service.Classes[q.class]
 	q.node = n
 	q.deadline = now + class.Deadline
 	n.queries[q.id()] = q
 	n.perform(n.decider.Submit(now, dispatch.Query{
 		ID:              q.id(),
-		Class:           class.catalogClass(n.world.config.Service.Name),
+		Class:           class.catalogClass(n.simulator.config.Service.Name),
 		KeyHash:         q.keyHash,
 		HasKey:          class.Keyed(),
 		Deadline:        q.deadline,
@@ -65,15 +65,15 @@
 	}))
 }
 
-// cancel tells the Decider that the client of a query went away.
+// cancel tells the Decider that the client cancelled a query.
 func (n *node) cancel(q *query) {
 	if q.finished || n.queries[q.id()] == nil {
 		return
 	}
-	n.perform(n.decider.Cancel(n.world.engine.now, q.id()))
+	n.perform(n.decider.Cancel(n.simulator.engine.now, q.id()))
 }
 
-// perform carries out actions in order and schedules the next tick.
+// perform carries out actions in order and then schedules the next tick.
 func (n *node) perform(actions []dispatch.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -85,75 +85,75 @@
 			n.finish(action)
 		}
 	}
-	n.arm()
+	n.scheduleTick()
 }
 
-// arm schedules the next tick if it comes before the one scheduled.
-func (n *node) arm() {
+// scheduleTick schedules the next tick unless an earlier one is already scheduled.
+func (n *node) scheduleTick() {
 	next, ok := n.decider.NextTick()
 	if !ok {
 		return
 	}
-	now := n.world.engine.now
+	now := n.simulator.engine.now
 	next = max(next, now+minimumTick)
-	if n.wakeAt > now && n.wakeAt <= next {
+	if n.nextTickAt > now && n.nextTickAt <= next {
 		return
 	}
-	n.wakeAt = next
-	n.world.engine.at(next, func() {
-		if n.wakeAt == next {
+	n.nextTickAt = next
+	n.simulator.engine.scheduleAt(next, func() {
+		if n.nextTickAt == next {
 			n.deliver(n.tick)
 		}
 	})
 }
 
 func (n *node) tick() {
-	n.wakeAt = 0
-	n.perform(n.decider.Tick(n.world.engine.now))
+	n.nextTickAt = 0
+	n.perform(n.decider.Tick(n.simulator.engine.now))
 }
 
 func (n *node) send(send dispatch.Send) {
 	q := n.queries[send.Query]
 	a := &attempt{
 		id: send.Attempt, node: n, query: q, shard: send.Shard, snapshot: send.Snapshot,
-		leaf: n.world.byAddress[send.Leaf],
+		leaf: n.simulator.leavesByAddress[send.Leaf],
 	}
 	if n.attempts[a.id] != nil {
-		n.world.violate(ViolationAction, "attempt id used twice")
+		n.simulator.recordViolation(ViolationAction, "node %d: attempt id %d is used twice", n.index, a.id)
 		return
 	}
 	if q == nil || q.finished || a.leaf == nil {
-		n.world.violate(ViolationAction, "send for a query that is over, or to no leaf")
+		n.simulator.recordViolation(ViolationAction, "node %d: send for query %d, which is finished or unknown, or to unknown leaf %s", n.index, send.Query, send.Leaf)
 		return
 	}
 	n.attempts[a.id] = a
-	n.world.result.Sends++
-	length := n.world.workLength(q, send.Shard, n.world.shards(send.Snapshot.Epoch))
+	n.simulator.result.Sends++
+	duration := n.simulator.drawWorkDuration(q, send.Shard, n.simulator.shardCount(send.Snapshot.Epoch))
 	a.work = &work{
-		attempt:  a,
-		lateAt:   n.world.engine.now + send.Remaining,
-		length:   n.world.noisyLength(length, a),
-		expected: n.world.meanWork(q, send.Snapshot.Epoch),
+		attempt:       a,
+		startDeadline: n.simulator.engine.now + send.Remaining,
+		duration:      n.simulator.addNoise(duration, a),
+		meanDuration:  n.simulator.meanWorkDuration(q, send.Snapshot.Epoch),
 	}
-	n.world.network.send(a)
+	n.simulator.network.send(a)
 }
 
-// abort resets the stream and reports its end at once, after the actions at
-// hand.
+// abort resets the stream of an attempt. The Decider receives the failure in a separate event at
+// the same time, after the current actions.
 func (n *node) abort(abort dispatch.Abort) {
 	a := n.attempts[abort.Attempt]
 	if a == nil || a.state == attemptEnded {
 		return
 	}
 	sent := a.state == attemptSent
-	n.world.network.abort(a)
-	n.world.engine.at(n.world.engine.now, func() {
+	n.simulator.network.abort(a)
+	n.simulator.engine.scheduleAt(n.simulator.engine.now, func() {
 		n.deliver(func() { n.fail(a, dispatch.Failure{Sent: sent, Aborted: true}) })
 	})
 }
 
-// end reports whether the attempt was still open, and closes it.
-func (n *node) end(a *attempt) bool {
+// endAttempt marks an attempt as ended and reports whether it was still open.
+func (n *node) endAttempt(a *attempt) bool {
 	if a.state == attemptEnded {
 		return false
 	}
@@ -165,32 +165,32 @@
 }
 
 func (n *node) fail(a *attempt, failure dispatch.Failure) {
-	if n.end(a) {
-		n.perform(n.decider.Fail(n.world.engine.now, a.id, failure))
+	if n.endAttempt(a) {
+		n.perform(n.decider.Fail(n.simulator.engine.now, a.id, failure))
 	}
 }
 
 func (n *node) reply(a *attempt, answer reply) {
-	if !n.end(a) {
+	if !n.endAttempt(a) {
 		return
 	}
-	a.replied = &answer
-	n.heardState(a.leaf, answer.bootID, answer.load.State)
-	n.perform(n.decider.Reply(n.world.engine.now, a.id, dispatch.Reply{
+	a.receivedReply = &answer
+	n.observeLeafState(a.leaf, answer.bootID, answer.load.State)
+	n.perform(n.decider.Reply(n.simulator.engine.now, a.id, dispatch.Reply{
 		Shard: answer.shard, Snapshot: answer.snapshot, BootID: answer.bootID, Load: answer.load,
 	}))
 }
 
 func (n *node) refuse(a *attempt, refusal dispatch.Refusal) {
-	if !n.end(a) {
+	if !n.endAttempt(a) {
 		return
 	}
-	n.heardState(a.leaf, refusal.BootID, refusal.Load.State)
-	n.perform(n.decider.Refuse(n.world.engine.now, a.id, refusal))
+	n.observeLeafState(a.leaf, refusal.BootID, refusal.Load.State)
+	n.perform(n.decider.Refuse(n.simulator.engine.now, a.id, refusal))
 }
 
-// heardState marks a leaf whose reply says that it drains.
-func (n *node) heardState(l *emulatedLeaf, bootID string, state leaf.State) {
+// observeLeafState marks a leaf as draining if its reply says so.
+func (n *node) observeLeafState(l *emulatedLeaf, bootID string, state leaf.State) {
 	if state != leaf.StateDraining {
 		return
 	}
@@ -198,68 +198,68 @@
 	n.refreshTopology()
 }
 
-// refreshTopology passes a changed topology to the Decider.
+// refreshTopology passes the topology to the Decider if it changed.
 func (n *node) refreshTopology() {
-	now := n.world.engine.now
-	current, ok := n.table.Service(now, n.world.config.Service.Name)
-	if !ok || sameTopology(n.known, current) {
+	now := n.simulator.engine.now
+	current, ok := n.table.Service(now, n.simulator.config.Service.Name)
+	if !ok || equalTopologies(n.currentTopology, current) {
 		return
 	}
-	n.known = current
+	n.currentTopology = current
 	n.perform(n.decider.SetTopology(now, current))
 }
 
-// poll asks one leaf for its load, again and again.
+// poll requests the load of a leaf and schedules the next poll.
 func (n *node) poll(l *emulatedLeaf) {
-	settings := &n.world.config.Deployment
-	engine := &n.world.engine
-	delay := n.world.delay(n.zone, l.zone)
-	engine.after(delay, func() {
-		if l.up != leafUp {
-			engine.after(settings.Network.DialTimeout, func() {
-				n.deliver(func() { n.pollFailed(l) })
+	settings := &n.simulator.config.Deployment
+	engine := &n.simulator.engine
+	delay := n.simulator.oneWayDelay(n.zone, l.zone)
+	engine.scheduleAfter(delay, func() {
+		if l.liveness != leafUp {
+			engine.scheduleAfter(settings.Network.DialTimeout, func() {
+				n.deliver(func() { n.handlePollFailure(l) })
 			})
 			return
 		}
-		report := l.report()
-		engine.after(delay, func() { n.deliver(func() { n.polled(l, report) }) })
+		report := l.loadReport()
+		engine.scheduleAfter(delay, func() { n.deliver(func() { n.handleReport(l, report) }) })
 	})
-	if engine.now < n.world.endAt {
-		engine.after(settings.Leaf.ReportEvery, func() { n.poll(l) })
+	if engine.now < n.simulator.arrivalsEndAt {
+		engine.scheduleAfter(settings.Leaf.PollInterval, func() { n.poll(l) })
 	}
 }
 
-func (n *node) polled(l *emulatedLeaf, report leaf.LoadReport) {
-	now := n.world.engine.now
+func (n *node) handleReport(l *emulatedLeaf, report leaf.LoadReport) {
+	now := n.simulator.engine.now
 	n.table.Report(now, l.address, report)
 	n.refreshTopology()
 	n.perform(n.decider.Observe(now, l.address, report.LoadSummary))
 }
 
-func (n *node) pollFailed(l *emulatedLeaf) {
+func (n *node) handlePollFailure(l *emulatedLeaf) {
 	n.table.ReportFailed(l.address)
 	n.refreshTopology()
 }
 
-// finish gives the answer to the client.
+// finish records the answer of a query and checks it.
 func (n *node) finish(finish dispatch.Finish) {
 	q := n.queries[finish.Query]
 	if q == nil || q.finished {
-		n.world.violate(ViolationFinish, "query %d finished again or never submitted", finish.Query)
+		n.simulator.recordViolation(ViolationFinish, "query %d is finished twice or was never submitted", finish.Query)
 		return
 	}
 	q.finished = true
 	q.finish = finish
-	q.finishedAt = n.world.engine.now
-	n.world.checkFinish(n, q)
-	n.world.collect(q)
+	q.finishedAt = n.simulator.engine.now
+	n.simulator.checkFinish(n, q)
+	n.simulator.recordOutcome(q)
 	delete(n.queries, finish.Query)
 	for _, answer := range finish.Answered {
 		delete(n.attempts, answer.Attempt)
 	}
 }
 
-// sortedAttempts lists attempts by id.
+// sortedAttempts returns the attempts in order of their ids, so that runs are deterministic.
 func sortedAttempts(attempts map[dispatch.AttemptID]*attempt) []*attempt {
 	list := make([]*attempt, 0, len(attempts))
 	for _, a := range attempts {
@@ -269,17 +269,17 @@
 	return list
 }
 
-// sameTopology compares what a Decider would see.
-func sameTopology(a, b dispatch.Topology) bool {
+// equalTopologies compares the parts of a topology that a Decider uses.
+func equalTopologies(a, b dispatch.Topology) bool {
 	return a.Revision == b.Revision && a.Stopped == b.Stopped && a.Concurrency == b.Concurrency &&
-		slices.Equal(a.Partitions, b.Partitions) && slices.EqualFunc(a.Leaves, b.Leaves, sameLeaf)
+		slices.Equal(a.Partitions, b.Partitions) && slices.EqualFunc(a.Leaves, b.Leaves, equalLeaves)
 }
 
-func sameLeaf(a, b dispatch.Leaf) bool {
+func equalLeaves(a, b dispatch.Leaf) bool {
 	return a.Address == b.Address && a.Zone == b.Zone && a.BootID == b.BootID && a.Usable == b.Usable &&
-		a.Cold == b.Cold && a.Slots == b.Slots && slices.EqualFunc(a.Holdings, b.Holdings, sameHolding)
+		a.Cold == b.Cold && a.Slots == b.Slots && slices.EqualFunc(a.Holdings, b.Holdings, equalHoldings)
 }
 
-func sameHolding(a, b leaf.Holding) bool {
+func equalHoldings(a, b leaf.Holding) bool {
 	return a.Snapshot == b.Snapshot && slices.Equal(a.Shards, b.Shards)
 }
--- a/internal/rows/rows_test.go
+++ b/internal/rows/rows_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func valueGenerator() *rapid.Generator[Value] {
+func newValueGenerator() *rapid.Generator[Value] {
 	return rapid.OneOf(
 		rapid.Just(Value{}),
 		rapid.Map(rapid.Float64Range(-math.MaxFloat64, math.MaxFloat64), NumberOf),
@@ -20,55 +20,56 @@
 	)
 }
 
-func tableGenerator() *rapid.Generator[Table] {
+func newTableGenerator() *rapid.Generator[Table] {
 	return rapid.Custom(func(t *rapid.T) Table {
 		table := Table{Columns: rapid.SliceOfN(rapid.String(), 1, 4).Draw(t, "columns"), Rows: []Row{}}
 		width := len(table.Columns)
 		for range rapid.IntRange(0, 5).Draw(t, "rows") {
-			table.Rows = append(table.Rows, rapid.SliceOfN(valueGenerator(), width, width).Draw(t, "row"))
+			table.Rows = append(table.Rows, rapid.SliceOfN(newValueGenerator(), width, width).Draw(t, "row"))
 		}
 		return table
 	})
 }
 
-func TestTableSurvivesJSON(t *testing.T) {
+func TestTableJSONRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := tableGenerator().Draw(t, "table")
+		table := newTableGenerator().Draw(t, "table")
 		encoded, err := json.Marshal(table)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var decoded Table
 		if err := json.Unmarshal(encoded, &decoded); err != nil {
-			t.Fatalf("%s: %v", encoded, err)
+			t.Fatalf("decode %s: %v", encoded, err)
 		}
 		if !table.Equal(decoded) {
-			t.Fatalf("%v became %v by %s", table, decoded, encoded)
+			t.Fatalf("decoded %[2]v from %[3]s, want %[1]v", table, decoded, encoded)
 		}
 	})
 }
 
-// plainTable has the fields of a Table and none of its methods.
-type plainTable Table
+// tableWithoutMethods has the fields of Table but not its JSON methods, so encoding/json handles it
+// by reflection.
+type tableWithoutMethods Table
 
-func TestTableReadsAsEncodingJSONDoes(t *testing.T) {
+func TestTableDecodesLikeEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain := plainTable(tableGenerator().Draw(t, "table"))
+		plain := tableWithoutMethods(newTableGenerator().Draw(t, "table"))
 		encoded, err := json.MarshalIndent(plain, " ", "\t")
 		if err != nil {
 			t.Fatal(err)
 		}
 		var table Table
 		if err := json.Unmarshal(encoded, &table); err != nil {
-			t.Fatalf("%s: %v", encoded, err)
+			t.Fatalf("decode %s: %v", encoded, err)
 		}
 		if !table.Equal(Table(plain)) {
-			t.Fatalf("%s was read as %v", encoded, table)
+			t.Fatalf("decoded %[2]v from %[1]s, want the encoded table", encoded, table)
 		}
 	})
 }
 
-// envelope is an object that carries a table.
+// envelope is a JSON object with a table between other fields.
 type envelope struct {
 	Before string         `json:"before"`
 	Load   map[string]any `json:"load"`
@@ -76,37 +77,37 @@
 	After  []any          `json:"after"`
 }
 
-func TestExtractTableLeavesTheRest(t *testing.T) {
+func TestExtractTableKeepsOtherFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := envelope{
+		object := envelope{
 			Before: rapid.String().Draw(t, "before"),
 			Load:   map[string]any{"a": []any{1.5, "]", map[string]any{"table": nil}}, "b": rapid.String().Draw(t, "load")},
-			Table:  tableGenerator().Draw(t, "table"),
+			Table:  newTableGenerator().Draw(t, "table"),
 			After:  []any{true, map[string]any{"x": []any{}}},
 		}
-		encoded, err := json.MarshalIndent(whole, "", rapid.SampledFrom([]string{"", " "}).Draw(t, "indent"))
+		encoded, err := json.MarshalIndent(object, "", rapid.SampledFrom([]string{"", " "}).Draw(t, "indent"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		table, rest, err := ExtractTable(encoded, "table")
-		if err != nil || !table.Equal(whole.Table) {
-			t.Fatalf("%s: %v, %v", encoded, table, err)
+		if err != nil || !table.Equal(object.Table) {
+			t.Fatalf("ExtractTable(%s) = %v, error %v, want %v", encoded, table, err, object.Table)
 		}
-		whole.Table = Table{}
+		object.Table = Table{}
 		var decoded, expected envelope
-		withoutTable, _ := json.Marshal(whole)
+		withoutTable, _ := json.Marshal(object)
 		if json.Unmarshal(rest, &decoded) != nil || json.Unmarshal(withoutTable, &expected) != nil {
-			t.Fatalf("%s", rest)
+			t.Fatalf("decoding the remaining object %s failed", rest)
 		}
 		expected.Table = Table{}
 		if !reflect.DeepEqual(decoded, expected) {
-			t.Fatalf("%s: %v, expected %v", rest, decoded, expected)
+			t.Fatalf("remaining object %s decodes to %v, want %v", rest, decoded, expected)
 		}
 	})
 }
 
-// FuzzTable checks that no text makes the reader panic, and that it refuses
-// what encoding/json refuses.
+// FuzzTable checks that decoding never panics and that every valid JSON text that decodes gives the
+// same table as encoding/json.
 func FuzzTable(f *testing.F) {
 	for _, seed := range []string{
 		`{"columns":["a","b"],"rows":[[1,"x"],[null,"\u00e9\""]]}`, `{"columns":null,"rows":null}`, `null`,
@@ -117,36 +118,36 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if extracted, _, err := ExtractTable(data, "table"); err == nil && json.Valid(data) {
-			var whole struct{ Table plainTable }
+			var whole struct{ Table tableWithoutMethods }
 			if err := json.Unmarshal(data, &whole); err == nil && bytes.Count(data, []byte("table")) == 1 && !extracted.Equal(Table(whole.Table)) {
-				t.Fatalf("extracted %v, expected %v", extracted, whole.Table)
+				t.Fatalf("extracted %v, want %v", extracted, whole.Table)
 			}
 		}
 		var table Table
 		if table.UnmarshalJSON(data) != nil || !json.Valid(data) {
 			return
 		}
-		var plain plainTable
+		var plain tableWithoutMethods
 		if err := json.Unmarshal(data, &plain); err != nil || !table.Equal(Table(plain)) {
-			t.Fatalf("read %v, expected %v, %v", table, plain, err)
+			t.Fatalf("decoded %v, want %v, error %v from encoding/json", table, plain, err)
 		}
 	})
 }
 
-func TestCompareIsTotalOrderAndKeysAgree(t *testing.T) {
+func TestCompareIsTotalOrderConsistentWithKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := valueGenerator().Draw(t, "a")
-		b := valueGenerator().Draw(t, "b")
-		c := valueGenerator().Draw(t, "c")
+		a := newValueGenerator().Draw(t, "a")
+		b := newValueGenerator().Draw(t, "b")
+		c := newValueGenerator().Draw(t, "c")
 		if Compare(a, b) != -Compare(b, a) {
-			t.Fatal("not antisymmetric")
+			t.Fatalf("Compare(%v, %v) is not antisymmetric", a, b)
 		}
 		if Compare(a, b) <= 0 && Compare(b, c) <= 0 && Compare(a, c) > 0 {
-			t.Fatal("not transitive")
+			t.Fatalf("Compare is not transitive for %v, %v and %v", a, b, c)
 		}
 		sameKey := bytes.Equal(AppendKey(nil, a), AppendKey(nil, b))
 		if sameKey != (Compare(a, b) == 0) {
-			t.Fatalf("keys of %v and %v disagree with their order", a, b)
+			t.Fatalf("keys of %v and %v are inconsistent with Compare", a, b)
 		}
 	})
 }
@@ -154,26 +155,26 @@
 func TestNegativeZeroEqualsZero(t *testing.T) {
 	zero, negative := NumberOf(0), NumberOf(math.Copysign(0, -1))
 	if Compare(zero, negative) != 0 || !bytes.Equal(AppendKey(nil, zero), AppendKey(nil, negative)) {
-		t.Fatal("zero and negative zero differ")
+		t.Fatal("zero and negative zero differ, want equal order and equal keys")
 	}
 }
 
-func TestBadValuesAreRefused(t *testing.T) {
+func TestInvalidValuesAreRefused(t *testing.T) {
 	for _, text := range []string{`true`, `{}`, `[]`} {
 		var value Value
 		var valueError *ValueError
 		if err := json.Unmarshal([]byte(text), &value); !errors.As(err, &valueError) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("decode %s: got error %v, want *ValueError", text, err)
 		}
 	}
 	var numberError *NumberError
 	if _, err := json.Marshal(NumberOf(math.NaN())); !errors.As(err, &numberError) {
-		t.Errorf("NaN: %v", err)
+		t.Errorf("encode NaN: got error %v, want *NumberError", err)
 	}
 }
 
-// benchmarkTable is the size of a shard's reply to a top-20 query.
-func benchmarkTable() Table {
+// newBenchmarkTable returns a table of the size of a shard's reply to a top-20 query.
+func newBenchmarkTable() Table {
 	table := Table{Columns: []string{"lane", "carrier", "weight", "price"}}
 	for i := range 20 {
 		table.Rows = append(table.Rows, Row{
@@ -184,7 +185,7 @@
 }
 
 func BenchmarkDecodeTable(b *testing.B) {
-	encoded, err := json.Marshal(benchmarkTable())
+	encoded, err := json.Marshal(newBenchmarkTable())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -198,7 +199,7 @@
 }
 
 func BenchmarkEncodeTable(b *testing.B) {
-	table := benchmarkTable()
+	table := newBenchmarkTable()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := json.Marshal(table); err != nil {
--- a/internal/selfhosted/api/errors_page_test.go
+++ b/internal/selfhosted/api/errors_page_test.go
@@ -32,8 +32,9 @@
 
 `
 
-// TestErrorsPage keeps docs/ERRORS.md equal to the types.
-func TestErrorsPage(t *testing.T) {
+// TestErrorsPageMatchesDescriptions checks that docs/ERRORS.md lists the problem types with
+// their current descriptions. Run it with -update to rewrite the page.
+func TestErrorsPageMatchesDescriptions(t *testing.T) {
 	var page strings.Builder
 	page.WriteString(errorsPageHead)
 	page.WriteString("| type | status | meaning | what to do |\n| --- | --- | --- | --- |\n")
@@ -46,8 +47,8 @@
 	goldie.New(t, goldie.WithFixtureDir("../../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "ERRORS", []byte(page.String()))
 }
 
-// TestEveryProblemTypeIsDescribed reads the constants from the source, so that
-// a new one without a description fails.
+// TestEveryProblemTypeIsDescribed reads the constants from the source, so that it fails for
+// a new constant without a description.
 func TestEveryProblemTypeIsDescribed(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "problem.go", nil, 0)
 	if err != nil {
@@ -57,17 +58,17 @@
 	for _, description := range ProblemDescriptions() {
 		described[fmt.Sprintf("%q", description.Type)] = true
 	}
-	found := 0
+	count := 0
 	ast.Inspect(file, func(node ast.Node) bool {
 		if literal, ok := node.(*ast.BasicLit); ok && strings.HasPrefix(literal.Value, `"urn:micaplank:problem:`) {
-			found++
+			count++
 			if !described[literal.Value] {
 				t.Errorf("%s is not described", literal.Value)
 			}
 		}
 		return true
 	})
-	if found != len(described) {
-		t.Errorf("%d types in the source, %d described", found, len(described))
+	if count != len(described) {
+		t.Errorf("got %d types in the source and %d descriptions, want as many", count, len(described))
 	}
 }
--- a/internal/selfhosted/dissemination/exchange.go
+++ b/internal/selfhosted/dissemination/exchange.go
@@ -6,63 +6,63 @@
 	"slices"
 )
 
-// pendingRequest is an exchange that has not been answered.
+// pendingRequest is an exchange request without a response.
 type pendingRequest struct {
 	sentAt Time
-	// claimed is the incarnation that the request claimed a slot with, or 0.
-	claimed uint64
+	// claimedIncarnation is the incarnation with which the request claimed a voter slot, or 0.
+	claimedIncarnation uint64
 }
 
-// randomExchangeEvery is how many rounds lie between exchanges with a random
-// member, which heal what the relay trees miss.
-// Not measured: chosen because it adds a quarter of an exchange to each round.
-const randomExchangeEvery = 4
+// randomExchangeRounds is the number of rounds between exchanges with a random member, which reach
+// members that the relay trees miss. The value 4 adds a quarter of an exchange to each round.
+const randomExchangeRounds = 4
 
-// exchange sends this round's requests.
+// exchange sends the requests of the current round.
 func (c *Core) exchange(now Time) {
 	jitter := Time(c.random.Int64N(int64(c.config.ExchangeInterval)/5 + 1))
 	c.nextExchange = now + c.config.ExchangeInterval - c.config.ExchangeInterval/10 + jitter
-	c.exchanges++
+	c.exchangeRounds++
 	targets := map[netip.AddrPort]bool{}
-	if c.asksVoters() {
+	if c.exchangesWithVoters() {
 		for _, name := range c.voters {
-			c.target(targets, name)
+			c.addTarget(targets, name)
 		}
 	}
 	for _, parent := range c.members.parents(c.config.WatchersPerZone, c.config.RelayFanout) {
 		targets[parent.Address] = true
 	}
-	c.addFallbacks(now, targets)
+	c.addFallbackTargets(now, targets)
 	delete(targets, c.self.Address)
-	for _, to := range sortedAddresses(targets) {
-		c.request(now, to)
+	for _, to := range sortAddresses(targets) {
+		c.sendRequest(now, to)
 	}
 }
 
-// asksVoters says whether this node exchanges with all voters itself.
-func (c *Core) asksVoters() bool {
-	return c.holdsSlot() || c.watcher() || len(c.members.alive) < c.config.DirectLimit
+// exchangesWithVoters reports whether this node exchanges directly with all voters.
+func (c *Core) exchangesWithVoters() bool {
+	return c.isVoter() || c.isWatcher() || len(c.members.alive) < c.config.DirectLimit
 }
 
-// sortedAddresses makes the order of sending independent of map order.
-func sortedAddresses(targets map[netip.AddrPort]bool) []netip.AddrPort {
+// sortAddresses returns the addresses in sorted order, because map order would make the order of
+// sending nondeterministic.
+func sortAddresses(targets map[netip.AddrPort]bool) []netip.AddrPort {
 	return slices.SortedFunc(maps.Keys(targets), netip.AddrPort.Compare)
 }
 
-func (c *Core) target(targets map[netip.AddrPort]bool, name string) {
+func (c *Core) addTarget(targets map[netip.AddrPort]bool, name string) {
 	if member, ok := c.members.byName[name]; ok {
 		targets[member.Address] = true
 	}
 }
 
-// addFallbacks adds random members: in some rounds, and in each one while the
-// confirmation is getting old.
-func (c *Core) addFallbacks(now Time, targets map[netip.AddrPort]bool) {
+// addFallbackTargets adds random members in every randomExchangeRounds-th round, and in each round
+// while the confirmation is older than half the window.
+func (c *Core) addFallbackTargets(now Time, targets map[netip.AddrPort]bool) {
 	if len(c.members.alive) == 0 {
 		return
 	}
 	old := c.FreshFor(now) < c.config.Window/2
-	if old || c.exchanges%randomExchangeEvery == 0 {
+	if old || c.exchangeRounds%randomExchangeRounds == 0 {
 		targets[c.randomMember().Address] = true
 	}
 	if old && len(c.members.roots) > 0 {
@@ -74,13 +74,13 @@
 	return c.members.alive[c.random.IntN(len(c.members.alive))]
 }
 
-// request sends one exchange request. The time noted is that of the caller's
-// reading, which is no later than the sending.
-func (c *Core) request(now Time, to netip.AddrPort) {
+// sendRequest sends one exchange request. The recorded time is the caller's clock reading, which is
+// no later than the sending.
+func (c *Core) sendRequest(now Time, to netip.AddrPort) {
 	c.sequence++
 	pending := pendingRequest{sentAt: now}
-	if c.holdsSlot() {
-		pending.claimed = c.self.Incarnation
+	if c.isVoter() {
+		pending.claimedIncarnation = c.self.Incarnation
 	}
 	c.requests[c.sequence] = pending
 	c.send(to, Packet{Request: &ExchangeRequest{
@@ -88,11 +88,12 @@
 		Name:        c.self.Name,
 		Incarnation: c.self.Incarnation,
 		Revision:    c.log.revision(),
-		Claim:       pending.claimed != 0,
-		Known:       c.knownClaims(),
+		Claim:       pending.claimedIncarnation != 0,
+		Known:       c.hashClaims(),
 	}})
 }
 
+// expireRequests drops requests that have been unanswered for longer than the window.
 func (c *Core) expireRequests(now Time) {
 	for sequence, pending := range c.requests {
 		if now-pending.sentAt > c.config.Window {
@@ -101,19 +102,19 @@
 	}
 }
 
-// answer responds to a request.
-func (c *Core) answer(now Time, from netip.AddrPort, request *ExchangeRequest) {
+// answerRequest responds to an exchange request.
+func (c *Core) answerRequest(now Time, from netip.AddrPort, request *ExchangeRequest) {
 	if request.Claim {
-		c.takeClaim(now, Claim{Name: request.Name, Incarnation: request.Incarnation})
+		c.recordClaim(now, Claim{Name: request.Name, Incarnation: request.Incarnation})
 	}
-	c.noteRevision(now, request.Name, request.Incarnation, request.Revision)
-	c.want(now, from, request.Revision)
+	c.recordPeerRevision(now, request.Name, request.Incarnation, request.Revision)
+	c.planFetch(now, from, request.Revision)
 	response := &ExchangeResponse{
 		Sequence:    request.Sequence,
 		Name:        c.self.Name,
 		Incarnation: c.self.Incarnation,
 		Revision:    c.log.revision(),
-		Voter:       c.votes(),
+		Voter:       c.canVote(),
 		Claims:      c.claimsFor(request),
 	}
 	if at, ok := c.ConfirmedAt(); ok {
@@ -122,47 +123,49 @@
 	c.send(from, Packet{Response: response})
 }
 
-// learn takes the answer to a request of this process; any other is dropped.
-func (c *Core) learn(now Time, from netip.AddrPort, response *ExchangeResponse) {
+// handleResponse processes the response to a request of this process and drops every other
+// response.
+func (c *Core) handleResponse(now Time, from netip.AddrPort, response *ExchangeResponse) {
 	pending, ok := c.requests[response.Sequence]
 	if !ok || response.Name == c.self.Name {
 		return
 	}
 	delete(c.requests, response.Sequence)
-	// Claims come first: what they supersede must not be counted.
+	// Claims are processed first, because responses of superseded incarnations must not count.
 	for _, claim := range response.Claims {
-		c.takeClaim(now, claim)
+		c.recordClaim(now, claim)
 	}
-	c.noteRevision(now, response.Name, response.Incarnation, response.Revision)
-	c.learnFromVoter(now, pending, response)
+	c.recordPeerRevision(now, response.Name, response.Incarnation, response.Revision)
+	c.recordVoterResponse(now, pending, response)
 	if response.Confirmed {
 		at := pending.sentAt - response.Age
-		if c.omit.sendTime {
+		if c.disabled.sendTime {
 			at = now - response.Age
 		}
-		c.takeRelayed(relayedConfirmation{revision: response.Revision, at: at})
+		c.addRelayed(relayedConfirmation{revision: response.Revision, at: at})
 	}
-	c.want(now, from, response.Revision)
+	c.planFetch(now, from, response.Revision)
 	c.reconfirm(now)
 }
 
-func (c *Core) learnFromVoter(now Time, pending pendingRequest, response *ExchangeResponse) {
+// recordVoterResponse records a response if its sender is a voter.
+func (c *Core) recordVoterResponse(now Time, pending pendingRequest, response *ExchangeResponse) {
 	if _, voter := c.log.catalog.Voters[response.Name]; !voter {
 		return
 	}
-	c.takeClaim(now, Claim{Name: response.Name, Incarnation: response.Incarnation})
-	if !c.current(response.Name, response.Incarnation) {
+	c.recordClaim(now, Claim{Name: response.Name, Incarnation: response.Incarnation})
+	if !c.isCurrentIncarnation(response.Name, response.Incarnation) {
 		return
 	}
-	registered := pending.claimed != 0 && pending.claimed == c.self.Incarnation
+	registered := pending.claimedIncarnation != 0 && pending.claimedIncarnation == c.self.Incarnation
 	if registered {
 		c.takeover.registered[response.Name] = true
 	}
 	sentAt := pending.sentAt
-	if c.omit.sendTime {
+	if c.disabled.sendTime {
 		sentAt = now
 	}
-	c.takeAnswer(response.Name, answer{
+	c.storeVoterResponse(response.Name, voterResponse{
 		valid:       true,
 		sentAt:      sentAt,
 		incarnation: response.Incarnation,
@@ -172,17 +175,17 @@
 	})
 }
 
-// noteRevision keeps the newest that is known of a member's revision.
-func (c *Core) noteRevision(now Time, name string, incarnation, revision uint64) {
+// recordPeerRevision stores the highest known revision of a member's newest incarnation.
+func (c *Core) recordPeerRevision(now Time, name string, incarnation, revision uint64) {
 	if _, member := c.members.byName[name]; !member {
 		return
 	}
-	known, ok := c.revisions[name]
-	if ok && known.Incarnation > incarnation {
+	previous, ok := c.peerRevisions[name]
+	if ok && previous.Incarnation > incarnation {
 		return
 	}
-	if ok && known.Incarnation == incarnation && known.Revision > revision {
-		revision = known.Revision // an older packet overtaken by a newer one
+	if ok && previous.Incarnation == incarnation && previous.Revision > revision {
+		revision = previous.Revision // a newer packet arrived before this one
 	}
-	c.revisions[name] = PeerRevision{Name: name, Incarnation: incarnation, Revision: revision, At: now}
+	c.peerRevisions[name] = PeerRevision{Name: name, Incarnation: incarnation, Revision: revision, At: now}
 }
--- a/internal/selfhosted/dissemination/metrics.go
+++ b/internal/selfhosted/dissemination/metrics.go
@@ -16,32 +16,33 @@
 
 const namespace = "micaplank_dissemination_"
 
-// newMetrics registers the metrics, unless the registerer is nil.
+// newMetrics creates the metrics and registers them unless the registerer is nil.
 func newMetrics(s *Service, registerer prometheus.Registerer) *metrics {
 	factory := telemetry.NewFactory(registerer)
 	gauge := func(name, help string, value func() float64) { factory.GaugeFunc(namespace+name, help, value) }
 	gauge("revision", "Revision of the catalog that this node holds.",
 		func() float64 { return float64(s.Current().Revision) })
-	gauge("fresh_seconds", "Time for which this node may serve on without another confirmation; zero or less if it may not.",
+	gauge("fresh_seconds", "Time for which this node may continue to serve without another confirmation; zero or less if it may not serve.",
 		func() float64 { return s.FreshFor().Seconds() })
 	gauge("voter_recovered", "Whether this node is a voter whose answers count (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.Recovered() }))
+		s.boolGauge(func(c *Core) bool { return c.Recovered() }))
 	gauge("superseded", "Whether a newer process has taken over this node's voter slot (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.Superseded() }))
+		s.boolGauge(func(c *Core) bool { return c.Superseded() }))
 	gauge("store_diverged", "Whether the store lacks a change that this node holds (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.StoreDiverged() }))
+		s.boolGauge(func(c *Core) bool { return c.StoreDiverged() }))
 	gauge("log_broken", "Whether the next change of the log cannot be applied by this process (1) or not (0).",
-		s.flag(func(c *Core) bool { return c.Broken() != nil }))
+		s.boolGauge(func(c *Core) bool { return c.Broken() != nil }))
 	return &metrics{
-		packets:   factory.Counters(namespace+"packets_total", "Packets, by kind and direction.", "kind", "direction"),
-		bytes:     factory.Counters(namespace+"bytes_total", "Payload bytes of packets, by direction.", "direction"),
-		fetches:   factory.Counters(namespace+"fetches_total", "Fetches of changes from peers, by result.", "result"),
-		store:     factory.Counters(namespace+"store_operations_total", "Operations on the store, by kind and result.", "kind", "result"),
-		proposals: factory.Counters(namespace+"proposals_total", "Proposals ended here, by fate.", "fate"),
+		packets:   factory.CounterVec(namespace+"packets_total", "Packets, by kind and direction.", "kind", "direction"),
+		bytes:     factory.CounterVec(namespace+"bytes_total", "Payload bytes of packets, by direction.", "direction"),
+		fetches:   factory.CounterVec(namespace+"fetches_total", "Fetches of changes from peers, by result.", "result"),
+		store:     factory.CounterVec(namespace+"store_operations_total", "Operations on the store, by kind and result.", "kind", "result"),
+		proposals: factory.CounterVec(namespace+"proposals_total", "Proposals ended here, by fate.", "fate"),
 	}
 }
 
-func (s *Service) flag(read func(*Core) bool) func() float64 {
+// boolGauge returns a gauge function that reports a condition of the core as 1 or 0.
+func (s *Service) boolGauge(read func(*Core) bool) func() float64 {
 	return func() float64 {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -52,7 +53,8 @@
 	}
 }
 
-func kindOf(packet Packet) string {
+// packetKind returns the value of the label kind for a packet.
+func packetKind(packet Packet) string {
 	switch {
 	case packet.Request != nil:
 		return "request"
@@ -64,7 +66,7 @@
 	return "empty"
 }
 
-// logState is what the log lines were last written for.
+// logState is the state that the last log lines reported.
 type logState struct {
 	fresh      bool
 	recovered  bool
@@ -73,8 +75,8 @@
 	broken     bool
 }
 
-// logChanges writes a line for each change of state. The mutex is held.
-func (s *Service) logChanges() {
+// logStateChanges logs each change of state. The caller holds the mutex.
+func (s *Service) logStateChanges() {
 	now := logState{
 		fresh:      s.core.Fresh(s.clock.Now()),
 		recovered:  s.core.Recovered(),
@@ -82,8 +84,8 @@
 		diverged:   s.core.StoreDiverged(),
 		broken:     s.core.Broken() != nil,
 	}
-	before := s.state
-	s.state = now
+	before := s.loggedState
+	s.loggedState = now
 	if now == before {
 		return
 	}
--- a/internal/selfhosted/dissemination/service_work.go
+++ b/internal/selfhosted/dissemination/service_calls.go
@@ -8,69 +8,68 @@
 )
 
 const (
-	// storeTimeout bounds an operation on the store that reads or writes changes.
-	// Not measured: chosen because it is above the timeout of one call of the
-	// store's client.
+	// storeTimeout limits a store operation that reads or writes changes. It exceeds the timeout of
+	// one call of the store client.
 	storeTimeout = 3 * time.Second
-	// checkpointTimeout bounds an operation on a checkpoint, which takes several
-	// calls.
-	// Not measured: chosen because it leaves time for several calls.
+	// checkpointTimeout limits a checkpoint operation, which consists of several calls.
 	checkpointTimeout = 20 * time.Second
-	// watchRetry is the time after which a watch that ended is opened again.
-	// Not measured: chosen because a watcher reads the store as often.
-	watchRetry = time.Second
+	// watchRetryInterval is the time after which an ended watch is opened again. It equals the
+	// default interval at which a watcher reads the store.
+	watchRetryInterval = time.Second
 )
 
-// startWork starts the calls that a step asked for. The mutex is held.
-func (s *Service) startWork(ready Ready) {
-	for _, operation := range ready.Store {
-		s.running.Add(1)
-		go s.operate(operation)
+// startCalls starts the calls that a step requested. The caller holds the mutex.
+func (s *Service) startCalls(ready Ready) {
+	for _, operation := range ready.StoreOperations {
+		s.workers.Add(1)
+		go s.runOperation(operation)
 	}
 	if ready.Fetch != nil {
-		s.running.Add(1)
+		s.workers.Add(1)
 		go s.fetch(*ready.Fetch)
 	}
 	switch {
-	case ready.Watch && s.watching == nil:
-		ctx, cancel := context.WithCancel(s.life)
-		s.watching = cancel
-		s.running.Add(1)
+	case ready.Watch && s.cancelWatch == nil:
+		ctx, cancel := context.WithCancel(s.lifetime)
+		s.cancelWatch = cancel
+		s.workers.Add(1)
 		go s.watch(ctx)
-	case !ready.Watch && s.watching != nil:
-		s.watching()
-		s.watching = nil
+	case !ready.Watch && s.cancelWatch != nil:
+		s.cancelWatch()
+		s.cancelWatch = nil
 	}
 }
 
+// fetch calls a peer and reports the response to the core.
 func (s *Service) fetch(fetch Fetch) {
-	defer s.running.Done()
-	ctx, cancel := context.WithTimeout(s.life, s.options.Config.FetchTimeout)
+	defer s.workers.Done()
+	ctx, cancel := context.WithTimeout(s.lifetime, s.options.Config.FetchTimeout)
 	defer cancel()
 	reply, err := s.options.Transport.Fetch(ctx, fetch.To, &FetchCall{Revision: fetch.Request.Revision})
 	var response *FetchResponse
 	if err == nil {
 		response, err = decodeFetchReply(reply)
 	}
-	s.metrics.fetches.WithLabelValues(outcome(err)).Inc()
+	s.metrics.fetches.WithLabelValues(resultLabel(err)).Inc()
 	if err != nil {
 		response = nil
 	}
-	s.do(func(now Time) { s.core.StepFetched(now, response) })
+	s.runStep(func(now Time) { s.core.StepFetched(now, response) })
 }
 
-func (s *Service) operate(operation StoreOperation) {
-	defer s.running.Done()
+// runOperation performs a store operation and reports its result to the core.
+func (s *Service) runOperation(operation StoreOperation) {
+	defer s.workers.Done()
 	timeout := storeTimeout
 	if operation.LoadCheckpoint || operation.SaveCheckpoint != nil {
 		timeout = checkpointTimeout
 	}
-	ctx, cancel := context.WithTimeout(s.life, timeout)
+	ctx, cancel := context.WithTimeout(s.lifetime, timeout)
 	defer cancel()
 	kind, result := s.callStore(ctx, operation)
 	result.ID = operation.ID
-	s.metrics.store.WithLabelValues(kind, outcome(result.Err)).Inc()
-	s.do(func(now Time) { s.core.StepStore(now, result) })
+	s.metrics.store.WithLabelValues(kind, resultLabel(result.Err)).Inc()
+	s.runStep(func(now Time) { s.core.StepStore(now, result) })
 }
 
 func (s *Service) callStore(ctx context.Context, operation StoreOperation) (kind string, result StoreResult) {
@@ -95,20 +94,21 @@
 
 // watch keeps a watch of the store open until ctx ends.
 func (s *Service) watch(ctx context.Context) {
-	defer s.running.Done()
+	defer s.workers.Done()
 	for ctx.Err() == nil {
 		err := s.options.Store.WatchChanges(ctx, func(changes []catalog.Change) {
-			s.do(func(now Time) { s.core.StepWatched(now, changes) })
+			s.runStep(func(now Time) { s.core.StepWatched(now, changes) })
 		})
-		s.metrics.store.WithLabelValues("watch", outcome(err)).Inc()
+		s.metrics.store.WithLabelValues("watch", resultLabel(err)).Inc()
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryInterval):
 		}
 	}
 }
 
-func outcome(err error) string {
+// resultLabel returns the value of the label result for a call.
+func resultLabel(err error) string {
 	if err != nil {
 		return "failed"
 	}
--- a/internal/selfhosted/dissemination/simulation_test.go
+++ b/internal/selfhosted/dissemination/simulation_test.go
@@ -8,46 +8,47 @@
 	"time"
 )
 
-// world simulates processes, a network and a store in virtual time. Everything
-// follows from its random source.
-type world struct {
-	random    *rand.Rand
-	config    Config
-	omit      omissions
-	now       Time
-	queue     events
-	last      int
-	processes []*process
-	store     simulatedStore
-	loss      float64
-	cut       bool
-	// blocked, if set, cuts single links, by the names of the processes.
+// simulation runs processes, a network and a store in virtual time. All its behavior is determined
+// by its random source.
+type simulation struct {
+	random      *rand.Rand
+	config      Config
+	disabled    disabledMechanisms
+	now         Time
+	queue       events
+	lastOrder   int
+	processes   []*process
+	store       simulatedStore
+	lossRate    float64
+	partitioned bool
+	// blocked, if set, blocks individual links by the names of their processes.
 	blocked func(from, to string) bool
-	// noFetches makes fetches fail while datagrams pass.
-	noFetches bool
+	// failFetches makes fetches fail while datagrams pass.
+	failFetches bool
 
-	// asked and fresh count the checks before acting, and those that passed.
-	asked, fresh int
-	accepted     []acceptedChange
-	operations   []*operation
-	violations   []string
+	// freshnessChecks counts the freshness checks before an action, and freshChecks those that
+	// passed.
+	freshnessChecks, freshChecks int
+	accepted                     []acceptedChange
+	operations                   []*operation
+	violations                   []string
 }
 
-// acceptedChange says that a revision was accepted no later than at.
+// acceptedChange records that a revision was accepted no later than at.
 type acceptedChange struct {
 	revision uint64
 	at       Time
 }
 
-// operation is one proposal of an operator, for the history.
+// operation is one proposal of an operator in the history.
 type operation struct {
-	client  int
-	process *process
-	request Proposal
-	call    Time
-	end     Time
-	done    bool
-	result  Result
+	client   int
+	process  *process
+	request  Proposal
+	calledAt Time
+	endedAt  Time
+	done     bool
+	result   Result
 }
 
 type event struct {
@@ -71,55 +72,57 @@
 	return last
 }
 
-func (w *world) at(when Time, run func()) {
-	w.last++
-	heap.Push(&w.queue, event{max(when, w.now), w.last, run})
+func (sim *simulation) scheduleAt(when Time, run func()) {
+	sim.lastOrder++
+	heap.Push(&sim.queue, event{max(when, sim.now), sim.lastOrder, run})
 }
 
-func (w *world) after(delay Time, run func()) { w.at(w.now+delay, run) }
+func (sim *simulation) scheduleAfter(delay Time, run func()) { sim.scheduleAt(sim.now+delay, run) }
 
-func (w *world) run(until Time) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && len(w.violations) == 0 {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+func (sim *simulation) run(until Time) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until && len(sim.violations) == 0 {
+		next := heap.Pop(&sim.queue).(event)
+		sim.now = next.at
 		next.run()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (w *world) between(low, high Time) Time { return low + Time(w.random.Int64N(int64(high-low)+1)) }
+func (sim *simulation) randomDuration(low, high Time) Time {
+	return low + Time(sim.random.Int64N(int64(high-low)+1))
+}
 
-func (w *world) chance(p float64) bool { return w.random.Float64() < p }
+func (sim *simulation) randomBool(p float64) bool { return sim.random.Float64() < p }
 
-func (w *world) violate(format string, arguments ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, arguments...))
+func (sim *simulation) addViolation(format string, arguments ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, arguments...))
 }
 
-func (w *world) reach(a, b int) bool { return !w.cut || a == b }
+func (sim *simulation) reachable(a, b int) bool { return !sim.partitioned || a == b }
 
-func (w *world) linked(from, to *process) bool {
-	return w.reach(from.side, to.side) && (w.blocked == nil || !w.blocked(from.member.Name, to.member.Name))
+func (sim *simulation) linked(from, to *process) bool {
+	return sim.reachable(from.side, to.side) && (sim.blocked == nil || !sim.blocked(from.member.Name, to.member.Name))
 }
 
-// required returns the revision that a fresh node must hold now.
-func (w *world) required() uint64 {
+// requiredRevision returns the revision that a fresh node must hold now.
+func (sim *simulation) requiredRevision() uint64 {
 	var revision uint64
-	for _, accepted := range w.accepted {
-		if w.now > accepted.at+w.config.Window {
+	for _, accepted := range sim.accepted {
+		if sim.now > accepted.at+sim.config.Window {
 			revision = max(revision, accepted.revision)
 		}
 	}
 	return revision
 }
 
-func (w *world) accept(revision uint64, at Time) {
-	if len(w.accepted) == 0 || w.accepted[len(w.accepted)-1].revision < revision {
-		w.accepted = append(w.accepted, acceptedChange{revision, at})
+func (sim *simulation) recordAccepted(revision uint64, at Time) {
+	if len(sim.accepted) == 0 || sim.accepted[len(sim.accepted)-1].revision < revision {
+		sim.accepted = append(sim.accepted, acceptedChange{revision, at})
 	}
 }
 
-func (w *world) find(address netip.AddrPort) *process {
-	for _, p := range w.processes {
+func (sim *simulation) processAt(address netip.AddrPort) *process {
+	for _, p := range sim.processes {
 		if p.member.Address == address {
 			return p
 		}
@@ -127,40 +130,40 @@
 	return nil
 }
 
-func (w *world) latency() Time {
-	if w.chance(0.02) {
-		return w.between(0, 3*time.Second)
+func (sim *simulation) latency() Time {
+	if sim.randomBool(0.02) {
+		return sim.randomDuration(0, 3*time.Second)
 	}
-	return w.between(100*time.Microsecond, 5*time.Millisecond)
+	return sim.randomDuration(100*time.Microsecond, 5*time.Millisecond)
 }
 
-func (w *world) transmit(from *process, outgoing Outgoing) {
-	to := w.find(outgoing.To)
-	if to == nil || !w.linked(from, to) || w.chance(w.loss) {
+func (sim *simulation) transmit(from *process, outgoing Outgoing) {
+	to := sim.processAt(outgoing.To)
+	if to == nil || !sim.linked(from, to) || sim.randomBool(sim.lossRate) {
 		return
 	}
 	copies := 1
-	if w.chance(0.02) {
+	if sim.randomBool(0.02) {
 		copies = 2
 	}
 	for range copies {
-		w.after(w.latency(), func() {
-			to.do(func() { to.core.Step(to.local(), from.member.Address, outgoing.Packet) })
+		sim.scheduleAfter(sim.latency(), func() {
+			to.runStep(func() { to.core.Step(to.localTime(), from.member.Address, outgoing.Packet) })
 		})
 	}
 }
 
-func (w *world) fetch(from *process, fetch Fetch) {
-	fail := func() { from.do(func() { from.core.StepFetched(from.local(), nil) }) }
-	to := w.find(fetch.To)
-	if to == nil || to.dead || w.noFetches || !w.linked(from, to) {
-		w.after(w.between(0, time.Second), fail)
+func (sim *simulation) fetch(from *process, fetch Fetch) {
+	fail := func() { from.runStep(func() { from.core.StepFetched(from.localTime(), nil) }) }
+	to := sim.processAt(fetch.To)
+	if to == nil || to.dead || sim.failFetches || !sim.linked(from, to) {
+		sim.scheduleAfter(sim.randomDuration(0, time.Second), fail)
 		return
 	}
-	w.after(w.latency(), func() {
-		to.do(func() {
+	sim.scheduleAfter(sim.latency(), func() {
+		to.runStep(func() {
 			response := to.core.AnswerFetch(fetch.Request)
-			w.after(w.latency(), func() { from.do(func() { from.core.StepFetched(from.local(), &response) }) })
+			sim.scheduleAfter(sim.latency(), func() { from.runStep(func() { from.core.StepFetched(from.localTime(), &response) }) })
 		})
 	})
 }
--- a/internal/selfhosted/dissemination/takeover.go
+++ b/internal/selfhosted/dissemination/takeover.go
@@ -6,55 +6,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// takeover is how a process comes to vote in its slot. Machines have no disks:
-// a process that holds a voter's name may be a replacement that has forgotten
-// what its predecessor acknowledged, while the predecessor may even run on.
+// takeover tracks how a process becomes a voter in its slot. Machines have no disks: a process with
+// a voter's name may be a replacement that has lost the acknowledgements of its predecessor, and
+// the predecessor may still be running.
 //
-// First a majority of the other voters registers the incarnation, so that
-// every later majority with an answer of the predecessor also has an answer
-// that names the successor. Then, after that, a confirmation is needed, so that
-// the process holds everything accepted with the predecessor's answer.
+// First, a majority of the other voters registers the incarnation, so that every later majority
+// that contains a response of the predecessor also contains a response that names the successor.
+// After that, the process needs a confirmation, which proves that it holds every revision that was
+// accepted with a response of the predecessor.
 type takeover struct {
-	registered map[string]bool // voters that know this incarnation
-	// complete is set once enough voters have registered, at completedAt.
+	registered map[string]bool // voters that have registered this incarnation
+	// complete is set at completedAt, when enough voters have registered the incarnation.
 	complete    bool
 	completedAt Time
 	recovered   bool
 	superseded  bool
 }
 
-// holdsSlot says whether the catalog has this node as a voter.
-func (c *Core) holdsSlot() bool {
+// isVoter reports whether the catalog lists this node as a voter.
+func (c *Core) isVoter() bool {
 	_, ok := c.log.catalog.Voters[c.self.Name]
 	return ok
 }
 
-// votes says whether this node's revision may be counted by others.
-func (c *Core) votes() bool {
-	if !c.holdsSlot() || c.takeover.superseded {
+// canVote reports whether this node's revision counts toward a quorum.
+func (c *Core) canVote() bool {
+	if !c.isVoter() || c.takeover.superseded {
 		return false
 	}
-	return c.takeover.recovered || c.omit.recovery
+	return c.takeover.recovered || c.disabled.recovery
 }
 
-// resetTakeover makes a node that is no voter any more start over if it
-// becomes one again.
+// resetTakeover resets the takeover of a node that is no longer a voter, so that it starts again if
+// the node becomes a voter later.
 func (c *Core) resetTakeover() {
-	if c.holdsSlot() || (!c.takeover.complete && !c.takeover.recovered) {
+	if c.isVoter() || (!c.takeover.complete && !c.takeover.recovered) {
 		return
 	}
 	c.takeover.complete, c.takeover.recovered = false, false
 	clear(c.takeover.registered)
 }
 
-// recover lets the node vote once its slot is registered and it has been
-// confirmed since.
-func (c *Core) recover(now Time) {
+// updateRecovery marks a voter as recovered once its incarnation is registered and a later
+// confirmation exists.
+func (c *Core) updateRecovery(now Time) {
 	t := &c.takeover
-	if t.recovered || t.superseded || !c.holdsSlot() {
+	if t.recovered || t.superseded || !c.isVoter() {
 		return
 	}
-	if !t.complete && c.registrations() >= c.registrationQuorum() {
+	if !t.complete && c.countRegistrations() >= c.registrationQuorum() {
 		t.complete, t.completedAt = true, now
 	}
 	if t.complete && c.confirmed && c.confirmedAt >= t.completedAt {
@@ -62,9 +62,10 @@
 	}
 }
 
-func (c *Core) registrations() int {
+// countRegistrations returns the number of other voters that have registered this incarnation.
+func (c *Core) countRegistrations() int {
 	count := 0
-	for name := range c.slots {
+	for name := range c.voterStates {
 		if c.takeover.registered[name] {
 			count++
 		}
@@ -72,85 +73,87 @@
 	return count
 }
 
-// registrationQuorum is a majority of the voters, not counting this one; of two
-// voters it is the other one.
+// registrationQuorum returns a majority of all voters, which the other voters must provide. With
+// two voters, the registration of the other one is sufficient.
 func (c *Core) registrationQuorum() int {
-	if c.omit.registration {
+	if c.disabled.registration {
 		return 0
 	}
 	voters := len(c.log.catalog.Voters)
 	return min(majority(voters), voters-1)
 }
 
-// known returns the incarnation that holds a voter's slot as far as is known;
-// zero if none is.
-func (c *Core) known(voter string) uint64 {
+// highestIncarnation returns the highest known incarnation of a voter, which for this node is its
+// own, or zero.
+func (c *Core) highestIncarnation(voter string) uint64 {
 	if voter == c.self.Name {
 		return c.self.Incarnation
 	}
 	return c.claims[voter]
 }
 
-// knownClaims returns a hash of what is known of the voters' slots.
-func (c *Core) knownClaims() uint64 {
-	if c.knownHash == 0 {
+// hashClaims returns a hash of the known voter incarnations.
+func (c *Core) hashClaims() uint64 {
+	if c.claimsHash == 0 {
 		var digest xxhash.Digest
 		digest.Reset()
 		for _, name := range c.voters {
 			_, _ = digest.WriteString(name)
-			_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, c.known(name)))
+			_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, c.highestIncarnation(name)))
 		}
-		c.knownHash = digest.Sum64()
+		c.claimsHash = digest.Sum64()
 	}
-	return c.knownHash
+	return c.claimsHash
 }
 
-// claimsFor lists what a requester may not know of the voters' slots, if this
-// node is a voter, and in any case a claim that supersedes the requester.
+// claimsFor returns the claims for the response to a request. If this node is a voter, it returns
+// all known incarnations when the requester's differ. In any case it includes a claim that
+// supersedes the requester.
 func (c *Core) claimsFor(request *ExchangeRequest) []Claim {
 	var claims []Claim
-	if c.holdsSlot() && request.Known != c.knownClaims() {
+	if c.isVoter() && request.Known != c.hashClaims() {
 		for _, name := range c.voters {
-			if known := c.known(name); known != 0 && name != request.Name {
-				claims = append(claims, Claim{Name: name, Incarnation: known})
+			if incarnation := c.highestIncarnation(name); incarnation != 0 && name != request.Name {
+				claims = append(claims, Claim{Name: name, Incarnation: incarnation})
 			}
 		}
 	}
-	if known := c.claims[request.Name]; known > request.Incarnation {
-		claims = append(claims, Claim{Name: request.Name, Incarnation: known})
+	if incarnation := c.claims[request.Name]; incarnation > request.Incarnation {
+		claims = append(claims, Claim{Name: request.Name, Incarnation: incarnation})
 	}
 	return claims
 }
 
-// maximumClaims bounds the slots remembered.
-const maximumClaims = 1024
+// maxClaims is the maximum number of voters whose incarnations are kept.
+const maxClaims = 1024
 
-// takeClaim notes an incarnation of a voter's slot.
-func (c *Core) takeClaim(now Time, claim Claim) {
-	known, ok := c.claims[claim.Name]
+// recordClaim stores a higher incarnation of a voter.
+func (c *Core) recordClaim(now Time, claim Claim) {
+	highest, ok := c.claims[claim.Name]
 	if claim.Name == c.self.Name {
-		c.meetClaim(now, claim)
+		c.handleClaimOnSelf(now, claim)
 		return
 	}
-	if claim.Incarnation <= known || (!ok && len(c.claims) >= maximumClaims) {
+	if claim.Incarnation <= highest || (!ok && len(c.claims) >= maxClaims) {
 		return
 	}
 	c.claims[claim.Name] = claim.Incarnation
-	c.knownHash = 0
-	// What the predecessor registered says nothing of its successor.
+	c.claimsHash = 0
+	// A registration with the predecessor does not apply to its successor.
 	delete(c.takeover.registered, claim.Name)
 }
 
-// meetClaim handles a claim on this node's own name. A process that has just
-// started has met its predecessor's, which had a higher number because a clock
-// was ahead, and takes a higher one. Any other has been replaced.
-func (c *Core) meetClaim(now Time, claim Claim) {
-	if claim.Incarnation <= c.self.Incarnation || c.omit.supersession {
+// handleClaimOnSelf processes a claim on this node's own name. A process that has just started may
+// receive the claim of its predecessor, whose incarnation is higher because a clock was ahead; the
+// process then selects a higher incarnation. Any other process with a lower incarnation has been
+// superseded.
+func (c *Core) handleClaimOnSelf(now Time, claim Claim) {
+	if claim.Incarnation <= c.self.Incarnation || c.disabled.supersession {
 		return
 	}
 	if !c.takeover.recovered && now-c.startedAt < c.config.Window {
-		c.self.Incarnation = claim.Incarnation + 1 + c.random.Uint64N(incarnationSpread)
-		c.knownHash = 0
+		c.self.Incarnation = claim.Incarnation + 1 + c.random.Uint64N(incarnationJitter)
+		c.claimsHash = 0
 		c.takeover.complete = false
 		clear(c.takeover.registered)
 		return
@@ -158,10 +161,9 @@
 	c.takeover.superseded = true
 }
 
-// incarnationSpread keeps two processes that raise their incarnation at once
-// from choosing the same one.
-const incarnationSpread = 1 << 32
+// incarnationJitter is the range of the random increment that prevents two processes from selecting
+// the same incarnation when they raise theirs at the same time.
+const incarnationJitter = 1 << 32
 
-// Incarnation returns this node's incarnation, which is raised if that of the
-// predecessor was higher.
+// Incarnation returns this node's incarnation, which may have been raised above the initial one.
 func (c *Core) Incarnation() uint64 { return c.self.Incarnation }
--- a/internal/selfhosted/language/canonical.go
+++ b/internal/selfhosted/language/canonical.go
@@ -32,7 +32,7 @@
 	if len(s.Items) == 0 {
 		text.WriteString("*")
 	}
-	text.WriteString(join(s.Items, Item.String))
+	text.WriteString(joinFormatted(s.Items, Item.String))
 	text.WriteString(" from " + s.Service)
 	if s.Where != nil {
 		text.WriteString(" where " + s.Where.String())
@@ -41,7 +41,7 @@
 		text.WriteString(" group by " + strings.Join(s.GroupBy, ", "))
 	}
 	if len(s.OrderBy) > 0 {
-		text.WriteString(" order by " + join(s.OrderBy, Order.String))
+		text.WriteString(" order by " + joinFormatted(s.OrderBy, Order.String))
 	}
 	if s.Limit > 0 {
 		text.WriteString(" limit " + strconv.Itoa(s.Limit))
@@ -49,8 +49,7 @@
 	return text.String()
 }
 
-// String returns the text of the item, which is also its column's name in the
-// result.
+// String returns the text of the item. The result's column has this text as its name.
 func (i Item) String() string {
 	if i.Function == NoFunction {
 		return i.Column
@@ -58,7 +57,7 @@
 	return string(i.Function) + "(" + i.Column + ")"
 }
 
-// String returns the text of one term of an order by.
+// String returns the text of one term of an order by clause.
 func (o Order) String() string {
 	if o.Descending {
 		return o.Item.String() + " desc"
@@ -68,16 +67,16 @@
 
 // String implements Statement.
 func (i *Insert) String() string {
-	return fmt.Sprintf("insert into %s (%s) values (%s)", i.Service, strings.Join(i.Columns, ", "), join(i.Values, FormatValue))
+	return fmt.Sprintf("insert into %s (%s) values (%s)", i.Service, strings.Join(i.Columns, ", "), joinFormatted(i.Values, FormatValue))
 }
 
-// String implements Where.
-func (a *And) String() string { return joinTerms(a.Terms, " and ") }
+// String implements Condition.
+func (a *And) String() string { return formatTerms(a.Terms, " and ") }
 
-// String implements Where.
-func (o *Or) String() string { return joinTerms(o.Terms, " or ") }
+// String implements Condition.
+func (o *Or) String() string { return formatTerms(o.Terms, " or ") }
 
-// String implements Where.
+// String implements Condition.
 func (n *Not) String() string {
 	switch n.Term.(type) {
 	case *And, *Or, *Not:
@@ -87,22 +86,22 @@
 	}
 }
 
-// String implements Where.
+// String implements Condition.
 func (c *Comparison) String() string {
 	return fmt.Sprintf("%s %s %s", c.Column, c.Operator, FormatValue(c.Value))
 }
 
-// String implements Where.
+// String implements Condition.
 func (i *In) String() string {
-	return fmt.Sprintf("%s in (%s)", i.Column, join(i.Values, FormatValue))
+	return fmt.Sprintf("%s in (%s)", i.Column, joinFormatted(i.Values, FormatValue))
 }
 
-// String implements Where.
+// String implements Condition.
 func (l *Like) String() string {
-	return fmt.Sprintf("%s like %s", l.Column, quote(l.Pattern))
+	return fmt.Sprintf("%s like %s", l.Column, quoteText(l.Pattern))
 }
 
-// String implements Where.
+// String implements Condition.
 func (n *IsNull) String() string {
 	if n.Negated {
 		return n.Column + " is not null"
@@ -110,38 +109,39 @@
 	return n.Column + " is null"
 }
 
-// FormatValue returns a value as the language writes it. A number must be
-// finite.
+// FormatValue returns the canonical text of a value. A number must be finite.
 func FormatValue(value rows.Value) string {
 	switch value.Kind {
 	case rows.Number:
 		return formatNumber(value.Number)
 	case rows.Text:
-		return quote(value.Text)
+		return quoteText(value.Text)
 	default:
 		return "null"
 	}
 }
 
-// Bounds outside of which a number is written with an exponent.
+// A number from minimumPlainNumber up to but excluding plainNumberLimit is formatted without an
+// exponent.
 const (
-	leastPlainNumber = 1e-6
-	mostPlainNumber  = 1e15
+	minimumPlainNumber = 1e-6
+	plainNumberLimit   = 1e15
 )
 
 func formatNumber(number float64) string {
-	size := math.Abs(number)
-	if size == 0 || (size >= leastPlainNumber && size < mostPlainNumber) {
+	magnitude := math.Abs(number)
+	if magnitude == 0 || (magnitude >= minimumPlainNumber && magnitude < plainNumberLimit) {
 		return strconv.FormatFloat(number, 'f', -1, 64)
 	}
 	return strconv.FormatFloat(number, 'e', -1, 64)
 }
 
-func quote(text string) string {
+func quoteText(text string) string {
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
-func join[T any](items []T, format func(T) string) string {
+// joinFormatted formats the items and joins the results with commas.
+func joinFormatted[T any](items []T, format func(T) string) string {
 	texts := make([]string, len(items))
 	for i, item := range items {
 		texts[i] = format(item)
@@ -149,9 +149,9 @@
 	return strings.Join(texts, ", ")
 }
 
-// joinTerms puts parentheses around conjunctions and disjunctions, so that the
-// text keeps the nesting of the value.
-func joinTerms(terms []Where, separator string) string {
+// formatTerms joins the texts of the terms. It encloses conjunctions and disjunctions in
+// parentheses, so that parsing the text restores the nesting.
+func formatTerms(terms []Condition, separator string) string {
 	texts := make([]string, len(terms))
 	for i, term := range terms {
 		texts[i] = term.String()
--- a/internal/selfhosted/language/page_test.go
+++ b/internal/selfhosted/language/documentation_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestLanguagePage parses every example of docs/LANGUAGE.md, and wants one of
-// each kind of statement and clause.
-func TestLanguagePage(t *testing.T) {
+// TestDocumentedExamplesParse parses every example in docs/LANGUAGE.md and checks that there is an
+// example of every kind of statement and clause.
+func TestDocumentedExamplesParse(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/LANGUAGE.md")
 	if err != nil {
 		t.Fatal(err)
@@ -21,20 +21,20 @@
 	for number, line := range exampleLines(string(page)) {
 		statement, err := ParseOne(line)
 		if err != nil {
-			t.Errorf("line %d: %s: %v", number, line, err)
+			t.Errorf("docs/LANGUAGE.md line %d: ParseOne(%q): %v", number, line, err)
 			continue
 		}
 		requireRoundTrip(t, statement)
-		for _, kind := range kindsOf(statement) {
+		for _, kind := range statementKinds(statement) {
 			delete(missing, kind)
 		}
 	}
 	for kind := range missing {
-		t.Errorf("there is no example of %s", kind)
+		t.Errorf("docs/LANGUAGE.md has no example of %s", kind)
 	}
 }
 
-// exampleLines returns the lines of the blocks marked "mica" by their number.
+// exampleLines returns the lines of the code blocks marked "mica", with their line numbers as keys.
 func exampleLines(page string) map[int]string {
 	lines := make(map[int]string)
 	inside := false
@@ -64,7 +64,7 @@
 	return append(kinds, "show of a service", "*language.And", "*language.Or", "*language.Not", "*language.Comparison", "*language.In", "*language.Like", "*language.IsNull")
 }
 
-func kindsOf(statement Statement) []string {
+func statementKinds(statement Statement) []string {
 	switch statement := statement.(type) {
 	case *ChangeStatement:
 		return changeKinds(statement)
@@ -75,7 +75,7 @@
 		}
 		return kinds
 	case *Select:
-		return append(selectKinds(statement), whereKinds(statement.Where)...)
+		return append(selectKinds(statement), conditionKinds(statement.Where)...)
 	default:
 		return []string{"insert"}
 	}
@@ -116,22 +116,22 @@
 	return kinds
 }
 
-func whereKinds(where Where) []string {
+func conditionKinds(where Condition) []string {
 	if where == nil {
 		return nil
 	}
 	kinds := []string{reflect.TypeOf(where).String()}
-	var terms []Where
+	var terms []Condition
 	switch where := where.(type) {
 	case *And:
 		terms = where.Terms
 	case *Or:
 		terms = where.Terms
 	case *Not:
-		terms = []Where{where.Term}
+		terms = []Condition{where.Term}
 	}
 	for _, term := range terms {
-		kinds = append(kinds, whereKinds(term)...)
+		kinds = append(kinds, conditionKinds(term)...)
 	}
 	return kinds
 }
--- a/internal/selfhosted/language/grammar.go
+++ b/internal/selfhosted/language/grammar.go
@@ -5,19 +5,18 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The types of this file are the grammar. The field tags are what the parser
-// reads, and also what the expectations of a syntax error are derived from
-// (see expectation.go). The code that turns them into statements is in
-// convert.go.
+// The types in this file define the grammar. The parser is built from the field tags. The
+// expectations in syntax errors are derived from the same tags and refer to the type names (see
+// parse_error.go). The converter in convert.go converts the nodes to statements.
 
 var parser = participle.MustBuild[statementNode](
-	participle.Lexer(definition),
+	participle.Lexer(lexerDefinition),
 	participle.CaseInsensitive("Ident"),
 	participle.UseLookahead(2),
 )
 
-// statementNode has the frequent statements first: the parser tries the
-// alternatives in order.
+// statementNode lists the most frequent statements first, because the parser tries the alternatives
+// in order.
 type statementNode struct {
 	Select     *selectNode `parser:"'select' @@"`
 	Insert     *insertNode `parser:"| 'insert' 'into' @@"`
@@ -89,9 +88,9 @@
 }
 
 type showNode struct {
-	Plain   string    `parser:"@( 'services' | 'changes' | 'voters' | 'nodes' )"`
-	Subject string    `parser:"| @( 'leaves' | 'classes' )"`
-	Service *nameNode `parser:"( 'of' @@ )?"`
+	GlobalSubject  string    `parser:"@( 'services' | 'changes' | 'voters' | 'nodes' )"`
+	ServiceSubject string    `parser:"| @( 'leaves' | 'classes' )"`
+	Service        *nameNode `parser:"( 'of' @@ )?"`
 }
 
 type selectNode struct {
@@ -163,7 +162,7 @@
 	Text   *textNode   `parser:"| @@"`
 }
 
-// The nodes below are single tokens with their place.
+// The nodes below are single tokens. Most have the token's position for error messages.
 
 type nameNode struct {
 	Pos  lexer.Position
--- a/internal/selfhosted/machines/poller.go
+++ b/internal/selfhosted/machines/poller.go
@@ -15,21 +15,20 @@
 )
 
 const (
-	// maximumListBytes bounds the list that is read, in bytes.
-	// Not measured: chosen because it bounds the memory of a reading.
-	maximumListBytes = 16 << 20
-	// stepFetch is the step of errors.
+	// maxListBytes limits the size of a response and thereby the memory of a read.
+	maxListBytes = 16 << 20
+	// stepFetch is the value of the attribute step in errors of a read.
 	stepFetch = "machines.fetch"
 )
 
-// Config says where the machine list is and how often it is read.
+// Config specifies the address of the machine list and the timing of reads.
 type Config struct {
 	Address netip.AddrPort
-	// Interval is the time between two readings; each is drawn evenly from
-	// Interval*(1-Jitter) to Interval*(1+Jitter).
+	// Interval is the mean time between two reads. Each delay is uniformly distributed between
+	// Interval*(1-Jitter) and Interval*(1+Jitter).
 	Interval time.Duration
 	Jitter   float64
-	// Timeout bounds one reading.
+	// Timeout limits one read.
 	Timeout time.Duration
 }
 
@@ -38,34 +37,33 @@
 	return Config{Interval: time.Second, Jitter: 0.2, Timeout: time.Second}
 }
 
-// Reading is the last list that was read, with how old it is.
+// Reading is the last list that was read successfully, with its age.
 type Reading struct {
 	List List
-	// Age is the time since the reading was asked for, on the monotonic
-	// clock. The list was already lagging by then.
+	// Age is the time since the list was requested, on the monotonic clock. The list already lagged
+	// behind the platform's state at that time.
 	Age time.Duration
-	// Known is false until the first reading succeeds.
+	// Known is false until the first read succeeds.
 	Known bool
-	// Err is why the latest attempt failed; nil if it succeeded.
+	// Err is the error of the latest attempt; nil if it succeeded.
 	Err error
 }
 
-// Poller reads the machine list periodically and keeps the last one. It
-// is safe for concurrent use.
+// Poller reads the machine list periodically and keeps the last one. It is safe for concurrent use.
 type Poller struct {
 	config  Config
 	client  *http.Client
 	random  *rand.Rand
 	metrics *metrics
 
-	mutex   sync.Mutex
-	list    List
-	asked   time.Time
-	known   bool
-	failure error
+	mutex       sync.Mutex
+	list        List
+	requestedAt time.Time
+	hasList     bool
+	lastErr     error
 }
 
-// NewPoller returns a poller and registers its metrics. It reads nothing until Run.
+// NewPoller returns a poller and registers its metrics. The first read occurs in Run or Poll.
 func NewPoller(config Config, random *rand.Rand, registerer prometheus.Registerer) *Poller {
 	defaults := DefaultConfig()
 	if config.Interval <= 0 {
@@ -79,9 +77,8 @@
 	return poller
 }
 
-// Run reads the list at once and then at every interval, until ctx ends.
-// onReading, if not nil, is called after each successful reading, from the
-// goroutine of Run.
+// Run reads the list immediately and then at every interval until ctx ends. After each successful
+// read, Run calls onReading, if it is not nil, from its own goroutine.
 func (p *Poller) Run(ctx context.Context, onReading func(List)) {
 	defer p.client.CloseIdleConnections()
 	timer := time.NewTimer(0)
@@ -95,38 +92,39 @@
 		if list, err := p.Poll(ctx); err == nil && onReading != nil {
 			onReading(list)
 		}
-		timer.Reset(p.pause())
+		timer.Reset(p.nextDelay())
 	}
 }
 
-// Poll reads the list once and keeps it. A failure, or a list with an entry
-// that makes no sense, leaves the last list in place.
+// Poll reads the list once and keeps it. A failed read or a list with an invalid entry leaves the
+// last list in place.
 func (p *Poller) Poll(ctx context.Context) (List, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	list, err := p.fetch(ctx)
 	p.metrics.count(err)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.failure = err
+	p.lastErr = err
 	if err != nil {
 		return List{}, err
 	}
-	p.list, p.asked, p.known = list, asked, true
+	p.list, p.requestedAt, p.hasList = list, requestedAt, true
 	return list, nil
 }
 
-// Last returns the last list that was read. The caller must not modify it.
+// Last returns the last list that was read. Callers must not modify it.
 func (p *Poller) Last() Reading {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	reading := Reading{List: p.list, Known: p.known, Err: p.failure}
-	if p.known {
-		reading.Age = time.Since(p.asked)
+	reading := Reading{List: p.list, Known: p.hasList, Err: p.lastErr}
+	if p.hasList {
+		reading.Age = time.Since(p.requestedAt)
 	}
 	return reading
 }
 
-func (p *Poller) pause() time.Duration {
+// nextDelay returns the interval with random jitter.
+func (p *Poller) nextDelay() time.Duration {
 	spread := p.config.Jitter * (2*p.random.Float64() - 1)
 	return time.Duration(float64(p.config.Interval) * (1 + spread))
 }
@@ -134,27 +132,27 @@
 func (p *Poller) fetch(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Timeout)
 	defer cancel()
-	failed := oops.In("machines").With("step", stepFetch, "peer", p.config.Address.String())
+	errorBuilder := oops.In("machines").With("step", stepFetch, "peer", p.config.Address.String())
 	url := "http://" + p.config.Address.String() + ListPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return List{}, failed.Wrap(err)
+		return List{}, errorBuilder.Wrap(err)
 	}
-	reply, err := p.client.Do(request)
+	response, err := p.client.Do(request)
 	if err != nil {
-		return List{}, failed.Wrap(err)
+		return List{}, errorBuilder.Wrap(err)
 	}
-	defer reply.Body.Close()
-	if reply.StatusCode != http.StatusOK {
-		return List{}, failed.Errorf("the machine list answered with HTTP status %d", reply.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return List{}, errorBuilder.Errorf("read machine list: HTTP status %d", response.StatusCode)
 	}
 	var list List
-	if err := json.NewDecoder(io.LimitReader(reply.Body, maximumListBytes)).Decode(&list); err != nil {
-		return List{}, failed.Wrap(err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
+		return List{}, errorBuilder.Wrap(err)
 	}
 	if err := list.Check(); err != nil {
-		return List{}, failed.Wrap(err)
+		return List{}, errorBuilder.Wrap(err)
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maximumListBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxListBytes))
 	return list, nil
 }
--- a/internal/selfhosted/machines/poller_test.go
+++ b/internal/selfhosted/machines/poller_test.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-func TestListsThatMakeNoSenseAreRefused(t *testing.T) {
+func TestPollRejectsInvalidLists(t *testing.T) {
 	body := `{"as_of_unix_ms": 5, "machines": [{"address": "127.0.0.1:7101", "kind": "leaf", "state": "live"}]}`
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, body)
@@ -25,7 +25,7 @@
 	poller := NewPoller(config, rand.New(rand.NewPCG(1, 1)), registry)
 	defer poller.client.CloseIdleConnections()
 	if list, err := poller.Poll(context.Background()); err != nil || list.AsOfUnixMilliseconds != 5 {
-		t.Fatalf("%+v, %v", list, err)
+		t.Fatalf("poll of a valid list: got %+v, error %v, want a list as of 5", list, err)
 	}
 	for _, body = range []string{
 		`{"machines": [{"address": "host:7101", "kind": "leaf", "state": "live"}]}`,
@@ -37,25 +37,25 @@
 		``,
 	} {
 		if _, err := poller.Poll(context.Background()); err == nil {
-			t.Errorf("taken: %s", body)
+			t.Errorf("poll of %q: got no error, want one", body)
 		}
 	}
 	if reading := poller.Last(); len(reading.List.Machines) != 1 || reading.Err == nil {
-		t.Fatalf("the last good list is gone: %+v", reading)
+		t.Fatalf("last reading: got %+v, want the last valid list with 1 machine and an error", reading)
 	}
 	if count := testutil.ToFloat64(poller.metrics.polls.WithLabelValues("failed")); count != 7 {
-		t.Errorf("%v readings counted as failed", count)
+		t.Errorf("reads counted as failed: got %v, want 7", count)
 	}
 }
 
-func TestPausesStayWithinTheJitter(t *testing.T) {
+func TestPollDelayStaysWithinJitter(t *testing.T) {
 	poller := NewPoller(Config{Interval: time.Second, Jitter: 0.2}, rand.New(rand.NewPCG(1, 1)), nil)
 	lowest, highest := time.Hour, time.Duration(0)
 	for range 10000 {
-		pause := poller.pause()
-		lowest, highest = min(lowest, pause), max(highest, pause)
+		nextDelay := poller.nextDelay()
+		lowest, highest = min(lowest, nextDelay), max(highest, nextDelay)
 	}
 	if lowest < 800*time.Millisecond || lowest > 805*time.Millisecond || highest < 1195*time.Millisecond || highest > 1200*time.Millisecond {
-		t.Fatalf("pauses from %s to %s", lowest, highest)
+		t.Fatalf("delays: got %s to %s, want 800 ms to 1200 ms with both limits nearly reached", lowest, highest)
 	}
 }
--- a/internal/selfhosted/membership/core_view.go
+++ b/internal/selfhosted/membership/core_view.go
@@ -8,31 +8,30 @@
 // Self returns this node's own record.
 func (c *Core) Self() Member { return c.self }
 
-// Joined reports whether this node has heard from any other, or has no seeds.
+// Joined reports whether this node has received a packet from another node, or has no seeds.
 func (c *Core) Joined() bool { return c.joined || len(c.seeds) == 0 }
 
-// Superseded reports whether the name belongs to a newer process.
+// Superseded reports whether a process with a higher incarnation holds the name of this node.
 func (c *Core) Superseded() bool { return c.superseded }
 
-// Members returns all known members that are not gone, this node included,
-// ordered by name. The list is rebuilt only after a change; it must not be
-// modified.
+// Members returns all members that are not gone, including this node, in order of their names. The
+// list is rebuilt only after a change and must not be modified.
 func (c *Core) Members() []Member {
-	if c.listed == nil || c.listedVersion != c.view.version || c.listed[c.listedSelf] != c.self {
-		c.listed = make([]Member, 0, c.members())
+	if c.memberList == nil || c.memberListVersion != c.view.version || c.memberList[c.memberListSelf] != c.self {
+		c.memberList = make([]Member, 0, c.memberCount())
 		for _, p := range c.view.ordered {
-			c.listed = append(c.listed, p.Member)
+			c.memberList = append(c.memberList, p.Member)
 		}
-		c.listedSelf, _ = slices.BinarySearchFunc(c.listed, c.self.Name, func(m Member, name string) int {
+		c.memberListSelf, _ = slices.BinarySearchFunc(c.memberList, c.self.Name, func(m Member, name string) int {
 			return strings.Compare(m.Name, name)
 		})
-		c.listed = slices.Insert(c.listed, c.listedSelf, c.self)
-		c.listedVersion = c.view.version
+		c.memberList = slices.Insert(c.memberList, c.memberListSelf, c.self)
+		c.memberListVersion = c.view.version
 	}
-	return c.listed
+	return c.memberList
 }
 
-// Lookup returns what is known of a member, gone ones included.
+// Lookup returns the record of a member, including a member that is gone.
 func (c *Core) Lookup(name string) (Member, bool) {
 	if name == c.self.Name {
 		return c.self, true
@@ -44,9 +43,8 @@
 	return p.Member, true
 }
 
-// ViewHash returns a hash of the view: the exclusive or of ViewHash of all
-// members that are not gone, this node included. Equal views have equal
-// hashes.
+// ViewHash returns a hash of the view: the XOR of Member.ViewHash over all members that are not
+// gone, including this node. Equal views have equal hashes.
 func (c *Core) ViewHash() uint64 {
 	hash := c.self.ViewHash()
 	for _, p := range c.view.live {
@@ -66,5 +64,5 @@
 	return names
 }
 
-// members is the number of members that are not gone, this node included.
-func (c *Core) members() int { return len(c.view.live) + 1 }
+// memberCount returns the number of members that are not gone, including this node.
+func (c *Core) memberCount() int { return len(c.view.live) + 1 }
--- a/internal/selfhosted/membership/service_test.go
+++ b/internal/selfhosted/membership/service_test.go
@@ -12,32 +12,32 @@
 	"go.uber.org/goleak"
 )
 
-// hub carries datagrams between services in this process.
-type hub struct {
-	mutex    sync.Mutex
-	services map[netip.AddrPort]*Service
-	carriers sync.WaitGroup
+// datagramHub delivers datagrams between services of this process.
+type datagramHub struct {
+	mutex      sync.Mutex
+	services   map[netip.AddrPort]*Service
+	deliveries sync.WaitGroup
 }
 
-type port struct {
-	hub  *hub
+type hubPort struct {
+	hub  *datagramHub
 	from netip.AddrPort
 }
 
-func (p port) Send(to netip.AddrPort, payload []byte) error {
+func (p hubPort) Send(to netip.AddrPort, payload []byte) error {
 	p.hub.mutex.Lock()
 	defer p.hub.mutex.Unlock()
 	target := p.hub.services[to]
 	if target == nil {
 		return fmt.Errorf("no route to %v", to)
 	}
-	p.hub.carriers.Go(func() { target.Receive(p.from, payload) })
+	p.hub.deliveries.Go(func() { target.Receive(p.from, payload) })
 	return nil
 }
 
-func startServices(t *testing.T, size int) []*Service {
+func startTestServices(t *testing.T, size int) []*Service {
 	t.Helper()
-	network := &hub{services: make(map[netip.AddrPort]*Service)}
+	hub := &datagramHub{services: make(map[netip.AddrPort]*Service)}
 	config := DefaultConfig()
 	config.TickInterval, config.ProbeInterval = 5*time.Millisecond, 50*time.Millisecond
 	config.ProbeTimeout, config.GossipInterval = 20*time.Millisecond, 10*time.Millisecond
@@ -46,11 +46,11 @@
 		self := Member{Name: nodeName(i), Zone: "zone-1", Region: "region-1", Address: address(i, 1), HTTPAddress: address(i, 1)}
 		services[i] = NewService(Options{
 			Config: config, Self: self, Seeds: []netip.AddrPort{address(0, 1)},
-			Datagrams: port{network, self.Address}, Registerer: prometheus.NewRegistry(),
+			Datagrams: hubPort{hub, self.Address}, Registerer: prometheus.NewRegistry(),
 		})
-		network.mutex.Lock()
-		network.services[self.Address] = services[i]
-		network.mutex.Unlock()
+		hub.mutex.Lock()
+		hub.services[self.Address] = services[i]
+		hub.mutex.Unlock()
 	}
 	for _, service := range services {
 		service.Start()
@@ -59,12 +59,12 @@
 		for _, service := range services {
 			service.Close()
 		}
-		network.carriers.Wait()
+		hub.deliveries.Wait()
 	})
 	return services
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 2000 {
 		if condition() {
@@ -72,13 +72,13 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not reached: %s", what)
+	t.Fatalf("condition %q not met after 2000 polls", description)
 }
 
-func TestServicesFormAndLeave(t *testing.T) {
+func TestServicesDiscoverEachOtherAndLeave(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	services := startServices(t, 5)
-	eventually(t, "all see all", func() bool {
+	services := startTestServices(t, 5)
+	waitUntil(t, "every service lists all members", func() bool {
 		for _, service := range services {
 			if len(service.Members()) != len(services) {
 				return false
@@ -99,12 +99,12 @@
 	}
 }
 
-func TestMetricsAreCollected(t *testing.T) {
+func TestServiceRegistersAllMetrics(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	service := NewService(Options{Config: DefaultConfig(), Self: Member{Name: "a", Address: address(1, 1)}, Registerer: registry})
 	defer service.Close()
 	families, err := registry.Gather()
 	if err != nil || len(families) != 19 {
-		t.Fatalf("%d families, %v", len(families), err)
+		t.Fatalf("Gather returned %d metric families and error %v, want 19 and no error", len(families), err)
 	}
 }
--- a/internal/selfhosted/merge/order.go
+++ b/internal/selfhosted/merge/order.go
@@ -7,47 +7,49 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// ordering compares rows by some of their columns.
-type ordering struct {
-	terms []orderTerm
+// rowOrder compares rows by a list of sort keys.
+type rowOrder struct {
+	sortKeys []sortKey
 }
 
-type orderTerm struct {
-	index      int
+// sortKey is a column index with its direction.
+type sortKey struct {
+	column     int
 	descending bool
 }
 
-// newOrdering resolves an order by among the columns, then adds the columns
-// from tieBreak on as tie breakers.
-func newOrdering(orderBy []language.Order, columns []string, tieBreak int) (*ordering, error) {
-	o := new(ordering)
+// newRowOrder resolves the terms of an "order by" to columns, and appends the columns from
+// index tieBreak on, as far as they are not among the terms, to break ties.
+func newRowOrder(orderBy []language.Order, columns []string, tieBreak int) (*rowOrder, error) {
+	o := new(rowOrder)
 	for _, order := range orderBy {
 		index := slices.Index(columns, order.Item.String())
 		if index < 0 {
 			return nil, &UnknownColumnError{Column: order.Item.String()}
 		}
-		o.terms = append(o.terms, orderTerm{index: index, descending: order.Descending})
+		o.sortKeys = append(o.sortKeys, sortKey{column: index, descending: order.Descending})
 	}
 	for index := tieBreak; index < len(columns); index++ {
-		if !o.uses(index) {
-			o.terms = append(o.terms, orderTerm{index: index})
+		if !o.includesColumn(index) {
+			o.sortKeys = append(o.sortKeys, sortKey{column: index})
 		}
 	}
 	return o, nil
 }
 
-func (o *ordering) uses(index int) bool {
-	return slices.ContainsFunc(o.terms, func(term orderTerm) bool { return term.index == index })
+// includesColumn reports whether the column is among the sort keys.
+func (o *rowOrder) includesColumn(index int) bool {
+	return slices.ContainsFunc(o.sortKeys, func(key sortKey) bool { return key.column == index })
 }
 
-func (o *ordering) compare(a, b rows.Row) int {
-	for i := range o.terms {
-		term := &o.terms[i]
-		order := compareValues(&a[term.index], &b[term.index])
+func (o *rowOrder) compare(a, b rows.Row) int {
+	for i := range o.sortKeys {
+		key := &o.sortKeys[i]
+		order := compareValues(&a[key.column], &b[key.column])
 		switch {
 		case order == 0:
 			continue
-		case term.descending:
+		case key.descending:
 			return -order
 		default:
 			return order
@@ -56,8 +58,8 @@
 	return 0
 }
 
-// compareValues is rows.Compare without the copies for numbers, which most
-// orders begin with.
+// compareValues is equivalent to rows.Compare. It avoids copying the values if both are
+// numbers, the usual type of the first sort key.
 func compareValues(a, b *rows.Value) int {
 	if a.Kind != rows.Number || b.Kind != rows.Number {
 		return rows.Compare(*a, *b)
@@ -72,8 +74,8 @@
 	}
 }
 
-func (o *ordering) sort(unsorted []rows.Row) { slices.SortFunc(unsorted, o.compare) }
+func (o *rowOrder) sort(tableRows []rows.Row) { slices.SortFunc(tableRows, o.compare) }
 
-func (o *ordering) isSorted(candidate []rows.Row) bool {
-	return slices.IsSortedFunc(candidate, o.compare)
+func (o *rowOrder) isSorted(tableRows []rows.Row) bool {
+	return slices.IsSortedFunc(tableRows, o.compare)
 }
--- a/internal/selfhosted/node/metrics_page_test.go
+++ b/internal/selfhosted/node/metrics_page_test.go
@@ -25,27 +25,27 @@
 
 `
 
-// buildNode makes a node with all its parts; it does not run.
-func buildNode(t *testing.T) (*Node, *telemetry.Registry) {
+// newTestNode builds a node without starting it.
+func newTestNode(t *testing.T) (*Node, *telemetry.Registry) {
 	t.Helper()
 	configured := settings.Example()
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 	configured.Listen.HTTP, configured.Listen.Peer = loopback, loopback
 	registry := telemetry.NewRegistry("test")
-	built, err := New(configured, registry, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	node, err := New(configured, registry, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		built.closeSockets()
-		_ = built.peerServer.Close(context.Background())
+		node.closeSockets()
+		_ = node.peerServer.Close(context.Background())
 	})
-	return built, registry
+	return node, registry
 }
 
-// TestMetricsPage keeps docs/METRICS.md equal to what a node registers.
+// TestMetricsPage checks that docs/METRICS.md describes exactly the metrics that a node registers.
 func TestMetricsPage(t *testing.T) {
-	_, registry := buildNode(t)
+	_, registry := newTestNode(t)
 	metrics, err := registry.Metrics("micaplank_")
 	if err != nil {
 		t.Fatal(err)
@@ -60,40 +60,41 @@
 
 var (
 	nameWithUnit = regexp.MustCompile(`^micaplank_[a-z]+_[a-z_]*(_seconds|_bytes|_info|_total)$`)
-	// countedThings is the name of a gauge that counts things: they are its
-	// unit.
-	countedThings = regexp.MustCompile(`^micaplank(_[a-z]+)+_(members|leaves|queries|connections|zones|watches_open)$`)
-	// truth is the text of a gauge that is 1 or 0.
-	truth = regexp.MustCompile(`^Whether .*\(1\) or not \(0\)\.$`)
-	// plainNumbers are neither: an ordinal and a score.
-	plainNumbers = []string{"micaplank_build_info", "micaplank_dissemination_revision", "micaplank_membership_health_score"}
+	// countGaugeName matches gauges that are named after what they count.
+	countGaugeName = regexp.MustCompile(`^micaplank(_[a-z]+)+_(members|leaves|queries|connections|zones|watches_open)$`)
+	// booleanGaugeHelp matches the help text of a gauge that is 1 or 0.
+	booleanGaugeHelp = regexp.MustCompile(`^Whether .*\(1\) or not \(0\)\.$`)
+	// unitlessMetrics are the metrics that have no unit: a constant, an ordinal and a score.
+	unitlessMetrics = []string{"micaplank_build_info", "micaplank_dissemination_revision", "micaplank_membership_health_score"}
 )
 
-// hasUnit says whether a name tells the unit, or the text that there is none.
+// hasUnit reports whether the name of a metric contains its unit, or the metric is one that needs
+// none.
 func hasUnit(metric telemetry.Metric) bool {
-	if nameWithUnit.MatchString(metric.Name) || slices.Contains(plainNumbers, metric.Name) {
+	if nameWithUnit.MatchString(metric.Name) || slices.Contains(unitlessMetrics, metric.Name) {
 		return true
 	}
-	return metric.Type == telemetry.TypeGauge && (countedThings.MatchString(metric.Name) || truth.MatchString(metric.Help))
+	return metric.Type == telemetry.TypeGauge && (countGaugeName.MatchString(metric.Name) || booleanGaugeHelp.MatchString(metric.Help))
 }
 
-// TestEveryMetricHasItsUnitInItsName checks names, types and texts.
-func TestEveryMetricHasItsUnitInItsName(t *testing.T) {
-	_, registry := buildNode(t)
+// TestMetricNamesIncludeUnits checks that counters, and only they, end in _total, that names
+// contain units, and that each metric has a type and a help text.
+func TestMetricNamesIncludeUnits(t *testing.T) {
+	_, registry := newTestNode(t)
 	metrics, err := registry.Metrics("micaplank_")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, metric := range metrics {
-		total := strings.HasSuffix(metric.Name, "_total")
-		if (metric.Type == telemetry.TypeCounter) != total {
-			t.Errorf("%s is a %s", metric.Name, metric.Type)
+		isTotal := strings.HasSuffix(metric.Name, "_total")
+		if (metric.Type == telemetry.TypeCounter) != isTotal {
+			t.Errorf("%s: got type %s, want a counter exactly if the name ends in _total", metric.Name, metric.Type)
 		}
 		if !hasUnit(metric) {
-			t.Errorf("%s (%s) has no unit in its name", metric.Name, metric.Type)
+			t.Errorf("%s: got a %s without a unit, want the unit in the name", metric.Name, metric.Type)
 		}
 		if metric.Type == telemetry.TypeUnknown || !strings.HasSuffix(metric.Help, ".") {
-			t.Errorf("%s: type %s, help %q", metric.Name, metric.Type, metric.Help)
+			t.Errorf("%s: got type %s and help %q, want a known type and a help text that ends with a period", metric.Name, metric.Type, metric.Help)
 		}
 	}
 }
--- a/internal/selfhosted/node/run_test.go
+++ b/internal/selfhosted/node/node_test.go
@@ -13,27 +13,28 @@
 
 	"go.uber.org/goleak"
 
-	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	rehearsalstore "github.com/micaplank/micaplank/internal/rehearsal/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 	"github.com/micaplank/micaplank/internal/settings"
 	"github.com/micaplank/micaplank/internal/telemetry"
 )
 
-// patience bounds every wait of these tests; nothing is measured by it.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of these tests. It is generous, since no test asserts a duration.
+const testTimeout = 30 * time.Second
 
-// runningNode is a node that runs against a stand-in of the store.
+// runningNode is a running node that uses the rehearsal store.
 type runningNode struct {
-	node    *Node
-	session *operator.Session
-	output  *strings.Builder
-	ended   chan error
+	node      *Node
+	session   *operator.Session
+	output    *strings.Builder
+	runResult chan error
 }
 
+// startNode starts a node together with a rehearsal store.
 func startNode(t testing.TB) *runningNode {
 	t.Helper()
-	store, err := standin.Start(standin.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+	store, err := rehearsalstore.Start(rehearsalstore.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,33 +44,33 @@
 	configured.Listen.HTTP, configured.Listen.Peer = loopback, loopback
 	configured.Store.Endpoints = []netip.AddrPort{netip.MustParseAddrPort(store.Address())}
 	configured.Machines.Address = netip.AddrPort{}
-	started, err := New(configured, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
+	node, err := New(configured, telemetry.NewRegistry("test"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	running := &runningNode{node: started, output: new(strings.Builder), ended: make(chan error, 1)}
+	running := &runningNode{node: node, output: new(strings.Builder), runResult: make(chan error, 1)}
 	running.session = &operator.Session{
-		Client:  operator.NewClient([]netip.AddrPort{started.HTTPAddress()}, patience, "mori"),
+		Client:  operator.NewClient([]netip.AddrPort{node.HTTPAddress()}, testTimeout, "mori"),
 		Output:  running.output,
 		Format:  operator.FormatText,
-		Timeout: patience,
+		Timeout: testTimeout,
 	}
-	go func() { running.ended <- started.Run(context.Background()) }()
+	go func() { running.runResult <- node.Run(context.Background()) }()
 	return running
 }
 
-// exec runs a statement and returns what the operator receives.
+// exec runs a statement and returns the operator's output.
 func (r *runningNode) exec(text string, options operator.ExecOptions) (string, error) {
 	r.output.Reset()
 	err := r.session.Exec(context.Background(), text, options)
 	return r.output.String(), err
 }
 
-// awaitReady waits until the node takes work.
-func (r *runningNode) awaitReady(t testing.TB) {
+// waitUntilReady waits until the node reports that it is ready.
+func (r *runningNode) waitUntilReady(t testing.TB) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		response, err := client.Get("http://" + r.node.HTTPAddress().String() + "/readyz")
 		if err != nil {
 			continue
@@ -80,20 +81,21 @@
 			return
 		}
 	}
-	t.Fatal("the node is not ready")
+	t.Fatalf("the node is not ready after %s", testTimeout)
 }
 
-// TestOperatorsAtARunningNode goes the whole way of the operators: language,
-// HTTP, log of changes, and the planned stop.
-func TestOperatorsAtARunningNode(t *testing.T) {
+// TestOperatorCommandsOnRunningNode runs operators' commands from end to end: statement language,
+// HTTP interface, change log and planned stop.
+func TestOperatorCommandsOnRunningNode(t *testing.T) {
 	ignored := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, ignored) }) // runs after the stand-in is closed
+	// Cleanups run in reverse order, so this check runs after the store is closed.
+	t.Cleanup(func() { goleak.VerifyNone(t, ignored) })
 	running := startNode(t)
-	running.awaitReady(t)
+	running.waitUntilReady(t)
 	steps := []struct {
 		statement string
 		options   operator.ExecOptions
-		// want is part of the output, or the type of the problem.
+		// want is a part of the output or the type of the problem.
 		want string
 	}{
 		{"add voter node-a1 zone a", operator.ExecOptions{}, "in force on 1 of 1 members, revision 1"},
@@ -124,34 +126,35 @@
 	}
 	running.output.Reset()
 	if err := running.session.Change(context.Background(), "token-7"); err != nil || !strings.Contains(running.output.String(), "revision 2") {
-		t.Errorf("change by its token: %v, %q", err, running.output)
+		t.Errorf("look up change by token: got output %q and error %v, want revision 2", running.output, err)
 	}
 	if err := running.session.Drain(context.Background(), "node-a1"); err != nil {
-		t.Errorf("drain: %v", err)
+		t.Errorf("drain node: got error %v, want none", err)
 	}
 	select {
-	case err := <-running.ended:
+	case err := <-running.runResult:
 		if err != nil {
-			t.Errorf("the planned stop ended with %v", err)
+			t.Errorf("planned stop: got error %v, want none", err)
 		}
-	case <-time.After(patience):
-		t.Fatal("the node did not stop")
+	case <-time.After(testTimeout):
+		t.Fatalf("planned stop: the node still runs after %s", testTimeout)
 	}
 }
 
-// TestStatusNamesVotersThatAreGone asks a running node.
-func TestStatusNamesVotersThatAreGone(t *testing.T) {
+// TestStatusListsVoters checks the state and the revision of a voter in the status of a running
+// node.
+func TestStatusListsVoters(t *testing.T) {
 	running := startNode(t)
-	running.awaitReady(t)
+	running.waitUntilReady(t)
 	if _, err := running.exec("add voter node-a1 zone a", operator.ExecOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	status, err := running.session.Client.Status(context.Background())
 	if err != nil || len(status.Voters) != 1 || status.Voters[0].State != api.NodeAlive || status.Voters[0].Revision != 1 {
-		t.Errorf("got %+v, %v", status, err)
+		t.Errorf("got status %+v and error %v, want one alive voter at revision 1", status, err)
 	}
 	running.node.beginDrain()
-	if err := <-running.ended; err != nil {
-		t.Error(err)
+	if err := <-running.runResult; err != nil {
+		t.Errorf("planned stop: got error %v, want none", err)
 	}
 }
--- a/internal/selfhosted/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -11,116 +11,118 @@
 )
 
 const (
-	// headerTimeout bounds the time that a caller may take for its headers.
-	headerTimeout = 10 * time.Second
-	// loadTimeout bounds one poll of a leaf's load.
-	loadTimeout = time.Second
-	// drainGrace is the time between the announcement of a planned stop and
-	// the closing of idle connections: callers and peers need it to move.
-	drainGrace = time.Second
-	// slotInterval is the time between two looks at who holds this node's slot.
-	slotInterval = 500 * time.Millisecond
+	// readHeaderTimeout bounds the time in which a caller sends its request headers.
+	readHeaderTimeout = 10 * time.Second
+	// loadPollTimeout bounds one poll of a leaf's load.
+	loadPollTimeout = time.Second
+	// drainAnnouncementDelay is the time between the announcement of a planned stop and the closing
+	// of idle connections. Callers and peers use it to switch to other nodes.
+	drainAnnouncementDelay = time.Second
+	// slotCheckInterval is the time between two checks whether another process has taken over this
+	// node's slot.
+	slotCheckInterval = 500 * time.Millisecond
 	// leaveTimeout bounds the announcement to the other nodes.
 	leaveTimeout = 2 * time.Second
 )
 
-// Run starts the node and blocks until ctx ends, an operator drains it or
-// another process takes over its slot. It then stops as planned: nothing in
-// flight is cut off within the drain timeout. It returns nil if so.
+// Run starts the node and blocks until ctx ends, an operator drains the node or another process
+// takes over its slot. It then stops the node as planned and returns nil if all requests in flight
+// completed within the drain timeout.
 func (n *Node) Run(ctx context.Context) error {
-	n.peerServer.Serve()
+	n.peerServer.Start()
 	n.membership.Start()
 	n.dissemination.Start()
-	n.background.Go(n.followCatalog)
-	n.background.Go(n.followSlot)
-	n.background.Go(n.followMachines)
-	n.background.Go(n.followMarks)
-	n.background.Go(func() { n.ledger.Run(n.running) })
-	failed := make(chan error, 1)
-	n.background.Go(func() { failed <- ignoreClosed(n.http.Serve(n.listener)) })
+	n.backgroundTasks.Go(n.watchCatalog)
+	n.backgroundTasks.Go(n.watchSlot)
+	n.backgroundTasks.Go(n.watchMachines)
+	n.backgroundTasks.Go(n.runMarkSync)
+	n.backgroundTasks.Go(func() { n.ledger.Run(n.backgroundContext) })
+	serveError := make(chan error, 1)
+	n.backgroundTasks.Go(func() { serveError <- ignoreServerClosed(n.httpServer.Serve(n.httpListener)) })
 	n.logger.Info("listening", "http", n.HTTPAddress(), "peer", n.PeerAddress())
 	select {
 	case <-ctx.Done():
 		n.beginDrain()
 	case <-n.draining:
-	case err := <-failed:
+	case err := <-serveError:
 		n.beginDrain()
 		return errors.Join(err, n.drain())
 	}
 	return n.drain()
 }
 
-// beginDrain announces the planned stop; it returns at once.
+// beginDrain starts the planned stop and returns without waiting for it.
 func (n *Node) beginDrain() {
 	n.drainOnce.Do(func() { close(n.draining) })
 }
 
-// drain ends the node: first the announcement, then the callers' connections
-// as they become idle, then everything that the queries needed.
+// drain stops the node in order: it announces the stop, closes the callers' connections as they
+// become idle, and then closes the parts that queries depend on.
 func (n *Node) drain() error {
-	n.logger.Info("draining", "queries_in_flight", n.services.inFlight())
+	n.logger.Info("draining", "queries_in_flight", n.services.countInFlight())
 	n.gateway.Drain()
-	announcing, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	leaveContext, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	leaveErr := n.membership.Leave(announcing)
-	time.Sleep(drainGrace)
-	finishing, cancel := context.WithTimeout(context.Background(), n.settings.Limits.DrainTimeout.Duration())
+	leaveErr := n.membership.Leave(leaveContext)
+	time.Sleep(drainAnnouncementDelay)
+	drainContext, cancel := context.WithTimeout(context.Background(), n.settings.Limits.DrainTimeout.Duration())
 	defer cancel()
-	err := errors.Join(n.http.Shutdown(finishing), n.peerServer.Close(finishing))
+	err := errors.Join(n.httpServer.Shutdown(drainContext), n.peerServer.Close(drainContext))
 	if leaveErr != nil {
-		n.logger.Warn("leaving was not acknowledged", telemetry.Error(leaveErr))
+		n.logger.Warn("no member acknowledged the planned stop", telemetry.Error(leaveErr))
 	}
 	n.close()
 	if err != nil {
-		n.logger.Error("requests were cut off", telemetry.Error(err))
+		n.logger.Error("planned stop aborted requests in flight", telemetry.Error(err))
 		return err
 	}
 	n.logger.Info("stopped")
 	return nil
 }
 
+// close stops the background tasks and closes all parts.
 func (n *Node) close() {
-	n.stop()
+	n.cancelBackground()
 	n.services.close()
-	n.health.Close()
+	n.healthCheck.Close()
 	n.dissemination.Close()
 	n.membership.Close()
-	n.background.Wait()
-	n.leaves.Close()
-	n.calls.Close()
+	n.backgroundTasks.Wait()
+	n.leafClient.Close()
+	n.peerClient.Close()
 	n.datagrams.Close()
 	n.store.Close()
 }
 
-// followCatalog installs each new catalog.
-func (n *Node) followCatalog() {
+// watchCatalog installs each new catalog.
+func (n *Node) watchCatalog() {
 	changes, cancel := n.dissemination.Subscribe()
 	defer cancel()
-	n.install()
+	n.installCatalog()
 	for {
 		select {
-		case <-n.running.Done():
+		case <-n.backgroundContext.Done():
 			return
 		case <-changes:
-			n.install()
+			n.installCatalog()
 		}
 	}
 }
 
-// followSlot ends the node when another process has taken over its slot. The
-// members or the voters may be the first to report it.
-func (n *Node) followSlot() {
+// watchSlot drains the node when another process has taken over its slot. Either the members or the
+// voters may report that first.
+func (n *Node) watchSlot() {
 	events, cancel := n.membership.Subscribe()
 	defer cancel()
-	ticker := time.NewTicker(slotInterval)
+	ticker := time.NewTicker(slotCheckInterval)
 	defer ticker.Stop()
-	for !n.superseded() {
+	for !n.isSuperseded() {
 		select {
-		case <-n.running.Done():
+		case <-n.backgroundContext.Done():
 			return
-		case _, open := <-events:
-			if !open {
-				events = nil // the ticker goes on
+		case _, ok := <-events:
+			if !ok {
+				events = nil // from here on, only the ticker triggers checks
 			}
 		case <-ticker.C:
 		}
@@ -129,26 +131,28 @@
 	n.beginDrain()
 }
 
-func (n *Node) superseded() bool {
+// isSuperseded reports whether the members or the voters recognize another process in this node's
+// slot.
+func (n *Node) isSuperseded() bool {
 	return n.membership.Superseded() || n.dissemination.Superseded()
 }
 
-// followMachines marks the leaves that the machine list calls leaving.
-func (n *Node) followMachines() {
-	if n.machines == nil {
+// watchMachines marks the leaves that the machine list reports as leaving.
+func (n *Node) watchMachines() {
+	if n.machinePoller == nil {
 		return
 	}
-	n.machines.Run(n.running, func(list machines.List) {
+	n.machinePoller.Run(n.backgroundContext, func(list machines.List) {
 		for _, machine := range list.Machines {
 			if machine.Kind == machines.KindLeaf && machine.State != machines.StateLive {
-				n.health.MachineLeaving(machine.Address, machine.BootID)
+				n.healthCheck.MachineLeaving(machine.Address, machine.BootID)
 			}
 		}
 	})
 }
 
-// ignoreClosed hides the error of a server that was shut down as planned.
-func ignoreClosed(err error) error {
+// ignoreServerClosed returns nil for the error that a server returns after a planned shutdown.
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/selfhosted/node/wire_test.go
+++ b/internal/selfhosted/node/wire_test.go
@@ -7,14 +7,15 @@
 	"github.com/micaplank/micaplank/internal/wiretest"
 )
 
-// TestMessagesReadAsRecorded guards a fleet of two versions.
-func TestMessagesReadAsRecorded(t *testing.T) {
-	wiretest.Gob[query.Forward](t, "query.owner.request")
-	wiretest.Gob[queryReply](t, "query.owner.response")
-	wiretest.Gob[leavingCall](t, "topology.leaving.request")
-	wiretest.Gob[leavingReply](t, "topology.leaving.response")
-	wiretest.Gob[marksCall](t, "topology.marks.request")
-	wiretest.Gob[marksReply](t, "topology.marks.response")
-	wiretest.Gob[drainCall](t, "node.drain.request")
-	wiretest.Gob[drainReply](t, "node.drain.response")
+// TestRecordedMessagesDecode checks that messages recorded by an earlier version still decode,
+// because nodes of two versions exchange messages during an upgrade.
+func TestRecordedMessagesDecode(t *testing.T) {
+	wiretest.CheckGob[query.Forward](t, "query.owner.request")
+	wiretest.CheckGob[queryResponse](t, "query.owner.response")
+	wiretest.CheckGob[leavingRequest](t, "topology.leaving.request")
+	wiretest.CheckGob[leavingResponse](t, "topology.leaving.response")
+	wiretest.CheckGob[marksRequest](t, "topology.marks.request")
+	wiretest.CheckGob[marksResponse](t, "topology.marks.response")
+	wiretest.CheckGob[drainRequest](t, "node.drain.request")
+	wiretest.CheckGob[drainResponse](t, "node.drain.response")
 }
--- a/internal/selfhosted/operator/apply.go
+++ b/internal/selfhosted/operator/apply.go
@@ -9,10 +9,10 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// Apply brings the catalog to what the changes of a text say. It shows the
-// difference first and runs only the statements that change something; with
-// dryRun it runs none. Each change is made only on the revision that the plan
-// has for it, so that the changes of another operator end it.
+// Apply changes the catalog to the state that the statements of a text describe. It writes
+// the difference first and runs only the statements that change something. With dryRun it
+// runs none. Each change is bound to the revision that the plan expects, so that Apply stops
+// if another operator changes the catalog meanwhile.
 func (s *Session) Apply(ctx context.Context, source, text string, dryRun bool) error {
 	statements, err := language.ParseFile(text)
 	if err != nil {
@@ -22,33 +22,35 @@
 	if err != nil {
 		return err
 	}
-	plan, err := MakePlan(current, statements)
+	plan, err := NewPlan(current, statements)
 	if err != nil {
 		return fmt.Errorf("%s: %w", source, err)
 	}
 	if err := s.writePlan(plan, dryRun); err != nil || dryRun {
 		return err
 	}
-	for made, located := range plan.located {
-		revision := plan.Revision + uint64(made)
-		err := s.run(ctx, located.Statement, ExecOptions{Source: source, IfRevision: &revision})
+	for applied, located := range plan.statements {
+		revision := plan.Revision + uint64(applied)
+		err := s.runStatement(ctx, located.Statement, ExecOptions{Source: source, IfRevision: &revision})
 		if err != nil {
-			return statementError(source, located, len(plan.located)+1, movedOn(err, made, len(plan.located)))
+			return statementError(source, located, len(plan.statements)+1, explainConflict(err, applied, len(plan.statements)))
 		}
 	}
 	return nil
 }
 
-// movedOn adds to a conflict what it means for a plan.
-func movedOn(err error, made, planned int) error {
+// explainConflict adds to a conflict how many changes were made and that the plan is
+// outdated. Other errors are returned unchanged.
+func explainConflict(err error, applied, total int) error {
 	var problem *api.Problem
 	if !errors.As(err, &problem) || problem.Type != api.ProblemConflict {
 		return err
 	}
 	return fmt.Errorf("%w\n%d of %s made; the catalog is not what the plan was made for: look at apply --dry-run again",
-		err, made, count(planned, "change"))
+		err, applied, pluralize(total, "change"))
 }
 
+// writePlan writes the difference that a plan makes and a summary of it.
 func (s *Session) writePlan(plan *Plan, dryRun bool) error {
 	if s.Format == FormatJSON {
 		return s.writeJSONLine(plan)
@@ -63,13 +65,14 @@
 	if dryRun {
 		verb = "would be made"
 	}
-	s.printf("%s %s on revision %d, %s so already\n", count(len(plan.Changes), "change"), verb, plan.Revision, count(plan.Unchanged, "statement"))
+	s.printf("%s %s on revision %d, %s so already\n", pluralize(len(plan.Changes), "change"), verb, plan.Revision, pluralize(plan.Unchanged, "statement"))
 	return nil
 }
 
-func count(number int, what string) string {
-	if number == 1 {
-		return "1 " + what
+// pluralize returns a count with its noun, in the plural unless the count is 1.
+func pluralize(count int, noun string) string {
+	if count == 1 {
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", number, what)
+	return fmt.Sprintf("%d %ss", count, noun)
 }
--- a/internal/selfhosted/operator/status.go
+++ b/internal/selfhosted/operator/status.go
@@ -11,7 +11,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Status writes what one node knows of the deployment.
+// Status writes the status of the deployment as one node knows it.
 func (s *Session) Status(ctx context.Context) error {
 	status, err := s.Client.Status(ctx)
 	if err != nil {
@@ -24,34 +24,35 @@
 	return nil
 }
 
-// Watch writes the status count times, or until ctx ends if count is zero,
-// with the interval between two. A status that cannot be had is said so; the
-// error of the last one is returned.
+// Watch writes the status count times at the given interval, or until ctx ends if count is 0.
+// A failed status request is written as well and does not end Watch, which returns the error
+// of the last request.
 func (s *Session) Watch(ctx context.Context, interval time.Duration, count int) error {
 	if interval <= 0 || count < 0 {
-		return usagef("--interval must be more than 0s and --count at least 0")
+		return usageErrorf("--interval must be more than 0s and --count at least 0")
 	}
-	var last error
+	var lastErr error
 	for shown := 0; count == 0 || shown < count; shown++ {
 		if shown > 0 && !clock.Sleep(ctx, interval) {
 			return nil
 		}
-		last = s.watchOnce(ctx)
-		if last == nil {
+		lastErr = s.writeWatchedStatus(ctx)
+		if lastErr == nil {
 			continue
 		}
 		if s.Format == FormatText {
-			s.printf("--- %s\nno status: %v\n\n", s.now().Format(time.TimeOnly), last)
+			s.printf("--- %s\nno status: %v\n\n", s.now().Format(time.TimeOnly), lastErr)
 			continue
 		}
 		s.errorWritten = false
-		last = s.Finish(last)
+		lastErr = s.Finish(lastErr)
 		s.errorWritten = true
 	}
-	return last
+	return lastErr
 }
 
-func (s *Session) watchOnce(ctx context.Context) error {
+// writeWatchedStatus requests the status once and writes it.
+func (s *Session) writeWatchedStatus(ctx context.Context) error {
 	status, err := s.Client.Status(ctx)
 	if err != nil {
 		return err
@@ -84,8 +85,8 @@
 	}
 }
 
-// describeMembers says on how many nodes the newest known revision is in
-// force, and who lacks it. A node that is gone is not counted.
+// describeMembers returns the number of members that hold the newest known revision, and the
+// names of the others. Nodes that are gone are not counted.
 func describeMembers(status *api.StatusResponse) string {
 	newest, members, holders := status.Revision, 0, 0
 	for _, node := range status.Nodes {
@@ -110,8 +111,9 @@
 	return text
 }
 
-// describeVoters says how many voters are up, how many a change needs, and who
-// is missing. A voter that has left still counts towards the majority.
+// describeVoters returns the number of voters that are up, the number that a change needs,
+// and the names of the others. A voter that left the membership remains in the voting set, so
+// it counts for the majority.
 func describeVoters(voters []api.VoterStatus) string {
 	if len(voters) == 0 {
 		return "no voters: the store alone accepts changes"
@@ -139,7 +141,7 @@
 		lines[i] = []string{
 			node.Name, node.Zone, node.Address, string(node.State),
 			strconv.FormatUint(node.Incarnation, 10), strconv.FormatUint(node.Revision, 10),
-			yesNo(node.Voter), yesNo(node.Serving),
+			formatYesNo(node.Voter), formatYesNo(node.Serving),
 		}
 	}
 	writeTable(s.Output, []string{"NODE", "ZONE", "ADDRESS", "STATE", "INCARNATION", "REVISION", "VOTER", "SERVING"}, lines)
@@ -168,7 +170,7 @@
 	lines := make([][]string, len(leaves))
 	for i, leaf := range leaves {
 		lines[i] = []string{
-			leaf.Service, leaf.Address, leaf.Zone, string(leaf.State), shardRanges(leaf.Shards),
+			leaf.Service, leaf.Address, leaf.Zone, string(leaf.State), formatShardRanges(leaf.Shards),
 			strconv.Itoa(leaf.InFlight), strconv.Itoa(leaf.Limit), leaf.Reason,
 		}
 	}
--- a/internal/selfhosted/operator/table.go
+++ b/internal/selfhosted/operator/table.go
@@ -14,7 +14,7 @@
 // columnGap is the number of spaces between columns.
 const columnGap = 2
 
-// writeTable writes lines of cells in columns.
+// writeTable writes a header and lines of cells in aligned columns.
 func writeTable(output io.Writer, header []string, lines [][]string) {
 	writer := tabwriter.NewWriter(output, 0, 0, columnGap, ' ', 0)
 	writeCells(writer, header)
@@ -24,17 +24,19 @@
 	writer.Flush()
 }
 
-// writeCells ends each line without spaces, which a last cell would get.
+// writeCells writes one line of cells, separated by tabs. The last cell has no tab after it,
+// since tabwriter would pad it with spaces.
 func writeCells(writer io.Writer, cells []string) {
-	clean := make([]string, len(cells))
+	escaped := make([]string, len(cells))
 	for i, cell := range cells {
-		clean[i] = printable(cell)
+		escaped[i] = quoteUnprintable(cell)
 	}
-	fmt.Fprintln(writer, strings.Join(clean, "\t"))
+	fmt.Fprintln(writer, strings.Join(escaped, "\t"))
 }
 
-// printable quotes a text that would break the table or the terminal.
-func printable(text string) string {
+// quoteUnprintable quotes a text with unprintable characters, which could break the table or
+// control the terminal. An empty text becomes "-".
+func quoteUnprintable(text string) string {
 	for _, character := range text {
 		if !unicode.IsPrint(character) {
 			return strconv.Quote(text)
@@ -57,15 +59,15 @@
 	writeTable(output, columns, lines)
 }
 
-func yesNo(value bool) string {
+func formatYesNo(value bool) string {
 	if value {
 		return "yes"
 	}
 	return "no"
 }
 
-// shardRanges writes ascending numbers with runs joined: 0-3,7.
-func shardRanges(shards []int) string {
+// formatShardRanges formats ascending shard numbers as ranges, such as 0-3,7.
+func formatShardRanges(shards []int) string {
 	var parts []string
 	for start := 0; start < len(shards); {
 		end := start
--- a/internal/selfhosted/query/answer.go
+++ b/internal/selfhosted/query/response.go
@@ -10,31 +10,33 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// answer turns the outcome of a scattered query into what the caller receives. A
-// statement that leaves refuse, and none has run, is the caller's mistake.
-func (p *plan) answer(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
+// toResponse converts the result of a scattered query into the response or the
+// problem for the caller. If leaves rejected the statement as invalid and no shard
+// answered, the request itself is invalid.
+func (p *queryPlan) toResponse(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
 	switch result.Outcome {
 	case dispatch.OutcomeAnswered, dispatch.OutcomePartial:
-		return p.merged(result)
+		return p.mergeResponse(result)
 	case dispatch.OutcomeNotRun, dispatch.OutcomeFailed:
 		if result.Reason == dispatch.ReasonInvalid && len(result.Answered) == 0 {
-			return nil, p.fateProblem(api.ProblemInvalidRequest, result)
+			return nil, p.newOutcomeProblem(api.ProblemInvalidRequest, result)
 		}
 	}
 	switch result.Outcome {
 	case dispatch.OutcomeNotRun:
-		return nil, p.fateProblem(notRunType(result.Reason), result)
+		return nil, p.newOutcomeProblem(notRunProblemType(result.Reason), result)
 	case dispatch.OutcomeUnknown:
-		return nil, p.fateProblem(api.ProblemOutcomeUnknown, result)
+		return nil, p.newOutcomeProblem(api.ProblemOutcomeUnknown, result)
 	}
-	return nil, p.fateProblem(api.ProblemFailed, result)
+	return nil, p.newOutcomeProblem(api.ProblemFailed, result)
 }
 
-// merged builds the answer from exactly the tables that the dispatcher counts.
-func (p *plan) merged(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
-	table, err := p.merge(result.Parts)
+// mergeResponse builds the response from the tables of the shards that the
+// dispatcher counts as answered, and from no others.
+func (p *queryPlan) mergeResponse(result scatter.Result[rows.Table]) (*api.QueryResponse, error) {
+	table, err := p.mergeTables(result.Parts)
 	if err != nil {
-		return nil, p.problem(api.ProblemInternal, err.Error())
+		return nil, p.newProblem(api.ProblemInternal, err.Error())
 	}
 	missing := result.Missing
 	if missing == nil {
@@ -54,8 +56,8 @@
 	}, nil
 }
 
-// notRunType names the problem for a query that ran nowhere.
-func notRunType(reason dispatch.Reason) api.ProblemType {
+// notRunProblemType returns the problem type for a query that ran on no leaf.
+func notRunProblemType(reason dispatch.Reason) api.ProblemType {
 	switch reason {
 	case dispatch.ReasonStopped:
 		return api.ProblemNotRunStopped
@@ -65,7 +67,7 @@
 		return api.ProblemNotRunSnapshot
 	case dispatch.ReasonDeadline:
 		return api.ProblemNotRunDeadline
-	case dispatch.ReasonRefused, dispatch.ReasonInvalid, dispatch.ReasonLost:
+	case dispatch.ReasonRefused, dispatch.ReasonInvalid, dispatch.ReasonConnectionLost:
 		return api.ProblemNotRunRefused
 	case dispatch.ReasonCancelled:
 		return api.ProblemNotRunCancelled
@@ -73,12 +75,14 @@
 	return api.ProblemNotRunOverload
 }
 
-func (p *plan) fateProblem(problemType api.ProblemType, result scatter.Result[rows.Table]) *api.Problem {
+// newOutcomeProblem returns a problem that carries the outcome, the reason and the
+// retry delay of a scattered query.
+func (p *queryPlan) newOutcomeProblem(problemType api.ProblemType, result scatter.Result[rows.Table]) *api.Problem {
 	detail := result.Detail
 	if detail == "" && result.Total > 0 {
 		detail = fmt.Sprintf("%d of %d shards answered.", len(result.Answered), result.Total)
 	}
-	problem := p.problem(problemType, detail)
+	problem := p.newProblem(problemType, detail)
 	problem.Outcome = result.Outcome
 	problem.Reason = result.Reason
 	problem.RetryAfterMilliseconds = roundUpMilliseconds(result.RetryAfter)
--- a/internal/selfhosted/store/call.go
+++ b/internal/selfhosted/store/call.go
@@ -15,47 +15,47 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
-// call posts one request and decodes the response into response.
+// call posts a request, decodes the response and records the metrics of the call.
 func (c *Client) call(ctx context.Context, step Step, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
-	begun := time.Now()
-	err := c.try(ctx, step, path, request, response)
-	c.metrics.observe(step, err, time.Since(begun))
+	start := time.Now()
+	err := c.attempt(ctx, step, path, request, response)
+	c.metrics.observe(step, err, time.Since(start))
 	return err
 }
 
-func (c *Client) try(ctx context.Context, step Step, path string, request, response any) error {
-	if err := c.wait(ctx, step); err != nil {
-		return annotate(err.(*Error))
+func (c *Client) attempt(ctx context.Context, step Step, path string, request, response any) error {
+	if err := c.waitForToken(ctx, step); err != nil {
+		return wrapError(err.(*Error))
 	}
 	body, err := json.Marshal(request)
 	if err != nil {
-		return annotate(&Error{Step: step, Kind: KindRefused, Cause: err})
+		return wrapError(&Error{Step: step, Kind: KindRefused, Cause: err})
 	}
 	reply, endpoint, failure := c.post(ctx, step, path, body)
 	if failure != nil {
-		return annotate(failure)
+		return wrapError(failure)
 	}
 	defer reply.Body.Close()
-	limited := io.LimitReader(reply.Body, maximumResponseBytes)
-	if err := json.NewDecoder(limited).Decode(response); err != nil {
-		return annotate(lost(ctx, step, endpoint, err))
+	limitedBody := io.LimitReader(reply.Body, maximumResponseBytes)
+	if err := json.NewDecoder(limitedBody).Decode(response); err != nil {
+		return wrapError(responseError(ctx, step, endpoint, err))
 	}
-	drain(limited)
+	discardRest(limitedBody)
 	return nil
 }
 
-// drain reads the end of a response, so that the connection can be used again.
-func drain(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
+// discardRest reads the rest of a response, so that its connection can be reused.
+func discardRest(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
 
-// post sends the body to the first endpoint that can be reached, and returns
-// the response if its status is OK.
+// post sends the body to the first endpoint that can be reached, starting with the preferred one.
+// It returns the response if its status is 200.
 func (c *Client) post(ctx context.Context, step Step, path string, body []byte) (*http.Response, netip.AddrPort, *Error) {
 	var failure *Error
-	first := int(c.preferred.Load())
-	for try := range c.config.Endpoints {
-		endpoint := c.config.Endpoints[(first+try)%len(c.config.Endpoints)]
+	first := int(c.preferredEndpoint.Load())
+	for attempt := range c.config.Endpoints {
+		endpoint := c.config.Endpoints[(first+attempt)%len(c.config.Endpoints)]
 		reply, err := c.postTo(ctx, step, endpoint, path, body)
 		if err == nil {
 			return reply, endpoint, nil
@@ -69,16 +69,16 @@
 }
 
 func (c *Client) postTo(ctx context.Context, step Step, endpoint netip.AddrPort, path string, body []byte) (*http.Response, *Error) {
-	sent := &departure{}
-	request, err := newRequest(sent.trace(ctx), endpoint, path, body)
+	tracker := &writeTracker{}
+	request, err := newRequest(tracker.trace(ctx), endpoint, path, body)
 	if err != nil {
 		return nil, &Error{Step: step, Peer: endpoint.String(), Kind: KindRefused, Cause: err}
 	}
 	reply, err := c.http.Do(request)
 	if err != nil {
-		failure := broken(ctx, step, endpoint, sent.abandon(), err)
+		failure := transportError(ctx, step, endpoint, tracker.abort(), err)
 		if failure.Kind != KindCanceled {
-			c.avoid(endpoint)
+			c.avoidEndpoint(endpoint)
 		}
 		return nil, failure
 	}
@@ -86,16 +86,15 @@
 		return reply, nil
 	}
 	defer reply.Body.Close()
-	failure := answered(step, endpoint, reply)
+	failure := statusError(step, endpoint, reply)
 	if failure.Kind == KindUnavailable {
-		c.avoid(endpoint)
+		c.avoidEndpoint(endpoint)
 	}
 	return nil, failure
 }
 
-// newRequest builds a request that net/http cannot send twice: it has a body
-// and no GetBody, so that neither a broken idle connection nor a redirect can
-// replay it.
+// newRequest returns a request that net/http cannot send twice. The request has a body but no
+// GetBody, so neither a failed idle connection nor a redirect can replay it.
 func newRequest(ctx context.Context, endpoint netip.AddrPort, path string, body []byte) (*http.Request, error) {
 	url := "http://" + endpoint.String() + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
@@ -108,15 +107,15 @@
 	return request, nil
 }
 
-// broken classifies a call that got no response header.
-func broken(ctx context.Context, step Step, endpoint netip.AddrPort, mayHaveLeft bool, cause error) *Error {
-	failure := &Error{Step: step, Peer: endpoint.String(), MaybeApplied: mayHaveLeft, Cause: cause}
+// transportError classifies a call that received no response header.
+func transportError(ctx context.Context, step Step, endpoint netip.AddrPort, maybeSent bool, cause error) *Error {
+	failure := &Error{Step: step, Peer: endpoint.String(), MaybeApplied: maybeSent, Cause: cause}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		failure.Kind = KindCanceled
 	case ctx.Err() != nil:
 		failure.Kind = KindTimeout
-	case !mayHaveLeft:
+	case !maybeSent:
 		failure.Kind = KindUnreachable
 	case isTimeout(cause):
 		failure.Kind = KindTimeout
@@ -126,45 +125,44 @@
 	return failure
 }
 
-// lost classifies a call whose response broke off or cannot be read.
-func lost(ctx context.Context, step Step, endpoint netip.AddrPort, cause error) *Error {
-	failure := broken(ctx, step, endpoint, true, cause)
+// responseError classifies a call whose response was truncated or malformed.
+func responseError(ctx context.Context, step Step, endpoint netip.AddrPort, cause error) *Error {
+	failure := transportError(ctx, step, endpoint, true, cause)
 	if failure.Kind == KindUnreachable {
 		failure.Kind = KindReplyLost
 	}
 	return failure
 }
 
-// answered classifies a response with an error status.
-func answered(step Step, endpoint netip.AddrPort, reply *http.Response) *Error {
+// statusError classifies a response whose status is not 200.
+func statusError(step Step, endpoint netip.AddrPort, reply *http.Response) *Error {
 	failure := &Error{Step: step, Peer: endpoint.String(), RetryAfter: retryAfter(reply.Header)}
 	content, _ := io.ReadAll(io.LimitReader(reply.Body, maximumErrorBytes))
 	var body wire.ErrorBody
-	decoded := json.Unmarshal(content, &body)
-	if decoded != nil || body.Message == "" {
+	decodeError := json.Unmarshal(content, &body)
+	if decodeError != nil || body.Message == "" {
 		body.Message = "HTTP status " + strconv.Itoa(reply.StatusCode)
 	}
-	if decoded != nil || body.Code == wire.CodeOK {
-		body.Code = codeOfStatus(reply.StatusCode)
+	if decodeError != nil || body.Code == wire.CodeOK {
+		body.Code = codeFromStatus(reply.StatusCode)
 	}
-	failure.Kind, failure.MaybeApplied = classify(body.Code, body.Message)
+	failure.Kind, failure.MaybeApplied = classifyCode(body.Code, body.Message)
 	failure.Cause = errors.New(body.Message)
 	return failure
 }
 
-// maximumErrorBytes bounds how much of an error's body is read.
-// Not measured: chosen because the store's messages are one line.
+// maximumErrorBytes bounds the part of an error body that is read. The messages of the store are
+// one line long.
 const maximumErrorBytes = 64 << 10
 
-// Messages that distinguish refusals of the store with the same code.
-const (
-	messageCompacted = "mvcc: required revision has been compacted"
-)
+// messageCompacted is the part of an error message that distinguishes a compacted revision from
+// other errors with code OutOfRange.
+const messageCompacted = "mvcc: required revision has been compacted"
 
-// classify says what kind of failure a status code is and whether the call
-// may have had effect. The store answers "unavailable", "deadline exceeded",
-// "unknown" and "internal" also after it has proposed a write.
-func classify(code wire.Code, message string) (kind Kind, maybeApplied bool) {
+// classifyCode returns the kind of a failure and whether the call may have taken effect. The store
+// returns the codes Unavailable, DeadlineExceeded, Unknown and Internal also after it has proposed
+// a write.
+func classifyCode(code wire.Code, message string) (kind Kind, maybeApplied bool) {
 	switch code {
 	case wire.CodeResourceExhausted:
 		return KindRateLimited, false
@@ -185,7 +183,8 @@
 	}
 }
 
-func codeOfStatus(status int) wire.Code {
+// codeFromStatus returns the gRPC code for an HTTP status, for a response without a code.
+func codeFromStatus(status int) wire.Code {
 	switch status {
 	case http.StatusTooManyRequests:
 		return wire.CodeResourceExhausted
