--- a/internal/selfhosted/topology/status.go
+++ b/internal/selfhosted/topology/status.go
@@ -9,16 +9,17 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Status is a leaf's place in its life, as this node sees it.
+// Status is the state of a leaf in the view of this node.
 type Status string
 
-// The statuses.
 const (
 	StatusUsable      Status = "usable"
 	StatusCold        Status = "cold"
 	StatusLeaving     Status = "leaving"
 	StatusUnreachable Status = "unreachable"
-	StatusUnknown     Status = "unknown" // never heard of
+	// StatusUnknown leaves have neither answered nor failed a poll, and no source reported them as
+	// leaving.
+	StatusUnknown Status = "unknown"
 )
 
 // LeafStatus describes one leaf of one service for status pages.
@@ -30,8 +31,8 @@
 	Report  leaf.LoadReport
 }
 
-// Service returns what the dispatcher of a service may use at this moment. It
-// reports false if the catalog has no such service.
+// Service returns the leaves and partitions that the dispatcher of a service may use now. It
+// returns false if the catalog does not contain the service.
 func (t *Table) Service(now Time, name string) (dispatch.Topology, bool) {
 	service, ok := t.catalog.Services[name]
 	if !ok {
@@ -52,42 +53,42 @@
 
 func (t *Table) dispatchLeaf(now Time, configured catalog.Leaf) dispatch.Leaf {
 	status, _ := t.status(now, configured)
-	described := dispatch.Leaf{
+	result := dispatch.Leaf{
 		Address: configured.Address,
 		Zone:    configured.Zone,
 		Usable:  status == StatusUsable || status == StatusCold,
 		Cold:    status == StatusCold,
 	}
-	if seen := t.observed[configured.Address]; seen != nil {
-		described.BootID = seen.report.BootID
-		described.Slots = seen.report.Slots
-		described.Holdings = seen.report.Holdings
+	if state := t.leafStates[configured.Address]; state != nil {
+		result.BootID = state.report.BootID
+		result.Slots = state.report.Slots
+		result.Holdings = state.report.Holdings
 	}
-	return described
+	return result
 }
 
-// status decides a leaf's place in its life, and why.
+// status returns the status of a leaf and the reason for it.
 func (t *Table) status(now Time, configured catalog.Leaf) (Status, string) {
 	if configured.Retiring {
 		return StatusLeaving, string(SourceCatalog)
 	}
-	seen := t.observed[configured.Address]
+	state := t.leafStates[configured.Address]
 	switch {
-	case seen == nil || !seen.heard && seen.leaving == nil && seen.failures == 0:
+	case state == nil || !state.hasReport && state.leaving == nil && state.failedPolls == 0:
 		return StatusUnknown, "no report yet"
-	case seen.leaving != nil:
-		return StatusLeaving, string(seen.leaving.source)
-	case !seen.heard || seen.failures >= t.config.UnreachableAfter:
+	case state.leaving != nil:
+		return StatusLeaving, string(state.leaving.source)
+	case !state.hasReport || state.failedPolls >= t.config.UnreachableAfter:
 		return StatusUnreachable, "load polls fail"
-	case now-seen.reportedAt > t.config.ReportLifetime:
+	case now-state.reportedAt > t.config.ReportLifetime:
 		return StatusUnreachable, "report too old"
-	case seen.report.State == leaf.StateCold:
+	case state.report.State == leaf.StateCold:
 		return StatusCold, string(SourceReport)
 	}
 	return StatusUsable, ""
 }
 
-// Statuses lists every leaf of every service, in order.
+// Statuses returns the status of every leaf of every service, in order of service and address.
 func (t *Table) Statuses(now Time) []LeafStatus {
 	var statuses []LeafStatus
 	for name, service := range t.catalog.Services {
@@ -102,10 +103,10 @@
 }
 
 func (t *Table) leafStatus(now Time, service string, configured catalog.Leaf) LeafStatus {
-	described := LeafStatus{Service: service, Leaf: configured}
-	described.Status, described.Reason = t.status(now, configured)
-	if seen := t.observed[configured.Address]; seen != nil {
-		described.Report = seen.report
+	result := LeafStatus{Service: service, Leaf: configured}
+	result.Status, result.Reason = t.status(now, configured)
+	if state := t.leafStates[configured.Address]; state != nil {
+		result.Report = state.report
 	}
-	return described
+	return result
 }
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -9,87 +9,90 @@
 const (
 	tagTOML   = "toml"
 	tagExpect = "expect"
-	// maximumEdits is how far an unknown key may be from the known one that
-	// an error suggests.
-	maximumEdits = 2
+	// maximumSuggestionDistance is the maximum edit distance between an unknown key and the valid
+	// key that the error suggests.
+	maximumSuggestionDistance = 2
 )
 
-// field is one key that the settings know.
+// field describes one valid key of the settings.
 type field struct {
-	// key is dotted; table is true for a section such as "listen".
-	key    string
-	expect string
-	table  bool
-	// duration is true for a value that is written as text with a unit.
+	// key is the dotted key, such as "listen.http".
+	key string
+	// expected describes the valid values in words.
+	expected string
+	// table is true for a table such as "listen".
+	table bool
+	// duration is true for a value of type Duration, which is text with a unit.
 	duration bool
 }
 
-// knownFields lists every key, in the order of the settings.
-var knownFields = listFields(reflect.TypeFor[Settings](), "")
+// allFields lists every valid key in the order of the fields of Settings.
+var allFields = collectFields(reflect.TypeFor[Settings](), "")
 
-func listFields(structure reflect.Type, prefix string) []field {
+func collectFields(structType reflect.Type, prefix string) []field {
 	var fields []field
-	for index := range structure.NumField() {
-		member := structure.Field(index)
-		key := prefix + member.Tag.Get(tagTOML)
-		expect := member.Tag.Get(tagExpect)
+	for index := range structType.NumField() {
+		structField := structType.Field(index)
+		key := prefix + structField.Tag.Get(tagTOML)
+		expect := structField.Tag.Get(tagExpect)
 		if expect == "" {
-			fields = append(fields, field{key: key, expect: "a table [" + key + "]", table: true})
-			fields = append(fields, listFields(member.Type, key+".")...)
+			fields = append(fields, field{key: key, expected: "a table [" + key + "]", table: true})
+			fields = append(fields, collectFields(structField.Type, key+".")...)
 			continue
 		}
-		fields = append(fields, field{key: key, expect: expect, duration: member.Type == reflect.TypeFor[Duration]()})
+		fields = append(fields, field{key: key, expected: expect, duration: structField.Type == reflect.TypeFor[Duration]()})
 	}
 	return fields
 }
 
 func findField(key string) (field, bool) {
-	index := slices.IndexFunc(knownFields, func(known field) bool { return known.key == key })
+	index := slices.IndexFunc(allFields, func(candidate field) bool { return candidate.key == key })
 	if index < 0 {
 		return field{}, false
 	}
-	return knownFields[index], true
+	return allFields[index], true
 }
 
-// describeKnown says in words which keys may stand where the unknown key does.
-func describeKnown(key string) string {
+// describeValidKeys describes the valid keys of the table in which the unknown key stands. It
+// suggests the nearest valid key if there is a similar one.
+func describeValidKeys(key string) string {
 	table, name := "", key
 	if dot := strings.LastIndex(key, "."); dot >= 0 {
 		table, name = key[:dot], key[dot+1:]
 	}
-	if section, found := findField(table); table != "" && (!found || !section.table) {
-		return describeKnown(table)
+	if parent, exists := findField(table); table != "" && (!exists || !parent.table) {
+		return describeValidKeys(table)
 	}
 	nearest, distance := "", len(name)
 	var names []string
-	for _, known := range knownFields {
-		rest, inside := strings.CutPrefix(known.key, prefixOf(table))
-		if !inside || strings.Contains(rest, ".") {
+	for _, candidate := range allFields {
+		childKey, inTable := strings.CutPrefix(candidate.key, keyPrefix(table))
+		if !inTable || strings.Contains(childKey, ".") {
 			continue
 		}
-		names = append(names, rest)
-		if d := editDistance(name, rest); d < distance {
-			nearest, distance = rest, d
+		names = append(names, childKey)
+		if d := editDistance(name, childKey); d < distance {
+			nearest, distance = childKey, d
 		}
 	}
-	if nearest != "" && distance <= maximumEdits {
-		return "a known key (did you mean \"" + prefixOf(table) + nearest + "\"?)"
+	if nearest != "" && distance <= maximumSuggestionDistance {
+		return "a known key (did you mean \"" + keyPrefix(table) + nearest + "\"?)"
 	}
-	where := "at the top level"
+	location := "at the top level"
 	if table != "" {
-		where = "in [" + table + "]"
+		location = "in [" + table + "]"
 	}
-	return "a known key " + where + ": " + strings.Join(names, ", ")
+	return "a known key " + location + ": " + strings.Join(names, ", ")
 }
 
-func prefixOf(table string) string {
+func keyPrefix(table string) string {
 	if table == "" {
 		return ""
 	}
 	return table + "."
 }
 
-// editDistance is the Levenshtein distance of two short texts.
+// editDistance returns the Levenshtein distance of two texts.
 func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for column := range row {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,12 +11,12 @@
 	"github.com/samber/oops"
 )
 
-// maximumFileBytes bounds the settings file.
+// maximumFileBytes is the maximum size of the settings file.
 const maximumFileBytes = 1 << 20
 
-// Load returns the defaults, overridden by the file (none if path is empty),
-// overridden by the flags in their order, and checked. The error is Problems,
-// wrapped, unless the file cannot be read.
+// Load returns the defaults, overridden by the file and then by the flags in their order. An empty
+// path means no file. Load validates the result. Its error wraps Problems, unless the file cannot
+// be read.
 func Load(path string, overrides ...Override) (Settings, error) {
 	loader := newLoader()
 	if path != "" {
@@ -24,20 +24,19 @@
 		if err != nil {
 			return Settings{}, oops.In("settings").With("step", "settings.read").Wrap(err)
 		}
-		loader.readFile(path, content)
+		loader.parseFile(path, content)
 	}
-	return loader.finish(overrides)
+	return loader.complete(overrides)
 }
 
-// Parse is Load for a file that has been read already; name stands for it in
-// errors.
+// Parse is like Load, but takes the content of the file. Errors use name as the name of the file.
 func Parse(name string, content []byte, overrides ...Override) (Settings, error) {
 	loader := newLoader()
-	loader.readFile(name, content)
-	return loader.finish(overrides)
+	loader.parseFile(name, content)
+	return loader.complete(overrides)
 }
 
-// loader collects the settings and what is wrong with them.
+// loader collects the settings, the origin of each value and the problems.
 type loader struct {
 	settings Settings
 	origins  map[string]Origin
@@ -48,31 +47,31 @@
 	return &loader{settings: Defaults(), origins: map[string]Origin{}}
 }
 
-func (l *loader) finish(overrides []Override) (Settings, error) {
+// complete applies the overrides and validates the settings if there are no problems so far.
+func (l *loader) complete(overrides []Override) (Settings, error) {
 	for _, override := range overrides {
-		l.override(override)
+		l.applyOverride(override)
 	}
 	if len(l.problems) == 0 {
-		l.problems = check(l.settings, l.origins)
+		l.problems = validate(l.settings, l.origins)
 	}
-	if err := l.problems.orNil(); err != nil {
+	if err := l.problems.asError(); err != nil {
 		return Settings{}, oops.In("settings").With("step", "settings.check").Wrap(err)
 	}
 	return l.settings, nil
 }
 
-func (l *loader) add(origin Origin, key, expected, found string) {
-	l.problems = append(l.problems, Problem{Origin: origin, Key: key, Expected: expected, Found: found})
+func (l *loader) addProblem(origin Origin, key, expected, actual string) {
+	l.problems = append(l.problems, Problem{Origin: origin, Key: key, Expected: expected, Found: actual})
 }
 
-// readFile takes the keys of the file one by one, so that every problem is
-// found in one go.
-func (l *loader) readFile(name string, content []byte) {
+// parseFile decodes the keys of the file separately, so that one run reports every problem.
+func (l *loader) parseFile(name string, content []byte) {
 	if len(content) > maximumFileBytes {
-		l.add(Origin{File: name}, "", "at most 1 MiB", "more")
+		l.addProblem(Origin{File: name}, "", "at most 1 MiB", "more")
 		return
 	}
-	if problem, bad := checkSyntax(name, content); bad {
+	if problem, invalid := checkSyntax(name, content); invalid {
 		l.problems = append(l.problems, problem)
 		return
 	}
@@ -81,33 +80,34 @@
 	table := ""
 	for parser.NextExpression() {
 		expression := parser.Expression()
-		key, line := keyOf(parser, expression)
+		key, line := parseKey(parser, expression)
 		origin := Origin{File: name, Line: line}
 		switch expression.Kind {
 		case unstable.Table:
 			table = key
-			l.enterTable(origin, key)
+			l.checkTable(origin, key)
 		case unstable.ArrayTable:
 			table = key
-			l.add(origin, key, "a table, not a list of tables", "[["+key+"]]")
+			l.addProblem(origin, key, "a table, not a list of tables", "[["+key+"]]")
 		case unstable.KeyValue:
-			l.readKey(origin, table, prefixOf(table)+key, string(parser.Raw(expression.Raw)))
+			l.decodeKey(origin, table, keyPrefix(table)+key, string(parser.Raw(expression.Raw)))
 		}
 	}
 }
 
-func (l *loader) enterTable(origin Origin, key string) {
-	if known, found := findField(key); !found {
-		l.add(origin, key, describeKnown(key), "")
-	} else if !known.table {
-		l.add(origin, key, known.expect, "a table")
+// checkTable reports a table header whose key is unknown or is not a table.
+func (l *loader) checkTable(origin Origin, key string) {
+	if settingsField, exists := findField(key); !exists {
+		l.addProblem(origin, key, describeValidKeys(key), "")
+	} else if !settingsField.table {
+		l.addProblem(origin, key, settingsField.expected, "a table")
 	}
 }
 
-// readKey decodes one "key = value" of a table into the settings.
-func (l *loader) readKey(origin Origin, table, key, text string) {
-	if known, found := findField(table); table != "" && (!found || !known.table) {
-		return // reported with the table
+// decodeKey decodes one "key = value" expression of a table into the settings.
+func (l *loader) decodeKey(origin Origin, table, key, text string) {
+	if settingsField, exists := findField(table); table != "" && (!exists || !settingsField.table) {
+		return // checkTable has already reported the table
 	}
 	document := text + "\n"
 	if table != "" {
@@ -118,15 +118,17 @@
 		l.origins[key] = origin
 		return
 	}
-	key = failedKey(err, key)
-	found := valueText(text)
-	if known, isKnown := findField(key); isKnown {
-		l.add(origin, key, known.expect, found)
+	key = findErrorKey(err, key)
+	value := extractValue(text)
+	if settingsField, exists := findField(key); exists {
+		l.addProblem(origin, key, settingsField.expected, value)
 	} else {
-		l.add(origin, key, describeKnown(key), "")
+		l.addProblem(origin, key, describeValidKeys(key), "")
 	}
 }
 
+// decodeStrict decodes the document into target. It refuses unknown keys and durations without a
+// unit, and leaves target unmodified on an error.
 func decodeStrict(document string, target *Settings) error {
 	decoded := *target
 	if err := toml.NewDecoder(strings.NewReader(document)).DisallowUnknownFields().Decode(&decoded); err != nil {
@@ -136,54 +138,56 @@
 	if err := toml.Unmarshal([]byte(document), &values); err != nil {
 		return err
 	}
-	if err := checkDurations(values, ""); err != nil {
+	if err := rejectUnitlessDurations(values, ""); err != nil {
 		return err
 	}
 	*target = decoded
 	return nil
 }
 
-// bareDurationError is a duration that is a number. The decoder would take it
-// as nanoseconds, since that is how Go holds a duration.
-type bareDurationError struct{ key string }
+// unitlessDurationError reports a duration that is written as a number. The TOML decoder would read
+// the number as nanoseconds.
+type unitlessDurationError struct{ key string }
 
-// Error names the key.
-func (e *bareDurationError) Error() string { return e.key + " is a number without a unit" }
+// Error implements error.
+func (e *unitlessDurationError) Error() string { return e.key + " is a number without a unit" }
 
-func checkDurations(values map[string]any, prefix string) error {
+func rejectUnitlessDurations(values map[string]any, prefix string) error {
 	for name, value := range values {
 		switch value := value.(type) {
 		case map[string]any:
-			if err := checkDurations(value, prefix+name+"."); err != nil {
+			if err := rejectUnitlessDurations(value, prefix+name+"."); err != nil {
 				return err
 			}
 		case int64:
-			if known, _ := findField(prefix + name); known.duration {
-				return &bareDurationError{key: known.key}
+			if settingsField, _ := findField(prefix + name); settingsField.duration {
+				return &unitlessDurationError{key: settingsField.key}
 			}
 		}
 	}
 	return nil
 }
 
-// failedKey is the full key at which decoding stopped, or fallback.
-func failedKey(err error, fallback string) string {
-	var bare *bareDurationError
-	if errors.As(err, &bare) {
-		return bare.key
+// findErrorKey returns the dotted key that caused the decoding error, or fallback if err names no
+// key.
+func findErrorKey(err error, fallback string) string {
+	var unitless *unitlessDurationError
+	if errors.As(err, &unitless) {
+		return unitless.key
 	}
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
-		return strings.Join(unknown.Errors[0].Key(), ".")
+	var strictError *toml.StrictMissingError
+	if errors.As(err, &strictError) && len(strictError.Errors) > 0 {
+		return strings.Join(strictError.Errors[0].Key(), ".")
 	}
-	var failure *toml.DecodeError
-	if errors.As(err, &failure) && len(failure.Key()) > 0 {
-		return strings.Join(failure.Key(), ".")
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) && len(decodeError.Key()) > 0 {
+		return strings.Join(decodeError.Key(), ".")
 	}
 	return fallback
 }
 
-// checkSyntax finds errors of the TOML text itself, and keys set twice.
+// checkSyntax reports whether the content is invalid TOML, including keys that are set twice, and
+// returns the problem.
 func checkSyntax(name string, content []byte) (Problem, bool) {
 	var document map[string]any
 	err := toml.NewDecoder(bytes.NewReader(content)).Decode(&document)
@@ -191,16 +195,17 @@
 		return Problem{}, false
 	}
 	problem := Problem{Origin: Origin{File: name}, Expected: "a TOML document", Found: err.Error()}
-	var failure *toml.DecodeError
-	if errors.As(err, &failure) {
-		problem.Origin.Line, _ = failure.Position()
-		problem.Key = strings.Join(failure.Key(), ".")
-		problem.Found = strings.TrimPrefix(failure.Error(), "toml: ")
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		problem.Origin.Line, _ = decodeError.Position()
+		problem.Key = strings.Join(decodeError.Key(), ".")
+		problem.Found = strings.TrimPrefix(decodeError.Error(), "toml: ")
 	}
 	return problem, true
 }
 
-func keyOf(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
+// parseKey returns the dotted key of the expression and the line on which the key starts.
+func parseKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for iterator := expression.Key(); iterator.Next(); {
 		node := iterator.Node()
@@ -212,8 +217,8 @@
 	return strings.Join(parts, "."), line
 }
 
-// valueText is the part of "key = value" after the sign, on one line.
-func valueText(text string) string {
+// extractValue returns the value of "key = value" with its white space collapsed to one line.
+func extractValue(text string) string {
 	_, value, _ := strings.Cut(text, "=")
 	return strings.Join(strings.Fields(value), " ")
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,13 +15,14 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-const minimal = "name = \"node-a1\"\nzone = \"a\"\n"
+const minimalFile = "name = \"node-a1\"\nzone = \"a\"\n"
 
-// Each testdata/*.toml is a file with mistakes; its .golden is the error.
-func TestProblemsAreGolden(t *testing.T) {
+// TestFileErrorsMatchGolden loads each testdata/*.toml, all of which contain mistakes, and compares
+// the error with the .golden file of the same name.
+func TestFileErrorsMatchGolden(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no test data: %v", err)
+		t.Fatalf("glob testdata/*.toml: got no files, error %v", err)
 	}
 	golden := goldie.New(t)
 	for _, file := range files {
@@ -30,14 +31,14 @@
 			_, err := settings.Load(file)
 			var problems settings.Problems
 			if !errors.As(err, &problems) {
-				t.Fatalf("expected problems, got %v", err)
+				t.Fatalf("got error %v, want Problems", err)
 			}
 			golden.Assert(t, name, []byte(problems.Error()+"\n"))
 		})
 	}
 }
 
-func TestFlagsOverrideTheFile(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	var flags settings.Flags
 	parser := flaggy.NewParser("micaplank")
 	flags.Register(&parser.Subcommand)
@@ -46,18 +47,18 @@
 	if err := parser.ParseArgs(arguments); err != nil {
 		t.Fatal(err)
 	}
-	loaded, err := settings.Parse("file", []byte(minimal+"[limits]\nconcurrency = 5\n"), flags.Overrides()...)
+	loaded, err := settings.Parse("file", []byte(minimalFile+"[limits]\nconcurrency = 5\n"), flags.Overrides()...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if loaded.Name != "node-a1" || loaded.Zone != "b" || len(loaded.Peers.Seeds) != 2 ||
 		loaded.Limits.Concurrency != 7 || loaded.Limits.DrainTimeout.String() != "3s" || loaded.Listen.HTTP.Port() != 0 {
-		t.Fatalf("the flags did not win: %+v", loaded)
+		t.Fatalf("flags did not override the file: got %+v", loaded)
 	}
 }
 
-func TestProblemsOfFlagsAreGolden(t *testing.T) {
-	_, err := settings.Parse("file", []byte(minimal),
+func TestFlagErrorsMatchGolden(t *testing.T) {
+	_, err := settings.Parse("file", []byte(minimalFile),
 		settings.Override{Flag: "--set", Key: "limits.concurrency", Value: "many"},
 		settings.Override{Flag: "--set", Key: "limits.concurency", Value: "1"},
 		settings.Override{Flag: "--set", Key: "limits", Value: "1"},
@@ -65,12 +66,12 @@
 		settings.Override{Flag: "--store", Key: "store.endpoints", Value: `["localhost:7001"]`})
 	var problems settings.Problems
 	if !errors.As(err, &problems) {
-		t.Fatalf("expected problems, got %v", err)
+		t.Fatalf("got error %v, want Problems", err)
 	}
 	goldie.New(t).Assert(t, "flags", []byte(problems.Error()+"\n"))
 }
 
-func TestExampleIsCommittedAndLoads(t *testing.T) {
+func TestExampleFileIsCurrentAndLoads(t *testing.T) {
 	var printed bytes.Buffer
 	if err := settings.Print(&printed, settings.Example()); err != nil {
 		t.Fatal(err)
@@ -81,32 +82,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again bytes.Buffer
-	if err := settings.Print(&again, loaded); err != nil || again.String() != printed.String() {
-		t.Fatalf("the example changes when it is loaded and printed: %v\n%s", err, again.String())
+	var reprinted bytes.Buffer
+	if err := settings.Print(&reprinted, loaded); err != nil || reprinted.String() != printed.String() {
+		t.Fatalf("loading and printing the example changed it: error %v, got:\n%s", err, reprinted.String())
 	}
 }
 
-func TestMissingFileIsAnError(t *testing.T) {
+func TestLoadReportsMissingFile(t *testing.T) {
 	if _, err := settings.Load("testdata/none"); !errors.Is(err, os.ErrNotExist) {
-		t.Fatalf("expected a missing file, got %v", err)
+		t.Fatalf("Load of a missing file: got error %v, want os.ErrNotExist", err)
 	}
 }
 
-func TestMembershipDefaultsAreThoseOfThePackage(t *testing.T) {
-	ours, theirs := settings.Defaults().Membership, membership.DefaultConfig()
-	same := ours.ProbeInterval.Duration() == theirs.ProbeInterval &&
-		ours.ProbeTimeout.Duration() == theirs.ProbeTimeout &&
-		ours.IndirectProbes == theirs.IndirectProbes &&
-		ours.SuspicionMultiplier == theirs.SuspicionMultiplier &&
-		ours.SuspicionMaximumFactor == theirs.SuspicionMaximumFactor &&
-		ours.GossipInterval.Duration() == theirs.GossipInterval &&
-		ours.GossipFanout == theirs.GossipFanout
+func TestMembershipDefaultsMatchPackage(t *testing.T) {
+	defaults, packageDefaults := settings.Defaults().Membership, membership.DefaultConfig()
+	same := defaults.ProbeInterval.Duration() == packageDefaults.ProbeInterval &&
+		defaults.ProbeTimeout.Duration() == packageDefaults.ProbeTimeout &&
+		defaults.IndirectProbes == packageDefaults.IndirectProbes &&
+		defaults.SuspicionMultiplier == packageDefaults.SuspicionMultiplier &&
+		defaults.SuspicionMaximumFactor == packageDefaults.SuspicionMaximumFactor &&
+		defaults.GossipInterval.Duration() == packageDefaults.GossipInterval &&
+		defaults.GossipFanout == packageDefaults.GossipFanout
 	if !same {
-		t.Fatalf("the defaults differ: %+v and %+v", ours, theirs)
+		t.Fatalf("membership defaults = %+v, want those of package membership: %+v", defaults, packageDefaults)
 	}
 }
 
+// FuzzSettings checks that every refused file results in Problems that say what is expected, and
+// that Parse accepts the printed form of every accepted file.
 func FuzzSettings(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.toml")
 	for _, file := range append(files, "../../examples/micaplank.toml") {
@@ -116,16 +119,16 @@
 		}
 		f.Add(content)
 	}
-	f.Add([]byte(minimal))
+	f.Add([]byte(minimalFile))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		loaded, err := settings.Parse("fuzz.toml", content)
 		var problems settings.Problems
 		if err != nil && !errors.As(err, &problems) {
-			t.Fatalf("an error that is no problem: %v", err)
+			t.Fatalf("Parse: got error %v, want Problems", err)
 		}
 		for _, problem := range problems {
 			if problem.Expected == "" {
-				t.Fatalf("a problem that does not say what is expected: %+v", problem)
+				t.Fatalf("problem without an expectation: %+v", problem)
 			}
 		}
 		if err != nil {
@@ -136,19 +139,20 @@
 			t.Fatal(err)
 		}
 		if _, err := settings.Parse("printed.toml", printed.Bytes()); err != nil {
-			t.Fatalf("accepted settings do not load again: %v\n%s", err, printed.String())
+			t.Fatalf("Parse refused printed settings: %v\n%s", err, printed.String())
 		}
 	})
 }
 
-// TestNamesCanBeVoters takes only names that the command language can name.
-func TestNamesCanBeVoters(t *testing.T) {
+// TestNodeNamesAreVoterNames checks that a node name is accepted only if the command language
+// accepts it as the name of a voter.
+func TestNodeNamesAreVoterNames(t *testing.T) {
 	for name, valid := range map[string]bool{
 		"a": true, "node-a1": true, strings.Repeat("n", 63): true,
 		"1a": false, "-a": false, "Node": false, "node.a": false, strings.Repeat("n", 64): false,
 	} {
 		if _, err := settings.Parse("file", []byte("name = \""+name+"\"\nzone = \"a\"\n")); (err == nil) != valid {
-			t.Errorf("%q: %v", name, err)
+			t.Errorf("Parse with name %q: got error %v, want valid = %t", name, err, valid)
 		}
 	}
 }
