--- a/internal/rehearsal/store/database.go
+++ b/internal/rehearsal/store/database.go
@@ -11,9 +11,9 @@
 var (
 	errCompacted      = errors.New("etcdserver: mvcc: required revision has been compacted")
 	errFutureRevision = errors.New("etcdserver: mvcc: required revision is a future revision")
-	errNoKey          = errors.New("etcdserver: key is not provided")
-	errPastRead       = errors.New("reads at a past revision are not served by the stand-in")
-	errUnknownTarget  = errors.New("unknown target or result of a compare")
+	errEmptyKey       = errors.New("etcdserver: key is not provided")
+	errHistoricalRead = errors.New("reads at a past revision are not served by the stand-in")
+	errInvalidCompare = errors.New("unknown target or result of a compare")
 )
 
 // Identities as large as real ones: they do not fit a signed integer.
@@ -29,7 +29,7 @@
 	revision int64
 	entries  map[string]wire.KeyValue
 	// history holds the changes of the revisions after compacted, in order.
-	history   []change
+	events    []event
 	compacted int64
 
 	// ignoreCompares is set by tests of the tests only.
@@ -37,7 +37,7 @@
 }
 
 // change is what one revision did to one key.
-type change struct {
+type event struct {
 	revision int64
 	event    wire.Event
 }
@@ -62,9 +62,9 @@
 	return (len(end) == 1 && end[0] == 0) || candidate < string(end)
 }
 
-func (d *database) keysIn(key, end []byte) []string {
+func (d *database) matchingKeys(key, end []byte) []string {
 	if len(end) == 0 {
-		if _, found := d.entries[string(key)]; found {
+		if _, exists := d.entries[string(key)]; exists {
 			return []string{string(key)}
 		}
 		return nil
@@ -79,16 +79,16 @@
 	return keys
 }
 
-func (d *database) read(request *wire.RangeRequest) (*wire.RangeResponse, error) {
+func (d *database) readRange(request *wire.RangeRequest) (*wire.RangeResponse, error) {
 	switch revision := int64(request.Revision); {
 	case len(request.Key) == 0:
-		return nil, errNoKey
+		return nil, errEmptyKey
 	case revision > d.revision:
 		return nil, errFutureRevision
 	case revision > 0 && revision < d.revision:
-		return nil, errPastRead
+		return nil, errHistoricalRead
 	}
-	keys := d.keysIn(request.Key, request.RangeEnd)
+	keys := d.matchingKeys(request.Key, request.RangeEnd)
 	response := &wire.RangeResponse{Header: d.header(), Count: wire.Integer(len(keys))}
 	if request.CountOnly {
 		return response, nil
@@ -110,34 +110,34 @@
 // put writes a key at the given revision.
 func (d *database) put(request *wire.PutRequest, revision int64) error {
 	if len(request.Key) == 0 {
-		return errNoKey
+		return errEmptyKey
 	}
 	key := string(request.Key)
-	entry, found := d.entries[key]
-	if !found {
+	entry, exists := d.entries[key]
+	if !exists {
 		entry = wire.KeyValue{Key: slices.Clone(request.Key), CreateRevision: wire.Integer(revision)}
 	}
 	entry.ModRevision = wire.Integer(revision)
 	entry.Version++
 	entry.Value = slices.Clone(request.Value)
 	d.entries[key] = entry
-	d.record(change{revision: revision, event: wire.Event{KeyValue: entry}})
+	d.appendEvent(event{revision: revision, event: wire.Event{KeyValue: entry}})
 	return nil
 }
 
 // remove deletes the given keys at the given revision.
-func (d *database) remove(keys []string, revision int64) {
+func (d *database) deleteKeys(keys []string, revision int64) {
 	for _, key := range keys {
 		entry := d.entries[key]
 		delete(d.entries, key)
 		tombstone := wire.KeyValue{Key: entry.Key, ModRevision: wire.Integer(revision)}
-		d.record(change{revision: revision, event: wire.Event{Type: wire.EventDelete, KeyValue: tombstone}})
+		d.appendEvent(event{revision: revision, event: wire.Event{Type: wire.EventDelete, KeyValue: tombstone}})
 	}
 }
 
-func (d *database) record(change change) {
-	d.revision = change.revision
-	d.history = append(d.history, change)
+func (d *database) appendEvent(event event) {
+	d.revision = event.revision
+	d.events = append(d.events, event)
 }
 
 // compact drops the history up to and including revision.
@@ -148,22 +148,22 @@
 	case revision <= d.compacted:
 		return errCompacted
 	}
-	kept := sort.Search(len(d.history), func(index int) bool { return d.history[index].revision > revision })
-	d.history = slices.Clone(d.history[kept:])
+	firstKept := sort.Search(len(d.events), func(index int) bool { return d.events[index].revision > revision })
+	d.events = slices.Clone(d.events[firstKept:])
 	d.compacted = revision
 	return nil
 }
 
 // since returns the changes of the range from the given revision on.
-func (d *database) since(revision int64, key, end []byte) ([]wire.Event, error) {
+func (d *database) eventsSince(revision int64, key, end []byte) ([]wire.Event, error) {
 	if revision <= d.compacted {
 		return nil, errCompacted
 	}
-	first := sort.Search(len(d.history), func(index int) bool { return d.history[index].revision >= revision })
+	first := sort.Search(len(d.events), func(index int) bool { return d.events[index].revision >= revision })
 	var events []wire.Event
-	for _, change := range d.history[first:] {
-		if inRange(string(change.event.KeyValue.Key), key, end) {
-			events = append(events, change.event)
+	for _, recorded := range d.events[first:] {
+		if inRange(string(recorded.event.KeyValue.Key), key, end) {
+			events = append(events, recorded.event)
 		}
 	}
 	return events, nil
--- a/internal/rehearsal/store/export_test.go
+++ b/internal/rehearsal/store/export_test.go
@@ -12,4 +12,4 @@
 
 // BeginRefusal is the moment between the order to refuse connections and the
 // end of those that are open.
-func (s *Server) BeginRefusal() { s.beginRefusal(time.Hour) }
+func (s *Server) StartRefusing() { s.startRefusing(time.Hour) }
--- a/internal/rehearsal/store/faults.go
+++ b/internal/rehearsal/store/faults.go
@@ -52,13 +52,13 @@
 
 // Control carries out a request as POST to ControlPath does.
 func (s *Server) Control(request ControlRequest) {
-	s.change(request)
+	s.applyControl(request)
 	if request.RefuseFor > 0 {
-		s.refuse(request.RefuseFor.Duration())
+		s.refuseConnections(request.RefuseFor.Duration())
 	}
 }
 
-func (s *Server) change(request ControlRequest) {
+func (s *Server) applyControl(request ControlRequest) {
 	if request.Faults != nil {
 		s.SetFaults(*request.Faults)
 	}
@@ -68,9 +68,9 @@
 		_ = s.database.compact(s.database.revision)
 	}
 	if request.BreakWatches {
-		s.breaks++
+		s.watchBreaks++
 	}
-	s.announce()
+	s.notifyWatches()
 }
 
 // Report returns the state.
@@ -83,27 +83,27 @@
 	}
 }
 
-func (s *Server) control(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) handleControl(writer http.ResponseWriter, request *http.Request) {
 	var body ControlRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maximumBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&body); err != nil {
-		respondCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
+		respondWithCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
 		return
 	}
 	s.logger.Info("control", "request", body)
-	s.change(body)
+	s.applyControl(body)
 	if body.RefuseFor > 0 {
-		s.beginRefusal(body.RefuseFor.Duration())
+		s.startRefusing(body.RefuseFor.Duration())
 	}
 	respond(writer, http.StatusOK, s.Report())
 	if body.RefuseFor > 0 {
 		_ = http.NewResponseController(writer).Flush()
-		s.closeHTTP()
+		s.closeHTTPServer()
 	}
 }
 
-func (s *Server) report(writer http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleReport(writer http.ResponseWriter, _ *http.Request) {
 	respond(writer, http.StatusOK, s.Report())
 }
 
@@ -125,29 +125,29 @@
 	}
 	if limited {
 		writer.Header().Set("Retry-After", "1")
-		respondCode(writer, http.StatusTooManyRequests, wire.CodeResourceExhausted, "etcdserver: too many requests")
+		respondWithCode(writer, http.StatusTooManyRequests, wire.CodeResourceExhausted, "etcdserver: too many requests")
 		return false
 	}
 	switch faults.Outage {
 	case OutageUnavailable:
-		respondCode(writer, http.StatusServiceUnavailable, wire.CodeUnavailable, "etcdserver: no leader")
+		respondWithCode(writer, http.StatusServiceUnavailable, wire.CodeUnavailable, "etcdserver: no leader")
 		return false
 	case OutageClose:
 		closeConnection(writer)
 		return false
 	case OutageHang:
-		s.pause(request, hangLimit)
+		s.sleep(request, maximumHang)
 		closeConnection(writer)
 		return false
 	}
-	return s.pause(request, faults.Delay.Duration())
+	return s.sleep(request, faults.Delay.Duration())
 }
 
 // hangLimit bounds a hang whose client never leaves.
-const hangLimit = 10 * time.Minute
+const maximumHang = 10 * time.Minute
 
 // pause waits; it is false if the client left or the server stopped.
-func (s *Server) pause(request *http.Request, delay time.Duration) bool {
+func (s *Server) sleep(request *http.Request, delay time.Duration) bool {
 	if delay <= 0 {
 		return true
 	}
@@ -163,7 +163,7 @@
 	}
 }
 
-func (s *Server) loseReply() bool {
+func (s *Server) consumeLostReply() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.faults.LoseReplies == 0 {
--- a/internal/rehearsal/store/handlers.go
+++ b/internal/rehearsal/store/handlers.go
@@ -10,47 +10,47 @@
 
 const maximumBodyBytes = 4 << 20
 
-func (s *Server) handler() http.Handler {
+func (s *Server) newHandler() http.Handler {
 	mux := http.NewServeMux()
-	handle(mux, s, wire.RangePath, reads, func(request *wire.RangeRequest) (any, error) {
-		return s.database.read(request)
+	handleOperation(mux, s, wire.RangePath, readOperation, func(request *wire.RangeRequest) (any, error) {
+		return s.database.readRange(request)
 	})
-	handle(mux, s, wire.TxnPath, writes, func(request *wire.TxnRequest) (any, error) {
+	handleOperation(mux, s, wire.TxnPath, writeOperation, func(request *wire.TxnRequest) (any, error) {
 		return s.database.transact(request)
 	})
-	handle(mux, s, wire.DeleteRangePath, writes, s.deleteRange)
-	handle(mux, s, wire.CompactionPath, writes, func(request *wire.CompactionRequest) (any, error) {
+	handleOperation(mux, s, wire.DeleteRangePath, writeOperation, s.deleteRange)
+	handleOperation(mux, s, wire.CompactionPath, writeOperation, func(request *wire.CompactionRequest) (any, error) {
 		err := s.database.compact(int64(request.Revision))
 		return &wire.CompactionResponse{Header: s.database.header()}, err
 	})
-	mux.HandleFunc("POST "+wire.WatchPath, s.watch)
-	mux.HandleFunc("POST "+ControlPath, s.control)
-	mux.HandleFunc("GET "+ControlPath, s.report)
+	mux.HandleFunc("POST "+wire.WatchPath, s.handleWatch)
+	mux.HandleFunc("POST "+ControlPath, s.handleControl)
+	mux.HandleFunc("GET "+ControlPath, s.handleReport)
 	return mux
 }
 
 // effect says whether a call can change the store, and so can lose its reply.
-type effect bool
+type kind bool
 
 const (
-	reads  effect = false
-	writes effect = true
+	readOperation  kind = false
+	writeOperation kind = true
 )
 
 // handle serves one path: the faults first, then the operation under the
 // mutex, then the response.
-func handle[Request any](mux *http.ServeMux, s *Server, path string, effect effect, operate func(*Request) (any, error)) {
+func handleOperation[Request any](mux *http.ServeMux, s *Server, path string, kind kind, operation func(*Request) (any, error)) {
 	mux.HandleFunc("POST "+path, func(writer http.ResponseWriter, httpRequest *http.Request) {
 		request := new(Request)
-		if !decode(writer, httpRequest, request) || !s.admit(writer, httpRequest) {
+		if !decodeBody(writer, httpRequest, request) || !s.admit(writer, httpRequest) {
 			return
 		}
-		response, err := apply(s, request, operate)
+		response, err := runOperation(s, request, operation)
 		if err != nil {
 			respondError(writer, err)
 			return
 		}
-		if effect == writes && s.loseReply() {
+		if kind == writeOperation && s.consumeLostReply() {
 			closeConnection(writer)
 			return
 		}
@@ -58,31 +58,31 @@
 	})
 }
 
-func apply[Request any](s *Server, request *Request, operate func(*Request) (any, error)) (any, error) {
+func runOperation[Request any](s *Server, request *Request, operation func(*Request) (any, error)) (any, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	before := s.database.revision
-	response, err := operate(request)
+	response, err := operation(request)
 	if s.database.revision != before {
 		s.counters.Writes++
-		s.announce()
+		s.notifyWatches()
 	}
 	return response, err
 }
 
 func (s *Server) deleteRange(request *wire.DeleteRangeRequest) (any, error) {
 	if len(request.Key) == 0 {
-		return nil, errNoKey
+		return nil, errEmptyKey
 	}
-	keys := s.database.keysIn(request.Key, request.RangeEnd)
-	s.database.remove(keys, s.database.revision+1)
+	keys := s.database.matchingKeys(request.Key, request.RangeEnd)
+	s.database.deleteKeys(keys, s.database.revision+1)
 	return &wire.DeleteRangeResponse{Header: s.database.header(), Deleted: wire.Integer(len(keys))}, nil
 }
 
-func decode(writer http.ResponseWriter, request *http.Request, target any) bool {
+func decodeBody(writer http.ResponseWriter, request *http.Request, target any) bool {
 	body := http.MaxBytesReader(writer, request.Body, maximumBodyBytes)
 	if err := json.NewDecoder(body).Decode(target); err != nil {
-		respondCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
+		respondWithCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
 		return false
 	}
 	return true
@@ -94,17 +94,17 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-func respondCode(writer http.ResponseWriter, status int, code wire.Code, message string) {
+func respondWithCode(writer http.ResponseWriter, status int, code wire.Code, message string) {
 	respond(writer, status, wire.ErrorBody{Error: message, Code: code, Message: message})
 }
 
 func respondError(writer http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, errCompacted), errors.Is(err, errFutureRevision):
-		respondCode(writer, http.StatusBadRequest, wire.CodeOutOfRange, err.Error())
-	case errors.Is(err, errPastRead):
-		respondCode(writer, http.StatusNotImplemented, wire.CodeUnimplemented, err.Error())
+		respondWithCode(writer, http.StatusBadRequest, wire.CodeOutOfRange, err.Error())
+	case errors.Is(err, errHistoricalRead):
+		respondWithCode(writer, http.StatusNotImplemented, wire.CodeUnimplemented, err.Error())
 	default:
-		respondCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
+		respondWithCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
 	}
 }
--- a/internal/rehearsal/store/listen.go
+++ b/internal/rehearsal/store/listen.go
@@ -10,8 +10,8 @@
 // relistenInterval is the time between two tries to listen again.
 const relistenInterval = 20 * time.Millisecond
 
-func (s *Server) newHTTP() *http.Server {
-	return &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout}
+func (s *Server) newHTTPServer() *http.Server {
+	return &http.Server{Handler: s.newHandler(), ReadHeaderTimeout: readHeaderTimeout}
 }
 
 // serve serves on the listener, and again on the same address after each time
@@ -19,25 +19,25 @@
 func (s *Server) serve(listener net.Listener) {
 	for listener != nil {
 		s.mutex.Lock()
-		server := s.http
+		server := s.httpServer
 		s.mutex.Unlock()
 		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			s.logger.Error("store stand-in stopped", "error", err)
 			return
 		}
-		listener = s.listenAgain()
+		listener = s.relisten()
 	}
 }
 
 // listenAgain waits out the refusal; nil if the stand-in was closed.
-func (s *Server) listenAgain() net.Listener {
+func (s *Server) relisten() net.Listener {
 	s.mutex.Lock()
-	wait := s.refuseFor
+	wait := s.refuseDuration
 	s.mutex.Unlock()
-	for s.wait(wait) {
+	for s.waitUnlessStopped(wait) {
 		listener, err := net.Listen("tcp", s.address)
 		if err == nil {
-			return s.reopen(listener)
+			return s.resumeServing(listener)
 		}
 		wait = relistenInterval
 	}
@@ -45,7 +45,7 @@
 }
 
 // wait is false if the stand-in was closed by its end.
-func (s *Server) wait(duration time.Duration) bool {
+func (s *Server) waitUnlessStopped(duration time.Duration) bool {
 	select {
 	case <-s.stopped:
 	case <-time.After(duration):
@@ -60,7 +60,7 @@
 
 // reopen makes the server for a new listener, unless the stand-in was closed
 // meanwhile: Close closes the server that it finds under the mutex.
-func (s *Server) reopen(listener net.Listener) net.Listener {
+func (s *Server) resumeServing(listener net.Listener) net.Listener {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	select {
@@ -68,7 +68,7 @@
 		_ = listener.Close()
 		return nil
 	default:
-		s.http = s.newHTTP()
+		s.httpServer = s.newHTTPServer()
 		s.refusing = false
 		return listener
 	}
@@ -76,22 +76,22 @@
 
 // refuse breaks every connection and refuses new ones for the given time. What
 // the store holds stays.
-func (s *Server) refuse(duration time.Duration) {
-	s.beginRefusal(duration)
-	s.closeHTTP()
+func (s *Server) refuseConnections(duration time.Duration) {
+	s.startRefusing(duration)
+	s.closeHTTPServer()
 }
 
 // beginRefusal lets no call have an effect from now on.
-func (s *Server) beginRefusal(duration time.Duration) {
+func (s *Server) startRefusing(duration time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.refuseFor = duration
+	s.refuseDuration = duration
 	s.refusing = true
 }
 
-func (s *Server) closeHTTP() {
+func (s *Server) closeHTTPServer() {
 	s.mutex.Lock()
-	server := s.http
+	server := s.httpServer
 	s.mutex.Unlock()
 	_ = server.Close()
 }
--- a/internal/rehearsal/store/machine_test.go
+++ b/internal/rehearsal/store/model_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	fakestore "github.com/micaplank/micaplank/internal/rehearsal/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
@@ -19,19 +19,19 @@
 type model struct {
 	revision int64
 	entries  map[string]store.Entry
-	changes  []store.WatchEvent
+	events   []store.WatchEvent
 }
 
 func (m *model) write(key string, value []byte) {
 	m.revision++
-	entry, found := m.entries[key]
-	if !found {
+	entry, exists := m.entries[key]
+	if !exists {
 		entry = store.Entry{Key: key, CreateRevision: m.revision}
 	}
 	entry.Value, entry.ModRevision = value, m.revision
 	entry.Version++
 	m.entries[key] = entry
-	m.changes = append(m.changes, store.WatchEvent{Kind: store.WatchPut, Entry: entry})
+	m.events = append(m.events, store.WatchEvent{Kind: store.WatchPut, Entry: entry})
 }
 
 // remove deletes the keys that match, all at one revision.
@@ -44,24 +44,24 @@
 			m.revision++
 		}
 		delete(m.entries, key)
-		m.changes = append(m.changes, store.WatchEvent{
+		m.events = append(m.events, store.WatchEvent{
 			Kind: store.WatchDelete, Entry: store.Entry{Key: key, ModRevision: m.revision},
 		})
 	}
 	return removed
 }
 
-func (m *model) between(key, end string) []store.Entry {
-	var found []store.Entry
+func (m *model) entriesInRange(key, end string) []store.Entry {
+	var entries []store.Entry
 	for _, name := range slices.Sorted(maps.Keys(m.entries)) {
 		if name >= key && name < end {
-			found = append(found, m.entries[name])
+			entries = append(entries, m.entries[name])
 		}
 	}
-	return found
+	return entries
 }
 
-func sameEntry(left, right store.Entry) bool {
+func entriesEqual(left, right store.Entry) bool {
 	return left.Key == right.Key && string(left.Value) == string(right.Value) &&
 		left.CreateRevision == right.CreateRevision && left.ModRevision == right.ModRevision &&
 		left.Version == right.Version
@@ -69,7 +69,7 @@
 
 func TestClientAndStandInFollowTheModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		server, err := standin.Start(standin.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
+		server, err := fakestore.Start(fakestore.Config{Address: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			r.Fatal(err)
 		}
@@ -80,31 +80,31 @@
 			r.Fatal(err)
 		}
 		defer client.Close()
-		machine := &storeMachine{server: server, client: client, model: model{revision: 1, entries: map[string]store.Entry{}}}
+		test := &modelTest{server: server, client: client, model: model{revision: 1, entries: map[string]store.Entry{}}}
 		r.Repeat(map[string]func(*rapid.T){
-			"create": machine.create, "swap": machine.swap, "range": machine.read, "delete": machine.remove,
-			"lose reply": machine.loseReply,
+			"create": test.create, "swap": test.swap, "range": test.read, "delete": test.remove,
+			"lose reply": test.loseReply,
 		})
-		machine.watchAll(r)
+		test.checkWatch(r)
 	})
 }
 
-type storeMachine struct {
-	server *standin.Server
+type modelTest struct {
+	server *fakestore.Server
 	client *store.Client
 	model  model
 }
 
 var ctx = context.Background()
 
-func anyKey(r *rapid.T) string {
+func drawKey(r *rapid.T) string {
 	return rapid.SampledFrom([]string{"a", "a/1", "a/2", "b"}).Draw(r, "key")
 }
 
-func anyValue(r *rapid.T) []byte { return rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(r, "value") }
+func drawValue(r *rapid.T) []byte { return rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(r, "value") }
 
 // settle follows a write whose reply was lost, and must have been applied.
-func settle(r *rapid.T, err error) (lost bool) {
+func isLostReply(r *rapid.T, err error) (lost bool) {
 	if err == nil {
 		return false
 	}
@@ -114,23 +114,23 @@
 	return true
 }
 
-func (m *storeMachine) create(r *rapid.T) {
-	key, value := anyKey(r), anyValue(r)
+func (m *modelTest) create(r *rapid.T) {
+	key, value := drawKey(r), drawValue(r)
 	existing, exists := m.model.entries[key]
 	result, err := m.client.CreateIfAbsent(ctx, key, value)
 	if !exists {
 		m.model.write(key, value)
 	}
-	if settle(r, err) {
+	if isLostReply(r, err) {
 		return
 	}
-	if result.Created == exists || (exists && !sameEntry(result.Existing, existing)) || result.StoreRevision != m.model.revision {
+	if result.Created == exists || (exists && !entriesEqual(result.Existing, existing)) || result.StoreRevision != m.model.revision {
 		r.Fatalf("create %q: %+v, expected %+v at %d", key, result, existing, m.model.revision)
 	}
 }
 
-func (m *storeMachine) swap(r *rapid.T) {
-	key, value := anyKey(r), anyValue(r)
+func (m *modelTest) swap(r *rapid.T) {
+	key, value := drawKey(r), drawValue(r)
 	existing := m.model.entries[key]
 	existing.Key = key
 	expected := max(0, existing.ModRevision+rapid.SampledFrom([]int64{0, 0, 0, 1, -1}).Draw(r, "off by"))
@@ -139,56 +139,56 @@
 	if matches {
 		m.model.write(key, value)
 	}
-	if settle(r, err) {
+	if isLostReply(r, err) {
 		return
 	}
-	if result.Swapped != matches || (!matches && !sameEntry(result.Existing, existing)) || result.StoreRevision != m.model.revision {
+	if result.Swapped != matches || (!matches && !entriesEqual(result.Existing, existing)) || result.StoreRevision != m.model.revision {
 		r.Fatalf("swap %q at %d: %+v, expected %+v", key, expected, result, existing)
 	}
 }
 
-func (m *storeMachine) read(r *rapid.T) {
+func (m *modelTest) read(r *rapid.T) {
 	limit := rapid.Int64Range(0, 3).Draw(r, "limit")
 	result, err := m.client.Range(ctx, "a", store.PrefixEnd("a"), limit)
 	if err != nil {
 		r.Fatal(err)
 	}
-	expected := m.model.between("a", "b")
+	expected := m.model.entriesInRange("a", "b")
 	if result.Count != int64(len(expected)) || result.More != (limit > 0 && result.Count > limit) {
 		r.Fatalf("range: %+v, expected %+v", result, expected)
 	}
 	if result.More {
 		expected = expected[:limit]
 	}
-	if !slices.EqualFunc(result.Entries, expected, sameEntry) || result.StoreRevision != m.model.revision {
+	if !slices.EqualFunc(result.Entries, expected, entriesEqual) || result.StoreRevision != m.model.revision {
 		r.Fatalf("range: %+v, expected %+v", result, expected)
 	}
 }
 
-func (m *storeMachine) remove(r *rapid.T) {
-	key := anyKey(r)
+func (m *modelTest) remove(r *rapid.T) {
+	key := drawKey(r)
 	end := rapid.SampledFrom([]string{"", store.PrefixEnd(key)}).Draw(r, "end")
 	deleted, err := m.client.DeleteRange(ctx, key, end)
 	expected := m.model.remove(func(entry store.Entry) bool {
 		return entry.Key == key || (end != "" && entry.Key > key && entry.Key < end)
 	})
-	if !settle(r, err) && deleted != expected {
+	if !isLostReply(r, err) && deleted != expected {
 		r.Fatalf("deleted %d, expected %d", deleted, expected)
 	}
 }
 
-func (m *storeMachine) loseReply(*rapid.T) { m.server.SetFaults(standin.Faults{LoseReplies: 1}) }
+func (m *modelTest) loseReply(*rapid.T) { m.server.SetFaults(fakestore.Faults{LoseReplies: 1}) }
 
 // watchAll reads the whole history by a watch and holds it against the model.
-func (m *storeMachine) watchAll(r *rapid.T) {
-	watching, cancel := context.WithTimeout(ctx, 5*time.Second)
+func (m *modelTest) checkWatch(r *rapid.T) {
+	watchContext, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	events, err := m.client.Watch(watching, "a", store.PrefixEnd("b"), 1)
+	events, err := m.client.Watch(watchContext, "a", store.PrefixEnd("b"), 1)
 	if err != nil {
 		r.Fatal(err)
 	}
-	for _, expected := range m.model.changes {
-		if event := <-events; event.Kind != expected.Kind || !sameEntry(event.Entry, expected.Entry) {
+	for _, expected := range m.model.events {
+		if event := <-events; event.Kind != expected.Kind || !entriesEqual(event.Entry, expected.Entry) {
 			r.Fatalf("watch: %+v, expected %+v", event, expected)
 		}
 	}
--- a/internal/rehearsal/store/server.go
+++ b/internal/rehearsal/store/server.go
@@ -13,30 +13,30 @@
 
 // Server is a running stand-in.
 type Server struct {
-	config  Config
-	logger  *slog.Logger
-	address string
-	stopped chan struct{}
-	working sync.WaitGroup
+	config     Config
+	logger     *slog.Logger
+	address    string
+	stopped    chan struct{}
+	goroutines sync.WaitGroup
 
 	mutex sync.Mutex
 	// http serves now; it is replaced after each time of refused connections.
-	http *http.Server
+	httpServer *http.Server
 	// refuseFor is how long connections will be refused once http is closed.
-	refuseFor time.Duration
+	refuseDuration time.Duration
 	// refusing is set from the order to refuse connections until http serves
 	// again: calls that still come through an open connection have no effect.
 	refusing bool
 	database *database
 	// changed is closed and replaced whenever the database gets a new revision.
-	changed chan struct{}
-	faults  Faults
-	limiter *rate.Limiter
+	revisionChanged chan struct{}
+	faults          Faults
+	limiter         *rate.Limiter
 	// faultsChanged is closed and replaced whenever the faults are set.
 	faultsChanged chan struct{}
 	// breaks counts the orders to break the open watches.
-	breaks   int
-	counters Counters
+	watchBreaks int
+	counters    Counters
 }
 
 // Counters counts what the stand-in did since it started.
@@ -60,15 +60,15 @@
 	}
 	server := &Server{
 		config: config, logger: logger, address: listener.Addr().String(), stopped: make(chan struct{}),
-		database: newDatabase(), changed: make(chan struct{}), faultsChanged: make(chan struct{}),
+		database: newDatabase(), revisionChanged: make(chan struct{}), faultsChanged: make(chan struct{}),
 	}
 	server.SetFaults(config.Faults)
-	server.http = server.newHTTP()
-	server.working.Go(func() { server.serve(listener) })
+	server.httpServer = server.newHTTPServer()
+	server.goroutines.Go(func() { server.serve(listener) })
 	return server, nil
 }
 
-const headerTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
 // Address is the address that the stand-in listens on.
 func (s *Server) Address() string { return s.address }
@@ -77,14 +77,14 @@
 // goroutines. It may be called once.
 func (s *Server) Close() {
 	close(s.stopped)
-	s.closeHTTP()
-	s.working.Wait()
+	s.closeHTTPServer()
+	s.goroutines.Wait()
 }
 
 // announce wakes the watches; the mutex is held.
-func (s *Server) announce() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+func (s *Server) notifyWatches() {
+	close(s.revisionChanged)
+	s.revisionChanged = make(chan struct{})
 	limit := s.config.HistoryLimit
 	if oldest := s.database.revision - limit; limit > 0 && oldest > s.database.compacted {
 		_ = s.database.compact(oldest)
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	fakestore "github.com/micaplank/micaplank/internal/rehearsal/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 	"github.com/micaplank/micaplank/internal/settings"
 )
@@ -19,14 +19,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // start runs a stand-in and a client without a rate limit.
-func start(t *testing.T, change func(*standin.Config, *store.Config)) (*standin.Server, *store.Client) {
+func startStoreAndClient(t *testing.T, change func(*fakestore.Config, *store.Config)) (*fakestore.Server, *store.Client) {
 	t.Helper()
-	serverConfig := standin.Config{Address: "127.0.0.1:0"}
+	serverConfig := fakestore.Config{Address: "127.0.0.1:0"}
 	clientConfig := store.Config{Timeout: 5 * time.Second}
 	if change != nil {
 		change(&serverConfig, &clientConfig)
 	}
-	server, err := standin.Start(serverConfig, slog.New(slog.DiscardHandler))
+	server, err := fakestore.Start(serverConfig, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,12 +35,12 @@
 }
 
 // connect makes another client of a stand-in.
-func connect(t *testing.T, server *standin.Server, timeout time.Duration) *store.Client {
+func connect(t *testing.T, server *fakestore.Server, timeout time.Duration) *store.Client {
 	t.Helper()
 	return connectWith(t, server, store.Config{Timeout: timeout})
 }
 
-func connectWith(t *testing.T, server *standin.Server, clientConfig store.Config) *store.Client {
+func connectWith(t *testing.T, server *fakestore.Server, clientConfig store.Config) *store.Client {
 	t.Helper()
 	clientConfig.Endpoints = append(clientConfig.Endpoints, netip.MustParseAddrPort(server.Address()))
 	client, err := store.New(clientConfig, nil)
@@ -51,8 +51,8 @@
 	return client
 }
 
-func TestCreateIfAbsentReturnsTheWinner(t *testing.T) {
-	_, client := start(t, nil)
+func TestCreateIfAbsentReturnsExistingEntry(t *testing.T) {
+	_, client := startStoreAndClient(t, nil)
 	ctx := context.Background()
 	first, err := client.CreateIfAbsent(ctx, "/a", []byte("one"))
 	if err != nil || !first.Created {
@@ -67,24 +67,24 @@
 	}
 }
 
-func TestLostReplyMayHaveBeenApplied(t *testing.T) {
-	server, client := start(t, nil)
-	server.SetFaults(standin.Faults{LoseReplies: 1})
+func TestLostReplyIsReportedAsMaybeApplied(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
+	server.SetFaults(fakestore.Faults{LoseReplies: 1})
 	ctx := context.Background()
 	_, err := client.CreateIfAbsent(ctx, "/a", []byte("one"))
 	if store.KindOf(err) != store.KindReplyLost || !store.MaybeApplied(err) {
 		t.Fatalf("expected a lost reply, got %v", err)
 	}
-	found, err := client.Range(ctx, "/a", "", 0)
-	if err != nil || len(found.Entries) != 1 || found.Entries[0].Version != 1 {
-		t.Fatalf("expected the write once: %+v, %v", found, err)
+	result, err := client.Range(ctx, "/a", "", 0)
+	if err != nil || len(result.Entries) != 1 || result.Entries[0].Version != 1 {
+		t.Fatalf("expected the write once: %+v, %v", result, err)
 	}
 }
 
 // control posts a request and returns the status.
-func control(t *testing.T, server *standin.Server, body string) int {
+func postControl(t *testing.T, server *fakestore.Server, body string) int {
 	t.Helper()
-	reply, err := http.Post("http://"+server.Address()+standin.ControlPath, "application/json", strings.NewReader(body))
+	reply, err := http.Post("http://"+server.Address()+fakestore.ControlPath, "application/json", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,13 +93,13 @@
 	return reply.StatusCode
 }
 
-func TestRefusedConnectionsHaveNoEffectAndEnd(t *testing.T) {
-	server, client := start(t, nil)
+func TestRefuseForRejectsCallsThenKeepsData(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
 	ctx := context.Background()
 	if _, err := client.CreateIfAbsent(ctx, "/before", nil); err != nil {
 		t.Fatal(err)
 	}
-	if status := control(t, server, `{"refuse_for": "200ms"}`); status != http.StatusOK {
+	if status := postControl(t, server, `{"refuse_for": "200ms"}`); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
 	refused := 0
@@ -116,50 +116,50 @@
 			t.Fatalf("unexpected: %+v, %v", result, err)
 		}
 	}
-	if found, err := client.Range(ctx, "/before", "", 0); err != nil || len(found.Entries) != 1 || refused == 0 {
-		t.Fatalf("refused %d calls; then %+v, %v", refused, found, err)
+	if kept, err := client.Range(ctx, "/before", "", 0); err != nil || len(kept.Entries) != 1 || refused == 0 {
+		t.Fatalf("refused %d calls; then %+v, %v", refused, kept, err)
 	}
 }
 
 // TestCallBeforeTheConnectionsEndHasNoEffect comes after the order to refuse
 // connections, through one that is still open.
-func TestCallBeforeTheConnectionsEndHasNoEffect(t *testing.T) {
-	server, client := start(t, nil)
+func TestCallOnOpenConnectionWhileRefusingHasNoEffect(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
 	ctx := context.Background()
 	if _, err := client.CreateIfAbsent(ctx, "/before", nil); err != nil {
 		t.Fatal(err)
 	}
 	revision := server.Report().Revision
-	server.BeginRefusal()
+	server.StartRefusing()
 	if _, err := client.CreateIfAbsent(ctx, "/after", nil); err == nil || server.Report().Revision != revision {
 		t.Errorf("%v, revision %d after %d", err, server.Report().Revision, revision)
 	}
 }
 
-func TestControlRefusesUnknownFields(t *testing.T) {
-	server, _ := start(t, nil)
+func TestControlRejectsInvalidBodies(t *testing.T) {
+	server, _ := startStoreAndClient(t, nil)
 	for _, body := range []string{`{"outage": "hang"}`, `{"faults": {"delay": 3}}`, `nonsense`} {
-		if status := control(t, server, body); status != http.StatusBadRequest {
+		if status := postControl(t, server, body); status != http.StatusBadRequest {
 			t.Errorf("%s: status %d", body, status)
 		}
 	}
 }
 
-func TestFaultsAreTyped(t *testing.T) {
+func TestFaultsMapToErrorKinds(t *testing.T) {
 	cases := map[string]struct {
-		faults       standin.Faults
+		faults       fakestore.Faults
 		kind         store.Kind
 		maybeApplied bool
 	}{
-		"unavailable": {standin.Faults{Outage: standin.OutageUnavailable}, store.KindUnavailable, true},
-		"closed":      {standin.Faults{Outage: standin.OutageClose}, store.KindReplyLost, true},
-		"hanging":     {standin.Faults{Outage: standin.OutageHang}, store.KindTimeout, true},
-		"slow":        {standin.Faults{Delay: settings.Duration(time.Minute)}, store.KindTimeout, true},
-		"limited":     {standin.Faults{RatePerSecond: 1e-9, Burst: 1}, store.KindRateLimited, false},
+		"unavailable": {fakestore.Faults{Outage: fakestore.OutageUnavailable}, store.KindUnavailable, true},
+		"closed":      {fakestore.Faults{Outage: fakestore.OutageClose}, store.KindReplyLost, true},
+		"hanging":     {fakestore.Faults{Outage: fakestore.OutageHang}, store.KindTimeout, true},
+		"slow":        {fakestore.Faults{Delay: settings.Duration(time.Minute)}, store.KindTimeout, true},
+		"limited":     {fakestore.Faults{RatePerSecond: 1e-9, Burst: 1}, store.KindRateLimited, false},
 	}
 	for name, expected := range cases {
 		t.Run(name, func(t *testing.T) {
-			server, client := start(t, func(_ *standin.Config, config *store.Config) { config.Timeout = time.Second })
+			server, client := startStoreAndClient(t, func(_ *fakestore.Config, config *store.Config) { config.Timeout = time.Second })
 			if _, err := client.Range(context.Background(), "/a", "", 0); err != nil { // opens the connection
 				t.Fatal(err)
 			}
@@ -175,8 +175,8 @@
 	}
 }
 
-func TestWatchDeliversEveryChangeAndSaysWhenCompacted(t *testing.T) {
-	server, client := start(t, nil)
+func TestWatchDeliversEventsAndReportsCompaction(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	created, err := client.CreateIfAbsent(ctx, "/a/1", []byte("one"))
@@ -201,15 +201,15 @@
 			t.Fatalf("expected %+v, got %+v", expected, event)
 		}
 	}
-	server.Control(standin.ControlRequest{CompactNow: true, BreakWatches: true})
+	server.Control(fakestore.ControlRequest{CompactNow: true, BreakWatches: true})
 	if event := <-events; store.KindOf(event.Err) != store.KindReplyLost {
 		t.Fatalf("expected the stream to break, got %+v", event)
 	}
-	old, err := client.Watch(ctx, "/a/", store.PrefixEnd("/a/"), 1)
+	compactedEvents, err := client.Watch(ctx, "/a/", store.PrefixEnd("/a/"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if event := <-old; store.KindOf(event.Err) != store.KindCompacted {
+	if event := <-compactedEvents; store.KindOf(event.Err) != store.KindCompacted {
 		t.Fatalf("expected a compacted watch, got %+v", event)
 	}
 }
--- a/internal/rehearsal/store/transaction.go
+++ b/internal/rehearsal/store/transaction.go
@@ -11,23 +11,23 @@
 func (d *database) transact(request *wire.TxnRequest) (*wire.TxnResponse, error) {
 	succeeded := true
 	for _, compare := range request.Compare {
-		holds, err := d.holds(compare)
+		matches, err := d.matches(compare)
 		if err != nil {
 			return nil, err
 		}
-		succeeded = succeeded && (holds || d.ignoreCompares)
+		succeeded = succeeded && (matches || d.ignoreCompares)
 	}
 	operations := request.Failure
 	if succeeded {
 		operations = request.Success
 	}
-	if err := d.checkOperations(operations); err != nil {
+	if err := d.validateOperations(operations); err != nil {
 		return nil, err
 	}
 	response := &wire.TxnResponse{Succeeded: succeeded}
-	next := d.revision + 1
+	revision := d.revision + 1
 	for _, operation := range operations {
-		result, err := d.perform(operation, next)
+		result, err := d.applyOperation(operation, revision)
 		if err != nil {
 			return nil, err
 		}
@@ -38,55 +38,55 @@
 }
 
 // checkOperations finds what would make perform fail, before anything is written.
-func (d *database) checkOperations(operations []wire.RequestOp) error {
+func (d *database) validateOperations(operations []wire.RequestOp) error {
 	for _, operation := range operations {
 		switch {
 		case operation.Range != nil:
-			if _, err := d.read(operation.Range); err != nil {
+			if _, err := d.readRange(operation.Range); err != nil {
 				return err
 			}
 		case operation.Put != nil:
 			if len(operation.Put.Key) == 0 {
-				return errNoKey
+				return errEmptyKey
 			}
 		case operation.DeleteRange == nil || len(operation.DeleteRange.Key) == 0:
-			return errNoKey
+			return errEmptyKey
 		}
 	}
 	return nil
 }
 
-func (d *database) perform(operation wire.RequestOp, next int64) (wire.ResponseOp, error) {
+func (d *database) applyOperation(operation wire.RequestOp, revision int64) (wire.ResponseOp, error) {
 	switch {
 	case operation.Range != nil:
-		found, err := d.read(operation.Range)
-		return wire.ResponseOp{Range: found}, err
+		response, err := d.readRange(operation.Range)
+		return wire.ResponseOp{Range: response}, err
 	case operation.Put != nil:
-		err := d.put(operation.Put, next)
+		err := d.put(operation.Put, revision)
 		return wire.ResponseOp{Put: &wire.PutResponse{Header: d.header()}}, err
 	default:
-		keys := d.keysIn(operation.DeleteRange.Key, operation.DeleteRange.RangeEnd)
-		d.remove(keys, next)
+		keys := d.matchingKeys(operation.DeleteRange.Key, operation.DeleteRange.RangeEnd)
+		d.deleteKeys(keys, revision)
 		return wire.ResponseOp{DeleteRange: &wire.DeleteRangeResponse{
 			Header: d.header(), Deleted: wire.Integer(len(keys)),
 		}}, nil
 	}
 }
 
-func (d *database) holds(compare wire.Compare) (bool, error) {
+func (d *database) matches(compare wire.Compare) (bool, error) {
 	entry := d.entries[string(compare.Key)]
-	var found, wanted wire.Integer
+	var actual, expected wire.Integer
 	switch compare.Target {
 	case wire.TargetMod:
-		found, wanted = entry.ModRevision, valueOf(compare.ModRevision)
+		actual, expected = entry.ModRevision, integerOrZero(compare.ModRevision)
 	case wire.TargetCreate:
-		found, wanted = entry.CreateRevision, valueOf(compare.CreateRevision)
+		actual, expected = entry.CreateRevision, integerOrZero(compare.CreateRevision)
 	case wire.TargetVersion, "":
-		found, wanted = entry.Version, valueOf(compare.Version)
+		actual, expected = entry.Version, integerOrZero(compare.Version)
 	default:
-		return false, errUnknownTarget
+		return false, errInvalidCompare
 	}
-	order := cmp.Compare(found, wanted)
+	order := cmp.Compare(actual, expected)
 	switch compare.Result {
 	case wire.ResultEqual, "":
 		return order == 0, nil
@@ -97,11 +97,11 @@
 	case wire.ResultLess:
 		return order < 0, nil
 	default:
-		return false, errUnknownTarget
+		return false, errInvalidCompare
 	}
 }
 
-func valueOf(integer *wire.Integer) wire.Integer {
+func integerOrZero(integer *wire.Integer) wire.Integer {
 	if integer == nil {
 		return 0
 	}
--- a/internal/rehearsal/store/watch.go
+++ b/internal/rehearsal/store/watch.go
@@ -10,22 +10,22 @@
 
 // watch serves one watch: a stream of JSON messages until the client leaves,
 // the start revision is compacted, or a fault breaks it.
-func (s *Server) watch(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) handleWatch(writer http.ResponseWriter, request *http.Request) {
 	var body wire.WatchRequest
-	if !decode(writer, request, &body) || !s.admit(writer, request) {
+	if !decodeBody(writer, request, &body) || !s.admit(writer, request) {
 		return
 	}
 	if body.Create == nil || len(body.Create.Key) == 0 {
-		respondCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, errNoKey.Error())
+		respondWithCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, errEmptyKey.Error())
 		return
 	}
 	stream := &watchStream{server: s, writer: writer, request: request, create: *body.Create}
 	s.mutex.Lock()
 	s.counters.Watches++
-	stream.breaks = s.breaks
-	stream.next = int64(body.Create.StartRevision)
-	if stream.next == 0 {
-		stream.next = s.database.revision + 1
+	stream.initialBreaks = s.watchBreaks
+	stream.nextRevision = int64(body.Create.StartRevision)
+	if stream.nextRevision == 0 {
+		stream.nextRevision = s.database.revision + 1
 	}
 	header := s.database.header()
 	s.mutex.Unlock()
@@ -41,27 +41,27 @@
 	request *http.Request
 	create  wire.WatchCreateRequest
 	// next is the first revision not yet sent.
-	next int64
+	nextRevision int64
 	// breaks is the number of orders to break the watches before this one began.
-	breaks int
+	initialBreaks int
 }
 
 func (w *watchStream) run() {
 	for {
-		batch := w.collect()
-		if batch.broken || (batch.outage != OutageNone && batch.outage != OutageHang) {
+		pending := w.collectPending()
+		if pending.broken || (pending.outage != OutageNone && pending.outage != OutageHang) {
 			closeConnection(w.writer)
 			return
 		}
-		if batch.outage == OutageNone && batch.pending() {
-			if !w.server.pause(w.request, batch.delay) || !w.send(batch.response) || batch.response.Canceled {
+		if pending.outage == OutageNone && pending.hasMessage() {
+			if !w.server.sleep(w.request, pending.delay) || !w.send(pending.response) || pending.response.Canceled {
 				return
 			}
 			continue
 		}
 		select {
-		case <-batch.changed:
-		case <-batch.faultsChanged:
+		case <-pending.revisionChanged:
+		case <-pending.faultsChanged:
 		case <-w.request.Context().Done():
 			return
 		case <-w.server.stopped:
@@ -71,40 +71,40 @@
 }
 
 // batch is what a watch has to do next.
-type batch struct {
+type pendingMessage struct {
 	response *wire.WatchResponse
 	delay    time.Duration
 	outage   Outage
 	// broken is set if there was an order to break the watches.
 	broken bool
 
-	changed, faultsChanged <-chan struct{}
+	revisionChanged, faultsChanged <-chan struct{}
 }
 
-func (b batch) pending() bool { return len(b.response.Events) > 0 || b.response.Canceled }
+func (m pendingMessage) hasMessage() bool { return len(m.response.Events) > 0 || m.response.Canceled }
 
 // collect takes the events that are due, under the mutex.
-func (w *watchStream) collect() batch {
+func (w *watchStream) collectPending() pendingMessage {
 	s := w.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	result := batch{
+	pending := pendingMessage{
 		delay: s.faults.WatchDelay.Duration(), outage: s.faults.Outage,
-		broken: w.breaks != s.breaks, changed: s.changed, faultsChanged: s.faultsChanged,
+		broken: w.initialBreaks != s.watchBreaks, revisionChanged: s.revisionChanged, faultsChanged: s.faultsChanged,
 	}
-	if result.outage != OutageNone || result.broken {
-		return result
+	if pending.outage != OutageNone || pending.broken {
+		return pending
 	}
-	events, err := s.database.since(w.next, w.create.Key, w.create.RangeEnd)
+	events, err := s.database.eventsSince(w.nextRevision, w.create.Key, w.create.RangeEnd)
 	response := &wire.WatchResponse{Header: s.database.header(), Events: events}
 	if err != nil {
 		response.Canceled = true
 		response.CompactRevision = wire.Integer(s.database.compacted)
 		response.CancelReason = err.Error()
 	}
-	w.next = max(w.next, s.database.revision+1)
-	result.response = response
-	return result
+	w.nextRevision = max(w.nextRevision, s.database.revision+1)
+	pending.response = response
+	return pending
 }
 
 func (w *watchStream) send(response *wire.WatchResponse) bool {
