--- a/internal/rehearsal/leaf/control.go
+++ b/internal/rehearsal/leaf/control.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	if err := decodeStrictly(body, &control); err != nil {
+	if err := decodeStrict(body, &control); err != nil {
 		return err
 	}
 	if control.AddPartition != nil {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	if err := decodeStrictly(body, &entries); err != nil {
+	if err := decodeStrict(body, &entries); err != nil {
 		return err
 	}
 	for _, entry := range entries {
@@ -95,6 +95,6 @@
 			return echo.NewHTTPError(http.StatusBadRequest, "a row does not fit the columns")
 		}
 	}
-	s.insert(entries...)
+	s.addInserted(entries...)
 	return c.NoContent(http.StatusNoContent)
 }
--- a/internal/rehearsal/leaf/control_test.go
+++ b/internal/rehearsal/leaf/control_test.go
@@ -26,7 +26,7 @@
 	return response.StatusCode
 }
 
-func TestControlChangesOnlyWhatItNames(t *testing.T) {
+func TestControlChangesOnlyNamedFields(t *testing.T) {
 	server, _ := startTestLeaf(t, testConfig())
 	steps := []struct {
 		path, body string
@@ -52,32 +52,32 @@
 	if load := server.Load(); load.State != protocol.StateDraining || len(load.Holdings) != 2 {
 		t.Errorf("%+v", load)
 	}
-	held, _ := server.holdings.table(testSnapshot, 0)
-	later, _ := server.holdings.table(server.Load().Holdings[1].Snapshot, 0)
-	if missing, found := rows.TextOf("Q-new"), 0; held == nil || later == nil {
+	original, _ := server.holdings.lookup(testSnapshot, 0)
+	added, _ := server.holdings.lookup(server.Load().Holdings[1].Snapshot, 0)
+	if insertedKey, count := rows.TextOf("Q-new"), 0; original == nil || added == nil {
 		t.Error("versions are missing")
 	} else {
-		for _, row := range append(held.table.Rows, later.table.Rows...) {
-			if row[0] == missing {
-				found++
+		for _, row := range append(original.rows.Rows, added.rows.Rows...) {
+			if row[0] == insertedKey {
+				count++
 			}
 		}
-		if found != 1 {
-			t.Errorf("the row shows %d times", found)
+		if count != 1 {
+			t.Errorf("the row shows %d times", count)
 		}
 	}
 }
 
-func TestReportsMislead(t *testing.T) {
+func TestLoadReportFaults(t *testing.T) {
 	server, _ := startTestLeaf(t, testConfig())
 	server.faults.update(func(faults *Faults) {
 		faults.ReportLagMilliseconds = 1000
 		faults.ReportScale = 0.5
 	})
 	server.slots.busy = 4
-	server.reporter.sample(time.Now().Add(-2 * time.Second))
+	server.reporter.recordSample(time.Now().Add(-2 * time.Second))
 	server.slots.busy = 2
-	server.reporter.sample(time.Now().Add(-time.Millisecond))
+	server.reporter.recordSample(time.Now().Add(-time.Millisecond))
 	if summary := server.reporter.summary(); summary.SlotsBusy != 2 {
 		t.Errorf("half of 4 is told as %d", summary.SlotsBusy)
 	}
@@ -89,15 +89,15 @@
 	server.slots.busy = 0
 }
 
-func TestConfigIsChecked(t *testing.T) {
-	for name, alter := range map[string]func(*Config){
+func TestConfigValidate(t *testing.T) {
+	for name, change := range map[string]func(*Config){
 		"no service":       func(c *Config) { c.Service = "" },
 		"no slots":         func(c *Config) { c.Slots = 0 },
 		"no versions":      func(c *Config) { c.Versions = nil },
 		"shard out of set": func(c *Config) { c.Partitions = []Partition{{Epoch: 1, Shards: 2, Hold: []int{2}}} },
 	} {
 		config := testConfig()
-		if alter(&config); config.Validate() == nil {
+		if change(&config); config.Validate() == nil {
 			t.Errorf("%s is accepted", name)
 		}
 	}
--- a/internal/rehearsal/leaf/dataset.go
+++ b/internal/rehearsal/leaf/dataset.go
@@ -15,7 +15,7 @@
 const DatasetSize = 2400
 
 // absentEvery is how rarely a key is absent from a version: one in so many.
-const absentEvery = 23
+const absentKeyInterval = 23
 
 // The columns of the two kinds of data.
 var (
@@ -60,7 +60,7 @@
 	table := rows.Table{Columns: Columns(service), Rows: []rows.Row{}}
 	key := table.Column(KeyColumn(service))
 	for number := range DatasetSize {
-		row := generate(service, snapshot.Version, number)
+		row := generateRow(service, snapshot.Version, number)
 		if row != nil && ShardOf(row[key], shardCount) == shard {
 			table.Rows = append(table.Rows, row)
 		}
@@ -74,16 +74,16 @@
 }
 
 // generate returns row number n of a version, or nil if the version lacks it.
-func generate(service string, version uint64, number int) rows.Row {
-	if (uint64(number)+version)%absentEvery == 0 {
+func generateRow(service string, version uint64, number int) rows.Row {
+	if (uint64(number)+version)%absentKeyInterval == 0 {
 		return nil
 	}
-	fixed := seededRandom(service, 0, number)
-	varying := seededRandom(service, version, number)
+	stableRandom := seededRandom(service, 0, number)
+	versionRandom := seededRandom(service, version, number)
 	if fareServices[service] {
-		return fare(fixed, varying, version, number)
+		return generateFare(stableRandom, versionRandom, version, number)
 	}
-	return tariff(fixed, varying, version, number)
+	return generateTariff(stableRandom, versionRandom, version, number)
 }
 
 func seededRandom(service string, version uint64, number int) *rand.Rand {
@@ -97,28 +97,28 @@
 	stations = []string{"BT", "SG", "TD", "CL", "PN", "GV", "BD", "TB", "HX", "RL"}
 )
 
-func tariff(fixed, varying *rand.Rand, version uint64, number int) rows.Row {
+func generateTariff(stableRandom, versionRandom *rand.Rand, version uint64, number int) rows.Row {
 	const weightStep, weightSteps = 50, 40
 	const lowestPrice, priceSpread = 1000, 9000
 	return rows.Row{
 		rows.TextOf(fmt.Sprintf("Q-%d", number)),
-		rows.TextOf(lanes[fixed.IntN(len(lanes))]),
-		rows.TextOf(carriers[fixed.IntN(len(carriers))]),
-		rows.NumberOf(float64(weightStep * (1 + fixed.IntN(weightSteps)))),
-		rows.NumberOf(float64(lowestPrice + varying.IntN(priceSpread))),
+		rows.TextOf(lanes[stableRandom.IntN(len(lanes))]),
+		rows.TextOf(carriers[stableRandom.IntN(len(carriers))]),
+		rows.NumberOf(float64(weightStep * (1 + stableRandom.IntN(weightSteps)))),
+		rows.NumberOf(float64(lowestPrice + versionRandom.IntN(priceSpread))),
 		rows.NumberOf(float64(version)),
 	}
 }
 
-func fare(fixed, varying *rand.Rand, version uint64, number int) rows.Row {
+func generateFare(stableRandom, versionRandom *rand.Rand, version uint64, number int) rows.Row {
 	const cards, journeys = 400, 900
 	const lowestAmount, amountSpread = 5000, 20000
 	return rows.Row{
 		rows.TextOf(fmt.Sprintf("T-%d", number)),
-		rows.TextOf(fmt.Sprintf("C-%d", fixed.IntN(cards))),
-		rows.TextOf(stations[fixed.IntN(len(stations))]),
-		rows.NumberOf(float64(lowestAmount + varying.IntN(amountSpread))),
-		rows.TextOf(fmt.Sprintf("J-%d", fixed.IntN(journeys))),
+		rows.TextOf(fmt.Sprintf("C-%d", stableRandom.IntN(cards))),
+		rows.TextOf(stations[stableRandom.IntN(len(stations))]),
+		rows.NumberOf(float64(lowestAmount + versionRandom.IntN(amountSpread))),
+		rows.TextOf(fmt.Sprintf("J-%d", stableRandom.IntN(journeys))),
 		rows.NumberOf(float64(version)),
 	}
 }
--- a/internal/rehearsal/leaf/drain_test.go
+++ b/internal/rehearsal/leaf/drain_test.go
@@ -14,7 +14,7 @@
 // stop, begins to speak HTTP/2 on it during the stop, and asks nothing: the leaf
 // closes it, and its stop ends. Clients that dial two connections for one request
 // leave one like that.
-func TestDrainEndsConnectionsThatComeUpMeanwhile(t *testing.T) {
+func TestDrainClosesConnectionsOpenedDuringShutdown(t *testing.T) {
 	server, client := startTestLeaf(t, testConfig())
 	conn, err := net.Dial("tcp", server.Address().String())
 	if err != nil {
--- a/internal/rehearsal/leaf/execute.go
+++ b/internal/rehearsal/leaf/execute.go
@@ -18,14 +18,14 @@
 type attempt struct {
 	request   protocol.ExecuteRequest
 	arrived   time.Time
-	record    Execution
+	execution Execution
 	statement statement
 }
 
 // remaining is the time left of the request's own.
-func (a *attempt) remaining() time.Duration {
-	given := time.Duration(a.request.RemainingMilliseconds) * time.Millisecond
-	return given - time.Since(a.arrived)
+func (a *attempt) remainingTime() time.Duration {
+	limit := time.Duration(a.request.RemainingMilliseconds) * time.Millisecond
+	return limit - time.Since(a.arrived)
 }
 
 func (s *Server) handleExecute(c echo.Context) error {
@@ -34,19 +34,19 @@
 	if err != nil {
 		return err
 	}
-	if err := decodeStrictly(body, &a.request); err != nil {
+	if err := decodeStrict(body, &a.request); err != nil {
 		return err
 	}
-	a.record = s.newRecord(a)
+	a.execution = s.newExecution(a)
 	ctx := c.Request().Context()
 	response := s.execute(ctx, a)
 	if response == nil {
 		return ctx.Err() // the caller is gone
 	}
-	return s.reply(c, response)
+	return s.writeReply(c, response)
 }
 
-func (s *Server) newRecord(a *attempt) Execution {
+func (s *Server) newExecution(a *attempt) Execution {
 	return Execution{
 		RequestID: a.request.RequestID,
 		AttemptID: a.request.AttemptID,
@@ -62,13 +62,13 @@
 // execute blocks until the attempt has run or is refused. It returns nil if
 // the caller went away.
 func (s *Server) execute(ctx context.Context, a *attempt) *protocol.ExecuteResponse {
-	if refusal, detail := s.check(a); refusal != protocol.RefusedNone {
+	if refusal, detail := s.validate(a); refusal != protocol.RefusedNone {
 		return s.refuse(a, refusal, detail)
 	}
-	refusal, err := s.slots.acquire(ctx, a.remaining())
+	refusal, err := s.slots.acquire(ctx, a.remainingTime())
 	switch {
 	case err != nil:
-		s.log(a, OutcomeCancelledQueued, protocol.RefusedNone)
+		s.recordOutcome(a, OutcomeCancelledQueued, protocol.RefusedNone)
 		return nil
 	case refusal != protocol.RefusedNone:
 		return s.refuse(a, refusal, "")
@@ -79,19 +79,19 @@
 }
 
 // check refuses what need not wait for a slot.
-func (s *Server) check(a *attempt) (protocol.Refusal, string) {
+func (s *Server) validate(a *attempt) (protocol.Refusal, string) {
 	faults := s.faults.get()
 	switch {
 	case faults.Refuse != protocol.RefusedNone:
 		return faults.Refuse, "told to refuse"
-	case a.record.Draining:
+	case a.execution.Draining:
 		return protocol.RefusedDraining, ""
 	case s.state() == protocol.StateCold && s.config.ColdFactor == 0:
 		return protocol.RefusedCold, ""
 	case a.request.Service != s.config.Service:
 		return protocol.RefusedInvalid, "this leaf serves " + s.config.Service
 	}
-	if _, refusal := s.holdings.table(a.request.Snapshot, a.request.Shard); refusal != protocol.RefusedNone {
+	if _, refusal := s.holdings.lookup(a.request.Snapshot, a.request.Shard); refusal != protocol.RefusedNone {
 		return refusal, ""
 	}
 	parsed, err := s.parser.parse(a.request.Statement)
@@ -105,29 +105,29 @@
 // run executes the attempt in its slot. The rows are those of the start, also
 // if the version is dropped meanwhile.
 func (s *Server) run(ctx context.Context, a *attempt, started time.Time) *protocol.ExecuteResponse {
-	if a.remaining() <= 0 {
+	if a.remainingTime() <= 0 {
 		return s.refuse(a, protocol.RefusedLate, "")
 	}
-	held, refusal := s.holdings.table(a.request.Snapshot, a.request.Shard)
+	table, refusal := s.holdings.lookup(a.request.Snapshot, a.request.Shard)
 	if refusal != protocol.RefusedNone {
 		return s.refuse(a, refusal, "")
 	}
-	result, err := held.evaluate(s.config.Service, a.statement)
+	result, err := table.evaluate(s.config.Service, a.statement)
 	if err != nil {
 		return s.refuse(a, protocol.RefusedInvalid, err.Error())
 	}
-	a.record.Started = started.UnixMicro()
-	if !s.serviceTime(ctx, a.statement) {
-		s.log(a, OutcomeCancelledRunning, protocol.RefusedNone)
+	a.execution.Started = started.UnixMicro()
+	if !s.simulateServiceTime(ctx, a.statement) {
+		s.recordOutcome(a, OutcomeCancelledRunning, protocol.RefusedNone)
 		return nil
 	}
-	s.insertRows(a)
-	s.log(a, OutcomeExecuted, protocol.RefusedNone)
-	return s.respond(a, result)
+	s.applyInsert(a)
+	s.recordOutcome(a, OutcomeExecuted, protocol.RefusedNone)
+	return s.newResponse(a, result)
 }
 
 // serviceTime keeps the slot busy, and reports false if ctx was done first.
-func (s *Server) serviceTime(ctx context.Context, statement statement) bool {
+func (s *Server) simulateServiceTime(ctx context.Context, statement statement) bool {
 	factor := s.faults.get().SlowFactor
 	if s.state() == protocol.StateCold {
 		factor *= s.config.ColdFactor
@@ -136,7 +136,7 @@
 	if statement.insertion != nil {
 		distribution = s.config.Insert
 	}
-	timer := time.NewTimer(s.sampler.draw(distribution, factor))
+	timer := time.NewTimer(s.sampler.sample(distribution, factor))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -147,37 +147,37 @@
 }
 
 // insertRows applies an insert. From here on it has taken effect.
-func (s *Server) insertRows(a *attempt) {
+func (s *Server) applyInsert(a *attempt) {
 	var entries []Inserted
-	for _, row := range a.statement.inserts(s.config.Service, a.request.Snapshot.Version) {
+	for _, row := range a.statement.insertedRows(s.config.Service, a.request.Snapshot.Version) {
 		entries = append(entries, Inserted{RequestID: a.request.RequestID, Version: a.request.Snapshot.Version, Row: row})
 	}
-	s.insert(entries...)
+	s.addInserted(entries...)
 }
 
-func (s *Server) insert(entries ...Inserted) {
+func (s *Server) addInserted(entries ...Inserted) {
 	s.journal.add(entries...)
 	for _, entry := range entries {
-		s.holdings.inserted(entry.Version)
+		s.holdings.invalidateAfter(entry.Version)
 	}
 }
 
-func (s *Server) log(a *attempt, outcome Outcome, refusal protocol.Refusal) {
-	a.record.Outcome = outcome
-	a.record.Refusal = refusal
-	s.executions.add(a.record)
+func (s *Server) recordOutcome(a *attempt, outcome Outcome, refusal protocol.Refusal) {
+	a.execution.Outcome = outcome
+	a.execution.Refusal = refusal
+	s.executions.add(a.execution)
 }
 
 func (s *Server) refuse(a *attempt, refusal protocol.Refusal, detail string) *protocol.ExecuteResponse {
-	s.log(a, OutcomeRefused, refusal)
-	response := s.respond(a, rows.Table{})
+	s.recordOutcome(a, OutcomeRefused, refusal)
+	response := s.newResponse(a, rows.Table{})
 	response.Executed = false
 	response.Refusal = refusal
 	response.Detail = detail
 	return response
 }
 
-func (s *Server) respond(a *attempt, table rows.Table) *protocol.ExecuteResponse {
+func (s *Server) newResponse(a *attempt, table rows.Table) *protocol.ExecuteResponse {
 	return &protocol.ExecuteResponse{
 		RequestID: a.request.RequestID,
 		AttemptID: a.request.AttemptID,
@@ -191,13 +191,13 @@
 }
 
 // reply sends the response, or what the faults in force make of it.
-func (s *Server) reply(c echo.Context, response *protocol.ExecuteResponse) error {
+func (s *Server) writeReply(c echo.Context, response *protocol.ExecuteResponse) error {
 	faults := s.faults.get()
-	if s.faults.takeLostReply() {
+	if s.faults.consumeLostReply() {
 		return closeConnection(c)
 	}
 	if faults.Cross {
-		response = s.crossing.swap(response)
+		response = s.replySwapper.swap(response)
 	}
 	if faults.Truncate && len(response.Table.Rows) > 0 {
 		response.Table.Rows = response.Table.Rows[:len(response.Table.Rows)-1]
@@ -222,17 +222,17 @@
 }
 
 // crossing exchanges replies between requests.
-type crossing struct {
-	mutex sync.Mutex
-	held  *protocol.ExecuteResponse
+type replySwapper struct {
+	mutex    sync.Mutex
+	previous *protocol.ExecuteResponse
 }
 
 // swap keeps the response and returns the one kept before, if any.
-func (c *crossing) swap(response *protocol.ExecuteResponse) *protocol.ExecuteResponse {
+func (c *replySwapper) swap(response *protocol.ExecuteResponse) *protocol.ExecuteResponse {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	previous := c.held
-	c.held = response
+	previous := c.previous
+	c.previous = response
 	if previous == nil {
 		return response
 	}
--- a/internal/rehearsal/leaf/execute_test.go
+++ b/internal/rehearsal/leaf/execute_test.go
@@ -15,7 +15,7 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-const longTime = Duration(time.Hour)
+const longServiceTime = Duration(time.Hour)
 
 // eventually polls until the condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
@@ -28,16 +28,16 @@
 }
 
 // background is a call in progress.
-type background struct {
+type backgroundCall struct {
 	cancel   context.CancelFunc
 	done     chan struct{}
 	response *protocol.ExecuteResponse
 	err      error
 }
 
-func executeInBackground(t *testing.T, server *Server, client *protocol.Client, request protocol.ExecuteRequest) *background {
+func executeInBackground(t *testing.T, server *Server, client *protocol.Client, request protocol.ExecuteRequest) *backgroundCall {
 	ctx, cancel := context.WithCancel(testContext(t))
-	call := &background{cancel: cancel, done: make(chan struct{})}
+	call := &backgroundCall{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(call.done)
 		call.response, call.err = client.Execute(ctx, server.Address(), request)
@@ -48,15 +48,15 @@
 func awaitOccupancy(t *testing.T, server *Server, busy, queue int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%d busy and %d queued", busy, queue), func() bool {
-		nowBusy, nowQueue := server.slots.occupancy()
-		return nowBusy == busy && nowQueue == queue
+		gotBusy, gotQueue := server.slots.occupancy()
+		return gotBusy == busy && gotQueue == queue
 	})
 }
 
-func TestCancellationFreesTheSlot(t *testing.T) {
+func TestCancellationFreesSlot(t *testing.T) {
 	config := testConfig()
 	config.Slots, config.Queue = 1, 1
-	config.Select.Median = longTime
+	config.Select.Median = longServiceTime
 	server, client := startTestLeaf(t, config)
 	running := executeInBackground(t, server, client, testRequest("running", "select * from rate-desk"))
 	awaitOccupancy(t, server, 1, 0)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestDrainFinishesWorkAndRefusesNew(t *testing.T) {
+func TestDrainCompletesAcceptedRequestsAndRefusesNewOnes(t *testing.T) {
 	config := testConfig()
 	config.Slots = 1
 	config.Select.Median = Duration(200 * time.Millisecond)
@@ -94,14 +94,14 @@
 	if err := server.Drain(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	for _, call := range []*background{running, queued} {
+	for _, call := range []*backgroundCall{running, queued} {
 		if <-call.done; call.err != nil || !call.response.Executed {
 			t.Errorf("%+v, %v", call.response, call.err)
 		}
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestRefusalReasons(t *testing.T) {
 	server, client := startTestLeaf(t, testConfig())
 	change := func(alter func(*protocol.ExecuteRequest)) protocol.ExecuteRequest {
 		request := testRequest("r", "select * from rate-desk")
@@ -119,7 +119,7 @@
 		}
 	}
 	config := testConfig()
-	config.ColdFor = longTime
+	config.ColdFor = longServiceTime
 	cold, client := startTestLeaf(t, config)
 	if response := execute(t, cold, client, testRequest("r", "select * from rate-desk")); response.Refusal != protocol.RefusedCold {
 		t.Errorf("got %q", response.Refusal)
@@ -128,7 +128,7 @@
 
 // TestFaultyRepliesNeverReachTheCaller covers lost, truncated and crossed
 // replies.
-func TestFaultyRepliesNeverReachTheCaller(t *testing.T) {
+func TestClientRejectsFaultyReplies(t *testing.T) {
 	server, client := startTestLeaf(t, testConfig())
 	inject := func(faults Faults) {
 		faults.SlowFactor, faults.ReportScale = 1, 1
@@ -154,8 +154,8 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		last := fmt.Sprintf("%s %d", name, test.calls-1)
-		if found := outcomes(server, last); !slices.Equal(found, []Outcome{OutcomeExecuted}) {
-			t.Errorf("%s: %v", name, found)
+		if got := outcomes(server, last); !slices.Equal(got, []Outcome{OutcomeExecuted}) {
+			t.Errorf("%s: %v", name, got)
 		}
 	}
 	inject(Faults{})
@@ -167,7 +167,7 @@
 
 // TestEachCallerGetsItsOwnRows has many callers share the connections, with
 // late replies and cancelled calls between.
-func TestEachCallerGetsItsOwnRows(t *testing.T) {
+func TestConcurrentCallersGetOwnRows(t *testing.T) {
 	config := testConfig()
 	config.Queue = 1000
 	config.Select = ServiceTime{Median: Duration(200 * time.Microsecond), Sigma: 1}
@@ -176,7 +176,7 @@
 	for caller := range 16 {
 		callers.Go(func() error {
 			for i := range 40 {
-				if err := readOne(testContext(t), server, client, caller, i); err != nil {
+				if err := readQuote(testContext(t), server, client, caller, i); err != nil {
 					return err
 				}
 			}
@@ -190,7 +190,7 @@
 }
 
 // readOne reads one quote; every fourth call is given up soon after its start.
-func readOne(ctx context.Context, server *Server, client *protocol.Client, caller, i int) error {
+func readQuote(ctx context.Context, server *Server, client *protocol.Client, caller, i int) error {
 	quote := fmt.Sprintf("Q-%d", 40*caller+i)
 	giveUp := i%4 == 3
 	if giveUp {
@@ -214,7 +214,7 @@
 	return nil
 }
 
-func TestVersionsAndEpochsChangeAtRunTime(t *testing.T) {
+func TestVersionsAndEpochsChangeWhileServing(t *testing.T) {
 	config := testConfig()
 	config.Select.Median = Duration(100 * time.Millisecond)
 	server, client := startTestLeaf(t, config)
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestInsertShowsInLaterVersions(t *testing.T) {
+func TestInsertAppearsInLaterVersions(t *testing.T) {
 	server, client := startTestLeaf(t, testConfig())
 	insert := testRequest("insert", "insert into rate-desk (quote, lane, price) values ('Q-new', 'OTR-SPK', 4100)")
 	if response := execute(t, server, client, insert); !response.Executed {
--- a/internal/rehearsal/leaf/execution_log.go
+++ b/internal/rehearsal/leaf/execution_log.go
@@ -54,7 +54,7 @@
 }
 
 // loggedExecutions is how many records are kept.
-const loggedExecutions = 200_000
+const maximumExecutions = 200_000
 
 // executionLog keeps the newest records.
 type executionLog struct {
@@ -62,21 +62,21 @@
 	records []Execution
 	dropped int
 	// copies gets every record as a line of JSON, if it is set.
-	copies *json.Encoder
+	encoder *json.Encoder
 }
 
 func (l *executionLog) add(record Execution) {
 	record.Ended = time.Now().UnixMicro()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if len(l.records) >= loggedExecutions {
+	if len(l.records) >= maximumExecutions {
 		half := len(l.records) / 2
 		l.records = append([]Execution(nil), l.records[half:]...)
 		l.dropped += half
 	}
 	l.records = append(l.records, record)
-	if l.copies != nil {
-		_ = l.copies.Encode(record) // a log that cannot be written shows as missing records
+	if l.encoder != nil {
+		_ = l.encoder.Encode(record) // a log that cannot be written shows as missing records
 	}
 }
 
@@ -92,8 +92,8 @@
 
 // LogExecutions writes every record from now on as a line of JSON, before the
 // reply leaves. What is written to a file outlives the process.
-func (s *Server) LogExecutions(to io.Writer) {
+func (s *Server) LogExecutions(writer io.Writer) {
 	s.executions.mutex.Lock()
 	defer s.executions.mutex.Unlock()
-	s.executions.copies = json.NewEncoder(to)
+	s.executions.encoder = json.NewEncoder(writer)
 }
--- a/internal/rehearsal/leaf/faults.go
+++ b/internal/rehearsal/leaf/faults.go
@@ -33,33 +33,33 @@
 }
 
 // faults guards the faults in force.
-type faults struct {
+type faultState struct {
 	mutex   sync.Mutex
 	current Faults
 }
 
-func newFaults(config Config) *faults {
-	return &faults{current: Faults{
+func newFaults(config Config) *faultState {
+	return &faultState{current: Faults{
 		SlowFactor:            config.SlowFactor,
 		ReportScale:           config.ReportScale,
 		ReportLagMilliseconds: time.Duration(config.ReportLag).Milliseconds(),
 	}}
 }
 
-func (f *faults) get() Faults {
+func (f *faultState) get() Faults {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.current
 }
 
-func (f *faults) update(change func(*Faults)) {
+func (f *faultState) update(change func(*Faults)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change(&f.current)
 }
 
 // takeLostReply reports whether this reply is to be lost, and counts it.
-func (f *faults) takeLostReply() bool {
+func (f *faultState) consumeLostReply() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.current.LoseReply <= 0 {
--- a/internal/rehearsal/leaf/holdings.go
+++ b/internal/rehearsal/leaf/holdings.go
@@ -39,27 +39,27 @@
 
 // table returns the rows of a shard at a snapshot, or why it is not held. They
 // stay whole if the version is dropped.
-func (h *holdings) table(snapshot catalog.Snapshot, shard int) (*shardTable, protocol.Refusal) {
+func (h *holdings) lookup(snapshot catalog.Snapshot, shard int) (*shardTable, protocol.Refusal) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	partition, held := h.partition(snapshot.Epoch)
+	partition, exists := h.findPartition(snapshot.Epoch)
 	switch {
-	case !held || !slices.Contains(h.versions, snapshot.Version):
+	case !exists || !slices.Contains(h.versions, snapshot.Version):
 		return nil, protocol.RefusedSnapshot
 	case !slices.Contains(partition.Hold, shard):
 		return nil, protocol.RefusedMoved
 	}
 	key := tableKey{snapshot: snapshot, shard: shard}
-	table, built := h.tables[key]
-	if !built {
-		table = h.build(key, partition.Shards)
+	table, exists := h.tables[key]
+	if !exists {
+		table = h.buildTable(key, partition.Shards)
 		h.tables[key] = table
 	}
 	return table, protocol.RefusedNone
 }
 
 // build generates the rows and adds those inserted at earlier versions.
-func (h *holdings) build(key tableKey, shardCount int) *shardTable {
+func (h *holdings) buildTable(key tableKey, shardCount int) *shardTable {
 	table := Rows(h.service, key.snapshot, key.shard, shardCount)
 	keyColumn := table.Column(KeyColumn(h.service))
 	for _, entry := range h.journal.snapshot() {
@@ -69,11 +69,11 @@
 			table.Rows = append(table.Rows, row)
 		}
 	}
-	return &shardTable{table: table, shard: key.shard, shardCount: shardCount}
+	return &shardTable{rows: table, shard: key.shard, shardCount: shardCount}
 }
 
 // inserted makes the versions after the given one be built again.
-func (h *holdings) inserted(version uint64) {
+func (h *holdings) invalidateAfter(version uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for key := range h.tables {
@@ -91,15 +91,15 @@
 		slices.Sort(h.versions)
 	}
 	for _, partition := range h.partitions {
-		h.prebuild(partition, version)
+		h.buildTables(partition, version)
 	}
 }
 
 // prebuild generates the rows before the first request asks for them.
-func (h *holdings) prebuild(partition Partition, version uint64) {
+func (h *holdings) buildTables(partition Partition, version uint64) {
 	for _, shard := range partition.Hold {
 		key := tableKey{snapshot: catalog.Snapshot{Version: version, Epoch: partition.Epoch}, shard: shard}
-		h.tables[key] = h.build(key, partition.Shards)
+		h.tables[key] = h.buildTable(key, partition.Shards)
 	}
 }
 
@@ -107,17 +107,17 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.versions = slices.DeleteFunc(h.versions, func(held uint64) bool { return held == version })
-	h.drop(func(key tableKey) bool { return key.snapshot.Version == version })
+	h.dropTables(func(key tableKey) bool { return key.snapshot.Version == version })
 }
 
 func (h *holdings) addPartition(partition Partition) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.partitions = slices.DeleteFunc(h.partitions, func(held Partition) bool { return held.Epoch == partition.Epoch })
-	h.drop(func(key tableKey) bool { return key.snapshot.Epoch == partition.Epoch })
+	h.dropTables(func(key tableKey) bool { return key.snapshot.Epoch == partition.Epoch })
 	h.partitions = append(h.partitions, partition)
 	for _, version := range h.versions {
-		h.prebuild(partition, version)
+		h.buildTables(partition, version)
 	}
 }
 
@@ -125,10 +125,10 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.partitions = slices.DeleteFunc(h.partitions, func(held Partition) bool { return held.Epoch == epoch })
-	h.drop(func(key tableKey) bool { return key.snapshot.Epoch == epoch })
+	h.dropTables(func(key tableKey) bool { return key.snapshot.Epoch == epoch })
 }
 
-func (h *holdings) drop(match func(tableKey) bool) {
+func (h *holdings) dropTables(match func(tableKey) bool) {
 	for key := range h.tables {
 		if match(key) {
 			delete(h.tables, key)
@@ -137,7 +137,7 @@
 }
 
 // partition is called with the mutex held.
-func (h *holdings) partition(epoch uint64) (Partition, bool) {
+func (h *holdings) findPartition(epoch uint64) (Partition, bool) {
 	for _, partition := range h.partitions {
 		if partition.Epoch == epoch {
 			return partition, true
@@ -150,14 +150,14 @@
 func (h *holdings) list() []protocol.Holding {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	listed := []protocol.Holding{}
+	held := []protocol.Holding{}
 	for _, partition := range h.partitions {
 		for _, version := range h.versions {
-			listed = append(listed, protocol.Holding{
+			held = append(held, protocol.Holding{
 				Snapshot: catalog.Snapshot{Version: version, Epoch: partition.Epoch},
 				Shards:   slices.Clone(partition.Hold),
 			})
 		}
 	}
-	return listed
+	return held
 }
--- a/internal/rehearsal/leaf/leaf_test.go
+++ b/internal/rehearsal/leaf/leaf_test.go
@@ -72,16 +72,16 @@
 }
 
 func outcomes(server *Server, requestID string) []Outcome {
-	var found []Outcome
+	var result []Outcome
 	for _, execution := range server.Executions().Executions {
 		if execution.RequestID == requestID {
-			found = append(found, execution.Outcome)
+			result = append(result, execution.Outcome)
 		}
 	}
-	return found
+	return result
 }
 
-func TestSelectReturnsTheGeneratedRows(t *testing.T) {
+func TestSelectReturnsGeneratedRows(t *testing.T) {
 	server, client := startTestLeaf(t, testConfig())
 	response := execute(t, server, client, testRequest("r", "select * from rate-desk"))
 	expected := Rows(testService, testSnapshot, 0, 1)
@@ -89,12 +89,12 @@
 	if !response.Table.Equal(expected) {
 		t.Fatalf("%d rows, expected %d", len(response.Table.Rows), len(expected.Rows))
 	}
-	if found := outcomes(server, "r"); !slices.Equal(found, []Outcome{OutcomeExecuted}) {
-		t.Fatal(found)
+	if got := outcomes(server, "r"); !slices.Equal(got, []Outcome{OutcomeExecuted}) {
+		t.Fatal(got)
 	}
 }
 
-func TestUnionOfShardsIsTheSameForEveryEpoch(t *testing.T) {
+func TestUnionOfShardsIsEqualForEveryEpoch(t *testing.T) {
 	for _, service := range []string{"rate-desk", "inspector-desk", "refund-clerk"} {
 		whole := Rows(service, testSnapshot, 0, 1)
 		slices.SortStableFunc(whole.Rows, rows.CompareRows)
--- a/internal/rehearsal/leaf/load_report.go
+++ b/internal/rehearsal/leaf/load_report.go
@@ -8,46 +8,46 @@
 )
 
 // sampleEvery is how often the load is sampled for lagging reports.
-const sampleEvery = 10 * time.Millisecond
+const sampleInterval = 10 * time.Millisecond
 
 // keptSamples bounds the lag that a report can have to about a minute.
-const keptSamples = 6000
+const maximumSamples = 6000
 
 // reporter reports the leaf's load, truly or not.
-type reporter struct {
+type loadReporter struct {
 	server  *Server
 	mutex   sync.Mutex
-	samples []sample
+	samples []loadSample
 }
 
-type sample struct {
-	at      time.Time
+type loadSample struct {
+	takenAt time.Time
 	summary protocol.LoadSummary
 }
 
 // summary returns the load as the leaf reports it.
-func (r *reporter) summary() protocol.LoadSummary {
+func (r *loadReporter) summary() protocol.LoadSummary {
 	faults := r.server.faults.get()
 	if faults.ReportFixed != nil {
 		return *faults.ReportFixed
 	}
-	summary := r.truth()
+	summary := r.actualLoad()
 	if faults.ReportLagMilliseconds > 0 {
 		lag := time.Duration(faults.ReportLagMilliseconds) * time.Millisecond
-		summary = r.at(time.Now().Add(-lag), summary)
+		summary = r.sampleAt(time.Now().Add(-lag), summary)
 	}
-	summary.SlotsBusy = scale(summary.SlotsBusy, faults.ReportScale)
-	summary.Queue = scale(summary.Queue, faults.ReportScale)
+	summary.SlotsBusy = scaleCount(summary.SlotsBusy, faults.ReportScale)
+	summary.Queue = scaleCount(summary.Queue, faults.ReportScale)
 	if faults.ReportState != "" {
 		summary.State = faults.ReportState
 	}
 	return summary
 }
 
-func scale(number int, factor float64) int { return int(float64(number)*factor + 0.5) }
+func scaleCount(number int, factor float64) int { return int(float64(number)*factor + 0.5) }
 
 // truth returns the load as it is.
-func (r *reporter) truth() protocol.LoadSummary {
+func (r *loadReporter) actualLoad() protocol.LoadSummary {
 	busy, queue := r.server.slots.occupancy()
 	return protocol.LoadSummary{
 		State:     r.server.state(),
@@ -59,30 +59,30 @@
 
 // at returns the newest sample that is not younger than the moment, or the
 // oldest one, or the given summary if there is none.
-func (r *reporter) at(moment time.Time, otherwise protocol.LoadSummary) protocol.LoadSummary {
+func (r *loadReporter) sampleAt(moment time.Time, fallback protocol.LoadSummary) protocol.LoadSummary {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for i := len(r.samples) - 1; i >= 0; i-- {
-		if !r.samples[i].at.After(moment) {
+		if !r.samples[i].takenAt.After(moment) {
 			return r.samples[i].summary
 		}
 	}
 	if len(r.samples) > 0 {
 		return r.samples[0].summary
 	}
-	return otherwise
+	return fallback
 }
 
 // sample records the load, if reports lag.
-func (r *reporter) sample(now time.Time) {
+func (r *loadReporter) recordSample(now time.Time) {
 	if r.server.faults.get().ReportLagMilliseconds == 0 {
 		return
 	}
-	taken := sample{at: now, summary: r.truth()}
+	current := loadSample{takenAt: now, summary: r.actualLoad()}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.samples) == keptSamples {
-		r.samples = append([]sample(nil), r.samples[keptSamples/2:]...)
+	if len(r.samples) == maximumSamples {
+		r.samples = append([]loadSample(nil), r.samples[maximumSamples/2:]...)
 	}
-	r.samples = append(r.samples, taken)
+	r.samples = append(r.samples, current)
 }
--- a/internal/rehearsal/leaf/reported_outcomes_test.go
+++ b/internal/rehearsal/leaf/reported_outcomes_test.go
@@ -17,98 +17,98 @@
 
 // cuttingProxy passes connections on to a leaf and cuts each after a random
 // number of bytes in one of the directions.
-type cuttingProxy struct {
-	listener net.Listener
-	target   netip.AddrPort
-	running  sync.WaitGroup
+type faultyProxy struct {
+	listener   net.Listener
+	target     netip.AddrPort
+	goroutines sync.WaitGroup
 }
 
-func startCuttingProxy(t *testing.T, target netip.AddrPort, seed uint64) *cuttingProxy {
+func startFaultyProxy(t *testing.T, target netip.AddrPort, seed uint64) *faultyProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &cuttingProxy{listener: listener, target: target}
-	p.running.Go(func() { p.accept(rand.New(rand.NewPCG(seed, seed))) })
+	p := &faultyProxy{listener: listener, target: target}
+	p.goroutines.Go(func() { p.accept(rand.New(rand.NewPCG(seed, seed))) })
 	return p
 }
 
-func (p *cuttingProxy) accept(random *rand.Rand) {
+func (p *faultyProxy) accept(random *rand.Rand) {
 	for {
-		near, err := p.listener.Accept()
+		downstream, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", p.target.String())
+		upstream, err := net.Dial("tcp", p.target.String())
 		if err != nil {
-			near.Close()
+			downstream.Close()
 			continue
 		}
-		const longest = 4000
-		requests, replies := random.Int64N(longest), random.Int64N(longest)
-		p.running.Go(func() { pass(far, near, requests) })
-		p.running.Go(func() { pass(near, far, replies) })
+		const maximumBytes = 4000
+		requests, replies := random.Int64N(maximumBytes), random.Int64N(maximumBytes)
+		p.goroutines.Go(func() { copyAndClose(upstream, downstream, requests) })
+		p.goroutines.Go(func() { copyAndClose(downstream, upstream, replies) })
 	}
 }
 
 // pass copies up to so many bytes, then closes both ends.
-func pass(to, from net.Conn, bytes int64) {
+func copyAndClose(to, from net.Conn, bytes int64) {
 	io.CopyN(to, from, bytes)
 	to.Close()
 	from.Close()
 }
 
-func (p *cuttingProxy) address() netip.AddrPort { return p.listener.Addr().(*net.TCPAddr).AddrPort() }
+func (p *faultyProxy) address() netip.AddrPort { return p.listener.Addr().(*net.TCPAddr).AddrPort() }
 
-func (p *cuttingProxy) close() {
+func (p *faultyProxy) close() {
 	p.listener.Close()
-	p.running.Wait()
+	p.goroutines.Wait()
 }
 
 // claim is what a caller was told about one attempt.
-type claim string
+type outcome string
 
 const (
-	claimExecuted claim = "executed"
-	claimNotRun   claim = "not run"
-	claimUnknown  claim = "unknown"
+	reportedExecuted outcome = "executed"
+	reportedNotRun   outcome = "not run"
+	reportedUnknown  outcome = "unknown"
 )
 
-func claimOf(response *protocol.ExecuteResponse, err error) claim {
+func classifyReply(response *protocol.ExecuteResponse, err error) outcome {
 	var transportError *protocol.TransportError
 	switch {
 	case err == nil && response.Executed:
-		return claimExecuted
+		return reportedExecuted
 	case err == nil:
-		return claimNotRun
+		return reportedNotRun
 	case errors.As(err, &transportError) && !transportError.Sent:
-		return claimNotRun
+		return reportedNotRun
 	default:
-		return claimUnknown
+		return reportedUnknown
 	}
 }
 
 // TestClaimsAgreeWithTheExecutionLog sends inserts over connections that are
 // cut at random, cancels some, loses replies and drains at the end. What the
 // callers are told must be true by the leaf's log.
-func TestClaimsAgreeWithTheExecutionLog(t *testing.T) {
+func TestReportedOutcomesMatchExecutionLog(t *testing.T) {
 	const seed, callers, calls = 7, 8, 60
 	config := testConfig()
 	config.Slots, config.Queue = 2, 3
 	config.Insert = ServiceTime{Median: Duration(time.Millisecond), Sigma: 1}
 	server, _ := startTestLeaf(t, config)
-	proxy := startCuttingProxy(t, server.Address(), seed)
+	proxy := startFaultyProxy(t, server.Address(), seed)
 	client := protocol.New(protocol.Config{RedialMinimum: time.Millisecond, RedialMaximum: 4 * time.Millisecond}, nil)
-	claims := make([]map[string]claim, callers)
+	reported := make([]map[string]outcome, callers)
 	var running sync.WaitGroup
 	for caller := range callers {
-		claims[caller] = make(map[string]claim)
+		reported[caller] = make(map[string]outcome)
 		random := rand.New(rand.NewPCG(seed, uint64(caller)))
 		running.Go(func() {
 			for i := range calls {
 				id := fmt.Sprintf("%d-%d", caller, i)
-				claims[caller][id] = insertOnce(proxy.address(), client, id, random)
+				reported[caller][id] = insertOnce(proxy.address(), client, id, random)
 			}
 		})
 	}
@@ -122,10 +122,10 @@
 	if err := server.Drain(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	checkClaims(t, server, claims)
+	checkReportedOutcomes(t, server, reported)
 }
 
-func insertOnce(address netip.AddrPort, client *protocol.Client, id string, random *rand.Rand) claim {
+func insertOnce(address netip.AddrPort, client *protocol.Client, id string, random *rand.Rand) outcome {
 	timeout := time.Second
 	if random.IntN(4) == 0 {
 		timeout = time.Duration(random.IntN(2000)) * time.Microsecond
@@ -133,35 +133,35 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	request := testRequest(id, fmt.Sprintf("insert into rate-desk (quote) values ('%s')", id))
-	return claimOf(client.Execute(ctx, address, request))
+	return classifyReply(client.Execute(ctx, address, request))
 }
 
-func checkClaims(t *testing.T, server *Server, claims []map[string]claim) {
-	executed, records := make(map[string]int), make(map[string]int)
+func checkReportedOutcomes(t *testing.T, server *Server, reported []map[string]outcome) {
+	executed, arrivals := make(map[string]int), make(map[string]int)
 	for _, execution := range server.Executions().Executions {
-		records[execution.RequestID]++
+		arrivals[execution.RequestID]++
 		if execution.Outcome == OutcomeExecuted {
 			executed[execution.RequestID]++
 		}
 	}
-	counts := make(map[claim]int)
-	for _, made := range claims {
-		for id, claim := range made {
-			counts[claim]++
+	counts := make(map[outcome]int)
+	for _, byID := range reported {
+		for id, outcome := range byID {
+			counts[outcome]++
 			switch {
-			case records[id] > 1:
-				t.Errorf("%s arrived %d times", id, records[id])
-			case claim == claimExecuted && executed[id] != 1:
+			case arrivals[id] > 1:
+				t.Errorf("%s arrived %d times", id, arrivals[id])
+			case outcome == reportedExecuted && executed[id] != 1:
 				t.Errorf("%s is said to be executed, the log has it %d times", id, executed[id])
-			case claim == claimNotRun && executed[id] != 0:
+			case outcome == reportedNotRun && executed[id] != 0:
 				t.Errorf("%s is said not to have run, the log has it", id)
 			}
 		}
 	}
-	t.Logf("claims %v, %d arrivals, %d executed", counts, len(records), len(executed))
-	for _, claim := range []claim{claimExecuted, claimNotRun, claimUnknown} {
-		if counts[claim] == 0 {
-			t.Errorf("no call was %s: the faults do not cover it", claim)
+	t.Logf("claims %v, %d arrivals, %d executed", counts, len(arrivals), len(executed))
+	for _, outcome := range []outcome{reportedExecuted, reportedNotRun, reportedUnknown} {
+		if counts[outcome] == 0 {
+			t.Errorf("no call was %s: the faults do not cover it", outcome)
 		}
 	}
 }
--- a/internal/rehearsal/leaf/server.go
+++ b/internal/rehearsal/leaf/server.go
@@ -23,28 +23,28 @@
 )
 
 // bodyLimit bounds the body of a request, in bytes.
-const bodyLimit = 1 << 20
+const maximumBodyBytes = 1 << 20
 
 // Server is a running stand-in leaf.
 type Server struct {
-	config     Config
-	bootID     string
-	started    time.Time
-	logger     *slog.Logger
-	listener   net.Listener
-	http       *http.Server
-	slots      *slots
-	sampler    *sampler
-	holdings   *holdings
-	journal    *journal
-	executions *executionLog
-	faults     *faults
-	reporter   *reporter
-	crossing   crossing
-	parser     parser
-	draining   atomic.Bool
-	stop       context.CancelFunc
-	running    sync.WaitGroup
+	config       Config
+	bootID       string
+	started      time.Time
+	logger       *slog.Logger
+	listener     net.Listener
+	httpServer   *http.Server
+	slots        *slots
+	sampler      *serviceTimeSampler
+	holdings     *holdings
+	journal      *journal
+	executions   *executionLog
+	faults       *faultState
+	reporter     *loadReporter
+	replySwapper replySwapper
+	parser       statementParser
+	draining     atomic.Bool
+	stopSampling context.CancelFunc
+	goroutines   sync.WaitGroup
 }
 
 // Start listens and serves until Close or Drain. The logger must not be nil.
@@ -57,10 +57,10 @@
 		return nil, oops.With("step", "leaf_listen", "peer", config.Listen.String()).Wrap(err)
 	}
 	s := newServer(config, logger, listener)
-	background, stop := context.WithCancel(context.Background())
-	s.stop = stop
-	s.running.Go(func() { s.sampleLoad(background) })
-	s.running.Go(s.serve)
+	sampleContext, stop := context.WithCancel(context.Background())
+	s.stopSampling = stop
+	s.goroutines.Go(func() { s.sampleLoad(sampleContext) })
+	s.goroutines.Go(s.serve)
 	return s, nil
 }
 
@@ -78,15 +78,15 @@
 		started:    time.Now(),
 		listener:   listener,
 		slots:      newSlots(config.Slots, config.Queue),
-		sampler:    newSampler(config.Seed),
+		sampler:    newServiceTimeSampler(config.Seed),
 		holdings:   newHoldings(config, journal),
 		journal:    journal,
 		executions: new(executionLog),
 		faults:     newFaults(config),
 	}
 	s.logger = logger.With("leaf", s.Address().String(), "service", config.Service)
-	s.reporter = &reporter{server: s}
-	s.http = s.newHTTPServer()
+	s.reporter = &loadReporter{server: s}
+	s.httpServer = s.newHTTPServer()
 	return s
 }
 
@@ -117,18 +117,18 @@
 }
 
 func (s *Server) serve() {
-	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.httpServer.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		s.logger.Error("serving ended", "error", err)
 	}
 }
 
 func (s *Server) sampleLoad(ctx context.Context) {
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			s.reporter.sample(now)
+			s.reporter.recordSample(now)
 		case <-ctx.Done():
 			return
 		}
@@ -184,15 +184,15 @@
 // shutdownRound is after how long the connections are asked again to end. A stop
 // without a second round waited its whole time in 2 of 132 plays beside a load of
 // 24 busy processes on 8 cores.
-const shutdownRound = 500 * time.Millisecond
+const shutdownRetryInterval = 500 * time.Millisecond
 
 // shutdown stops the HTTP server. One call of Shutdown notifies only the HTTP/2
 // connections that are up at that moment, and waits for those that come up later,
 // though nothing is asked on them: it is called again until none is left.
 func (s *Server) shutdown(ctx context.Context) error {
 	for {
-		round, cancel := context.WithTimeout(ctx, shutdownRound)
-		err := s.http.Shutdown(round)
+		attempt, cancel := context.WithTimeout(ctx, shutdownRetryInterval)
+		err := s.httpServer.Shutdown(attempt)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			return err
@@ -203,14 +203,14 @@
 // Close cuts all connections and blocks until the server's goroutines have
 // ended. It may be called more than once.
 func (s *Server) Close() {
-	s.stop()
-	s.http.Close()
-	s.running.Wait()
+	s.stopSampling()
+	s.httpServer.Close()
+	s.goroutines.Wait()
 }
 
 // readBody reads a body within the limit. Errors are HTTP errors.
 func readBody(c echo.Context) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, bodyLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maximumBodyBytes))
 	if err != nil {
 		return nil, echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
@@ -218,7 +218,7 @@
 }
 
 // decodeStrictly refuses unknown fields. Errors are HTTP errors.
-func decodeStrictly(body []byte, out any) error {
+func decodeStrict(body []byte, out any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(out); err != nil {
--- a/internal/rehearsal/leaf/service_time.go
+++ b/internal/rehearsal/leaf/service_time.go
@@ -8,17 +8,17 @@
 )
 
 // sampler draws service times from a seeded source.
-type sampler struct {
+type serviceTimeSampler struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 }
 
-func newSampler(seed uint64) *sampler {
-	return &sampler{random: rand.New(rand.NewPCG(seed, seed))}
+func newServiceTimeSampler(seed uint64) *serviceTimeSampler {
+	return &serviceTimeSampler{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
 // draw returns one service time, multiplied by the factor.
-func (s *sampler) draw(distribution ServiceTime, factor float64) time.Duration {
+func (s *serviceTimeSampler) sample(distribution ServiceTime, factor float64) time.Duration {
 	s.mutex.Lock()
 	deviation := s.random.NormFloat64()
 	s.mutex.Unlock()
--- a/internal/rehearsal/leaf/shard_table.go
+++ b/internal/rehearsal/leaf/shard_table.go
@@ -10,13 +10,13 @@
 )
 
 // rememberedResults bounds the results that a shard's table remembers.
-const rememberedResults = 256
+const maximumCachedResults = 256
 
 // shardTable is the rows of one shard at one snapshot. They never change, so
 // it remembers the results of selects: load tests repeat them, and the leaf's
 // own processor time should not hide that of the nodes.
 type shardTable struct {
-	table rows.Table
+	rows  rows.Table
 	shard int
 	// shardCount is the number of shards that the service has in the epoch.
 	shardCount int
@@ -32,27 +32,27 @@
 	if statement.insertion != nil {
 		return t.checkInsert(service, statement.insertion)
 	}
-	if result, known := t.remembered(statement.text); known {
+	if result, cached := t.cachedResult(statement.text); cached {
 		return result, nil
 	}
-	result, err := merge.Evaluate(statement.selection, t.table)
+	result, err := merge.Evaluate(statement.selection, t.rows)
 	if err == nil {
-		t.remember(statement.text, result)
+		t.cacheResult(statement.text, result)
 	}
 	return result, err
 }
 
-func (t *shardTable) remembered(text string) (rows.Table, bool) {
+func (t *shardTable) cachedResult(text string) (rows.Table, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	result, known := t.results[text]
-	return result, known
+	result, cached := t.results[text]
+	return result, cached
 }
 
-func (t *shardTable) remember(text string, result rows.Table) {
+func (t *shardTable) cacheResult(text string, result rows.Table) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.results == nil || len(t.results) >= rememberedResults {
+	if t.results == nil || len(t.results) >= maximumCachedResults {
 		t.results = make(map[string]rows.Table)
 	}
 	t.results[text] = result
@@ -61,16 +61,16 @@
 // checkInsert returns the result of an insert that fits the shard.
 func (t *shardTable) checkInsert(service string, insertion *language.Insert) (rows.Table, error) {
 	for _, column := range insertion.Columns {
-		if t.table.Column(column) < 0 {
+		if t.rows.Column(column) < 0 {
 			return rows.Table{}, &merge.UnknownColumnError{Column: column}
 		}
 	}
-	key, named := insertion.Value(KeyColumn(service))
-	if !named {
+	key, exists := insertion.Value(KeyColumn(service))
+	if !exists {
 		return rows.Table{}, fmt.Errorf("an insert has to name the key column %q", KeyColumn(service))
 	}
-	if placed := ShardOf(key, t.shardCount); placed != t.shard {
-		return rows.Table{}, fmt.Errorf("the key %s belongs to shard %d", key, placed)
+	if shard := ShardOf(key, t.shardCount); shard != t.shard {
+		return rows.Table{}, fmt.Errorf("the key %s belongs to shard %d", key, shard)
 	}
 	return rows.Table{Columns: []string{"inserted"}, Rows: []rows.Row{{rows.NumberOf(1)}}}, nil
 }
--- a/internal/rehearsal/leaf/slots.go
+++ b/internal/rehearsal/leaf/slots.go
@@ -10,26 +10,26 @@
 )
 
 // smoothing is the weight of a new service time in the running mean.
-const smoothing = 0.1
+const serviceTimeSmoothing = 0.1
 
 // slots runs a bounded number of requests at once; others wait in order of
 // arrival, up to a bound.
 type slots struct {
-	mutex   sync.Mutex
-	total   int
-	busy    int
-	limit   int
-	waiting list.List // of *waiter
+	mutex      sync.Mutex
+	capacity   int
+	busy       int
+	queueLimit int
+	queue      list.List // of *waiter
 	// mean is the running mean of the service time.
-	mean time.Duration
+	meanServiceTime time.Duration
 }
 
 type waiter struct {
 	granted chan struct{}
 }
 
-func newSlots(total, limit int) *slots {
-	return &slots{total: total, limit: limit}
+func newSlots(capacity, queueLimit int) *slots {
+	return &slots{capacity: capacity, queueLimit: queueLimit}
 }
 
 // acquire blocks until the request has a slot, its remaining time is used up,
@@ -40,7 +40,7 @@
 	if remaining <= 0 {
 		return protocol.RefusedLate, nil
 	}
-	w, element, refusal := s.enter(remaining)
+	w, element, refusal := s.acquireOrEnqueue(remaining)
 	if w == nil {
 		return refusal, nil
 	}
@@ -50,41 +50,41 @@
 	case <-w.granted:
 		return protocol.RefusedNone, nil
 	case <-timer.C:
-		s.leave(w, element)
+		s.abandon(w, element)
 		return protocol.RefusedLate, nil
 	case <-ctx.Done():
-		s.leave(w, element)
+		s.abandon(w, element)
 		return protocol.RefusedNone, ctx.Err()
 	}
 }
 
 // enter takes a slot or queues a waiter, or returns neither and a refusal.
-func (s *slots) enter(remaining time.Duration) (*waiter, *list.Element, protocol.Refusal) {
+func (s *slots) acquireOrEnqueue(remaining time.Duration) (*waiter, *list.Element, protocol.Refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.busy < s.total {
+	if s.busy < s.capacity {
 		s.busy++
 		return nil, nil, protocol.RefusedNone
 	}
-	queued := s.waiting.Len()
-	predicted := s.mean * time.Duration(queued+1) / time.Duration(s.total)
-	if queued >= s.limit || predicted > remaining {
+	queued := s.queue.Len()
+	predicted := s.meanServiceTime * time.Duration(queued+1) / time.Duration(s.capacity)
+	if queued >= s.queueLimit || predicted > remaining {
 		return nil, nil, protocol.RefusedShed
 	}
 	w := &waiter{granted: make(chan struct{})}
-	return w, s.waiting.PushBack(w), protocol.RefusedNone
+	return w, s.queue.PushBack(w), protocol.RefusedNone
 }
 
 // leave takes a waiter out of the queue, or gives its slot back if it was
 // granted one meanwhile.
-func (s *slots) leave(w *waiter, element *list.Element) {
+func (s *slots) abandon(w *waiter, element *list.Element) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	select {
 	case <-w.granted:
-		s.passOn()
+		s.freeSlot()
 	default:
-		s.waiting.Remove(element)
+		s.queue.Remove(element)
 	}
 }
 
@@ -92,17 +92,17 @@
 func (s *slots) release(held time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.mean == 0 {
-		s.mean = held
+	if s.meanServiceTime == 0 {
+		s.meanServiceTime = held
 	}
-	s.mean += time.Duration(smoothing * float64(held-s.mean))
-	s.passOn()
+	s.meanServiceTime += time.Duration(serviceTimeSmoothing * float64(held-s.meanServiceTime))
+	s.freeSlot()
 }
 
-func (s *slots) passOn() {
+func (s *slots) freeSlot() {
 	s.busy--
-	if front := s.waiting.Front(); front != nil && s.busy < s.total {
-		s.waiting.Remove(front)
+	if front := s.queue.Front(); front != nil && s.busy < s.capacity {
+		s.queue.Remove(front)
 		s.busy++
 		close(front.Value.(*waiter).granted)
 	}
@@ -112,5 +112,5 @@
 func (s *slots) occupancy() (busy, queue int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.busy, s.waiting.Len()
+	return s.busy, s.queue.Len()
 }
--- a/internal/rehearsal/leaf/slots_test.go
+++ b/internal/rehearsal/leaf/slots_test.go
@@ -12,12 +12,12 @@
 )
 
 // queuedWaiter is a request that the model has in its queue.
-type queuedWaiter struct {
+type modelWaiter struct {
 	*waiter
 	element *list.Element
 }
 
-func (q queuedWaiter) isGranted() bool {
+func (q modelWaiter) isGranted() bool {
 	select {
 	case <-q.granted:
 		return true
@@ -28,23 +28,23 @@
 
 // TestSlotsServeInOrderOfArrival compares with a model: a count of busy slots
 // and a queue from which requests may leave at any time.
-func TestSlotsServeInOrderOfArrival(t *testing.T) {
+func TestSlotsFollowFIFOModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		total := rapid.IntRange(1, 3).Draw(t, "total")
-		limit := rapid.IntRange(0, 4).Draw(t, "limit")
-		s := newSlots(total, limit)
-		busy, queue := 0, []queuedWaiter{}
+		capacity := rapid.IntRange(1, 3).Draw(t, "total")
+		queueLimit := rapid.IntRange(0, 4).Draw(t, "limit")
+		s := newSlots(capacity, queueLimit)
+		busy, queue := 0, []modelWaiter{}
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
-				w, element, refusal := s.enter(time.Hour)
+				w, element, refusal := s.acquireOrEnqueue(time.Hour)
 				switch {
-				case busy < total:
+				case busy < capacity:
 					busy++
 					if w != nil || refusal != protocol.RefusedNone {
 						t.Fatal("a free slot is not given")
 					}
-				case len(queue) < limit:
-					queue = append(queue, queuedWaiter{w, element})
+				case len(queue) < queueLimit:
+					queue = append(queue, modelWaiter{w, element})
 				case refusal != protocol.RefusedShed:
 					t.Fatal("the full queue takes a request")
 				}
@@ -68,15 +68,15 @@
 					t.Skip("nothing waits")
 				}
 				place := rapid.IntRange(0, len(queue)-1).Draw(t, "place")
-				s.leave(queue[place].waiter, queue[place].element)
+				s.abandon(queue[place].waiter, queue[place].element)
 				queue = slices.Delete(queue, place, place+1)
 			},
 			"": func(t *rapid.T) {
-				nowBusy, nowQueue := s.occupancy()
-				if nowBusy != busy || nowQueue != len(queue) {
-					t.Fatalf("%d busy and %d queued, expected %d and %d", nowBusy, nowQueue, busy, len(queue))
+				gotBusy, gotQueue := s.occupancy()
+				if gotBusy != busy || gotQueue != len(queue) {
+					t.Fatalf("%d busy and %d queued, expected %d and %d", gotBusy, gotQueue, busy, len(queue))
 				}
-				if slices.ContainsFunc(queue, queuedWaiter.isGranted) {
+				if slices.ContainsFunc(queue, modelWaiter.isGranted) {
 					t.Fatal("served out of turn")
 				}
 			},
--- a/internal/rehearsal/leaf/statement.go
+++ b/internal/rehearsal/leaf/statement.go
@@ -15,22 +15,22 @@
 	insertion *language.Insert
 }
 
-var errNotRunnable = errors.New("a leaf runs only select and insert")
+var errUnsupportedStatement = errors.New("a leaf runs only select and insert")
 
 // rememberedStatements bounds the statements that a parser remembers.
-const rememberedStatements = 1024
+const maximumCachedStatements = 1024
 
 // parser parses statements and remembers them.
-type parser struct {
-	mutex sync.Mutex
-	known map[string]statement
+type statementParser struct {
+	mutex  sync.Mutex
+	cached map[string]statement
 }
 
-func (p *parser) parse(text string) (statement, error) {
+func (p *statementParser) parse(text string) (statement, error) {
 	p.mutex.Lock()
-	parsed, known := p.known[text]
+	parsed, cached := p.cached[text]
 	p.mutex.Unlock()
-	if known {
+	if cached {
 		return parsed, nil
 	}
 	parsed, err := parseStatement(text)
@@ -39,10 +39,10 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.known == nil || len(p.known) >= rememberedStatements {
-		p.known = make(map[string]statement)
+	if p.cached == nil || len(p.cached) >= maximumCachedStatements {
+		p.cached = make(map[string]statement)
 	}
-	p.known[text] = parsed
+	p.cached[text] = parsed
 	return parsed, nil
 }
 
@@ -57,12 +57,12 @@
 	case *language.Insert:
 		return statement{text: text, insertion: parsed}, nil
 	default:
-		return statement{}, errNotRunnable
+		return statement{}, errUnsupportedStatement
 	}
 }
 
 // inserts returns the rows to insert, none for a select.
-func (s statement) inserts(service string, version uint64) []rows.Row {
+func (s statement) insertedRows(service string, version uint64) []rows.Row {
 	if s.insertion == nil {
 		return nil
 	}
