--- a/internal/rehearsal/load/config.go
+++ b/internal/rehearsal/load/config.go
@@ -79,10 +79,10 @@
 // Load reads a TOML file over the defaults. Unknown keys are errors. It does
 // not check the values: the command line may still change them, and Run checks.
 func Load(path string) (Config, error) {
-	wrong := oops.In("load").With("step", "load", "path", path)
+	failure := oops.In("load").With("step", "load", "path", path)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, wrong.Wrap(err)
+		return Config{}, failure.Wrap(err)
 	}
 	config := DefaultConfig()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&config); err != nil {
@@ -90,7 +90,7 @@
 		if errors.As(err, &unknown) {
 			err = fmt.Errorf("unknown keys:\n%s", unknown.String())
 		}
-		return Config{}, wrong.Wrap(err)
+		return Config{}, failure.Wrap(err)
 	}
 	return config, nil
 }
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -20,14 +20,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // fakeNode answers every query; answer may change the response.
-func fakeNode(t *testing.T, answer func(http.ResponseWriter, *api.QueryRequest) bool) string {
+func startFakeNode(t *testing.T, respond func(http.ResponseWriter, *api.QueryRequest) bool) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		var query api.QueryRequest
 		if err := json.NewDecoder(request.Body).Decode(&query); err != nil {
 			t.Error(err)
 		}
-		if answer != nil && answer(writer, &query) {
+		if respond != nil && respond(writer, &query) {
 			return
 		}
 		_ = json.NewEncoder(writer).Encode(api.QueryResponse{
@@ -53,11 +53,11 @@
 
 func TestRunCountsEveryRequest(t *testing.T) {
 	var mutex sync.Mutex
-	seen := make(map[string]int)
-	target := fakeNode(t, func(_ http.ResponseWriter, query *api.QueryRequest) bool {
+	countsByID := make(map[string]int)
+	target := startFakeNode(t, func(_ http.ResponseWriter, query *api.QueryRequest) bool {
 		mutex.Lock()
 		defer mutex.Unlock()
-		seen[query.RequestID]++
+		countsByID[query.RequestID]++
 		return false
 	})
 	var progress bytes.Buffer
@@ -72,17 +72,17 @@
 			t.Errorf("%+v", class)
 		}
 	}
-	if result.Sent == 0 || answered != result.Sent || len(seen) != result.Sent || progress.Len() == 0 {
-		t.Errorf("%d sent, %d answered, %d ids", result.Sent, answered, len(seen))
+	if result.Sent == 0 || answered != result.Sent || len(countsByID) != result.Sent || progress.Len() == 0 {
+		t.Errorf("%d sent, %d answered, %d ids", result.Sent, answered, len(countsByID))
 	}
 }
 
 // TestStallCountsFromTheDueTime stalls the only slot for a while: the requests
 // that were due meanwhile must show the wait, though each is served at once.
-func TestStallCountsFromTheDueTime(t *testing.T) {
+func TestLatencyIncludesTimeSinceDue(t *testing.T) {
 	var once sync.Once
 	const stall = 300 * time.Millisecond
-	target := fakeNode(t, func(http.ResponseWriter, *api.QueryRequest) bool {
+	target := startFakeNode(t, func(http.ResponseWriter, *api.QueryRequest) bool {
 		once.Do(func() { time.Sleep(stall) })
 		return false
 	})
@@ -100,8 +100,8 @@
 	}
 }
 
-func TestRefusalsAndWrongAnswers(t *testing.T) {
-	target := fakeNode(t, func(writer http.ResponseWriter, query *api.QueryRequest) bool {
+func TestRefusalsAndMismatchedAnswersAreCounted(t *testing.T) {
+	target := startFakeNode(t, func(writer http.ResponseWriter, query *api.QueryRequest) bool {
 		if query.Class == "spot-check" {
 			writer.WriteHeader(http.StatusTooManyRequests)
 			_ = json.NewEncoder(writer).Encode(api.Problem{Type: api.ProblemNotRunOverload, RequestID: query.RequestID, Outcome: dispatch.OutcomeNotRun})
@@ -128,12 +128,12 @@
 	config.MaximumRequests = 50
 	first, second := newSchedule(&config, time.Time{}), newSchedule(&config, time.Time{})
 	for count := 0; ; count++ {
-		a, more := first.next()
-		b, also := second.next()
-		if a != b || more != also {
+		a, firstMore := first.next()
+		b, secondMore := second.next()
+		if a != b || firstMore != secondMore {
 			t.Fatalf("%+v and %+v", a, b)
 		}
-		if !more {
+		if !firstMore {
 			if count != config.MaximumRequests {
 				t.Errorf("%d requests", count)
 			}
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestCommittedFilesLoad(t *testing.T) {
+func TestExperimentFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../experiments/load/*.toml")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("%v %v", paths, err)
--- a/internal/rehearsal/load/request.go
+++ b/internal/rehearsal/load/request.go
@@ -15,10 +15,10 @@
 )
 
 // maximumBody bounds what is read of an answer.
-const maximumBody = 64 << 20
+const maximumBodyBytes = 64 << 20
 
 // received is what an answer said.
-type received struct {
+type reply struct {
 	outcome dispatch.Outcome
 	// problem is the type of the problem document, if there was one.
 	problem  api.ProblemType
@@ -27,70 +27,70 @@
 	// retryAfter is set if a refusal says when to come back.
 	retryAfter bool
 	// transport is set if no answer came at all.
-	transport bool
+	transportError bool
 	// wrong is set if the answer is not one to the request, or contradicts
 	// itself.
-	wrong bool
+	invalid bool
 }
 
 // perform sends one request and reads its answer.
-func perform(config *Config, client *http.Client, due call) answer {
-	class := &config.Classes[due.class]
+func sendRequest(config *Config, client *http.Client, request scheduledRequest) requestResult {
+	class := &config.Classes[request.class]
 	id := ulid.Make().String()
 	body, err := json.Marshal(api.QueryRequest{
-		RequestID: id, Class: class.Class, Statement: due.body,
+		RequestID: id, Class: class.Class, Statement: request.statement,
 		DeadlineMilliseconds: class.DeadlineMilliseconds, MinimumCoverage: class.MinimumCoverage,
 	})
 	if err != nil {
-		return answer{call: due, received: received{wrong: true}}
+		return requestResult{scheduledRequest: request, reply: reply{invalid: true}}
 	}
 	path := strings.Replace(api.QueryPath, "{service}", class.Service, 1)
 	sent := time.Now()
-	got := exchange(client, due.target+path, id, body)
+	got := postQuery(client, request.target+path, id, body)
 	ended := time.Now()
-	return answer{call: due, latency: ended.Sub(due.due), service: ended.Sub(sent), received: got}
+	return requestResult{scheduledRequest: request, latency: ended.Sub(request.due), serviceTime: ended.Sub(sent), reply: got}
 }
 
-func exchange(client *http.Client, url, id string, body []byte) received {
+func postQuery(client *http.Client, url, id string, body []byte) reply {
 	response, err := client.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
-		return received{transport: true}
+		return reply{transportError: true}
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maximumBody))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maximumBodyBytes))
 	if err != nil {
-		return received{transport: true}
+		return reply{transportError: true}
 	}
 	if response.StatusCode != http.StatusOK {
-		return readProblem(response, id, text)
+		return parseProblem(response, id, text)
 	}
-	return readAnswer(id, text)
+	return parseAnswer(id, text)
 }
 
-func readProblem(response *http.Response, id string, text []byte) received {
+func parseProblem(response *http.Response, id string, text []byte) reply {
 	var problem api.Problem
 	if err := json.Unmarshal(text, &problem); err != nil {
-		return received{wrong: true}
+		return reply{invalid: true}
 	}
-	return received{
+	return reply{
 		outcome:    problem.Outcome,
 		problem:    problem.Type,
 		retryAfter: response.Header.Get("Retry-After") != "",
-		wrong:      problem.RequestID != "" && problem.RequestID != id,
+		invalid:    problem.RequestID != "" && problem.RequestID != id,
 	}
 }
 
-func readAnswer(id string, text []byte) received {
+func parseAnswer(id string, text []byte) reply {
 	var response api.QueryResponse
 	if err := json.Unmarshal(text, &response); err != nil {
-		return received{wrong: true}
+		return reply{invalid: true}
 	}
 	coverage := response.Coverage
 	consistent := coverage.Answered+len(coverage.Missing) == coverage.Total && coverage.Total > 0
-	return received{
+	return reply{
 		outcome:  response.Outcome,
 		coverage: float64(coverage.Answered) / float64(max(coverage.Total, 1)),
 		rows:     len(response.Rows),
-		wrong:    response.RequestID != id || !consistent,
+		invalid:  response.RequestID != id || !consistent,
 	}
 }
--- a/internal/rehearsal/load/result.go
+++ b/internal/rehearsal/load/result.go
@@ -65,7 +65,7 @@
 	latencyDigits  = 3
 )
 
-func quantilesOf(histogram *hdrhistogram.Histogram) Quantiles {
+func newQuantiles(histogram *hdrhistogram.Histogram) Quantiles {
 	at := func(percent float64) float64 { return float64(histogram.ValueAtQuantile(percent)) / 1000 }
 	return Quantiles{
 		Count: histogram.TotalCount(), Mean: histogram.Mean() / 1000,
@@ -76,19 +76,19 @@
 
 // collector gathers the answers; one goroutine owns it.
 type collector struct {
-	config   *Config
-	progress io.Writer
-	started  time.Time
-	ended    int
-	classes  []*classCollector
-	all      *hdrhistogram.Histogram
-	failed   int
+	config      *Config
+	progress    io.Writer
+	started     time.Time
+	completed   int
+	classes     []*classCollector
+	latency     *hdrhistogram.Histogram
+	notAnswered int
 }
 
 type classCollector struct {
-	result                     ClassResult
-	covered                    float64
-	latency, service, refusals *hdrhistogram.Histogram
+	result                        ClassResult
+	coverageSum                   float64
+	latency, serviceTime, refusal *hdrhistogram.Histogram
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -96,100 +96,100 @@
 }
 
 // record puts a latency in; none is beyond the bounds.
-func record(histogram *hdrhistogram.Histogram, latency time.Duration) {
+func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	_ = histogram.RecordValue(min(max(latency.Microseconds(), lowestLatency), highestLatency))
 }
 
 func newCollector(config *Config, progress io.Writer) *collector {
-	c := &collector{config: config, progress: progress, started: time.Now(), all: newHistogram()}
+	c := &collector{config: config, progress: progress, started: time.Now(), latency: newHistogram()}
 	for _, class := range config.Classes {
 		c.classes = append(c.classes, &classCollector{
 			result: ClassResult{
 				Service: class.Service, Class: class.Class,
 				Outcomes: make(map[dispatch.Outcome]int), Problems: make(map[api.ProblemType]int),
 			},
-			latency: newHistogram(), service: newHistogram(), refusals: newHistogram(),
+			latency: newHistogram(), serviceTime: newHistogram(), refusal: newHistogram(),
 		})
 	}
 	return c
 }
 
 // run takes answers until there are no more, and reports progress.
-func (c *collector) run(answers <-chan answer) {
+func (c *collector) run(results <-chan requestResult) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		select {
-		case got, ok := <-answers:
+		case result, ok := <-results:
 			if !ok {
-				c.report()
+				c.writeProgress()
 				return
 			}
-			c.take(got)
+			c.add(result)
 		case <-ticker.C:
-			c.report()
+			c.writeProgress()
 		}
 	}
 }
 
-func (c *collector) take(got answer) {
-	c.ended++
-	if got.outcome != dispatch.OutcomeAnswered {
-		c.failed++
+func (c *collector) add(result requestResult) {
+	c.completed++
+	if result.outcome != dispatch.OutcomeAnswered {
+		c.notAnswered++
 	}
-	record(c.all, got.latency)
-	if got.measured {
-		c.classes[got.class].take(got)
+	recordLatency(c.latency, result.latency)
+	if result.measured {
+		c.classes[result.class].add(result)
 	}
 }
 
-func (c *classCollector) take(got answer) {
+func (c *classCollector) add(result requestResult) {
 	c.result.Sent++
-	if got.wrong {
+	if result.invalid {
 		c.result.Wrong++
 	}
-	if got.transport {
+	if result.transportError {
 		c.result.Transport++
 		return
 	}
-	c.result.Outcomes[got.outcome]++
-	if got.problem != "" {
-		c.result.Problems[got.problem]++
+	c.result.Outcomes[result.outcome]++
+	if result.problem != "" {
+		c.result.Problems[result.problem]++
 	}
-	switch got.outcome {
+	switch result.outcome {
 	case dispatch.OutcomeAnswered, dispatch.OutcomePartial:
-		c.covered += got.coverage
-		c.result.Rows += got.rows
-		record(c.latency, got.latency)
-		record(c.service, got.service)
+		c.coverageSum += result.coverage
+		c.result.Rows += result.rows
+		recordLatency(c.latency, result.latency)
+		recordLatency(c.serviceTime, result.serviceTime)
 	case dispatch.OutcomeNotRun:
-		record(c.refusals, got.latency)
-		if !got.retryAfter {
+		recordLatency(c.refusal, result.latency)
+		if !result.retryAfter {
 			c.result.Bare++
 		}
 	}
 }
 
 // report writes one line of progress.
-func (c *collector) report() {
+func (c *collector) writeProgress() {
 	if c.progress == nil {
 		return
 	}
 	elapsed := time.Since(c.started).Seconds()
 	fmt.Fprintf(c.progress, "%6.1f s  %8d ended  %8.1f/s  p50 %8.2f ms  p99 %8.2f ms  %d not answered\n",
-		elapsed, c.ended, float64(c.ended)/elapsed,
-		float64(c.all.ValueAtQuantile(50))/1000, float64(c.all.ValueAtQuantile(99))/1000, c.failed)
+		elapsed, c.completed, float64(c.completed)/elapsed,
+		float64(c.latency.ValueAtQuantile(50))/1000, float64(c.latency.ValueAtQuantile(99))/1000, c.notAnswered)
 }
 
 func (c *collector) result() Result {
 	result := Result{Config: *c.config}
 	for _, class := range c.classes {
 		summary := class.result
-		summary.Latency = quantilesOf(class.latency)
-		summary.ServiceTime = quantilesOf(class.service)
-		summary.Refusal = quantilesOf(class.refusals)
+		summary.Latency = newQuantiles(class.latency)
+		summary.ServiceTime = newQuantiles(class.serviceTime)
+		summary.Refusal = newQuantiles(class.refusal)
 		if answered := class.latency.TotalCount(); answered > 0 {
-			summary.Coverage = class.covered / float64(answered)
+			summary.Coverage = class.coverageSum / float64(answered)
 		}
 		result.Sent += summary.Sent
 		result.Classes = append(result.Classes, summary)
--- a/internal/rehearsal/load/run.go
+++ b/internal/rehearsal/load/run.go
@@ -12,21 +12,21 @@
 )
 
 // call is one request that is due.
-type call struct {
-	class    int
-	target   string
-	body     string // the statement
-	due      time.Time
-	measured bool
+type scheduledRequest struct {
+	class     int
+	target    string
+	statement string // the statement
+	due       time.Time
+	measured  bool
 }
 
 // answer is what came of a call.
-type answer struct {
-	call
+type requestResult struct {
+	scheduledRequest
 	// latency counts from when the call was due, service from when it was
 	// sent.
-	latency, service time.Duration
-	received
+	latency, serviceTime time.Duration
+	reply
 }
 
 // Run sends the load and blocks until every request has ended, at most the
@@ -40,14 +40,14 @@
 	client := newClient(&config)
 	defer client.CloseIdleConnections()
 	collector := newCollector(&config, progress)
-	answers := make(chan answer, config.MaximumInFlight)
+	results := make(chan requestResult, config.MaximumInFlight)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		collector.run(answers)
+		collector.run(results)
 	}()
-	err := send(ctx, &config, client, answers)
-	close(answers)
+	err := sendScheduled(ctx, &config, client, results)
+	close(results)
 	<-done
 	return collector.result(), err
 }
@@ -63,10 +63,10 @@
 
 // send starts each request when it is due, or as soon after as the bound on
 // requests in flight allows, and waits for the last one.
-func send(ctx context.Context, config *Config, client *http.Client, answers chan<- answer) error {
+func sendScheduled(ctx context.Context, config *Config, client *http.Client, results chan<- requestResult) error {
 	var running sync.WaitGroup
 	defer running.Wait()
-	room := make(chan struct{}, config.MaximumInFlight)
+	inFlight := make(chan struct{}, config.MaximumInFlight)
 	schedule := newSchedule(config, time.Now())
 	for {
 		next, ok := schedule.next()
@@ -77,13 +77,13 @@
 			return err
 		}
 		select {
-		case room <- struct{}{}:
+		case inFlight <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		running.Go(func() {
-			answers <- perform(config, client, next)
-			<-room
+			results <- sendRequest(config, client, next)
+			<-inFlight
 		})
 	}
 }
@@ -106,45 +106,45 @@
 
 // schedule draws the calls of a run, one after another.
 type schedule struct {
-	config *Config
-	random *rand.Rand
-	start  time.Time
-	offset time.Duration
-	count  int
-	shares float64
+	config     *Config
+	random     *rand.Rand
+	start      time.Time
+	offset     time.Duration
+	count      int
+	totalShare float64
 }
 
 func newSchedule(config *Config, start time.Time) *schedule {
 	s := &schedule{config: config, random: rand.New(rand.NewPCG(config.Seed, 1)), start: start}
 	for _, class := range config.Classes {
-		s.shares += class.Share
+		s.totalShare += class.Share
 	}
 	return s
 }
 
 // next returns the next call, or false at the end of the run.
-func (s *schedule) next() (call, bool) {
+func (s *schedule) next() (scheduledRequest, bool) {
 	gap := 1 / s.config.Rate
 	if !s.config.Even {
 		gap *= s.random.ExpFloat64()
 	}
 	s.offset += time.Duration(gap * float64(time.Second))
 	if s.offset > time.Duration(s.config.Duration) || s.count >= s.config.MaximumRequests {
-		return call{}, false
+		return scheduledRequest{}, false
 	}
 	s.count++
 	class := s.drawClass()
-	return call{
-		class:    class,
-		target:   s.config.Targets[s.count%len(s.config.Targets)],
-		body:     s.statement(&s.config.Classes[class]),
-		due:      s.start.Add(s.offset),
-		measured: s.offset >= time.Duration(s.config.WarmUp),
+	return scheduledRequest{
+		class:     class,
+		target:    s.config.Targets[s.count%len(s.config.Targets)],
+		statement: s.fillStatement(&s.config.Classes[class]),
+		due:       s.start.Add(s.offset),
+		measured:  s.offset >= time.Duration(s.config.WarmUp),
 	}, true
 }
 
 func (s *schedule) drawClass() int {
-	drawn := s.random.Float64() * s.shares
+	drawn := s.random.Float64() * s.totalShare
 	for i, class := range s.config.Classes {
 		drawn -= class.Share
 		if drawn < 0 {
@@ -155,7 +155,7 @@
 }
 
 // statement fills the places of a class's statement.
-func (s *schedule) statement(class *Class) string {
+func (s *schedule) fillStatement(class *Class) string {
 	value := ""
 	if len(class.Values) > 0 {
 		value = class.Values[s.random.IntN(len(class.Values))]
