--- a/internal/rehearsal/machines/history.go
+++ b/internal/rehearsal/machines/history.go
@@ -10,47 +10,47 @@
 
 // version is the list as it was from one moment on. It is not modified after
 // it has been appended to a history.
-type version struct {
-	since    time.Time
-	machines []machines.Machine
+type listVersion struct {
+	validFrom time.Time
+	machines  []machines.Machine
 }
 
 // history holds every version of the list, the newest last.
 type history struct {
-	versions []version
+	versions []listVersion
 }
 
 func newHistory(initial []machines.Machine, now time.Time) *history {
-	return &history{versions: []version{{since: now, machines: slices.Clone(initial)}}}
+	return &history{versions: []listVersion{{validFrom: now, machines: slices.Clone(initial)}}}
 }
 
 // at returns the list as it was at the given time, or the first one if the
 // time is before the start.
-func (h *history) at(when time.Time) machines.List {
-	found := h.versions[0]
+func (h *history) listAt(moment time.Time) machines.List {
+	current := h.versions[0]
 	for _, candidate := range h.versions {
-		if !candidate.since.After(when) {
-			found = candidate
+		if !candidate.validFrom.After(moment) {
+			current = candidate
 		}
 	}
-	return machines.List{AsOfUnixMilliseconds: when.UnixMilli(), Machines: found.machines}
+	return machines.List{AsOfUnixMilliseconds: moment.UnixMilli(), Machines: current.machines}
 }
 
-func (h *history) change(request ControlRequest, now time.Time) {
+func (h *history) apply(request ControlRequest, now time.Time) {
 	list := slices.Clone(h.versions[len(h.versions)-1].machines)
 	for _, added := range request.Add {
-		list = slices.DeleteFunc(list, at(added.Address))
+		list = slices.DeleteFunc(list, hasAddress(added.Address))
 		list = append(list, added)
 	}
 	setState(list, request.Leave, machines.StateLeaving)
 	setState(list, request.Gone, machines.StateGone)
 	for _, address := range request.Remove {
-		list = slices.DeleteFunc(list, at(address))
+		list = slices.DeleteFunc(list, hasAddress(address))
 	}
-	h.versions = append(h.versions, version{since: now, machines: list})
+	h.versions = append(h.versions, listVersion{validFrom: now, machines: list})
 }
 
-func at(address netip.AddrPort) func(machines.Machine) bool {
+func hasAddress(address netip.AddrPort) func(machines.Machine) bool {
 	return func(machine machines.Machine) bool { return machine.Address == address }
 }
 
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -24,8 +24,8 @@
 const ControlPath = "/control"
 
 const (
-	headerTimeout    = 5 * time.Second
-	maximumBodyBytes = 1 << 20
+	readHeaderTimeout = 5 * time.Second
+	maximumBodyBytes  = 1 << 20
 )
 
 // Config says where the stand-in listens and how it starts.
@@ -54,10 +54,10 @@
 
 // Server is a running stand-in.
 type Server struct {
-	logger   *slog.Logger
-	listener net.Listener
-	http     *http.Server
-	working  sync.WaitGroup
+	logger     *slog.Logger
+	listener   net.Listener
+	httpServer *http.Server
+	goroutines sync.WaitGroup
 
 	mutex   sync.Mutex
 	history *history
@@ -67,29 +67,29 @@
 
 // Start listens and serves until Close.
 func Start(config Config, logger *slog.Logger) (*Server, error) {
-	failed := oops.In("rehearsal.machines").With("step", "listen", "peer", config.Address)
+	failure := oops.In("rehearsal.machines").With("step", "listen", "peer", config.Address)
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(config); err != nil {
-		return nil, failed.Wrap(err)
+		return nil, failure.Wrap(err)
 	}
 	if _, err := netip.ParseAddrPort(config.Address); err != nil {
-		return nil, failed.Errorf("address: expected an IP address with a port, found %q", config.Address)
+		return nil, failure.Errorf("address: expected an IP address with a port, found %q", config.Address)
 	}
 	if err := (machines.List{Machines: config.Machines}).Check(); err != nil {
-		return nil, failed.Wrap(err)
+		return nil, failure.Wrap(err)
 	}
 	listener, err := net.Listen("tcp", config.Address)
 	if err != nil {
-		return nil, failed.Wrap(err)
+		return nil, failure.Wrap(err)
 	}
 	server := &Server{
 		logger: logger, listener: listener, lag: config.Lag.Duration(),
 		history: newHistory(config.Machines, time.Now()),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+machines.ListPath, server.list)
-	mux.HandleFunc("POST "+ControlPath, server.control)
-	server.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	server.working.Go(server.serve)
+	mux.HandleFunc("GET "+machines.ListPath, server.handleList)
+	mux.HandleFunc("POST "+ControlPath, server.handleControl)
+	server.httpServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	server.goroutines.Go(server.serve)
 	return server, nil
 }
 
@@ -98,8 +98,8 @@
 
 // Close stops serving. It may be called once.
 func (s *Server) Close() {
-	_ = s.http.Close()
-	s.working.Wait()
+	_ = s.httpServer.Close()
+	s.goroutines.Wait()
 }
 
 // Control carries out a request as POST to ControlPath does.
@@ -112,19 +112,19 @@
 	if request.Down != nil {
 		s.down = *request.Down
 	}
-	s.history.change(request, time.Now())
+	s.history.apply(request, time.Now())
 }
 
 func (s *Server) serve() {
-	if err := s.http.Serve(s.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := s.httpServer.Serve(s.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		s.logger.Error("machine list stand-in stopped", "error", err)
 	}
 }
 
-func (s *Server) list(writer http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleList(writer http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
 	down := s.down
-	list := s.history.at(time.Now().Add(-s.lag))
+	list := s.history.listAt(time.Now().Add(-s.lag))
 	s.mutex.Unlock()
 	if down {
 		http.Error(writer, "down", http.StatusServiceUnavailable)
@@ -134,7 +134,7 @@
 	_ = json.NewEncoder(writer).Encode(list)
 }
 
-func (s *Server) control(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) handleControl(writer http.ResponseWriter, request *http.Request) {
 	var body ControlRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maximumBodyBytes))
 	decoder.DisallowUnknownFields()
--- a/internal/rehearsal/machines/server_test.go
+++ b/internal/rehearsal/machines/server_test.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/goleak"
 
-	standin "github.com/micaplank/micaplank/internal/rehearsal/machines"
+	fakemachines "github.com/micaplank/micaplank/internal/rehearsal/machines"
 	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 	"github.com/micaplank/micaplank/internal/settings"
 )
@@ -19,9 +19,9 @@
 
 var leafAddress = netip.MustParseAddrPort("127.0.0.1:7101")
 
-func start(t *testing.T, lag time.Duration) (*standin.Server, *machines.Poller) {
+func startListAndPoller(t *testing.T, lag time.Duration) (*fakemachines.Server, *machines.Poller) {
 	t.Helper()
-	server, err := standin.Start(standin.Config{
+	server, err := fakemachines.Start(fakemachines.Config{
 		Address: "127.0.0.1:0", Lag: settings.Duration(lag),
 		Machines: []machines.Machine{{Address: leafAddress, Kind: machines.KindLeaf, State: machines.StateLive, BootID: "b1"}},
 	}, slog.New(slog.DiscardHandler))
@@ -33,8 +33,8 @@
 	return server, machines.NewPoller(config, rand.New(rand.NewPCG(1, 2)), nil)
 }
 
-func TestPollerSeesChanges(t *testing.T) {
-	server, poller := start(t, 0)
+func TestPollerReceivesChanges(t *testing.T) {
+	server, poller := startListAndPoller(t, 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	readings := make(chan machines.List)
 	done := make(chan struct{})
@@ -48,7 +48,7 @@
 		})
 	}()
 	<-readings
-	server.Control(standin.ControlRequest{Leave: []netip.AddrPort{leafAddress}})
+	server.Control(fakemachines.ControlRequest{Leave: []netip.AddrPort{leafAddress}})
 	for list := range readings {
 		if machine, _ := list.Find(leafAddress); machine.State == machines.StateLeaving {
 			break
@@ -58,9 +58,9 @@
 	<-done
 }
 
-func TestLagHidesAChange(t *testing.T) {
-	server, poller := start(t, time.Hour)
-	server.Control(standin.ControlRequest{Remove: []netip.AddrPort{leafAddress}})
+func TestLagDelaysChanges(t *testing.T) {
+	server, poller := startListAndPoller(t, time.Hour)
+	server.Control(fakemachines.ControlRequest{Remove: []netip.AddrPort{leafAddress}})
 	list, err := poller.Poll(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -70,8 +70,8 @@
 	}
 }
 
-func TestFailureKeepsTheLastList(t *testing.T) {
-	server, poller := start(t, 0)
+func TestFailedPollKeepsLastList(t *testing.T) {
+	server, poller := startListAndPoller(t, 0)
 	if reading := poller.Last(); reading.Known {
 		t.Fatalf("known before the first reading: %+v", reading)
 	}
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	down := true
-	server.Control(standin.ControlRequest{Down: &down})
+	server.Control(fakemachines.ControlRequest{Down: &down})
 	if _, err := poller.Poll(context.Background()); err == nil {
 		t.Fatal("expected the reading to fail")
 	}
