--- a/internal/rehearsal/store/config.go
+++ b/internal/rehearsal/store/config.go
@@ -1,8 +1,7 @@
-// Package store is a stand-in for the platform's configuration store, for
-// tests and the demo. It serves the same part of the etcd v3 HTTP/JSON gateway that
-// internal/selfhosted/store calls, and can be made to fail in the ways that the real one
-// does. It owns its keys, leases and history, all in memory, and relies on
-// internal/selfhosted/store/wire for the messages.
+// Package store implements a fake of the platform's configuration store for tests and the demo. It
+// serves the part of the etcd v3 HTTP/JSON gateway that internal/selfhosted/store calls and injects
+// the faults of a real store. Keys and history are held in memory. The messages are defined in
+// internal/selfhosted/store/wire.
 package store
 
 import (
@@ -14,47 +13,48 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// Config says where the stand-in listens and how it starts.
+// Config configures a fake store.
 type Config struct {
-	// Address is an IP address with a port; port 0 picks a free one.
+	// Address is the IP address and port to listen on; port 0 selects a free port.
 	Address string `toml:"address" validate:"required"`
-	// HistoryLimit is how many revisions are kept for watches before the
-	// oldest are compacted; zero means all.
+	// HistoryLimit is the number of revisions that are kept for watches. Older revisions are
+	// compacted. Zero means no limit.
 	HistoryLimit int64  `toml:"history_limit" validate:"gte=0"`
 	Faults       Faults `toml:"faults"`
 }
 
-// Outage is a way for the store to be down.
+// Outage is the way in which the store is unavailable.
 type Outage string
 
-// The outages.
+// The kinds of outage.
 const (
 	OutageNone Outage = ""
-	// OutageUnavailable: every call is answered at once with code 14, without effect.
+	// OutageUnavailable answers every call immediately with gRPC code 14 (unavailable) and has no
+	// effect on the data.
 	OutageUnavailable Outage = "unavailable"
-	// OutageClose: connections are closed without a response and without effect.
+	// OutageClose closes the connection of every call without executing or answering it.
 	OutageClose Outage = "close"
-	// OutageHang: calls are read, have no effect and get no response.
+	// OutageHang reads every call and neither executes nor answers it.
 	OutageHang Outage = "hang"
 )
 
-// Faults is what goes wrong. The zero value is a healthy store.
+// Faults selects the faults to inject. The zero value injects none.
 type Faults struct {
-	// RatePerSecond and Burst bound the calls of all clients together; calls
-	// over it get code 8 without effect. A zero rate means no limit.
+	// RatePerSecond and Burst limit the calls of all clients together. Calls above the limit are
+	// rejected with gRPC code 8 (resource exhausted). A rate of zero means no limit.
 	RatePerSecond float64 `toml:"rate_per_second" json:"rate_per_second,omitempty" validate:"gte=0"`
 	Burst         int     `toml:"burst" json:"burst,omitempty" validate:"gte=0"`
 	Outage        Outage  `toml:"outage" json:"outage,omitempty" validate:"omitempty,oneof=unavailable close hang"`
-	// Delay is added to every call before it takes effect.
+	// Delay is the time that every call waits before it is executed.
 	Delay settings.Duration `toml:"delay" json:"delay,omitempty" validate:"gte=0"`
-	// WatchDelay is added before each message of a watch.
+	// WatchDelay is the time that each message of a watch waits before it is sent.
 	WatchDelay settings.Duration `toml:"watch_delay" json:"watch_delay,omitempty" validate:"gte=0"`
-	// LoseReplies is how many of the next writes take effect and then have
-	// their connection closed without a response.
+	// LoseReplies is the number of upcoming writes that are executed and then have their connection
+	// closed without a response.
 	LoseReplies int `toml:"lose_replies" json:"lose_replies,omitempty" validate:"gte=0"`
 }
 
-// Check reports the first value that is out of range.
+// Check returns an error for the first value that is out of range.
 func (c Config) Check() error {
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(c); err != nil {
 		return oops.In("rehearsal.store").With("step", "settings").Wrap(err)
--- a/internal/rehearsal/store/database.go
+++ b/internal/rehearsal/store/database.go
@@ -12,32 +12,34 @@
 	errCompacted      = errors.New("etcdserver: mvcc: required revision has been compacted")
 	errFutureRevision = errors.New("etcdserver: mvcc: required revision is a future revision")
 	errEmptyKey       = errors.New("etcdserver: key is not provided")
-	errHistoricalRead = errors.New("reads at a past revision are not served by the stand-in")
-	errInvalidCompare = errors.New("unknown target or result of a compare")
+	errHistoricalRead = errors.New("range: reads at a past revision are not supported by the fake store")
+	errInvalidCompare = errors.New("txn: unknown target or result in a compare")
 )
 
-// Identities as large as real ones: they do not fit a signed integer.
+// The IDs exceed the range of int64, as those of a real etcd cluster may, so that clients that
+// parse them as signed integers fail.
 const (
 	clusterID = "14841639068965178418"
 	memberID  = "10276657743932975437"
 )
 
-// database is a multi-version key-value map: every write gets the next
-// revision of the whole store, and the history of writes is kept for watches
-// until it is compacted. It is not safe for concurrent use.
+// database is a multi-version key-value map. Every write request gets the next revision of the
+// whole store, and the events of past writes are kept for watches until they are compacted. It is
+// not safe for concurrent use.
 type database struct {
 	revision int64
 	entries  map[string]wire.KeyValue
-	// history holds the changes of the revisions after compacted, in order.
-	events    []event
+	// events holds the events of all revisions after compacted, in order of revision.
+	events    []revisionEvent
 	compacted int64
 
-	// ignoreCompares is set by tests of the tests only.
+	// ignoreCompares makes every compare of a transaction succeed. It is set only by tests that verify
+	// that the linearizability check detects such a store.
 	ignoreCompares bool
 }
 
-// change is what one revision did to one key.
-type event struct {
+// revisionEvent is the event that one revision caused for one key.
+type revisionEvent struct {
 	revision int64
 	event    wire.Event
 }
@@ -50,8 +52,8 @@
 	return &wire.ResponseHeader{ClusterID: clusterID, MemberID: memberID, Revision: wire.Integer(d.revision)}
 }
 
-// inRange follows the store's convention: no end means one key, and the end
-// "\x00" means all keys from key on.
+// inRange reports whether the candidate is in a range of the etcd API. An empty end selects the
+// single key, and the end "\x00" selects all keys from key on.
 func inRange(candidate string, key, end []byte) bool {
 	if len(end) == 0 {
 		return candidate == string(key)
@@ -62,6 +64,7 @@
 	return (len(end) == 1 && end[0] == 0) || candidate < string(end)
 }
 
+// matchingKeys returns the existing keys of a range in sorted order.
 func (d *database) matchingKeys(key, end []byte) []string {
 	if len(end) == 0 {
 		if _, exists := d.entries[string(key)]; exists {
@@ -79,6 +82,8 @@
 	return keys
 }
 
+// readRange executes a range request at the current revision. It rejects past revisions because the
+// database keeps only the latest value of each key.
 func (d *database) readRange(request *wire.RangeRequest) (*wire.RangeResponse, error) {
 	switch revision := int64(request.Revision); {
 	case len(request.Key) == 0:
@@ -107,7 +112,7 @@
 	return response, nil
 }
 
-// put writes a key at the given revision.
+// put sets a key at the given revision.
 func (d *database) put(request *wire.PutRequest, revision int64) error {
 	if len(request.Key) == 0 {
 		return errEmptyKey
@@ -121,26 +126,26 @@
 	entry.Version++
 	entry.Value = slices.Clone(request.Value)
 	d.entries[key] = entry
-	d.appendEvent(event{revision: revision, event: wire.Event{KeyValue: entry}})
+	d.appendEvent(revisionEvent{revision: revision, event: wire.Event{KeyValue: entry}})
 	return nil
 }
 
-// remove deletes the given keys at the given revision.
+// deleteKeys deletes the keys at the given revision.
 func (d *database) deleteKeys(keys []string, revision int64) {
 	for _, key := range keys {
 		entry := d.entries[key]
 		delete(d.entries, key)
 		tombstone := wire.KeyValue{Key: entry.Key, ModRevision: wire.Integer(revision)}
-		d.appendEvent(event{revision: revision, event: wire.Event{Type: wire.EventDelete, KeyValue: tombstone}})
+		d.appendEvent(revisionEvent{revision: revision, event: wire.Event{Type: wire.EventDelete, KeyValue: tombstone}})
 	}
 }
 
-func (d *database) appendEvent(event event) {
+func (d *database) appendEvent(event revisionEvent) {
 	d.revision = event.revision
 	d.events = append(d.events, event)
 }
 
-// compact drops the history up to and including revision.
+// compact drops the events up to and including the revision.
 func (d *database) compact(revision int64) error {
 	switch {
 	case revision > d.revision:
@@ -154,7 +159,7 @@
 	return nil
 }
 
-// since returns the changes of the range from the given revision on.
+// eventsSince returns the events of a range from the given revision on.
 func (d *database) eventsSince(revision int64, key, end []byte) ([]wire.Event, error) {
 	if revision <= d.compacted {
 		return nil, errCompacted
--- a/internal/rehearsal/store/faults.go
+++ b/internal/rehearsal/store/faults.go
@@ -11,23 +11,24 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// ControlPath takes a ControlRequest by POST and shows the state by GET.
+// ControlPath accepts a ControlRequest by POST and returns a ControlReport by GET.
 const ControlPath = "/control"
 
-// ControlRequest changes the stand-in while it runs.
+// ControlRequest changes a running fake store.
 type ControlRequest struct {
-	// Faults replaces all faults if it is set.
+	// Faults replaces all faults if it is not nil.
 	Faults *Faults `json:"faults,omitempty"`
-	// CompactNow drops the whole history, so that watches that start earlier fail.
+	// CompactNow compacts all revisions up to the current one, so that watches from an earlier
+	// revision fail.
 	CompactNow bool `json:"compact_now,omitempty"`
 	// BreakWatches closes the connection of every open watch.
 	BreakWatches bool `json:"break_watches,omitempty"`
-	// RefuseFor breaks every connection and refuses new ones for this time, as
-	// a store that is not running. Further requests by POST are refused too.
+	// RefuseFor closes every connection and refuses new ones for this time, as if the store were
+	// not running. This includes further control requests over HTTP.
 	RefuseFor settings.Duration `json:"refuse_for,omitempty"`
 }
 
-// ControlReport shows the state of the stand-in.
+// ControlReport is the state of the fake store.
 type ControlReport struct {
 	Revision  int64    `json:"revision"`
 	Compacted int64    `json:"compacted"`
@@ -36,8 +37,8 @@
 	Counters  Counters `json:"counters"`
 }
 
-// SetFaults replaces the faults. Calls that hang go on hanging until their
-// client leaves.
+// SetFaults replaces the faults. Calls that already hang continue to hang until their client
+// disconnects, the server closes or maximumHang has passed.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -50,7 +51,7 @@
 	s.faultsChanged = make(chan struct{})
 }
 
-// Control carries out a request as POST to ControlPath does.
+// Control applies a request in the same way as a POST to ControlPath.
 func (s *Server) Control(request ControlRequest) {
 	s.applyControl(request)
 	if request.RefuseFor > 0 {
@@ -73,7 +74,7 @@
 	s.notifyWatches()
 }
 
-// Report returns the state.
+// Report returns the current state.
 func (s *Server) Report() ControlReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -91,7 +92,7 @@
 		respondWithCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
 		return
 	}
-	s.logger.Info("control", "request", body)
+	s.logger.Info("control request received", "request", body)
 	s.applyControl(body)
 	if body.RefuseFor > 0 {
 		s.startRefusing(body.RefuseFor.Duration())
@@ -107,7 +108,8 @@
 	respond(writer, http.StatusOK, s.Report())
 }
 
-// admit lets a call pass, or answers it as the faults say.
+// admit reports whether a call may be executed. If a fault prevents it, admit answers the call or
+// closes its connection.
 func (s *Server) admit(writer http.ResponseWriter, request *http.Request) bool {
 	s.mutex.Lock()
 	s.counters.Calls++
@@ -143,10 +145,10 @@
 	return s.sleep(request, faults.Delay.Duration())
 }
 
-// hangLimit bounds a hang whose client never leaves.
+// maximumHang limits the hang of a call whose client does not disconnect.
 const maximumHang = 10 * time.Minute
 
-// pause waits; it is false if the client left or the server stopped.
+// sleep waits for the delay. It returns false early if the client disconnects or the server stops.
 func (s *Server) sleep(request *http.Request, delay time.Duration) bool {
 	if delay <= 0 {
 		return true
@@ -163,6 +165,8 @@
 	}
 }
 
+// consumeLostReply reports whether the reply of a write must be lost, and decrements the number of
+// replies to lose.
 func (s *Server) consumeLostReply() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -174,7 +178,7 @@
 	return true
 }
 
-// closeConnection breaks the connection without a response.
+// closeConnection closes the connection of a request without sending a response.
 func closeConnection(writer http.ResponseWriter) {
 	connection, _, err := http.NewResponseController(writer).Hijack()
 	if err == nil {
--- a/internal/rehearsal/store/handlers.go
+++ b/internal/rehearsal/store/handlers.go
@@ -8,6 +8,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
+// maximumBodyBytes limits the size of a request body.
 const maximumBodyBytes = 4 << 20
 
 func (s *Server) newHandler() http.Handler {
@@ -29,17 +30,18 @@
 	return mux
 }
 
-// effect says whether a call can change the store, and so can lose its reply.
-type kind bool
+// operationKind says whether an operation can change the data. Only the replies of write operations
+// can be lost.
+type operationKind bool
 
 const (
-	readOperation  kind = false
-	writeOperation kind = true
+	readOperation  operationKind = false
+	writeOperation operationKind = true
 )
 
-// handle serves one path: the faults first, then the operation under the
-// mutex, then the response.
-func handleOperation[Request any](mux *http.ServeMux, s *Server, path string, kind kind, operation func(*Request) (any, error)) {
+// handleOperation registers an operation under a path. A call first passes fault injection, then
+// runs the operation with the mutex held, and then gets its response.
+func handleOperation[Request any](mux *http.ServeMux, s *Server, path string, kind operationKind, operation func(*Request) (any, error)) {
 	mux.HandleFunc("POST "+path, func(writer http.ResponseWriter, httpRequest *http.Request) {
 		request := new(Request)
 		if !decodeBody(writer, httpRequest, request) || !s.admit(writer, httpRequest) {
@@ -58,6 +60,7 @@
 	})
 }
 
+// runOperation runs an operation with the mutex held and notifies watches if the revision changed.
 func runOperation[Request any](s *Server, request *Request, operation func(*Request) (any, error)) (any, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -79,6 +82,8 @@
 	return &wire.DeleteRangeResponse{Header: s.database.header(), Deleted: wire.Integer(len(keys))}, nil
 }
 
+// decodeBody decodes the JSON body of a request. It returns false after it has sent an error
+// response.
 func decodeBody(writer http.ResponseWriter, request *http.Request, target any) bool {
 	body := http.MaxBytesReader(writer, request.Body, maximumBodyBytes)
 	if err := json.NewDecoder(body).Decode(target); err != nil {
--- a/internal/rehearsal/store/linearizability_test.go
+++ b/internal/rehearsal/store/linearizability_test.go
@@ -14,8 +14,8 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// call is one operation on a key: a read, or a write if the key's mod revision
-// is the expected one. Values are unique.
+// clientCall is one operation on a key: a read, or a write that succeeds only if the key has the
+// expected mod revision. Every write has a unique value.
 type clientCall struct {
 	key              string
 	isRead           bool
@@ -23,19 +23,20 @@
 	value            string
 }
 
-// answer is what a call returned; unknown if it may have been applied.
+// callResult is the result of a call. It is unknown if a failed write may have been applied.
 type callResult struct {
 	unknown, written bool
 	existing         store.Entry
 	revision         int64
 }
 
-// register is the state of one key.
+// registerState is the model state of one key.
 type registerState struct {
 	value    string
 	revision int64
 }
 
+// stepRegister reports whether a result is possible in a state, and returns the next state.
 func stepRegister(state, input, output any) (bool, any) {
 	current, in, out := state.(registerState), input.(clientCall), output.(callResult)
 	if out.written {
@@ -46,10 +47,10 @@
 	return matchesState && writeSkipped, current
 }
 
-// resolve settles the writes without a reply. Values are unique, and a value
-// is only overwritten by a client that has seen its revision. So a write whose
-// value nobody saw can be left out, and one that was seen took effect before
-// the first call that saw it returned.
+// resolveUnknownWrites gives each write with an unknown result a definite one. Values are unique,
+// and a client overwrites a value only after it has read the revision of that value. Therefore a
+// write whose value was never read can be left out, and a write whose value was read took effect
+// before the first call that read it returned.
 func resolveUnknownWrites(history []porcupine.Operation) ([]porcupine.Operation, error) {
 	type observation struct{ revision, returned int64 }
 	observations := map[string]observation{}
@@ -108,14 +109,14 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// flaw is a way for the store or the client to be wrong.
+// bug is an injected fault that the linearizability check must detect.
 type bug struct {
-	ignoreCompares     bool // the store writes whatever is compared
-	retryLostWrites    bool // the client sends a write again whose reply was lost
-	reportLostAsFailed bool // the client says that such a write had no effect
+	ignoreCompares     bool // the store applies writes even if their compare fails
+	retryLostWrites    bool // the client retries a write whose reply was lost
+	reportLostAsFailed bool // the client reports a write whose reply was lost as not applied
 }
 
-// recorder collects the history of all clients.
+// recorder records the history of all clients.
 type recorder struct {
 	bug          bug
 	started      time.Time
@@ -131,7 +132,7 @@
 	r.countsByKind[store.KindOf(err)]++
 	if err != nil {
 		if in.isRead || !store.MaybeApplied(err) || r.bug.reportLostAsFailed {
-			return // it had no effect, as the client says
+			return // the client reports that the call had no effect
 		}
 		out = callResult{unknown: true}
 	}
@@ -145,7 +146,8 @@
 	callsPerClient = 60
 )
 
-// runClient makes calls: each write expects what the client last saw.
+// runRandomClient makes random calls. Each write expects the revision that the client last
+// observed, or with a probability of 1 in 5 that the key does not exist.
 func (r *recorder) runRandomClient(number int, client *store.Client, random *rand.Rand) {
 	seen := map[string]int64{}
 	for callNumber := range callsPerClient {
@@ -180,7 +182,7 @@
 	}
 }
 
-// disturb changes the faults again and again until stopped.
+// injectRandomFaults replaces the faults every 1 to 3 ms until stopped is closed.
 func injectRandomFaults(server *fakestore.Server, random *rand.Rand, stopped <-chan struct{}) {
 	faults := []fakestore.Faults{
 		{LoseReplies: 2}, {LoseReplies: 2, Delay: settings.Duration(time.Millisecond)}, {Outage: fakestore.OutageClose},
@@ -196,13 +198,13 @@
 	}
 }
 
-// runHistory runs clients against a disturbed store and returns the history.
-func recordHistory(t *testing.T, seed uint64, flaw bug) *recorder {
+// recordHistory runs clients against a store with random faults and returns the recorded history.
+func recordHistory(t *testing.T, seed uint64, injected bug) *recorder {
 	server, _ := startStoreAndClient(t, nil)
-	if flaw.ignoreCompares {
+	if injected.ignoreCompares {
 		server.IgnoreCompares()
 	}
-	recorder := &recorder{bug: flaw, started: time.Now(), countsByKind: map[store.Kind]int{}}
+	recorder := &recorder{bug: injected, started: time.Now(), countsByKind: map[store.Kind]int{}}
 	stopped := make(chan struct{})
 	var faultInjection, clients sync.WaitGroup
 	faultInjection.Go(func() { injectRandomFaults(server, rand.New(rand.NewPCG(seed, 0)), stopped) })
@@ -222,28 +224,28 @@
 	for seed := range uint64(8) {
 		recorder := recordHistory(t, seed, bug{})
 		if result := checkLinearizability(recorder.history); result != porcupine.Ok {
-			t.Fatalf("seed %d: %s", seed, result)
+			t.Fatalf("seed %d: linearizability check returned %s, want %s", seed, result, porcupine.Ok)
 		}
 		for kind, count := range recorder.countsByKind {
 			countsByKind[kind] += count
 		}
 	}
-	t.Logf("calls by result (\"\" is answered): %v", countsByKind)
+	t.Logf("calls by error kind (\"\" is success): %v", countsByKind)
 }
 
 func TestLinearizabilityCheckDetectsInjectedBugs(t *testing.T) {
-	for name, flaw := range map[string]bug{
+	for name, injected := range map[string]bug{
 		"compares ignored":    {ignoreCompares: true},
 		"lost write repeated": {retryLostWrites: true},
 		"lost write denied":   {reportLostAsFailed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				if checkLinearizability(recordHistory(t, seed, flaw).history) == porcupine.Illegal {
+				if checkLinearizability(recordHistory(t, seed, injected).history) == porcupine.Illegal {
 					return
 				}
 			}
-			t.Fatal("20 histories are linearizable in spite of the flaw")
+			t.Fatal("all 20 histories with the injected bug are linearizable, want at least one violation")
 		})
 	}
 }
--- a/internal/rehearsal/store/listen.go
+++ b/internal/rehearsal/store/listen.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// relistenInterval is the time between two tries to listen again.
+// relistenInterval is the time between attempts to listen on the address again.
 const relistenInterval = 20 * time.Millisecond
 
 func (s *Server) newHTTPServer() *http.Server {
 	return &http.Server{Handler: s.newHandler(), ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// serve serves on the listener, and again on the same address after each time
-// of refused connections, until Close.
+// serve accepts connections until Close. After each period of refused connections it listens on the
+// same address again.
 func (s *Server) serve(listener net.Listener) {
 	for listener != nil {
 		s.mutex.Lock()
 		server := s.httpServer
 		s.mutex.Unlock()
 		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			s.logger.Error("store stand-in stopped", "error", err)
+			s.logger.Error("fake store stopped serving", "error", err)
 			return
 		}
 		listener = s.relisten()
 	}
 }
 
-// listenAgain waits out the refusal; nil if the stand-in was closed.
+// relisten waits until the refusal period ends and listens on the address again. It returns nil if
+// the server was closed.
 func (s *Server) relisten() net.Listener {
 	s.mutex.Lock()
 	wait := s.refuseDuration
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// wait is false if the stand-in was closed by its end.
+// waitUnlessStopped waits for the duration and reports whether the server is still open. It returns
+// early if the server closes.
 func (s *Server) waitUnlessStopped(duration time.Duration) bool {
 	select {
 	case <-s.stopped:
@@ -58,8 +60,9 @@
 	}
 }
 
-// reopen makes the server for a new listener, unless the stand-in was closed
-// meanwhile: Close closes the server that it finds under the mutex.
+// resumeServing creates the HTTP server for a new listener and ends the refusal. It closes the
+// listener and returns nil if the server was closed in the meantime, because Close closes only the
+// HTTP server that is current when it takes the mutex.
 func (s *Server) resumeServing(listener net.Listener) net.Listener {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,14 +77,14 @@
 	}
 }
 
-// refuse breaks every connection and refuses new ones for the given time. What
-// the store holds stays.
+// refuseConnections closes every connection and refuses new ones for the given time. The data is
+// kept.
 func (s *Server) refuseConnections(duration time.Duration) {
 	s.startRefusing(duration)
 	s.closeHTTPServer()
 }
 
-// beginRefusal lets no call have an effect from now on.
+// startRefusing rejects all further calls, including those on open connections.
 func (s *Server) startRefusing(duration time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/rehearsal/store/model_test.go
+++ b/internal/rehearsal/store/model_test.go
@@ -15,7 +15,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 )
 
-// model is what the store must hold, and every change since the start.
+// model holds the expected entries of the store and all events since its start.
 type model struct {
 	revision int64
 	entries  map[string]store.Entry
@@ -34,7 +34,7 @@
 	m.events = append(m.events, store.WatchEvent{Kind: store.WatchPut, Entry: entry})
 }
 
-// remove deletes the keys that match, all at one revision.
+// remove deletes the matching keys at a single revision and returns their number.
 func (m *model) remove(matches func(store.Entry) bool) (removed int64) {
 	for _, key := range slices.Sorted(maps.Keys(m.entries)) {
 		if !matches(m.entries[key]) {
@@ -103,13 +103,14 @@
 
 func drawValue(r *rapid.T) []byte { return rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(r, "value") }
 
-// settle follows a write whose reply was lost, and must have been applied.
+// isLostReply reports whether the reply of a write was lost. Such a write has been applied. Any
+// other error fails the test.
 func isLostReply(r *rapid.T, err error) (lost bool) {
 	if err == nil {
 		return false
 	}
 	if store.KindOf(err) != store.KindReplyLost || !store.MaybeApplied(err) {
-		r.Fatalf("unexpected: %v", err)
+		r.Fatalf("write: got error %v, want a lost reply that may have been applied", err)
 	}
 	return true
 }
@@ -125,7 +126,7 @@
 		return
 	}
 	if result.Created == exists || (exists && !entriesEqual(result.Existing, existing)) || result.StoreRevision != m.model.revision {
-		r.Fatalf("create %q: %+v, expected %+v at %d", key, result, existing, m.model.revision)
+		r.Fatalf("create %q: got %+v, want %+v at revision %d", key, result, existing, m.model.revision)
 	}
 }
 
@@ -143,7 +144,7 @@
 		return
 	}
 	if result.Swapped != matches || (!matches && !entriesEqual(result.Existing, existing)) || result.StoreRevision != m.model.revision {
-		r.Fatalf("swap %q at %d: %+v, expected %+v", key, expected, result, existing)
+		r.Fatalf("swap %q at revision %d: got %+v, want %+v", key, expected, result, existing)
 	}
 }
 
@@ -155,13 +156,13 @@
 	}
 	expected := m.model.entriesInRange("a", "b")
 	if result.Count != int64(len(expected)) || result.More != (limit > 0 && result.Count > limit) {
-		r.Fatalf("range: %+v, expected %+v", result, expected)
+		r.Fatalf("range: got %+v, want entries %+v", result, expected)
 	}
 	if result.More {
 		expected = expected[:limit]
 	}
 	if !slices.EqualFunc(result.Entries, expected, entriesEqual) || result.StoreRevision != m.model.revision {
-		r.Fatalf("range: %+v, expected %+v", result, expected)
+		r.Fatalf("range: got %+v, want entries %+v", result, expected)
 	}
 }
 
@@ -173,13 +174,13 @@
 		return entry.Key == key || (end != "" && entry.Key > key && entry.Key < end)
 	})
 	if !isLostReply(r, err) && deleted != expected {
-		r.Fatalf("deleted %d, expected %d", deleted, expected)
+		r.Fatalf("delete: got %d deleted keys, want %d", deleted, expected)
 	}
 }
 
 func (m *modelTest) loseReply(*rapid.T) { m.server.SetFaults(fakestore.Faults{LoseReplies: 1}) }
 
-// watchAll reads the whole history by a watch and holds it against the model.
+// checkWatch reads all events since the start through a watch and compares them with the model.
 func (m *modelTest) checkWatch(r *rapid.T) {
 	watchContext, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -189,7 +190,7 @@
 	}
 	for _, expected := range m.model.events {
 		if event := <-events; event.Kind != expected.Kind || !entriesEqual(event.Entry, expected.Entry) {
-			r.Fatalf("watch: %+v, expected %+v", event, expected)
+			r.Fatalf("watch: got event %+v, want %+v", event, expected)
 		}
 	}
 	cancel()
--- a/internal/rehearsal/store/server.go
+++ b/internal/rehearsal/store/server.go
@@ -11,7 +11,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Server is a running stand-in.
+// Server is a running fake store.
 type Server struct {
 	config     Config
 	logger     *slog.Logger
@@ -20,26 +20,27 @@
 	goroutines sync.WaitGroup
 
 	mutex sync.Mutex
-	// http serves now; it is replaced after each time of refused connections.
+	// httpServer is the current HTTP server. It is replaced after each period of refused
+	// connections.
 	httpServer *http.Server
-	// refuseFor is how long connections will be refused once http is closed.
+	// refuseDuration is the time for which connections are refused after httpServer is closed.
 	refuseDuration time.Duration
-	// refusing is set from the order to refuse connections until http serves
-	// again: calls that still come through an open connection have no effect.
+	// refusing is set from the request to refuse connections until a new httpServer is ready. While
+	// it is set, calls on connections that are still open are not executed.
 	refusing bool
 	database *database
-	// changed is closed and replaced whenever the database gets a new revision.
+	// revisionChanged is closed and replaced when the database gets a new revision.
 	revisionChanged chan struct{}
 	faults          Faults
 	limiter         *rate.Limiter
-	// faultsChanged is closed and replaced whenever the faults are set.
+	// faultsChanged is closed and replaced when the faults are set.
 	faultsChanged chan struct{}
-	// breaks counts the orders to break the open watches.
+	// watchBreaks counts the requests to close the connections of open watches.
 	watchBreaks int
 	counters    Counters
 }
 
-// Counters counts what the stand-in did since it started.
+// Counters counts the events since the start.
 type Counters struct {
 	Calls       int64 `json:"calls"`
 	RateLimited int64 `json:"rate_limited"`
@@ -49,7 +50,7 @@
 	Watches     int64 `json:"watches"`
 }
 
-// Start listens and serves until Close.
+// Start starts a fake store that serves until Close.
 func Start(config Config, logger *slog.Logger) (*Server, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
@@ -68,20 +69,22 @@
 	return server, nil
 }
 
+// readHeaderTimeout limits the time to read the headers of a request.
 const readHeaderTimeout = 5 * time.Second
 
-// Address is the address that the stand-in listens on.
+// Address returns the address on which the store listens.
 func (s *Server) Address() string { return s.address }
 
-// Close stops serving, breaks every connection and waits for the server's
-// goroutines. It may be called once.
+// Close stops serving, closes every connection and waits for the goroutines of the server. It must
+// be called only once.
 func (s *Server) Close() {
 	close(s.stopped)
 	s.closeHTTPServer()
 	s.goroutines.Wait()
 }
 
-// announce wakes the watches; the mutex is held.
+// notifyWatches wakes the watches and compacts the revisions beyond the history limit. The caller
+// must hold the mutex.
 func (s *Server) notifyWatches() {
 	close(s.revisionChanged)
 	s.revisionChanged = make(chan struct{})
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -18,7 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start runs a stand-in and a client without a rate limit.
+// startStoreAndClient starts a fake store and a client without a rate limit. The change function may
+// alter their configurations.
 func startStoreAndClient(t *testing.T, change func(*fakestore.Config, *store.Config)) (*fakestore.Server, *store.Client) {
 	t.Helper()
 	serverConfig := fakestore.Config{Address: "127.0.0.1:0"}
@@ -34,7 +35,7 @@
 	return server, connectWith(t, server, clientConfig)
 }
 
-// connect makes another client of a stand-in.
+// connect returns another client of the store.
 func connect(t *testing.T, server *fakestore.Server, timeout time.Duration) *store.Client {
 	t.Helper()
 	return connectWith(t, server, store.Config{Timeout: timeout})
@@ -56,14 +57,14 @@
 	ctx := context.Background()
 	first, err := client.CreateIfAbsent(ctx, "/a", []byte("one"))
 	if err != nil || !first.Created {
-		t.Fatalf("first create: %+v, %v", first, err)
+		t.Fatalf("first create: got %+v, error %v, want created", first, err)
 	}
 	second, err := client.CreateIfAbsent(ctx, "/a", []byte("two"))
 	if err != nil || second.Created || string(second.Existing.Value) != "one" {
-		t.Fatalf("second create: %+v, %v", second, err)
+		t.Fatalf("second create: got %+v, error %v, want the existing value \"one\"", second, err)
 	}
 	if second.Existing.ModRevision != first.StoreRevision {
-		t.Fatalf("mod revision %d, created at %d", second.Existing.ModRevision, first.StoreRevision)
+		t.Fatalf("second create: got mod revision %d, want %d, the revision of the first create", second.Existing.ModRevision, first.StoreRevision)
 	}
 }
 
@@ -73,15 +74,15 @@
 	ctx := context.Background()
 	_, err := client.CreateIfAbsent(ctx, "/a", []byte("one"))
 	if store.KindOf(err) != store.KindReplyLost || !store.MaybeApplied(err) {
-		t.Fatalf("expected a lost reply, got %v", err)
+		t.Fatalf("create: got error %v, want a lost reply that may have been applied", err)
 	}
 	result, err := client.Range(ctx, "/a", "", 0)
 	if err != nil || len(result.Entries) != 1 || result.Entries[0].Version != 1 {
-		t.Fatalf("expected the write once: %+v, %v", result, err)
+		t.Fatalf("range \"/a\": got %+v, error %v, want one entry at version 1", result, err)
 	}
 }
 
-// control posts a request and returns the status.
+// postControl posts a control request and returns the status of the response.
 func postControl(t *testing.T, server *fakestore.Server, body string) int {
 	t.Helper()
 	reply, err := http.Post("http://"+server.Address()+fakestore.ControlPath, "application/json", strings.NewReader(body))
@@ -100,7 +101,7 @@
 		t.Fatal(err)
 	}
 	if status := postControl(t, server, `{"refuse_for": "200ms"}`); status != http.StatusOK {
-		t.Fatalf("status %d", status)
+		t.Fatalf("control: got status %d, want %d", status, http.StatusOK)
 	}
 	refused := 0
 	for {
@@ -113,16 +114,16 @@
 			break
 		}
 		if store.KindOf(err) != store.KindReplyLost {
-			t.Fatalf("unexpected: %+v, %v", result, err)
+			t.Fatalf("create: got %+v, error %v, want an unreachable store or a lost reply", result, err)
 		}
 	}
 	if kept, err := client.Range(ctx, "/before", "", 0); err != nil || len(kept.Entries) != 1 || refused == 0 {
-		t.Fatalf("refused %d calls; then %+v, %v", refused, kept, err)
+		t.Fatalf("got %d refused calls, then range %+v, error %v, want at least 1 refused call and one entry", refused, kept, err)
 	}
 }
 
-// TestCallBeforeTheConnectionsEndHasNoEffect comes after the order to refuse
-// connections, through one that is still open.
+// TestCallOnOpenConnectionWhileRefusingHasNoEffect sends a call on a connection that is still open
+// after the request to refuse connections. The store must not execute the call.
 func TestCallOnOpenConnectionWhileRefusingHasNoEffect(t *testing.T) {
 	server, client := startStoreAndClient(t, nil)
 	ctx := context.Background()
@@ -132,7 +133,7 @@
 	revision := server.Report().Revision
 	server.StartRefusing()
 	if _, err := client.CreateIfAbsent(ctx, "/after", nil); err == nil || server.Report().Revision != revision {
-		t.Errorf("%v, revision %d after %d", err, server.Report().Revision, revision)
+		t.Errorf("create while refusing: got error %v at revision %d, want an error and revision %d", err, server.Report().Revision, revision)
 	}
 }
 
@@ -140,7 +141,7 @@
 	server, _ := startStoreAndClient(t, nil)
 	for _, body := range []string{`{"outage": "hang"}`, `{"faults": {"delay": 3}}`, `nonsense`} {
 		if status := postControl(t, server, body); status != http.StatusBadRequest {
-			t.Errorf("%s: status %d", body, status)
+			t.Errorf("control %s: got status %d, want %d", body, status, http.StatusBadRequest)
 		}
 	}
 }
@@ -169,7 +170,7 @@
 			}
 			_, err := client.CreateIfAbsent(context.Background(), "/a", nil)
 			if store.KindOf(err) != expected.kind || store.MaybeApplied(err) != expected.maybeApplied {
-				t.Fatalf("expected %s (may be applied: %v), got %v", expected.kind, expected.maybeApplied, err)
+				t.Fatalf("create: want error kind %s (may be applied: %v), got %v", expected.kind, expected.maybeApplied, err)
 			}
 		})
 	}
@@ -198,18 +199,18 @@
 		key  string
 	}{{store.WatchPut, "/a/1"}, {store.WatchPut, "/a/2"}, {store.WatchDelete, "/a/1"}} {
 		if event := <-events; event.Kind != expected.kind || event.Entry.Key != expected.key {
-			t.Fatalf("expected %+v, got %+v", expected, event)
+			t.Fatalf("watch: want %+v, got %+v", expected, event)
 		}
 	}
 	server.Control(fakestore.ControlRequest{CompactNow: true, BreakWatches: true})
 	if event := <-events; store.KindOf(event.Err) != store.KindReplyLost {
-		t.Fatalf("expected the stream to break, got %+v", event)
+		t.Fatalf("watch: got %+v, want a lost reply because the connection was closed", event)
 	}
 	compactedEvents, err := client.Watch(ctx, "/a/", store.PrefixEnd("/a/"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if event := <-compactedEvents; store.KindOf(event.Err) != store.KindCompacted {
-		t.Fatalf("expected a compacted watch, got %+v", event)
+		t.Fatalf("watch from revision 1: got %+v, want a compacted error", event)
 	}
 }
--- a/internal/rehearsal/store/transaction.go
+++ b/internal/rehearsal/store/transaction.go
@@ -6,12 +6,12 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
-// transact runs a transaction as one step. All its writes get one revision.
-// A transaction that fails on the way leaves the database as it was.
+// transact executes a transaction atomically. All its writes get the same revision. A transaction
+// that returns an error does not change the database.
 func (d *database) transact(request *wire.TxnRequest) (*wire.TxnResponse, error) {
 	succeeded := true
 	for _, compare := range request.Compare {
-		matches, err := d.matches(compare)
+		matches, err := d.evaluateCompare(compare)
 		if err != nil {
 			return nil, err
 		}
@@ -37,7 +37,8 @@
 	return response, nil
 }
 
-// checkOperations finds what would make perform fail, before anything is written.
+// validateOperations returns the first error that applyOperation would return, before anything is
+// written.
 func (d *database) validateOperations(operations []wire.RequestOp) error {
 	for _, operation := range operations {
 		switch {
@@ -56,6 +57,7 @@
 	return nil
 }
 
+// applyOperation executes one operation of a transaction at the revision.
 func (d *database) applyOperation(operation wire.RequestOp, revision int64) (wire.ResponseOp, error) {
 	switch {
 	case operation.Range != nil:
@@ -73,7 +75,9 @@
 	}
 }
 
-func (d *database) matches(compare wire.Compare) (bool, error) {
+// evaluateCompare reports whether a compare of a transaction holds. A key that does not exist has
+// zero as its revisions and version.
+func (d *database) evaluateCompare(compare wire.Compare) (bool, error) {
 	entry := d.entries[string(compare.Key)]
 	var actual, expected wire.Integer
 	switch compare.Target {
--- a/internal/rehearsal/store/watch.go
+++ b/internal/rehearsal/store/watch.go
@@ -8,8 +8,8 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/store/wire"
 )
 
-// watch serves one watch: a stream of JSON messages until the client leaves,
-// the start revision is compacted, or a fault breaks it.
+// handleWatch serves one watch as a stream of JSON messages. The stream ends when the client
+// disconnects, the next revision is compacted or a fault closes the connection.
 func (s *Server) handleWatch(writer http.ResponseWriter, request *http.Request) {
 	var body wire.WatchRequest
 	if !decodeBody(writer, request, &body) || !s.admit(writer, request) {
@@ -34,15 +34,15 @@
 	stream.run()
 }
 
-// watchStream is the sending side of one watch.
+// watchStream sends the messages of one watch.
 type watchStream struct {
 	server  *Server
 	writer  http.ResponseWriter
 	request *http.Request
 	create  wire.WatchCreateRequest
-	// next is the first revision not yet sent.
+	// nextRevision is the first revision that has not been sent.
 	nextRevision int64
-	// breaks is the number of orders to break the watches before this one began.
+	// initialBreaks is the value of Server.watchBreaks when the watch started.
 	initialBreaks int
 }
 
@@ -70,12 +70,12 @@
 	}
 }
 
-// batch is what a watch has to do next.
+// pendingMessage holds the next message of a watch and the faults that affect it.
 type pendingMessage struct {
 	response *wire.WatchResponse
 	delay    time.Duration
 	outage   Outage
-	// broken is set if there was an order to break the watches.
+	// broken is set if the connection must be closed because of ControlRequest.BreakWatches.
 	broken bool
 
 	revisionChanged, faultsChanged <-chan struct{}
@@ -83,7 +83,8 @@
 
 func (m pendingMessage) hasMessage() bool { return len(m.response.Events) > 0 || m.response.Canceled }
 
-// collect takes the events that are due, under the mutex.
+// collectPending returns the events from nextRevision on and advances nextRevision past them.
+// During an outage it returns no message.
 func (w *watchStream) collectPending() pendingMessage {
 	s := w.server
 	s.mutex.Lock()
