--- a/internal/rehearsal/leaf/config.go
+++ b/internal/rehearsal/leaf/config.go
@@ -1,9 +1,8 @@
-// Package leaf is a stand-in for a leaf server, for rehearsals and tests. It
-// serves the leaf protocol over HTTP/2 and HTTP/1.1 without TLS, runs
-// statements over generated data, and brings about the faults of real leaves:
-// slow and cold ones, full queues, draining, lying reports, lost replies. It owns its data,
-// slots and execution log, and relies on internal/leaf for the messages and on
-// internal/selfhosted/language and merge to run statements.
+// Package leaf implements a fake leaf server for rehearsals and tests. It serves the leaf protocol
+// over HTTP/2 and HTTP/1.1 without TLS and executes statements over generated data. It can inject
+// the faults of real leaves: long service times, cold starts, full queues, draining, wrong load
+// reports and lost replies. The messages are defined in internal/leaf, and statements are executed
+// by internal/selfhosted/language and internal/selfhosted/merge.
 package leaf
 
 import (
@@ -16,65 +15,65 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// Config describes one stand-in leaf. Start from DefaultConfig.
+// Config configures a fake leaf. DefaultConfig returns the defaults.
 type Config struct {
-	// Listen is the address to serve on; port 0 picks a free one.
+	// Listen is the address to listen on; port 0 selects a free port.
 	Listen  netip.AddrPort `toml:"listen" validate:"required"`
 	Service string         `toml:"service" validate:"required"`
 	Zone    string         `toml:"zone"`
-	// BootID identifies this run of the process; empty draws a new one.
+	// BootID identifies this run of the process. If it is empty, a new ID is generated.
 	BootID string `toml:"boot_id"`
-	// Slots is how many requests run at once; Queue how many may wait.
+	// Slots is the number of requests that run concurrently, and Queue the number that may wait.
 	Slots int `toml:"slots" validate:"min=1"`
 	Queue int `toml:"queue" validate:"min=0"`
-	// Connections limits the open connections; zero means no limit.
+	// Connections limits the number of open connections. Zero means no limit.
 	Connections int `toml:"connections" validate:"min=0"`
-	// Versions are the index versions held at the start.
+	// Versions are the index versions that the leaf holds at the start.
 	Versions []uint64 `toml:"versions" validate:"required,dive,min=1"`
-	// Partitions are the partition epochs held at the start, with the shards
-	// held of each.
+	// Partitions are the partition epochs that the leaf holds at the start, with the shards of
+	// each.
 	Partitions []Partition `toml:"partitions" validate:"required,dive"`
-	// Seed seeds the service times.
+	// Seed is the seed of the random service times.
 	Seed uint64 `toml:"seed"`
-	// Select and Insert are the service times of the statement kinds.
+	// Select and Insert are the service times of select and insert statements.
 	Select ServiceTime `toml:"select"`
 	Insert ServiceTime `toml:"insert"`
 	// SlowFactor multiplies every service time.
 	SlowFactor float64 `toml:"slow_factor" validate:"gt=0"`
-	// ColdFor is how long the leaf is cold after its start. A cold leaf
-	// refuses, or with ColdFactor above zero is slower by that factor.
+	// ColdFor is the time after the start for which the leaf is cold. A cold leaf refuses requests
+	// if ColdFactor is zero, and otherwise multiplies every service time by ColdFactor.
 	ColdFor    Duration `toml:"cold_for" validate:"min=0"`
 	ColdFactor float64  `toml:"cold_factor" validate:"min=0"`
-	// ReportScale multiplies the slots busy and the queue that the leaf
-	// reports; ReportLag is the age of what it reports.
+	// ReportScale multiplies the number of busy slots and the queue length in load reports.
+	// ReportLag is the age of the reported load.
 	ReportScale float64  `toml:"report_scale" validate:"min=0"`
 	ReportLag   Duration `toml:"report_lag" validate:"min=0"`
-	// GoAway sends GOAWAY on the connections of a draining leaf.
+	// GoAway makes a draining leaf send GOAWAY on its HTTP/2 connections.
 	GoAway bool `toml:"go_away"`
-	// DrainTimeout bounds the wait for requests in flight at the end.
+	// DrainTimeout limits the wait for requests in flight when the leaf stops.
 	DrainTimeout Duration `toml:"drain_timeout" validate:"gt=0"`
 }
 
-// Partition is a partition epoch with the shards that the leaf holds of it.
+// Partition is a partition epoch and the shards that the leaf holds of it.
 type Partition struct {
 	Epoch uint64 `toml:"epoch" json:"epoch" validate:"min=1"`
-	// Shards is the number of shards of the whole partition.
+	// Shards is the total number of shards in the partition.
 	Shards int   `toml:"shards" json:"shards" validate:"min=1"`
 	Hold   []int `toml:"hold" json:"hold" validate:"dive,min=0"`
 }
 
-// ServiceTime is a lognormal distribution.
+// ServiceTime is a lognormal distribution of service times.
 type ServiceTime struct {
 	Median Duration `toml:"median" validate:"min=0"`
-	// Sigma is the standard deviation of the logarithm; zero is constant.
+	// Sigma is the standard deviation of the logarithm. Zero makes the service time constant.
 	Sigma float64 `toml:"sigma" validate:"min=0"`
 }
 
-// Duration is written as text, such as "4ms".
+// Duration is a time.Duration that is written as text in settings, such as "4ms".
 type Duration = settings.Duration
 
-// DefaultConfig returns the defaults. Service, Versions and Partitions have to
-// be set; Listen is a free port of the loopback address.
+// DefaultConfig returns the defaults. The leaf listens on a free port of the loopback address. The
+// caller must set Service, Versions and Partitions.
 func DefaultConfig() Config {
 	return Config{
 		Listen:       netip.MustParseAddrPort("127.0.0.1:0"),
@@ -90,7 +89,7 @@
 	}
 }
 
-// Validate reports the first settings that cannot work.
+// Validate returns an error for the first invalid setting.
 func (c Config) Validate() error {
 	if err := validator.New().Struct(c); err != nil {
 		return oops.With("step", "leaf_settings").Wrap(err)
@@ -105,11 +104,13 @@
 
 func (p Partition) validate() error {
 	if p.Epoch < 1 || p.Shards < 1 {
-		return oops.With("step", "leaf_settings").Errorf("a partition needs an epoch and shards from 1 up")
+		return oops.With("step", "leaf_settings").
+			Errorf("partition: epoch %d and shard count %d must be at least 1", p.Epoch, p.Shards)
 	}
 	for _, shard := range p.Hold {
 		if shard < 0 || shard >= p.Shards {
-			return oops.With("step", "leaf_settings").Errorf("shard %d is not in 0 to %d of epoch %d", shard, p.Shards-1, p.Epoch)
+			return oops.With("step", "leaf_settings").
+				Errorf("partition of epoch %d: shard %d is not in the range 0 to %d", p.Epoch, shard, p.Shards-1)
 		}
 	}
 	return nil
--- a/internal/rehearsal/leaf/control.go
+++ b/internal/rehearsal/leaf/control.go
@@ -2,28 +2,29 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"net/http"
 
 	"github.com/labstack/echo/v4"
 )
 
-// The control paths.
+// The paths of the control API.
 const (
 	ControlPath    = "/control"
 	ExecutionsPath = "/control/executions"
 	JournalPath    = "/control/journal"
 )
 
-// Control is the body of POST /control. Fields that are absent change nothing.
+// Control is the body of POST /control. Absent fields change nothing.
 type Control struct {
-	// Faults replaces those of its fields that the JSON names.
+	// Faults replaces the fields that are present in the JSON.
 	Faults
-	// Drain starts to drain, or with false takes new work again.
+	// Drain starts draining if it is true and accepts new requests again if it is false.
 	Drain *bool `json:"drain,omitempty"`
-	// AddVersion and DropVersion change the index versions held.
+	// AddVersion and DropVersion change the index versions that the leaf holds.
 	AddVersion  uint64 `json:"add_version,omitempty"`
 	DropVersion uint64 `json:"drop_version,omitempty"`
-	// AddPartition and DropEpoch change the partition epochs held.
+	// AddPartition and DropEpoch change the partition epochs that the leaf holds.
 	AddPartition *Partition `json:"add_partition,omitempty"`
 	DropEpoch    uint64     `json:"drop_epoch,omitempty"`
 }
@@ -36,8 +37,7 @@
 	router.POST(JournalPath, s.handleJournal)
 }
 
-// handleControl applies the changes in the order of Control's fields; versions
-// and epochs are added before others are dropped.
+// handleControl applies a Control request. It returns the faults that are in force afterwards.
 func (s *Server) handleControl(c echo.Context) error {
 	var control Control
 	body, err := readBody(c)
@@ -52,7 +52,7 @@
 			return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 		}
 	}
-	// Decoding again over the faults in force replaces just the fields named.
+	// Decoding into the current faults replaces only the fields that are present.
 	s.faults.update(func(faults *Faults) { err = json.Unmarshal(body, faults) })
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
@@ -61,6 +61,8 @@
 	return c.JSON(http.StatusOK, s.faults.get())
 }
 
+// applyControl changes the drain state and the holdings. Versions and epochs are added before
+// others are dropped.
 func (s *Server) applyControl(control Control) {
 	if control.Drain != nil {
 		s.draining.Store(*control.Drain)
@@ -80,7 +82,7 @@
 	}
 }
 
-// handleJournal takes rows that other replicas of the shard inserted.
+// handleJournal adds rows that were inserted on other replicas of the shard.
 func (s *Server) handleJournal(c echo.Context) error {
 	var entries []Inserted
 	body, err := readBody(c)
@@ -92,7 +94,9 @@
 	}
 	for _, entry := range entries {
 		if len(entry.Row) != len(Columns(s.config.Service)) {
-			return echo.NewHTTPError(http.StatusBadRequest, "a row does not fit the columns")
+			return echo.NewHTTPError(http.StatusBadRequest,
+				fmt.Sprintf("journal entry of request %q: row has %d values, want %d",
+					entry.RequestID, len(entry.Row), len(Columns(s.config.Service))))
 		}
 	}
 	s.addInserted(entries...)
--- a/internal/rehearsal/leaf/control_test.go
+++ b/internal/rehearsal/leaf/control_test.go
@@ -12,7 +12,7 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// post sends JSON over HTTP/1.1 and returns the status.
+// post sends JSON over HTTP/1.1 and returns the status of the response.
 func post(t *testing.T, server *Server, path, body string) int {
 	t.Helper()
 	transport := new(http.Transport)
@@ -42,20 +42,20 @@
 	}
 	for _, step := range steps {
 		if status := post(t, server, step.path, step.body); status != step.status {
-			t.Errorf("%s: status %d", step.body, status)
+			t.Errorf("POST %s %s: got status %d, want %d", step.path, step.body, status, step.status)
 		}
 	}
 	faults := server.Faults()
 	if faults.SlowFactor != 8 || faults.Refuse != protocol.RefusedShed || faults.DelayMilliseconds != 5 || faults.ReportScale != 1 {
-		t.Errorf("%+v", faults)
+		t.Errorf("got faults %+v, want slow factor 8, refuse %q, delay 5 ms, report scale 1", faults, protocol.RefusedShed)
 	}
 	if load := server.Load(); load.State != protocol.StateDraining || len(load.Holdings) != 2 {
-		t.Errorf("%+v", load)
+		t.Errorf("got load %+v, want state %q and 2 holdings", load, protocol.StateDraining)
 	}
 	original, _ := server.holdings.lookup(testSnapshot, 0)
 	added, _ := server.holdings.lookup(server.Load().Holdings[1].Snapshot, 0)
 	if insertedKey, count := rows.TextOf("Q-new"), 0; original == nil || added == nil {
-		t.Error("versions are missing")
+		t.Errorf("got version 1 held %t, version 3 held %t, want both", original != nil, added != nil)
 	} else {
 		for _, row := range append(original.rows.Rows, added.rows.Rows...) {
 			if row[0] == insertedKey {
@@ -63,7 +63,7 @@
 			}
 		}
 		if count != 1 {
-			t.Errorf("the row shows %d times", count)
+			t.Errorf("inserted row: got %d occurrences in both versions, want 1", count)
 		}
 	}
 }
@@ -79,12 +79,12 @@
 	server.slots.busy = 2
 	server.reporter.recordSample(time.Now().Add(-time.Millisecond))
 	if summary := server.reporter.summary(); summary.SlotsBusy != 2 {
-		t.Errorf("half of 4 is told as %d", summary.SlotsBusy)
+		t.Errorf("reported busy slots: got %d, want 2, half of the 4 before the lag", summary.SlotsBusy)
 	}
 	fixed := protocol.LoadSummary{State: protocol.StateServing, Slots: 99}
 	server.faults.update(func(faults *Faults) { faults.ReportFixed = &fixed })
 	if summary := server.reporter.summary(); summary != fixed {
-		t.Errorf("%+v", summary)
+		t.Errorf("fixed report: got %+v, want %+v", summary, fixed)
 	}
 	server.slots.busy = 0
 }
@@ -98,7 +98,7 @@
 	} {
 		config := testConfig()
 		if change(&config); config.Validate() == nil {
-			t.Errorf("%s is accepted", name)
+			t.Errorf("%s: got a valid config, want an error", name)
 		}
 	}
 	config := DefaultConfig()
@@ -116,9 +116,9 @@
 sigma = 0.5
 `), &config)
 	if err != nil || config.Validate() != nil {
-		t.Fatal(err, config.Validate())
+		t.Fatalf("got decode error %v, validation error %v, want none", err, config.Validate())
 	}
 	if config.ColdFor.Duration() != 2*time.Second || config.Select.Median.Duration() != 4*time.Millisecond || config.Listen.Port() != 7101 {
-		t.Errorf("%+v", config)
+		t.Errorf("got config %+v, want cold for 2 s, select median 4 ms and port 7101", config)
 	}
 }
--- a/internal/rehearsal/leaf/dataset.go
+++ b/internal/rehearsal/leaf/dataset.go
@@ -10,20 +10,20 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// DatasetSize is the number of keys that a service has over all versions. Each
-// version holds most of them.
+// DatasetSize is the number of keys of a service over all versions. Each version lacks one key in
+// absentKeyInterval.
 const DatasetSize = 2400
 
-// absentEvery is how rarely a key is absent from a version: one in so many.
+// absentKeyInterval is the distance between the keys that are absent from a version.
 const absentKeyInterval = 23
 
-// The columns of the two kinds of data.
+// The columns of the two kinds of dataset.
 var (
 	tariffColumns = []string{"quote", "lane", "carrier", "weight", "price", "version"}
 	fareColumns   = []string{"tap", "card", "station", "amount", "journey", "version"}
 )
 
-// fareServices are the services that hold fares; the others hold tariffs.
+// fareServices are the services that hold fares. All other services hold tariffs.
 var fareServices = map[string]bool{
 	"inspector-desk": true,
 	"route-planner":  true,
@@ -31,8 +31,8 @@
 	"topup-kiosk":    true,
 }
 
-// KeyColumn returns the column whose hash places the rows of a service:
-// quote for tariffs, tap for refund-clerk, and card for the other fares.
+// KeyColumn returns the column whose hash selects the shard of a row: quote for tariffs, tap for
+// refund-clerk, and card for the other fares.
 func KeyColumn(service string) string {
 	switch {
 	case !fareServices[service]:
@@ -44,7 +44,7 @@
 	}
 }
 
-// Columns returns the columns of a service's rows.
+// Columns returns the column names of a service.
 func Columns(service string) []string {
 	if fareServices[service] {
 		return fareColumns
@@ -52,10 +52,9 @@
 	return tariffColumns
 }
 
-// Rows returns the generated rows of one shard at one snapshot, in a fixed
-// order. They depend only on the arguments. The union over all shards of a
-// version is the same for every epoch, the column version names the version,
-// and amounts differ from version to version.
+// Rows returns the generated rows of one shard at one snapshot in a fixed order. They depend only
+// on the arguments. The union of all shards of a version is the same for every epoch. The version
+// column holds the version, and prices and amounts differ between versions.
 func Rows(service string, snapshot catalog.Snapshot, shard, shardCount int) rows.Table {
 	table := rows.Table{Columns: Columns(service), Rows: []rows.Row{}}
 	key := table.Column(KeyColumn(service))
@@ -68,12 +67,12 @@
 	return table
 }
 
-// ShardOf returns the shard that a key is placed in.
+// ShardOf returns the shard that holds a key.
 func ShardOf(key rows.Value, shardCount int) int {
 	return int(rows.KeyHash(key) % uint64(shardCount))
 }
 
-// generate returns row number n of a version, or nil if the version lacks it.
+// generateRow returns the row with the given number, or nil if the version lacks it.
 func generateRow(service string, version uint64, number int) rows.Row {
 	if (uint64(number)+version)%absentKeyInterval == 0 {
 		return nil
@@ -86,11 +85,13 @@
 	return generateTariff(stableRandom, versionRandom, version, number)
 }
 
+// seededRandom returns a random source for one row. Version 0 is used for the values that are equal
+// in all versions.
 func seededRandom(service string, version uint64, number int) *rand.Rand {
 	return rand.New(rand.NewPCG(xxhash.Sum64String(service)^version, uint64(number)))
 }
 
-// The values that generated rows are made of.
+// The values of the text columns in generated rows.
 var (
 	lanes    = []string{"OTR-SPK", "SPK-OTR", "HKD-SPK", "SPK-KUH", "KUH-OBH", "OBH-ASA", "ASA-WKN", "MRN-HKD"}
 	carriers = []string{"north", "coast", "harbour", "plain", "summit"}
--- a/internal/rehearsal/leaf/execute.go
+++ b/internal/rehearsal/leaf/execute.go
@@ -14,7 +14,7 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// attempt is one execute request on its way through the leaf.
+// attempt is one execute request that the leaf processes.
 type attempt struct {
 	request   protocol.ExecuteRequest
 	arrived   time.Time
@@ -22,7 +22,7 @@
 	statement statement
 }
 
-// remaining is the time left of the request's own.
+// remainingTime returns the rest of the time that the request allows for its execution.
 func (a *attempt) remainingTime() time.Duration {
 	limit := time.Duration(a.request.RemainingMilliseconds) * time.Millisecond
 	return limit - time.Since(a.arrived)
@@ -41,7 +41,7 @@
 	ctx := c.Request().Context()
 	response := s.execute(ctx, a)
 	if response == nil {
-		return ctx.Err() // the caller is gone
+		return ctx.Err() // the caller has disconnected
 	}
 	return s.writeReply(c, response)
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// execute blocks until the attempt has run or is refused. It returns nil if
-// the caller went away.
+// execute blocks until the attempt has been executed or refused. It returns nil if the caller has
+// disconnected.
 func (s *Server) execute(ctx context.Context, a *attempt) *protocol.ExecuteResponse {
 	if refusal, detail := s.validate(a); refusal != protocol.RefusedNone {
 		return s.refuse(a, refusal, detail)
@@ -78,12 +78,12 @@
 	return s.run(ctx, a, started)
 }
 
-// check refuses what need not wait for a slot.
+// validate returns a refusal if the attempt can be refused before it gets a slot.
 func (s *Server) validate(a *attempt) (protocol.Refusal, string) {
 	faults := s.faults.get()
 	switch {
 	case faults.Refuse != protocol.RefusedNone:
-		return faults.Refuse, "told to refuse"
+		return faults.Refuse, "refused by an injected fault"
 	case a.execution.Draining:
 		return protocol.RefusedDraining, ""
 	case s.state() == protocol.StateCold && s.config.ColdFactor == 0:
@@ -102,8 +102,8 @@
 	return protocol.RefusedNone, ""
 }
 
-// run executes the attempt in its slot. The rows are those of the start, also
-// if the version is dropped meanwhile.
+// run executes the attempt in its slot. It reads the rows that are held at the start, even if the
+// version is dropped during the service time.
 func (s *Server) run(ctx context.Context, a *attempt, started time.Time) *protocol.ExecuteResponse {
 	if a.remainingTime() <= 0 {
 		return s.refuse(a, protocol.RefusedLate, "")
@@ -126,7 +126,8 @@
 	return s.newResponse(a, result)
 }
 
-// serviceTime keeps the slot busy, and reports false if ctx was done first.
+// simulateServiceTime keeps the slot busy for a random service time. It returns false if ctx ends
+// first.
 func (s *Server) simulateServiceTime(ctx context.Context, statement statement) bool {
 	factor := s.faults.get().SlowFactor
 	if s.state() == protocol.StateCold {
@@ -146,7 +147,7 @@
 	}
 }
 
-// insertRows applies an insert. From here on it has taken effect.
+// applyInsert adds the rows of an insert statement. From this point on the insert has taken effect.
 func (s *Server) applyInsert(a *attempt) {
 	var entries []Inserted
 	for _, row := range a.statement.insertedRows(s.config.Service, a.request.Snapshot.Version) {
@@ -162,6 +163,7 @@
 	}
 }
 
+// recordOutcome adds the attempt to the execution log.
 func (s *Server) recordOutcome(a *attempt, outcome Outcome, refusal protocol.Refusal) {
 	a.execution.Outcome = outcome
 	a.execution.Refusal = refusal
@@ -190,7 +192,7 @@
 	}
 }
 
-// reply sends the response, or what the faults in force make of it.
+// writeReply sends the response after the current faults have been applied to it.
 func (s *Server) writeReply(c echo.Context, response *protocol.ExecuteResponse) error {
 	faults := s.faults.get()
 	if s.faults.consumeLostReply() {
@@ -207,13 +209,14 @@
 	}
 	response.Load = s.reporter.summary()
 	if s.config.GoAway && s.draining.Load() {
-		// net/http turns this into GOAWAY on an HTTP/2 connection.
+		// On an HTTP/2 connection net/http sends GOAWAY for this header.
 		c.Response().Header().Set("Connection", "close")
 	}
 	return c.JSON(http.StatusOK, response)
 }
 
-// closeConnection cuts the connection under the request and its neighbours.
+// closeConnection closes the connection of the request. Other requests on the same HTTP/2
+// connection fail too.
 func closeConnection(c echo.Context) error {
 	if conn, ok := c.Request().Context().Value(connectionKey{}).(net.Conn); ok {
 		conn.Close()
@@ -221,13 +224,13 @@
 	panic(http.ErrAbortHandler)
 }
 
-// crossing exchanges replies between requests.
+// replySwapper exchanges replies between requests.
 type replySwapper struct {
 	mutex    sync.Mutex
 	previous *protocol.ExecuteResponse
 }
 
-// swap keeps the response and returns the one kept before, if any.
+// swap stores the response and returns the previous one. The first response is returned unchanged.
 func (c *replySwapper) swap(response *protocol.ExecuteResponse) *protocol.ExecuteResponse {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rehearsal/leaf/execute_test.go
+++ b/internal/rehearsal/leaf/execute_test.go
@@ -17,17 +17,17 @@
 
 const longServiceTime = Duration(time.Hour)
 
-// eventually polls until the condition holds.
-func eventually(t *testing.T, what string, condition func() bool) {
+// eventually polls until the condition holds and fails the test after 10 s.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for ctx := testContext(t); !condition(); time.Sleep(time.Millisecond) {
 		if ctx.Err() != nil {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", description)
 		}
 	}
 }
 
-// background is a call in progress.
+// backgroundCall is a call that runs in its own goroutine.
 type backgroundCall struct {
 	cancel   context.CancelFunc
 	done     chan struct{}
@@ -63,7 +63,7 @@
 	queued := executeInBackground(t, server, client, testRequest("queued", "select * from rate-desk"))
 	awaitOccupancy(t, server, 1, 1)
 	if shed := execute(t, server, client, testRequest("shed", "select * from rate-desk")); shed.Refusal != protocol.RefusedShed {
-		t.Errorf("refusal %q", shed.Refusal)
+		t.Errorf("request beyond the queue: got refusal %q, want %q", shed.Refusal, protocol.RefusedShed)
 	}
 	queued.cancel()
 	awaitOccupancy(t, server, 1, 0)
@@ -72,7 +72,9 @@
 	for id, expected := range map[string]Outcome{
 		"running": OutcomeCancelledRunning, "queued": OutcomeCancelledQueued, "shed": OutcomeRefused,
 	} {
-		eventually(t, id+" is logged", func() bool { return slices.Equal(outcomes(server, id), []Outcome{expected}) })
+		eventually(t, fmt.Sprintf("execution log of %q is [%s]", id, expected), func() bool {
+			return slices.Equal(loggedOutcomes(server, id), []Outcome{expected})
+		})
 	}
 }
 
@@ -89,14 +91,15 @@
 	server.Control(Control{Faults: server.Faults(), Drain: &drain})
 	refused := execute(t, server, client, testRequest("new", "select * from rate-desk"))
 	if refused.Refusal != protocol.RefusedDraining || refused.Load.State != protocol.StateDraining {
-		t.Errorf("refusal %q in state %q", refused.Refusal, refused.Load.State)
+		t.Errorf("new request while draining: got refusal %q in state %q, want %q in state %q",
+			refused.Refusal, refused.Load.State, protocol.RefusedDraining, protocol.StateDraining)
 	}
 	if err := server.Drain(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
 	for _, call := range []*backgroundCall{running, queued} {
 		if <-call.done; call.err != nil || !call.response.Executed {
-			t.Errorf("%+v, %v", call.response, call.err)
+			t.Errorf("accepted request: got response %+v, error %v, want executed", call.response, call.err)
 		}
 	}
 }
@@ -115,19 +118,19 @@
 		protocol.RefusedInvalid:  change(func(r *protocol.ExecuteRequest) { r.Statement = "select fee from rate-desk" }),
 	} {
 		if response := execute(t, server, client, request); response.Refusal != expected || response.Executed {
-			t.Errorf("expected %q, got %q (%s)", expected, response.Refusal, response.Detail)
+			t.Errorf("want refusal %q, got %q (%s)", expected, response.Refusal, response.Detail)
 		}
 	}
 	config := testConfig()
 	config.ColdFor = longServiceTime
 	cold, client := startTestLeaf(t, config)
 	if response := execute(t, cold, client, testRequest("r", "select * from rate-desk")); response.Refusal != protocol.RefusedCold {
-		t.Errorf("got %q", response.Refusal)
+		t.Errorf("cold leaf: got refusal %q, want %q", response.Refusal, protocol.RefusedCold)
 	}
 }
 
-// TestFaultyRepliesNeverReachTheCaller covers lost, truncated and crossed
-// replies.
+// TestClientRejectsFaultyReplies injects lost, truncated and crossed replies. The client must
+// return a transport error for each instead of a wrong result.
 func TestClientRejectsFaultyReplies(t *testing.T) {
 	server, client := startTestLeaf(t, testConfig())
 	inject := func(faults Faults) {
@@ -151,22 +154,22 @@
 		}
 		var transportError *protocol.TransportError
 		if !errors.As(err, &transportError) || !transportError.Sent || (test.expected != nil && !errors.Is(err, test.expected)) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s reply: got error %v, want a transport error after sending (cause %v)", name, err, test.expected)
 		}
 		last := fmt.Sprintf("%s %d", name, test.calls-1)
-		if got := outcomes(server, last); !slices.Equal(got, []Outcome{OutcomeExecuted}) {
-			t.Errorf("%s: %v", name, got)
+		if got := loggedOutcomes(server, last); !slices.Equal(got, []Outcome{OutcomeExecuted}) {
+			t.Errorf("%s reply: got logged outcomes %v, want [%s]", name, got, OutcomeExecuted)
 		}
 	}
 	inject(Faults{})
-	eventually(t, "a whole reply", func() bool {
+	eventually(t, "a complete reply after the faults are cleared", func() bool {
 		_, err := client.Execute(testContext(t), server.Address(), testRequest("after", "select * from rate-desk"))
 		return err == nil
 	})
 }
 
-// TestEachCallerGetsItsOwnRows has many callers share the connections, with
-// late replies and cancelled calls between.
+// TestConcurrentCallersGetOwnRows runs 16 callers that share connections, with slow replies and
+// cancelled calls. A caller must never receive the rows of another request.
 func TestConcurrentCallersGetOwnRows(t *testing.T) {
 	config := testConfig()
 	config.Queue = 1000
@@ -189,7 +192,7 @@
 	awaitOccupancy(t, server, 0, 0)
 }
 
-// readOne reads one quote; every fourth call is given up soon after its start.
+// readQuote reads one quote. Every fourth call is cancelled 300 µs after its start.
 func readQuote(ctx context.Context, server *Server, client *protocol.Client, caller, i int) error {
 	quote := fmt.Sprintf("Q-%d", 40*caller+i)
 	giveUp := i%4 == 3
@@ -208,7 +211,7 @@
 	}
 	for _, row := range response.Table.Rows {
 		if row[0] != rows.TextOf(quote) {
-			return fmt.Errorf("asked for %s, got %v", quote, row)
+			return fmt.Errorf("select quote %s: got row %v", quote, row)
 		}
 	}
 	return nil
@@ -223,7 +226,7 @@
 	split := &Partition{Epoch: 2, Shards: 2, Hold: []int{1}}
 	server.Control(Control{Faults: server.Faults(), AddVersion: 2, DropVersion: 1, AddPartition: split})
 	if <-running.done; running.err != nil || running.response.Table.Rows[0][5] != rows.NumberOf(1) {
-		t.Fatalf("%+v, %v", running.response, running.err)
+		t.Fatalf("request during the change: got response %+v, error %v, want rows of version 1", running.response, running.err)
 	}
 	for snapshot, expected := range map[catalog.Snapshot]protocol.Refusal{
 		{Version: 1, Epoch: 1}: protocol.RefusedSnapshot,
@@ -233,12 +236,12 @@
 		request := testRequest("r", "select * from rate-desk")
 		request.Snapshot = snapshot
 		if response := execute(t, server, client, request); response.Refusal != expected {
-			t.Errorf("%v: expected %q, got %q", snapshot, expected, response.Refusal)
+			t.Errorf("snapshot %v: want refusal %q, got %q", snapshot, expected, response.Refusal)
 		}
 	}
 	report, err := client.Load(testContext(t), server.Address())
 	if err != nil || len(report.Holdings) != 2 || report.BootID != server.BootID() {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("load: got report %+v, error %v, want 2 holdings and boot ID %s", report, err, server.BootID())
 	}
 }
 
@@ -246,14 +249,14 @@
 	server, client := startTestLeaf(t, testConfig())
 	insert := testRequest("insert", "insert into rate-desk (quote, lane, price) values ('Q-new', 'OTR-SPK', 4100)")
 	if response := execute(t, server, client, insert); !response.Executed {
-		t.Fatal(response.Refusal, response.Detail)
+		t.Fatalf("insert: got refusal %q (%s), want executed", response.Refusal, response.Detail)
 	}
 	server.Control(Control{Faults: server.Faults(), AddVersion: 2})
 	for version, expected := range map[uint64]int{1: 0, 2: 1} {
 		request := testRequest("read", "select quote, version from rate-desk where quote = 'Q-new'")
 		request.Snapshot.Version = version
 		if response := execute(t, server, client, request); len(response.Table.Rows) != expected {
-			t.Errorf("version %d: %v", version, response.Table.Rows)
+			t.Errorf("version %d: got rows %v, want %d rows", version, response.Table.Rows, expected)
 		}
 	}
 }
--- a/internal/rehearsal/leaf/execution_log.go
+++ b/internal/rehearsal/leaf/execution_log.go
@@ -10,23 +10,23 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Outcome is what became of an attempt on the leaf.
+// Outcome is the result of an attempt on the leaf.
 type Outcome string
 
 // The outcomes of an attempt.
 const (
-	// OutcomeExecuted means that the statement ran to its end.
+	// OutcomeExecuted means that the statement was executed completely.
 	OutcomeExecuted Outcome = "executed"
-	// OutcomeRefused means that the attempt never started.
+	// OutcomeRefused means that the leaf refused the attempt before its start.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeCancelledQueued means that the caller went away before the start.
+	// OutcomeCancelledQueued means that the caller disconnected before the start.
 	OutcomeCancelledQueued Outcome = "cancelled_queued"
-	// OutcomeCancelledRunning means that the caller went away after the start;
-	// the attempt stopped, and an insert was not applied.
+	// OutcomeCancelledRunning means that the caller disconnected after the start. The attempt was
+	// stopped, and an insert was not applied.
 	OutcomeCancelledRunning Outcome = "cancelled_running"
 )
 
-// Execution records one attempt.
+// Execution is the log record of one attempt.
 type Execution struct {
 	RequestID string           `json:"request_id"`
 	AttemptID string           `json:"attempt_id"`
@@ -36,32 +36,32 @@
 	Statement string           `json:"statement"`
 	Outcome   Outcome          `json:"outcome"`
 	Refusal   protocol.Refusal `json:"refusal,omitempty"`
-	// Draining says that the leaf was already draining on arrival.
+	// Draining is set if the leaf was draining when the attempt arrived.
 	Draining bool `json:"draining,omitempty"`
-	// The times are on the leaf's clock, in microseconds since 1970; Started
-	// is zero if the attempt never started.
+	// Arrived, Started and Ended are times on the leaf's clock in microseconds since 1970. Started
+	// is zero if the attempt did not start.
 	Arrived int64 `json:"arrived_unix_microseconds"`
 	Started int64 `json:"started_unix_microseconds,omitempty"`
 	Ended   int64 `json:"ended_unix_microseconds"`
 }
 
-// Executions answers GET /control/executions.
+// Executions is the response to GET /control/executions.
 type Executions struct {
 	BootID string `json:"boot_id"`
-	// Dropped counts the oldest records, dropped for space.
+	// Dropped is the number of oldest records that were dropped to limit memory.
 	Dropped    int         `json:"dropped"`
 	Executions []Execution `json:"executions"`
 }
 
-// loggedExecutions is how many records are kept.
+// maximumExecutions is the number of records kept. When it is reached, the older half is dropped.
 const maximumExecutions = 200_000
 
-// executionLog keeps the newest records.
+// executionLog holds the newest records.
 type executionLog struct {
 	mutex   sync.Mutex
 	records []Execution
 	dropped int
-	// copies gets every record as a line of JSON, if it is set.
+	// encoder writes every record as a line of JSON if it is not nil.
 	encoder *json.Encoder
 }
 
@@ -76,7 +76,7 @@
 	}
 	l.records = append(l.records, record)
 	if l.encoder != nil {
-		_ = l.encoder.Encode(record) // a log that cannot be written shows as missing records
+		_ = l.encoder.Encode(record) // a write error shows as missing records in the output
 	}
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// LogExecutions writes every record from now on as a line of JSON, before the
-// reply leaves. What is written to a file outlives the process.
+// LogExecutions writes every further record to the writer as a line of JSON, before the reply of
+// the attempt is sent. Records in a file therefore survive the end of the process.
 func (s *Server) LogExecutions(writer io.Writer) {
 	s.executions.mutex.Lock()
 	defer s.executions.mutex.Unlock()
--- a/internal/rehearsal/leaf/faults.go
+++ b/internal/rehearsal/leaf/faults.go
@@ -7,32 +7,32 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Faults are the faults in force. Control changes them at run time.
+// Faults selects the faults to inject. A Control request changes them while the leaf runs.
 type Faults struct {
 	// SlowFactor multiplies every service time.
 	SlowFactor float64 `json:"slow_factor"`
-	// DelayMilliseconds holds every reply back, without using a slot.
+	// DelayMilliseconds delays every reply without occupying a slot.
 	DelayMilliseconds int64 `json:"delay_ms"`
-	// Refuse refuses every request for this reason; empty refuses none.
+	// Refuse is the reason for which every request is refused. Empty means that none is refused.
 	Refuse protocol.Refusal `json:"refuse"`
-	// Truncate leaves the last row out of every reply that has rows.
+	// Truncate removes the last row from every reply that has rows.
 	Truncate bool `json:"truncate"`
 	// Cross answers each request with the reply to the previous one.
 	Cross bool `json:"cross"`
-	// LoseReply is how many of the next replies are lost: the statement runs
-	// and the connection is closed.
+	// LoseReply is the number of upcoming replies that are lost: the statement is executed and then
+	// the connection is closed without a reply.
 	LoseReply int `json:"lose_reply"`
-	// ReportScale multiplies the reported load.
+	// ReportScale multiplies the number of busy slots and the queue length in load reports.
 	ReportScale float64 `json:"report_scale"`
 	// ReportLagMilliseconds is the age of the reported load.
 	ReportLagMilliseconds int64 `json:"report_lag_ms"`
-	// ReportState is reported in place of the true state; empty reports the true one.
+	// ReportState is reported instead of the actual state unless it is empty.
 	ReportState protocol.State `json:"report_state"`
-	// ReportFixed is reported in place of the true load, if set.
+	// ReportFixed is reported instead of the actual load unless it is nil.
 	ReportFixed *protocol.LoadSummary `json:"report_fixed"`
 }
 
-// faults guards the faults in force.
+// faultState holds the current faults.
 type faultState struct {
 	mutex   sync.Mutex
 	current Faults
@@ -58,7 +58,8 @@
 	change(&f.current)
 }
 
-// takeLostReply reports whether this reply is to be lost, and counts it.
+// consumeLostReply reports whether this reply must be lost, and decrements the number of replies to
+// lose.
 func (f *faultState) consumeLostReply() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/rehearsal/leaf/holdings.go
+++ b/internal/rehearsal/leaf/holdings.go
@@ -9,8 +9,8 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// holdings says which versions, epochs and shards the leaf holds, and keeps
-// their rows. A leaf holds every version it has under every epoch it has.
+// holdings tracks the versions, epochs and shards that the leaf holds, with their rows. The leaf
+// holds every version in every epoch.
 type holdings struct {
 	service string
 	journal *journal
@@ -37,8 +37,8 @@
 	return h
 }
 
-// table returns the rows of a shard at a snapshot, or why it is not held. They
-// stay whole if the version is dropped.
+// lookup returns the rows of a shard at a snapshot, or a refusal if the leaf does not hold it. The
+// returned table remains valid if the version is dropped.
 func (h *holdings) lookup(snapshot catalog.Snapshot, shard int) (*shardTable, protocol.Refusal) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -50,15 +50,15 @@
 		return nil, protocol.RefusedMoved
 	}
 	key := tableKey{snapshot: snapshot, shard: shard}
-	table, exists := h.tables[key]
-	if !exists {
+	table, built := h.tables[key]
+	if !built {
 		table = h.buildTable(key, partition.Shards)
 		h.tables[key] = table
 	}
 	return table, protocol.RefusedNone
 }
 
-// build generates the rows and adds those inserted at earlier versions.
+// buildTable generates the rows of a shard and adds the rows inserted at earlier versions.
 func (h *holdings) buildTable(key tableKey, shardCount int) *shardTable {
 	table := Rows(h.service, key.snapshot, key.shard, shardCount)
 	keyColumn := table.Column(KeyColumn(h.service))
@@ -72,7 +72,8 @@
 	return &shardTable{rows: table, shard: key.shard, shardCount: shardCount}
 }
 
-// inserted makes the versions after the given one be built again.
+// invalidateAfter discards the tables of later versions, so that the next lookup rebuilds them with
+// the rows inserted at the given version.
 func (h *holdings) invalidateAfter(version uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -95,7 +96,8 @@
 	}
 }
 
-// prebuild generates the rows before the first request asks for them.
+// buildTables builds the tables of all shards of a partition, so that the first request does not
+// have to wait for them.
 func (h *holdings) buildTables(partition Partition, version uint64) {
 	for _, shard := range partition.Hold {
 		key := tableKey{snapshot: catalog.Snapshot{Version: version, Epoch: partition.Epoch}, shard: shard}
@@ -136,7 +138,7 @@
 	}
 }
 
-// partition is called with the mutex held.
+// findPartition returns the partition of an epoch. The caller must hold the mutex.
 func (h *holdings) findPartition(epoch uint64) (Partition, bool) {
 	for _, partition := range h.partitions {
 		if partition.Epoch == epoch {
@@ -146,8 +148,9 @@
 	return Partition{}, false
 }
 
-// list returns what the leaf holds, in order of the snapshots.
-func (h *holdings) list() []protocol.Holding {
+// snapshots returns the snapshots and shards that the leaf holds, by partition in order of addition
+// and then by version.
+func (h *holdings) snapshots() []protocol.Holding {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	held := []protocol.Holding{}
--- a/internal/rehearsal/leaf/journal.go
+++ b/internal/rehearsal/leaf/journal.go
@@ -6,16 +6,16 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// Inserted is one row that an insert added.
+// Inserted is a row that an insert statement added.
 type Inserted struct {
 	RequestID string `json:"request_id"`
-	// Version is the index version that the insert ran at. The row shows in
-	// later versions: a version never changes.
+	// Version is the index version at which the insert was executed. The row appears only in later
+	// versions because a version is immutable.
 	Version uint64   `json:"version"`
 	Row     rows.Row `json:"row"`
 }
 
-// journal lists the inserted rows in order.
+// journal holds the inserted rows in order of insertion.
 type journal struct {
 	mutex   sync.Mutex
 	entries []Inserted
--- a/internal/rehearsal/leaf/leaf_test.go
+++ b/internal/rehearsal/leaf/leaf_test.go
@@ -20,7 +20,8 @@
 
 var testSnapshot = catalog.Snapshot{Version: 1, Epoch: 1}
 
-// testConfig is a leaf that holds one shard and answers at once.
+// testConfig returns the configuration of a leaf that holds one shard and has a service time of
+// zero.
 func testConfig() Config {
 	config := DefaultConfig()
 	config.Service = testService
@@ -71,7 +72,7 @@
 	return response
 }
 
-func outcomes(server *Server, requestID string) []Outcome {
+func loggedOutcomes(server *Server, requestID string) []Outcome {
 	var result []Outcome
 	for _, execution := range server.Executions().Executions {
 		if execution.RequestID == requestID {
@@ -87,10 +88,10 @@
 	expected := Rows(testService, testSnapshot, 0, 1)
 	slices.SortStableFunc(expected.Rows, rows.CompareRows)
 	if !response.Table.Equal(expected) {
-		t.Fatalf("%d rows, expected %d", len(response.Table.Rows), len(expected.Rows))
+		t.Fatalf("select: got %d rows, want %d equal to the generated rows", len(response.Table.Rows), len(expected.Rows))
 	}
-	if got := outcomes(server, "r"); !slices.Equal(got, []Outcome{OutcomeExecuted}) {
-		t.Fatal(got)
+	if got := loggedOutcomes(server, "r"); !slices.Equal(got, []Outcome{OutcomeExecuted}) {
+		t.Fatalf("got logged outcomes %v, want [%s]", got, OutcomeExecuted)
 	}
 }
 
@@ -105,7 +106,7 @@
 			}
 			slices.SortStableFunc(union.Rows, rows.CompareRows)
 			if !union.Equal(whole) {
-				t.Errorf("%s: %d shards have %d rows, the whole %d", service, shards, len(union.Rows), len(whole.Rows))
+				t.Errorf("%s: got a union of %d shards with %d rows that differs from the %d rows of a single shard", service, shards, len(union.Rows), len(whole.Rows))
 			}
 		}
 	}
--- a/internal/rehearsal/leaf/load_report.go
+++ b/internal/rehearsal/leaf/load_report.go
@@ -7,13 +7,14 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// sampleEvery is how often the load is sampled for lagging reports.
+// sampleInterval is the time between samples of the load for delayed reports.
 const sampleInterval = 10 * time.Millisecond
 
-// keptSamples bounds the lag that a report can have to about a minute.
+// maximumSamples limits the samples kept to one minute. When the limit is reached, the older half
+// is dropped, so a report can lag by between 30 and 60 s at most.
 const maximumSamples = 6000
 
-// reporter reports the leaf's load, truly or not.
+// loadReporter creates the load reports of the leaf and applies the injected faults to them.
 type loadReporter struct {
 	server  *Server
 	mutex   sync.Mutex
@@ -25,7 +26,7 @@
 	summary protocol.LoadSummary
 }
 
-// summary returns the load as the leaf reports it.
+// summary returns the load to report.
 func (r *loadReporter) summary() protocol.LoadSummary {
 	faults := r.server.faults.get()
 	if faults.ReportFixed != nil {
@@ -46,7 +47,7 @@
 
 func scaleCount(number int, factor float64) int { return int(float64(number)*factor + 0.5) }
 
-// truth returns the load as it is.
+// actualLoad returns the load without injected faults.
 func (r *loadReporter) actualLoad() protocol.LoadSummary {
 	busy, queue := r.server.slots.occupancy()
 	return protocol.LoadSummary{
@@ -57,8 +58,8 @@
 	}
 }
 
-// at returns the newest sample that is not younger than the moment, or the
-// oldest one, or the given summary if there is none.
+// sampleAt returns the newest sample taken at or before the moment. If there is none it returns the
+// oldest sample, or the fallback if there are no samples.
 func (r *loadReporter) sampleAt(moment time.Time, fallback protocol.LoadSummary) protocol.LoadSummary {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -73,7 +74,7 @@
 	return fallback
 }
 
-// sample records the load, if reports lag.
+// recordSample records the current load if reports are delayed.
 func (r *loadReporter) recordSample(now time.Time) {
 	if r.server.faults.get().ReportLagMilliseconds == 0 {
 		return
--- a/internal/rehearsal/leaf/reported_outcomes_test.go
+++ b/internal/rehearsal/leaf/reported_outcomes_test.go
@@ -15,8 +15,8 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// cuttingProxy passes connections on to a leaf and cuts each after a random
-// number of bytes in one of the directions.
+// faultyProxy forwards connections to a leaf and closes each after a random number of bytes in
+// either direction.
 type faultyProxy struct {
 	listener   net.Listener
 	target     netip.AddrPort
@@ -52,7 +52,7 @@
 	}
 }
 
-// pass copies up to so many bytes, then closes both ends.
+// copyAndClose copies up to the given number of bytes and then closes both connections.
 func copyAndClose(to, from net.Conn, bytes int64) {
 	io.CopyN(to, from, bytes)
 	to.Close()
@@ -66,16 +66,16 @@
 	p.goroutines.Wait()
 }
 
-// claim is what a caller was told about one attempt.
-type outcome string
+// reportedOutcome is the outcome of an attempt as the client reported it to the caller.
+type reportedOutcome string
 
 const (
-	reportedExecuted outcome = "executed"
-	reportedNotRun   outcome = "not run"
-	reportedUnknown  outcome = "unknown"
+	reportedExecuted reportedOutcome = "executed"
+	reportedNotRun   reportedOutcome = "not run"
+	reportedUnknown  reportedOutcome = "unknown"
 )
 
-func classifyReply(response *protocol.ExecuteResponse, err error) outcome {
+func classifyReply(response *protocol.ExecuteResponse, err error) reportedOutcome {
 	var transportError *protocol.TransportError
 	switch {
 	case err == nil && response.Executed:
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestClaimsAgreeWithTheExecutionLog sends inserts over connections that are
-// cut at random, cancels some, loses replies and drains at the end. What the
-// callers are told must be true by the leaf's log.
+// TestReportedOutcomesMatchExecutionLog sends inserts over connections that close at random,
+// cancels some, loses replies and drains the leaf at the end. The outcomes that the client reports
+// must agree with the execution log of the leaf.
 func TestReportedOutcomesMatchExecutionLog(t *testing.T) {
 	const seed, callers, calls = 7, 8, 60
 	config := testConfig()
@@ -100,10 +100,10 @@
 	server, _ := startTestLeaf(t, config)
 	proxy := startFaultyProxy(t, server.Address(), seed)
 	client := protocol.New(protocol.Config{RedialMinimum: time.Millisecond, RedialMaximum: 4 * time.Millisecond}, nil)
-	reported := make([]map[string]outcome, callers)
+	reported := make([]map[string]reportedOutcome, callers)
 	var running sync.WaitGroup
 	for caller := range callers {
-		reported[caller] = make(map[string]outcome)
+		reported[caller] = make(map[string]reportedOutcome)
 		random := rand.New(rand.NewPCG(seed, uint64(caller)))
 		running.Go(func() {
 			for i := range calls {
@@ -125,7 +125,7 @@
 	checkReportedOutcomes(t, server, reported)
 }
 
-func insertOnce(address netip.AddrPort, client *protocol.Client, id string, random *rand.Rand) outcome {
+func insertOnce(address netip.AddrPort, client *protocol.Client, id string, random *rand.Rand) reportedOutcome {
 	timeout := time.Second
 	if random.IntN(4) == 0 {
 		timeout = time.Duration(random.IntN(2000)) * time.Microsecond
@@ -136,7 +136,7 @@
 	return classifyReply(client.Execute(ctx, address, request))
 }
 
-func checkReportedOutcomes(t *testing.T, server *Server, reported []map[string]outcome) {
+func checkReportedOutcomes(t *testing.T, server *Server, reported []map[string]reportedOutcome) {
 	executed, arrivals := make(map[string]int), make(map[string]int)
 	for _, execution := range server.Executions().Executions {
 		arrivals[execution.RequestID]++
@@ -144,24 +144,24 @@
 			executed[execution.RequestID]++
 		}
 	}
-	counts := make(map[outcome]int)
+	counts := make(map[reportedOutcome]int)
 	for _, byID := range reported {
 		for id, outcome := range byID {
 			counts[outcome]++
 			switch {
 			case arrivals[id] > 1:
-				t.Errorf("%s arrived %d times", id, arrivals[id])
+				t.Errorf("request %s: got %d arrivals, want at most 1", id, arrivals[id])
 			case outcome == reportedExecuted && executed[id] != 1:
-				t.Errorf("%s is said to be executed, the log has it %d times", id, executed[id])
+				t.Errorf("request %s was reported as executed: got %d executions in the log, want 1", id, executed[id])
 			case outcome == reportedNotRun && executed[id] != 0:
-				t.Errorf("%s is said not to have run, the log has it", id)
+				t.Errorf("request %s was reported as not run: got %d executions in the log, want 0", id, executed[id])
 			}
 		}
 	}
-	t.Logf("claims %v, %d arrivals, %d executed", counts, len(arrivals), len(executed))
-	for _, outcome := range []outcome{reportedExecuted, reportedNotRun, reportedUnknown} {
+	t.Logf("reported outcomes %v, %d arrivals, %d executed", counts, len(arrivals), len(executed))
+	for _, outcome := range []reportedOutcome{reportedExecuted, reportedNotRun, reportedUnknown} {
 		if counts[outcome] == 0 {
-			t.Errorf("no call was %s: the faults do not cover it", outcome)
+			t.Errorf("got no call with the reported outcome %q, want at least 1", outcome)
 		}
 	}
 }
--- a/internal/rehearsal/leaf/server.go
+++ b/internal/rehearsal/leaf/server.go
@@ -22,10 +22,10 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// bodyLimit bounds the body of a request, in bytes.
+// maximumBodyBytes limits the size of a request body.
 const maximumBodyBytes = 1 << 20
 
-// Server is a running stand-in leaf.
+// Server is a running fake leaf.
 type Server struct {
 	config       Config
 	bootID       string
@@ -47,7 +47,7 @@
 	goroutines   sync.WaitGroup
 }
 
-// Start listens and serves until Close or Drain. The logger must not be nil.
+// Start starts a leaf that serves until Close or Drain. The logger must not be nil.
 func Start(config Config, logger *slog.Logger) (*Server, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	return s
 }
 
-// connectionKey is the context key of the net.Conn that carries a request.
+// connectionKey is the context key of the net.Conn of a request.
 type connectionKey struct{}
 
 func (s *Server) newHTTPServer() *http.Server {
@@ -118,7 +118,7 @@
 
 func (s *Server) serve() {
 	if err := s.httpServer.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		s.logger.Error("serving ended", "error", err)
+		s.logger.Error("fake leaf stopped serving", "error", err)
 	}
 }
 
@@ -135,21 +135,21 @@
 	}
 }
 
-// Address returns the address that the leaf serves on.
+// Address returns the address on which the leaf listens.
 func (s *Server) Address() netip.AddrPort {
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// BootID returns the id of this run.
+// BootID returns the ID of this run of the leaf.
 func (s *Server) BootID() string { return s.bootID }
 
-// Load returns the load report, as misleading as the faults in force make it.
+// Load returns the load report with the injected faults applied.
 func (s *Server) Load() protocol.LoadReport {
 	return protocol.LoadReport{
 		BootID:               s.bootID,
 		LoadSummary:          s.reporter.summary(),
 		Service:              s.config.Service,
-		Holdings:             s.holdings.list(),
+		Holdings:             s.holdings.snapshots(),
 		AsOfUnixMilliseconds: time.Now().UnixMilli(),
 	}
 }
@@ -157,7 +157,7 @@
 // Executions returns the execution log.
 func (s *Server) Executions() Executions { return s.executions.snapshot(s.bootID) }
 
-// state is the leaf's true state.
+// state returns the actual state of the leaf, without injected faults.
 func (s *Server) state() protocol.State {
 	switch {
 	case s.draining.Load():
@@ -169,8 +169,8 @@
 	}
 }
 
-// Drain refuses new requests, blocks until those in flight have ended, and
-// stops serving. If ctx is done first it cuts them and returns the error.
+// Drain refuses new requests, waits until the requests in flight have completed and stops serving.
+// If ctx ends first, Drain closes their connections and returns the error.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	err := s.shutdown(ctx)
@@ -181,14 +181,14 @@
 	return err
 }
 
-// shutdownRound is after how long the connections are asked again to end. A stop
-// without a second round waited its whole time in 2 of 132 plays beside a load of
-// 24 busy processes on 8 cores.
+// shutdownRetryInterval is the time after which Shutdown is called again. With a single call, a
+// stop on a machine with overloaded CPUs occasionally lasts until its deadline.
 const shutdownRetryInterval = 500 * time.Millisecond
 
-// shutdown stops the HTTP server. One call of Shutdown notifies only the HTTP/2
-// connections that are up at that moment, and waits for those that come up later,
-// though nothing is asked on them: it is called again until none is left.
+// shutdown stops the HTTP server. http.Server.Shutdown notifies only the HTTP/2 connections that
+// are established when it is called, but it also waits for connections that become established
+// later, even if they carry no request. Therefore shutdown calls it repeatedly until no connection
+// is left.
 func (s *Server) shutdown(ctx context.Context) error {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, shutdownRetryInterval)
@@ -200,15 +200,15 @@
 	}
 }
 
-// Close cuts all connections and blocks until the server's goroutines have
-// ended. It may be called more than once.
+// Close closes all connections and waits for the goroutines of the server. It may be called more
+// than once.
 func (s *Server) Close() {
 	s.stopSampling()
 	s.httpServer.Close()
 	s.goroutines.Wait()
 }
 
-// readBody reads a body within the limit. Errors are HTTP errors.
+// readBody reads a request body of at most maximumBodyBytes. Errors are HTTP errors.
 func readBody(c echo.Context) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maximumBodyBytes))
 	if err != nil {
@@ -217,7 +217,7 @@
 	return body, nil
 }
 
-// decodeStrictly refuses unknown fields. Errors are HTTP errors.
+// decodeStrict decodes JSON and rejects unknown fields. Errors are HTTP errors.
 func decodeStrict(body []byte, out any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
--- a/internal/rehearsal/leaf/service_time.go
+++ b/internal/rehearsal/leaf/service_time.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sampler draws service times from a seeded source.
+// serviceTimeSampler draws random service times from a seeded source.
 type serviceTimeSampler struct {
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -17,7 +17,7 @@
 	return &serviceTimeSampler{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// draw returns one service time, multiplied by the factor.
+// sample returns a random service time multiplied by the factor.
 func (s *serviceTimeSampler) sample(distribution ServiceTime, factor float64) time.Duration {
 	s.mutex.Lock()
 	deviation := s.random.NormFloat64()
--- a/internal/rehearsal/leaf/shard_table.go
+++ b/internal/rehearsal/leaf/shard_table.go
@@ -9,12 +9,12 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/merge"
 )
 
-// rememberedResults bounds the results that a shard's table remembers.
+// maximumCachedResults limits the cached results of a shard. The cache is cleared when it is full.
 const maximumCachedResults = 256
 
-// shardTable is the rows of one shard at one snapshot. They never change, so
-// it remembers the results of selects: load tests repeat them, and the leaf's
-// own processor time should not hide that of the nodes.
+// shardTable holds the rows of one shard at one snapshot. The rows are immutable, so the results of
+// select statements are cached. Load tests repeat the same statements, and the CPU time of the fake
+// leaf must not dominate the CPU time of the nodes under test.
 type shardTable struct {
 	rows  rows.Table
 	shard int
@@ -25,9 +25,8 @@
 	results map[string]rows.Table
 }
 
-// evaluate returns the result of a statement, or why it cannot run. The caller
-// must not modify the result. It has no effect: inserts are applied by
-// Server.insertRows.
+// evaluate returns the result of a statement, or an error if it cannot be executed. The caller must
+// not modify the result. evaluate does not apply inserts; see Server.applyInsert.
 func (t *shardTable) evaluate(service string, statement statement) (rows.Table, error) {
 	if statement.insertion != nil {
 		return t.checkInsert(service, statement.insertion)
@@ -58,7 +57,8 @@
 	t.results[text] = result
 }
 
-// checkInsert returns the result of an insert that fits the shard.
+// checkInsert returns the result of an insert, or an error if its columns do not exist or its key
+// belongs to another shard.
 func (t *shardTable) checkInsert(service string, insertion *language.Insert) (rows.Table, error) {
 	for _, column := range insertion.Columns {
 		if t.rows.Column(column) < 0 {
@@ -67,10 +67,10 @@
 	}
 	key, exists := insertion.Value(KeyColumn(service))
 	if !exists {
-		return rows.Table{}, fmt.Errorf("an insert has to name the key column %q", KeyColumn(service))
+		return rows.Table{}, fmt.Errorf("insert: key column %q is missing", KeyColumn(service))
 	}
 	if shard := ShardOf(key, t.shardCount); shard != t.shard {
-		return rows.Table{}, fmt.Errorf("the key %s belongs to shard %d", key, shard)
+		return rows.Table{}, fmt.Errorf("insert: key %s belongs to shard %d, not to shard %d", key, shard, t.shard)
 	}
 	return rows.Table{Columns: []string{"inserted"}, Rows: []rows.Row{{rows.NumberOf(1)}}}, nil
 }
--- a/internal/rehearsal/leaf/slots.go
+++ b/internal/rehearsal/leaf/slots.go
@@ -9,21 +9,21 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// smoothing is the weight of a new service time in the running mean.
+// serviceTimeSmoothing is the weight of a new service time in the moving average.
 const serviceTimeSmoothing = 0.1
 
-// slots runs a bounded number of requests at once; others wait in order of
-// arrival, up to a bound.
+// slots limits the number of concurrent requests. Further requests wait in a bounded FIFO queue.
 type slots struct {
 	mutex      sync.Mutex
 	capacity   int
 	busy       int
 	queueLimit int
 	queue      list.List // of *waiter
-	// mean is the running mean of the service time.
+	// meanServiceTime is the exponential moving average of the service times.
 	meanServiceTime time.Duration
 }
 
+// waiter is a queued request. Its channel is closed when it is granted a slot.
 type waiter struct {
 	granted chan struct{}
 }
@@ -32,10 +32,9 @@
 	return &slots{capacity: capacity, queueLimit: queueLimit}
 }
 
-// acquire blocks until the request has a slot, its remaining time is used up,
-// or ctx is done. It refuses at once if the queue is full or the remaining
-// time is below the predicted wait. After RefusedNone and a nil error the
-// caller has to call release.
+// acquire blocks until the request has a slot, its remaining time has passed or ctx ends. It
+// refuses the request immediately if the queue is full or the predicted wait exceeds the remaining
+// time. If it returns RefusedNone and no error, the caller must call release.
 func (s *slots) acquire(ctx context.Context, remaining time.Duration) (protocol.Refusal, error) {
 	if remaining <= 0 {
 		return protocol.RefusedLate, nil
@@ -58,7 +57,7 @@
 	}
 }
 
-// enter takes a slot or queues a waiter, or returns neither and a refusal.
+// acquireOrEnqueue takes a free slot, or enqueues a waiter and returns it, or returns a refusal.
 func (s *slots) acquireOrEnqueue(remaining time.Duration) (*waiter, *list.Element, protocol.Refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,8 +74,8 @@
 	return w, s.queue.PushBack(w), protocol.RefusedNone
 }
 
-// leave takes a waiter out of the queue, or gives its slot back if it was
-// granted one meanwhile.
+// abandon removes a waiter from the queue, or frees its slot if it has been granted one in the
+// meantime.
 func (s *slots) abandon(w *waiter, element *list.Element) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -88,7 +87,7 @@
 	}
 }
 
-// release gives a slot back after it was held for the given time.
+// release frees a slot that was held for the given time.
 func (s *slots) release(held time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -99,6 +98,7 @@
 	s.freeSlot()
 }
 
+// freeSlot frees a slot and grants it to the first waiter. The caller must hold the mutex.
 func (s *slots) freeSlot() {
 	s.busy--
 	if front := s.queue.Front(); front != nil && s.busy < s.capacity {
@@ -108,7 +108,7 @@
 	}
 }
 
-// occupancy returns the numbers of busy slots and of waiting requests.
+// occupancy returns the number of busy slots and the length of the queue.
 func (s *slots) occupancy() (busy, queue int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/rehearsal/leaf/slots_test.go
+++ b/internal/rehearsal/leaf/slots_test.go
@@ -11,7 +11,7 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// queuedWaiter is a request that the model has in its queue.
+// modelWaiter is a request in the queue of the model.
 type modelWaiter struct {
 	*waiter
 	element *list.Element
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestSlotsServeInOrderOfArrival compares with a model: a count of busy slots
-// and a queue from which requests may leave at any time.
+// TestSlotsFollowFIFOModel compares slots with a model that consists of a count of busy slots and a
+// queue that requests may leave at any time.
 func TestSlotsFollowFIFOModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 3).Draw(t, "total")
@@ -41,17 +41,17 @@
 				case busy < capacity:
 					busy++
 					if w != nil || refusal != protocol.RefusedNone {
-						t.Fatal("a free slot is not given")
+						t.Fatalf("arrive with a free slot: got waiter %v, refusal %q, want a slot", w, refusal)
 					}
 				case len(queue) < queueLimit:
 					queue = append(queue, modelWaiter{w, element})
 				case refusal != protocol.RefusedShed:
-					t.Fatal("the full queue takes a request")
+					t.Fatalf("arrive with a full queue: got refusal %q, want %q", refusal, protocol.RefusedShed)
 				}
 			},
 			"finish": func(t *rapid.T) {
 				if busy == 0 {
-					t.Skip("nothing runs")
+					t.Skip("no slot is busy")
 				}
 				s.release(time.Millisecond)
 				if len(queue) == 0 {
@@ -59,13 +59,13 @@
 					return
 				}
 				if !queue[0].isGranted() {
-					t.Fatal("the first in the queue is not served")
+					t.Fatal("finish: the first waiter was not granted the slot, want FIFO order")
 				}
 				queue = queue[1:]
 			},
 			"leave": func(t *rapid.T) {
 				if len(queue) == 0 {
-					t.Skip("nothing waits")
+					t.Skip("the queue is empty")
 				}
 				place := rapid.IntRange(0, len(queue)-1).Draw(t, "place")
 				s.abandon(queue[place].waiter, queue[place].element)
@@ -74,10 +74,10 @@
 			"": func(t *rapid.T) {
 				gotBusy, gotQueue := s.occupancy()
 				if gotBusy != busy || gotQueue != len(queue) {
-					t.Fatalf("%d busy and %d queued, expected %d and %d", gotBusy, gotQueue, busy, len(queue))
+					t.Fatalf("got %d busy and %d queued, want %d and %d", gotBusy, gotQueue, busy, len(queue))
 				}
 				if slices.ContainsFunc(queue, modelWaiter.isGranted) {
-					t.Fatal("served out of turn")
+					t.Fatal("a waiter in the queue of the model was granted a slot, want FIFO order")
 				}
 			},
 		})
--- a/internal/rehearsal/leaf/statement.go
+++ b/internal/rehearsal/leaf/statement.go
@@ -8,27 +8,28 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// statement is a select or an insert.
+// statement is a parsed select or insert statement.
 type statement struct {
 	text      string
 	selection *language.Select
 	insertion *language.Insert
 }
 
-var errUnsupportedStatement = errors.New("a leaf runs only select and insert")
+var errUnsupportedStatement = errors.New("parse statement: a leaf supports only select and insert")
 
-// rememberedStatements bounds the statements that a parser remembers.
+// maximumCachedStatements limits the cached statements of a parser. The cache is cleared when it is
+// full.
 const maximumCachedStatements = 1024
 
-// parser parses statements and remembers them.
+// statementParser parses statements and caches the results.
 type statementParser struct {
-	mutex  sync.Mutex
-	cached map[string]statement
+	mutex sync.Mutex
+	cache map[string]statement
 }
 
 func (p *statementParser) parse(text string) (statement, error) {
 	p.mutex.Lock()
-	parsed, cached := p.cached[text]
+	parsed, cached := p.cache[text]
 	p.mutex.Unlock()
 	if cached {
 		return parsed, nil
@@ -39,10 +40,10 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.cached == nil || len(p.cached) >= maximumCachedStatements {
-		p.cached = make(map[string]statement)
+	if p.cache == nil || len(p.cache) >= maximumCachedStatements {
+		p.cache = make(map[string]statement)
 	}
-	p.cached[text] = parsed
+	p.cache[text] = parsed
 	return parsed, nil
 }
 
@@ -61,7 +62,7 @@
 	}
 }
 
-// inserts returns the rows to insert, none for a select.
+// insertedRows returns the rows of an insert statement, or none for a select statement.
 func (s statement) insertedRows(service string, version uint64) []rows.Row {
 	if s.insertion == nil {
 		return nil
@@ -71,6 +72,6 @@
 	for i, column := range columns {
 		row[i], _ = s.insertion.Value(column)
 	}
-	row[len(row)-1] = rows.NumberOf(float64(version)) // the column version is the last
+	row[len(row)-1] = rows.NumberOf(float64(version)) // version is the last column
 	return []rows.Row{row}
 }
--- a/internal/rehearsal/leaf/support_test.go
+++ b/internal/rehearsal/leaf/support_test.go
@@ -1,11 +1,11 @@
 package leaf
 
-// Control changes faults and holdings, as POST /control does. The faults are
-// those given, all of them.
+// Control applies a request like POST /control does, except that it replaces all faults instead of
+// only the fields present in the JSON.
 func (s *Server) Control(control Control) {
 	s.faults.update(func(faults *Faults) { *faults = control.Faults })
 	s.applyControl(control)
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (s *Server) Faults() Faults { return s.faults.get() }
