--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -19,7 +19,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeNode answers every query; answer may change the response.
+// startFakeNode starts a node that answers every query. The respond function may change the query
+// before it is answered, or write its own response and return true.
 func startFakeNode(t *testing.T, respond func(http.ResponseWriter, *api.QueryRequest) bool) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -69,16 +70,18 @@
 	for _, class := range result.Classes {
 		answered += class.Outcomes[dispatch.OutcomeAnswered]
 		if class.Wrong+class.Transport > 0 || class.Coverage != 1 {
-			t.Errorf("%+v", class)
+			t.Errorf("class %q: got %+v, want no wrong answers, no transport errors and coverage 1", class.Class, class)
 		}
 	}
 	if result.Sent == 0 || answered != result.Sent || len(countsByID) != result.Sent || progress.Len() == 0 {
-		t.Errorf("%d sent, %d answered, %d ids", result.Sent, answered, len(countsByID))
+		t.Errorf("got %d sent, %d answered, %d distinct IDs, %d bytes of progress, want three equal counts above 0 and progress",
+			result.Sent, answered, len(countsByID), progress.Len())
 	}
 }
 
-// TestStallCountsFromTheDueTime stalls the only slot for a while: the requests
-// that were due meanwhile must show the wait, though each is served at once.
+// TestLatencyIncludesTimeSinceDue stalls the only request that may be in flight for 300 ms. The
+// latencies of the requests that were due during the stall must include the wait, although the node
+// answers each of them immediately.
 func TestLatencyIncludesTimeSinceDue(t *testing.T) {
 	var once sync.Once
 	const stall = 300 * time.Millisecond
@@ -96,7 +99,8 @@
 	}
 	class := result.Classes[0]
 	if class.Latency.P50 < 2*class.ServiceTime.P50 || class.Latency.P50 < 20 {
-		t.Errorf("p50 from the due time %.1f ms, from the sending %.1f ms", class.Latency.P50, class.ServiceTime.P50)
+		t.Errorf("p50: got latency %.1f ms and service time %.1f ms, want a latency of at least 20 ms and twice the service time",
+			class.Latency.P50, class.ServiceTime.P50)
 	}
 }
 
@@ -116,10 +120,10 @@
 	}
 	refused, crossed := result.Classes[0], result.Classes[1]
 	if refused.Outcomes[dispatch.OutcomeNotRun] != refused.Sent || refused.Bare != refused.Sent || refused.Refusal.Count == 0 {
-		t.Errorf("%+v", refused)
+		t.Errorf("refusals: got %+v, want all requests not run and without Retry-After", refused)
 	}
 	if crossed.Wrong != crossed.Sent || crossed.Sent == 0 {
-		t.Errorf("%+v", crossed)
+		t.Errorf("answers with another request ID: got %+v, want all of them counted as wrong", crossed)
 	}
 }
 
@@ -131,11 +135,11 @@
 		a, firstMore := first.next()
 		b, secondMore := second.next()
 		if a != b || firstMore != secondMore {
-			t.Fatalf("%+v and %+v", a, b)
+			t.Fatalf("request %d: got %+v and %+v from equal seeds, want equal requests", count, a, b)
 		}
 		if !firstMore {
 			if count != config.MaximumRequests {
-				t.Errorf("%d requests", count)
+				t.Errorf("got %d requests, want %d", count, config.MaximumRequests)
 			}
 			return
 		}
@@ -145,16 +149,16 @@
 func TestExperimentFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../experiments/load/*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%v %v", paths, err)
+		t.Fatalf("list experiment files: got %v, error %v, want at least 1 file", paths, err)
 	}
 	for _, path := range paths {
 		config, err := Load(path)
 		if err != nil {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("load %s: got error %v, want none", path, err)
 		}
 		config.Targets = []string{"http://127.0.0.1:7201"}
 		if err := config.Validate(); err != nil {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("validate %s: got error %v, want none", path, err)
 		}
 	}
 }
--- a/internal/rehearsal/load/request.go
+++ b/internal/rehearsal/load/request.go
@@ -14,26 +14,26 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// maximumBody bounds what is read of an answer.
+// maximumBodyBytes limits how much of a response body is read.
 const maximumBodyBytes = 64 << 20
 
-// received is what an answer said.
+// reply is the relevant content of a response.
 type reply struct {
 	outcome dispatch.Outcome
-	// problem is the type of the problem document, if there was one.
+	// problem is the type of the problem document. It is empty if the response has none.
 	problem  api.ProblemType
 	coverage float64
 	rows     int
-	// retryAfter is set if a refusal says when to come back.
+	// retryAfter is set if a refusal has a Retry-After header.
 	retryAfter bool
-	// transport is set if no answer came at all.
+	// transportError is set if no complete response was received.
 	transportError bool
-	// wrong is set if the answer is not one to the request, or contradicts
-	// itself.
+	// invalid is set if the response cannot be decoded, belongs to another request or is
+	// inconsistent.
 	invalid bool
 }
 
-// perform sends one request and reads its answer.
+// sendRequest sends a scheduled request and reads its response.
 func sendRequest(config *Config, client *http.Client, request scheduledRequest) requestResult {
 	class := &config.Classes[request.class]
 	id := ulid.Make().String()
@@ -46,9 +46,9 @@
 	}
 	path := strings.Replace(api.QueryPath, "{service}", class.Service, 1)
 	sent := time.Now()
-	got := postQuery(client, request.target+path, id, body)
+	received := postQuery(client, request.target+path, id, body)
 	ended := time.Now()
-	return requestResult{scheduledRequest: request, latency: ended.Sub(request.due), serviceTime: ended.Sub(sent), reply: got}
+	return requestResult{scheduledRequest: request, latency: ended.Sub(request.due), serviceTime: ended.Sub(sent), reply: received}
 }
 
 func postQuery(client *http.Client, url, id string, body []byte) reply {
--- a/internal/rehearsal/load/result.go
+++ b/internal/rehearsal/load/result.go
@@ -11,43 +11,43 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/api"
 )
 
-// Result is what a run measured after its warm-up.
+// Result is the result of a run without its warm-up.
 type Result struct {
 	Config Config `json:"config"`
-	// Sent counts the requests of the measured time, and Rate how many of
-	// them ended a second.
+	// Sent is the number of requests that were due after the warm-up, and Rate is that number per
+	// second.
 	Sent    int           `json:"sent"`
 	Rate    float64       `json:"rate"`
 	Classes []ClassResult `json:"classes"`
 }
 
-// ClassResult is what was measured of one class.
+// ClassResult is the result of one class.
 type ClassResult struct {
 	Service string `json:"service"`
 	Class   string `json:"class"`
 	Sent    int    `json:"sent"`
-	// Outcomes counts the answers by outcome.
+	// Outcomes counts the responses by outcome.
 	Outcomes map[dispatch.Outcome]int `json:"outcomes"`
 	// Problems counts the problem documents by type.
 	Problems map[api.ProblemType]int `json:"problems,omitempty"`
-	// Transport counts the requests without any answer, and Wrong the answers
-	// that belong to another request or contradict themselves.
+	// Transport counts the requests without a complete response. Wrong counts the responses that
+	// cannot be decoded, belong to another request or are inconsistent.
 	Transport int `json:"transport_errors"`
 	Wrong     int `json:"wrong_answers"`
-	// Bare counts the refusals without Retry-After.
+	// Bare counts the refusals without a Retry-After header.
 	Bare int `json:"refusals_without_retry_after"`
-	// Coverage is the mean coverage of the answers.
+	// Coverage is the mean coverage of the answered and partially answered requests.
 	Coverage float64 `json:"coverage"`
 	Rows     int     `json:"rows"`
-	// Latency counts from when requests were due, of answered and partial
-	// ones; ServiceTime counts from when they were sent; Refusal is the latency
-	// of requests that were not run.
+	// Latency and ServiceTime cover the answered and partially answered requests. Latency counts
+	// from the due time of a request, and ServiceTime from the time at which it was sent. Refusal
+	// is the latency of the requests that were not run.
 	Latency     Quantiles `json:"latency"`
 	ServiceTime Quantiles `json:"service_time"`
 	Refusal     Quantiles `json:"refusal"`
 }
 
-// Quantiles are latencies in milliseconds.
+// Quantiles summarizes a latency distribution in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -58,7 +58,8 @@
 	Most  float64 `json:"maximum_ms"`
 }
 
-// Bounds of the histograms, in microseconds.
+// The range of the latency histograms in microseconds (1 µs to 10 min) and their precision in
+// significant digits.
 const (
 	lowestLatency  = 1
 	highestLatency = 600_000_000
@@ -74,7 +75,7 @@
 	}
 }
 
-// collector gathers the answers; one goroutine owns it.
+// collector aggregates the results of requests. It is used by a single goroutine.
 type collector struct {
 	config      *Config
 	progress    io.Writer
@@ -95,7 +96,8 @@
 	return hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
 }
 
-// record puts a latency in; none is beyond the bounds.
+// recordLatency adds a latency to a histogram. It clamps the latency to the range of the histogram,
+// so RecordValue cannot fail.
 func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	_ = histogram.RecordValue(min(max(latency.Microseconds(), lowestLatency), highestLatency))
 }
@@ -114,7 +116,7 @@
 	return c
 }
 
-// run takes answers until there are no more, and reports progress.
+// run adds results until the channel is closed, and writes progress every second and at the end.
 func (c *collector) run(results <-chan requestResult) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -170,7 +172,7 @@
 	}
 }
 
-// report writes one line of progress.
+// writeProgress writes one line of progress.
 func (c *collector) writeProgress() {
 	if c.progress == nil {
 		return
--- a/internal/rehearsal/load/run.go
+++ b/internal/rehearsal/load/run.go
@@ -11,28 +11,29 @@
 	"time"
 )
 
-// call is one request that is due.
+// scheduledRequest is a request with its due time.
 type scheduledRequest struct {
 	class     int
 	target    string
-	statement string // the statement
+	statement string
 	due       time.Time
-	measured  bool
+	// measured is set if the request is due after the warm-up, so that it counts in the result.
+	measured bool
 }
 
-// answer is what came of a call.
+// requestResult is the result of a scheduled request.
 type requestResult struct {
 	scheduledRequest
-	// latency counts from when the call was due, service from when it was
+	// latency counts from the due time, and serviceTime from the time at which the request was
 	// sent.
 	latency, serviceTime time.Duration
 	reply
 }
 
-// Run sends the load and blocks until every request has ended, at most the
-// duration and the timeout. If the context ends first it stops sending, waits
-// for what is in flight and returns what was measured so far, with the
-// context's error. Progress gets a line each second; nil means none.
+// Run sends the load and blocks until every request has completed, which takes at most the duration
+// plus the timeout of the requests in flight. If ctx ends first, Run stops sending, waits for the
+// requests in flight and returns the result so far with the error of ctx. Run writes a line to
+// progress every second unless progress is nil.
 func Run(ctx context.Context, config Config, progress io.Writer) (Result, error) {
 	if err := config.Validate(); err != nil {
 		return Result{}, err
@@ -61,8 +62,8 @@
 	return &http.Client{Transport: transport, Timeout: time.Duration(config.Timeout)}
 }
 
-// send starts each request when it is due, or as soon after as the bound on
-// requests in flight allows, and waits for the last one.
+// sendScheduled sends each request when it is due, or as soon afterwards as the limit on requests
+// in flight allows, and waits until all have completed.
 func sendScheduled(ctx context.Context, config *Config, client *http.Client, results chan<- requestResult) error {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -88,7 +89,7 @@
 	}
 }
 
-// waitUntil blocks until a moment, or until the context ends.
+// waitUntil blocks until the moment. It returns the error of ctx if ctx ends first.
 func waitUntil(ctx context.Context, moment time.Time) error {
 	left := time.Until(moment)
 	if left <= 0 {
@@ -104,7 +105,7 @@
 	}
 }
 
-// schedule draws the calls of a run, one after another.
+// schedule generates the requests of a run in order of their due times.
 type schedule struct {
 	config     *Config
 	random     *rand.Rand
@@ -122,7 +123,7 @@
 	return s
 }
 
-// next returns the next call, or false at the end of the run.
+// next returns the next request, or false at the end of the run.
 func (s *schedule) next() (scheduledRequest, bool) {
 	gap := 1 / s.config.Rate
 	if !s.config.Even {
@@ -143,6 +144,7 @@
 	}, true
 }
 
+// drawClass returns the index of a random class, weighted by Share.
 func (s *schedule) drawClass() int {
 	drawn := s.random.Float64() * s.totalShare
 	for i, class := range s.config.Classes {
@@ -154,7 +156,7 @@
 	return len(s.config.Classes) - 1
 }
 
-// statement fills the places of a class's statement.
+// fillStatement replaces the placeholders in the statement of a class.
 func (s *schedule) fillStatement(class *Class) string {
 	value := ""
 	if len(class.Values) > 0 {
