--- a/internal/rehearsal/machines/history.go
+++ b/internal/rehearsal/machines/history.go
@@ -8,14 +8,13 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/machines"
 )
 
-// version is the list as it was from one moment on. It is not modified after
-// it has been appended to a history.
+// listVersion is one version of the list. It is immutable after it has been appended to a history.
 type listVersion struct {
 	validFrom time.Time
 	machines  []machines.Machine
 }
 
-// history holds every version of the list, the newest last.
+// history holds all versions of the list, with the newest last.
 type history struct {
 	versions []listVersion
 }
@@ -24,8 +23,8 @@
 	return &history{versions: []listVersion{{validFrom: now, machines: slices.Clone(initial)}}}
 }
 
-// at returns the list as it was at the given time, or the first one if the
-// time is before the start.
+// listAt returns the version of the list that was valid at the moment, or the first version if the
+// moment is before the start.
 func (h *history) listAt(moment time.Time) machines.List {
 	current := h.versions[0]
 	for _, candidate := range h.versions {
@@ -36,6 +35,7 @@
 	return machines.List{AsOfUnixMilliseconds: moment.UnixMilli(), Machines: current.machines}
 }
 
+// apply appends a new version with the changes of a request.
 func (h *history) apply(request ControlRequest, now time.Time) {
 	list := slices.Clone(h.versions[len(h.versions)-1].machines)
 	for _, added := range request.Add {
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -1,6 +1,6 @@
-// Package machines is a stand-in for the platform's machine list, for tests and
-// the demo. The list lags by a settable time. It owns the list and its history, and
-// relies on internal/selfhosted/machines for the form of the list.
+// Package machines implements a fake of the platform's machine list for tests and the demo. Changes
+// of the list become visible after a configurable lag. The format of the list is defined in
+// internal/selfhosted/machines.
 package machines
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
-// ControlPath takes a ControlRequest by POST.
+// ControlPath accepts a ControlRequest by POST.
 const ControlPath = "/control"
 
 const (
@@ -28,31 +28,32 @@
 	maximumBodyBytes  = 1 << 20
 )
 
-// Config says where the stand-in listens and how it starts.
+// Config configures a fake machine list.
 type Config struct {
-	// Address is an IP address with a port; port 0 picks a free one.
+	// Address is the IP address and port to listen on; port 0 selects a free port.
 	Address string `toml:"address" validate:"required"`
-	// Lag is how long a change stays hidden from readers.
+	// Lag is the time after which a change becomes visible to readers.
 	Lag settings.Duration `toml:"lag" validate:"gte=0"`
-	// Machines is the list at the start; it is visible at once.
+	// Machines is the list at the start. It is visible immediately.
 	Machines []machines.Machine `toml:"machines"`
 }
 
-// ControlRequest changes the stand-in while it runs.
+// ControlRequest changes a running fake machine list.
 type ControlRequest struct {
-	// Add puts machines on the list or replaces them, by address.
+	// Add adds machines to the list. A machine replaces any machine with the same address.
 	Add []machines.Machine `json:"add,omitempty"`
-	// Leave and Gone set the state of machines; Remove drops them from the list.
+	// Leave and Gone set the state of machines, and Remove removes them from the list.
 	Leave  []netip.AddrPort `json:"leave,omitempty"`
 	Gone   []netip.AddrPort `json:"gone,omitempty"`
 	Remove []netip.AddrPort `json:"remove,omitempty"`
-	// Lag, if set, replaces the lag of changes made from now on.
+	// Lag replaces the lag if it is not nil. Later reads use the new lag for all changes.
 	Lag *settings.Duration `json:"lag,omitempty"`
-	// Down, if set, makes readings fail with status 503, or ends that.
+	// Down makes reads fail with status 503 if it is true and succeed again if it is false. Nil
+	// changes nothing.
 	Down *bool `json:"down,omitempty"`
 }
 
-// Server is a running stand-in.
+// Server is a running fake machine list.
 type Server struct {
 	logger     *slog.Logger
 	listener   net.Listener
@@ -65,7 +66,7 @@
 	down    bool
 }
 
-// Start listens and serves until Close.
+// Start starts a fake machine list that serves until Close.
 func Start(config Config, logger *slog.Logger) (*Server, error) {
 	failure := oops.In("rehearsal.machines").With("step", "listen", "peer", config.Address)
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(config); err != nil {
@@ -93,16 +94,17 @@
 	return server, nil
 }
 
-// Address is the address that the stand-in listens on.
+// Address returns the address on which the machine list listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops serving. It may be called once.
+// Close stops serving, closes every connection and waits for the goroutine of the server. It must be
+// called only once.
 func (s *Server) Close() {
 	_ = s.httpServer.Close()
 	s.goroutines.Wait()
 }
 
-// Control carries out a request as POST to ControlPath does.
+// Control applies a request in the same way as a POST to ControlPath.
 func (s *Server) Control(request ControlRequest) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -117,7 +119,7 @@
 
 func (s *Server) serve() {
 	if err := s.httpServer.Serve(s.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		s.logger.Error("machine list stand-in stopped", "error", err)
+		s.logger.Error("fake machine list stopped serving", "error", err)
 	}
 }
 
@@ -127,7 +129,7 @@
 	list := s.history.listAt(time.Now().Add(-s.lag))
 	s.mutex.Unlock()
 	if down {
-		http.Error(writer, "down", http.StatusServiceUnavailable)
+		http.Error(writer, "read machine list: the fake machine list is set to down", http.StatusServiceUnavailable)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
@@ -146,7 +148,7 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.logger.Info("control", "request", body)
+	s.logger.Info("control request received", "request", body)
 	s.Control(body)
 	writer.WriteHeader(http.StatusNoContent)
 }
--- a/internal/rehearsal/machines/server_test.go
+++ b/internal/rehearsal/machines/server_test.go
@@ -66,14 +66,14 @@
 		t.Fatal(err)
 	}
 	if machine, found := list.Find(leafAddress); !found || machine.State != machines.StateLive {
-		t.Fatalf("the change shows before its time: %+v", list)
+		t.Fatalf("poll before the lag has passed: got list %+v, want the machine in state live", list)
 	}
 }
 
 func TestFailedPollKeepsLastList(t *testing.T) {
 	server, poller := startListAndPoller(t, 0)
 	if reading := poller.Last(); reading.Known {
-		t.Fatalf("known before the first reading: %+v", reading)
+		t.Fatalf("before the first poll: got reading %+v, want none", reading)
 	}
 	if _, err := poller.Poll(context.Background()); err != nil {
 		t.Fatal(err)
@@ -81,10 +81,10 @@
 	down := true
 	server.Control(fakemachines.ControlRequest{Down: &down})
 	if _, err := poller.Poll(context.Background()); err == nil {
-		t.Fatal("expected the reading to fail")
+		t.Fatal("poll while the list is down: got no error, want one")
 	}
 	reading := poller.Last()
 	if !reading.Known || reading.Err == nil || len(reading.List.Machines) != 1 || reading.Age <= 0 {
-		t.Fatalf("expected the last list with its age and the error, got %+v", reading)
+		t.Fatalf("after a failed poll: got reading %+v, want the last list with its age and the error", reading)
 	}
 }
