--- a/internal/rehearsal/leaf/control.go
+++ b/internal/rehearsal/leaf/control.go
@@ -15,8 +15,8 @@
 	JournalPath    = "/control/journal"
 )
 
-// Control is the body of POST /control. Absent fields change nothing.
-type Control struct {
+// ControlRequest is the body of POST /control. Absent fields change nothing.
+type ControlRequest struct {
 	// Faults replaces the fields that are present in the JSON.
 	Faults
 	// Drain starts draining if it is true and accepts new requests again if it is false.
@@ -37,9 +37,9 @@
 	router.POST(JournalPath, s.handleJournal)
 }
 
-// handleControl applies a Control request. It returns the faults that are in force afterwards.
+// handleControl applies a ControlRequest. It returns the faults that are in force afterwards.
 func (s *Server) handleControl(c echo.Context) error {
-	var control Control
+	var control ControlRequest
 	body, err := readBody(c)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 
 // applyControl changes the drain state and the holdings. Versions and epochs are added before
 // others are dropped.
-func (s *Server) applyControl(control Control) {
+func (s *Server) applyControl(control ControlRequest) {
 	if control.Drain != nil {
 		s.draining.Store(*control.Drain)
 		s.logger.Info("drain changed", "draining", *control.Drain)
@@ -84,7 +84,7 @@
 
 // handleJournal adds rows that were inserted on other replicas of the shard.
 func (s *Server) handleJournal(c echo.Context) error {
-	var entries []Inserted
+	var entries []InsertedRow
 	body, err := readBody(c)
 	if err != nil {
 		return err
@@ -99,6 +99,6 @@
 					entry.RequestID, len(entry.Row), len(Columns(s.config.Service))))
 		}
 	}
-	s.addInserted(entries...)
+	s.addInsertedRows(entries...)
 	return c.NoContent(http.StatusNoContent)
 }
--- a/internal/rehearsal/leaf/execute.go
+++ b/internal/rehearsal/leaf/execute.go
@@ -149,14 +149,14 @@
 
 // applyInsert adds the rows of an insert statement. From this point on the insert has taken effect.
 func (s *Server) applyInsert(a *attempt) {
-	var entries []Inserted
+	var entries []InsertedRow
 	for _, row := range a.statement.insertedRows(s.config.Service, a.request.Snapshot.Version) {
-		entries = append(entries, Inserted{RequestID: a.request.RequestID, Version: a.request.Snapshot.Version, Row: row})
+		entries = append(entries, InsertedRow{RequestID: a.request.RequestID, Version: a.request.Snapshot.Version, Row: row})
 	}
-	s.addInserted(entries...)
+	s.addInsertedRows(entries...)
 }
 
-func (s *Server) addInserted(entries ...Inserted) {
+func (s *Server) addInsertedRows(entries ...InsertedRow) {
 	s.journal.add(entries...)
 	for _, entry := range entries {
 		s.holdings.invalidateAfter(entry.Version)
--- a/internal/rehearsal/leaf/execute_test.go
+++ b/internal/rehearsal/leaf/execute_test.go
@@ -88,7 +88,7 @@
 	queued := executeInBackground(t, server, client, testRequest("queued", "select * from rate-desk"))
 	awaitOccupancy(t, server, 1, 1)
 	drain := true
-	server.Control(Control{Faults: server.Faults(), Drain: &drain})
+	server.Control(ControlRequest{Faults: server.Faults(), Drain: &drain})
 	refused := execute(t, server, client, testRequest("new", "select * from rate-desk"))
 	if refused.Refusal != protocol.RefusedDraining || refused.Load.State != protocol.StateDraining {
 		t.Errorf("new request while draining: got refusal %q in state %q, want %q in state %q",
@@ -135,7 +135,7 @@
 	server, client := startTestLeaf(t, testConfig())
 	inject := func(faults Faults) {
 		faults.SlowFactor, faults.ReportScale = 1, 1
-		server.Control(Control{Faults: faults})
+		server.Control(ControlRequest{Faults: faults})
 	}
 	for name, test := range map[string]struct {
 		faults   Faults
@@ -224,7 +224,7 @@
 	running := executeInBackground(t, server, client, testRequest("running", "select * from rate-desk"))
 	awaitOccupancy(t, server, 1, 0)
 	split := &Partition{Epoch: 2, Shards: 2, Hold: []int{1}}
-	server.Control(Control{Faults: server.Faults(), AddVersion: 2, DropVersion: 1, AddPartition: split})
+	server.Control(ControlRequest{Faults: server.Faults(), AddVersion: 2, DropVersion: 1, AddPartition: split})
 	if <-running.done; running.err != nil || running.response.Table.Rows[0][5] != rows.NumberOf(1) {
 		t.Fatalf("request during the change: got response %+v, error %v, want rows of version 1", running.response, running.err)
 	}
@@ -251,7 +251,7 @@
 	if response := execute(t, server, client, insert); !response.Executed {
 		t.Fatalf("insert: got refusal %q (%s), want executed", response.Refusal, response.Detail)
 	}
-	server.Control(Control{Faults: server.Faults(), AddVersion: 2})
+	server.Control(ControlRequest{Faults: server.Faults(), AddVersion: 2})
 	for version, expected := range map[uint64]int{1: 0, 2: 1} {
 		request := testRequest("read", "select quote, version from rate-desk where quote = 'Q-new'")
 		request.Snapshot.Version = version
--- a/internal/rehearsal/leaf/faults.go
+++ b/internal/rehearsal/leaf/faults.go
@@ -7,7 +7,7 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// Faults selects the faults to inject. A Control request changes them while the leaf runs.
+// Faults selects the faults to inject. A ControlRequest changes them while the leaf runs.
 type Faults struct {
 	// SlowFactor multiplies every service time.
 	SlowFactor float64 `json:"slow_factor"`
--- a/internal/rehearsal/leaf/journal.go
+++ b/internal/rehearsal/leaf/journal.go
@@ -6,8 +6,8 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// Inserted is a row that an insert statement added.
-type Inserted struct {
+// InsertedRow is a row that an insert statement added.
+type InsertedRow struct {
 	RequestID string `json:"request_id"`
 	// Version is the index version at which the insert was executed. The row appears only in later
 	// versions because a version is immutable.
@@ -18,17 +18,17 @@
 // journal holds the inserted rows in order of insertion.
 type journal struct {
 	mutex   sync.Mutex
-	entries []Inserted
+	entries []InsertedRow
 }
 
-func (j *journal) add(entries ...Inserted) {
+func (j *journal) add(entries ...InsertedRow) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.entries = append(j.entries, entries...)
 }
 
-func (j *journal) snapshot() []Inserted {
+func (j *journal) snapshot() []InsertedRow {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return append([]Inserted{}, j.entries...)
+	return append([]InsertedRow{}, j.entries...)
 }
--- a/internal/rehearsal/load/result.go
+++ b/internal/rehearsal/load/result.go
@@ -140,7 +140,7 @@
 		c.notAnswered++
 	}
 	recordLatency(c.latency, result.latency)
-	if result.measured {
+	if result.afterWarmUp {
 		c.classes[result.class].add(result)
 	}
 }
@@ -196,8 +196,8 @@
 		result.Sent += summary.Sent
 		result.Classes = append(result.Classes, summary)
 	}
-	if measured := time.Duration(c.config.Duration - c.config.WarmUp).Seconds(); measured > 0 {
-		result.Rate = float64(result.Sent) / measured
+	if recordedSeconds := time.Duration(c.config.Duration - c.config.WarmUp).Seconds(); recordedSeconds > 0 {
+		result.Rate = float64(result.Sent) / recordedSeconds
 	}
 	return result
 }
--- a/internal/rehearsal/load/run.go
+++ b/internal/rehearsal/load/run.go
@@ -17,8 +17,8 @@
 	target    string
 	statement string
 	due       time.Time
-	// measured is set if the request is due after the warm-up, so that it counts in the result.
-	measured bool
+	// afterWarmUp is set if the request is due after the warm-up, so that it counts in the result.
+	afterWarmUp bool
 }
 
 // requestResult is the result of a scheduled request.
@@ -136,11 +136,11 @@
 	s.count++
 	class := s.drawClass()
 	return scheduledRequest{
-		class:     class,
-		target:    s.config.Targets[s.count%len(s.config.Targets)],
-		statement: s.fillStatement(&s.config.Classes[class]),
-		due:       s.start.Add(s.offset),
-		measured:  s.offset >= time.Duration(s.config.WarmUp),
+		class:       class,
+		target:      s.config.Targets[s.count%len(s.config.Targets)],
+		statement:   s.fillStatement(&s.config.Classes[class]),
+		due:         s.start.Add(s.offset),
+		afterWarmUp: s.offset >= time.Duration(s.config.WarmUp),
 	}, true
 }
 
--- a/internal/rehearsal/store/config.go
+++ b/internal/rehearsal/store/config.go
@@ -54,8 +54,8 @@
 	LoseReplies int `toml:"lose_replies" json:"lose_replies,omitempty" validate:"gte=0"`
 }
 
-// Check returns an error for the first value that is out of range.
-func (c Config) Check() error {
+// Validate returns an error for the first value that is out of range.
+func (c Config) Validate() error {
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(c); err != nil {
 		return oops.In("rehearsal.store").With("step", "settings").Wrap(err)
 	}
--- a/internal/rehearsal/store/server.go
+++ b/internal/rehearsal/store/server.go
@@ -52,7 +52,7 @@
 
 // Start starts a fake store that serves until Close.
 func Start(config Config, logger *slog.Logger) (*Server, error) {
-	if err := config.Check(); err != nil {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", config.Address)
