--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -129,7 +129,7 @@
 	list := s.history.listAt(time.Now().Add(-s.lag))
 	s.mutex.Unlock()
 	if down {
-		http.Error(writer, "read machine list: the fake machine list is set to down", http.StatusServiceUnavailable)
+		http.Error(writer, "down", http.StatusServiceUnavailable)
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
@@ -148,7 +148,7 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.logger.Info("control request received", "request", body)
+	s.logger.Info("control", "request", body)
 	s.Control(body)
 	writer.WriteHeader(http.StatusNoContent)
 }
--- a/internal/rehearsal/store/config.go
+++ b/internal/rehearsal/store/config.go
@@ -1,6 +1,6 @@
 // Package store implements a fake of the platform's configuration store for tests and the demo. It
 // serves the part of the etcd v3 HTTP/JSON gateway that internal/selfhosted/store calls and injects
-// the faults of a real store. Keys and history are held in memory. The messages are defined in
+// the faults of a real store. Keys and events are held in memory. The messages are defined in
 // internal/selfhosted/store/wire.
 package store
 
--- a/internal/rehearsal/store/faults.go
+++ b/internal/rehearsal/store/faults.go
@@ -92,7 +92,7 @@
 		respondWithCode(writer, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
 		return
 	}
-	s.logger.Info("control request received", "request", body)
+	s.logger.Info("control", "request", body)
 	s.applyControl(body)
 	if body.RefuseFor > 0 {
 		s.startRefusing(body.RefuseFor.Duration())
