--- a/internal/rehearsal/leaf/holdings.go
+++ b/internal/rehearsal/leaf/holdings.go
@@ -21,6 +21,7 @@
 	tables     map[tableKey]*shardTable
 }
 
+// tableKey identifies a table by snapshot and shard.
 type tableKey struct {
 	snapshot catalog.Snapshot
 	shard    int
--- a/internal/rehearsal/leaf/load_report.go
+++ b/internal/rehearsal/leaf/load_report.go
@@ -21,6 +21,7 @@
 	samples []loadSample
 }
 
+// loadSample is the actual load at one time.
 type loadSample struct {
 	takenAt time.Time
 	summary protocol.LoadSummary
--- a/internal/rehearsal/load/result.go
+++ b/internal/rehearsal/load/result.go
@@ -86,6 +86,7 @@
 	notAnswered int
 }
 
+// classCollector aggregates the results of one class.
 type classCollector struct {
 	result                        ClassResult
 	coverageSum                   float64
