--- a/internal/rehearsal/leaf/slots.go
+++ b/internal/rehearsal/leaf/slots.go
@@ -9,38 +9,37 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// smoothing is the weight of a new service time in the running mean.
-const smoothing = 0.1
+// serviceTimeSmoothing is the weight of a new service time in the moving average.
+const serviceTimeSmoothing = 0.1
 
-// slots runs a bounded number of requests at once; others wait in order of
-// arrival, up to a bound.
+// slots limits the number of concurrent requests. Further requests wait in a bounded FIFO queue.
 type slots struct {
-	mutex   sync.Mutex
-	total   int
-	busy    int
-	limit   int
-	waiting list.List // of *waiter
-	// mean is the running mean of the service time.
-	mean time.Duration
+	mutex      sync.Mutex
+	capacity   int
+	busy       int
+	queueLimit int
+	queue      list.List // of *waiter
+	// meanServiceTime is the exponential moving average of the service times.
+	meanServiceTime time.Duration
 }
 
+// waiter is a queued request. Its channel is closed when it is granted a slot.
 type waiter struct {
 	granted chan struct{}
 }
 
-func newSlots(total, limit int) *slots {
-	return &slots{total: total, limit: limit}
+func newSlots(capacity, queueLimit int) *slots {
+	return &slots{capacity: capacity, queueLimit: queueLimit}
 }
 
-// acquire blocks until the request has a slot, its remaining time is used up,
-// or ctx is done. It refuses at once if the queue is full or the remaining
-// time is below the predicted wait. After RefusedNone and a nil error the
-// caller has to call release.
+// acquire blocks until the request has a slot, its remaining time has passed or ctx ends. It
+// refuses the request immediately if the queue is full or the predicted wait exceeds the remaining
+// time. If it returns RefusedNone and no error, the caller must call release.
 func (s *slots) acquire(ctx context.Context, remaining time.Duration) (protocol.Refusal, error) {
 	if remaining <= 0 {
 		return protocol.RefusedLate, nil
 	}
-	w, element, refusal := s.enter(remaining)
+	w, element, refusal := s.acquireOrEnqueue(remaining)
 	if w == nil {
 		return refusal, nil
 	}
@@ -50,67 +49,68 @@
 	case <-w.granted:
 		return protocol.RefusedNone, nil
 	case <-timer.C:
-		s.leave(w, element)
+		s.abandon(w, element)
 		return protocol.RefusedLate, nil
 	case <-ctx.Done():
-		s.leave(w, element)
+		s.abandon(w, element)
 		return protocol.RefusedNone, ctx.Err()
 	}
 }
 
-// enter takes a slot or queues a waiter, or returns neither and a refusal.
-func (s *slots) enter(remaining time.Duration) (*waiter, *list.Element, protocol.Refusal) {
+// acquireOrEnqueue takes a free slot, or enqueues a waiter and returns it, or returns a refusal.
+func (s *slots) acquireOrEnqueue(remaining time.Duration) (*waiter, *list.Element, protocol.Refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.busy < s.total {
+	if s.busy < s.capacity {
 		s.busy++
 		return nil, nil, protocol.RefusedNone
 	}
-	queued := s.waiting.Len()
-	predicted := s.mean * time.Duration(queued+1) / time.Duration(s.total)
-	if queued >= s.limit || predicted > remaining {
+	queued := s.queue.Len()
+	predicted := s.meanServiceTime * time.Duration(queued+1) / time.Duration(s.capacity)
+	if queued >= s.queueLimit || predicted > remaining {
 		return nil, nil, protocol.RefusedShed
 	}
 	w := &waiter{granted: make(chan struct{})}
-	return w, s.waiting.PushBack(w), protocol.RefusedNone
+	return w, s.queue.PushBack(w), protocol.RefusedNone
 }
 
-// leave takes a waiter out of the queue, or gives its slot back if it was
-// granted one meanwhile.
-func (s *slots) leave(w *waiter, element *list.Element) {
+// abandon removes a waiter from the queue, or frees its slot if it has been granted one in the
+// meantime.
+func (s *slots) abandon(w *waiter, element *list.Element) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	select {
 	case <-w.granted:
-		s.passOn()
+		s.freeSlot()
 	default:
-		s.waiting.Remove(element)
+		s.queue.Remove(element)
 	}
 }
 
-// release gives a slot back after it was held for the given time.
+// release frees a slot that was held for the given time.
 func (s *slots) release(held time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.mean == 0 {
-		s.mean = held
+	if s.meanServiceTime == 0 {
+		s.meanServiceTime = held
 	}
-	s.mean += time.Duration(smoothing * float64(held-s.mean))
-	s.passOn()
+	s.meanServiceTime += time.Duration(serviceTimeSmoothing * float64(held-s.meanServiceTime))
+	s.freeSlot()
 }
 
-func (s *slots) passOn() {
+// freeSlot frees a slot and grants it to the first waiter. The caller must hold the mutex.
+func (s *slots) freeSlot() {
 	s.busy--
-	if front := s.waiting.Front(); front != nil && s.busy < s.total {
-		s.waiting.Remove(front)
+	if front := s.queue.Front(); front != nil && s.busy < s.capacity {
+		s.queue.Remove(front)
 		s.busy++
 		close(front.Value.(*waiter).granted)
 	}
 }
 
-// occupancy returns the numbers of busy slots and of waiting requests.
+// occupancy returns the number of busy slots and the length of the queue.
 func (s *slots) occupancy() (busy, queue int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.busy, s.waiting.Len()
+	return s.busy, s.queue.Len()
 }
