--- a/cmd/micactl/commands.go
+++ b/cmd/micactl/commands.go
@@ -38,7 +38,7 @@
 		defer file.Close()
 		reader = file
 	}
-	text, err := io.ReadAll(io.LimitReader(reader, language.MaximumFile+1))
+	text, err := io.ReadAll(io.LimitReader(reader, language.MaximumFileBytes+1))
 	return string(text), err
 }
 
--- a/cmd/micarehearse/cluster.go
+++ b/cmd/micarehearse/cluster.go
@@ -31,8 +31,8 @@
 func (c *clusterCommand) run(ctx context.Context, _ *slog.Logger) error {
 	ctx, cancel := context.WithTimeout(ctx, c.duration)
 	defer cancel()
-	plan := cluster.DemoPlan(c.binaries)
-	plan.ProfileFolder = c.profiles
+	plan := cluster.NewDemoPlan(c.binaries)
+	plan.ProfileDirectory = c.profiles
 	deployment, err := cluster.Start(ctx, plan)
 	if err != nil {
 		return err
--- a/cmd/micarehearse/demo.go
+++ b/cmd/micarehearse/demo.go
@@ -38,7 +38,7 @@
 func (d *demoCommand) run(ctx context.Context, _ *slog.Logger) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	plan := cluster.DemoPlan(d.binaries)
+	plan := cluster.NewDemoPlan(d.binaries)
 	fmt.Println("Starting the store, the machine list, 16 leaves and 3 nodes on loopback.")
 	deployment, err := cluster.Start(ctx, plan)
 	if err != nil {
@@ -48,7 +48,7 @@
 	if err := d.showStatus(ctx, deployment); err != nil {
 		return err
 	}
-	if err := deployment.Demo(ctx, os.Stdout); err != nil {
+	if err := deployment.RunDemo(ctx, os.Stdout); err != nil {
 		return err
 	}
 	return stopNodes(ctx, deployment)
--- a/cmd/micarehearse/load.go
+++ b/cmd/micarehearse/load.go
@@ -51,7 +51,7 @@
 }
 
 func (l *loadCommand) run(ctx context.Context, _ *slog.Logger) error {
-	config, err := load.Load(l.loadFile)
+	config, err := load.ReadConfig(l.loadFile)
 	if err != nil {
 		return err
 	}
--- a/internal/catalog/apply_leaf_voter.go
+++ b/internal/catalog/apply_leaf_voter.go
@@ -17,7 +17,7 @@
 	}
 	shards := slices.Clone(o.Shards)
 	slices.Sort(shards)
-	if last, count := shards[len(shards)-1], service.Newest().Shards; last >= count {
+	if last, count := shards[len(shards)-1], service.NewestPartition().Shards; last >= count {
 		return newError(CodeUnknownShard, o.Service, "service %q has no shard %d: its shards are 0 to %d", o.Service, last, count-1)
 	}
 	addedAt := e.next.Revision
--- a/internal/catalog/apply_service.go
+++ b/internal/catalog/apply_service.go
@@ -19,7 +19,7 @@
 // newDuplicateError distinguishes a repeated statement (CodeUnchanged) from one that contradicts
 // the existing service (CodeDuplicate).
 func (o *CreateService) newDuplicateError(existing Service) error {
-	same := existing.Replicas == o.Replicas && existing.KeyColumn == o.KeyColumn && existing.Newest().Shards == o.Shards
+	same := existing.Replicas == o.Replicas && existing.KeyColumn == o.KeyColumn && existing.NewestPartition().Shards == o.Shards
 	if same {
 		return newError(CodeUnchanged, o.Name, "service %q already exists", o.Name)
 	}
@@ -54,8 +54,8 @@
 	}
 	partitions := make([]Partition, 0, len(kept)+1)
 	partitions = append(partitions, kept...)
-	next := Partition{Epoch: service.Newest().Epoch + 1, Shards: o.Shards}
-	if o.Shards < service.Newest().Shards {
+	next := Partition{Epoch: service.NewestPartition().Epoch + 1, Shards: o.Shards}
+	if o.Shards < service.NewestPartition().Shards {
 		service.Leaves = restrictShards(service.Leaves, o.Shards)
 	}
 	service.Partitions = append(partitions, next)
--- a/internal/catalog/properties_test.go
+++ b/internal/catalog/properties_test.go
@@ -106,7 +106,7 @@
 
 // requireStatementRoundTrip checks that the text of the command parses to an equal command.
 func requireStatementRoundTrip(t *rapid.T, command catalog.Command) {
-	statement, err := language.ParseOne(command.String())
+	statement, err := language.ParseStatement(command.String())
 	if err != nil {
 		t.Fatalf("ParseOne(%q): %v", command, err)
 	}
--- a/internal/catalog/read.go
+++ b/internal/catalog/read.go
@@ -24,7 +24,7 @@
 func (c *Catalog) VoterNames() []string { return slices.Sorted(maps.Keys(c.Voters)) }
 
 // Newest returns the newest partition, or the zero Partition if the service has no partition.
-func (s Service) Newest() Partition {
+func (s Service) NewestPartition() Partition {
 	if len(s.Partitions) == 0 {
 		return Partition{}
 	}
--- a/internal/leaf/benchmark_test.go
+++ b/internal/leaf/benchmark_test.go
@@ -15,7 +15,7 @@
 	table := rows.Table{Columns: []string{"lane", "carrier", "weight", "price"}}
 	for i := range 20 {
 		table.Rows = append(table.Rows, rows.Row{
-			rows.TextOf("OTR-SPK"), rows.TextOf("coast"), rows.NumberOf(float64(50 * i)), rows.NumberOf(1000 + float64(i)),
+			rows.NewText("OTR-SPK"), rows.NewText("coast"), rows.NewNumber(float64(50 * i)), rows.NewNumber(1000 + float64(i)),
 		})
 	}
 	request := testRequest(true)
--- a/internal/leaf/reply_test.go
+++ b/internal/leaf/reply_test.go
@@ -74,7 +74,7 @@
 		request, _ := json.Marshal(testRequest(false))
 		var response ExecuteResponse
 		json.Unmarshal(successReply(request), &response)
-		response.Table = rows.Table{Columns: []string{"a"}, Rows: []rows.Row{{rows.NumberOf(1)}}}
+		response.Table = rows.Table{Columns: []string{"a"}, Rows: []rows.Row{{rows.NewNumber(1)}}}
 		response.RowCount = 1
 		alter(&response)
 		encoded, _ := json.Marshal(response)
--- a/internal/rehearsal/cluster/calls.go
+++ b/internal/rehearsal/cluster/calls.go
@@ -25,12 +25,12 @@
 }
 
 // Change runs an operator's statement on a node.
-func (c *Cluster) Change(ctx context.Context, node *Node, statement string) (*api.StatementResponse, error) {
-	return c.Statement(ctx, node, api.StatementRequest{Statement: statement, Operator: "cluster"})
+func (c *Cluster) ExecuteStatement(ctx context.Context, node *Node, statement string) (*api.StatementResponse, error) {
+	return c.SendStatement(ctx, node, api.StatementRequest{Statement: statement, Operator: "cluster"})
 }
 
 // Statement sends an operator's statement request, with all its options, to a node.
-func (c *Cluster) Statement(ctx context.Context, node *Node, request api.StatementRequest) (*api.StatementResponse, error) {
+func (c *Cluster) SendStatement(ctx context.Context, node *Node, request api.StatementRequest) (*api.StatementResponse, error) {
 	response := new(api.StatementResponse)
 	err := c.post(ctx, node, api.StatementsPath, request, response)
 	return response, err
--- a/internal/rehearsal/cluster/cluster.go
+++ b/internal/rehearsal/cluster/cluster.go
@@ -65,7 +65,7 @@
 
 // programPath returns the path of a program of the plan.
 func (c *Cluster) programPath(name string) string {
-	return filepath.Join(c.plan.Binaries, name)
+	return filepath.Join(c.plan.ProgramDirectory, name)
 }
 
 // startPlatform starts the stand-ins of the platform: the store and the machine list.
@@ -124,12 +124,12 @@
 // configureCatalog runs the statements on the first node and fails unless each of them is accepted.
 func (c *Cluster) configureCatalog(ctx context.Context) error {
 	for _, statement := range c.buildCatalogStatements() {
-		response, err := c.Change(ctx, c.Nodes[0], statement)
+		response, err := c.ExecuteStatement(ctx, c.Nodes[0], statement)
 		if err != nil {
 			return oops.With("step", "configure").Wrapf(err, "%s", statement)
 		}
-		if response.Fate != api.FateInForce && response.Fate != api.FateAccepted {
-			return oops.With("step", "configure").Errorf("%s: %s %s", statement, response.Fate, response.Detail)
+		if response.Outcome != api.ChangeInForce && response.Outcome != api.ChangeAccepted {
+			return oops.With("step", "configure").Errorf("%s: %s %s", statement, response.Outcome, response.Detail)
 		}
 	}
 	return nil
--- a/internal/rehearsal/cluster/demo.go
+++ b/internal/rehearsal/cluster/demo.go
@@ -20,11 +20,11 @@
 const maximumPrintedRows = 8
 
 // DemoPlan returns the plan of the demo: 16 leaves and 3 nodes in 3 zones.
-func DemoPlan(binaries string) Plan {
+func NewDemoPlan(binaries string) Plan {
 	return Plan{
-		Binaries: binaries,
-		Zones:    []string{"a", "b", "c"},
-		Nodes:    3,
+		ProgramDirectory: binaries,
+		Zones:            []string{"a", "b", "c"},
+		Nodes:            3,
 		Services: []Service{
 			{
 				Name: "rate-desk", Shards: 8, Replicas: 2, Leaves: 8, Slots: 5,
@@ -79,7 +79,7 @@
 
 // Demo runs each query of the demo on a different node and prints the answers. It fails if an
 // answer does not cover every shard.
-func (c *Cluster) Demo(ctx context.Context, output io.Writer) error {
+func (c *Cluster) RunDemo(ctx context.Context, output io.Writer) error {
 	for index, query := range demoQueries {
 		if _, err := c.runDemoQuery(ctx, output, c.nodeAt(index), query, ulid.Make()); err != nil {
 			return fmt.Errorf("%s: %w", query.title, err)
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -22,7 +22,7 @@
 func (c *Cluster) ReadExecutions(_ context.Context, requestID string) ([]leaf.Execution, error) {
 	var executed []leaf.Execution
 	for _, leafProcess := range c.Leaves {
-		executions, err := c.LeafExecutions(leafProcess)
+		executions, err := c.ReadLeafExecutions(leafProcess)
 		if err != nil {
 			return nil, err
 		}
@@ -37,7 +37,7 @@
 }
 
 // LeafExecutions returns all entries of a leaf's execution log. The leaf may be frozen or exited.
-func (c *Cluster) LeafExecutions(leafProcess *Leaf) ([]leaf.Execution, error) {
+func (c *Cluster) ReadLeafExecutions(leafProcess *Leaf) ([]leaf.Execution, error) {
 	file, err := os.Open(leafProcess.executionLog)
 	if err != nil {
 		return nil, oops.With("step", "read executions", "peer", leafProcess.Name).Wrap(err)
@@ -59,20 +59,20 @@
 }
 
 // Fate returns a node's information about an earlier change.
-func (c *Cluster) Fate(ctx context.Context, node *Node, changeID string) (*api.StatementResponse, error) {
+func (c *Cluster) FetchChange(ctx context.Context, node *Node, changeID string) (*api.StatementResponse, error) {
 	response := new(api.StatementResponse)
 	path := strings.Replace(api.ChangePath, "{id}", changeID, 1)
 	return response, c.get(ctx, node.Process, path, response)
 }
 
 // Status returns the state of the deployment as observed by a node.
-func (c *Cluster) Status(ctx context.Context, node *Node) (*api.StatusResponse, error) {
+func (c *Cluster) FetchStatus(ctx context.Context, node *Node) (*api.StatusResponse, error) {
 	response := new(api.StatusResponse)
 	return response, c.get(ctx, node.Process, api.StatusPath, response)
 }
 
 // Catalog returns the catalog that a node has installed.
-func (c *Cluster) Catalog(ctx context.Context, node *Node) (*catalog.Catalog, error) {
+func (c *Cluster) FetchCatalog(ctx context.Context, node *Node) (*catalog.Catalog, error) {
 	response := new(catalog.Catalog)
 	return response, c.get(ctx, node.Process, api.CatalogPath, response)
 }
--- a/internal/rehearsal/cluster/nodes.go
+++ b/internal/rehearsal/cluster/nodes.go
@@ -46,8 +46,8 @@
 		return nil, oops.With("step", "write settings", "peer", name).Wrap(err)
 	}
 	arguments := []string{"--settings", file}
-	if c.plan.ProfileFolder != "" {
-		arguments = append(arguments, "--cpu-profile", filepath.Join(c.plan.ProfileFolder, name+".pprof"))
+	if c.plan.ProfileDirectory != "" {
+		arguments = append(arguments, "--cpu-profile", filepath.Join(c.plan.ProfileDirectory, name+".pprof"))
 	}
 	process, err := startProcess(ctx, name, c.programPath(nodeProgram), arguments...)
 	if err != nil {
@@ -73,8 +73,8 @@
 	for _, node := range c.Nodes {
 		config.Peers.Seeds = append(config.Peers.Seeds, node.Peer)
 	}
-	if c.plan.Tune != nil {
-		c.plan.Tune(&config)
+	if c.plan.ModifySettings != nil {
+		c.plan.ModifySettings(&config)
 	}
 	return config
 }
--- a/internal/rehearsal/cluster/plan.go
+++ b/internal/rehearsal/cluster/plan.go
@@ -25,15 +25,15 @@
 // Plan describes a deployment.
 type Plan struct {
 	// Binaries is the directory of the built programs.
-	Binaries string
-	Zones    []string
+	ProgramDirectory string
+	Zones            []string
 	// Nodes is the number of nodes. They are distributed over the zones in turn.
 	Nodes    int
 	Services []Service
 	// Tune modifies the settings of each node before it starts, unless it is nil.
-	Tune func(*settings.Settings)
+	ModifySettings func(*settings.Settings)
 	// ProfileFolder, if set, is the directory for the CPU profiles of the nodes.
-	ProfileFolder string
+	ProfileDirectory string
 }
 
 // assignShards returns the shards of the leaf with the given index.
@@ -92,7 +92,7 @@
 }
 
 // Holds reports whether the leaf holds a shard.
-func (l *Leaf) Holds(shard int) bool {
+func (l *Leaf) HoldsShard(shard int) bool {
 	for _, held := range l.Shards {
 		if held == shard {
 			return true
--- a/internal/rehearsal/history/attempts.go
+++ b/internal/rehearsal/history/attempts.go
@@ -35,7 +35,7 @@
 // CheckNothingCutOff checks that every request received a complete answer or a response that
 // guarantees that it did not run. Every other result means that a request or a response was lost or
 // aborted.
-func CheckNothingCutOff(submissions []Submission) []Violation {
+func CheckNoneAborted(submissions []Submission) []Violation {
 	var violations []Violation
 	for _, submission := range submissions {
 		complete := submission.Answer != nil && len(submission.Answer.Coverage.Missing) == 0
--- a/internal/rehearsal/history/changes.go
+++ b/internal/rehearsal/history/changes.go
@@ -97,7 +97,7 @@
 		return "accepted, but missing from the log"
 	case change.Accepted() && change.Response.Revision != revision:
 		return fmt.Sprintf("accepted at revision %d, but the log has it at revision %d", change.Response.Revision, revision)
-	case change.Response != nil && change.Response.Fate == api.FateNotAccepted && applied:
+	case change.Response != nil && change.Response.Outcome == api.ChangeNotAccepted && applied:
 		return fmt.Sprintf("not accepted, but the log has it at revision %d", revision)
 	}
 	return ""
@@ -122,9 +122,9 @@
 // CheckSightings checks that the revision of each process never decreases, and that no process
 // accepts work at an outdated revision once the bound has passed since an operator's change was
 // acknowledged as accepted. The sightings of each process must be in order.
-func CheckSightings(sightings []Sighting, changes []Change, bound time.Duration) []Violation {
+func CheckObservations(sightings []StatusObservation, changes []Change, bound time.Duration) []Violation {
 	var violations []Violation
-	last := make(map[string]Sighting)
+	last := make(map[string]StatusObservation)
 	for _, sighting := range sightings {
 		if previous := last[sighting.Process]; sighting.Revision < previous.Revision {
 			violations = append(violations, Violation{
--- a/internal/rehearsal/history/history.go
+++ b/internal/rehearsal/history/history.go
@@ -55,7 +55,7 @@
 
 // End records the result and the time of its arrival. An error that is not a problem document
 // counts as a missing response.
-func (s *Submission) End(answer *api.QueryResponse, err error) {
+func (s *Submission) RecordResult(answer *api.QueryResponse, err error) {
 	s.Returned = time.Now()
 	switch {
 	case err == nil:
@@ -103,7 +103,7 @@
 
 // End records the result and the time of its arrival. An error that is not a problem document
 // counts as a missing response.
-func (c *Change) End(response *api.StatementResponse, err error) {
+func (c *Change) RecordResult(response *api.StatementResponse, err error) {
 	c.Returned = time.Now()
 	switch {
 	case err == nil:
@@ -116,17 +116,17 @@
 
 // Accepted reports whether the response guarantees that the change took effect and never reverts.
 func (c Change) Accepted() bool {
-	return c.Response != nil && (c.Response.Fate == api.FateInForce || c.Response.Fate == api.FateAccepted)
+	return c.Response != nil && (c.Response.Outcome == api.ChangeInForce || c.Response.Outcome == api.ChangeAccepted)
 }
 
 // Unsettled reports whether the response contains the id of a change that may or may not take
 // effect.
-func (c Change) Unsettled() bool {
-	return c.Response != nil && c.Response.Fate == api.FateUnknown
+func (c Change) Undecided() bool {
+	return c.Response != nil && c.Response.Outcome == api.ChangeOutcomeUnknown
 }
 
 // Sighting is an observation of the status of a node process.
-type Sighting struct {
+type StatusObservation struct {
 	// Process identifies the process. A replacement in the same slot has another value than its
 	// predecessor.
 	Process  string
@@ -142,25 +142,25 @@
 	mutex       sync.Mutex
 	submissions []Submission
 	changes     []Change
-	sightings   []Sighting
+	sightings   []StatusObservation
 }
 
 // Submitted records a request with its result.
-func (r *Recorder) Submitted(submission Submission) {
+func (r *Recorder) RecordSubmission(submission Submission) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.submissions = append(r.submissions, submission)
 }
 
 // Changed records a change with its result.
-func (r *Recorder) Changed(change Change) {
+func (r *Recorder) RecordChange(change Change) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes = append(r.changes, change)
 }
 
 // Saw records an observation of a node.
-func (r *Recorder) Saw(sighting Sighting) {
+func (r *Recorder) RecordObservation(sighting StatusObservation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.sightings = append(r.sightings, sighting)
@@ -181,10 +181,10 @@
 }
 
 // Sightings returns a copy of the recorded observations.
-func (r *Recorder) Sightings() []Sighting {
+func (r *Recorder) Observations() []StatusObservation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]Sighting(nil), r.sightings...)
+	return append([]StatusObservation(nil), r.sightings...)
 }
 
 // Fates returns the number of recorded requests by Submission.Fate.
--- a/internal/rehearsal/history/history_test.go
+++ b/internal/rehearsal/history/history_test.go
@@ -61,7 +61,7 @@
 	s.Filter = &testFilter
 	s.Answer.Snapshot = testSnapshot
 	s.Answer.Coverage = api.Coverage{Answered: 4 - len(missing), Total: 4, Missing: missing}
-	s.Answer.Rows = NewTruth(4).expectedRows(s)
+	s.Answer.Rows = NewReferenceData(4).expectedRows(s)
 	return s
 }
 
@@ -74,8 +74,8 @@
 		"correct":                   {func(*api.QueryResponse) {}, true},
 		"row missing":               {func(r *api.QueryResponse) { r.Rows = r.Rows[1:] }, false},
 		"row duplicated":            {func(r *api.QueryResponse) { r.Rows = append(r.Rows, r.Rows[0]) }, false},
-		"other version":             {func(r *api.QueryResponse) { r.Rows[0][versionColumn] = rows.NumberOf(1) }, false},
-		"other price":               {func(r *api.QueryResponse) { r.Rows[0][4] = rows.NumberOf(1) }, false},
+		"other version":             {func(r *api.QueryResponse) { r.Rows[0][versionColumn] = rows.NewNumber(1) }, false},
+		"other price":               {func(r *api.QueryResponse) { r.Rows[0][4] = rows.NewNumber(1) }, false},
 		"other request":             {func(r *api.QueryResponse) { r.RequestID = "other" }, false},
 		"shard reported as missing": {func(r *api.QueryResponse) { r.Coverage = api.Coverage{Answered: 3, Total: 4, Missing: []int{1}} }, false},
 		"shard omitted from total":  {func(r *api.QueryResponse) { r.Coverage = api.Coverage{Answered: 3, Total: 3} }, false},
@@ -84,11 +84,11 @@
 	for name, testCase := range cases {
 		s := newSelectSubmission()
 		testCase.corrupt(s.Answer)
-		if violations := NewTruth(4).CheckRows([]Submission{s}); (len(violations) == 0) != testCase.valid {
+		if violations := NewReferenceData(4).CheckRows([]Submission{s}); (len(violations) == 0) != testCase.valid {
 			t.Errorf("%s: got violations %v, want valid = %t", name, violations, testCase.valid)
 		}
 	}
-	if violations := NewTruth(4).CheckRows([]Submission{newSelectSubmission(2)}); len(violations) > 0 {
+	if violations := NewReferenceData(4).CheckRows([]Submission{newSelectSubmission(2)}); len(violations) > 0 {
 		t.Errorf("answer without one shard: got violations %v, want none", violations)
 	}
 }
@@ -138,10 +138,10 @@
 	}
 }
 
-func newChange(id string, fate api.Fate, revision uint64, from, to int) Change {
+func newChange(id string, fate api.ChangeOutcome, revision uint64, from, to int) Change {
 	return Change{
 		Statement: id, Called: timeAt(from), Returned: timeAt(to),
-		Response: &api.StatementResponse{ChangeID: id, Fate: fate, Revision: revision},
+		Response: &api.StatementResponse{ChangeID: id, Outcome: fate, Revision: revision},
 	}
 }
 
@@ -153,25 +153,25 @@
 // TestCheckLog checks changes against a log of three entries after revision 4.
 func TestCheckLog(t *testing.T) {
 	log := []catalog.AppliedChange{{ID: "a", Revision: 5}, {ID: "b", Revision: 6, Statement: "limit x concurrency 7"}, {ID: "c", Revision: 7}}
-	b := newChange("b", api.FateUnknown, 0, 10, 20)
+	b := newChange("b", api.ChangeOutcomeUnknown, 0, 10, 20)
 	cases := map[string]struct {
 		changes []Change
 		valid   bool
 	}{
-		"in order":              {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateAccepted, 7, 21, 30)}, true},
-		"recorded out of order": {[]Change{newChange("c", api.FateInForce, 7, 30, 40), b, newChange("a", api.FateInForce, 5, 0, 9)}, true},
-		"accepted, but not in the log": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), b, newChange("c", api.FateInForce, 7, 21, 30),
-			newChange("d", api.FateAccepted, 8, 31, 40)}, false},
-		"other revision": {[]Change{newChange("a", api.FateInForce, 6, 0, 9), b, newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"not accepted, but in the log": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChange("b", api.FateNotAccepted, 6, 10, 20),
-			newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"against real-time order": {[]Change{newChange("a", api.FateInForce, 5, 40, 50), b, newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"no reply, but in the log": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7 if revision 5", 10),
-			newChange("c", api.FateInForce, 7, 21, 30)}, true},
-		"no reply, called too late": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7", 31),
-			newChange("c", api.FateInForce, 7, 21, 30)}, false},
-		"no reply, log has other statement": {[]Change{newChange("a", api.FateInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 8", 10),
-			newChange("c", api.FateInForce, 7, 21, 30)}, false},
+		"in order":              {[]Change{newChange("a", api.ChangeInForce, 5, 0, 9), b, newChange("c", api.ChangeAccepted, 7, 21, 30)}, true},
+		"recorded out of order": {[]Change{newChange("c", api.ChangeInForce, 7, 30, 40), b, newChange("a", api.ChangeInForce, 5, 0, 9)}, true},
+		"accepted, but not in the log": {[]Change{newChange("a", api.ChangeInForce, 5, 0, 9), b, newChange("c", api.ChangeInForce, 7, 21, 30),
+			newChange("d", api.ChangeAccepted, 8, 31, 40)}, false},
+		"other revision": {[]Change{newChange("a", api.ChangeInForce, 6, 0, 9), b, newChange("c", api.ChangeInForce, 7, 21, 30)}, false},
+		"not accepted, but in the log": {[]Change{newChange("a", api.ChangeInForce, 5, 0, 9), newChange("b", api.ChangeNotAccepted, 6, 10, 20),
+			newChange("c", api.ChangeInForce, 7, 21, 30)}, false},
+		"against real-time order": {[]Change{newChange("a", api.ChangeInForce, 5, 40, 50), b, newChange("c", api.ChangeInForce, 7, 21, 30)}, false},
+		"no reply, but in the log": {[]Change{newChange("a", api.ChangeInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7 if revision 5", 10),
+			newChange("c", api.ChangeInForce, 7, 21, 30)}, true},
+		"no reply, called too late": {[]Change{newChange("a", api.ChangeInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 7", 31),
+			newChange("c", api.ChangeInForce, 7, 21, 30)}, false},
+		"no reply, log has other statement": {[]Change{newChange("a", api.ChangeInForce, 5, 0, 9), newChangeWithoutReply("limit x concurrency 8", 10),
+			newChange("c", api.ChangeInForce, 7, 21, 30)}, false},
 	}
 	for name, testCase := range cases {
 		if violations := CheckLog(testCase.changes, 4, log); (len(violations) == 0) != testCase.valid {
@@ -183,21 +183,21 @@
 // TestCheckSightingsAndStopped checks both checkers against a change that is acknowledged at 10 ms,
 // with a bound of 100 ms.
 func TestCheckSightingsAndStopped(t *testing.T) {
-	accepted := []Change{newChange("a", api.FateAccepted, 5, 0, 10)}
+	accepted := []Change{newChange("a", api.ChangeAccepted, 5, 0, 10)}
 	bound := 100 * time.Millisecond
 	cases := map[string]struct {
-		sightings []Sighting
+		sightings []StatusObservation
 		valid     bool
 	}{
-		"in time":                {[]Sighting{{Process: "n", Called: timeAt(50), Revision: 4, Fresh: true}, {Process: "n", Called: timeAt(120), Revision: 5, Fresh: true}}, true},
-		"late, but not fresh":    {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4}}, true},
-		"late":                   {[]Sighting{{Process: "n", Called: timeAt(120), Revision: 4, Fresh: true}}, false},
-		"revision decreases":     {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "n", Called: timeAt(6), Revision: 4}}, false},
-		"other process is older": {[]Sighting{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "m", Called: timeAt(6), Revision: 4}}, true},
+		"in time":                {[]StatusObservation{{Process: "n", Called: timeAt(50), Revision: 4, Fresh: true}, {Process: "n", Called: timeAt(120), Revision: 5, Fresh: true}}, true},
+		"late, but not fresh":    {[]StatusObservation{{Process: "n", Called: timeAt(120), Revision: 4}}, true},
+		"late":                   {[]StatusObservation{{Process: "n", Called: timeAt(120), Revision: 4, Fresh: true}}, false},
+		"revision decreases":     {[]StatusObservation{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "n", Called: timeAt(6), Revision: 4}}, false},
+		"other process is older": {[]StatusObservation{{Process: "n", Called: timeAt(5), Revision: 5}, {Process: "m", Called: timeAt(6), Revision: 4}}, true},
 		"no sightings":           {nil, true},
 	}
 	for name, testCase := range cases {
-		if violations := CheckSightings(testCase.sightings, accepted, bound); (len(violations) == 0) != testCase.valid {
+		if violations := CheckObservations(testCase.sightings, accepted, bound); (len(violations) == 0) != testCase.valid {
 			t.Errorf("%s: got violations %v, want valid = %t", name, violations, testCase.valid)
 		}
 	}
@@ -218,7 +218,7 @@
 	}
 	complete := []Submission{newSelectSubmission(), newProblem("r", api.ProblemNotRunDraining, 0, 1)}
 	incomplete := []Submission{newSelectSubmission(1), newSubmissionWithoutReply("r", 0, 1), newProblem("r", api.ProblemFailed, 0, 1), newProblem("r", api.ProblemOutcomeUnknown, 0, 1)}
-	if violations := CheckNothingCutOff(append(complete, incomplete...)); len(violations) != len(incomplete) {
+	if violations := CheckNoneAborted(append(complete, incomplete...)); len(violations) != len(incomplete) {
 		t.Errorf("got violations %v, want one for each of %d incomplete submissions", violations, len(incomplete))
 	}
 	cancelled := leaf.Execution{RequestID: "r", Shard: 1, Outcome: leaf.OutcomeCancelledQueued}
--- a/internal/rehearsal/history/rows.go
+++ b/internal/rehearsal/history/rows.go
@@ -51,7 +51,7 @@
 
 // NewTruth returns the reference data of partitions with the given numbers of shards, for the
 // epochs from 1.
-func NewTruth(shards ...int) *ReferenceData {
+func NewReferenceData(shards ...int) *ReferenceData {
 	truth := &ReferenceData{shards: make(map[uint64]int), tables: make(map[shardKey][]rows.Row)}
 	for index, count := range shards {
 		truth.shards[uint64(index+1)] = count
@@ -64,7 +64,7 @@
 	if table, ok := t.tables[key]; ok {
 		return table
 	}
-	table := leaf.Rows(key.service, key.snapshot, key.shard, t.shards[key.snapshot.Epoch]).Rows
+	table := leaf.GenerateRows(key.service, key.snapshot, key.shard, t.shards[key.snapshot.Epoch]).Rows
 	t.tables[key] = table
 	return table
 }
--- a/internal/rehearsal/leaf/control_test.go
+++ b/internal/rehearsal/leaf/control_test.go
@@ -54,7 +54,7 @@
 	}
 	original, _ := server.holdings.lookup(testSnapshot, 0)
 	added, _ := server.holdings.lookup(server.Load().Holdings[1].Snapshot, 0)
-	if insertedKey, count := rows.TextOf("Q-new"), 0; original == nil || added == nil {
+	if insertedKey, count := rows.NewText("Q-new"), 0; original == nil || added == nil {
 		t.Errorf("got version 1 held %t, version 3 held %t, want both", original != nil, added != nil)
 	} else {
 		for _, row := range append(original.rows.Rows, added.rows.Rows...) {
--- a/internal/rehearsal/leaf/dataset.go
+++ b/internal/rehearsal/leaf/dataset.go
@@ -55,7 +55,7 @@
 // Rows returns the generated rows of one shard at one snapshot in a fixed order. They depend only
 // on the arguments. The union of all shards of a version is the same for every epoch. The version
 // column holds the version, and prices and amounts differ between versions.
-func Rows(service string, snapshot catalog.Snapshot, shard, shardCount int) rows.Table {
+func GenerateRows(service string, snapshot catalog.Snapshot, shard, shardCount int) rows.Table {
 	table := rows.Table{Columns: Columns(service), Rows: []rows.Row{}}
 	key := table.Column(KeyColumn(service))
 	for number := range DatasetSize {
@@ -102,12 +102,12 @@
 	const weightStep, weightSteps = 50, 40
 	const lowestPrice, priceSpread = 1000, 9000
 	return rows.Row{
-		rows.TextOf(fmt.Sprintf("Q-%d", number)),
-		rows.TextOf(lanes[stableRandom.IntN(len(lanes))]),
-		rows.TextOf(carriers[stableRandom.IntN(len(carriers))]),
-		rows.NumberOf(float64(weightStep * (1 + stableRandom.IntN(weightSteps)))),
-		rows.NumberOf(float64(lowestPrice + versionRandom.IntN(priceSpread))),
-		rows.NumberOf(float64(version)),
+		rows.NewText(fmt.Sprintf("Q-%d", number)),
+		rows.NewText(lanes[stableRandom.IntN(len(lanes))]),
+		rows.NewText(carriers[stableRandom.IntN(len(carriers))]),
+		rows.NewNumber(float64(weightStep * (1 + stableRandom.IntN(weightSteps)))),
+		rows.NewNumber(float64(lowestPrice + versionRandom.IntN(priceSpread))),
+		rows.NewNumber(float64(version)),
 	}
 }
 
@@ -115,11 +115,11 @@
 	const cards, journeys = 400, 900
 	const lowestAmount, amountSpread = 5000, 20000
 	return rows.Row{
-		rows.TextOf(fmt.Sprintf("T-%d", number)),
-		rows.TextOf(fmt.Sprintf("C-%d", stableRandom.IntN(cards))),
-		rows.TextOf(stations[stableRandom.IntN(len(stations))]),
-		rows.NumberOf(float64(lowestAmount + versionRandom.IntN(amountSpread))),
-		rows.TextOf(fmt.Sprintf("J-%d", stableRandom.IntN(journeys))),
-		rows.NumberOf(float64(version)),
+		rows.NewText(fmt.Sprintf("T-%d", number)),
+		rows.NewText(fmt.Sprintf("C-%d", stableRandom.IntN(cards))),
+		rows.NewText(stations[stableRandom.IntN(len(stations))]),
+		rows.NewNumber(float64(lowestAmount + versionRandom.IntN(amountSpread))),
+		rows.NewText(fmt.Sprintf("J-%d", stableRandom.IntN(journeys))),
+		rows.NewNumber(float64(version)),
 	}
 }
--- a/internal/rehearsal/leaf/execute_test.go
+++ b/internal/rehearsal/leaf/execute_test.go
@@ -210,7 +210,7 @@
 		return err
 	}
 	for _, row := range response.Table.Rows {
-		if row[0] != rows.TextOf(quote) {
+		if row[0] != rows.NewText(quote) {
 			return fmt.Errorf("select quote %s: got row %v", quote, row)
 		}
 	}
@@ -225,7 +225,7 @@
 	awaitOccupancy(t, server, 1, 0)
 	split := &Partition{Epoch: 2, Shards: 2, Hold: []int{1}}
 	server.Control(ControlRequest{Faults: server.Faults(), AddVersion: 2, DropVersion: 1, AddPartition: split})
-	if <-running.done; running.err != nil || running.response.Table.Rows[0][5] != rows.NumberOf(1) {
+	if <-running.done; running.err != nil || running.response.Table.Rows[0][5] != rows.NewNumber(1) {
 		t.Fatalf("request during the change: got response %+v, error %v, want rows of version 1", running.response, running.err)
 	}
 	for snapshot, expected := range map[catalog.Snapshot]protocol.Refusal{
--- a/internal/rehearsal/leaf/holdings.go
+++ b/internal/rehearsal/leaf/holdings.go
@@ -61,12 +61,12 @@
 
 // buildTable generates the rows of a shard and adds the rows inserted at earlier versions.
 func (h *holdings) buildTable(key tableKey, shardCount int) *shardTable {
-	table := Rows(h.service, key.snapshot, key.shard, shardCount)
+	table := GenerateRows(h.service, key.snapshot, key.shard, shardCount)
 	keyColumn := table.Column(KeyColumn(h.service))
 	for _, entry := range h.journal.snapshot() {
 		if entry.Version < key.snapshot.Version && ShardOf(entry.Row[keyColumn], shardCount) == key.shard {
 			row := slices.Clone(entry.Row)
-			row[table.Column("version")] = rows.NumberOf(float64(key.snapshot.Version))
+			row[table.Column("version")] = rows.NewNumber(float64(key.snapshot.Version))
 			table.Rows = append(table.Rows, row)
 		}
 	}
--- a/internal/rehearsal/leaf/leaf_test.go
+++ b/internal/rehearsal/leaf/leaf_test.go
@@ -85,7 +85,7 @@
 func TestSelectReturnsGeneratedRows(t *testing.T) {
 	server, client := startTestLeaf(t, testConfig())
 	response := execute(t, server, client, testRequest("r", "select * from rate-desk"))
-	expected := Rows(testService, testSnapshot, 0, 1)
+	expected := GenerateRows(testService, testSnapshot, 0, 1)
 	slices.SortStableFunc(expected.Rows, rows.CompareRows)
 	if !response.Table.Equal(expected) {
 		t.Fatalf("select: got %d rows, want %d equal to the generated rows", len(response.Table.Rows), len(expected.Rows))
@@ -97,12 +97,12 @@
 
 func TestUnionOfShardsIsEqualForEveryEpoch(t *testing.T) {
 	for _, service := range []string{"rate-desk", "inspector-desk", "refund-clerk"} {
-		whole := Rows(service, testSnapshot, 0, 1)
+		whole := GenerateRows(service, testSnapshot, 0, 1)
 		slices.SortStableFunc(whole.Rows, rows.CompareRows)
 		for _, shards := range []int{2, 7} {
 			union := rows.Table{Columns: whole.Columns}
 			for shard := range shards {
-				union.Rows = append(union.Rows, Rows(service, catalog.Snapshot{Version: 1, Epoch: 9}, shard, shards).Rows...)
+				union.Rows = append(union.Rows, GenerateRows(service, catalog.Snapshot{Version: 1, Epoch: 9}, shard, shards).Rows...)
 			}
 			slices.SortStableFunc(union.Rows, rows.CompareRows)
 			if !union.Equal(whole) {
--- a/internal/rehearsal/leaf/shard_table.go
+++ b/internal/rehearsal/leaf/shard_table.go
@@ -72,5 +72,5 @@
 	if shard := ShardOf(key, t.shardCount); shard != t.shard {
 		return rows.Table{}, fmt.Errorf("insert: key %s belongs to shard %d, not to shard %d", key, shard, t.shard)
 	}
-	return rows.Table{Columns: []string{"inserted"}, Rows: []rows.Row{{rows.NumberOf(1)}}}, nil
+	return rows.Table{Columns: []string{"inserted"}, Rows: []rows.Row{{rows.NewNumber(1)}}}, nil
 }
--- a/internal/rehearsal/leaf/statement.go
+++ b/internal/rehearsal/leaf/statement.go
@@ -48,7 +48,7 @@
 }
 
 func parseStatement(text string) (statement, error) {
-	parsed, err := language.ParseOne(text)
+	parsed, err := language.ParseStatement(text)
 	if err != nil {
 		return statement{}, err
 	}
@@ -72,6 +72,6 @@
 	for i, column := range columns {
 		row[i], _ = s.insertion.Value(column)
 	}
-	row[len(row)-1] = rows.NumberOf(float64(version)) // version is the last column
+	row[len(row)-1] = rows.NewNumber(float64(version)) // version is the last column
 	return []rows.Row{row}
 }
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -152,7 +152,7 @@
 		t.Fatalf("list experiment files: got %v, error %v, want at least 1 file", paths, err)
 	}
 	for _, path := range paths {
-		config, err := Load(path)
+		config, err := ReadConfig(path)
 		if err != nil {
 			t.Errorf("load %s: got error %v, want none", path, err)
 		}
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -75,7 +75,7 @@
 	if _, err := netip.ParseAddrPort(config.Address); err != nil {
 		return nil, failure.Errorf("address: expected an IP address with a port, found %q", config.Address)
 	}
-	if err := (machines.List{Machines: config.Machines}).Check(); err != nil {
+	if err := (machines.List{Machines: config.Machines}).Validate(); err != nil {
 		return nil, failure.Wrap(err)
 	}
 	listener, err := net.Listen("tcp", config.Address)
@@ -142,7 +142,7 @@
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&body)
 	if err == nil {
-		err = machines.List{Machines: body.Add}.Check()
+		err = machines.List{Machines: body.Add}.Validate()
 	}
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
--- a/internal/rehearsal/machines/server_test.go
+++ b/internal/rehearsal/machines/server_test.go
@@ -72,7 +72,7 @@
 
 func TestFailedPollKeepsLastList(t *testing.T) {
 	server, poller := startListAndPoller(t, 0)
-	if reading := poller.Last(); reading.Known {
+	if reading := poller.Last(); reading.HasList {
 		t.Fatalf("before the first poll: got reading %+v, want none", reading)
 	}
 	if _, err := poller.Poll(context.Background()); err != nil {
@@ -84,7 +84,7 @@
 		t.Fatal("poll while the list is down: got no error, want one")
 	}
 	reading := poller.Last()
-	if !reading.Known || reading.Err == nil || len(reading.List.Machines) != 1 || reading.Age <= 0 {
+	if !reading.HasList || reading.Err == nil || len(reading.List.Machines) != 1 || reading.Age <= 0 {
 		t.Fatalf("after a failed poll: got reading %+v, want the last list with its age and the error", reading)
 	}
 }
--- a/internal/rehearsal/promises/answers_test.go
+++ b/internal/rehearsal/promises/answers_test.go
@@ -40,7 +40,7 @@
 	}
 	d.runFaults(500*time.Millisecond, 100*time.Millisecond, faults)
 	stop()
-	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
+	d.requireNoViolations(history.NewReferenceData(shards).CheckRows(d.recorder.Submissions()))
 	d.requireFates("answered", "partial", "no reply")
 }
 
--- a/internal/rehearsal/promises/at_most_once_test.go
+++ b/internal/rehearsal/promises/at_most_once_test.go
@@ -102,7 +102,7 @@
 		d.runStatement(statement)
 		d.sleep(300 * time.Millisecond)
 	}
-	current, err := d.Catalog(d.ctx, d.node(0))
+	current, err := d.FetchCatalog(d.ctx, d.node(0))
 	d.requireNoError(err)
 	for _, change := range current.Recent {
 		if change.Statement == "remove voter node-b1" {
--- a/internal/rehearsal/promises/changes_test.go
+++ b/internal/rehearsal/promises/changes_test.go
@@ -35,7 +35,7 @@
 // bound.
 func TestAcceptedChangesAreDurableAndOrdered(t *testing.T) {
 	d := deploy(t, nil)
-	base, err := d.Catalog(d.ctx, d.node(0))
+	base, err := d.FetchCatalog(d.ctx, d.node(0))
 	d.requireNoError(err)
 	stopPolling := d.startStatusPolling()
 	stopOperators := d.startLoad(4, d.sendRandomCommand)
@@ -47,11 +47,11 @@
 	stopped, until := d.stopServiceWithFrozenNode()
 	stopPolling()
 	d.resolveUnknownChanges()
-	log, err := d.Catalog(d.ctx, d.node(0))
+	log, err := d.FetchCatalog(d.ctx, d.node(0))
 	d.requireNoError(err)
 	changes := d.recorder.Changes()
 	d.requireNoViolations(history.CheckLog(changes, base.Revision, log.Recent))
-	d.requireNoViolations(history.CheckSightings(d.recorder.Sightings(), changes, inForceBound))
+	d.requireNoViolations(history.CheckObservations(d.recorder.Observations(), changes, inForceBound))
 	d.requireNoViolations(history.CheckStopped(d.recorder.Submissions(), stopped, until, inForceBound))
 	d.requireChangeFates(changes)
 	d.requireFates("answered", "not-run-stopped")
@@ -76,15 +76,15 @@
 	ctx, cancel := context.WithTimeout(d.ctx, replyTimeout)
 	defer cancel()
 	change := history.Change{Operator: operator, Node: node.Name, Statement: statement, Called: time.Now()}
-	change.End(d.Statement(ctx, node, api.StatementRequest{Statement: statement, TimeoutMilliseconds: commandTimeout.Milliseconds()}))
-	d.recorder.Changed(change)
+	change.RecordResult(d.SendStatement(ctx, node, api.StatementRequest{Statement: statement, TimeoutMilliseconds: commandTimeout.Milliseconds()}))
+	d.recorder.RecordChange(change)
 	return change
 }
 
 func (d *deployment) fetchStatus(node *cluster.Node) (*api.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(d.ctx, statusTimeout)
 	defer cancel()
-	return d.Status(ctx, node)
+	return d.FetchStatus(ctx, node)
 }
 
 // startStatusPolling polls the status of every node until the returned function is called.
@@ -111,7 +111,7 @@
 	if err != nil {
 		return // the node is frozen or down
 	}
-	d.recorder.Saw(history.Sighting{
+	d.recorder.RecordObservation(history.StatusObservation{
 		Process: fmt.Sprintf("%s/%s", node.Name, node.HTTP),
 		Called:  called, Returned: time.Now(),
 		Revision: status.Revision, Fresh: status.Fresh,
@@ -179,9 +179,9 @@
 	d.t.Helper()
 	deadline := time.Now().Add(fateTimeout)
 	for _, change := range d.recorder.Changes() {
-		for change.Unsettled() {
-			fate, err := d.Fate(d.ctx, d.node(0), change.Response.ChangeID)
-			if err == nil && fate.Fate != api.FateUnknown {
+		for change.Undecided() {
+			fate, err := d.FetchChange(d.ctx, d.node(0), change.Response.ChangeID)
+			if err == nil && fate.Outcome != api.ChangeOutcomeUnknown {
 				resolved := history.Change{Statement: change.Statement, Called: change.Called, Returned: time.Now(), Response: fate}
 				d.requireFateMatchesLog(resolved)
 				break
@@ -197,11 +197,11 @@
 // requireFateMatchesLog compares a fate that was reported later with the log.
 func (d *deployment) requireFateMatchesLog(change history.Change) {
 	d.t.Helper()
-	log, err := d.Catalog(d.ctx, d.node(0))
+	log, err := d.FetchCatalog(d.ctx, d.node(0))
 	d.requireNoError(err)
 	applied, inLog := log.Lookup(change.Response.ChangeID)
 	if change.Accepted() != inLog || inLog && applied.Revision != change.Response.Revision {
-		d.t.Errorf("change %s: reported as %s at revision %d, but the log has %+v", change.Response.ChangeID, change.Response.Fate, change.Response.Revision, applied)
+		d.t.Errorf("change %s: reported as %s at revision %d, but the log has %+v", change.Response.ChangeID, change.Response.Outcome, change.Response.Revision, applied)
 	}
 }
 
@@ -213,15 +213,15 @@
 	for _, change := range changes {
 		switch {
 		case change.Response != nil:
-			fates[string(change.Response.Fate)]++
+			fates[string(change.Response.Outcome)]++
 		case change.Problem != nil:
 			fates[string(change.Problem.Type)]++
 		default:
 			fates["no reply"]++
 		}
 	}
-	d.t.Logf("changes: %v; %d status responses", fates, len(d.recorder.Sightings()))
-	if fates[string(api.FateInForce)]+fates[string(api.FateAccepted)] == 0 || fates[string(api.FateUnknown)] == 0 {
+	d.t.Logf("changes: %v; %d status responses", fates, len(d.recorder.Observations()))
+	if fates[string(api.ChangeInForce)]+fates[string(api.ChangeAccepted)] == 0 || fates[string(api.ChangeOutcomeUnknown)] == 0 {
 		d.t.Errorf("fates of changes = %v, want accepted and unknown ones", fates)
 	}
 }
--- a/internal/rehearsal/promises/coverage_test.go
+++ b/internal/rehearsal/promises/coverage_test.go
@@ -46,7 +46,7 @@
 	d.requireFullCoverage()
 	d.Leaves[replica2].Kill()
 	d.requireMissingShard(1)
-	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
+	d.requireNoViolations(history.NewReferenceData(shards).CheckRows(d.recorder.Submissions()))
 	d.requireFates("answered", "partial")
 }
 
@@ -54,7 +54,7 @@
 func (d *deployment) replicaPair(shard int) (replica1, replica2 int) {
 	var holders []int
 	for index, leaf := range d.Leaves {
-		if leaf.Holds(shard) {
+		if leaf.HoldsShard(shard) {
 			holders = append(holders, index)
 		}
 	}
--- a/internal/rehearsal/promises/deployment_test.go
+++ b/internal/rehearsal/promises/deployment_test.go
@@ -80,10 +80,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	t.Cleanup(cancel)
 	running, err := cluster.Start(ctx, cluster.Plan{
-		Binaries: binaryDir,
-		Zones:    []string{"a", "b", "c"},
-		Nodes:    nodes,
-		Tune:     configure,
+		ProgramDirectory: binaryDir,
+		Zones:            []string{"a", "b", "c"},
+		Nodes:            nodes,
+		ModifySettings:   configure,
 		Services: []cluster.Service{{
 			Name: service, Shards: shards, Replicas: replicas, KeyColumn: "quote", Leaves: leaves, Slots: slots,
 			Classes: []string{
@@ -143,8 +143,8 @@
 	submission.Node = to.Name
 	submission.Service = service
 	submission.Called = time.Now()
-	submission.End(d.Query(ctx, to, service, submission.Request))
-	d.recorder.Submitted(submission)
+	submission.RecordResult(d.Query(ctx, to, service, submission.Request))
+	d.recorder.RecordSubmission(submission)
 	return submission
 }
 
@@ -223,7 +223,7 @@
 	d.t.Helper()
 	var all []leaf.Execution
 	for _, clusterLeaf := range d.Leaves {
-		executions, err := d.LeafExecutions(clusterLeaf)
+		executions, err := d.ReadLeafExecutions(clusterLeaf)
 		if err != nil {
 			d.t.Fatal(err)
 		}
--- a/internal/rehearsal/promises/faults_test.go
+++ b/internal/rehearsal/promises/faults_test.go
@@ -155,11 +155,11 @@
 	d.t.Helper()
 	for index := range nodes {
 		ctx, cancel := context.WithTimeout(d.ctx, operatorTimeout)
-		response, err := d.Statement(ctx, d.node(index), api.StatementRequest{
+		response, err := d.SendStatement(ctx, d.node(index), api.StatementRequest{
 			Statement: statement, TimeoutMilliseconds: commandTimeout.Milliseconds(),
 		})
 		cancel()
-		if err == nil && response.Fate != api.FateUnknown {
+		if err == nil && response.Outcome != api.ChangeOutcomeUnknown {
 			return
 		}
 		d.t.Logf("statement %q at node %d: error %v, response %+v", statement, index, err, response)
--- a/internal/rehearsal/promises/leaving_test.go
+++ b/internal/rehearsal/promises/leaving_test.go
@@ -56,12 +56,12 @@
 	d.sleep(3 * time.Second)
 	stop()
 	for _, signal := range signals {
-		executions, err := d.LeafExecutions(signal.leaf)
+		executions, err := d.ReadLeafExecutions(signal.leaf)
 		d.requireNoError(err)
 		d.requireNoViolations(history.CheckLeaving(signal.name, executions, signal.sentAt, leavingBound))
 		t.Logf("%s: the last attempt arrived %s after the signal", signal.name, history.LastArrival(executions, signal.sentAt))
 	}
-	d.requireNoViolations(history.NewTruth(shards).CheckRows(d.recorder.Submissions()))
+	d.requireNoViolations(history.NewReferenceData(shards).CheckRows(d.recorder.Submissions()))
 	d.requireAnswersAtEnd(frozen)
 	d.requireFates("answered")
 }
--- a/internal/rehearsal/promises/planned_stop_test.go
+++ b/internal/rehearsal/promises/planned_stop_test.go
@@ -50,7 +50,7 @@
 	d.sleep(500 * time.Millisecond)
 	d.retireAndStopLeaf(0)
 	stop()
-	d.requireNoViolations(history.CheckNothingCutOff(d.recorder.Submissions()[firstSubmission:]))
+	d.requireNoViolations(history.CheckNoneAborted(d.recorder.Submissions()[firstSubmission:]))
 	d.requireNoViolations(history.CheckNoneCancelled(d.executions()))
 	d.requireFates("answered", "not-run-stopped")
 }
--- a/internal/rehearsal/promises/snapshot_test.go
+++ b/internal/rehearsal/promises/snapshot_test.go
@@ -46,7 +46,7 @@
 	}
 	stop()
 	submissions := d.recorder.Submissions()
-	d.requireNoViolations(history.NewTruth(shards, secondShards).CheckRows(submissions))
+	d.requireNoViolations(history.NewReferenceData(shards, secondShards).CheckRows(submissions))
 	d.requireAllSnapshots(submissions)
 	d.requireFates("answered")
 }
--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -144,7 +144,7 @@
 		}
 		for _, n := range s.nodes {
 			n.deliver(func() {
-				n.table.MachineLeaving(l.address, boot)
+				n.table.MarkMachineLeaving(l.address, boot)
 				n.refreshTopology()
 			})
 		}
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -31,7 +31,7 @@
 func newNode(s *simulator, index int, zone string) *node {
 	return &node{
 		simulator: s, index: index, zone: zone,
-		table:    topology.New(topology.DefaultConfig()),
+		table:    topology.NewTable(topology.DefaultConfig()),
 		attempts: make(map[dispatch.AttemptID]*attempt),
 		queries:  make(map[dispatch.QueryID]*query),
 	}
@@ -194,14 +194,14 @@
 	if state != leaf.StateDraining {
 		return
 	}
-	n.table.Draining(l.address, bootID)
+	n.table.MarkDraining(l.address, bootID)
 	n.refreshTopology()
 }
 
 // refreshTopology passes the topology to the Decider if it changed.
 func (n *node) refreshTopology() {
 	now := n.simulator.engine.now
-	current, ok := n.table.Service(now, n.simulator.config.Service.Name)
+	current, ok := n.table.ServiceTopology(now, n.simulator.config.Service.Name)
 	if !ok || equalTopologies(n.currentTopology, current) {
 		return
 	}
@@ -231,13 +231,13 @@
 
 func (n *node) handleReport(l *emulatedLeaf, report leaf.LoadReport) {
 	now := n.simulator.engine.now
-	n.table.Report(now, l.address, report)
+	n.table.RecordReport(now, l.address, report)
 	n.refreshTopology()
 	n.perform(n.decider.Observe(now, l.address, report.LoadSummary))
 }
 
 func (n *node) handlePollFailure(l *emulatedLeaf) {
-	n.table.ReportFailed(l.address)
+	n.table.RecordPollFailure(l.address)
 	n.refreshTopology()
 }
 
--- a/internal/rehearsal/simulation/simulator_test.go
+++ b/internal/rehearsal/simulation/simulator_test.go
@@ -151,7 +151,7 @@
 	n.decider = s.newDecider(n.index, n.zone)
 	n.table.SetCatalog(s.catalog)
 	for _, l := range s.leaves {
-		n.table.Report(0, l.address, l.loadReport())
+		n.table.RecordReport(0, l.address, l.loadReport())
 	}
 	n.refreshTopology()
 }
--- a/internal/rehearsal/store/linearizability_test.go
+++ b/internal/rehearsal/store/linearizability_test.go
@@ -129,7 +129,7 @@
 	returned := time.Since(r.started)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.countsByKind[store.KindOf(err)]++
+	r.countsByKind[store.ErrorKind(err)]++
 	if err != nil {
 		if in.isRead || !store.MaybeApplied(err) || r.bug.reportLostAsFailed {
 			return // the client reports that the call had no effect
--- a/internal/rehearsal/store/model_test.go
+++ b/internal/rehearsal/store/model_test.go
@@ -75,7 +75,7 @@
 		}
 		defer server.Close()
 		endpoint := netip.MustParseAddrPort(server.Address())
-		client, err := store.New(store.Config{Endpoints: []netip.AddrPort{endpoint}, Timeout: 5 * time.Second}, nil)
+		client, err := store.NewClient(store.Config{Endpoints: []netip.AddrPort{endpoint}, Timeout: 5 * time.Second}, nil)
 		if err != nil {
 			r.Fatal(err)
 		}
@@ -109,7 +109,7 @@
 	if err == nil {
 		return false
 	}
-	if store.KindOf(err) != store.KindReplyLost || !store.MaybeApplied(err) {
+	if store.ErrorKind(err) != store.KindReplyLost || !store.MaybeApplied(err) {
 		r.Fatalf("write: got error %v, want a lost reply that may have been applied", err)
 	}
 	return true
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -44,7 +44,7 @@
 func connectWith(t *testing.T, server *fakestore.Server, clientConfig store.Config) *store.Client {
 	t.Helper()
 	clientConfig.Endpoints = append(clientConfig.Endpoints, netip.MustParseAddrPort(server.Address()))
-	client, err := store.New(clientConfig, nil)
+	client, err := store.NewClient(clientConfig, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	server.SetFaults(fakestore.Faults{LoseReplies: 1})
 	ctx := context.Background()
 	_, err := client.CreateIfAbsent(ctx, "/a", []byte("one"))
-	if store.KindOf(err) != store.KindReplyLost || !store.MaybeApplied(err) {
+	if store.ErrorKind(err) != store.KindReplyLost || !store.MaybeApplied(err) {
 		t.Fatalf("create: got error %v, want a lost reply that may have been applied", err)
 	}
 	result, err := client.Range(ctx, "/a", "", 0)
@@ -106,14 +106,14 @@
 	refused := 0
 	for {
 		result, err := client.CreateIfAbsent(ctx, "/after", nil)
-		if store.KindOf(err) == store.KindUnreachable && !store.MaybeApplied(err) {
+		if store.ErrorKind(err) == store.KindUnreachable && !store.MaybeApplied(err) {
 			refused++
 			continue
 		}
 		if err == nil {
 			break
 		}
-		if store.KindOf(err) != store.KindReplyLost {
+		if store.ErrorKind(err) != store.KindReplyLost {
 			t.Fatalf("create: got %+v, error %v, want an unreachable store or a lost reply", result, err)
 		}
 	}
@@ -169,7 +169,7 @@
 				_, _ = client.Range(context.Background(), "/a", "", 0)
 			}
 			_, err := client.CreateIfAbsent(context.Background(), "/a", nil)
-			if store.KindOf(err) != expected.kind || store.MaybeApplied(err) != expected.maybeApplied {
+			if store.ErrorKind(err) != expected.kind || store.MaybeApplied(err) != expected.maybeApplied {
 				t.Fatalf("create: want error kind %s (may be applied: %v), got %v", expected.kind, expected.maybeApplied, err)
 			}
 		})
@@ -203,14 +203,14 @@
 		}
 	}
 	server.Control(fakestore.ControlRequest{CompactNow: true, BreakWatches: true})
-	if event := <-events; store.KindOf(event.Err) != store.KindReplyLost {
+	if event := <-events; store.ErrorKind(event.Err) != store.KindReplyLost {
 		t.Fatalf("watch: got %+v, want a lost reply because the connection was closed", event)
 	}
 	compactedEvents, err := client.Watch(ctx, "/a/", store.PrefixEnd("/a/"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if event := <-compactedEvents; store.KindOf(event.Err) != store.KindCompacted {
+	if event := <-compactedEvents; store.ErrorKind(event.Err) != store.KindCompacted {
 		t.Fatalf("watch from revision 1: got %+v, want a compacted error", event)
 	}
 }
--- a/internal/rows/rows_test.go
+++ b/internal/rows/rows_test.go
@@ -14,9 +14,9 @@
 func newValueGenerator() *rapid.Generator[Value] {
 	return rapid.OneOf(
 		rapid.Just(Value{}),
-		rapid.Map(rapid.Float64Range(-math.MaxFloat64, math.MaxFloat64), NumberOf),
-		rapid.Map(rapid.IntRange(-3, 3), func(n int) Value { return NumberOf(float64(n)) }),
-		rapid.Map(rapid.String(), TextOf),
+		rapid.Map(rapid.Float64Range(-math.MaxFloat64, math.MaxFloat64), NewNumber),
+		rapid.Map(rapid.IntRange(-3, 3), func(n int) Value { return NewNumber(float64(n)) }),
+		rapid.Map(rapid.String(), NewText),
 	)
 }
 
@@ -153,7 +153,7 @@
 }
 
 func TestNegativeZeroEqualsZero(t *testing.T) {
-	zero, negative := NumberOf(0), NumberOf(math.Copysign(0, -1))
+	zero, negative := NewNumber(0), NewNumber(math.Copysign(0, -1))
 	if Compare(zero, negative) != 0 || !bytes.Equal(AppendKey(nil, zero), AppendKey(nil, negative)) {
 		t.Fatal("zero and negative zero differ, want equal order and equal keys")
 	}
@@ -168,7 +168,7 @@
 		}
 	}
 	var numberError *NumberError
-	if _, err := json.Marshal(NumberOf(math.NaN())); !errors.As(err, &numberError) {
+	if _, err := json.Marshal(NewNumber(math.NaN())); !errors.As(err, &numberError) {
 		t.Errorf("encode NaN: got error %v, want *NumberError", err)
 	}
 }
@@ -178,7 +178,7 @@
 	table := Table{Columns: []string{"lane", "carrier", "weight", "price"}}
 	for i := range 20 {
 		table.Rows = append(table.Rows, Row{
-			TextOf("OTR-SPK"), TextOf("coast"), NumberOf(float64(50 * i)), NumberOf(1000.5 + float64(i)),
+			NewText("OTR-SPK"), NewText("coast"), NewNumber(float64(50 * i)), NewNumber(1000.5 + float64(i)),
 		})
 	}
 	return table
--- a/internal/rows/table_decoder.go
+++ b/internal/rows/table_decoder.go
@@ -173,9 +173,9 @@
 func (s *tableScanner) readValue() Value {
 	switch c := s.peek(); {
 	case c == '"':
-		return TextOf(s.readString())
+		return NewText(s.readString())
 	case c == '-' || (c >= '0' && c <= '9'):
-		return NumberOf(s.readNumber())
+		return NewNumber(s.readNumber())
 	case s.consumeWord("null"):
 		return Value{}
 	default:
--- a/internal/rows/value.go
+++ b/internal/rows/value.go
@@ -9,10 +9,10 @@
 )
 
 // NumberOf returns a number value.
-func NumberOf(number float64) Value { return Value{Kind: Number, Number: number} }
+func NewNumber(number float64) Value { return Value{Kind: Number, Number: number} }
 
 // TextOf returns a text value.
-func TextOf(text string) Value { return Value{Kind: Text, Text: text} }
+func NewText(text string) Value { return Value{Kind: Text, Text: text} }
 
 // IsNull reports whether the value is null.
 func (v Value) IsNull() bool { return v.Kind == Null }
--- a/internal/rows/value_codec.go
+++ b/internal/rows/value_codec.go
@@ -50,11 +50,11 @@
 		return nil
 	case data[0] == '"':
 		text, err := decodeText(data)
-		*v = TextOf(text)
+		*v = NewText(text)
 		return err
 	case data[0] == '-' || (data[0] >= '0' && data[0] <= '9'):
 		number, err := strconv.ParseFloat(string(data), 64)
-		*v = NumberOf(number)
+		*v = NewNumber(number)
 		return err
 	default:
 		return &ValueError{JSON: string(data[:min(len(data), maximumQuotedJSON)])}
--- a/internal/selfhosted/api/api.go
+++ b/internal/selfhosted/api/api.go
@@ -97,30 +97,30 @@
 )
 
 // Fate is the state of a change as far as the responding node knows it.
-type Fate string
+type ChangeOutcome string
 
 // The fates of a change.
 const (
 	// FateInForce means that the change is accepted and every serving member holds it.
-	FateInForce Fate = "in_force"
+	ChangeInForce ChangeOutcome = "in_force"
 	// FateAccepted means that the change is permanent, but some members are not yet known
 	// to hold it.
-	FateAccepted Fate = "accepted"
+	ChangeAccepted ChangeOutcome = "accepted"
 	// FateNotAccepted means that the change has not taken effect and never will.
-	FateNotAccepted Fate = "not_accepted"
+	ChangeNotAccepted ChangeOutcome = "not_accepted"
 	// FateUnknown means that the change may or may not take effect. A later request by
 	// its id may tell.
-	FateUnknown Fate = "unknown"
+	ChangeOutcomeUnknown ChangeOutcome = "unknown"
 	// FateDryRun means that the change would be valid and was not made.
-	FateDryRun Fate = "dry_run"
+	ChangeDryRun ChangeOutcome = "dry_run"
 )
 
 // StatementResponse is the response to a StatementRequest and to a GET of ChangePath.
 type StatementResponse struct {
 	Kind StatementKind `json:"kind"`
 	// ChangeID, Fate, Revision, InForceOn, Members and Missing are set for a change.
-	ChangeID string `json:"change_id,omitempty"`
-	Fate     Fate   `json:"fate,omitempty"`
+	ChangeID string        `json:"change_id,omitempty"`
+	Outcome  ChangeOutcome `json:"fate,omitempty"`
 	// Revision is the revision of the change, or the revision that a show statement
 	// read.
 	Revision uint64 `json:"revision"`
--- a/internal/selfhosted/api/problem_descriptions.go
+++ b/internal/selfhosted/api/problem_descriptions.go
@@ -46,7 +46,7 @@
 		"Ask again when operators have started the service."},
 	{ProblemNotRunNoLeaf, "Not run: a needed shard has no usable leaf.", http.StatusServiceUnavailable,
 		"Ask again after Retry-After; or accept less coverage."},
-	{ProblemNotRunSnapshot, "Not run: no snapshot of the service is known yet.", http.StatusServiceUnavailable,
+	{ProblemNotRunNoSnapshot, "Not run: no snapshot of the service is known yet.", http.StatusServiceUnavailable,
 		"Ask again after a moment, or at another node."},
 	{ProblemNotRunDeadline, "Not run: the deadline passed before the request was sent.", http.StatusServiceUnavailable,
 		"Ask again with a longer deadline, or at another node."},
--- a/internal/selfhosted/dissemination/adapter_test.go
+++ b/internal/selfhosted/dissemination/adapter_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Close)
-	client, err := store.New(store.Config{Endpoints: []netip.AddrPort{netip.MustParseAddrPort(server.Address())}, Timeout: 5 * time.Second}, nil)
+	client, err := store.NewClient(store.Config{Endpoints: []netip.AddrPort{netip.MustParseAddrPort(server.Address())}, Timeout: 5 * time.Second}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/selfhosted/dissemination/confirmation.go
+++ b/internal/selfhosted/dissemination/confirmation.go
@@ -125,7 +125,7 @@
 // registered a successor in the voter slot, at least one response names the successor, and the
 // result of HeldAt no longer advances. With revision 0, HeldAt therefore returns the last time at
 // which the slot provably belonged to this process.
-func (c *Core) HeldAt(now Time, revision uint64) (Time, bool) {
+func (c *Core) MajorityHeldAt(now Time, revision uint64) (Time, bool) {
 	if c.takeover.superseded || len(c.voters) == 0 {
 		return 0, false
 	}
--- a/internal/selfhosted/dissemination/held_at_test.go
+++ b/internal/selfhosted/dissemination/held_at_test.go
@@ -58,7 +58,7 @@
 				state.latest = got
 			}
 		}
-		at, held := core.HeldAt(now, 3)
+		at, held := core.MajorityHeldAt(now, 3)
 		if at != test.at || held != test.held {
 			t.Errorf("%s: got held %v at %v, want held %v at %v", test.name, held, at, test.held, test.at)
 		}
--- a/internal/selfhosted/dissemination/proposal_validation.go
+++ b/internal/selfhosted/dissemination/proposal_validation.go
@@ -9,13 +9,13 @@
 
 // ConflictError rejects a change whose IfRevision is not the catalog's revision.
 type ConflictError struct {
-	Wanted   uint64
+	Expected uint64
 	Revision uint64
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("the catalog is at revision %d, not %d", e.Revision, e.Wanted)
+	return fmt.Sprintf("the catalog is at revision %d, not %d", e.Revision, e.Expected)
 }
 
 // VoterError rejects a voter change that would be irreversible or unsafe.
@@ -35,7 +35,7 @@
 // validateChange returns the reason why the change is invalid, or nil.
 func (c *Core) validateChange(p *proposal) error {
 	if expected := p.request.IfRevision; expected != nil && *expected != c.log.revision() {
-		return &ConflictError{Wanted: *expected, Revision: c.log.revision()}
+		return &ConflictError{Expected: *expected, Revision: c.log.revision()}
 	}
 	if _, err := catalog.Apply(c.log.catalog, p.change); err != nil {
 		return err
--- a/internal/selfhosted/dissemination/service_state.go
+++ b/internal/selfhosted/dissemination/service_state.go
@@ -37,10 +37,10 @@
 // node is a voter, the result for revision 0 is the last time at which the voter slot provably
 // belonged to this process. In contrast to the times in PeerRevisions, the result remains a proof
 // after a suspension or a delay.
-func (s *Service) HeldAt(revision uint64) (time.Duration, bool) {
+func (s *Service) MajorityHeldAt(revision uint64) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.core.HeldAt(s.clock.Now(), revision)
+	return s.core.MajorityHeldAt(s.clock.Now(), revision)
 }
 
 // PeerRevisions returns the known revisions of the members.
--- a/internal/selfhosted/dissemination/service_test.go
+++ b/internal/selfhosted/dissemination/service_test.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	keys, err := store.New(store.Config{Endpoints: []netip.AddrPort{netip.MustParseAddrPort(d.store.Address())}, Timeout: time.Second}, nil)
+	keys, err := store.NewClient(store.Config{Endpoints: []netip.AddrPort{netip.MustParseAddrPort(d.store.Address())}, Timeout: time.Second}, nil)
 	if err != nil {
 		d.t.Fatal(err)
 	}
--- a/internal/selfhosted/dissemination/simulated_process_test.go
+++ b/internal/selfhosted/dissemination/simulated_process_test.go
@@ -106,7 +106,7 @@
 // the slot provably belonged to this process must not be later than the completed registration of a
 // successor.
 func (p *process) checkSlotOwner() {
-	ownedAt, ok := p.core.HeldAt(p.localTime(), 0)
+	ownedAt, ok := p.core.MajorityHeldAt(p.localTime(), 0)
 	if !ok || !p.core.canVote() || len(p.core.Catalog().Voters) < 2 {
 		return
 	}
--- a/internal/selfhosted/gateway/fixture_test.go
+++ b/internal/selfhosted/gateway/fixture_test.go
@@ -67,12 +67,12 @@
 func newTestGateway(node *fakeNode) (*Gateway, *bytes.Buffer) {
 	var log bytes.Buffer
 	return New(Config{
-		Queries:    node,
-		Operations: node,
-		Metrics:    http.NotFoundHandler(),
-		Logger:     slog.New(slog.NewTextHandler(&log, nil)),
-		BodyBytes:  maxBodyBytes,
-		Ready:      func() error { return nil },
+		Queries:      node,
+		Operations:   node,
+		Metrics:      http.NotFoundHandler(),
+		Logger:       slog.New(slog.NewTextHandler(&log, nil)),
+		MaxBodyBytes: maxBodyBytes,
+		CheckReady:   func() error { return nil },
 	}), &log
 }
 
--- a/internal/selfhosted/gateway/gateway.go
+++ b/internal/selfhosted/gateway/gateway.go
@@ -45,12 +45,12 @@
 	Metrics http.Handler
 	Logger  *slog.Logger
 	// BodyBytes is the maximum size of a request body.
-	BodyBytes int64
+	MaxBodyBytes int64
 	// BodyTimeout is the maximum time for a request body to arrive. 0 means
 	// DefaultBodyTimeout.
 	BodyTimeout time.Duration
 	// Ready returns nil if the node accepts requests now, and otherwise the reason.
-	Ready func() error
+	CheckReady func() error
 }
 
 // DefaultBodyTimeout is the default of Config.BodyTimeout.
@@ -107,7 +107,7 @@
 func (g *Gateway) limitBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		request := c.Request()
-		request.Body = http.MaxBytesReader(c.Response(), request.Body, g.config.BodyBytes)
+		request.Body = http.MaxBytesReader(c.Response(), request.Body, g.config.MaxBodyBytes)
 		return next(c)
 	}
 }
@@ -141,7 +141,7 @@
 	if g.draining.Load() {
 		return c.String(http.StatusServiceUnavailable, "draining\n")
 	}
-	if err := g.config.Ready(); err != nil {
+	if err := g.config.CheckReady(); err != nil {
 		return c.String(http.StatusServiceUnavailable, err.Error()+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
--- a/internal/selfhosted/gateway/gateway_test.go
+++ b/internal/selfhosted/gateway/gateway_test.go
@@ -136,7 +136,7 @@
 
 func TestReadyzReportsReason(t *testing.T) {
 	gateway, _ := newTestGateway(&fakeNode{})
-	gateway.config.Ready = func() error { return errors.New("the catalog may be out of date") }
+	gateway.config.CheckReady = func() error { return errors.New("the catalog may be out of date") }
 	response := serve(gateway, http.MethodGet, "/readyz", "")
 	if text := formatResponse(t, response); response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(text, "out of date") {
 		t.Errorf("got %s, want status 503 with the reason", text)
--- a/internal/selfhosted/language/convert_query.go
+++ b/internal/selfhosted/language/convert_query.go
@@ -36,7 +36,7 @@
 
 // checkGroupedColumns refuses plain columns that can have different values within a group.
 func (c *converter) checkGroupedColumns(statement *Select, node *selectNode, start lexer.Position) {
-	if !statement.Grouped() {
+	if !statement.IsGrouped() {
 		return
 	}
 	if len(statement.Items) == 0 {
--- a/internal/selfhosted/language/documentation_test.go
+++ b/internal/selfhosted/language/documentation_test.go
@@ -19,7 +19,7 @@
 		missing[kind] = true
 	}
 	for number, line := range exampleLines(string(page)) {
-		statement, err := ParseOne(line)
+		statement, err := ParseStatement(line)
 		if err != nil {
 			t.Errorf("docs/LANGUAGE.md line %d: ParseOne(%q): %v", number, line, err)
 			continue
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -47,7 +47,7 @@
 		var report strings.Builder
 		for _, line := range readStatements(t, "testdata/"+name+".txt") {
 			fmt.Fprintf(&report, "> %s\n", line)
-			statement, err := ParseOne(line)
+			statement, err := ParseStatement(line)
 			if (err == nil) != (name == "valid") {
 				t.Errorf("ParseOne(%q): got error %v, want valid = %t", line, err, name == "valid")
 			}
@@ -64,7 +64,7 @@
 
 func requireRoundTrip(t rapid.TB, statement Statement) {
 	t.Helper()
-	parsed, err := ParseOne(statement.String())
+	parsed, err := ParseStatement(statement.String())
 	if err != nil {
 		t.Fatalf("ParseOne(%q): %v", statement, err)
 	}
@@ -137,7 +137,7 @@
 		"lane >= 'OTR' and lane < 'OTS' and weight != -1":      true,
 	}
 	for text, want := range cases {
-		statement, err := ParseOne("select * from x where " + text)
+		statement, err := ParseStatement("select * from x where " + text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,7 +157,7 @@
 	}
 	for name, text := range cases {
 		var syntaxError *SyntaxError
-		if _, err := ParseOne(text); !errors.As(err, &syntaxError) || syntaxError.Line == 0 || syntaxError.Column == 0 {
+		if _, err := ParseStatement(text); !errors.As(err, &syntaxError) || syntaxError.Line == 0 || syntaxError.Column == 0 {
 			t.Errorf("ParseOne of case %q: got error %v, want a *SyntaxError with line and column", name, err)
 		}
 	}
@@ -200,7 +200,7 @@
 			t.Fatalf("error without a position or message: %#v", err)
 		}
 		for _, statement := range statements {
-			reparsed, err := ParseOne(statement.String())
+			reparsed, err := ParseStatement(statement.String())
 			if err != nil || reparsed.String() != statement.String() {
 				t.Fatalf("%q was parsed again as %v, error %v, want the same text", statement, reparsed, err)
 			}
@@ -238,7 +238,7 @@
 	const text = "select lane, min(price), count(*) from rate-desk where lane = 'OTR-SPK' and weight <= 900 group by lane order by price limit 20"
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := ParseOne(text); err != nil {
+		if _, err := ParseStatement(text); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/selfhosted/language/parse.go
+++ b/internal/selfhosted/language/parse.go
@@ -8,16 +8,16 @@
 const MaximumStatementBytes = 64 << 10
 
 // MaximumFile is the maximum length in bytes of a text passed to ParseFile.
-const MaximumFile = 8 << 20
+const MaximumFileBytes = 8 << 20
 
 // Located is a statement and the line on which it starts. Line numbers start at 1.
-type Located struct {
+type LocatedStatement struct {
 	Statement Statement
 	Line      int
 }
 
 // ParseOne parses a text that contains exactly one statement. Its errors are of type *SyntaxError.
-func ParseOne(text string) (Statement, error) {
+func ParseStatement(text string) (Statement, error) {
 	if len(text) > MaximumStatementBytes {
 		return nil, newLengthError(len(text), MaximumStatementBytes)
 	}
@@ -37,9 +37,9 @@
 
 // ParseFile parses the statements of a text of at most MaximumFile bytes. Its errors are of type
 // *SyntaxError.
-func ParseFile(text string) ([]Located, error) {
-	if len(text) > MaximumFile {
-		return nil, newLengthError(len(text), MaximumFile)
+func ParseFile(text string) ([]LocatedStatement, error) {
+	if len(text) > MaximumFileBytes {
+		return nil, newLengthError(len(text), MaximumFileBytes)
 	}
 	return parseText(text)
 }
@@ -48,18 +48,18 @@
 	return newInvalidStatementError(lexer.Position{Line: 1, Column: 1}, "", "the text has %d bytes, the limit is %d", length, limit)
 }
 
-func parseText(text string) ([]Located, error) {
+func parseText(text string) ([]LocatedStatement, error) {
 	statements, syntaxError := tokenize(text)
 	if syntaxError != nil {
 		return nil, syntaxError
 	}
-	located := make([]Located, 0, len(statements))
+	located := make([]LocatedStatement, 0, len(statements))
 	for i := range statements {
 		statement, syntaxError := parseStatement(&statements[i])
 		if syntaxError != nil {
 			return nil, syntaxError
 		}
-		located = append(located, Located{Statement: statement, Line: statements[i].tokens[0].Pos.Line})
+		located = append(located, LocatedStatement{Statement: statement, Line: statements[i].tokens[0].Pos.Line})
 	}
 	return located, nil
 }
--- a/internal/selfhosted/machines/list.go
+++ b/internal/selfhosted/machines/list.go
@@ -42,7 +42,7 @@
 }
 
 // Check returns an error if the entry has an invalid address, an unknown kind or an unknown state.
-func (m Machine) Check() error {
+func (m Machine) Validate() error {
 	switch {
 	case !m.Address.IsValid() || m.Address.Port() == 0:
 		return fmt.Errorf("machine %q: expected an IP address with a port", m.Address)
@@ -63,9 +63,9 @@
 }
 
 // Check returns the error of the first invalid entry.
-func (l List) Check() error {
+func (l List) Validate() error {
 	for _, machine := range l.Machines {
-		if err := machine.Check(); err != nil {
+		if err := machine.Validate(); err != nil {
 			return err
 		}
 	}
--- a/internal/selfhosted/machines/poller.go
+++ b/internal/selfhosted/machines/poller.go
@@ -44,7 +44,7 @@
 	// behind the platform's state at that time.
 	Age time.Duration
 	// Known is false until the first read succeeds.
-	Known bool
+	HasList bool
 	// Err is the error of the latest attempt; nil if it succeeded.
 	Err error
 }
@@ -116,7 +116,7 @@
 func (p *Poller) Last() Reading {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	reading := Reading{List: p.list, Known: p.hasList, Err: p.lastErr}
+	reading := Reading{List: p.list, HasList: p.hasList, Err: p.lastErr}
 	if p.hasList {
 		reading.Age = time.Since(p.requestedAt)
 	}
@@ -150,7 +150,7 @@
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
 		return List{}, errorBuilder.Wrap(err)
 	}
-	if err := list.Check(); err != nil {
+	if err := list.Validate(); err != nil {
 		return List{}, errorBuilder.Wrap(err)
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxListBytes))
--- a/internal/selfhosted/merge/evaluate_grouped.go
+++ b/internal/selfhosted/merge/evaluate_grouped.go
@@ -50,7 +50,7 @@
 	for i, index := range indexes {
 		switch {
 		case index < 0:
-			partialRow[i] = rows.NumberOf(1)
+			partialRow[i] = rows.NewNumber(1)
 		case i >= len(g.keys) && g.partials[i-len(g.keys)].Function == language.Count:
 			partialRow[i] = countNonNull(row[index])
 		default:
@@ -62,7 +62,7 @@
 // countNonNull returns the count of a single value: 0 for null and 1 otherwise.
 func countNonNull(value rows.Value) rows.Value {
 	if value.IsNull() {
-		return rows.NumberOf(0)
+		return rows.NewNumber(0)
 	}
-	return rows.NumberOf(1)
+	return rows.NewNumber(1)
 }
--- a/internal/selfhosted/merge/group.go
+++ b/internal/selfhosted/merge/group.go
@@ -155,7 +155,7 @@
 	copy(row, keys)
 	for i, partial := range g.partials {
 		if partial.Function == language.Count {
-			row[len(g.keys)+i] = rows.NumberOf(0)
+			row[len(g.keys)+i] = rows.NewNumber(0)
 		}
 	}
 	g.indexByKey[string(g.keyBuffer)] = len(g.rows)
--- a/internal/selfhosted/merge/merge_test.go
+++ b/internal/selfhosted/merge/merge_test.go
@@ -14,7 +14,7 @@
 
 func parseSelect(t rapid.TB, text string) *language.Select {
 	t.Helper()
-	statement, err := language.ParseOne(text)
+	statement, err := language.ParseStatement(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,9 +40,9 @@
 }
 
 func drawTable(t *rapid.T) rows.Table {
-	textValue := rapid.SampledFrom([]rows.Value{rows.TextOf("a"), rows.TextOf("b"), rows.TextOf("c"), {}})
+	textValue := rapid.SampledFrom([]rows.Value{rows.NewText("a"), rows.NewText("b"), rows.NewText("c"), {}})
 	numberValue := rapid.OneOf(
-		rapid.Map(rapid.IntRange(-3, 3), func(n int) rows.Value { return rows.NumberOf(float64(n)) }),
+		rapid.Map(rapid.IntRange(-3, 3), func(n int) rows.Value { return rows.NewNumber(float64(n)) }),
 		rapid.Just(rows.Value{}),
 	)
 	table := rows.Table{Columns: []string{"lane", "carrier", "weight", "price"}}
@@ -119,7 +119,7 @@
 
 func TestEvaluateAndMergeErrors(t *testing.T) {
 	table := rows.Table{Columns: []string{"lane", "price"}, Rows: []rows.Row{
-		{rows.TextOf("a"), rows.NumberOf(1e308)}, {rows.TextOf("a"), rows.NumberOf(1e308)},
+		{rows.NewText("a"), rows.NewNumber(1e308)}, {rows.NewText("a"), rows.NewNumber(1e308)},
 	}}
 	var unknown *UnknownColumnError
 	var typeError *TypeError
@@ -160,7 +160,7 @@
 		"group-by": "select lane, min(price), avg(price), count(*) from s group by lane order by min(price) limit 20",
 	} {
 		b.Run(name, func(b *testing.B) {
-			statement, err := language.ParseOne(text)
+			statement, err := language.ParseStatement(text)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -168,7 +168,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			shard, err := language.ParseOne(plan.ShardStatement())
+			shard, err := language.ParseStatement(plan.ShardStatement())
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -203,9 +203,9 @@
 	table := rows.Table{Columns: []string{"lane", "carrier", "price"}}
 	for i := range size {
 		table.Rows = append(table.Rows, rows.Row{
-			rows.TextOf(fmt.Sprintf("LANE-%02d", i)),
-			rows.TextOf(fmt.Sprintf("carrier-%d", random.IntN(9))),
-			rows.NumberOf(float64(random.IntN(100000))),
+			rows.NewText(fmt.Sprintf("LANE-%02d", i)),
+			rows.NewText(fmt.Sprintf("carrier-%d", random.IntN(9))),
+			rows.NewNumber(float64(random.IntN(100000))),
 		})
 	}
 	return table
--- a/internal/selfhosted/merge/plan.go
+++ b/internal/selfhosted/merge/plan.go
@@ -38,7 +38,7 @@
 // afterwards.
 func NewPlan(statement *language.Select) (*Plan, error) {
 	plan := &Plan{statement: statement, shard: statement}
-	if statement.Grouped() {
+	if statement.IsGrouped() {
 		groupPlan, err := newGroupPlan(statement)
 		if err != nil {
 			return nil, err
@@ -69,7 +69,7 @@
 // Evaluate runs a select over the rows of a table. It does not modify the table, but the
 // result may share rows with it.
 func Evaluate(statement *language.Select, table rows.Table) (rows.Table, error) {
-	if statement.Grouped() {
+	if statement.IsGrouped() {
 		return evaluateGrouped(statement, table)
 	}
 	return evaluateUngrouped(statement, table)
--- a/internal/selfhosted/node/build.go
+++ b/internal/selfhosted/node/build.go
@@ -44,7 +44,7 @@
 
 // createStoreClient creates the client of the external store.
 func (n *Node) createStoreClient() (err error) {
-	n.store, err = store.New(newStoreConfig(n.settings.Store), n.registry)
+	n.store, err = store.NewClient(newStoreConfig(n.settings.Store), n.registry)
 	return err
 }
 
@@ -133,26 +133,26 @@
 func (n *Node) buildQueries() {
 	n.ledger = query.NewLedger(newOnceConfig(n.settings), n.clock, n.isOwnershipProved)
 	n.queryRunner = query.New(query.Config{
-		Self:           n.settings.Name,
-		Catalogs:       catalogSource{n},
-		Scatterers:     n.services,
-		Forwarder:      forwarder{n},
-		Ledger:         n.ledger,
-		Acknowledged:   n.isAcknowledgedByMajority,
-		Clock:          n.clock,
-		Metrics:        query.NewMetrics(n.registry),
-		RetryWhenStale: n.settings.Freshness.ExchangeInterval.Duration(),
+		NodeName:         n.settings.Name,
+		Catalogs:         catalogSource{n},
+		Scatterers:       n.services,
+		Forwarder:        forwarder{n},
+		Ledger:           n.ledger,
+		HasVoterMajority: n.isAcknowledgedByMajority,
+		Clock:            n.clock,
+		Metrics:          query.NewMetrics(n.registry),
+		StaleRetryAfter:  n.settings.Freshness.ExchangeInterval.Duration(),
 	})
 }
 
 func (n *Node) buildGateway() {
 	n.gateway = gateway.New(gateway.Config{
-		Queries:    newQueryLimiter(n.queryRunner, n.draining, n.settings.Limits.Concurrency),
-		Operations: &operations{n},
-		Metrics:    n.registry.Handler(),
-		Logger:     n.logger,
-		BodyBytes:  n.settings.Limits.BodyBytes,
-		Ready:      n.checkReady,
+		Queries:      newQueryLimiter(n.queryRunner, n.draining, n.settings.Limits.Concurrency),
+		Operations:   &operations{n},
+		Metrics:      n.registry.Handler(),
+		Logger:       n.logger,
+		MaxBodyBytes: n.settings.Limits.BodyBytes,
+		CheckReady:   n.checkReady,
 	})
 	n.httpServer = &http.Server{Handler: n.gateway, ReadHeaderTimeout: readHeaderTimeout}
 }
--- a/internal/selfhosted/node/dissemination.go
+++ b/internal/selfhosted/node/dissemination.go
@@ -27,7 +27,7 @@
 // this process confirmed, in response to requests sent after the given clock reading, that they
 // hold the revision.
 func (n *Node) isOwnershipProved(after time.Duration, revision uint64) bool {
-	held, proved := n.dissemination.HeldAt(revision)
+	held, proved := n.dissemination.MajorityHeldAt(revision)
 	return proved && held > after && n.dissemination.Fresh()
 }
 
@@ -36,6 +36,6 @@
 // was taken over; the store alone would not. The time of sending counts, because responses that
 // were buffered in the socket while the process was suspended prove nothing.
 func (n *Node) isAcknowledgedByMajority() bool {
-	held, proved := n.dissemination.HeldAt(0)
+	held, proved := n.dissemination.MajorityHeldAt(0)
 	return proved && held > n.clock.Now()-n.settings.Freshness.Window.Duration()
 }
--- a/internal/selfhosted/node/mark_sync.go
+++ b/internal/selfhosted/node/mark_sync.go
@@ -60,7 +60,7 @@
 
 // handleMarks returns the marks of this node.
 func (n *Node) handleMarks(context.Context, netip.AddrPort, *marksRequest) (*marksResponse, error) {
-	return &marksResponse{Notices: n.healthCheck.Marks(), InStep: n.markSync.isCurrent(n.clock.Now())}, nil
+	return &marksResponse{Notices: n.healthCheck.LeavingMarks(), InStep: n.markSync.isCurrent(n.clock.Now())}, nil
 }
 
 // runMarkSync synchronizes the marks of leaving leaves until the node closes. The start of a
@@ -101,7 +101,7 @@
 			continue
 		}
 		for _, notice := range response.Notices {
-			n.healthCheck.Apply(notice)
+			n.healthCheck.ApplyNotice(notice)
 		}
 		if response.InStep {
 			return true
--- a/internal/selfhosted/node/node.go
+++ b/internal/selfhosted/node/node.go
@@ -115,5 +115,5 @@
 
 // handleLeafDraining records that a leaf process reported that it is draining.
 func (n *Node) handleLeafDraining(address netip.AddrPort, bootID string) {
-	n.healthCheck.Draining(address, bootID)
+	n.healthCheck.MarkDraining(address, bootID)
 }
--- a/internal/selfhosted/node/operations.go
+++ b/internal/selfhosted/node/operations.go
@@ -21,7 +21,7 @@
 // Statement runs one statement. For a change, it returns when the change is in force on all members
 // or when ctx ends; the response then holds the state known at that time.
 func (o *operations) Statement(ctx context.Context, request api.StatementRequest) (*api.StatementResponse, error) {
-	statement, err := language.ParseOne(request.Statement)
+	statement, err := language.ParseStatement(request.Statement)
 	if err != nil {
 		return nil, query.SyntaxProblem(err)
 	}
@@ -89,7 +89,7 @@
 	return &api.StatementResponse{
 		Kind:      api.KindChange,
 		ChangeID:  result.ChangeID,
-		Fate:      api.Fate(result.Fate),
+		Outcome:   api.ChangeOutcome(result.Fate),
 		Revision:  result.Revision,
 		InForceOn: result.InForceOn,
 		Members:   result.Members,
--- a/internal/selfhosted/node/operations_test.go
+++ b/internal/selfhosted/node/operations_test.go
@@ -24,8 +24,8 @@
 		refusal error
 		want    api.ProblemType
 	}{
-		{"revision has changed", stop, &dissemination.ConflictError{Wanted: 3, Revision: 4}, api.ProblemConflict},
-		{"revision has changed, wrapped", stop, fmt.Errorf("proposal: %w", &dissemination.ConflictError{Wanted: 3, Revision: 4}), api.ProblemConflict},
+		{"revision has changed", stop, &dissemination.ConflictError{Expected: 3, Revision: 4}, api.ProblemConflict},
+		{"revision has changed, wrapped", stop, fmt.Errorf("proposal: %w", &dissemination.ConflictError{Expected: 3, Revision: 4}), api.ProblemConflict},
 		{"voter is not a member", addVoter, errors.New("there is no alive member of that name"), api.ProblemUnknownNode},
 		{"too few voters", removeVoter, errors.New("3 voters must be left"), api.ProblemInvalidChange},
 		{"unknown service", stop, unknownService, api.ProblemUnknownService},
--- a/internal/selfhosted/node/peers.go
+++ b/internal/selfhosted/node/peers.go
@@ -69,8 +69,8 @@
 
 // handleQuery runs a forwarded query that this node owns. Problems are part of the response; other
 // errors fail the call.
-func (n *Node) handleQuery(ctx context.Context, _ netip.AddrPort, request *query.Forward) (*queryResponse, error) {
-	response, err := n.queryRunner.Own(ctx, *request)
+func (n *Node) handleQuery(ctx context.Context, _ netip.AddrPort, request *query.ForwardedQuery) (*queryResponse, error) {
+	response, err := n.queryRunner.RunForwarded(ctx, *request)
 	if err == nil {
 		return &queryResponse{Answer: response}, nil
 	}
@@ -84,7 +84,7 @@
 // handleNotices applies notices of leaving leaves.
 func (n *Node) handleNotices(_ context.Context, _ netip.AddrPort, request *leavingRequest) (*leavingResponse, error) {
 	for _, notice := range request.Notices {
-		n.healthCheck.Apply(notice)
+		n.healthCheck.ApplyNotice(notice)
 	}
 	return &leavingResponse{Accepted: true}, nil
 }
@@ -105,7 +105,7 @@
 
 // Forward calls the owner once. It never retries after a lost response, because the query may have
 // run.
-func (f forwarder) Forward(ctx context.Context, name string, request query.Forward) (*api.QueryResponse, error) {
+func (f forwarder) Forward(ctx context.Context, name string, request query.ForwardedQuery) (*api.QueryResponse, error) {
 	member, ok := f.node.membership.Lookup(name)
 	if !ok || member.State == membership.StateGone {
 		return nil, &query.ForwardError{Node: name, Sent: false, Err: errors.New("the owner is not a current member")}
--- a/internal/selfhosted/node/run.go
+++ b/internal/selfhosted/node/run.go
@@ -145,7 +145,7 @@
 	n.machinePoller.Run(n.backgroundContext, func(list machines.List) {
 		for _, machine := range list.Machines {
 			if machine.Kind == machines.KindLeaf && machine.State != machines.StateLive {
-				n.healthCheck.MachineLeaving(machine.Address, machine.BootID)
+				n.healthCheck.MarkMachineLeaving(machine.Address, machine.BootID)
 			}
 		}
 	})
--- a/internal/selfhosted/node/show.go
+++ b/internal/selfhosted/node/show.go
@@ -54,7 +54,7 @@
 		if service.Stopped {
 			state = "stopped"
 		}
-		newest := service.Newest()
+		newest := service.NewestPartition()
 		table.Rows = append(table.Rows, rows.Row{
 			textValue(name), numberValue(newest.Shards), numberValue(newest.Epoch), numberValue(service.Replicas), textValue(service.KeyColumn),
 			textValue(state), numberValue(service.Concurrency), numberValue(len(service.Classes)), numberValue(len(service.Leaves)),
--- a/internal/selfhosted/node/status.go
+++ b/internal/selfhosted/node/status.go
@@ -119,7 +119,7 @@
 	statuses := []api.ServiceStatus{}
 	for _, name := range current.ServiceNames() {
 		service := current.Services[name]
-		newest := service.Newest()
+		newest := service.NewestPartition()
 		status := api.ServiceStatus{
 			Name:    name,
 			Stopped: service.Stopped,
--- a/internal/selfhosted/node/wire_test.go
+++ b/internal/selfhosted/node/wire_test.go
@@ -10,7 +10,7 @@
 // TestRecordedMessagesDecode checks that messages recorded by an earlier version still decode,
 // because nodes of two versions exchange messages during an upgrade.
 func TestRecordedMessagesDecode(t *testing.T) {
-	wiretest.CheckGob[query.Forward](t, "query.owner.request")
+	wiretest.CheckGob[query.ForwardedQuery](t, "query.owner.request")
 	wiretest.CheckGob[queryResponse](t, "query.owner.response")
 	wiretest.CheckGob[leavingRequest](t, "topology.leaving.request")
 	wiretest.CheckGob[leavingResponse](t, "topology.leaving.response")
--- a/internal/selfhosted/operator/apply_test.go
+++ b/internal/selfhosted/operator/apply_test.go
@@ -47,11 +47,11 @@
 		return
 	}
 	n.changesMade++
-	_ = json.NewEncoder(writer).Encode(api.StatementResponse{Kind: api.KindChange, Fate: api.FateInForce, Revision: n.current.Revision})
+	_ = json.NewEncoder(writer).Encode(api.StatementResponse{Kind: api.KindChange, Outcome: api.ChangeInForce, Revision: n.current.Revision})
 }
 
 func (n *fakeCatalogNode) apply(text string) error {
-	statement, err := language.ParseOne(text)
+	statement, err := language.ParseStatement(text)
 	if err != nil {
 		return err
 	}
--- a/internal/selfhosted/operator/client.go
+++ b/internal/selfhosted/operator/client.go
@@ -99,8 +99,8 @@
 		unreachable.Attempts = append(unreachable.Attempts, err)
 		return nil, unreachable
 	}
-	if response.Fate == api.FateNotAccepted {
-		response.Fate = api.FateUnknown
+	if response.Outcome == api.ChangeNotAccepted {
+		response.Outcome = api.ChangeOutcomeUnknown
 		response.Detail = unreachable.Error() + "; " + response.Detail
 	}
 	return response, nil
--- a/internal/selfhosted/operator/errors.go
+++ b/internal/selfhosted/operator/errors.go
@@ -71,17 +71,17 @@
 func (e *UnreachableError) Unwrap() []error { return e.Attempts }
 
 // FateError is returned for a change that is not known to be accepted.
-type FateError struct {
-	Fate     api.Fate
+type ChangeOutcomeError struct {
+	Outcome  api.ChangeOutcome
 	ChangeID string
 	Detail   string
 }
 
 // Error describes the fate and, if the fate is unknown, how to ask for it again.
-func (e *FateError) Error() string {
+func (e *ChangeOutcomeError) Error() string {
 	var text string
-	switch e.Fate {
-	case api.FateNotAccepted:
+	switch e.Outcome {
+	case api.ChangeNotAccepted:
 		text = "the change is not accepted and never will be"
 	default:
 		text = "the fate of the change is unknown"
@@ -89,7 +89,7 @@
 	if e.Detail != "" {
 		text += ": " + e.Detail
 	}
-	if e.Fate == api.FateUnknown && e.ChangeID != "" {
+	if e.Outcome == api.ChangeOutcomeUnknown && e.ChangeID != "" {
 		text += fmt.Sprintf("\nask again:  micactl change %s", e.ChangeID)
 	}
 	return text
--- a/internal/selfhosted/operator/exec.go
+++ b/internal/selfhosted/operator/exec.go
@@ -59,7 +59,7 @@
 
 // statementError adds the line and the statement to an error if the text has more than one
 // statement.
-func statementError(source string, located language.Located, count int, err error) error {
+func statementError(source string, located language.LocatedStatement, count int, err error) error {
 	if count == 1 {
 		return err
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		return s.writeResult(statement, nil, wrapLostResponse(err, isChange && !options.DryRun, token))
 	}
-	return s.writeResult(statement, response, checkFate(response))
+	return s.writeResult(statement, response, checkOutcome(response))
 }
 
 // bindToRevision returns the text of a statement. A change gets the condition that the
@@ -102,15 +102,15 @@
 }
 
 // checkFate returns a FateError for a change that is not known to be accepted.
-func checkFate(response *api.StatementResponse) error {
+func checkOutcome(response *api.StatementResponse) error {
 	if response.Kind != api.KindChange {
 		return nil
 	}
-	switch response.Fate {
-	case api.FateInForce, api.FateAccepted, api.FateDryRun:
+	switch response.Outcome {
+	case api.ChangeInForce, api.ChangeAccepted, api.ChangeDryRun:
 		return nil
 	default:
-		return &FateError{Fate: response.Fate, ChangeID: response.ChangeID, Detail: response.Detail}
+		return &ChangeOutcomeError{Outcome: response.Outcome, ChangeID: response.ChangeID, Detail: response.Detail}
 	}
 }
 
@@ -147,7 +147,7 @@
 	if statement != "" {
 		s.printf("%s\n  ", statement)
 	}
-	s.printf("%s\n", describeFate(response))
+	s.printf("%s\n", describeOutcome(response))
 	if response.Detail != "" {
 		s.printf("  %s\n", response.Detail)
 	}
@@ -157,18 +157,18 @@
 }
 
 // describeFate describes the fate of a change in one line.
-func describeFate(response *api.StatementResponse) string {
-	switch response.Fate {
-	case api.FateInForce:
+func describeOutcome(response *api.StatementResponse) string {
+	switch response.Outcome {
+	case api.ChangeInForce:
 		return fmt.Sprintf("in force on %d of %d members, revision %d, change %s",
 			response.InForceOn, response.Members, response.Revision, response.ChangeID)
-	case api.FateAccepted:
+	case api.ChangeAccepted:
 		return fmt.Sprintf("accepted, in force on %d of %d members so far, revision %d, change %s",
 			response.InForceOn, response.Members, response.Revision, response.ChangeID)
-	case api.FateDryRun:
+	case api.ChangeDryRun:
 		return fmt.Sprintf("valid at revision %d; nothing was changed", response.Revision)
 	default:
-		return fmt.Sprintf("%s, change %s", response.Fate, response.ChangeID)
+		return fmt.Sprintf("%s, change %s", response.Outcome, response.ChangeID)
 	}
 }
 
@@ -182,9 +182,9 @@
 		if err := s.writeJSON(response); err != nil {
 			return err
 		}
-		return checkFate(response)
+		return checkOutcome(response)
 	}
-	if err := checkFate(response); err != nil {
+	if err := checkOutcome(response); err != nil {
 		return err
 	}
 	s.writeResponse("", response)
--- a/internal/selfhosted/operator/plan.go
+++ b/internal/selfhosted/operator/plan.go
@@ -23,13 +23,13 @@
 	Added   []string `json:"added"`
 
 	// statements are the parsed statements of Changes, in the same order.
-	statements []language.Located
+	statements []language.LocatedStatement
 }
 
 // NewPlan returns the plan of applying the statements to the catalog, which it does not
 // modify. It omits statements that would change nothing, and returns an error for a
 // statement that the catalog would reject.
-func NewPlan(current *catalog.Catalog, statements []language.Located) (*Plan, error) {
+func NewPlan(current *catalog.Catalog, statements []language.LocatedStatement) (*Plan, error) {
 	plan := &Plan{Revision: current.Revision}
 	next := current
 	for _, located := range statements {
@@ -77,7 +77,7 @@
 	}
 	for _, name := range current.ServiceNames() {
 		service := current.Services[name]
-		newest := service.Newest()
+		newest := service.NewestPartition()
 		create := &catalog.CreateService{Name: name, Shards: newest.Shards, Replicas: service.Replicas, KeyColumn: service.KeyColumn}
 		lines = append(lines, fmt.Sprintf("%s -- epoch %d", catalog.Command{CreateService: create}, newest.Epoch))
 		if service.Concurrency > 0 {
--- a/internal/selfhosted/operator/query.go
+++ b/internal/selfhosted/operator/query.go
@@ -13,7 +13,7 @@
 // Query runs one query on a service and writes its rows, snapshot and coverage. It generates
 // the id of the request if it is empty.
 func (s *Session) Query(ctx context.Context, service string, request api.QueryRequest) error {
-	statement, err := language.ParseOne(request.Statement)
+	statement, err := language.ParseStatement(request.Statement)
 	if err != nil {
 		return err
 	}
--- a/internal/selfhosted/query/at_most_once.go
+++ b/internal/selfhosted/query/at_most_once.go
@@ -30,7 +30,7 @@
 	switch owner {
 	case "":
 		return nil, r.newUnavailableProblem(plan.request, "No voters are configured.")
-	case r.config.Self:
+	case r.config.NodeName:
 		return r.runAsOwner(ctx, plan, id, current)
 	}
 	return r.forwardToOwner(ctx, plan, owner)
@@ -50,7 +50,7 @@
 func (r *Runner) forwardToOwner(ctx context.Context, plan *queryPlan, owner string) (*api.QueryResponse, error) {
 	forwardCtx, cancel := context.WithTimeout(ctx, plan.timeout)
 	defer cancel()
-	response, err := r.config.Forwarder.Forward(forwardCtx, owner, Forward{
+	response, err := r.config.Forwarder.Forward(forwardCtx, owner, ForwardedQuery{
 		Service:   plan.service.Name,
 		Request:   plan.request,
 		Remaining: plan.timeout,
@@ -74,7 +74,7 @@
 
 // Own runs a query that another node forwarded because this node owns its id.
 // Errors are *api.Problem values.
-func (r *Runner) Own(ctx context.Context, forward Forward) (*api.QueryResponse, error) {
+func (r *Runner) RunForwarded(ctx context.Context, forward ForwardedQuery) (*api.QueryResponse, error) {
 	if !r.config.Catalogs.Fresh() {
 		return nil, r.newUnavailableProblem(forward.Request, "The owner of this request id cannot show that its catalog is current.")
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if plan.class.Repeatable || once.Owner(current.VoterNames(), id) != r.config.Self {
+	if plan.class.Repeatable || once.Owner(current.VoterNames(), id) != r.config.NodeName {
 		return nil, r.newUnavailableProblem(forward.Request, "The nodes do not agree yet on the owner of this request id.")
 	}
 	return r.runAsOwner(ctx, plan, id, current)
@@ -102,7 +102,7 @@
 	// The decision is valid only if, after it was made, the catalog was still fresh, a
 	// majority of the voters still acknowledged this process, and the ownership was
 	// unchanged.
-	decisionValid := r.config.Acknowledged() && r.config.Catalogs.Fresh() && r.config.Ledger.isStillOwned(decision)
+	decisionValid := r.config.HasVoterMajority() && r.config.Catalogs.Fresh() && r.config.Ledger.isStillOwned(decision)
 	switch decision.Kind {
 	case once.Replay:
 		return decision.Outcome.response, decision.Outcome.err()
--- a/internal/selfhosted/query/at_most_once_test.go
+++ b/internal/selfhosted/query/at_most_once_test.go
@@ -138,21 +138,21 @@
 // TestOwnRejectsInvalidForwards checks that the owner validates a forwarded query against
 // its own catalog, since the forwarding node may hold another one.
 func TestOwnRejectsInvalidForwards(t *testing.T) {
-	forward := func(f *fixture, owner string) Forward {
-		return Forward{Service: "rate-desk", Request: f.newInsertFor(owner), Remaining: time.Second}
+	forward := func(f *fixture, owner string) ForwardedQuery {
+		return ForwardedQuery{Service: "rate-desk", Request: f.newInsertFor(owner), Remaining: time.Second}
 	}
 	f := newFixturePastFence(t)
-	_, err := f.runner.Own(context.Background(), forward(f, "node-b1"))
+	_, err := f.runner.RunForwarded(context.Background(), forward(f, "node-b1"))
 	requireProblem(t, "not the owner", err, api.ProblemUnavailable)
 	repeatable := forward(f, "node-a1")
 	repeatable.Request.Class, repeatable.Request.Statement = "sweep", fullScan
-	_, err = f.runner.Own(context.Background(), repeatable)
+	_, err = f.runner.RunForwarded(context.Background(), repeatable)
 	requireProblem(t, "repeatable here", err, api.ProblemUnavailable)
-	if _, err := f.runner.Own(context.Background(), forward(f, "node-a1")); err != nil || f.scatterer.lastRequest.Timeout != time.Second {
+	if _, err := f.runner.RunForwarded(context.Background(), forward(f, "node-a1")); err != nil || f.scatterer.lastRequest.Timeout != time.Second {
 		t.Errorf("own id: got %v with timeout %s, want no error with 1s", err, f.scatterer.lastRequest.Timeout)
 	}
 	f.catalogs.fresh = false
-	_, err = f.runner.Own(context.Background(), forward(f, "node-a1"))
+	_, err = f.runner.RunForwarded(context.Background(), forward(f, "node-a1"))
 	requireProblem(t, "stale owner", err, api.ProblemUnavailable)
 	if f.scatterer.executions != 1 {
 		t.Errorf("got %d executions, want 1", f.scatterer.executions)
--- a/internal/selfhosted/query/fixture_test.go
+++ b/internal/selfhosted/query/fixture_test.go
@@ -71,12 +71,12 @@
 type fakeForwarder struct {
 	calls       int
 	lastNode    string
-	lastForward Forward
+	lastForward ForwardedQuery
 	response    *api.QueryResponse
 	err         error
 }
 
-func (f *fakeForwarder) Forward(_ context.Context, node string, forward Forward) (*api.QueryResponse, error) {
+func (f *fakeForwarder) Forward(_ context.Context, node string, forward ForwardedQuery) (*api.QueryResponse, error) {
 	f.calls++
 	f.lastNode, f.lastForward = node, forward
 	return f.response, f.err
@@ -120,15 +120,15 @@
 	f.scatterer.result.Parts = []scatter.ShardPart[rows.Table]{{Shard: 0, Part: rows.Table{Columns: []string{"lane"}}}}
 	f.ledger = newLedger(once.DefaultConfig(), f.clock, func() time.Time { return f.timeOfDay }, func(time.Duration, uint64) bool { return f.ownershipProved })
 	f.runner = New(Config{
-		Self:           "node-a1",
-		Catalogs:       f.catalogs,
-		Scatterers:     f.scatterers,
-		Forwarder:      f.forwarder,
-		Ledger:         f.ledger,
-		Acknowledged:   func() bool { return !f.withoutMajority },
-		Clock:          f.clock,
-		Metrics:        NewMetrics(prometheus.NewRegistry()),
-		RetryWhenStale: retryWhenStale,
+		NodeName:         "node-a1",
+		Catalogs:         f.catalogs,
+		Scatterers:       f.scatterers,
+		Forwarder:        f.forwarder,
+		Ledger:           f.ledger,
+		HasVoterMajority: func() bool { return !f.withoutMajority },
+		Clock:            f.clock,
+		Metrics:          NewMetrics(prometheus.NewRegistry()),
+		StaleRetryAfter:  retryWhenStale,
 	})
 	f.runner.SetVoters(f.catalogs.current)
 	return f
--- a/internal/selfhosted/query/refusal.go
+++ b/internal/selfhosted/query/refusal.go
@@ -21,7 +21,7 @@
 	}
 	problem := newRequestProblem(request, notRun, "")
 	problem.Outcome = dispatch.OutcomeNotRun
-	problem.RetryAfterMilliseconds = r.config.RetryWhenStale.Milliseconds()
+	problem.RetryAfterMilliseconds = r.config.StaleRetryAfter.Milliseconds()
 	return problem
 }
 
@@ -30,7 +30,7 @@
 func (r *Runner) newUnavailableProblem(request api.QueryRequest, detail string) *api.Problem {
 	problem := newRequestProblem(request, api.ProblemUnavailable, detail+" This submission ran nowhere; an earlier one of the same id may have.")
 	problem.Outcome = dispatch.OutcomeFailed
-	problem.RetryAfterMilliseconds = r.config.RetryWhenStale.Milliseconds()
+	problem.RetryAfterMilliseconds = r.config.StaleRetryAfter.Milliseconds()
 	return problem
 }
 
--- a/internal/selfhosted/query/response.go
+++ b/internal/selfhosted/query/response.go
@@ -64,7 +64,7 @@
 	case dispatch.ReasonNoLeaf:
 		return api.ProblemNotRunNoLeaf
 	case dispatch.ReasonNoSnapshot:
-		return api.ProblemNotRunSnapshot
+		return api.ProblemNotRunNoSnapshot
 	case dispatch.ReasonDeadline:
 		return api.ProblemNotRunDeadline
 	case dispatch.ReasonRefused, dispatch.ReasonInvalid, dispatch.ReasonConnectionLost:
--- a/internal/selfhosted/query/runner.go
+++ b/internal/selfhosted/query/runner.go
@@ -46,11 +46,11 @@
 // Forwarder sends a query to the node with the given name. The error is a *ForwardError,
 // or the *api.Problem with which that node responded.
 type Forwarder interface {
-	Forward(ctx context.Context, node string, forward Forward) (*api.QueryResponse, error)
+	Forward(ctx context.Context, node string, forward ForwardedQuery) (*api.QueryResponse, error)
 }
 
 // Forward is a query that the receiving node forwards to the owner of the request id.
-type Forward struct {
+type ForwardedQuery struct {
 	Service string
 	Request api.QueryRequest
 	// Remaining is the time until the deadline. It is sent as a duration since the
@@ -79,7 +79,7 @@
 // Config holds the dependencies and settings of a Runner.
 type Config struct {
 	// Self is the name of this node, which identifies its slot among the voters.
-	Self       string
+	NodeName   string
 	Catalogs   CatalogSource
 	Scatterers ScattererRegistry
 	Forwarder  Forwarder
@@ -88,12 +88,12 @@
 	// process recently. A fresh catalog alone is not enough: the node may have read it
 	// from the store. Only contact with the voters shows whether another process has
 	// taken over this node's slot, and with it the ownership of its ids.
-	Acknowledged func() bool
-	Clock        clock.Clock
-	Metrics      *Metrics
+	HasVoterMajority func() bool
+	Clock            clock.Clock
+	Metrics          *Metrics
 	// RetryWhenStale is the retry delay for callers that were refused because this
 	// node was not fresh.
-	RetryWhenStale time.Duration
+	StaleRetryAfter time.Duration
 }
 
 // Runner runs queries. It is safe for concurrent use.
@@ -139,7 +139,7 @@
 func (r *Runner) scatterQuery(ctx context.Context, plan *queryPlan) (*api.QueryResponse, error) {
 	scatterer, ok := r.config.Scatterers.Scatterer(plan.service.Name)
 	if !ok {
-		return nil, plan.newProblem(api.ProblemNotRunSnapshot, "The service is not installed on this node yet.")
+		return nil, plan.newProblem(api.ProblemNotRunNoSnapshot, "The service is not installed on this node yet.")
 	}
 	result := scatterer.Execute(ctx, plan.newScatterRequest())
 	return plan.toResponse(result)
--- a/internal/selfhosted/query/runner_test.go
+++ b/internal/selfhosted/query/runner_test.go
@@ -166,7 +166,7 @@
 		{"overload", finish(dispatch.OutcomeNotRun, dispatch.ReasonOverload), api.ProblemNotRunOverload},
 		{"stopped", finish(dispatch.OutcomeNotRun, dispatch.ReasonStopped), api.ProblemNotRunStopped},
 		{"no leaf", finish(dispatch.OutcomeNotRun, dispatch.ReasonNoLeaf), api.ProblemNotRunNoLeaf},
-		{"no snapshot", finish(dispatch.OutcomeNotRun, dispatch.ReasonNoSnapshot), api.ProblemNotRunSnapshot},
+		{"no snapshot", finish(dispatch.OutcomeNotRun, dispatch.ReasonNoSnapshot), api.ProblemNotRunNoSnapshot},
 		{"deadline", finish(dispatch.OutcomeNotRun, dispatch.ReasonDeadline), api.ProblemNotRunDeadline},
 		{"refused", finish(dispatch.OutcomeNotRun, dispatch.ReasonRefused), api.ProblemNotRunRefused},
 		{"never sent", finish(dispatch.OutcomeNotRun, dispatch.ReasonConnectionLost), api.ProblemNotRunRefused},
@@ -234,7 +234,7 @@
 	f := newFixture(t)
 	f.scatterers.missing = true
 	_, err := f.runner.Query(context.Background(), "rate-desk", api.QueryRequest{Class: "sweep", Statement: fullScan})
-	requireProblem(t, "not installed", err, api.ProblemNotRunSnapshot)
+	requireProblem(t, "not installed", err, api.ProblemNotRunNoSnapshot)
 }
 
 func requireProblem(t *testing.T, name string, err error, want api.ProblemType) *api.Problem {
--- a/internal/selfhosted/query/statement_cache.go
+++ b/internal/selfhosted/query/statement_cache.go
@@ -42,7 +42,7 @@
 	if cached, ok := s.selections.Get(text); ok {
 		return cached, cached.statement, nil
 	}
-	statement, err := language.ParseOne(text)
+	statement, err := language.ParseStatement(text)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/selfhosted/store/client.go
+++ b/internal/selfhosted/store/client.go
@@ -67,7 +67,7 @@
 }
 
 // New returns a client and registers its metrics. It does not connect to the store.
-func New(config Config, registerer prometheus.Registerer) (*Client, error) {
+func NewClient(config Config, registerer prometheus.Registerer) (*Client, error) {
 	if len(config.Endpoints) == 0 {
 		return nil, oops.In("store").Errorf("create client: config has no endpoints")
 	}
--- a/internal/selfhosted/store/connection_test.go
+++ b/internal/selfhosted/store/connection_test.go
@@ -89,7 +89,7 @@
 	for _, endpoint := range endpoints {
 		config.Endpoints = append(config.Endpoints, netip.MustParseAddrPort(endpoint))
 	}
-	client, err := New(config, nil)
+	client, err := NewClient(config, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 	}
 	single := newTestClient(t, closed.Addr().String())
 	_, err = single.CreateIfAbsent(context.Background(), "/a", nil)
-	if KindOf(err) != KindUnreachable || MaybeApplied(err) {
+	if ErrorKind(err) != KindUnreachable || MaybeApplied(err) {
 		t.Fatalf("CreateIfAbsent returned error %v, want kind %q and not applied", err, KindUnreachable)
 	}
 }
--- a/internal/selfhosted/store/errors.go
+++ b/internal/selfhosted/store/errors.go
@@ -86,7 +86,7 @@
 }
 
 // KindOf returns the kind of a failed call, or "" if err is not from this package.
-func KindOf(err error) Kind {
+func ErrorKind(err error) Kind {
 	var failure *Error
 	if errors.As(err, &failure) {
 		return failure.Kind
--- a/internal/selfhosted/store/gateway_test.go
+++ b/internal/selfhosted/store/gateway_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	for event := range events {
-		kind := KindOf(event.Err)
+		kind := ErrorKind(event.Err)
 		event.Err = nil
 		fmt.Fprintf(&transcript, "  -> %+v %s\n", event, kind)
 	}
@@ -84,7 +84,7 @@
 		}))
 		client := newTestClient(t, server.Listener.Addr().String())
 		_, err := client.CreateIfAbsent(context.Background(), "a", nil)
-		if KindOf(err) != expected.kind || MaybeApplied(err) != expected.maybeApplied {
+		if ErrorKind(err) != expected.kind || MaybeApplied(err) != expected.maybeApplied {
 			t.Errorf("status %d, body %s: got error %v, want kind %q and maybe applied %t",
 				expected.status, expected.body, err, expected.kind, expected.maybeApplied)
 		}
--- a/internal/selfhosted/topology/healthcheck.go
+++ b/internal/selfhosted/topology/healthcheck.go
@@ -61,7 +61,7 @@
 func NewHealthCheck(config HealthCheckConfig) *HealthCheck {
 	return &HealthCheck{
 		config:    config,
-		table:     New(config.Table),
+		table:     NewTable(config.Table),
 		published: make(map[string]dispatch.Topology),
 		pollers:   make(map[netip.AddrPort]context.CancelFunc),
 	}
@@ -77,22 +77,22 @@
 }
 
 // Draining marks a leaf whose reply said that it is draining.
-func (h *HealthCheck) Draining(address netip.AddrPort, bootID string) {
-	h.update(func(Time) { h.table.Draining(address, bootID) })
+func (h *HealthCheck) MarkDraining(address netip.AddrPort, bootID string) {
+	h.update(func(Time) { h.table.MarkDraining(address, bootID) })
 }
 
 // MachineLeaving marks a leaf that the machine list shows as leaving or gone.
-func (h *HealthCheck) MachineLeaving(address netip.AddrPort, bootID string) {
-	h.update(func(Time) { h.table.MachineLeaving(address, bootID) })
+func (h *HealthCheck) MarkMachineLeaving(address netip.AddrPort, bootID string) {
+	h.update(func(Time) { h.table.MarkMachineLeaving(address, bootID) })
 }
 
 // Apply applies a notice of another node.
-func (h *HealthCheck) Apply(notice Notice) {
+func (h *HealthCheck) ApplyNotice(notice Notice) {
 	h.update(func(Time) { h.table.ApplyNotice(notice) })
 }
 
 // Marks returns the current marks of leaving leaves.
-func (h *HealthCheck) Marks() []Notice {
+func (h *HealthCheck) LeavingMarks() []Notice {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.table.LeavingMarks()
@@ -130,12 +130,12 @@
 
 func (h *HealthCheck) publish(now Time) {
 	for name := range h.published {
-		if _, exists := h.table.Service(now, name); !exists {
+		if _, exists := h.table.ServiceTopology(now, name); !exists {
 			delete(h.published, name)
 		}
 	}
 	for name := range h.table.catalog.Services {
-		topology, _ := h.table.Service(now, name)
+		topology, _ := h.table.ServiceTopology(now, name)
 		previous, published := h.published[name]
 		if published && reflect.DeepEqual(previous, topology) {
 			continue
@@ -195,11 +195,11 @@
 		return
 	}
 	if err != nil {
-		h.update(func(Time) { h.table.ReportFailed(address) })
+		h.update(func(Time) { h.table.RecordPollFailure(address) })
 		return
 	}
 	h.update(func(now Time) {
-		h.table.Report(now, address, *report)
+		h.table.RecordReport(now, address, *report)
 		h.observe(address, report.LoadSummary)
 	})
 }
--- a/internal/selfhosted/topology/marks.go
+++ b/internal/selfhosted/topology/marks.go
@@ -47,13 +47,13 @@
 }
 
 // Draining marks a leaf whose reply or refusal said that it is draining.
-func (t *Table) Draining(address netip.AddrPort, bootID string) {
+func (t *Table) MarkDraining(address netip.AddrPort, bootID string) {
 	t.markLeaving(address, bootID, SourceReply)
 }
 
 // MachineLeaving marks a leaf that the machine list shows as leaving or gone. It ignores an entry
 // for another boot than the one last seen, because the list may be outdated.
-func (t *Table) MachineLeaving(address netip.AddrPort, bootID string) {
+func (t *Table) MarkMachineLeaving(address netip.AddrPort, bootID string) {
 	t.markLeaving(address, bootID, SourceMachines)
 }
 
--- a/internal/selfhosted/topology/status.go
+++ b/internal/selfhosted/topology/status.go
@@ -33,7 +33,7 @@
 
 // Service returns the leaves and partitions that the dispatcher of a service may use now. It
 // returns false if the catalog does not contain the service.
-func (t *Table) Service(now Time, name string) (dispatch.Topology, bool) {
+func (t *Table) ServiceTopology(now Time, name string) (dispatch.Topology, bool) {
 	service, ok := t.catalog.Services[name]
 	if !ok {
 		return dispatch.Topology{}, false
--- a/internal/selfhosted/topology/topology.go
+++ b/internal/selfhosted/topology/topology.go
@@ -67,7 +67,7 @@
 }
 
 // New returns a Table with an empty catalog.
-func New(config Config) *Table {
+func NewTable(config Config) *Table {
 	return &Table{
 		config:     config,
 		catalog:    &catalog.Catalog{},
@@ -106,7 +106,7 @@
 
 // Report records a load report. A report with state draining marks the leaf as leaving. A report
 // with state serving never clears the mark of the same boot.
-func (t *Table) Report(now Time, address netip.AddrPort, report leaf.LoadReport) {
+func (t *Table) RecordReport(now Time, address netip.AddrPort, report leaf.LoadReport) {
 	state := t.ensureState(address)
 	state.report = report
 	state.reportedAt = now
@@ -119,7 +119,7 @@
 }
 
 // ReportFailed counts a failed load poll.
-func (t *Table) ReportFailed(address netip.AddrPort) {
+func (t *Table) RecordPollFailure(address netip.AddrPort) {
 	t.ensureState(address).failedPolls++
 }
 
--- a/internal/selfhosted/topology/topology_test.go
+++ b/internal/selfhosted/topology/topology_test.go
@@ -38,7 +38,7 @@
 }
 
 func isUsable(t *Table, now Time) bool {
-	topology, _ := t.Service(now, testService)
+	topology, _ := t.ServiceTopology(now, testService)
 	return topology.Leaves[0].Usable
 }
 
@@ -47,23 +47,23 @@
 // unusable until a new boot or a newer catalog entry.
 func TestLeavingLeafIsUnusableUntilNewBootOrReAdd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(DefaultConfig())
+		table := NewTable(DefaultConfig())
 		revision := uint64(1)
 		table.SetCatalog(newCatalog(revision, false))
 		boot := 0
 		bootID := func() string { return string(rune('a' + boot)) }
-		table.Report(0, testAddress, newReport(bootID(), leaf.StateServing))
+		table.RecordReport(0, testAddress, newReport(bootID(), leaf.StateServing))
 		leaving := false
 		t.Repeat(map[string]func(*rapid.T){
-			"serving report": func(*rapid.T) { table.Report(0, testAddress, newReport(bootID(), leaf.StateServing)) },
+			"serving report": func(*rapid.T) { table.RecordReport(0, testAddress, newReport(bootID(), leaf.StateServing)) },
 			"draining report": func(*rapid.T) {
-				table.Report(0, testAddress, newReport(bootID(), leaf.StateDraining))
+				table.RecordReport(0, testAddress, newReport(bootID(), leaf.StateDraining))
 				leaving = true
 			},
-			"draining reply":   func(*rapid.T) { table.Draining(testAddress, bootID()); leaving = true },
-			"machine leaving":  func(*rapid.T) { table.MachineLeaving(testAddress, bootID()); leaving = true },
-			"machine no boot":  func(*rapid.T) { table.MachineLeaving(testAddress, ""); leaving = true },
-			"machine old boot": func(*rapid.T) { table.MachineLeaving(testAddress, "older") },
+			"draining reply":   func(*rapid.T) { table.MarkDraining(testAddress, bootID()); leaving = true },
+			"machine leaving":  func(*rapid.T) { table.MarkMachineLeaving(testAddress, bootID()); leaving = true },
+			"machine no boot":  func(*rapid.T) { table.MarkMachineLeaving(testAddress, ""); leaving = true },
+			"machine old boot": func(*rapid.T) { table.MarkMachineLeaving(testAddress, "older") },
 			"peer notice": func(*rapid.T) {
 				table.ApplyNotice(Notice{Address: testAddress, BootID: bootID(), AddedAt: revision})
 				leaving = true
@@ -73,7 +73,7 @@
 			},
 			"new boot": func(*rapid.T) {
 				boot++
-				table.Report(0, testAddress, newReport(bootID(), leaf.StateServing))
+				table.RecordReport(0, testAddress, newReport(bootID(), leaf.StateServing))
 				leaving = false
 			},
 			"add again": func(*rapid.T) {
@@ -92,9 +92,9 @@
 }
 
 func TestRetiringLeafIsNotUsable(t *testing.T) {
-	table := New(DefaultConfig())
+	table := NewTable(DefaultConfig())
 	table.SetCatalog(newCatalog(1, true))
-	table.Report(0, testAddress, newReport("a", leaf.StateServing))
+	table.RecordReport(0, testAddress, newReport("a", leaf.StateServing))
 	if isUsable(table, 0) {
 		t.Fatal("usable is true for a retiring leaf, want false")
 	}
@@ -102,19 +102,19 @@
 
 func TestUnresponsiveLeafBecomesUnreachableAndRecovers(t *testing.T) {
 	config := DefaultConfig()
-	table := New(config)
+	table := NewTable(config)
 	table.SetCatalog(newCatalog(1, false))
 	if isUsable(table, 0) {
 		t.Fatal("usable is true before the first report, want false")
 	}
-	table.Report(0, testAddress, newReport("a", leaf.StateServing))
+	table.RecordReport(0, testAddress, newReport("a", leaf.StateServing))
 	for range config.UnreachableAfter {
-		table.ReportFailed(testAddress)
+		table.RecordPollFailure(testAddress)
 	}
 	if isUsable(table, time.Second) {
 		t.Fatal("usable is true after UnreachableAfter failed polls, want false")
 	}
-	table.Report(2*time.Second, testAddress, newReport("a", leaf.StateServing))
+	table.RecordReport(2*time.Second, testAddress, newReport("a", leaf.StateServing))
 	if !isUsable(table, 2*time.Second) {
 		t.Fatal("usable is false after a new report, want true")
 	}
@@ -124,15 +124,15 @@
 }
 
 func TestPeerNoticesAreNotForwarded(t *testing.T) {
-	table := New(DefaultConfig())
+	table := NewTable(DefaultConfig())
 	table.SetCatalog(newCatalog(3, false))
 	table.ApplyNotice(Notice{Address: testAddress, BootID: "a", AddedAt: 3})
 	if got := table.TakeNotices(); len(got) != 0 {
 		t.Fatalf("TakeNotices returned %v after a notice of a peer, want none", got)
 	}
 	table.SetCatalog(newCatalog(4, false))
-	table.Draining(testAddress, "a")
-	table.Draining(testAddress, "a")
+	table.MarkDraining(testAddress, "a")
+	table.MarkDraining(testAddress, "a")
 	got := table.TakeNotices()
 	want := Notice{Address: testAddress, BootID: "a", AddedAt: 4, Source: SourceReply}
 	if len(got) != 1 || got[0] != want {
@@ -143,17 +143,17 @@
 // TestMarksApplyToAnotherTable applies the marks of one Table to another that received only serving
 // reports.
 func TestMarksApplyToAnotherTable(t *testing.T) {
-	tables := []*Table{New(DefaultConfig()), New(DefaultConfig())}
+	tables := []*Table{NewTable(DefaultConfig()), NewTable(DefaultConfig())}
 	for _, table := range tables {
 		table.SetCatalog(newCatalog(1, false))
-		table.Report(0, testAddress, newReport("a", leaf.StateServing))
+		table.RecordReport(0, testAddress, newReport("a", leaf.StateServing))
 	}
 	source, target := tables[0], tables[1]
 	if marks := source.LeavingMarks(); len(marks) > 0 {
 		t.Errorf("LeavingMarks returned %v before the leaf was reported as leaving, want none", marks)
 	}
-	source.Draining(testAddress, "a")
-	source.Report(0, testAddress, newReport("a", leaf.StateServing))
+	source.MarkDraining(testAddress, "a")
+	source.RecordReport(0, testAddress, newReport("a", leaf.StateServing))
 	for _, mark := range source.LeavingMarks() {
 		target.ApplyNotice(mark)
 	}
@@ -163,7 +163,7 @@
 	if len(target.TakeNotices()) > 0 {
 		t.Error("TakeNotices returned a mark of another node, want none")
 	}
-	source.Report(0, testAddress, newReport("b", leaf.StateServing))
+	source.RecordReport(0, testAddress, newReport("b", leaf.StateServing))
 	if marks := source.LeavingMarks(); len(marks) > 0 {
 		t.Errorf("LeavingMarks returned %v after a new boot, want none", marks)
 	}
