--- a/internal/catalog/read.go
+++ b/internal/catalog/read.go
@@ -23,7 +23,8 @@
 // VoterNames returns the names of the voters in ascending order.
 func (c *Catalog) VoterNames() []string { return slices.Sorted(maps.Keys(c.Voters)) }
 
-// Newest returns the newest partition, or the zero Partition if the service has no partition.
+// NewestPartition returns the newest partition, or the zero Partition if the service has no
+// partition.
 func (s Service) NewestPartition() Partition {
 	if len(s.Partitions) == 0 {
 		return Partition{}
--- a/internal/rehearsal/cluster/calls.go
+++ b/internal/rehearsal/cluster/calls.go
@@ -24,12 +24,12 @@
 	}
 }
 
-// Change runs an operator's statement on a node.
+// ExecuteStatement runs an operator's statement on a node.
 func (c *Cluster) ExecuteStatement(ctx context.Context, node *Node, statement string) (*api.StatementResponse, error) {
 	return c.SendStatement(ctx, node, api.StatementRequest{Statement: statement, Operator: "cluster"})
 }
 
-// Statement sends an operator's statement request, with all its options, to a node.
+// SendStatement sends an operator's statement request, with all its options, to a node.
 func (c *Cluster) SendStatement(ctx context.Context, node *Node, request api.StatementRequest) (*api.StatementResponse, error) {
 	response := new(api.StatementResponse)
 	err := c.post(ctx, node, api.StatementsPath, request, response)
--- a/internal/rehearsal/cluster/demo.go
+++ b/internal/rehearsal/cluster/demo.go
@@ -19,7 +19,7 @@
 // maximumPrintedRows bounds the rows that the demo prints of each answer.
 const maximumPrintedRows = 8
 
-// DemoPlan returns the plan of the demo: 16 leaves and 3 nodes in 3 zones.
+// NewDemoPlan returns the plan of the demo: 16 leaves and 3 nodes in 3 zones.
 func NewDemoPlan(binaries string) Plan {
 	return Plan{
 		ProgramDirectory: binaries,
@@ -77,7 +77,7 @@
 // refuses the request ids that a previous owner may have admitted, up to the fence of package once.
 const maximumFilingAttempts = 20
 
-// Demo runs each query of the demo on a different node and prints the answers. It fails if an
+// RunDemo runs each query of the demo on a different node and prints the answers. It fails if an
 // answer does not cover every shard.
 func (c *Cluster) RunDemo(ctx context.Context, output io.Writer) error {
 	for index, query := range demoQueries {
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -36,7 +36,8 @@
 	return executed, nil
 }
 
-// LeafExecutions returns all entries of a leaf's execution log. The leaf may be frozen or exited.
+// ReadLeafExecutions returns all entries of a leaf's execution log. The leaf may be frozen or
+// exited.
 func (c *Cluster) ReadLeafExecutions(leafProcess *Leaf) ([]leaf.Execution, error) {
 	file, err := os.Open(leafProcess.executionLog)
 	if err != nil {
@@ -58,20 +59,20 @@
 	}
 }
 
-// Fate returns a node's information about an earlier change.
+// FetchChange returns a node's information about an earlier change.
 func (c *Cluster) FetchChange(ctx context.Context, node *Node, changeID string) (*api.StatementResponse, error) {
 	response := new(api.StatementResponse)
 	path := strings.Replace(api.ChangePath, "{id}", changeID, 1)
 	return response, c.get(ctx, node.Process, path, response)
 }
 
-// Status returns the state of the deployment as observed by a node.
+// FetchStatus returns the state of the deployment as observed by a node.
 func (c *Cluster) FetchStatus(ctx context.Context, node *Node) (*api.StatusResponse, error) {
 	response := new(api.StatusResponse)
 	return response, c.get(ctx, node.Process, api.StatusPath, response)
 }
 
-// Catalog returns the catalog that a node has installed.
+// FetchCatalog returns the catalog that a node has installed.
 func (c *Cluster) FetchCatalog(ctx context.Context, node *Node) (*catalog.Catalog, error) {
 	response := new(catalog.Catalog)
 	return response, c.get(ctx, node.Process, api.CatalogPath, response)
--- a/internal/rehearsal/cluster/plan.go
+++ b/internal/rehearsal/cluster/plan.go
@@ -24,15 +24,15 @@
 
 // Plan describes a deployment.
 type Plan struct {
-	// Binaries is the directory of the built programs.
+	// ProgramDirectory is the directory of the built programs.
 	ProgramDirectory string
 	Zones            []string
 	// Nodes is the number of nodes. They are distributed over the zones in turn.
 	Nodes    int
 	Services []Service
-	// Tune modifies the settings of each node before it starts, unless it is nil.
+	// ModifySettings modifies the settings of each node before it starts, unless it is nil.
 	ModifySettings func(*settings.Settings)
-	// ProfileFolder, if set, is the directory for the CPU profiles of the nodes.
+	// ProfileDirectory, if set, is the directory for the CPU profiles of the nodes.
 	ProfileDirectory string
 }
 
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("add leaf %s to %s zone %s shards %s", l.HTTP, l.Service, l.Zone, formatShards(l.Shards))
 }
 
-// Holds reports whether the leaf holds a shard.
+// HoldsShard reports whether the leaf holds a shard.
 func (l *Leaf) HoldsShard(shard int) bool {
 	for _, held := range l.Shards {
 		if held == shard {
--- a/internal/rehearsal/history/attempts.go
+++ b/internal/rehearsal/history/attempts.go
@@ -32,7 +32,7 @@
 	return last
 }
 
-// CheckNothingCutOff checks that every request received a complete answer or a response that
+// CheckNoneAborted checks that every request received a complete answer or a response that
 // guarantees that it did not run. Every other result means that a request or a response was lost or
 // aborted.
 func CheckNoneAborted(submissions []Submission) []Violation {
--- a/internal/rehearsal/history/changes.go
+++ b/internal/rehearsal/history/changes.go
@@ -119,7 +119,7 @@
 	return operation
 }
 
-// CheckSightings checks that the revision of each process never decreases, and that no process
+// CheckObservations checks that the revision of each process never decreases, and that no process
 // accepts work at an outdated revision once the bound has passed since an operator's change was
 // acknowledged as accepted. The sightings of each process must be in order.
 func CheckObservations(sightings []StatusObservation, changes []Change, bound time.Duration) []Violation {
--- a/internal/rehearsal/history/history.go
+++ b/internal/rehearsal/history/history.go
@@ -2,8 +2,8 @@
 // operators and leaves on a deployment and checks the recorded history against the guarantees of
 // micaplank.
 //
-// The checkers are independent of the implementation of a node. They use only requests, answers, the
-// execution logs of the leaves and the generated data.
+// The checkers are independent of the implementation of a node. They use only requests, answers,
+// the execution logs of the leaves and the generated data.
 package history
 
 import (
@@ -53,8 +53,8 @@
 	Err error
 }
 
-// End records the result and the time of its arrival. An error that is not a problem document
-// counts as a missing response.
+// RecordResult records the result and the time of its arrival. An error that is not a problem
+// document counts as a missing response.
 func (s *Submission) RecordResult(answer *api.QueryResponse, err error) {
 	s.Returned = time.Now()
 	switch {
@@ -101,8 +101,8 @@
 	Err       error
 }
 
-// End records the result and the time of its arrival. An error that is not a problem document
-// counts as a missing response.
+// RecordResult records the result and the time of its arrival. An error that is not a problem
+// document counts as a missing response.
 func (c *Change) RecordResult(response *api.StatementResponse, err error) {
 	c.Returned = time.Now()
 	switch {
@@ -119,13 +119,13 @@
 	return c.Response != nil && (c.Response.Outcome == api.ChangeInForce || c.Response.Outcome == api.ChangeAccepted)
 }
 
-// Unsettled reports whether the response contains the id of a change that may or may not take
+// Undecided reports whether the response contains the id of a change that may or may not take
 // effect.
 func (c Change) Undecided() bool {
 	return c.Response != nil && c.Response.Outcome == api.ChangeOutcomeUnknown
 }
 
-// Sighting is an observation of the status of a node process.
+// StatusObservation is an observation of the status of a node process.
 type StatusObservation struct {
 	// Process identifies the process. A replacement in the same slot has another value than its
 	// predecessor.
@@ -145,21 +145,21 @@
 	sightings   []StatusObservation
 }
 
-// Submitted records a request with its result.
+// RecordSubmission records a request with its result.
 func (r *Recorder) RecordSubmission(submission Submission) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.submissions = append(r.submissions, submission)
 }
 
-// Changed records a change with its result.
+// RecordChange records a change with its result.
 func (r *Recorder) RecordChange(change Change) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes = append(r.changes, change)
 }
 
-// Saw records an observation of a node.
+// RecordObservation records an observation of a node.
 func (r *Recorder) RecordObservation(sighting StatusObservation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -180,7 +180,7 @@
 	return append([]Change(nil), r.changes...)
 }
 
-// Sightings returns a copy of the recorded observations.
+// Observations returns a copy of the recorded observations.
 func (r *Recorder) Observations() []StatusObservation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/rehearsal/history/rows.go
+++ b/internal/rehearsal/history/rows.go
@@ -49,8 +49,8 @@
 	tables map[shardKey][]rows.Row
 }
 
-// NewTruth returns the reference data of partitions with the given numbers of shards, for the
-// epochs from 1.
+// NewReferenceData returns the reference data of partitions with the given numbers of shards, for
+// the epochs from 1.
 func NewReferenceData(shards ...int) *ReferenceData {
 	truth := &ReferenceData{shards: make(map[uint64]int), tables: make(map[shardKey][]rows.Row)}
 	for index, count := range shards {
--- a/internal/rehearsal/leaf/dataset.go
+++ b/internal/rehearsal/leaf/dataset.go
@@ -52,9 +52,9 @@
 	return tariffColumns
 }
 
-// Rows returns the generated rows of one shard at one snapshot in a fixed order. They depend only
-// on the arguments. The union of all shards of a version is the same for every epoch. The version
-// column holds the version, and prices and amounts differ between versions.
+// GenerateRows returns the generated rows of one shard at one snapshot in a fixed order. They
+// depend only on the arguments. The union of all shards of a version is the same for every epoch.
+// The version column holds the version, and prices and amounts differ between versions.
 func GenerateRows(service string, snapshot catalog.Snapshot, shard, shardCount int) rows.Table {
 	table := rows.Table{Columns: Columns(service), Rows: []rows.Row{}}
 	key := table.Column(KeyColumn(service))
--- a/internal/rows/value.go
+++ b/internal/rows/value.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// NumberOf returns a number value.
+// NewNumber returns a number value.
 func NewNumber(number float64) Value { return Value{Kind: Number, Number: number} }
 
-// TextOf returns a text value.
+// NewText returns a text value.
 func NewText(text string) Value { return Value{Kind: Text, Text: text} }
 
 // IsNull reports whether the value is null.
--- a/internal/selfhosted/api/api.go
+++ b/internal/selfhosted/api/api.go
@@ -101,17 +101,17 @@
 
 // The fates of a change.
 const (
-	// FateInForce means that the change is accepted and every serving member holds it.
+	// ChangeInForce means that the change is accepted and every serving member holds it.
 	ChangeInForce ChangeOutcome = "in_force"
-	// FateAccepted means that the change is permanent, but some members are not yet known
+	// ChangeAccepted means that the change is permanent, but some members are not yet known
 	// to hold it.
 	ChangeAccepted ChangeOutcome = "accepted"
-	// FateNotAccepted means that the change has not taken effect and never will.
+	// ChangeNotAccepted means that the change has not taken effect and never will.
 	ChangeNotAccepted ChangeOutcome = "not_accepted"
-	// FateUnknown means that the change may or may not take effect. A later request by
+	// ChangeOutcomeUnknown means that the change may or may not take effect. A later request by
 	// its id may tell.
 	ChangeOutcomeUnknown ChangeOutcome = "unknown"
-	// FateDryRun means that the change would be valid and was not made.
+	// ChangeDryRun means that the change would be valid and was not made.
 	ChangeDryRun ChangeOutcome = "dry_run"
 )
 
--- a/internal/selfhosted/dissemination/confirmation.go
+++ b/internal/selfhosted/dissemination/confirmation.go
@@ -117,14 +117,14 @@
 	c.updateRecovery(now)
 }
 
-// HeldAt returns the latest time c such that a majority of the voters have answered requests sent
-// at c or later with at least the given revision. It returns false if no such time exists. This
-// node counts as asked now if it can vote.
+// MajorityHeldAt returns the latest time c such that a majority of the voters have answered
+// requests sent at c or later with at least the given revision. It returns false if no such time
+// exists. This node counts as asked now if it can vote.
 //
 // If this node is a voter, only responses that register its incarnation count. After a majority has
 // registered a successor in the voter slot, at least one response names the successor, and the
-// result of HeldAt no longer advances. With revision 0, HeldAt therefore returns the last time at
-// which the slot provably belonged to this process.
+// result of MajorityHeldAt no longer advances. With revision 0, MajorityHeldAt therefore returns
+// the last time at which the slot provably belonged to this process.
 func (c *Core) MajorityHeldAt(now Time, revision uint64) (Time, bool) {
 	if c.takeover.superseded || len(c.voters) == 0 {
 		return 0, false
--- a/internal/selfhosted/dissemination/core.go
+++ b/internal/selfhosted/dissemination/core.go
@@ -182,7 +182,7 @@
 	Incarnation uint64
 	Revision    uint64
 	// At is the time at which the revision was received. The packet may have been delayed for a
-	// long time; HeldAt provides proof.
+	// long time; MajorityHeldAt provides proof.
 	At Time
 }
 
--- a/internal/selfhosted/dissemination/held_at_test.go
+++ b/internal/selfhosted/dissemination/held_at_test.go
@@ -8,9 +8,9 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// TestHeldAt checks that HeldAt counts each voter once and ignores responses that prove nothing:
-// those with an older revision, of a predecessor, or of a voter that has not registered this
-// process.
+// TestHeldAt checks that MajorityHeldAt counts each voter once and ignores responses that prove
+// nothing: those with an older revision, of a predecessor, or of a voter that has not registered
+// this process.
 func TestHeldAt(t *testing.T) {
 	const now, early, late = 10 * time.Second, time.Second, 9 * time.Second
 	responseSentAt := func(at Time) voterResponse {
--- a/internal/selfhosted/dissemination/service_state.go
+++ b/internal/selfhosted/dissemination/service_state.go
@@ -32,11 +32,11 @@
 	return s.core.Superseded()
 }
 
-// HeldAt returns the latest clock reading such that a majority of the voters have answered requests
-// sent then or later with at least the given revision, and whether such a reading exists. If this
-// node is a voter, the result for revision 0 is the last time at which the voter slot provably
-// belonged to this process. In contrast to the times in PeerRevisions, the result remains a proof
-// after a suspension or a delay.
+// MajorityHeldAt returns the latest clock reading such that a majority of the voters have answered
+// requests sent then or later with at least the given revision, and whether such a reading exists.
+// If this node is a voter, the result for revision 0 is the last time at which the voter slot
+// provably belonged to this process. In contrast to the times in PeerRevisions, the result remains
+// a proof after a suspension or a delay.
 func (s *Service) MajorityHeldAt(revision uint64) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/selfhosted/gateway/gateway.go
+++ b/internal/selfhosted/gateway/gateway.go
@@ -44,12 +44,12 @@
 	// Metrics handles GET /metrics.
 	Metrics http.Handler
 	Logger  *slog.Logger
-	// BodyBytes is the maximum size of a request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
 	// BodyTimeout is the maximum time for a request body to arrive. 0 means
 	// DefaultBodyTimeout.
 	BodyTimeout time.Duration
-	// Ready returns nil if the node accepts requests now, and otherwise the reason.
+	// CheckReady returns nil if the node accepts requests now, and otherwise the reason.
 	CheckReady func() error
 }
 
@@ -103,7 +103,7 @@
 	g.draining.Store(true)
 }
 
-// limitBody limits the size of request bodies to Config.BodyBytes.
+// limitBody limits the size of request bodies to Config.MaxBodyBytes.
 func (g *Gateway) limitBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		request := c.Request()
--- a/internal/selfhosted/language/parse.go
+++ b/internal/selfhosted/language/parse.go
@@ -4,19 +4,21 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaximumStatementBytes is the maximum length of a statement and of a text passed to ParseOne.
+// MaximumStatementBytes is the maximum length of a statement and of a text passed to
+// ParseStatement.
 const MaximumStatementBytes = 64 << 10
 
-// MaximumFile is the maximum length in bytes of a text passed to ParseFile.
+// MaximumFileBytes is the maximum length in bytes of a text passed to ParseFile.
 const MaximumFileBytes = 8 << 20
 
-// Located is a statement and the line on which it starts. Line numbers start at 1.
+// LocatedStatement is a statement and the line on which it starts. Line numbers start at 1.
 type LocatedStatement struct {
 	Statement Statement
 	Line      int
 }
 
-// ParseOne parses a text that contains exactly one statement. Its errors are of type *SyntaxError.
+// ParseStatement parses a text that contains exactly one statement. Its errors are of type
+// *SyntaxError.
 func ParseStatement(text string) (Statement, error) {
 	if len(text) > MaximumStatementBytes {
 		return nil, newLengthError(len(text), MaximumStatementBytes)
@@ -35,8 +37,8 @@
 	}
 }
 
-// ParseFile parses the statements of a text of at most MaximumFile bytes. Its errors are of type
-// *SyntaxError.
+// ParseFile parses the statements of a text of at most MaximumFileBytes bytes. Its errors are of
+// type *SyntaxError.
 func ParseFile(text string) ([]LocatedStatement, error) {
 	if len(text) > MaximumFileBytes {
 		return nil, newLengthError(len(text), MaximumFileBytes)
--- a/internal/selfhosted/language/statement.go
+++ b/internal/selfhosted/language/statement.go
@@ -105,8 +105,9 @@
 func (*Select) statement()          {}
 func (*Insert) statement()          {}
 
-// Grouped reports whether the result has one row for each group, which is the case if the statement
-// has an aggregate or a group by clause. Without a group by clause, all rows form one group.
+// IsGrouped reports whether the result has one row for each group, which is the case if the
+// statement has an aggregate or a group by clause. Without a group by clause, all rows form one
+// group.
 func (s *Select) IsGrouped() bool {
 	if len(s.GroupBy) > 0 {
 		return true
--- a/internal/selfhosted/machines/list.go
+++ b/internal/selfhosted/machines/list.go
@@ -41,7 +41,8 @@
 	BootID string `json:"boot_id,omitempty"`
 }
 
-// Check returns an error if the entry has an invalid address, an unknown kind or an unknown state.
+// Validate returns an error if the entry has an invalid address, an unknown kind or an unknown
+// state.
 func (m Machine) Validate() error {
 	switch {
 	case !m.Address.IsValid() || m.Address.Port() == 0:
@@ -62,7 +63,7 @@
 	Machines             []Machine `json:"machines"`
 }
 
-// Check returns the error of the first invalid entry.
+// Validate returns the error of the first invalid entry.
 func (l List) Validate() error {
 	for _, machine := range l.Machines {
 		if err := machine.Validate(); err != nil {
--- a/internal/selfhosted/machines/poller.go
+++ b/internal/selfhosted/machines/poller.go
@@ -43,7 +43,7 @@
 	// Age is the time since the list was requested, on the monotonic clock. The list already lagged
 	// behind the platform's state at that time.
 	Age time.Duration
-	// Known is false until the first read succeeds.
+	// HasList is false until the first read succeeds.
 	HasList bool
 	// Err is the error of the latest attempt; nil if it succeeded.
 	Err error
--- a/internal/selfhosted/operator/errors.go
+++ b/internal/selfhosted/operator/errors.go
@@ -70,7 +70,7 @@
 // Unwrap returns the errors of the attempts.
 func (e *UnreachableError) Unwrap() []error { return e.Attempts }
 
-// FateError is returned for a change that is not known to be accepted.
+// ChangeOutcomeError is returned for a change that is not known to be accepted.
 type ChangeOutcomeError struct {
 	Outcome  api.ChangeOutcome
 	ChangeID string
--- a/internal/selfhosted/operator/exec.go
+++ b/internal/selfhosted/operator/exec.go
@@ -101,7 +101,7 @@
 	return err
 }
 
-// checkFate returns a FateError for a change that is not known to be accepted.
+// checkOutcome returns a ChangeOutcomeError for a change that is not known to be accepted.
 func checkOutcome(response *api.StatementResponse) error {
 	if response.Kind != api.KindChange {
 		return nil
@@ -156,7 +156,7 @@
 	}
 }
 
-// describeFate describes the fate of a change in one line.
+// describeOutcome describes the fate of a change in one line.
 func describeOutcome(response *api.StatementResponse) string {
 	switch response.Outcome {
 	case api.ChangeInForce:
--- a/internal/selfhosted/query/at_most_once.go
+++ b/internal/selfhosted/query/at_most_once.go
@@ -72,7 +72,7 @@
 	return nil, unknownOutcome
 }
 
-// Own runs a query that another node forwarded because this node owns its id.
+// RunForwarded runs a query that another node forwarded because this node owns its id.
 // Errors are *api.Problem values.
 func (r *Runner) RunForwarded(ctx context.Context, forward ForwardedQuery) (*api.QueryResponse, error) {
 	if !r.config.Catalogs.Fresh() {
--- a/internal/selfhosted/query/runner.go
+++ b/internal/selfhosted/query/runner.go
@@ -49,7 +49,7 @@
 	Forward(ctx context.Context, node string, forward ForwardedQuery) (*api.QueryResponse, error)
 }
 
-// Forward is a query that the receiving node forwards to the owner of the request id.
+// ForwardedQuery is a query that the receiving node forwards to the owner of the request id.
 type ForwardedQuery struct {
 	Service string
 	Request api.QueryRequest
@@ -78,20 +78,20 @@
 
 // Config holds the dependencies and settings of a Runner.
 type Config struct {
-	// Self is the name of this node, which identifies its slot among the voters.
+	// NodeName is the name of this node, which identifies its slot among the voters.
 	NodeName   string
 	Catalogs   CatalogSource
 	Scatterers ScattererRegistry
 	Forwarder  Forwarder
 	Ledger     *Ledger
-	// Acknowledged reports whether a majority of the voters has acknowledged this
+	// HasVoterMajority reports whether a majority of the voters has acknowledged this
 	// process recently. A fresh catalog alone is not enough: the node may have read it
 	// from the store. Only contact with the voters shows whether another process has
 	// taken over this node's slot, and with it the ownership of its ids.
 	HasVoterMajority func() bool
 	Clock            clock.Clock
 	Metrics          *Metrics
-	// RetryWhenStale is the retry delay for callers that were refused because this
+	// StaleRetryAfter is the retry delay for callers that were refused because this
 	// node was not fresh.
 	StaleRetryAfter time.Duration
 }
--- a/internal/selfhosted/store/client.go
+++ b/internal/selfhosted/store/client.go
@@ -66,7 +66,7 @@
 	preferredEndpoint atomic.Uint32
 }
 
-// New returns a client and registers its metrics. It does not connect to the store.
+// NewClient returns a client and registers its metrics. It does not connect to the store.
 func NewClient(config Config, registerer prometheus.Registerer) (*Client, error) {
 	if len(config.Endpoints) == 0 {
 		return nil, oops.In("store").Errorf("create client: config has no endpoints")
--- a/internal/selfhosted/store/errors.go
+++ b/internal/selfhosted/store/errors.go
@@ -85,7 +85,7 @@
 	return true
 }
 
-// KindOf returns the kind of a failed call, or "" if err is not from this package.
+// ErrorKind returns the kind of a failed call, or "" if err is not from this package.
 func ErrorKind(err error) Kind {
 	var failure *Error
 	if errors.As(err, &failure) {
--- a/internal/selfhosted/topology/healthcheck.go
+++ b/internal/selfhosted/topology/healthcheck.go
@@ -76,22 +76,22 @@
 	})
 }
 
-// Draining marks a leaf whose reply said that it is draining.
+// MarkDraining marks a leaf whose reply said that it is draining.
 func (h *HealthCheck) MarkDraining(address netip.AddrPort, bootID string) {
 	h.update(func(Time) { h.table.MarkDraining(address, bootID) })
 }
 
-// MachineLeaving marks a leaf that the machine list shows as leaving or gone.
+// MarkMachineLeaving marks a leaf that the machine list shows as leaving or gone.
 func (h *HealthCheck) MarkMachineLeaving(address netip.AddrPort, bootID string) {
 	h.update(func(Time) { h.table.MarkMachineLeaving(address, bootID) })
 }
 
-// Apply applies a notice of another node.
+// ApplyNotice applies a notice of another node.
 func (h *HealthCheck) ApplyNotice(notice Notice) {
 	h.update(func(Time) { h.table.ApplyNotice(notice) })
 }
 
-// Marks returns the current marks of leaving leaves.
+// LeavingMarks returns the current marks of leaving leaves.
 func (h *HealthCheck) LeavingMarks() []Notice {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/selfhosted/topology/marks.go
+++ b/internal/selfhosted/topology/marks.go
@@ -46,13 +46,13 @@
 	}
 }
 
-// Draining marks a leaf whose reply or refusal said that it is draining.
+// MarkDraining marks a leaf whose reply or refusal said that it is draining.
 func (t *Table) MarkDraining(address netip.AddrPort, bootID string) {
 	t.markLeaving(address, bootID, SourceReply)
 }
 
-// MachineLeaving marks a leaf that the machine list shows as leaving or gone. It ignores an entry
-// for another boot than the one last seen, because the list may be outdated.
+// MarkMachineLeaving marks a leaf that the machine list shows as leaving or gone. It ignores an
+// entry for another boot than the one last seen, because the list may be outdated.
 func (t *Table) MarkMachineLeaving(address netip.AddrPort, bootID string) {
 	t.markLeaving(address, bootID, SourceMachines)
 }
--- a/internal/selfhosted/topology/status.go
+++ b/internal/selfhosted/topology/status.go
@@ -31,8 +31,8 @@
 	Report  leaf.LoadReport
 }
 
-// Service returns the leaves and partitions that the dispatcher of a service may use now. It
-// returns false if the catalog does not contain the service.
+// ServiceTopology returns the leaves and partitions that the dispatcher of a service may use now.
+// It returns false if the catalog does not contain the service.
 func (t *Table) ServiceTopology(now Time, name string) (dispatch.Topology, bool) {
 	service, ok := t.catalog.Services[name]
 	if !ok {
--- a/internal/selfhosted/topology/topology.go
+++ b/internal/selfhosted/topology/topology.go
@@ -66,7 +66,7 @@
 	pendingNotices []Notice
 }
 
-// New returns a Table with an empty catalog.
+// NewTable returns a Table with an empty catalog.
 func NewTable(config Config) *Table {
 	return &Table{
 		config:     config,
@@ -104,8 +104,8 @@
 	return slices.Compact(addresses)
 }
 
-// Report records a load report. A report with state draining marks the leaf as leaving. A report
-// with state serving never clears the mark of the same boot.
+// RecordReport records a load report. A report with state draining marks the leaf as leaving. A
+// report with state serving never clears the mark of the same boot.
 func (t *Table) RecordReport(now Time, address netip.AddrPort, report leaf.LoadReport) {
 	state := t.ensureState(address)
 	state.report = report
@@ -118,7 +118,7 @@
 	}
 }
 
-// ReportFailed counts a failed load poll.
+// RecordPollFailure counts a failed load poll.
 func (t *Table) RecordPollFailure(address netip.AddrPort) {
 	t.ensureState(address).failedPolls++
 }
