--- a/cmd/micarehearse/stand_ins.go
+++ b/cmd/micarehearse/stand_ins.go
@@ -81,8 +81,8 @@
 	return sub
 }
 
-// config returns the configuration of the leaf. If there is a settings file, the flags for the values
-// that it covers are ignored.
+// config returns the configuration of the leaf. If there is a settings file, the flags for the
+// values that it covers are ignored.
 func (l *leafCommand) config() (leaf.Config, error) {
 	config := leaf.DefaultConfig()
 	if err := readSettings(l.settings, &config); err != nil {
--- a/internal/decide/combiners/combiners.go
+++ b/internal/decide/combiners/combiners.go
@@ -77,7 +77,7 @@
 	return c.State.RecordAnswer(now, roundTrip)
 }
 
-// EndHeartbeat ends the heartbeat that Due began, whether answered or not.
+// EndHeartbeat ends the heartbeat that DueHeartbeats began, whether answered or not.
 func (c *Combiner) EndHeartbeat() { c.heartbeatPending = false }
 
 // isUsable reports whether attempts may be sent through the combiner.
--- a/internal/decide/dispatch/actions.go
+++ b/internal/decide/dispatch/actions.go
@@ -66,7 +66,7 @@
 	Extra bool
 	// Cause is the reason for the attempt.
 	Cause Cause
-	// LeafEstimate is the estimate of the leaf's state on which the choice of the leaf was based.
+	// Basis is the estimate of the leaf's state on which the choice of the leaf was based.
 	Basis LeafEstimate
 }
 
@@ -76,7 +76,7 @@
 	// number.
 	InFlight, Limit int
 	// OthersInFlight is the estimated number of attempts of other nodes on the leaf, derived from a
-	// load report of the given Age.
+	// load report that is ReportAge old.
 	OthersInFlight float64
 	ReportAge      time.Duration
 	// Pace is the time that work takes on the leaf's machine, in percent of the usual time, as in
--- a/internal/decide/executors/table.go
+++ b/internal/decide/executors/table.go
@@ -44,7 +44,7 @@
 	ResponseGrace = 100 * time.Millisecond
 )
 
-// Executor holds what a node knows about an executor. Its Member and Near never change.
+// Executor holds what a node knows about an executor. Its Member and SameZone never change.
 type Executor struct {
 	roster.Member
 	liveness.State
--- a/internal/decide/hedge/budget.go
+++ b/internal/decide/hedge/budget.go
@@ -56,7 +56,7 @@
 type Budget struct {
 	config     BudgetConfig
 	tokens     float64
-	refilledAt time.Duration // time of the last Pass
+	refilledAt time.Duration // time of the last Refill
 }
 
 // NewBudget returns a Budget with its initial tokens.
@@ -64,7 +64,7 @@
 	return Budget{config: config, tokens: min(config.Initial, config.Capacity), refilledAt: neverRefilled}
 }
 
-// neverRefilled is the value of refilledAt before the first Pass.
+// neverRefilled is the value of refilledAt before the first Refill.
 const neverRefilled time.Duration = -1
 
 // Bounds are the parts of a BudgetConfig that change while a Budget is in use.
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -25,7 +25,7 @@
 	// limit.
 	RefusalBackoff float64
 	// QueueBackoff is the factor applied when a leaf queues more than QueueTolerance attempts per
-	// slot. It is milder than Backoff, since queueing precedes refusals.
+	// slot. It is milder than RefusalBackoff, since queueing precedes refusals.
 	QueueBackoff float64
 	// QueueTolerance is the queue depth, as a share of the slots, that does not reduce the limit.
 	// A short queue keeps the slots busy.
--- a/internal/decide/liveness/state.go
+++ b/internal/decide/liveness/state.go
@@ -73,7 +73,7 @@
 	return true
 }
 
-// MarkUnused is like Lose, but the calls in flight to the node continue.
+// MarkUnused is like MarkLost, but the calls in flight to the node continue.
 func (s *State) MarkUnused() bool {
 	wasAlive := s.alive != nil
 	s.alive = nil
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -16,7 +16,7 @@
 // The guarantee rests on these conditions, which the driver must keep:
 //   - A decision counts only if, at a moment after the reading passed to Begin and before bytes are
 //     sent, the node was fresh (confirmed by a majority of voters within Config.Freshness, on the
-//     monotonic clock) and Holds was true. Otherwise the driver takes back a Run by Release, and
+//     monotonic clock) and OwnershipHolds was true. Otherwise the driver takes back a Run by Release, and
 //     must not report a refusal as not run.
 //   - The moment passed to NewLedger or Reset is one after a majority of voters has acknowledged
 //     this incarnation of the slot and the revision with the present voter set. From installing
--- a/internal/decide/quarantine/doc.go
+++ b/internal/decide/quarantine/doc.go
@@ -20,9 +20,9 @@
 // their loss.
 //
 // The package holds the state of one node: Table (suspected requests and their trials),
-// IncarnationTracker (leaf incarnations whose connections were lost), Background (how often
-// attempts crash their leaf regardless of the request) and Recent (requests that were answered
-// recently). The package has no clock and makes no calls: the driver writes each returned Change to
-// the store, and passes in what the store holds. docs/design/0016-quarantine.md describes the
-// design and its alternatives.
+// IncarnationTracker (leaf incarnations whose connections were lost), BackgroundRate (how often
+// attempts crash their leaf regardless of the request) and RecentAnswers (requests that were
+// answered recently). The package has no clock and makes no calls: the driver writes each returned
+// Change to the store, and passes in what the store holds. docs/design/0016-quarantine.md describes
+// the design and its alternatives.
 package quarantine
--- a/internal/decide/quarantine/incarnations.go
+++ b/internal/decide/quarantine/incarnations.go
@@ -129,7 +129,7 @@
 }
 
 // HasSurvived reports whether an announced incarnation survived the loss that this node has known
-// of since knownSince. Heartbeat is the interval between two announcements.
+// of since knownSince. heartbeat is the interval between two announcements.
 func (t *IncarnationTracker) HasSurvived(now time.Duration, crashID string, knownSince, heartbeat time.Duration) bool {
 	if t.storeUnavailable {
 		return false
--- a/internal/decide/quarantine/recent.go
+++ b/internal/decide/quarantine/recent.go
@@ -19,7 +19,7 @@
 	rotatedAt         time.Duration
 }
 
-// NewRecentAnswers returns an empty Recent.
+// NewRecentAnswers returns an empty RecentAnswers.
 func NewRecentAnswers() *RecentAnswers {
 	return &RecentAnswers{current: make(map[Content]struct{}), previous: make(map[Content]struct{})}
 }
--- a/internal/decide/quarantine/record.go
+++ b/internal/decide/quarantine/record.go
@@ -83,7 +83,7 @@
 }
 
 // Change is a conditional write of a request's record. It applies only if the key is still at the
-// revision Former, or does not exist if Former is zero.
+// revision ExpectedRevision, or does not exist if that is zero.
 type Change struct {
 	Content          Content
 	ExpectedRevision uint64
--- a/internal/decide/quarantine/table.go
+++ b/internal/decide/quarantine/table.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// RecordTrialCrash records that the trial of this node crashed its leaf. Chance is the probability,
+// RecordTrialCrash records that the trial of this node crashed its leaf. chance is the probability,
 // above 0 and up to 1, that a harmless request would have met the same crash. It reports whether
 // the request became held.
 func (t *Table) RecordTrialCrash(now time.Duration, content Content, crashes []Crash, chance float64) bool {
--- a/internal/decide/quarantine/table_survivors.go
+++ b/internal/decide/quarantine/table_survivors.go
@@ -100,8 +100,8 @@
 	Released bool
 }
 
-// DetectSurvivors determines which leaves of Suspects have survived, given which of them are
-// announced. Survivors of crashes that this node observed are written to the store; other nodes
+// DetectSurvivors determines which leaves of UnresolvedLeaves have survived, given which of them
+// are announced. Survivors of crashes that this node observed are written to the store; other nodes
 // determine the rest on their own.
 func (t *Table) DetectSurvivors(now time.Duration, announced map[string]bool) []Survivor {
 	var survivors []Survivor
--- a/internal/decide/quarantine/trial.go
+++ b/internal/decide/quarantine/trial.go
@@ -51,7 +51,7 @@
 	CoversRequest bool
 }
 
-// PlanTrial plans the trial of a request of one or more shards. RandomIndex returns a random number
+// PlanTrial plans the trial of a request of one or more shards. randomIndex returns a random number
 // in [0, n); it is called only if there are several shards.
 func PlanTrial(shards []int, timeout time.Duration, randomIndex func(int) int) TrialPlan {
 	if len(shards) <= 1 {
--- a/internal/decide/recordfloor/recordfloor.go
+++ b/internal/decide/recordfloor/recordfloor.go
@@ -16,7 +16,7 @@
 import "bytes"
 
 const (
-	// SampleCount is the number of answers of a kind that a floor is based on. With Samples,
+	// SampleCount is the number of answers of a kind that a floor is based on. With SampleCount,
 	// rankFactor and rankMargin, at most 1 % of the answers miss records
 	// (TestFloorEstimateAccuracy of package forward).
 	SampleCount = 8
--- a/internal/decide/removal/removal.go
+++ b/internal/decide/removal/removal.go
@@ -6,7 +6,8 @@
 // interruption. At any other time, and if the leaf is draining, the leaf is out of use at once.
 //
 // Inputs: the time (a duration on the node's clock), the end of the last outage as seen by this
-// node, whether the leaf is draining, and two durations of the settings: Doubt and Settling.
+// node, whether the leaf is draining, and two durations of the settings: GracePeriod and
+// SettlingTime.
 //
 // Reason: a store that was unavailable may have expired the leases of healthy leaves, which need
 // some time to announce themselves again. Without the grace period, all leaves would be out of use
--- a/internal/decide/replica/losses.go
+++ b/internal/decide/replica/losses.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// LossConfig holds the policy of Losses.
+// LossConfig holds the policy of a LossEstimator.
 type LossConfig struct {
 	// DecayTime is the time constant with which attempts lose weight. A node sends a few attempts
 	// per second to a leaf; a leaf that has recovered should not be avoided for much longer.
--- a/internal/decide/replica/score.go
+++ b/internal/decide/replica/score.go
@@ -20,9 +20,9 @@
 	TieMargin float64
 }
 
-// DefaultScoreConfig returns the default policy. At 60 % load, OthersWeight, Crowding and Noise
-// together bring the 99th percentile of short queries from 6 to 11 % above that of an oracle down
-// to 0 to 3 %.
+// DefaultScoreConfig returns the default policy. At 60 % load, OthersWeight, UtilizationCost and
+// SlownessTolerance together bring the 99th percentile of short queries from 6 to 11 % above that
+// of an oracle down to 0 to 3 %.
 func DefaultScoreConfig() ScoreConfig {
 	return ScoreConfig{
 		OthersWeight:      0.3,
@@ -33,7 +33,7 @@
 	}
 }
 
-// computeScore returns Expected plus the costs of utilization and losses.
+// computeScore returns WeightedCompletion plus the costs of utilization and losses.
 func (s *ScoreConfig) computeScore(c *Candidate, work Work) float64 {
 	attempts := float64(c.InFlight) + s.OthersWeight*c.OthersInFlight
 	utilizationCost := s.UtilizationCost * attempts / float64(max(c.Slots, 1))
--- a/internal/decide/replica/speed.go
+++ b/internal/decide/replica/speed.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SlownessConfig holds the policy of a Speed.
+// SlownessConfig holds the policy of a SlownessEstimator.
 type SlownessConfig struct {
 	// Retention is the weight that previous samples keep with each completed attempt, from 0 to 1.
 	// 0.93 corresponds to a window of about 14 attempts.
@@ -43,7 +43,7 @@
 	lastCompleted time.Duration // when the last attempt completed
 }
 
-// NewSlownessEstimator returns a Speed without samples. It retains config.
+// NewSlownessEstimator returns a SlownessEstimator without samples. It retains config.
 func NewSlownessEstimator(config *SlownessConfig) SlownessEstimator {
 	return SlownessEstimator{config: config}
 }
--- a/internal/decide/retryafter/retryafter.go
+++ b/internal/decide/retryafter/retryafter.go
@@ -18,7 +18,7 @@
 //	head or body larger than the limits             431,413 none
 //	body slower than the caller's deadline          408     none
 //	no route, the configuration is the newest       404     none
-//	no configuration, or no route and the           503     Uninformed
+//	no configuration, or no route and the           503     AwaitStore
 //	configuration may not be the newest
 //	no usable leaf, or too few shards with one      503     AwaitLeaf
 //	the predicted wait exceeds the deadline         503     the predicted wait, 50 ms to 5 s
@@ -32,7 +32,7 @@
 //	                                                        (quarantine.Table.Admit)
 //	a trial is running, and was awaited             503     quarantine.Config.TrialRetryAfter
 //	the pause between two trials                    503     the rest of the pause (Table.Admit)
-//	the start of a trial could not be recorded      503     Unknown
+//	the start of a trial could not be recorded      503     StoreReadDelay
 //	the deadline passed, it may have run            504     none: the outcome is unknown
 //	anything else without an answer                 502     none
 //
@@ -46,8 +46,8 @@
 	// the store is available. When a fleet of 295 nodes starts at once, its nodes have the
 	// configuration within 0.5 to 0.9 s.
 	StoreReadDelay = 600 * time.Millisecond
-	// StoreOutageDelay replaces Unknown while the store is unavailable. It is longer because a
-	// caller retries only once or twice, and the data arrives only after the store is back.
+	// StoreOutageDelay replaces StoreReadDelay while the store is unavailable. It is longer because
+	// a caller retries only once or twice, and the data arrives only after the store is back.
 	StoreOutageDelay = 2 * time.Second
 	// MinDelay is the shortest time that is sent. Zero would make callers retry at once.
 	MinDelay = 10 * time.Millisecond
--- a/internal/decide/rollout/reporting.go
+++ b/internal/decide/rollout/reporting.go
@@ -29,7 +29,7 @@
 	received map[Subject]Counts
 }
 
-// NewDeciderSelector returns a Reporting that avoids no candidate.
+// NewDeciderSelector returns a DeciderSelector that avoids no candidate.
 func NewDeciderSelector() *DeciderSelector {
 	return &DeciderSelector{avoided: make(map[string]time.Duration), received: make(map[Subject]Counts)}
 }
@@ -54,8 +54,8 @@
 // Avoid avoids a candidate for AvoidTime.
 func (r *DeciderSelector) Avoid(now time.Duration, name string) { r.avoided[name] = now + AvoidTime }
 
-// Decider returns the incarnation of the decider that has received the counts in Received; empty if
-// there is none.
+// Decider returns the incarnation of the decider that has received the counts in
+// AcknowledgedCounts; empty if there is none.
 func (r *DeciderSelector) Decider() string { return r.decider }
 
 // AcknowledgedCounts returns the counts that the decider has acknowledged. The next report omits
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -22,8 +22,8 @@
 // versions are rolled back, and 0 to 7 of those that have or meet a bad leaf; 99 to 100 of the
 // versions that fail three in ten attempts or take four times as long are rolled back.
 //
-// The package holds the state of one node: Table, Counter, Reporting, Allowance and Decider. It
-// makes no calls: it returns what must be written or sent to the driver.
+// The package holds the state of one node: Table, Counter, DeciderSelector, Allowance and Decider.
+// It makes no calls: it returns what must be written or sent to the driver.
 package rollout
 
 import (
--- a/internal/decide/rollout/steps.go
+++ b/internal/decide/rollout/steps.go
@@ -80,7 +80,7 @@
 	return PhaseNone, ""
 }
 
-// nextFromShift returns the next phase of a roll-out in its shift. PastDeadline is negative before
+// nextFromShift returns the next phase of a roll-out in its shift. pastDeadline is negative before
 // the deadline.
 func (d *Decider) nextFromShift(now time.Duration, rollout *Rollout, eval *evaluation, pastDeadline time.Duration) (Phase, string) {
 	if now-eval.phaseSince < minShiftTime {
--- a/internal/decide/rollout/table.go
+++ b/internal/decide/rollout/table.go
@@ -74,7 +74,7 @@
 // Services returns the sorted names of the services that have a roll-out.
 func (t *Table) Services() []string { return slices.Sorted(maps.Keys(t.entries)) }
 
-// Open returns the sorted names of the services whose roll-outs have not ended.
+// OpenServices returns the sorted names of the services whose roll-outs have not ended.
 func (t *Table) OpenServices() []string {
 	return slices.DeleteFunc(t.Services(), func(service string) bool { return !t.entries[service].IsOpen() })
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -29,7 +29,7 @@
 	// executorSlackShare is the share of the extra load beyond the ratio that executors divide
 	// at services that are shards of a route, since executors usually run the requests for these
 	// services. If a third of the attempts hang, one of eight executors answers 74 % of its
-	// queries in time with it, and 70 % with 0.5 (TestSlackOfExecutorsReachesCallers).
+	// queries in time with it, and 70 % with 0.5 (TestExecutorsShareWholeSlack).
 	executorSlackShare = 0.85
 )
 
--- a/internal/decide/startup/startup.go
+++ b/internal/decide/startup/startup.go
@@ -49,7 +49,7 @@
 }
 
 // ReadsStore reports whether the node reads the store itself. Otherwise it copies from one of
-// Others.
+// Sources.
 func (p Plan) ReadsStore() bool { return p.IsSource || p.ReadsDirectly || len(p.Sources) == 0 }
 
 // Shuffle orders count elements at random, like rand.Shuffle.
--- a/internal/decide/timeleft/waits.go
+++ b/internal/decide/timeleft/waits.go
@@ -28,7 +28,7 @@
 	count             int
 }
 
-// NewWaitEstimator returns Waits without samples.
+// NewWaitEstimator returns a WaitEstimator without samples.
 func NewWaitEstimator() *WaitEstimator {
 	return &WaitEstimator{kinds: make(map[string]*maxTimeouts)}
 }
--- a/internal/decide/warmup/warmup.go
+++ b/internal/decide/warmup/warmup.go
@@ -43,7 +43,7 @@
 	Shard bool
 }
 
-// Tolerance is the tolerated excess over a Bound in any second: the rate may be exceeded by the
+// Tolerance is the tolerated excess over a LeafRate in any second: the rate may be exceeded by the
 // factor Overshoot, plus Slack requests.
 type Tolerance struct {
 	Overshoot float64
--- a/internal/decide/warmup/warmup_test.go
+++ b/internal/decide/warmup/warmup_test.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/roster"
 )
 
-// fleet returns nodes of which the first ones are large.
+// newNodes returns nodes of which the first ones are large.
 func newNodes(nodes, large int) []roster.Member {
 	members := make([]roster.Member, nodes)
 	for index := range members {
--- a/internal/edge/mirror/gather_test.go
+++ b/internal/edge/mirror/gather_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestBacklogAfterOutageIsNotDelayed checks that the Gather delay applies to current changes only.
+// TestBacklogAfterOutageIsNotDelayed checks that BatchDelay applies to current changes only.
 // The backlog of an outage comes in several responses, and the delay after each one would add up.
 func TestBacklogAfterOutageIsNotDelayed(t *testing.T) {
 	portion, few := make([]Event, 30), make([]Event, 2)
--- a/internal/edge/mirror/mirror.go
+++ b/internal/edge/mirror/mirror.go
@@ -103,7 +103,7 @@
 }
 
 // backlogThreshold is the number of changes in a response from which more changes are expected to
-// be pending, because a store returns a backlog in chunks. The Gather delay is skipped between such
+// be pending, because a store returns a backlog in chunks. BatchDelay is skipped between such
 // chunks: after an outage of 9 s it would delay the 180 missed changes, which come in six chunks,
 // by 2.7 s.
 const backlogThreshold = 8
--- a/internal/edge/node/quarantine_outcomes.go
+++ b/internal/edge/node/quarantine_outcomes.go
@@ -43,7 +43,7 @@
 // LeafLost is called when a running request has lost another leaf. As soon as enough leaves have
 // crashed under it and none has answered, the request is suspected. Waiting for its end, which
 // depends on its slowest shard, would let the node run the same request in full for other clients
-// in the meantime. Finished records the leaves that crash later.
+// in the meantime. RecordExecution records the leaves that crash later.
 func (q *quarantineDriver) LeafLost(running scatter.QueryProgress[*forward.Request]) {
 	if !q.enabled || !q.reachedMinCrashes(running.Attempts) {
 		return
--- a/internal/edge/registry/index.go
+++ b/internal/edge/registry/index.go
@@ -41,7 +41,7 @@
 	return number
 }
 
-// Name returns the service with a number that Of has returned.
+// Name returns the service with a number that Assign has returned.
 func (i *Index) Name(number int) string {
 	i.mutex.RLock()
 	defer i.mutex.RUnlock()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -38,7 +38,7 @@
 }
 
 // Listen opens a TCP listener at address. With port 0 the system selects a free port. The server
-// accepts connections after Serve is called, so that methods can be registered before.
+// accepts connections after Start is called, so that methods can be registered before.
 func Listen(address netip.AddrPort, registerer prometheus.Registerer) (*Server, error) {
 	return listen(address, newCallMetrics(registerer, "server"))
 }
--- a/internal/rehearsal/cluster/process.go
+++ b/internal/rehearsal/cluster/process.go
@@ -1,8 +1,8 @@
-// Package cluster runs a complete deployment as processes on the loopback interface: stand-ins of the
-// platform, leaves and nodes. The demo and the tests of the deployment use it.
+// Package cluster runs a complete deployment as processes on the loopback interface: stand-ins of
+// the platform, leaves and nodes. The demo and the tests of the deployment use it.
 //
-// It can kill, freeze and terminate processes to inject faults. It owns the processes and their files,
-// and needs the built programs micaplank and micarehearse.
+// It can kill, freeze and terminate processes to inject faults. It owns the processes and their
+// files, and needs the built programs micaplank and micarehearse.
 package cluster
 
 import (
--- a/internal/rehearsal/history/history_test.go
+++ b/internal/rehearsal/history/history_test.go
@@ -54,8 +54,8 @@
 	return leaf.Execution{RequestID: id, Outcome: leaf.OutcomeExecuted, Started: 1}
 }
 
-// newSelectSubmission returns a submission with the correct answer over 4 shards, of which the given ones are
-// missing.
+// newSelectSubmission returns a submission with the correct answer over 4 shards, of which the
+// given ones are missing.
 func newSelectSubmission(missing ...int) Submission {
 	s := newAnswered("r", 0, 1)
 	s.Filter = &testFilter
--- a/internal/rehearsal/load/config.go
+++ b/internal/rehearsal/load/config.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// ReadConfig decodes a TOML file over the defaults. Unknown keys are errors. Load does not validate
-// the values because the command line may still change them; Run validates them.
+// ReadConfig decodes a TOML file over the defaults. Unknown keys are errors. ReadConfig does not
+// validate the values because the command line may still change them; Run validates them.
 func ReadConfig(path string) (Config, error) {
 	failure := oops.In("load").With("step", "load", "path", path)
 	text, err := os.ReadFile(path)
--- a/internal/rehearsal/machines/server.go
+++ b/internal/rehearsal/machines/server.go
@@ -97,8 +97,8 @@
 // Address returns the address on which the machine list listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops serving, closes every connection and waits for the goroutine of the server. It must be
-// called only once.
+// Close stops serving, closes every connection and waits for the goroutine of the server. It must
+// be called only once.
 func (s *Server) Close() {
 	_ = s.httpServer.Close()
 	s.goroutines.Wait()
--- a/internal/rehearsal/store/database.go
+++ b/internal/rehearsal/store/database.go
@@ -33,8 +33,8 @@
 	events    []revisionEvent
 	compacted int64
 
-	// ignoreCompares makes every compare of a transaction succeed. It is set only by tests that verify
-	// that the linearizability check detects such a store.
+	// ignoreCompares makes every compare of a transaction succeed. It is set only by tests that
+	// verify that the linearizability check detects such a store.
 	ignoreCompares bool
 }
 
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startStoreAndClient starts a fake store and a client without a rate limit. The change function may
-// alter their configurations.
+// startStoreAndClient starts a fake store and a client without a rate limit. The change function
+// may alter their configurations.
 func startStoreAndClient(t *testing.T, change func(*fakestore.Config, *store.Config)) (*fakestore.Server, *store.Client) {
 	t.Helper()
 	serverConfig := fakestore.Config{Address: "127.0.0.1:0"}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,11 +1,12 @@
 // Package roster tracks the nodes that announce themselves in the store, and retains announcements
 // for some time after their removal. It selects the nodes that watch the store for the others
-// (Watchers) and the order or subset in which nodes contact each other (Preferred, Spread,
-// SelectPerZone).
+// (SelectWatchers) and the order or subset in which nodes contact each other (OrderByZone,
+// SelectAcrossZones, SelectPerZone).
 //
-// The package depends only on the keys and values of the announcements. Watchers, Spread and
-// SelectPerZone return the same nodes on every node that has the same announcements. The package is
-// pure: the current time is an argument, a duration on the node's clock.
+// The package depends only on the keys and values of the announcements. SelectWatchers,
+// SelectAcrossZones and SelectPerZone return the same nodes on every node that has the same
+// announcements. The package is pure: the current time is an argument, a duration on the node's
+// clock.
 package roster
 
 import (
--- a/internal/roster/watchers.go
+++ b/internal/roster/watchers.go
@@ -21,8 +21,8 @@
 	maxMembersPerWatcher = 50
 )
 
-// SelectWatchers returns the members that watch the store for the others, selected by Spread. It
-// returns none for fewer than 16 members.
+// SelectWatchers returns the members that watch the store for the others, selected by
+// SelectAcrossZones. It returns none for fewer than 16 members.
 func SelectWatchers(members []Member, preferred ...netip.AddrPort) []Member {
 	if len(members) < minMembersForWatchers {
 		return nil
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -28,7 +28,7 @@
 type runningAttempt struct {
 	send   dispatch.Send
 	cancel context.CancelFunc
-	// aborted is set before cancel is called. Conn.mutex guards it.
+	// aborted is set before cancel is called. QueryRunner.mutex guards it.
 	aborted bool
 	// traceIndex is the index of the attempt in the trace of its query.
 	traceIndex int
--- a/internal/scatter/conn.go
+++ b/internal/scatter/conn.go
@@ -27,7 +27,7 @@
 	goroutines sync.WaitGroup
 }
 
-// NewQueryRunner returns a Conn that takes ownership of the dispatcher.
+// NewQueryRunner returns a QueryRunner that takes ownership of the dispatcher.
 func NewQueryRunner[Q, P any](config Config[Q, P], dispatcher *dispatch.Dispatcher) *QueryRunner[Q, P] {
 	conn := &QueryRunner[Q, P]{
 		config:     config,
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -10,8 +10,8 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// The methods in this file forward a call to the Dispatcher under the mutex of the Conn, because
-// the Dispatcher is not safe for concurrent use.
+// The methods in this file forward a call to the Dispatcher under the mutex of the QueryRunner,
+// because the Dispatcher is not safe for concurrent use.
 
 // ResizeBudgets sets the bounds of the extra load that the dispatcher may cause at each shard. The
 // dispatcher keeps the function, which must be pure.
--- a/internal/scatter/running_query.go
+++ b/internal/scatter/running_query.go
@@ -26,7 +26,7 @@
 	references int
 }
 
-// submit passes a request to the dispatcher. A closed Conn answers it immediately.
+// submit passes a request to the dispatcher. A closed QueryRunner answers it immediately.
 func (c *QueryRunner[Q, P]) submit(request Request[Q]) *runningQuery[Q, P] {
 	query := &runningQuery[Q, P]{
 		request: request,
@@ -91,7 +91,7 @@
 }
 
 // release drops one reference, and cancels ctx when the last one is gone. The caller holds
-// Conn.mutex.
+// QueryRunner.mutex.
 func (q *runningQuery[Q, P]) release() {
 	q.references--
 	if q.references == 0 {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -1,8 +1,8 @@
 // Package scatter runs queries over the shards of a service. It performs the actions that package
 // dispatch decides on, using real leaf connections and timers.
 //
-// A Conn belongs to one service and owns its attempts in flight and its timer. It serialises the
-// calls to the Dispatcher, sends attempts, collects the replies and returns the parts that the
+// A QueryRunner belongs to one service and owns its attempts in flight and its timer. It serialises
+// the calls to the Dispatcher, sends attempts, collects the replies and returns the parts that the
 // Dispatcher selects to the caller. It does not retry or hedge by itself: it starts an attempt only
 // for a dispatch.Send.
 //
@@ -67,7 +67,7 @@
 // DrainingFunc is called with a leaf whose reply shows that it is draining.
 type DrainingFunc func(address netip.AddrPort, bootID string)
 
-// Config configures a Conn.
+// Config configures a QueryRunner.
 type Config[Q, P any] struct {
 	Service string
 	// AttemptPrefix makes attempt IDs unique across all nodes and their restarts.
@@ -81,7 +81,7 @@
 	Trace bool
 	// OnConnectionClosed, if not nil, is called when the leaf of an attempt closes the connection
 	// before the first byte of its answer while the query runs. It requires Trace. It is called
-	// with the mutex of the Conn held, so it must not block or call the Conn.
+	// with the mutex of the QueryRunner held, so it must not block or call the QueryRunner.
 	OnConnectionClosed func(QueryProgress[Q])
 	// Linger is how long an aborted attempt may continue before it is cancelled. Zero cancels it
 	// immediately. Package linger decides when it applies.
@@ -115,7 +115,7 @@
 type QueryProgress[Q any] struct {
 	RequestID string
 	Payload   Q
-	// SubmittedAt is the time of submission on the clock of the Conn.
+	// SubmittedAt is the time of submission on the clock of the QueryRunner.
 	SubmittedAt time.Duration
 	Attempts    []AttemptTrace
 }
@@ -129,8 +129,8 @@
 // AttemptTrace records one attempt. An attempt that outlives its query is recorded as open.
 type AttemptTrace struct {
 	dispatch.Send
-	// SentAfter is the time from the submission of the query to the send. Took is the time from the
-	// send to the end of the attempt; it is zero while the attempt is open.
+	// SentAfter is the time from the submission of the query to the send. Duration is the time from
+	// the send to the end of the attempt; it is zero while the attempt is open.
 	SentAfter, Duration time.Duration
 	End                 AttemptEnd
 	// Aborted is set if the attempt was aborted before it ended, in favour of another attempt or
--- a/internal/scatter/suspension_test.go
+++ b/internal/scatter/suspension_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestWakeExpiresQueries checks that Wake ends a query that expired during a suspension, without
+// TestWakeExpiresQueries checks that Tick ends a query that expired during a suspension, without
 // waiting for the timers, which are late by the length of the suspension.
 func TestWakeExpiresQueries(t *testing.T) {
 	leaves, clock := &stuckLeaves{cancelled: make(chan struct{}, 2*testShards*testReplicas)}, newSuspendableClock()
--- a/internal/scatter/topology.go
+++ b/internal/scatter/topology.go
@@ -9,7 +9,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// SetTopology installs a new topology in the Conn and in its dispatcher.
+// SetTopology installs a new topology in the QueryRunner and in its dispatcher.
 func (c *QueryRunner[Q, P]) SetTopology(topology dispatch.Topology) {
 	c.applyDecision(func(now dispatch.Time) []dispatch.Action {
 		c.topology = topology
--- a/internal/selfhosted/api/api.go
+++ b/internal/selfhosted/api/api.go
@@ -96,10 +96,10 @@
 	KindShow   StatementKind = "show"
 )
 
-// Fate is the state of a change as far as the responding node knows it.
+// ChangeOutcome is the state of a change as far as the responding node knows it.
 type ChangeOutcome string
 
-// The fates of a change.
+// The outcomes of a change.
 const (
 	// ChangeInForce means that the change is accepted and every serving member holds it.
 	ChangeInForce ChangeOutcome = "in_force"
@@ -109,7 +109,7 @@
 	// ChangeNotAccepted means that the change has not taken effect and never will.
 	ChangeNotAccepted ChangeOutcome = "not_accepted"
 	// ChangeOutcomeUnknown means that the change may or may not take effect. A later request by
-	// its id may tell.
+	// its id may determine which.
 	ChangeOutcomeUnknown ChangeOutcome = "unknown"
 	// ChangeDryRun means that the change would be valid and was not made.
 	ChangeDryRun ChangeOutcome = "dry_run"
@@ -118,7 +118,7 @@
 // StatementResponse is the response to a StatementRequest and to a GET of ChangePath.
 type StatementResponse struct {
 	Kind StatementKind `json:"kind"`
-	// ChangeID, Fate, Revision, InForceOn, Members and Missing are set for a change.
+	// ChangeID, Outcome, Revision, InForceOn, Members and Missing are set for a change.
 	ChangeID string        `json:"change_id,omitempty"`
 	Outcome  ChangeOutcome `json:"fate,omitempty"`
 	// Revision is the revision of the change, or the revision that a show statement
--- a/internal/selfhosted/dissemination/adapter_test.go
+++ b/internal/selfhosted/dissemination/adapter_test.go
@@ -69,7 +69,8 @@
 	if err != nil || !more || len(changes) != 3 || changes[0].Revision != 2 {
 		t.Fatalf("read 3 changes from revision 2: got %v, more %t, error %v, want revisions 2 to 4 and more", changes, more, err)
 	}
-	// The watch may have started after the first changes, so further changes follow until it delivers one.
+	// The watch may have started after the first changes, so further changes follow until it
+	// delivers one.
 	for revision := uint64(6); ; revision++ {
 		_, _, err := adapter.CreateChange(ctx, catalog.Change{Revision: revision, ID: dissemination.ChangeID(revision, "T"), Command: createService("y")})
 		if err != nil {
--- a/internal/selfhosted/dissemination/simulated_store_test.go
+++ b/internal/selfhosted/dissemination/simulated_store_test.go
@@ -23,8 +23,8 @@
 
 var errNoReply = errors.New("store operation: no reply")
 
-// operate runs a store operation. A write may take effect long after its caller has received an
-// error.
+// runStoreOperation runs a store operation. A write may take effect long after its caller has
+// received an error.
 func (sim *simulation) runStoreOperation(p *process, operation StoreOperation) {
 	finish := func(delay Time, result StoreResult) {
 		result.ID = operation.ID
--- a/internal/selfhosted/node/mark_sync.go
+++ b/internal/selfhosted/node/mark_sync.go
@@ -11,9 +11,9 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/topology"
 )
 
-// A notice of a leaving leaf is pushed to the other nodes. A node that is suspended or partitioned at
-// that time misses the push and would continue to send work to the leaf. Each node therefore also
-// fetches all marks from another node periodically, and sends no work unless a fetch succeeded
+// A notice of a leaving leaf is pushed to the other nodes. A node that is suspended or partitioned
+// at that time misses the push and would continue to send work to the leaf. Each node therefore
+// also fetches all marks from another node periodically, and sends no work unless a fetch succeeded
 // recently.
 const (
 	// markSyncInterval is the time between two synchronizations.
--- a/internal/selfhosted/node/node.go
+++ b/internal/selfhosted/node/node.go
@@ -1,10 +1,10 @@
 // Package node assembles the parts of a micaplank query node, starts and drains the node, and stops
 // it.
 //
-// It owns the sockets, the background tasks and the planned stop. Package membership tracks the other
-// nodes, dissemination replicates the catalog and proves that it is current, topology tracks the
-// leaves, query runs callers' requests, and gateway serves the HTTP interface. This package passes
-// each of them what it needs from the others.
+// It owns the sockets, the background tasks and the planned stop. Package membership tracks the
+// other nodes, dissemination replicates the catalog and proves that it is current, topology tracks
+// the leaves, query runs callers' requests, and gateway serves the HTTP interface. This package
+// passes each of them what it needs from the others.
 package node
 
 import (
--- a/internal/selfhosted/node/status.go
+++ b/internal/selfhosted/node/status.go
@@ -12,8 +12,8 @@
 
 // Status returns the state of the deployment as observed by this node.
 func (o *operations) Status(_ context.Context) (*api.StatusResponse, error) {
-	// Freshness is read first. If the node is fresh at that time, the catalog that is read afterwards
-	// contains every change that had been accepted by then.
+	// Freshness is read first. If the node is fresh at that time, the catalog that is read
+	// afterwards contains every change that had been accepted by then.
 	fresh := o.node.dissemination.Fresh()
 	current := o.node.dissemination.Current()
 	nodes := o.node.listNodeStatuses(current)
--- a/internal/selfhosted/query/fixture_test.go
+++ b/internal/selfhosted/query/fixture_test.go
@@ -99,7 +99,7 @@
 	clock           *manualClock
 	timeOfDay       time.Time
 	ownershipProved bool
-	// withoutMajority makes Acknowledged report false.
+	// withoutMajority makes HasVoterMajority report false.
 	withoutMajority bool
 	idCounter       uint64
 }
--- a/internal/selfhosted/store/connection.go
+++ b/internal/selfhosted/store/connection.go
@@ -38,7 +38,7 @@
 	return writes
 }
 
-// dialCounting returns a dial function for countingConnections.
+// dialCounting returns a dial function whose connections are of type countingConnection.
 func dialCounting(timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: timeout, KeepAlive: keepAlivePeriod}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/selfhosted/topology/topology.go
+++ b/internal/selfhosted/topology/topology.go
@@ -58,7 +58,7 @@
 	leaving     *leavingMark
 }
 
-// Table combines the sources. Create it with New; the zero value is not usable.
+// Table combines the sources. Create it with NewTable; the zero value is not usable.
 type Table struct {
 	config         Config
 	catalog        *catalog.Catalog
