--- a/cmd/micactl/rollouts.go
+++ b/cmd/micactl/rollouts.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/operator"
 )
 
-// rolloutsCommand shows the timeline of roll-outs from log files. It contacts no node.
+// rolloutsCommand shows the timeline of rollouts from log files. It contacts no node.
 type rolloutsCommand struct {
 	service string
 	logFlags
--- a/cmd/micarehearse/main.go
+++ b/cmd/micarehearse/main.go
@@ -1,4 +1,4 @@
-// Command micarehearse provides tools for testing self-hosted deployments: stand-ins for the
+// Command micarehearse provides tools for testing self-hosted deployments: fakes of the
 // store, the machine list and the leaves, whole deployments on loopback, and a load generator. It
 // must not be used in production.
 //
--- a/cmd/micarehearse/stand_ins.go
+++ b/cmd/micarehearse/stand_ins.go
@@ -38,12 +38,12 @@
 	return nil
 }
 
-// logAddress logs the address on which a stand-in listens.
+// logAddress logs the address on which a fake listens.
 func logAddress(logger *slog.Logger, address any) {
 	logger.Info("listening", "http", address)
 }
 
-// leafCommand runs a stand-in for a leaf.
+// leafCommand runs a fake leaf.
 type leafCommand struct {
 	settings         string
 	listen           string
@@ -150,13 +150,13 @@
 	return server.Drain(drainCtx)
 }
 
-// platformStandIn is a running stand-in for a service of the platform.
+// platformStandIn is a running fake of a service of the platform.
 type platformStandIn interface {
 	Address() string
 	Close()
 }
 
-// platformCommand runs a stand-in for a service of the platform.
+// platformCommand runs a fake of a service of the platform.
 type platformCommand struct {
 	name        string
 	description string
--- a/internal/decide/cordon/cordon.go
+++ b/internal/decide/cordon/cordon.go
@@ -1,4 +1,4 @@
-// Package cordon decides which zones are out of service by the operators' orders.
+// Package cordon decides which zones are cordoned (taken out of service) by the operators' orders.
 //
 // Rule: the leaves of a cordoned zone get no new attempts, whenever the leaves were announced, and
 // attempts in flight there run to their end. When the zone returns to service, its leaves count as
@@ -8,10 +8,11 @@
 // changes); for the return of a zone, the time (a duration on the node's clock) and the service's
 // cold time (a duration).
 //
-// Reason: operators take a zone out of service before they work on its machines, and attempts
+// Reason: operators cordon a zone before they work on its machines, and attempts
 // started there would be lost when the machines stop. A stale list only adds zones: a zone cordoned
 // by mistake is lost for some seconds, while a zone returned by mistake sends work to machines that
-// are being stopped. Leaves without work count as cold at once, since they announce it only later.
+// are being stopped. Leaves without work count as cold immediately, since they announce it only
+// later.
 package cordon
 
 import (
@@ -20,7 +21,7 @@
 	"time"
 )
 
-// Zones holds the zones that are out of service. It is not safe for concurrent use.
+// Zones holds the cordoned zones. It is not safe for concurrent use.
 type Zones struct {
 	cordoned map[string]bool
 }
@@ -28,17 +29,17 @@
 // Change is the change of one zone.
 type Change struct {
 	Zone string
-	// Cordoned is set if the zone goes out of service, and not set if it returns.
+	// Cordoned is set if the zone becomes cordoned, and not set if it returns to service.
 	Cordoned bool
 }
 
-// NewZones returns Zones with all zones in service.
+// NewZones returns Zones in which no zone is cordoned.
 func NewZones() *Zones { return &Zones{cordoned: make(map[string]bool)} }
 
-// Cordoned reports whether a zone is out of service.
+// Cordoned reports whether a zone is cordoned.
 func (z *Zones) Cordoned(zone string) bool { return z.cordoned[zone] }
 
-// Names returns the zones that are out of service, sorted by name.
+// Names returns the cordoned zones, sorted by name.
 func (z *Zones) Names() []string { return slices.Sorted(maps.Keys(z.cordoned)) }
 
 // Set applies a change and reports whether it had an effect.
@@ -54,7 +55,7 @@
 	return true
 }
 
-// Diff returns the changes that lead to a list of all zones that are out of service. It applies
+// Diff returns the changes that lead to a list of all cordoned zones. It applies
 // none of them. A stale list may lack the newest changes, so it returns no zone to service.
 func (z *Zones) Diff(listed []string, stale bool) []Change {
 	var changes []Change
--- a/internal/decide/coverage/coverage.go
+++ b/internal/decide/coverage/coverage.go
@@ -2,7 +2,7 @@
 //
 // Rule: a query with enough answered shards settles after a share of the time until its latency
 // objective, at the latest shortly before its deadline. A query that can no longer reach enough
-// shards is detected, so that it can end at once.
+// shards is detected, so that it can end immediately.
 //
 // Inputs: numbers of shards, the minimum share of answered shards from 0 to 1, times as durations
 // since a common origin.
--- a/internal/decide/dispatch/actions.go
+++ b/internal/decide/dispatch/actions.go
@@ -40,7 +40,8 @@
 	ReasonConnectionLost Reason = "connection_lost" // the request was sent and no reply arrived
 	ReasonRefused        Reason = "refused"         // the leaves refused the attempts
 	ReasonInvalid        Reason = "invalid"         // the leaves cannot run the statement
-	ReasonExtraLoad      Reason = "extra_load"      // another attempt would exceed the budget of extra load
+	// ReasonExtraLoad: another attempt would exceed the budget of extra load.
+	ReasonExtraLoad Reason = "extra_load"
 )
 
 // Action is an instruction to the driver: a Send, an Abort or a Finish.
--- a/internal/decide/dispatch/canary_test.go
+++ b/internal/decide/dispatch/canary_test.go
@@ -128,7 +128,7 @@
 }
 
 // When the canary becomes an ordinary leaf and the others are retired, the attempts in flight at
-// these must continue and new queries must go to the former canary.
+// these must continue and new queries must go to the previous canary.
 func TestPromotedCanaryServesQueries(t *testing.T) {
 	r := newCanaryRig(t, nil)
 	r.topology.Leaves[2].Canary = false
--- a/internal/decide/dispatch/causes.go
+++ b/internal/decide/dispatch/causes.go
@@ -2,8 +2,8 @@
 // answer, or in parallel with a late attempt. Attempts that may repeat the execution of an earlier
 // one are extra load, and a budget pays for them (budget.go). The causes of attempts:
 //
-//	needed   A shard without an attempt. It costs nothing and earns a share of a token. At most one
-//	         per shard and snapshot; queued while no leaf has room.
+//	needed   A shard without an attempt. It costs nothing and earns a share of a token. At most
+//	         one per shard and snapshot; queued while no leaf has room.
 //	resend   Proof that the previous attempt did not execute. It costs nothing. Bounded by
 //	         MaximumAttempts; queued while no leaf has room.
 //	retry    An attempt that was lost after it was sent, was replaced because it was too late, or
--- a/internal/decide/dispatch/leafstate.go
+++ b/internal/decide/dispatch/leafstate.go
@@ -21,7 +21,9 @@
 	speed       replica.SlownessEstimator
 	overdue     overdueSum
 	meanLatency float64 // of its replies, in seconds; zero before the first reply
-	meanWork    float64 // of the service times of its attempts, in seconds; zero before the first attempt
+	// meanWork is the mean of the service times of its attempts, in seconds; zero before the first
+	// attempt.
+	meanWork    float64
 	losses      replica.LossEstimator
 	loadReports loadReports
 	backoff     backoff
--- a/internal/decide/dispatch/query.go
+++ b/internal/decide/dispatch/query.go
@@ -23,16 +23,19 @@
 	status             shardStatus
 	attempts           uint8
 	lostAttempts       uint8
-	unexecutedAttempts uint8  // attempts that provably did not execute
-	resend             bool   // the previous attempt provably did not execute
-	needsRetry         bool   // an attempt that may have executed ended without an answer
-	chargeNext         bool   // the next attempt is extra load although the previous one did not execute
-	triedReplicas      uint32 // mask of the replicas that got an attempt
-	withheld           bool   // see Dispatcher.withhold
-	group              *replicaGroup
-	firstAttempt       int32 // head of the list of wanted attempts in flight
-	answeredBy         AttemptID
-	waitTicket         uint32 // ticket of the live entry in the queue of the group; zero if not queued
+	unexecutedAttempts uint8 // attempts that provably did not execute
+	resend             bool  // the previous attempt provably did not execute
+	needsRetry         bool  // an attempt that may have executed ended without an answer
+	// chargeNext is set if the next attempt is extra load although the previous one did not
+	// execute.
+	chargeNext    bool
+	triedReplicas uint32 // mask of the replicas that got an attempt
+	withheld      bool   // see Dispatcher.withhold
+	group         *replicaGroup
+	firstAttempt  int32 // head of the list of wanted attempts in flight
+	answeredBy    AttemptID
+	// waitTicket is the ticket of the live entry in the queue of the group; zero if not queued.
+	waitTicket uint32
 	// waitWork is the shard's part of the waiting work of each leaf of the group.
 	waitWork time.Duration
 }
--- a/internal/decide/executors/assigner_test.go
+++ b/internal/decide/executors/assigner_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestExecutorAssignmentHasHysteresis lets a few nodes join and leave.
+// TestExecutorAssignmentHasHysteresis has a few nodes join and leave.
 func TestExecutorAssignmentHasHysteresis(t *testing.T) {
 	members := newEqualNodes(30, 3)
 	assigner := Assigner{EqualNodes: 24}
--- a/internal/decide/executors/roles.go
+++ b/internal/decide/executors/roles.go
@@ -16,7 +16,7 @@
 	delegatorCoreShare = 0.5
 )
 
-// Role tells what a node does with requests of many shards.
+// Role defines what a node does with requests of many shards.
 type Role int
 
 // The roles of a node.
@@ -26,7 +26,7 @@
 	RoleDelegator              // delegates its requests to executors
 )
 
-// Roles tells which nodes run the requests of others.
+// Roles describes which nodes run the requests of others.
 type Roles struct {
 	// Self is the role of the node for which the roles were computed.
 	Self Role
--- a/internal/decide/executors/terms.go
+++ b/internal/decide/executors/terms.go
@@ -12,7 +12,7 @@
 	// Fresh is set if the executor is in contact with the store, so that its configuration and
 	// leaves are the newest.
 	Fresh bool
-	// Cordoned lists the zones that the executor knows to be out of service.
+	// Cordoned lists the zones that the executor knows to be cordoned.
 	Cordoned []string
 }
 
@@ -27,7 +27,7 @@
 	// that runs it must be in contact too. During an outage that affects both nodes, neither has
 	// newer data than the other.
 	Fresh bool
-	// Cordoned lists the zones that the node which received the request knows to be out of service.
+	// Cordoned lists the zones that the node which received the request knows to be cordoned.
 	// The node that runs it must know them too, since it may otherwise learn of them only after
 	// the request has started.
 	Cordoned []string
@@ -38,7 +38,7 @@
 	return s.Accepting && s.Version == terms.Version && (s.Fresh || !terms.Fresh) && s.knowsCordoned(terms.Cordoned)
 }
 
-// knowsCordoned reports whether the executor knows that the zones are out of service.
+// knowsCordoned reports whether the executor knows that the zones are cordoned.
 func (s Status) knowsCordoned(cordoned []string) bool {
 	return !slices.ContainsFunc(cordoned, func(zone string) bool { return !slices.Contains(s.Cordoned, zone) })
 }
--- a/internal/decide/hedge/fractional_test.go
+++ b/internal/decide/hedge/fractional_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestFractionalBudgetsSpendTheirSum gives many nodes less than a token each and lets each of
+// TestFractionalBudgetsSpendTheirSum gives many nodes less than a token each and has each of
 // them request several attempts at once. Together they must not spend much more than the sum
 // of their budgets.
 func TestFractionalBudgetsSpendTheirSum(t *testing.T) {
--- a/internal/decide/linger/linger.go
+++ b/internal/decide/linger/linger.go
@@ -1,11 +1,11 @@
 // Package linger decides when an attempt is cancelled whose answer is no longer needed.
 //
 // Rule: the attempt continues for the configured time, unless it is overdue. An overdue attempt
-// is cancelled at once. This applies to the loser of a hedge and to the attempts of a caller that
-// disconnected.
+// is cancelled immediately. This applies to the loser of a hedge and to the attempts of a caller
+// that disconnected.
 //
 // Inputs: the time for which the attempt may continue (the setting forward.linger, 100 ms by
-// default; zero cancels at once), and whether the Dispatcher considers the attempt overdue (see
+// default; zero cancels immediately), and whether the Dispatcher considers the attempt overdue (see
 // dispatch.Config.AbortAge).
 //
 // Reason: cancelling an attempt closes its connection. Most attempts are answered soon, after which
@@ -17,7 +17,7 @@
 import "time"
 
 // Duration returns for how long an attempt continues whose answer is no longer needed, or zero if
-// it is cancelled at once.
+// it is cancelled immediately.
 func Duration(configured time.Duration, overdue bool) time.Duration {
 	if overdue {
 		return 0
--- a/internal/decide/once/decision.go
+++ b/internal/decide/once/decision.go
@@ -21,7 +21,7 @@
 	Refuse Kind = "refuse"
 )
 
-// Reason tells why a submission is refused.
+// Reason is the reason why a submission is refused.
 type Reason string
 
 // The reasons of a refusal.
@@ -53,7 +53,7 @@
 	// of the id may have run; only a caller that knows that there was none may treat the request
 	// as not run.
 	MayHaveRun bool
-	// RetryAfter applies to Refuse and tells how long to wait; zero if unknown. After ReasonFenced
+	// RetryAfter applies to Refuse and is how long to wait; zero if unknown. After ReasonFenced
 	// and ReasonTooOld the same id never runs here, but a new id that is created after that time
 	// does.
 	RetryAfter time.Duration
--- a/internal/decide/once/ledger.go
+++ b/internal/decide/once/ledger.go
@@ -9,15 +9,15 @@
 // Inputs: the id, readings of the monotonic and of the wall clock, the time since when this node
 // owns its slot, the names of the voters.
 //
-// Reason: owners have no disk, so the ids admitted by a former owner are lost with it. Refusing new
-// ids costs some seconds, while a second execution cannot be undone. The design is described in
+// Reason: owners have no disk, so the ids admitted by a previous owner are lost with it. Refusing
+// new ids costs some seconds, while a second execution cannot be undone. The design is described in
 // docs/design/0005-at-most-once.md.
 //
 // The guarantee rests on these conditions, which the driver must keep:
 //   - A decision counts only if, at a moment after the reading passed to Begin and before bytes are
 //     sent, the node was fresh (confirmed by a majority of voters within Config.Freshness, on the
-//     monotonic clock) and OwnershipHolds was true. Otherwise the driver takes back a Run by Release, and
-//     must not report a refusal as not run.
+//     monotonic clock) and OwnershipHolds was true. Otherwise the driver takes back a Run by
+//     Release, and must not report a refusal as not run.
 //   - The moment passed to NewLedger or Reset is one after a majority of voters has acknowledged
 //     this incarnation of the slot and the revision with the present voter set. From installing
 //     another voter set until then, the ledger is suspended. This also applies if the set is the
--- a/internal/decide/once/simulation_test.go
+++ b/internal/decide/once/simulation_test.go
@@ -29,13 +29,14 @@
 }
 
 type process struct {
-	slot                      string
-	ledger                    *Ledger[int]
-	revision                  int
-	awaitingAcceptance        bool // suspended until its revision is accepted
-	dead, frozen              bool
-	confirmedAt               time.Duration
-	clockOffset, backwardJump time.Duration // deviations of the wall clock: constant, and by a backward jump
+	slot               string
+	ledger             *Ledger[int]
+	revision           int
+	awaitingAcceptance bool // suspended until its revision is accepted
+	dead, frozen       bool
+	confirmedAt        time.Duration
+	// Deviations of the wall clock: constant, and by a backward jump.
+	clockOffset, backwardJump time.Duration
 }
 
 type task struct {
@@ -176,7 +177,7 @@
 	}
 }
 
-// submit sends a new or a known id to a process, which decides at once.
+// submit sends a new or a known id to a process, which decides immediately.
 func (s *simulation) submit() {
 	p := s.drawProcess()
 	if !p.isRunning() {
@@ -246,7 +247,7 @@
 	return s.now-t.process.confirmedAt <= s.config.Freshness && t.process.ledger.OwnershipHolds(t.decision)
 }
 
-// deliver lets a message arrive at its leaf, be refused there, or lose its reply.
+// deliver simulates that a message arrives at its leaf, is refused there, or loses its reply.
 func (s *simulation) deliver() error {
 	if len(s.messages) == 0 {
 		return nil
--- a/internal/decide/presend/presend.go
+++ b/internal/decide/presend/presend.go
@@ -2,7 +2,7 @@
 // be sent.
 //
 // Rule: an attempt is sent only if the node may act, its leaf accepts new work, and its query
-// has time left. Otherwise no byte is sent, and the Dispatcher is told that the attempt was not
+// has time left. Otherwise no byte is sent, and the Dispatcher is notified that the attempt was not
 // sent.
 //
 // Inputs: the reason why the node may not act, if any; whether the leaf is usable in the newest
@@ -27,7 +27,7 @@
 	Remaining time.Duration
 }
 
-// Verdict tells whether an attempt may be sent, and if not, why.
+// Verdict is the decision whether an attempt may be sent, and if not, why.
 type Verdict int
 
 // The verdicts. The checks behind the last three are made in this order.
--- a/internal/decide/quarantine/background.go
+++ b/internal/decide/quarantine/background.go
@@ -9,8 +9,8 @@
 	// serviceHalfLife and globalHalfLife are the half-lives of the weight of an attempt in the
 	// counts of its service, and in those of all services. A fault that crashes leaves of many
 	// services crashes them within a short time. Without the global counts, a request that ran
-	// beside one that crashed all leaves was held: over serviceHalfLife only 0.14 to 0.21 of the
-	// attempts had crashed a leaf.
+	// concurrently with one that crashed all leaves was held: over serviceHalfLife only 0.14 to
+	// 0.21 of the attempts had crashed a leaf.
 	serviceHalfLife = 30 * time.Second
 	globalHalfLife  = time.Second
 	// minDecayStep is the minimum time between two updates of a weight, as a fraction of the
--- a/internal/decide/quarantine/survivors_test.go
+++ b/internal/decide/quarantine/survivors_test.go
@@ -98,7 +98,7 @@
 	lateNode.requireVerdict(harmlessContent, Run)
 }
 
-// TestRecordWithoutTrialCrashesStaysHeld checks that a record of a former version, without the
+// TestRecordWithoutTrialCrashesStaysHeld checks that a record of a previous version, without the
 // crashes that trials observed, keeps the request held.
 func TestRecordWithoutTrialCrashesStaysHeld(t *testing.T) {
 	s := newScenario(t)
--- a/internal/decide/quarantine/trial.go
+++ b/internal/decide/quarantine/trial.go
@@ -18,8 +18,8 @@
 //
 // Inputs: the shards of the request, its timeout, a random number.
 //
-// Reason: without a trial, requests are refused that merely ran beside leaves that closed their
-// connections: 2 to 18 of 290 requests beside restarting leaves, and none of 290 with a trial. The
+// Reason: without a trial, requests are refused that merely ran while leaves closed their
+// connections: 2 to 18 of 290 requests while leaves restarted, and none of 290 with a trial. The
 // shard is chosen at random, since the request may crash leaves of only one of its shards.
 
 const (
--- a/internal/decide/removal/removal.go
+++ b/internal/decide/removal/removal.go
@@ -3,7 +3,7 @@
 //
 // Rule: an announcement that is removed during an outage of the store, or in the seconds after the
 // outage, remains valid for a grace period. If it is back by then, the leaf was in use without
-// interruption. At any other time, and if the leaf is draining, the leaf is out of use at once.
+// interruption. At any other time, and if the leaf is draining, the leaf is out of use immediately.
 //
 // Inputs: the time (a duration on the node's clock), the end of the last outage as seen by this
 // node, whether the leaf is draining, and two durations of the settings: GracePeriod and
@@ -11,7 +11,7 @@
 //
 // Reason: a store that was unavailable may have expired the leases of healthy leaves, which need
 // some time to announce themselves again. Without the grace period, all leaves would be out of use
-// at once.
+// immediately.
 package removal
 
 import "time"
@@ -41,7 +41,7 @@
 func (r *Rule) RecordOutage(now time.Duration) { r.settledAfter = now + r.config.SettlingTime }
 
 // UsedUntil returns until when a leaf stays in use whose announcement is removed now. doubted is
-// false if the leaf is out of use at once.
+// false if the leaf is out of use immediately.
 func (r *Rule) UsedUntil(now time.Duration, draining bool) (until time.Duration, doubted bool) {
 	if now >= r.settledAfter || draining {
 		return 0, false
--- a/internal/decide/requestclass/requestclass.go
+++ b/internal/decide/requestclass/requestclass.go
@@ -27,7 +27,7 @@
 	Timeout   time.Duration
 	// TopK is the number of records of an answer; zero if the answer has a single part.
 	TopK int
-	// Repeatable tells whether a request may run more than once.
+	// Repeatable reports whether a request may run more than once.
 	Repeatable bool
 }
 
--- a/internal/decide/retryafter/retryafter.go
+++ b/internal/decide/retryafter/retryafter.go
@@ -49,7 +49,7 @@
 	// StoreOutageDelay replaces StoreReadDelay while the store is unavailable. It is longer because
 	// a caller retries only once or twice, and the data arrives only after the store is back.
 	StoreOutageDelay = 2 * time.Second
-	// MinDelay is the shortest time that is sent. Zero would make callers retry at once.
+	// MinDelay is the shortest time that is sent. Zero would make callers retry immediately.
 	MinDelay = 10 * time.Millisecond
 )
 
--- a/internal/decide/rollout/allowance.go
+++ b/internal/decide/rollout/allowance.go
@@ -52,8 +52,8 @@
 }
 
 // MaySpend reports whether a node may spend a part of the bounds. A node that is not a
-// participant must not spend: a node that knows of no other would take all of the slack, and others
-// may do the same.
+// participant must not spend: a node that knows no other participant would take all of the slack,
+// and others may do the same.
 func MaySpend(self string, participants []roster.Member) bool {
 	return containsNode(participants, self)
 }
--- a/internal/decide/rollout/benchmark_test.go
+++ b/internal/decide/rollout/benchmark_test.go
@@ -73,7 +73,8 @@
 			supply := func(string) Supply { return Supply{Target: 6, Control: 6, Mixed: true} }
 			now := time.Duration(0)
 			for b.Loop() {
-				now = min(now+300*time.Millisecond, reportRetention/2) // nodes expire after reportRetention
+				// Nodes expire after reportRetention.
+				now = min(now+300*time.Millisecond, reportRetention/2)
 				if transitions := decider.Tick(now, time.Time{}, supply); len(transitions) > 0 {
 					b.Fatalf("transition %+v, want none", transitions[0])
 				}
--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -13,10 +13,10 @@
 	minFailureIncrease = 0.01
 	minSlowIncrease    = 0.1
 	// minOvertakenIncrease is the same for first attempts that a later attempt overtook, which are
-	// answered nevertheless. In simulations of 100 roll-outs a limit of 0.15 rolled back 2 versions
+	// answered nevertheless. In simulations of 100 rollouts a limit of 0.15 rolled back 2 versions
 	// that take 1.3 times as long, and 98 to 100 that take four times as long for three in ten
-	// attempts; a limit of 0.1 rolled back up to 12 of the former, and a limit of 0.25 only 67 to
-	// 69 of the latter.
+	// attempts; a limit of 0.1 rolled back up to 12 of those that take 1.3 times as long, and a
+	// limit of 0.25 only 67 to 69 of the others.
 	minOvertakenIncrease = 0.15
 	// slowQuantile, slowFactor and slowMargin define a slow attempt: it takes longer than this
 	// quantile of the control multiplied by the factor, and exceeds the quantile by the margin,
--- a/internal/decide/rollout/counts.go
+++ b/internal/decide/rollout/counts.go
@@ -102,8 +102,8 @@
 	Route string
 	// Target reports whether the leaf runs the version of the order.
 	Target bool
-	// Zone and Leaf identify the leaf. Nodes of a former version leave them empty for leaves of the
-	// control.
+	// Zone and Leaf identify the leaf. Nodes of a previous version leave them empty for leaves of
+	// the control.
 	Zone, Leaf string
 }
 
--- a/internal/decide/rollout/decider.go
+++ b/internal/decide/rollout/decider.go
@@ -40,7 +40,7 @@
 	receivedAt time.Duration
 }
 
-// Decider evaluates versions and decides on the transitions of roll-outs. It is not safe for
+// Decider evaluates versions and decides on the transitions of rollouts. It is not safe for
 // concurrent use.
 type Decider struct {
 	table       *Table
@@ -53,7 +53,7 @@
 	reportingSince time.Duration
 }
 
-// NewDecider returns a Decider for the roll-outs in a table. Incarnation names its process.
+// NewDecider returns a Decider for the rollouts in a table. Incarnation names its process.
 func NewDecider(table *Table, incarnation string) *Decider {
 	return &Decider{table: table, incarnation: incarnation, reports: make(map[string]*nodeReport), evaluations: make(map[string]*evaluation)}
 }
@@ -117,7 +117,7 @@
 // next Tick.
 func TickPause(took time.Duration) time.Duration { return tickPauseFactor * took }
 
-// Tick evaluates the targets of all open roll-outs, and returns the transitions to write. A
+// Tick evaluates the targets of all open rollouts, and returns the transitions to write. A
 // transition that was not applied, or whose result is unknown, is returned again.
 func (d *Decider) Tick(now time.Duration, clock time.Time, supply func(service string) Supply) []Transition {
 	d.expire(now)
--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -9,7 +9,7 @@
 	// maxFailureShare is the share of failures, among minAttemptsForShare attempts or more, above
 	// which a target does not get all traffic even if the control fails as often. If all leaves of
 	// a service are in trouble, the comparison cannot tell a bad version from a good one; without
-	// this limit a bad version was completed beside a control that failed as often.
+	// this limit a bad version was completed next to a control that failed as often.
 	maxFailureShare     = 0.15
 	minAttemptsForShare = 5
 	// evaluationWindow is the period that is evaluated separately to detect a version that turned
@@ -29,7 +29,7 @@
 // evaluation is the state of a Decider for one order.
 type evaluation struct {
 	order uint64
-	// phase is the current phase, which the roll-out entered at phaseSince.
+	// phase is the current phase, which the rollout entered at phaseSince.
 	phase      Phase
 	phaseSince time.Duration
 	// snapshots holds the counts during the last evaluationWindow, the oldest first.
@@ -47,11 +47,11 @@
 }
 
 // markStale marks the counts of the target's leaves from before these leaves were last out of use:
-// gone, draining, or in a zone out of service. Usable holds the leaves that may get work; nil if
+// gone, draining, or in a cordoned zone. Usable holds the leaves that may get work; nil if
 // all may.
 //
-// Without a mark, the former good attempts of a leaf that gets no more attempts would outweigh the
-// current failures of the others: when the zone of the good leaf of a version went out of service,
+// Without a mark, the earlier good attempts of a leaf that gets no more attempts would outweigh the
+// current failures of the others: when the zone of the good leaf of a version was cordoned,
 // the version got all traffic although 15 of its latest 24 attempts had failed, all at the
 // remaining leaf. Bad attempts from before the mark still count.
 func (e *evaluation) markStale(routes map[string]*sample, usable map[string]bool) {
--- a/internal/decide/rollout/out_of_use_test.go
+++ b/internal/decide/rollout/out_of_use_test.go
@@ -50,13 +50,14 @@
 	}
 }
 
-// TestLeafOutOfUseDoesNotSupportTarget guards against former answers of an unusable leaf that
+// TestLeafOutOfUseDoesNotSupportTarget guards against earlier answers of an unusable leaf that
 // outweigh the failures of the remaining one: one leaf of a version answers, the other fails from a
 // time on. While both leaves are in use, the version completes. Once the good leaf is out of use
-// the version is rolled back, also after that leaf has come back without answering again.
+// the version is rolled back, also after that leaf has become usable again but has not answered.
 func TestLeafOutOfUseDoesNotSupportTarget(t *testing.T) {
 	for name, test := range map[string]struct {
-		// outAt and backAt are when the good leaf goes out of use and comes back; zero for never.
+		// outAt and backAt are when the good leaf goes out of use and becomes usable again; zero
+		// for never.
 		outAt, backAt time.Duration
 		want          Phase
 	}{
--- a/internal/decide/rollout/report.go
+++ b/internal/decide/rollout/report.go
@@ -94,7 +94,7 @@
 }
 
 // Candidates returns the nodes that may decide, in order of preference. Large nodes come first,
-// because they need less time to evaluate many roll-outs.
+// because they need less time to evaluate many rollouts.
 func Candidates(members []roster.Member) []roster.Member {
 	return selectMembers(members, maxCandidates)
 }
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -18,7 +18,7 @@
 // by a conditional write of its Record. docs/design/0015-rollouts.md describes the design and its
 // alternatives.
 //
-// Error rates in 100 simulated roll-outs of each case (see TestVerdictErrorRates): 0 to 1 good
+// Error rates in 100 simulated rollouts of each case (see TestVerdictErrorRates): 0 to 1 good
 // versions are rolled back, and 0 to 7 of those that have or meet a bad leaf; 99 to 100 of the
 // versions that fail three in ten attempts or take four times as long are rolled back.
 //
@@ -43,20 +43,20 @@
 	Revision uint64
 }
 
-// Phase is the progress of a roll-out.
+// Phase is the progress of a rollout.
 type Phase string
 
 // Phases in their order. PhaseRolledBack may follow every phase except PhaseCompleted.
 const (
 	PhaseNone       Phase = ""            // no record yet
 	PhaseTrial      Phase = "trial"       // few attempts go to the target
-	PhaseBurst      Phase = "burst"       // the rest of the allowance is spent at once
+	PhaseBurst      Phase = "burst"       // the rest of the allowance is spent immediately
 	PhaseShift      Phase = "shift"       // the control gets no new attempts
 	PhaseCompleted  Phase = "completed"   // the leaves of the control may be stopped
 	PhaseRolledBack Phase = "rolled_back" // the target gets no attempts
 )
 
-// phaseRanks orders the phases: a roll-out only moves to a phase of higher rank.
+// phaseRanks orders the phases: a rollout only moves to a phase of higher rank.
 var phaseRanks = map[Phase]int{PhaseTrial: 1, PhaseBurst: 2, PhaseShift: 3, PhaseCompleted: 4, PhaseRolledBack: 4}
 
 // Ended reports whether the phase is final.
@@ -65,14 +65,14 @@
 // Shifted reports whether all new attempts go to the target.
 func (p Phase) Shifted() bool { return p == PhaseShift || p == PhaseCompleted }
 
-// Record is the persistent state of a roll-out in the store.
+// Record is the persistent state of a rollout in the store.
 type Record struct {
 	Service string `json:"service"`
 	// Order is the revision of the order that the record belongs to.
 	Order   uint64 `json:"order"`
 	Version string `json:"version"`
 	Phase   Phase  `json:"phase"`
-	// Reason describes why the roll-out entered the phase.
+	// Reason describes why the rollout entered the phase.
 	Reason string `json:"reason"`
 	// OrderedAt is the approximate time of day of the order, for nodes that start later.
 	OrderedAt time.Time `json:"ordered_at"`
@@ -105,8 +105,8 @@
 	return phaseRanks[r.Phase] > phaseRanks[previous.Phase]
 }
 
-// Transition is a step of a roll-out that must be written. The write applies only if the order and
-// the former record are unchanged in the store.
+// Transition is a step of a rollout that must be written. The write applies only if the order and
+// the previous record are unchanged in the store.
 type Transition struct {
 	// Record is the record to write.
 	Record Record
--- a/internal/decide/rollout/simulation_test.go
+++ b/internal/decide/rollout/simulation_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// simulation is one roll-out over several nodes, in virtual time.
+// simulation is one rollout over several nodes, in virtual time.
 type simulation struct {
 	nodes    int
 	leaves   int
@@ -224,7 +224,7 @@
 	return count
 }
 
-// verdictTest is a target beside a control, and how often the target may be rolled back.
+// verdictTest is a target compared to a control, and how often the target may be rolled back.
 type verdictTest struct {
 	name            string
 	target, control leafModel
@@ -236,7 +236,7 @@
 // test with three nodes.
 var simulatedRates = []float64{48, 75}
 
-// TestVerdictErrorRates simulates roll-outs with fixed seeds. It checks how often versions are
+// TestVerdictErrorRates simulates rollouts with fixed seeds. It checks how often versions are
 // rolled back, and how often a bad version exceeded its allowance.
 func TestVerdictErrorRates(t *testing.T) {
 	afterStart := func(now time.Duration, _ int, _ float64) bool { return now > 5*time.Second }
@@ -268,7 +268,7 @@
 	}
 }
 
-// TestVerdictErrorRatesWithHedging simulates roll-outs with fixed seeds in which hedges answer slow
+// TestVerdictErrorRatesWithHedging simulates rollouts with fixed seeds in which hedges answer slow
 // attempts, so that a slow version shows only in its overtaken attempts.
 func TestVerdictErrorRatesWithHedging(t *testing.T) {
 	underLoad := func(_ time.Duration, _ int, load float64) bool { return load > 0.4 }
--- a/internal/decide/rollout/steps.go
+++ b/internal/decide/rollout/steps.go
@@ -18,7 +18,7 @@
 	// control is idle may be older than the first request after the report.
 	minShiftTime = 700 * time.Millisecond
 	// completionGrace is the time after the deadline for which requests at the control may delay
-	// the completion of a roll-out. It keeps a hanging node from delaying the completion forever.
+	// the completion of a rollout. It keeps a hanging node from delaying the completion forever.
 	completionGrace = 5 * time.Second
 	// minSlotRatio is the ratio of the target's slots to the control's slots that a shift needs.
 	// The remaining leaves of the target may still be starting.
@@ -53,7 +53,7 @@
 	return PhaseNone, ""
 }
 
-// nextFromTrial returns the next phase of a roll-out in its trial. The burst may start at the age
+// nextFromTrial returns the next phase of a rollout in its trial. The burst may start at the age
 // burstAt.
 func nextFromTrial(age, deadline, burstAt time.Duration, supply Supply) (Phase, string) {
 	enoughSlots := supply.Target > 0 && float64(supply.Target) >= minSlotRatio*float64(supply.Control)
@@ -68,7 +68,7 @@
 	return PhaseNone, ""
 }
 
-// nextFromBurst returns the next phase of a roll-out that has been in its burst for inPhase.
+// nextFromBurst returns the next phase of a rollout that has been in its burst for inPhase.
 func nextFromBurst(inPhase, age, deadline time.Duration, attempts attemptTotals) (Phase, string) {
 	enoughEvidence := attempts.target >= minTargetAttempts || attempts.all < significantTraffic
 	switch {
@@ -80,7 +80,7 @@
 	return PhaseNone, ""
 }
 
-// nextFromShift returns the next phase of a roll-out in its shift. pastDeadline is negative before
+// nextFromShift returns the next phase of a rollout in its shift. pastDeadline is negative before
 // the deadline.
 func (d *Decider) nextFromShift(now time.Duration, rollout *Rollout, eval *evaluation, pastDeadline time.Duration) (Phase, string) {
 	if now-eval.phaseSince < minShiftTime {
--- a/internal/decide/rollout/table.go
+++ b/internal/decide/rollout/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rollout is the state of one roll-out as known to a node.
+// Rollout is the state of one rollout as known to a node.
 type Rollout struct {
 	// Order is the order in force; its Revision is zero if it was withdrawn.
 	Order Order
@@ -40,7 +40,7 @@
 	return r.Record.Version
 }
 
-// IsOpen reports whether the roll-out has not ended.
+// IsOpen reports whether the rollout has not ended.
 func (r *Rollout) IsOpen() bool {
 	phase := r.Phase()
 	return !phase.Ended() && (phase != PhaseNone || r.Order.Revision != 0)
@@ -49,7 +49,7 @@
 // Age returns the time since the order was given.
 func (r *Rollout) Age(now time.Duration) time.Duration { return now - r.orderedAt }
 
-// Table holds the roll-outs by service. It is not safe for concurrent use.
+// Table holds the rollouts by service. It is not safe for concurrent use.
 type Table struct {
 	entries map[string]*Rollout
 	// loaded is set after the first complete reading of the store.
@@ -68,13 +68,13 @@
 	return rollout
 }
 
-// Lookup returns the roll-out of a service; nil if there is none.
+// Lookup returns the rollout of a service; nil if there is none.
 func (t *Table) Lookup(service string) *Rollout { return t.entries[service] }
 
-// Services returns the sorted names of the services that have a roll-out.
+// Services returns the sorted names of the services that have a rollout.
 func (t *Table) Services() []string { return slices.Sorted(maps.Keys(t.entries)) }
 
-// OpenServices returns the sorted names of the services whose roll-outs have not ended.
+// OpenServices returns the sorted names of the services whose rollouts have not ended.
 func (t *Table) OpenServices() []string {
 	return slices.DeleteFunc(t.Services(), func(service string) bool { return !t.entries[service].IsOpen() })
 }
--- a/internal/decide/rollout/table_test.go
+++ b/internal/decide/rollout/table_test.go
@@ -12,7 +12,7 @@
 }
 
 // TestPhasesOnlyAdvance checks that neither old copies of a record nor a repeated order moves a
-// roll-out back to an earlier phase.
+// rollout back to an earlier phase.
 func TestPhasesOnlyAdvance(t *testing.T) {
 	phases := []Phase{PhaseTrial, PhaseBurst, PhaseShift, PhaseCompleted, PhaseRolledBack}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -58,7 +58,7 @@
 	return Share{nodeCounts: countNodes(roles.NonExecutors(members), nodes-len(roles.Executors)), fraction: 1 - executorConnectionShare}
 }
 
-// ForExtraLoad returns a node's share of the extra load beyond the ratio. shard tells whether the
+// ForExtraLoad returns a node's share of the extra load beyond the ratio. shard reports whether the
 // service is a shard of a route; the requests for any other service run on the nodes that received
 // them.
 func ForExtraLoad(roles executors.Roles, members []roster.Member, nodes int, shard bool) Share {
--- a/internal/decide/snapshot/snapshot_test.go
+++ b/internal/decide/snapshot/snapshot_test.go
@@ -50,7 +50,8 @@
 }
 
 func TestPickMatchesDefinition(t *testing.T) {
-	partitions := []catalog.Partition{{Epoch: 1, Shards: 2}, {Epoch: 2, Shards: 3}} // epoch 3 has no partition
+	// Epoch 3 has no partition.
+	partitions := []catalog.Partition{{Epoch: 1, Shards: 2}, {Epoch: 2, Shards: 3}}
 	rapid.Check(t, func(t *rapid.T) {
 		holdings := drawHoldings(t)
 		need := Need{HasKey: rapid.Bool().Draw(t, "key"), KeyHash: rapid.Uint64Range(0, 9).Draw(t, "hash")}
--- a/internal/decide/timeleft/timeleft.go
+++ b/internal/decide/timeleft/timeleft.go
@@ -27,8 +27,8 @@
 
 import "time"
 
-// minRemaining is returned when no time is left: the request ends at once because it has too little
-// time. Zero would mean that the client sent no timeout.
+// minRemaining is returned when no time is left: the request ends immediately because it has too
+// little time. Zero would mean that the client sent no timeout.
 const minRemaining = time.Millisecond
 
 // Remaining returns how long the client waits from now on, at least 1 ms.
--- a/internal/edge/combine/wire_test.go
+++ b/internal/edge/combine/wire_test.go
@@ -17,8 +17,8 @@
 	wiretest.CheckGob[restResponse](t, "combine.rest.response")
 }
 
-// TestFormerFailureDecodes checks the message of a former version, whose combiners do not report a
-// refused connection.
+// TestFormerFailureDecodes checks the message of a previous version, whose combiners do not report
+// a refused connection.
 func TestFormerFailureDecodes(t *testing.T) {
 	response := wiretest.DecodePreviousGob[fetchResponse](t, "combine.fetch.response")
 	if failed := response.Failure; failed == nil || !failed.Sent || !failed.Closed || failed.Refused || failed.Text == "" {
--- a/internal/edge/http1/message.go
+++ b/internal/edge/http1/message.go
@@ -32,7 +32,7 @@
 }
 
 // WriteHead returns the head of a request. The target is the path with the query, or an absolute
-// URL. The headers named in omitted are left out.
+// URL. The headers named in omitted are skipped.
 func WriteHead(method, target, host string, header http.Header, omitted ...string) ([]byte, error) {
 	if !strings.HasPrefix(target, "/") {
 		parsed, err := url.ParseRequestURI(target)
--- a/internal/edge/mirror/convergence_test.go
+++ b/internal/edge/mirror/convergence_test.go
@@ -63,7 +63,7 @@
 			},
 			"freeze": func(rt *rapid.T) {
 				if node := f.peers.at(f.seeds[rapid.IntRange(0, 2).Draw(rt, "seed")]); node != nil {
-					node.mutex.Lock() // a request of an earlier start may still be in flight
+					node.mutex.Lock() // a request of an earlier incarnation may still be in flight
 					node.lastContactAt -= time.Minute
 					node.mutex.Unlock()
 				}
--- a/internal/edge/mirror/helpers_test.go
+++ b/internal/edge/mirror/helpers_test.go
@@ -82,7 +82,7 @@
 	return matching, nil
 }
 
-// Watch returns at once, also without changes.
+// Watch returns immediately, also without changes.
 func (m *memoryStore) Watch(_ context.Context, _ string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -104,7 +104,8 @@
 	unreachable map[netip.AddrPort]bool
 }
 
-// set places a node at an address. A request of an earlier start may still be in flight.
+// set places a node at an address. A request of an earlier incarnation of the node may still be in
+// flight.
 func (p *localPeers) set(address netip.AddrPort, watcher *Shared) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/edge/mirror/history_test.go
+++ b/internal/edge/mirror/history_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestFollowerAheadOfDiffMustReload checks that a follower inside a diff gap is refused. A key that
-// it has may have been written and removed within the gap, and the difference would not tell it.
+// it has may have been written and removed within the gap, and the difference would not contain it.
 func TestFollowerAheadOfDiffMustReload(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.put("a")
--- a/internal/edge/mirror/replica.go
+++ b/internal/edge/mirror/replica.go
@@ -39,7 +39,7 @@
 }
 
 // diff returns the events that lead from the replica to the items of a later revision. Items newer
-// than that revision are left out, because a watch from that revision returns them.
+// than that revision are omitted, because a watch from that revision returns them.
 func (c *replica) diff(items []Item, revision uint64) []Event {
 	var events []Event
 	present := make(map[string]bool, len(items))
--- a/internal/edge/mirror/shared_test.go
+++ b/internal/edge/mirror/shared_test.go
@@ -179,8 +179,8 @@
 }
 
 // TestWatcherBehindFollowerIsSkipped checks that a follower does not wait for a watcher that is
-// behind it. A watcher that comes back from an outage has old changes to process and returns no new
-// ones meanwhile.
+// behind it. A watcher that has recovered from an outage has old changes to process and returns no
+// new ones meanwhile.
 func TestWatcherBehindFollowerIsSkipped(t *testing.T) {
 	p := newWatcherPair(t)
 	p.store.put("a")
--- a/internal/edge/mirror/sources.go
+++ b/internal/edge/mirror/sources.go
@@ -31,8 +31,8 @@
 var (
 	// requireCurrent awaits nodes that are reading the store at the moment.
 	requireCurrent = copyPolicy{awaitLoading: true}
-	// allowStale accepts any copy at once. Awaiting a node without a copy is pointless, because it
-	// awaits the store itself.
+	// allowStale accepts any copy immediately. Awaiting a node without a copy is pointless, because
+	// it awaits the store itself.
 	allowStale = copyPolicy{acceptStale: true}
 )
 
--- a/internal/edge/node/collector.go
+++ b/internal/edge/node/collector.go
@@ -13,7 +13,7 @@
 )
 
 // collector exports the counters of the Dispatcher when the metrics are read. The Dispatcher counts
-// by itself, since it is pure and has no access to the registry.
+// itself, since it is pure and has no access to the registry.
 type collector struct {
 	dispatcher interface {
 		Counters() dispatch.Counters
--- a/internal/edge/node/follower.go
+++ b/internal/edge/node/follower.go
@@ -82,7 +82,7 @@
 	quarantined    map[quarantine.Content]quarantine.StoredRecord
 }
 
-// decode decodes all items of a full read. Items that cannot be decoded are logged and left out.
+// decode decodes all items of a full read. Items that cannot be decoded are logged and skipped.
 func (f *follower) decode(items []mirror.Item) decodedItems {
 	decoded := decodedItems{
 		nodes:       make(map[string]roster.Member),
--- a/internal/edge/node/follower_quarantine.go
+++ b/internal/edge/node/follower_quarantine.go
@@ -28,7 +28,8 @@
 		}
 		return
 	}
-	if content, err := f.decoder.QuarantinedContent(change.Key); err == nil { // a key that cannot be decoded was never applied
+	// A key that cannot be decoded was never applied.
+	if content, err := f.decoder.QuarantinedContent(change.Key); err == nil {
 		f.quarantine.remove(content, change.Revision)
 	}
 }
--- a/internal/edge/node/policy.go
+++ b/internal/edge/node/policy.go
@@ -12,7 +12,7 @@
 
 // nodeRetention is how long a node still counts after its announcement has vanished: two windows of
 // the budget. A node that is gone may have spent its part within the window, and leases that expire
-// in an outage of the store must not free budget at once.
+// in an outage of the store must not free budget immediately.
 const nodeRetention = 20 * time.Second
 
 // peerDialTimeout bounds the time to open a connection to another node. It is shorter than the
@@ -51,11 +51,11 @@
 	// makes no difference.
 	config.Probation.ProbeInterval = share.MinNodeProbeInterval
 
-	// Requests whose coverage cannot be reached are refused at once. Otherwise leaves work for
+	// Requests whose coverage cannot be reached are refused immediately. Otherwise leaves work for
 	// answers that cannot be given: in the second after an outage of the store, 51 requests failed
 	// after they had run.
 	config.RequireCoverage = true
-	// A shard that needs a retry without budget fails at once, which leaves the client time to
+	// A shard that needs a retry without budget fails immediately, which leaves the client time to
 	// retry. Otherwise the shard would wait for budget until the deadline.
 	config.EndWithoutBudget = true
 	// An answer with enough coverage is returned at this share of the time that is left until the
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -62,7 +62,8 @@
 // start completes p, so that it can publish by its timer.
 func (p *publisher) start() *publisher {
 	p.roles = executors.Assigner{EqualNodes: p.settings.Forward.EqualNodes}
-	p.expiryTimer = time.AfterFunc(time.Hour, p.publish) // the duration does not matter, Reset sets it
+	// The duration does not matter, Reset sets it.
+	p.expiryTimer = time.AfterFunc(time.Hour, p.publish)
 	p.expiryTimer.Stop()
 	return p
 }
--- a/internal/edge/node/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -182,7 +182,8 @@
 	if len(suspects) == 0 {
 		return
 	}
-	announced := q.announced.findAnnounced(suspects) // before q.mutex is locked: the view calls this driver with its own mutex held
+	// Must precede the locking of q.mutex: the view calls this driver with its own mutex held.
+	announced := q.announced.findAnnounced(suspects)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	survivors := q.table.DetectSurvivors(q.clock.Now(), announced)
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -38,7 +38,7 @@
 // interval is short compared with the timeout of a request.
 const suspensionCheckInterval = 100 * time.Millisecond
 
-// Run serves until ctx ends, and then shuts down gracefully: it reports not ready at once,
+// Run serves until ctx ends, and then shuts down gracefully: it reports not ready immediately,
 // continues to serve for the drain delay, and finishes the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	servers, err := listen(n.endpoints(), n.serverTimeouts)
@@ -71,7 +71,7 @@
 	return err
 }
 
-// startBackground starts the goroutines beside the servers. They run until ctx ends.
+// startBackground starts the goroutines other than those of the servers. They run until ctx ends.
 func (n *Node) startBackground(ctx context.Context, background *sync.WaitGroup) {
 	background.Go(func() { n.newMirror().Run(ctx) })
 	background.Go(func() { n.follower.announcer.run(ctx) })
--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -42,7 +42,8 @@
 	t.Cleanup(n.publisher.stop)
 	n.forwarder.Install(route.NewTable(&route.Config{Version: 1, Services: services}))
 	for _, leaf := range leaves {
-		n.publisher.view.index.Assign(leaf.Service) // as a configuration does that names the service
+		// A configuration that names the service does the same.
+		n.publisher.view.index.Assign(leaf.Service)
 		n.publisher.view.leaves.Set(0, leaf)
 	}
 	return n, func() map[string]int {
--- a/internal/edge/registry/incarnation.go
+++ b/internal/edge/registry/incarnation.go
@@ -9,8 +9,8 @@
 // startTimeSeparator stands between the ID of a leaf and its start time.
 const startTimeSeparator = "@"
 
-// Incarnation names one start of the leaf: its ID, followed by the start time in Unix milliseconds
-// if that is known. All observations of a leaf are kept per incarnation.
+// Incarnation identifies one run of the leaf's process: its ID, followed by the start time in Unix
+// milliseconds if that is known. All observations of a leaf are kept per incarnation.
 func (l *Leaf) Incarnation() string {
 	startMillis := int64(0)
 	if !l.StartedAt.IsZero() {
--- a/internal/edge/registry/registry.go
+++ b/internal/edge/registry/registry.go
@@ -62,12 +62,13 @@
 
 // Table is the set of leaves. It is not safe for concurrent use.
 type Table struct {
-	index       *Index
-	entries     map[string]*leafEntry
-	removals    removal.Rule
-	zones       *cordon.Zones
-	stages      map[string]Stage  // by service
-	mixedOrders map[string]uint64 // orders under which leaves of another version were seen, by service
+	index    *Index
+	entries  map[string]*leafEntry
+	removals removal.Rule
+	zones    *cordon.Zones
+	stages   map[string]Stage // by service
+	// mixedOrders holds the orders under which leaves of another version were seen, by service.
+	mixedOrders map[string]uint64
 	startTimes  startTimes
 	coldTimes   map[string]time.Duration // by service
 	revision    uint64
@@ -81,8 +82,8 @@
 	}
 }
 
-// ErrStaleIncarnation means that an announcement belongs to an older start of its leaf, or that it
-// has no start time though an earlier announcement had one.
+// ErrStaleIncarnation means that an announcement belongs to an older incarnation of its leaf, or
+// that it has no start time though an earlier announcement had one.
 var ErrStaleIncarnation = errors.New("announcement is not of the newest known start of its leaf")
 
 // Set applies an announcement. It returns false for an announcement of an older incarnation, which
--- a/internal/event/rollouts.go
+++ b/internal/event/rollouts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RolloutOrdered reports that an operator ordered a roll-out or withdrew the order.
+// RolloutOrdered reports that an operator ordered a rollout or withdrew the order.
 type RolloutOrdered struct {
 	Service   string        `event:"service" doc:"service that is rolled out"`
 	Target    string        `event:"target" doc:"version to which the traffic moves"`
@@ -19,7 +19,7 @@
 	return Kind{"roll-out ordered", slog.LevelInfo, "Leaves of the version get only the traffic that the exposure limit allows, until the roll-out shifts the traffic. If the order was withdrawn, a roll-out in progress is rolled back."}
 }
 
-// RolloutRejected reports that the order or the record of a roll-out is invalid.
+// RolloutRejected reports that the order or the record of a rollout is invalid.
 type RolloutRejected struct {
 	Key      string `event:"key" doc:"key in the store"`
 	Revision uint64 `event:"revision" doc:"revision of the store at which it was written"`
@@ -31,7 +31,7 @@
 	return Kind{"roll-out rejected", slog.LevelError, "The last valid state of the roll-out stays in force."}
 }
 
-// RolloutChanged reports that this node applies another phase of a roll-out.
+// RolloutChanged reports that this node applies another phase of a rollout.
 type RolloutChanged struct {
 	Service string        `event:"service" doc:"service that is rolled out"`
 	Target  string        `event:"target" doc:"version that is rolled out"`
@@ -46,7 +46,7 @@
 	return Kind{"roll-out changed", slog.LevelInfo, "The node applies this phase from now on. Each node logs the event when it learns the phase, from the store or from the decider."}
 }
 
-// RolloutDecided reports that this node, the decider, wrote a phase of a roll-out or failed to.
+// RolloutDecided reports that this node, the decider, wrote a phase of a rollout or failed to.
 type RolloutDecided struct {
 	Service  string `event:"service" doc:"service that is rolled out"`
 	Target   string `event:"target" doc:"version that is rolled out"`
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain builds timelines from the logs of nodes for "micactl explain" and
 // "micactl rollouts". The timeline of a request shows each decision about the request, and what
-// the node knew at that time. The timeline of roll-outs shows orders, decisions and their
+// the node knew at that time. The timeline of rollouts shows orders, decisions and their
 // adoption. The package reads the lines that internal/event writes, and has no side effects.
 package explain
 
@@ -29,7 +29,7 @@
 	KindLost      = "lost"    // the executor was lost
 )
 
-// Timeline holds the steps of a request or of roll-outs in order of time.
+// Timeline holds the steps of a request or of rollouts in order of time.
 type Timeline struct {
 	RequestID string `json:"request_id"`
 	Steps     []Step `json:"steps"`
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -27,27 +27,29 @@
 
 // SharedFields are fields that occur in several groups of events.
 type SharedFields struct {
-	Service string `json:"service"` // service of a leaf or of a roll-out
+	Service string `json:"service"` // service of a leaf or of a rollout
 	Version uint64 `json:"version"` // version of the configuration
-	Reason  string `json:"reason"`  // reason for the fate of a request, or for a decision on a roll-out
-	Peer    string `json:"peer"`    // name of another node
-	Error   string `json:"error"`
+	// Reason is the reason for the fate of a request, or for a decision on a rollout.
+	Reason string `json:"reason"`
+	Peer   string `json:"peer"` // name of another node
+	Error  string `json:"error"`
 }
 
 // RequestFields are the fields of event.Request, which describes them.
 type RequestFields struct {
-	RequestID    string          `json:"request_id"`
-	Route        string          `json:"route"`
-	Fate         string          `json:"fate"`
-	Answered     int             `json:"answered"` // shards that answered
-	Total        int             `json:"total"`    // shards of the request
-	Status       int             `json:"status"`   // HTTP status of the leaf's answer
-	TookMS       int64           `json:"took_ms"`
-	PatienceMS   int64           `json:"patience_ms"` // remaining time of the client
-	RetryAfterMS int64           `json:"retry_after_ms"`
-	From         string          `json:"from"`     // node that received the request from the client
-	Executor     string          `json:"executor"` // node that ran the request, if it is another node
-	Attempts     []event.Attempt `json:"attempts"`
+	RequestID    string `json:"request_id"`
+	Route        string `json:"route"`
+	Fate         string `json:"fate"`
+	Answered     int    `json:"answered"` // shards that answered
+	Total        int    `json:"total"`    // shards of the request
+	Status       int    `json:"status"`   // HTTP status of the leaf's answer
+	TookMS       int64  `json:"took_ms"`
+	PatienceMS   int64  `json:"patience_ms"` // remaining time of the client
+	RetryAfterMS int64  `json:"retry_after_ms"`
+	From         string `json:"from"` // node that received the request from the client
+	// Executor is the node that ran the request, if it is another node.
+	Executor string          `json:"executor"`
+	Attempts []event.Attempt `json:"attempts"`
 	// DroppedBefore counts the lines of requests that the node dropped because of the rate limit
 	// since the previous line that it wrote.
 	DroppedBefore int `json:"dropped_before"`
@@ -59,12 +61,12 @@
 	Draining bool   `json:"draining"` // whether the leaf is draining
 	Removed  bool   `json:"removed"`  // whether the leaf's announcement was removed
 	Zone     string `json:"zone"`
-	Cordoned bool   `json:"cordoned"` // whether the zone is out of service
+	Cordoned bool   `json:"cordoned"` // whether the zone is cordoned
 	Away     string `json:"away"`     // duration for which the store did not respond
 	Left     int    `json:"left"`     // number of executors that still respond
 }
 
-// RolloutFields are the fields of events about roll-outs.
+// RolloutFields are the fields of events about rollouts.
 type RolloutFields struct {
 	Target    string `json:"target"` // version that is rolled out
 	Phase     string `json:"phase"`
--- a/internal/explain/rollout.go
+++ b/internal/explain/rollout.go
@@ -9,15 +9,15 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// Kinds of steps in the timeline of roll-outs.
+// Kinds of steps in the timeline of rollouts.
 const (
-	KindOrdered = "ordered"  // an operator ordered a roll-out or withdrew the order
+	KindOrdered = "ordered"  // an operator ordered a rollout or withdrew the order
 	KindDecided = "decided"  // the decider wrote a phase or failed to
 	KindAdopted = "followed" // nodes applied a phase
 	KindDecider = "decider"  // a node reports to another decider
 )
 
-// phaseKey identifies a phase of a roll-out.
+// phaseKey identifies a phase of a rollout.
 type phaseKey struct {
 	service, target, phase string
 	order                  uint64
@@ -30,8 +30,8 @@
 	nodes       int
 }
 
-// RolloutTimeline returns the timeline of roll-outs since a time: orders, decisions with their
-// reasons, and how soon the nodes applied them. If service is not empty, only roll-outs of that
+// RolloutTimeline returns the timeline of rollouts since a time: orders, decisions with their
+// reasons, and how soon the nodes applied them. If service is not empty, only rollouts of that
 // service are included.
 func RolloutTimeline(lines []Line, service string, since time.Time) Timeline {
 	var steps []Step
@@ -65,7 +65,7 @@
 	return Timeline{Steps: steps}
 }
 
-// matchesService reports whether a line concerns roll-outs of the service; an empty service
+// matchesService reports whether a line concerns rollouts of the service; an empty service
 // matches every line. Changes of the decider concern all services.
 func matchesService(line *Line, service string) bool {
 	return service == "" || line.Service == service || line.Message == (event.DeciderChanged{}).Kind().Message
--- a/internal/explain/rollout_test.go
+++ b/internal/explain/rollout_test.go
@@ -12,7 +12,7 @@
 	"github.com/micaplank/micaplank/internal/event"
 )
 
-// rolloutLines returns log lines of two nodes about a roll-out that is rolled back, and about a
+// rolloutLines returns log lines of two nodes about a rollout that is rolled back, and about a
 // withdrawn order of another service.
 func rolloutLines(t *testing.T) []Line {
 	t.Helper()
--- a/internal/leaf/config.go
+++ b/internal/leaf/config.go
@@ -54,7 +54,7 @@
 	DefaultPingTimeout = 2 * time.Second
 )
 
-// withDefaults returns a copy of the Config with defaults in place of zero values.
+// withDefaults returns a copy of the Config with zero values replaced by defaults.
 func (c Config) withDefaults() Config {
 	setDefault(&c.ConnectionsPerLeaf, DefaultConnectionsPerLeaf)
 	setDefault(&c.ConnectTimeout, DefaultConnectTimeout)
--- a/internal/peer/client_conn.go
+++ b/internal/peer/client_conn.go
@@ -15,9 +15,10 @@
 	framed  *framedConn
 	dialErr *Error
 
-	mutex       sync.Mutex
-	pending     map[uint64]*pendingCall // by call ID
-	activeCalls int                     // calls that have not returned; some may have their response
+	mutex   sync.Mutex
+	pending map[uint64]*pendingCall // by call ID
+	// activeCalls counts the calls that have not returned; some may have their response.
+	activeCalls int
 	lastCall    uint64
 	lost        bool
 	draining    bool // accepts no new calls because the peer is draining or the connection is idle
--- a/internal/rehearsal/cluster/cluster.go
+++ b/internal/rehearsal/cluster/cluster.go
@@ -68,7 +68,7 @@
 	return filepath.Join(c.plan.ProgramDirectory, name)
 }
 
-// startPlatform starts the stand-ins of the platform: the store and the machine list.
+// startPlatform starts the fakes of the platform: the store and the machine list.
 func (c *Cluster) startPlatform(ctx context.Context) (err error) {
 	if c.Store, err = startProcess(ctx, "store", c.programPath(rehearsalProgram), "store"); err != nil {
 		return err
--- a/internal/rehearsal/cluster/inspect.go
+++ b/internal/rehearsal/cluster/inspect.go
@@ -87,7 +87,7 @@
 	return c.sendControl(ctx, http.MethodPost, leafProcess.Process, leaf.ControlPath, request, nil)
 }
 
-// Control sends a control request to a stand-in of the platform.
+// Control sends a control request to a fake of the platform.
 func (c *Cluster) Control(ctx context.Context, process *Process, path string, request any) error {
 	return c.sendControl(ctx, http.MethodPost, process, path, request, nil)
 }
--- a/internal/rehearsal/cluster/process.go
+++ b/internal/rehearsal/cluster/process.go
@@ -1,4 +1,4 @@
-// Package cluster runs a complete deployment as processes on the loopback interface: stand-ins of
+// Package cluster runs a complete deployment as processes on the loopback interface: fakes of
 // the platform, leaves and nodes. The demo and the tests of the deployment use it.
 //
 // It can kill, freeze and terminate processes to inject faults. It owns the processes and their
--- a/internal/rehearsal/simulation/config_test.go
+++ b/internal/rehearsal/simulation/config_test.go
@@ -143,19 +143,36 @@
 // Each kind uses the fields of Fault that its comment names. A zero Duration means until the end
 // of the run.
 const (
-	FaultSlow               FaultKind = "slow"                 // work on Leaf takes Factor times as long
-	FaultPause              FaultKind = "pause"                // Leaf pauses for Duration
-	FaultCrash              FaultKind = "crash"                // the process of Leaf dies and its connections are reset; it restarts after Duration
-	FaultSilence            FaultKind = "silence"              // the machine of Leaf stops responding; it restarts after Duration
-	FaultSilenceZone        FaultKind = "silence_zone"         // all leaves and nodes of Zone stop responding; the leaves restart after Duration
-	FaultDrain              FaultKind = "drain"                // Leaf starts to drain; it restarts after Duration
-	FaultRetire             FaultKind = "retire"               // an operator retires Leaf and adds it again after Duration
-	FaultMachineListLeaving FaultKind = "machine_list_leaving" // the machine list reports Leaf as leaving
-	FaultFalseReport        FaultKind = "false_report"         // Leaf reports that it is idle for Duration
-	FaultStaleReply         FaultKind = "stale_reply"          // Leaf reports another snapshot in a share Factor of its replies
-	FaultRollout            FaultKind = "rollout"              // leaves load a new index version over Duration; they keep old ones up to 1+Factor times as long
-	FaultRepartition        FaultKind = "repartition"          // leaves load a new partition with Shards shards (0: twice as many as before) over Duration
-	FaultFreezeNode         FaultKind = "freeze_node"          // Node is frozen for Duration
+	// FaultSlow: work on Leaf takes Factor times as long.
+	FaultSlow FaultKind = "slow"
+	// FaultPause: Leaf pauses for Duration.
+	FaultPause FaultKind = "pause"
+	// FaultCrash: the process of Leaf dies and its connections are reset; it restarts after
+	// Duration.
+	FaultCrash FaultKind = "crash"
+	// FaultSilence: the machine of Leaf stops responding; it restarts after Duration.
+	FaultSilence FaultKind = "silence"
+	// FaultSilenceZone: all leaves and nodes of Zone stop responding; the leaves restart after
+	// Duration.
+	FaultSilenceZone FaultKind = "silence_zone"
+	// FaultDrain: Leaf starts to drain; it restarts after Duration.
+	FaultDrain FaultKind = "drain"
+	// FaultRetire: an operator retires Leaf and adds it again after Duration.
+	FaultRetire FaultKind = "retire"
+	// FaultMachineListLeaving: the machine list reports Leaf as leaving.
+	FaultMachineListLeaving FaultKind = "machine_list_leaving"
+	// FaultFalseReport: Leaf reports that it is idle for Duration.
+	FaultFalseReport FaultKind = "false_report"
+	// FaultStaleReply: Leaf reports another snapshot in a share Factor of its replies.
+	FaultStaleReply FaultKind = "stale_reply"
+	// FaultRollout: leaves load a new index version over Duration; they keep old ones up to
+	// 1+Factor times as long.
+	FaultRollout FaultKind = "rollout"
+	// FaultRepartition: leaves load a new partition with Shards shards (0: twice as many as before)
+	// over Duration.
+	FaultRepartition FaultKind = "repartition"
+	// FaultFreezeNode: Node is frozen for Duration.
+	FaultFreezeNode FaultKind = "freeze_node"
 )
 
 // Fault is a fault that starts at a fixed point in virtual time.
--- a/internal/rehearsal/simulation/faults_test.go
+++ b/internal/rehearsal/simulation/faults_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// stopLeaf stops a leaf abruptly. If only the process crashed, its connections are reset at once.
-// If the machine stopped responding, nodes notice only after SilenceTimeout.
+// stopLeaf stops a leaf abruptly. If only the process crashed, its connections are reset
+// immediately. If the machine stopped responding, nodes notice only after SilenceTimeout.
 func (s *simulator) stopLeaf(l *emulatedLeaf, liveness leafLiveness) {
 	if l.liveness != leafUp {
 		return
--- a/internal/rehearsal/simulation/network_test.go
+++ b/internal/rehearsal/simulation/network_test.go
@@ -140,8 +140,8 @@
 	n.scheduleFailure(link, a, link.delay, true)
 }
 
-// abort resets the stream of an attempt. The node forgets the attempt at once; the leaf receives
-// the reset after the network delay.
+// abort resets the stream of an attempt. The node forgets the attempt immediately; the leaf
+// receives the reset after the network delay.
 func (n *network) abort(a *attempt) {
 	link := n.linkFor(a)
 	delete(link.inFlight, a.id)
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -65,7 +65,7 @@
 	}))
 }
 
-// cancel tells the Decider that the client cancelled a query.
+// cancel notifies the Decider that the client cancelled a query.
 func (n *node) cancel(q *query) {
 	if q.finished || n.queries[q.id()] == nil {
 		return
--- a/internal/rehearsal/store/linearizability_test.go
+++ b/internal/rehearsal/store/linearizability_test.go
@@ -49,7 +49,7 @@
 
 // resolveUnknownWrites gives each write with an unknown result a definite one. Values are unique,
 // and a client overwrites a value only after it has read the revision of that value. Therefore a
-// write whose value was never read can be left out, and a write whose value was read took effect
+// write whose value was never read can be omitted, and a write whose value was read took effect
 // before the first call that read it returned.
 func resolveUnknownWrites(history []porcupine.Operation) ([]porcupine.Operation, error) {
 	type observation struct{ revision, returned int64 }
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -161,7 +161,8 @@
 	for name, expected := range cases {
 		t.Run(name, func(t *testing.T) {
 			server, client := startStoreAndClient(t, func(_ *fakestore.Config, config *store.Config) { config.Timeout = time.Second })
-			if _, err := client.Range(context.Background(), "/a", "", 0); err != nil { // opens the connection
+			// The first call opens the connection.
+			if _, err := client.Range(context.Background(), "/a", "", 0); err != nil {
 				t.Fatal(err)
 			}
 			server.SetFaults(expected.faults)
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -3,8 +3,8 @@
 //
 // A QueryRunner belongs to one service and owns its attempts in flight and its timer. It serialises
 // the calls to the Dispatcher, sends attempts, collects the replies and returns the parts that the
-// Dispatcher selects to the caller. It does not retry or hedge by itself: it starts an attempt only
-// for a dispatch.Send.
+// Dispatcher selects to the caller. It does not retry or hedge on its own: it starts an attempt
+// only for a dispatch.Send.
 //
 // The decisions are made in internal/decide/dispatch (sends, and the end of a query),
 // internal/decide/presend (the last check before a send) and internal/decide/linger (how long an
--- a/internal/selfhosted/api/problem_descriptions.go
+++ b/internal/selfhosted/api/problem_descriptions.go
@@ -8,7 +8,7 @@
 	Title string
 	// Status is the HTTP status of responses with the problem.
 	Status int
-	// Advice tells callers or operators how to handle the problem.
+	// Advice describes for callers or operators how to handle the problem.
 	Advice string
 }
 
--- a/internal/selfhosted/dissemination/mechanisms_test.go
+++ b/internal/selfhosted/dissemination/mechanisms_test.go
@@ -59,7 +59,7 @@
 	p.runStep(func() { p.core.StepFetched(p.localTime(), &old) })
 }
 
-// replaceVoterAmongLaggards lets n0 and n1 accept a change that n2 misses. Then n1 is replaced and
+// replaceVoterAmongLaggards makes n0 and n1 accept a change that n2 misses. Then n1 is replaced and
 // can reach only n2.
 func replaceVoterAmongLaggards(sim *simulation) {
 	sim.partition("n0", "n1", "n3")
@@ -128,7 +128,7 @@
 	sim.run(sim.now + 14*time.Second)
 }
 
-// addVotersDuringPartition lets n2 add n3 and n4 to the voters n0, n1 and n2 while n0 and n1 are
+// addVotersDuringPartition makes n2 add n3 and n4 to the voters n0, n1 and n2 while n0 and n1 are
 // unreachable, except for a short time in which n0 registers the new voters.
 func addVotersDuringPartition(sim *simulation) {
 	sim.partition("n2", "n3", "n4")
--- a/internal/selfhosted/language/language_test.go
+++ b/internal/selfhosted/language/language_test.go
@@ -18,7 +18,8 @@
 )
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", "20261202"); err != nil { // a -rapid.seed flag overrides this seed
+	// A -rapid.seed flag overrides this seed.
+	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
--- a/internal/selfhosted/membership/doc.go
+++ b/internal/selfhosted/membership/doc.go
@@ -25,5 +25,5 @@
 // zone is held: its members stay suspected instead of being declared gone, and no further
 // suspicions are raised in it. The hold ends when a packet from the zone arrives or after
 // Config.ZoneHold. A network partition between zones, or the isolation of this node, therefore
-// causes suspicions and refutations, but no wave of members that are declared gone and come back.
+// causes suspicions and refutations, but no wave of members that are declared gone and then return.
 package membership
--- a/internal/selfhosted/membership/probe.go
+++ b/internal/selfhosted/membership/probe.go
@@ -40,7 +40,7 @@
 func (p *probeState) cancel() { p.target = nil }
 
 // nextTarget returns the next member in the probe order, or nil if no member can be probed. It
-// shuffles the members anew at the end of the order.
+// shuffles the members again at the end of the order.
 func (c *Core) nextTarget() *peer {
 	p := &c.probes
 	for range 2 {
--- a/internal/selfhosted/membership/service.go
+++ b/internal/selfhosted/membership/service.go
@@ -73,7 +73,7 @@
 	return s
 }
 
-// Start starts the protocol and returns at once.
+// Start starts the protocol and returns immediately.
 func (s *Service) Start() {
 	s.running.Add(1)
 	go s.run()
--- a/internal/selfhosted/node/dissemination.go
+++ b/internal/selfhosted/node/dissemination.go
@@ -32,7 +32,7 @@
 }
 
 // isAcknowledgedByMajority reports whether a majority of the voters that recognize this process
-// responded to requests sent within the freshness window. The voters tell a process that its slot
+// responded to requests sent within the freshness window. The voters inform a process that its slot
 // was taken over; the store alone would not. The time of sending counts, because responses that
 // were buffered in the socket while the process was suspended prove nothing.
 func (n *Node) isAcknowledgedByMajority() bool {
--- a/internal/selfhosted/node/voters_test.go
+++ b/internal/selfhosted/node/voters_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestVoterStatusesIncludeGoneVoters checks that voters without a member are listed as gone, and
-// that members that are not voters are left out.
+// that members that are not voters are omitted.
 func TestVoterStatusesIncludeGoneVoters(t *testing.T) {
 	current := catalog.Empty()
 	current.Voters = map[string]catalog.Voter{
--- a/internal/selfhosted/operator/client.go
+++ b/internal/selfhosted/operator/client.go
@@ -45,7 +45,7 @@
 // NewClient returns a client of one or more nodes. The timeout limits how long a node waits
 // for one command. The name of the operator is recorded in the log of changes.
 func NewClient(nodes []netip.AddrPort, timeout time.Duration, operator string) *Client {
-	// http.Transport resends a request by itself if a reused connection turns out to be
+	// http.Transport resends a request on its own if a reused connection turns out to be
 	// closed. A new connection per request prevents that.
 	transport := &http.Transport{
 		DisableKeepAlives: true,
--- a/internal/selfhosted/query/fixture_test.go
+++ b/internal/selfhosted/query/fixture_test.go
@@ -198,7 +198,8 @@
 func newFixturePastFence(t *testing.T) *fixture {
 	f := newFixture(t)
 	f.advance(time.Second)
-	_, _ = f.runner.Query(context.Background(), "rate-desk", f.newInsert()) // completes the pending ownership
+	// The query completes the pending ownership.
+	_, _ = f.runner.Query(context.Background(), "rate-desk", f.newInsert())
 	f.advance(time.Minute)
 	f.scatterer.executions = 0
 	return f
--- a/internal/selfhosted/query/ledger_voters_test.go
+++ b/internal/selfhosted/query/ledger_voters_test.go
@@ -70,7 +70,8 @@
 	f.runner.SetVoters(changedCatalog)
 	f.advance(time.Minute)
 	request.RequestID = f.newRequestID("node-a1")
-	_, err := f.runner.Query(context.Background(), "rate-desk", request) // planned on the catalog of revision 9
+	// The query is planned on the catalog of revision 9.
+	_, err := f.runner.Query(context.Background(), "rate-desk", request)
 	requireUnavailable(t, "outdated", err)
 	if f.scatterer.executions != 0 {
 		t.Error("the query ran, want it refused")
