--- a/internal/decide/rollout/evaluation.go
+++ b/internal/decide/rollout/evaluation.go
@@ -8,7 +8,7 @@
 const (
 	// maxFailureShare is the share of failures, among minAttemptsForShare attempts or more, above
 	// which a target does not get all traffic even if the control fails as often. If all leaves of
-	// a service are in trouble, the comparison cannot tell a bad version from a good one; without
+	// a service fail often, the comparison cannot tell a bad version from a good one; without
 	// this limit a bad version was completed next to a control that failed as often.
 	maxFailureShare     = 0.15
 	minAttemptsForShare = 5
--- a/internal/decide/rollout/reporting.go
+++ b/internal/decide/rollout/reporting.go
@@ -17,7 +17,8 @@
 // counts of all nodes. A node whose decider is lost finds the next one before its grants expire.
 
 // AvoidTime is the time for which a node avoids a candidate that did not answer or cannot write to
-// the store; a candidate that cannot write says so itself for as long. It equals GrantTTL.
+// the store; a candidate that cannot write reports this itself for the same time. It equals
+// GrantTTL.
 const AvoidTime = 2 * time.Second
 
 // DeciderSelector selects the candidate to report to, and tracks which counts the decider has
--- a/internal/edge/delegate/message.go
+++ b/internal/edge/delegate/message.go
@@ -26,7 +26,7 @@
 	Method     string
 	Host, Path string
 	Head, Body []byte
-	// Patience is how long the client still waits; zero if the client did not say.
+	// Patience is how long the client still waits; zero if the client sent no timeout.
 	Patience time.Duration
 	// Away is the forward.Request.RelayTime of the request.
 	Away time.Duration
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -21,7 +21,7 @@
 	Head []byte
 	Body []byte
 	// ClientTimeout is how long the client would still wait when the request arrived; zero if the
-	// client did not say. ArrivedAt is the time of arrival on the clock of this node.
+	// client sent no timeout. ArrivedAt is the time of arrival on the clock of this node.
 	ClientTimeout time.Duration
 	ArrivedAt     time.Duration
 	// RelayTime is how long the relaying node had the request, plus the time that it needs to
--- a/internal/edge/http1/client_test.go
+++ b/internal/edge/http1/client_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestTruncatedResponsesAreErrors checks that a truncated response is an error which says that the
-// request may have run, and that the request is not resent.
+// TestTruncatedResponsesAreErrors checks that a truncated response is an error which states that
+// the request may have run, and that the request is not resent.
 func TestTruncatedResponsesAreErrors(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"} {
 		served := false
--- a/internal/edge/mirror/mirror.go
+++ b/internal/edge/mirror/mirror.go
@@ -49,7 +49,7 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error)
 }
 
-// ReadInfo says how the items of a Replace were read.
+// ReadInfo describes how the items of a Replace were read.
 type ReadInfo struct {
 	// Gap is set if changes before this read may have been missed.
 	Gap bool
--- a/internal/edge/mirror/watch.go
+++ b/internal/edge/mirror/watch.go
@@ -136,7 +136,7 @@
 	return response.unpack()
 }
 
-// watcherBackoff says until when, and why, a watcher is not asked.
+// watcherBackoff holds until when, and why, a watcher is not asked.
 type watcherBackoff struct {
 	until time.Time
 	// disconnected is set if the watcher cannot reach the store. Such a watcher is asked after all
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -17,7 +17,7 @@
 	"github.com/micaplank/micaplank/internal/scatter"
 )
 
-// Kind says what a key of the store stands for.
+// Kind is the kind of data that a key of the store holds.
 type Kind int
 
 // These are the kinds of keys.
@@ -104,7 +104,7 @@
 	OnLeafShares func([]LeafShare)
 }
 
-// LeafShare says how many connections to a leaf this node may keep. If Connections is zero, the
+// LeafShare is how many connections to a leaf this node may keep. If Connections is zero, the
 // node may open one for a request that no other leaf can take.
 type LeafShare struct {
 	Address     netip.AddrPort
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -22,8 +22,8 @@
 	SetTopology(topology dispatch.Topology)
 }
 
-// rolloutStages returns the stages of the rollouts, and hands out the allowances by which this node
-// may send attempts to new versions. The caller holds the mutex of the view.
+// rolloutStages returns the stages of the rollouts, and distributes the allowances by which this
+// node may send attempts to new versions. The caller holds the mutex of the view.
 type rolloutStages interface {
 	stages() map[string]registry.Stage
 	setAllowances(members []roster.Member)
--- a/internal/edge/node/quarantine_store.go
+++ b/internal/edge/node/quarantine_store.go
@@ -182,7 +182,8 @@
 	if len(suspects) == 0 {
 		return
 	}
-	// Must precede the locking of q.mutex: the view calls this driver with its own mutex held.
+	// The call precedes the locking of q.mutex, since the view calls this driver with its own mutex
+	// held.
 	announced := q.announced.findAnnounced(suspects)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/internal/edge/node/run.go
+++ b/internal/edge/node/run.go
@@ -138,7 +138,7 @@
 }
 
 // Reload receives the settings after they were read again. All of them need a restart to take
-// effect; the log says whether any has changed.
+// effect; the log states whether any has changed.
 func (n *Node) Reload(current settings.Settings) {
 	event.Log(n.logger, event.SettingsReloaded{Changed: !reflect.DeepEqual(current, n.settings)})
 }
--- a/internal/edge/node/shares_test.go
+++ b/internal/edge/node/shares_test.go
@@ -127,7 +127,7 @@
 }
 
 // TestConnectionsWithoutConfiguredMaximum checks that the value of the settings applies if the
-// configuration does not say how many connections a leaf accepts.
+// configuration does not declare how many connections a leaf accepts.
 func TestConnectionsWithoutConfiguredMaximum(t *testing.T) {
 	n, publish := newTestNode(t, nil, threeLeaves("s"))
 	n.announceNodes(500)
--- a/internal/rehearsal/history/changes.go
+++ b/internal/rehearsal/history/changes.go
@@ -121,7 +121,7 @@
 
 // CheckObservations checks that the revision of each process never decreases, and that no process
 // accepts work at an outdated revision once the bound has passed since an operator's change was
-// acknowledged as accepted. The sightings of each process must be in order.
+// acknowledged as accepted. The observations of each process must be in order.
 func CheckObservations(sightings []StatusObservation, changes []Change, bound time.Duration) []Violation {
 	var violations []Violation
 	last := make(map[string]StatusObservation)
--- a/internal/rehearsal/simulation/leaf_test.go
+++ b/internal/rehearsal/simulation/leaf_test.go
@@ -10,7 +10,7 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// leafLiveness says whether a leaf is up, its process has crashed or its machine does not respond.
+// leafLiveness is whether a leaf is up, its process has crashed or its machine does not respond.
 type leafLiveness uint8
 
 const (
--- a/internal/rehearsal/simulation/node_test.go
+++ b/internal/rehearsal/simulation/node_test.go
@@ -189,7 +189,7 @@
 	n.perform(n.decider.Refuse(n.simulator.engine.now, a.id, refusal))
 }
 
-// observeLeafState marks a leaf as draining if its reply says so.
+// observeLeafState marks a leaf as draining if its reply reports that it drains.
 func (n *node) observeLeafState(l *emulatedLeaf, bootID string, state leaf.State) {
 	if state != leaf.StateDraining {
 		return
--- a/internal/rehearsal/store/handlers.go
+++ b/internal/rehearsal/store/handlers.go
@@ -30,8 +30,8 @@
 	return mux
 }
 
-// operationKind says whether an operation can change the data. Only the replies of write operations
-// can be lost.
+// operationKind determines whether an operation can change the data. Only the replies of write
+// operations can be lost.
 type operationKind bool
 
 const (
--- a/internal/selfhosted/store/client.go
+++ b/internal/selfhosted/store/client.go
@@ -1,9 +1,9 @@
 // Package store is a client of the configuration store. It uses the etcd v3 HTTP/JSON gateway over
 // net/http.
 //
-// The package never repeats a call after any byte of it may have been sent. Each error says whether
-// the call may have taken effect (Error.MaybeApplied); in that case the caller reads the keys to
-// find out.
+// The package never repeats a call after any byte of it may have been sent. Each error states
+// whether the call may have taken effect (Error.MaybeApplied); in that case the caller reads the
+// keys to find out.
 //
 // The package manages the connections to the store, limits the rate of calls and selects an
 // endpoint. Only package dissemination interprets the keys.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// FuzzSettings checks that every refused file results in Problems that say what is expected, and
+// FuzzSettings checks that every refused file results in Problems that state what is expected, and
 // that Parse accepts the printed form of every accepted file.
 func FuzzSettings(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.toml")
