--- a/internal/decide/rollout/comparison.go
+++ b/internal/decide/rollout/comparison.go
@@ -16,7 +16,7 @@
 	// answered nevertheless. In simulations of 100 rollouts a limit of 0.15 rolled back 2 versions
 	// that take 1.3 times as long, and 98 to 100 that take four times as long for three in ten
 	// attempts; a limit of 0.1 rolled back up to 12 of those that take 1.3 times as long, and a
-	// limit of 0.25 only 67 to 69 of the others.
+	// limit of 0.25 only 67 to 69 of those that take four times as long.
 	minOvertakenIncrease = 0.15
 	// slowQuantile, slowFactor and slowMargin define a slow attempt: it takes longer than this
 	// quantile of the control multiplied by the factor, and exceeds the quantile by the margin,
--- a/internal/edge/node/ports.go
+++ b/internal/edge/node/ports.go
@@ -104,8 +104,8 @@
 	OnLeafShares func([]LeafShare)
 }
 
-// LeafShare is how many connections to a leaf this node may keep. If Connections is zero, the
-// node may open one for a request that no other leaf can take.
+// LeafShare is the number of connections to a leaf that this node may keep. If Connections is zero,
+// the node may open one for a request that no other leaf can take.
 type LeafShare struct {
 	Address     netip.AddrPort
 	BootID      string // the incarnation of the leaf
--- a/internal/rehearsal/simulation/leaf_test.go
+++ b/internal/rehearsal/simulation/leaf_test.go
@@ -10,7 +10,8 @@
 	"github.com/micaplank/micaplank/internal/leaf"
 )
 
-// leafLiveness is whether a leaf is up, its process has crashed or its machine does not respond.
+// leafLiveness is the state of a leaf: whether it is up, its process has crashed or its machine
+// does not respond.
 type leafLiveness uint8
 
 const (
