--- a/internal/decide/quarantine/trial.go
+++ b/internal/decide/quarantine/trial.go
@@ -18,8 +18,8 @@
 //
 // Inputs: the shards of the request, its timeout, a random number.
 //
-// Reason: without a trial, requests are refused that merely ran beside leaves that closed their
-// connections: 2 to 18 of 290 requests beside restarting leaves, and none of 290 with a trial. The
+// Reason: without a trial, requests are refused that merely ran while leaves closed their
+// connections: 2 to 18 of 290 requests while leaves restarted, and none of 290 with a trial. The
 // shard is chosen at random, since the request may crash leaves of only one of its shards.
 
 const (
@@ -51,7 +51,7 @@
 	CoversRequest bool
 }
 
-// PlanTrial plans the trial of a request of one or more shards. RandomIndex returns a random number
+// PlanTrial plans the trial of a request of one or more shards. randomIndex returns a random number
 // in [0, n); it is called only if there are several shards.
 func PlanTrial(shards []int, timeout time.Duration, randomIndex func(int) int) TrialPlan {
 	if len(shards) <= 1 {
--- a/internal/edge/node/publisher.go
+++ b/internal/edge/node/publisher.go
@@ -22,8 +22,8 @@
 	SetTopology(topology dispatch.Topology)
 }
 
-// rolloutStages returns the stages of the rollouts, and hands out the allowances by which this node
-// may send attempts to new versions. The caller holds the mutex of the view.
+// rolloutStages returns the stages of the rollouts, and distributes the allowances by which this
+// node may send attempts to new versions. The caller holds the mutex of the view.
 type rolloutStages interface {
 	stages() map[string]registry.Stage
 	setAllowances(members []roster.Member)
@@ -62,7 +62,8 @@
 // start completes p, so that it can publish by its timer.
 func (p *publisher) start() *publisher {
 	p.roles = executors.Assigner{EqualNodes: p.settings.Forward.EqualNodes}
-	p.expiryTimer = time.AfterFunc(time.Hour, p.publish) // the duration does not matter, Reset sets it
+	// The duration does not matter, Reset sets it.
+	p.expiryTimer = time.AfterFunc(time.Hour, p.publish)
 	p.expiryTimer.Stop()
 	return p
 }
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startStoreAndClient starts a fake store and a client without a rate limit. The change function may
-// alter their configurations.
+// startStoreAndClient starts a fake store and a client without a rate limit. The change function
+// may alter their configurations.
 func startStoreAndClient(t *testing.T, change func(*fakestore.Config, *store.Config)) (*fakestore.Server, *store.Client) {
 	t.Helper()
 	serverConfig := fakestore.Config{Address: "127.0.0.1:0"}
@@ -161,7 +161,8 @@
 	for name, expected := range cases {
 		t.Run(name, func(t *testing.T) {
 			server, client := startStoreAndClient(t, func(_ *fakestore.Config, config *store.Config) { config.Timeout = time.Second })
-			if _, err := client.Range(context.Background(), "/a", "", 0); err != nil { // opens the connection
+			// The first call opens the connection.
+			if _, err := client.Range(context.Background(), "/a", "", 0); err != nil {
 				t.Fatal(err)
 			}
 			server.SetFaults(expected.faults)
