--- a/internal/decide/dispatch/actions.go
+++ b/internal/decide/dispatch/actions.go
@@ -40,7 +40,8 @@
 	ReasonConnectionLost Reason = "connection_lost" // the request was sent and no reply arrived
 	ReasonRefused        Reason = "refused"         // the leaves refused the attempts
 	ReasonInvalid        Reason = "invalid"         // the leaves cannot run the statement
-	ReasonExtraLoad      Reason = "extra_load"      // another attempt would exceed the budget of extra load
+	// ReasonExtraLoad: another attempt would exceed the budget of extra load.
+	ReasonExtraLoad Reason = "extra_load"
 )
 
 // Action is an instruction to the driver: a Send, an Abort or a Finish.
@@ -66,7 +67,7 @@
 	Extra bool
 	// Cause is the reason for the attempt.
 	Cause Cause
-	// LeafEstimate is the estimate of the leaf's state on which the choice of the leaf was based.
+	// Basis is the estimate of the leaf's state on which the choice of the leaf was based.
 	Basis LeafEstimate
 }
 
@@ -76,7 +77,7 @@
 	// number.
 	InFlight, Limit int
 	// OthersInFlight is the estimated number of attempts of other nodes on the leaf, derived from a
-	// load report of the given Age.
+	// load report that is ReportAge old.
 	OthersInFlight float64
 	ReportAge      time.Duration
 	// Pace is the time that work takes on the leaf's machine, in percent of the usual time, as in
--- a/internal/decide/rollout/reporting.go
+++ b/internal/decide/rollout/reporting.go
@@ -17,7 +17,8 @@
 // counts of all nodes. A node whose decider is lost finds the next one before its grants expire.
 
 // AvoidTime is the time for which a node avoids a candidate that did not answer or cannot write to
-// the store; a candidate that cannot write says so itself for as long. It equals GrantTTL.
+// the store; a candidate that cannot write reports this itself for the same time. It equals
+// GrantTTL.
 const AvoidTime = 2 * time.Second
 
 // DeciderSelector selects the candidate to report to, and tracks which counts the decider has
@@ -29,7 +30,7 @@
 	received map[Subject]Counts
 }
 
-// NewDeciderSelector returns a Reporting that avoids no candidate.
+// NewDeciderSelector returns a DeciderSelector that avoids no candidate.
 func NewDeciderSelector() *DeciderSelector {
 	return &DeciderSelector{avoided: make(map[string]time.Duration), received: make(map[Subject]Counts)}
 }
@@ -54,8 +55,8 @@
 // Avoid avoids a candidate for AvoidTime.
 func (r *DeciderSelector) Avoid(now time.Duration, name string) { r.avoided[name] = now + AvoidTime }
 
-// Decider returns the incarnation of the decider that has received the counts in Received; empty if
-// there is none.
+// Decider returns the incarnation of the decider that has received the counts in
+// AcknowledgedCounts; empty if there is none.
 func (r *DeciderSelector) Decider() string { return r.decider }
 
 // AcknowledgedCounts returns the counts that the decider has acknowledged. The next report omits
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -29,7 +29,7 @@
 	// executorSlackShare is the share of the extra load beyond the ratio that executors divide
 	// at services that are shards of a route, since executors usually run the requests for these
 	// services. If a third of the attempts hang, one of eight executors answers 74 % of its
-	// queries in time with it, and 70 % with 0.5 (TestSlackOfExecutorsReachesCallers).
+	// queries in time with it, and 70 % with 0.5 (TestExecutorsShareWholeSlack).
 	executorSlackShare = 0.85
 )
 
@@ -58,7 +58,7 @@
 	return Share{nodeCounts: countNodes(roles.NonExecutors(members), nodes-len(roles.Executors)), fraction: 1 - executorConnectionShare}
 }
 
-// ForExtraLoad returns a node's share of the extra load beyond the ratio. shard tells whether the
+// ForExtraLoad returns a node's share of the extra load beyond the ratio. shard reports whether the
 // service is a shard of a route; the requests for any other service run on the nodes that received
 // them.
 func ForExtraLoad(roles executors.Roles, members []roster.Member, nodes int, shard bool) Share {
--- a/internal/rehearsal/cluster/plan.go
+++ b/internal/rehearsal/cluster/plan.go
@@ -24,16 +24,16 @@
 
 // Plan describes a deployment.
 type Plan struct {
-	// Binaries is the directory of the built programs.
-	Binaries string
-	Zones    []string
+	// ProgramDirectory is the directory of the built programs.
+	ProgramDirectory string
+	Zones            []string
 	// Nodes is the number of nodes. They are distributed over the zones in turn.
 	Nodes    int
 	Services []Service
-	// Tune modifies the settings of each node before it starts, unless it is nil.
-	Tune func(*settings.Settings)
-	// ProfileFolder, if set, is the directory for the CPU profiles of the nodes.
-	ProfileFolder string
+	// ModifySettings modifies the settings of each node before it starts, unless it is nil.
+	ModifySettings func(*settings.Settings)
+	// ProfileDirectory, if set, is the directory for the CPU profiles of the nodes.
+	ProfileDirectory string
 }
 
 // assignShards returns the shards of the leaf with the given index.
@@ -91,8 +91,8 @@
 	return fmt.Sprintf("add leaf %s to %s zone %s shards %s", l.HTTP, l.Service, l.Zone, formatShards(l.Shards))
 }
 
-// Holds reports whether the leaf holds a shard.
-func (l *Leaf) Holds(shard int) bool {
+// HoldsShard reports whether the leaf holds a shard.
+func (l *Leaf) HoldsShard(shard int) bool {
 	for _, held := range l.Shards {
 		if held == shard {
 			return true
--- a/internal/rehearsal/leaf/journal.go
+++ b/internal/rehearsal/leaf/journal.go
@@ -6,29 +6,29 @@
 	"github.com/micaplank/micaplank/internal/rows"
 )
 
-// Inserted is one row that an insert added.
-type Inserted struct {
+// InsertedRow is a row that an insert statement added.
+type InsertedRow struct {
 	RequestID string `json:"request_id"`
-	// Version is the index version that the insert ran at. The row shows in
-	// later versions: a version never changes.
+	// Version is the index version at which the insert was executed. The row appears only in later
+	// versions because a version is immutable.
 	Version uint64   `json:"version"`
 	Row     rows.Row `json:"row"`
 }
 
-// journal lists the inserted rows in order.
+// journal holds the inserted rows in order of insertion.
 type journal struct {
 	mutex   sync.Mutex
-	entries []Inserted
+	entries []InsertedRow
 }
 
-func (j *journal) add(entries ...Inserted) {
+func (j *journal) add(entries ...InsertedRow) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.entries = append(j.entries, entries...)
 }
 
-func (j *journal) snapshot() []Inserted {
+func (j *journal) snapshot() []InsertedRow {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return append([]Inserted{}, j.entries...)
+	return append([]InsertedRow{}, j.entries...)
 }
--- a/internal/rehearsal/leaf/server.go
+++ b/internal/rehearsal/leaf/server.go
@@ -22,32 +22,32 @@
 	protocol "github.com/micaplank/micaplank/internal/leaf"
 )
 
-// bodyLimit bounds the body of a request, in bytes.
-const bodyLimit = 1 << 20
+// maximumBodyBytes limits the size of a request body.
+const maximumBodyBytes = 1 << 20
 
-// Server is a running stand-in leaf.
+// Server is a running fake leaf.
 type Server struct {
-	config     Config
-	bootID     string
-	started    time.Time
-	logger     *slog.Logger
-	listener   net.Listener
-	http       *http.Server
-	slots      *slots
-	sampler    *sampler
-	holdings   *holdings
-	journal    *journal
-	executions *executionLog
-	faults     *faults
-	reporter   *reporter
-	crossing   crossing
-	parser     parser
-	draining   atomic.Bool
-	stop       context.CancelFunc
-	running    sync.WaitGroup
+	config       Config
+	bootID       string
+	started      time.Time
+	logger       *slog.Logger
+	listener     net.Listener
+	httpServer   *http.Server
+	slots        *slots
+	sampler      *serviceTimeSampler
+	holdings     *holdings
+	journal      *journal
+	executions   *executionLog
+	faults       *faultState
+	reporter     *loadReporter
+	replySwapper replySwapper
+	parser       statementParser
+	draining     atomic.Bool
+	stopSampling context.CancelFunc
+	goroutines   sync.WaitGroup
 }
 
-// Start listens and serves until Close or Drain. The logger must not be nil.
+// Start starts a leaf that serves until Close or Drain. The logger must not be nil.
 func Start(config Config, logger *slog.Logger) (*Server, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -57,10 +57,10 @@
 		return nil, oops.With("step", "leaf_listen", "peer", config.Listen.String()).Wrap(err)
 	}
 	s := newServer(config, logger, listener)
-	background, stop := context.WithCancel(context.Background())
-	s.stop = stop
-	s.running.Go(func() { s.sampleLoad(background) })
-	s.running.Go(s.serve)
+	sampleContext, stop := context.WithCancel(context.Background())
+	s.stopSampling = stop
+	s.goroutines.Go(func() { s.sampleLoad(sampleContext) })
+	s.goroutines.Go(s.serve)
 	return s, nil
 }
 
@@ -78,19 +78,19 @@
 		started:    time.Now(),
 		listener:   listener,
 		slots:      newSlots(config.Slots, config.Queue),
-		sampler:    newSampler(config.Seed),
+		sampler:    newServiceTimeSampler(config.Seed),
 		holdings:   newHoldings(config, journal),
 		journal:    journal,
 		executions: new(executionLog),
 		faults:     newFaults(config),
 	}
 	s.logger = logger.With("leaf", s.Address().String(), "service", config.Service)
-	s.reporter = &reporter{server: s}
-	s.http = s.newHTTPServer()
+	s.reporter = &loadReporter{server: s}
+	s.httpServer = s.newHTTPServer()
 	return s
 }
 
-// connectionKey is the context key of the net.Conn that carries a request.
+// connectionKey is the context key of the net.Conn of a request.
 type connectionKey struct{}
 
 func (s *Server) newHTTPServer() *http.Server {
@@ -117,39 +117,39 @@
 }
 
 func (s *Server) serve() {
-	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		s.logger.Error("serving ended", "error", err)
+	if err := s.httpServer.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+		s.logger.Error("fake leaf stopped serving", "error", err)
 	}
 }
 
 func (s *Server) sampleLoad(ctx context.Context) {
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			s.reporter.sample(now)
+			s.reporter.recordSample(now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Address returns the address that the leaf serves on.
+// Address returns the address on which the leaf listens.
 func (s *Server) Address() netip.AddrPort {
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// BootID returns the id of this run.
+// BootID returns the ID of this run of the leaf.
 func (s *Server) BootID() string { return s.bootID }
 
-// Load returns the load report, as misleading as the faults in force make it.
+// Load returns the load report with the injected faults applied.
 func (s *Server) Load() protocol.LoadReport {
 	return protocol.LoadReport{
 		BootID:               s.bootID,
 		LoadSummary:          s.reporter.summary(),
 		Service:              s.config.Service,
-		Holdings:             s.holdings.list(),
+		Holdings:             s.holdings.snapshots(),
 		AsOfUnixMilliseconds: time.Now().UnixMilli(),
 	}
 }
@@ -157,7 +157,7 @@
 // Executions returns the execution log.
 func (s *Server) Executions() Executions { return s.executions.snapshot(s.bootID) }
 
-// state is the leaf's true state.
+// state returns the actual state of the leaf, without injected faults.
 func (s *Server) state() protocol.State {
 	switch {
 	case s.draining.Load():
@@ -169,8 +169,8 @@
 	}
 }
 
-// Drain refuses new requests, blocks until those in flight have ended, and
-// stops serving. If ctx is done first it cuts them and returns the error.
+// Drain refuses new requests, waits until the requests in flight have completed and stops serving.
+// If ctx ends first, Drain closes their connections and returns the error.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	err := s.shutdown(ctx)
@@ -181,18 +181,18 @@
 	return err
 }
 
-// shutdownRound is after how long the connections are asked again to end. A stop
-// without a second round waited its whole time in 2 of 132 plays beside a load of
-// 24 busy processes on 8 cores.
-const shutdownRound = 500 * time.Millisecond
+// shutdownRetryInterval is the time after which Shutdown is called again. With a single call, a
+// stop on a machine with overloaded CPUs occasionally lasts until its deadline.
+const shutdownRetryInterval = 500 * time.Millisecond
 
-// shutdown stops the HTTP server. One call of Shutdown notifies only the HTTP/2
-// connections that are up at that moment, and waits for those that come up later,
-// though nothing is asked on them: it is called again until none is left.
+// shutdown stops the HTTP server. http.Server.Shutdown notifies only the HTTP/2 connections that
+// are established when it is called, but it also waits for connections that become established
+// later, even if they carry no request. Therefore shutdown calls it repeatedly until no connection
+// is left.
 func (s *Server) shutdown(ctx context.Context) error {
 	for {
-		round, cancel := context.WithTimeout(ctx, shutdownRound)
-		err := s.http.Shutdown(round)
+		attempt, cancel := context.WithTimeout(ctx, shutdownRetryInterval)
+		err := s.httpServer.Shutdown(attempt)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			return err
@@ -200,25 +200,25 @@
 	}
 }
 
-// Close cuts all connections and blocks until the server's goroutines have
-// ended. It may be called more than once.
+// Close closes all connections and waits for the goroutines of the server. It may be called more
+// than once.
 func (s *Server) Close() {
-	s.stop()
-	s.http.Close()
-	s.running.Wait()
+	s.stopSampling()
+	s.httpServer.Close()
+	s.goroutines.Wait()
 }
 
-// readBody reads a body within the limit. Errors are HTTP errors.
+// readBody reads a request body of at most maximumBodyBytes. Errors are HTTP errors.
 func readBody(c echo.Context) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, bodyLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maximumBodyBytes))
 	if err != nil {
 		return nil, echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
 	return body, nil
 }
 
-// decodeStrictly refuses unknown fields. Errors are HTTP errors.
-func decodeStrictly(body []byte, out any) error {
+// decodeStrict decodes JSON and rejects unknown fields. Errors are HTTP errors.
+func decodeStrict(body []byte, out any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(out); err != nil {
--- a/internal/rehearsal/leaf/statement.go
+++ b/internal/rehearsal/leaf/statement.go
@@ -8,29 +8,30 @@
 	"github.com/micaplank/micaplank/internal/selfhosted/language"
 )
 
-// statement is a select or an insert.
+// statement is a parsed select or insert statement.
 type statement struct {
 	text      string
 	selection *language.Select
 	insertion *language.Insert
 }
 
-var errNotRunnable = errors.New("a leaf runs only select and insert")
+var errUnsupportedStatement = errors.New("parse statement: a leaf supports only select and insert")
 
-// rememberedStatements bounds the statements that a parser remembers.
-const rememberedStatements = 1024
+// maximumCachedStatements limits the cached statements of a parser. The cache is cleared when it is
+// full.
+const maximumCachedStatements = 1024
 
-// parser parses statements and remembers them.
-type parser struct {
+// statementParser parses statements and caches the results.
+type statementParser struct {
 	mutex sync.Mutex
-	known map[string]statement
+	cache map[string]statement
 }
 
-func (p *parser) parse(text string) (statement, error) {
+func (p *statementParser) parse(text string) (statement, error) {
 	p.mutex.Lock()
-	parsed, known := p.known[text]
+	parsed, cached := p.cache[text]
 	p.mutex.Unlock()
-	if known {
+	if cached {
 		return parsed, nil
 	}
 	parsed, err := parseStatement(text)
@@ -39,15 +40,15 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.known == nil || len(p.known) >= rememberedStatements {
-		p.known = make(map[string]statement)
+	if p.cache == nil || len(p.cache) >= maximumCachedStatements {
+		p.cache = make(map[string]statement)
 	}
-	p.known[text] = parsed
+	p.cache[text] = parsed
 	return parsed, nil
 }
 
 func parseStatement(text string) (statement, error) {
-	parsed, err := language.ParseOne(text)
+	parsed, err := language.ParseStatement(text)
 	if err != nil {
 		return statement{}, err
 	}
@@ -57,12 +58,12 @@
 	case *language.Insert:
 		return statement{text: text, insertion: parsed}, nil
 	default:
-		return statement{}, errNotRunnable
+		return statement{}, errUnsupportedStatement
 	}
 }
 
-// inserts returns the rows to insert, none for a select.
-func (s statement) inserts(service string, version uint64) []rows.Row {
+// insertedRows returns the rows of an insert statement, or none for a select statement.
+func (s statement) insertedRows(service string, version uint64) []rows.Row {
 	if s.insertion == nil {
 		return nil
 	}
@@ -71,6 +72,6 @@
 	for i, column := range columns {
 		row[i], _ = s.insertion.Value(column)
 	}
-	row[len(row)-1] = rows.NumberOf(float64(version)) // the column version is the last
+	row[len(row)-1] = rows.NewNumber(float64(version)) // version is the last column
 	return []rows.Row{row}
 }
--- a/internal/rehearsal/load/run.go
+++ b/internal/rehearsal/load/run.go
@@ -11,28 +11,29 @@
 	"time"
 )
 
-// call is one request that is due.
-type call struct {
-	class    int
-	target   string
-	body     string // the statement
-	due      time.Time
-	measured bool
+// scheduledRequest is a request with its due time.
+type scheduledRequest struct {
+	class     int
+	target    string
+	statement string
+	due       time.Time
+	// afterWarmUp is set if the request is due after the warm-up, so that it counts in the result.
+	afterWarmUp bool
 }
 
-// answer is what came of a call.
-type answer struct {
-	call
-	// latency counts from when the call was due, service from when it was
+// requestResult is the result of a scheduled request.
+type requestResult struct {
+	scheduledRequest
+	// latency counts from the due time, and serviceTime from the time at which the request was
 	// sent.
-	latency, service time.Duration
-	received
+	latency, serviceTime time.Duration
+	reply
 }
 
-// Run sends the load and blocks until every request has ended, at most the
-// duration and the timeout. If the context ends first it stops sending, waits
-// for what is in flight and returns what was measured so far, with the
-// context's error. Progress gets a line each second; nil means none.
+// Run sends the load and blocks until every request has completed, which takes at most the duration
+// plus the timeout of the requests in flight. If ctx ends first, Run stops sending, waits for the
+// requests in flight and returns the result so far with the error of ctx. Run writes a line to
+// progress every second unless progress is nil.
 func Run(ctx context.Context, config Config, progress io.Writer) (Result, error) {
 	if err := config.Validate(); err != nil {
 		return Result{}, err
@@ -40,14 +41,14 @@
 	client := newClient(&config)
 	defer client.CloseIdleConnections()
 	collector := newCollector(&config, progress)
-	answers := make(chan answer, config.MaximumInFlight)
+	results := make(chan requestResult, config.MaximumInFlight)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		collector.run(answers)
+		collector.run(results)
 	}()
-	err := send(ctx, &config, client, answers)
-	close(answers)
+	err := sendScheduled(ctx, &config, client, results)
+	close(results)
 	<-done
 	return collector.result(), err
 }
@@ -61,12 +62,12 @@
 	return &http.Client{Transport: transport, Timeout: time.Duration(config.Timeout)}
 }
 
-// send starts each request when it is due, or as soon after as the bound on
-// requests in flight allows, and waits for the last one.
-func send(ctx context.Context, config *Config, client *http.Client, answers chan<- answer) error {
+// sendScheduled sends each request when it is due, or as soon afterwards as the limit on requests
+// in flight allows, and waits until all have completed.
+func sendScheduled(ctx context.Context, config *Config, client *http.Client, results chan<- requestResult) error {
 	var running sync.WaitGroup
 	defer running.Wait()
-	room := make(chan struct{}, config.MaximumInFlight)
+	inFlight := make(chan struct{}, config.MaximumInFlight)
 	schedule := newSchedule(config, time.Now())
 	for {
 		next, ok := schedule.next()
@@ -77,18 +78,18 @@
 			return err
 		}
 		select {
-		case room <- struct{}{}:
+		case inFlight <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		running.Go(func() {
-			answers <- perform(config, client, next)
-			<-room
+			results <- sendRequest(config, client, next)
+			<-inFlight
 		})
 	}
 }
 
-// waitUntil blocks until a moment, or until the context ends.
+// waitUntil blocks until the moment. It returns the error of ctx if ctx ends first.
 func waitUntil(ctx context.Context, moment time.Time) error {
 	left := time.Until(moment)
 	if left <= 0 {
@@ -104,47 +105,48 @@
 	}
 }
 
-// schedule draws the calls of a run, one after another.
+// schedule generates the requests of a run in order of their due times.
 type schedule struct {
-	config *Config
-	random *rand.Rand
-	start  time.Time
-	offset time.Duration
-	count  int
-	shares float64
+	config     *Config
+	random     *rand.Rand
+	start      time.Time
+	offset     time.Duration
+	count      int
+	totalShare float64
 }
 
 func newSchedule(config *Config, start time.Time) *schedule {
 	s := &schedule{config: config, random: rand.New(rand.NewPCG(config.Seed, 1)), start: start}
 	for _, class := range config.Classes {
-		s.shares += class.Share
+		s.totalShare += class.Share
 	}
 	return s
 }
 
-// next returns the next call, or false at the end of the run.
-func (s *schedule) next() (call, bool) {
+// next returns the next request, or false at the end of the run.
+func (s *schedule) next() (scheduledRequest, bool) {
 	gap := 1 / s.config.Rate
 	if !s.config.Even {
 		gap *= s.random.ExpFloat64()
 	}
 	s.offset += time.Duration(gap * float64(time.Second))
 	if s.offset > time.Duration(s.config.Duration) || s.count >= s.config.MaximumRequests {
-		return call{}, false
+		return scheduledRequest{}, false
 	}
 	s.count++
 	class := s.drawClass()
-	return call{
-		class:    class,
-		target:   s.config.Targets[s.count%len(s.config.Targets)],
-		body:     s.statement(&s.config.Classes[class]),
-		due:      s.start.Add(s.offset),
-		measured: s.offset >= time.Duration(s.config.WarmUp),
+	return scheduledRequest{
+		class:       class,
+		target:      s.config.Targets[s.count%len(s.config.Targets)],
+		statement:   s.fillStatement(&s.config.Classes[class]),
+		due:         s.start.Add(s.offset),
+		afterWarmUp: s.offset >= time.Duration(s.config.WarmUp),
 	}, true
 }
 
+// drawClass returns the index of a random class, weighted by Share.
 func (s *schedule) drawClass() int {
-	drawn := s.random.Float64() * s.shares
+	drawn := s.random.Float64() * s.totalShare
 	for i, class := range s.config.Classes {
 		drawn -= class.Share
 		if drawn < 0 {
@@ -154,8 +156,8 @@
 	return len(s.config.Classes) - 1
 }
 
-// statement fills the places of a class's statement.
-func (s *schedule) statement(class *Class) string {
+// fillStatement replaces the placeholders in the statement of a class.
+func (s *schedule) fillStatement(class *Class) string {
 	value := ""
 	if len(class.Values) > 0 {
 		value = class.Values[s.random.IntN(len(class.Values))]
--- a/internal/rehearsal/store/database.go
+++ b/internal/rehearsal/store/database.go
@@ -11,33 +11,35 @@
 var (
 	errCompacted      = errors.New("etcdserver: mvcc: required revision has been compacted")
 	errFutureRevision = errors.New("etcdserver: mvcc: required revision is a future revision")
-	errNoKey          = errors.New("etcdserver: key is not provided")
-	errPastRead       = errors.New("reads at a past revision are not served by the stand-in")
-	errUnknownTarget  = errors.New("unknown target or result of a compare")
+	errEmptyKey       = errors.New("etcdserver: key is not provided")
+	errHistoricalRead = errors.New("range: reads at a past revision are not supported by the fake store")
+	errInvalidCompare = errors.New("txn: unknown target or result in a compare")
 )
 
-// Identities as large as real ones: they do not fit a signed integer.
+// The IDs exceed the range of int64, as those of a real etcd cluster may, so that clients that
+// parse them as signed integers fail.
 const (
 	clusterID = "14841639068965178418"
 	memberID  = "10276657743932975437"
 )
 
-// database is a multi-version key-value map: every write gets the next
-// revision of the whole store, and the history of writes is kept for watches
-// until it is compacted. It is not safe for concurrent use.
+// database is a multi-version key-value map. Every write request gets the next revision of the
+// whole store, and the events of past writes are kept for watches until they are compacted. It is
+// not safe for concurrent use.
 type database struct {
 	revision int64
 	entries  map[string]wire.KeyValue
-	// history holds the changes of the revisions after compacted, in order.
-	history   []change
+	// events holds the events of all revisions after compacted, in order of revision.
+	events    []revisionEvent
 	compacted int64
 
-	// ignoreCompares is set by tests of the tests only.
+	// ignoreCompares makes every compare of a transaction succeed. It is set only by tests that
+	// verify that the linearizability check detects such a store.
 	ignoreCompares bool
 }
 
-// change is what one revision did to one key.
-type change struct {
+// revisionEvent is the event that one revision caused for one key.
+type revisionEvent struct {
 	revision int64
 	event    wire.Event
 }
@@ -50,8 +52,8 @@
 	return &wire.ResponseHeader{ClusterID: clusterID, MemberID: memberID, Revision: wire.Integer(d.revision)}
 }
 
-// inRange follows the store's convention: no end means one key, and the end
-// "\x00" means all keys from key on.
+// inRange reports whether the candidate is in a range of the etcd API. An empty end selects the
+// single key, and the end "\x00" selects all keys from key on.
 func inRange(candidate string, key, end []byte) bool {
 	if len(end) == 0 {
 		return candidate == string(key)
@@ -62,9 +64,10 @@
 	return (len(end) == 1 && end[0] == 0) || candidate < string(end)
 }
 
-func (d *database) keysIn(key, end []byte) []string {
+// matchingKeys returns the existing keys of a range in sorted order.
+func (d *database) matchingKeys(key, end []byte) []string {
 	if len(end) == 0 {
-		if _, found := d.entries[string(key)]; found {
+		if _, exists := d.entries[string(key)]; exists {
 			return []string{string(key)}
 		}
 		return nil
@@ -79,16 +82,18 @@
 	return keys
 }
 
-func (d *database) read(request *wire.RangeRequest) (*wire.RangeResponse, error) {
+// readRange executes a range request at the current revision. It rejects past revisions because the
+// database keeps only the latest value of each key.
+func (d *database) readRange(request *wire.RangeRequest) (*wire.RangeResponse, error) {
 	switch revision := int64(request.Revision); {
 	case len(request.Key) == 0:
-		return nil, errNoKey
+		return nil, errEmptyKey
 	case revision > d.revision:
 		return nil, errFutureRevision
 	case revision > 0 && revision < d.revision:
-		return nil, errPastRead
+		return nil, errHistoricalRead
 	}
-	keys := d.keysIn(request.Key, request.RangeEnd)
+	keys := d.matchingKeys(request.Key, request.RangeEnd)
 	response := &wire.RangeResponse{Header: d.header(), Count: wire.Integer(len(keys))}
 	if request.CountOnly {
 		return response, nil
@@ -107,40 +112,40 @@
 	return response, nil
 }
 
-// put writes a key at the given revision.
+// put sets a key at the given revision.
 func (d *database) put(request *wire.PutRequest, revision int64) error {
 	if len(request.Key) == 0 {
-		return errNoKey
+		return errEmptyKey
 	}
 	key := string(request.Key)
-	entry, found := d.entries[key]
-	if !found {
+	entry, exists := d.entries[key]
+	if !exists {
 		entry = wire.KeyValue{Key: slices.Clone(request.Key), CreateRevision: wire.Integer(revision)}
 	}
 	entry.ModRevision = wire.Integer(revision)
 	entry.Version++
 	entry.Value = slices.Clone(request.Value)
 	d.entries[key] = entry
-	d.record(change{revision: revision, event: wire.Event{KeyValue: entry}})
+	d.appendEvent(revisionEvent{revision: revision, event: wire.Event{KeyValue: entry}})
 	return nil
 }
 
-// remove deletes the given keys at the given revision.
-func (d *database) remove(keys []string, revision int64) {
+// deleteKeys deletes the keys at the given revision.
+func (d *database) deleteKeys(keys []string, revision int64) {
 	for _, key := range keys {
 		entry := d.entries[key]
 		delete(d.entries, key)
 		tombstone := wire.KeyValue{Key: entry.Key, ModRevision: wire.Integer(revision)}
-		d.record(change{revision: revision, event: wire.Event{Type: wire.EventDelete, KeyValue: tombstone}})
+		d.appendEvent(revisionEvent{revision: revision, event: wire.Event{Type: wire.EventDelete, KeyValue: tombstone}})
 	}
 }
 
-func (d *database) record(change change) {
-	d.revision = change.revision
-	d.history = append(d.history, change)
+func (d *database) appendEvent(event revisionEvent) {
+	d.revision = event.revision
+	d.events = append(d.events, event)
 }
 
-// compact drops the history up to and including revision.
+// compact drops the events up to and including the revision.
 func (d *database) compact(revision int64) error {
 	switch {
 	case revision > d.revision:
@@ -148,22 +153,22 @@
 	case revision <= d.compacted:
 		return errCompacted
 	}
-	kept := sort.Search(len(d.history), func(index int) bool { return d.history[index].revision > revision })
-	d.history = slices.Clone(d.history[kept:])
+	firstKept := sort.Search(len(d.events), func(index int) bool { return d.events[index].revision > revision })
+	d.events = slices.Clone(d.events[firstKept:])
 	d.compacted = revision
 	return nil
 }
 
-// since returns the changes of the range from the given revision on.
-func (d *database) since(revision int64, key, end []byte) ([]wire.Event, error) {
+// eventsSince returns the events of a range from the given revision on.
+func (d *database) eventsSince(revision int64, key, end []byte) ([]wire.Event, error) {
 	if revision <= d.compacted {
 		return nil, errCompacted
 	}
-	first := sort.Search(len(d.history), func(index int) bool { return d.history[index].revision >= revision })
+	first := sort.Search(len(d.events), func(index int) bool { return d.events[index].revision >= revision })
 	var events []wire.Event
-	for _, change := range d.history[first:] {
-		if inRange(string(change.event.KeyValue.Key), key, end) {
-			events = append(events, change.event)
+	for _, recorded := range d.events[first:] {
+		if inRange(string(recorded.event.KeyValue.Key), key, end) {
+			events = append(events, recorded.event)
 		}
 	}
 	return events, nil
--- a/internal/rehearsal/store/server_test.go
+++ b/internal/rehearsal/store/server_test.go
@@ -11,22 +11,23 @@
 
 	"go.uber.org/goleak"
 
-	standin "github.com/micaplank/micaplank/internal/rehearsal/store"
+	fakestore "github.com/micaplank/micaplank/internal/rehearsal/store"
 	"github.com/micaplank/micaplank/internal/selfhosted/store"
 	"github.com/micaplank/micaplank/internal/settings"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start runs a stand-in and a client without a rate limit.
-func start(t *testing.T, change func(*standin.Config, *store.Config)) (*standin.Server, *store.Client) {
+// startStoreAndClient starts a fake store and a client without a rate limit. The change function
+// may alter their configurations.
+func startStoreAndClient(t *testing.T, change func(*fakestore.Config, *store.Config)) (*fakestore.Server, *store.Client) {
 	t.Helper()
-	serverConfig := standin.Config{Address: "127.0.0.1:0"}
+	serverConfig := fakestore.Config{Address: "127.0.0.1:0"}
 	clientConfig := store.Config{Timeout: 5 * time.Second}
 	if change != nil {
 		change(&serverConfig, &clientConfig)
 	}
-	server, err := standin.Start(serverConfig, slog.New(slog.DiscardHandler))
+	server, err := fakestore.Start(serverConfig, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,16 +35,16 @@
 	return server, connectWith(t, server, clientConfig)
 }
 
-// connect makes another client of a stand-in.
-func connect(t *testing.T, server *standin.Server, timeout time.Duration) *store.Client {
+// connect returns another client of the store.
+func connect(t *testing.T, server *fakestore.Server, timeout time.Duration) *store.Client {
 	t.Helper()
 	return connectWith(t, server, store.Config{Timeout: timeout})
 }
 
-func connectWith(t *testing.T, server *standin.Server, clientConfig store.Config) *store.Client {
+func connectWith(t *testing.T, server *fakestore.Server, clientConfig store.Config) *store.Client {
 	t.Helper()
 	clientConfig.Endpoints = append(clientConfig.Endpoints, netip.MustParseAddrPort(server.Address()))
-	client, err := store.New(clientConfig, nil)
+	client, err := store.NewClient(clientConfig, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,40 +52,40 @@
 	return client
 }
 
-func TestCreateIfAbsentReturnsTheWinner(t *testing.T) {
-	_, client := start(t, nil)
+func TestCreateIfAbsentReturnsExistingEntry(t *testing.T) {
+	_, client := startStoreAndClient(t, nil)
 	ctx := context.Background()
 	first, err := client.CreateIfAbsent(ctx, "/a", []byte("one"))
 	if err != nil || !first.Created {
-		t.Fatalf("first create: %+v, %v", first, err)
+		t.Fatalf("first create: got %+v, error %v, want created", first, err)
 	}
 	second, err := client.CreateIfAbsent(ctx, "/a", []byte("two"))
 	if err != nil || second.Created || string(second.Existing.Value) != "one" {
-		t.Fatalf("second create: %+v, %v", second, err)
+		t.Fatalf("second create: got %+v, error %v, want the existing value \"one\"", second, err)
 	}
 	if second.Existing.ModRevision != first.StoreRevision {
-		t.Fatalf("mod revision %d, created at %d", second.Existing.ModRevision, first.StoreRevision)
+		t.Fatalf("second create: got mod revision %d, want %d, the revision of the first create", second.Existing.ModRevision, first.StoreRevision)
 	}
 }
 
-func TestLostReplyMayHaveBeenApplied(t *testing.T) {
-	server, client := start(t, nil)
-	server.SetFaults(standin.Faults{LoseReplies: 1})
+func TestLostReplyIsReportedAsMaybeApplied(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
+	server.SetFaults(fakestore.Faults{LoseReplies: 1})
 	ctx := context.Background()
 	_, err := client.CreateIfAbsent(ctx, "/a", []byte("one"))
-	if store.KindOf(err) != store.KindReplyLost || !store.MaybeApplied(err) {
-		t.Fatalf("expected a lost reply, got %v", err)
+	if store.ErrorKind(err) != store.KindReplyLost || !store.MaybeApplied(err) {
+		t.Fatalf("create: got error %v, want a lost reply that may have been applied", err)
 	}
-	found, err := client.Range(ctx, "/a", "", 0)
-	if err != nil || len(found.Entries) != 1 || found.Entries[0].Version != 1 {
-		t.Fatalf("expected the write once: %+v, %v", found, err)
+	result, err := client.Range(ctx, "/a", "", 0)
+	if err != nil || len(result.Entries) != 1 || result.Entries[0].Version != 1 {
+		t.Fatalf("range \"/a\": got %+v, error %v, want one entry at version 1", result, err)
 	}
 }
 
-// control posts a request and returns the status.
-func control(t *testing.T, server *standin.Server, body string) int {
+// postControl posts a control request and returns the status of the response.
+func postControl(t *testing.T, server *fakestore.Server, body string) int {
 	t.Helper()
-	reply, err := http.Post("http://"+server.Address()+standin.ControlPath, "application/json", strings.NewReader(body))
+	reply, err := http.Post("http://"+server.Address()+fakestore.ControlPath, "application/json", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,74 +94,75 @@
 	return reply.StatusCode
 }
 
-func TestRefusedConnectionsHaveNoEffectAndEnd(t *testing.T) {
-	server, client := start(t, nil)
+func TestRefuseForRejectsCallsThenKeepsData(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
 	ctx := context.Background()
 	if _, err := client.CreateIfAbsent(ctx, "/before", nil); err != nil {
 		t.Fatal(err)
 	}
-	if status := control(t, server, `{"refuse_for": "200ms"}`); status != http.StatusOK {
-		t.Fatalf("status %d", status)
+	if status := postControl(t, server, `{"refuse_for": "200ms"}`); status != http.StatusOK {
+		t.Fatalf("control: got status %d, want %d", status, http.StatusOK)
 	}
 	refused := 0
 	for {
 		result, err := client.CreateIfAbsent(ctx, "/after", nil)
-		if store.KindOf(err) == store.KindUnreachable && !store.MaybeApplied(err) {
+		if store.ErrorKind(err) == store.KindUnreachable && !store.MaybeApplied(err) {
 			refused++
 			continue
 		}
 		if err == nil {
 			break
 		}
-		if store.KindOf(err) != store.KindReplyLost {
-			t.Fatalf("unexpected: %+v, %v", result, err)
+		if store.ErrorKind(err) != store.KindReplyLost {
+			t.Fatalf("create: got %+v, error %v, want an unreachable store or a lost reply", result, err)
 		}
 	}
-	if found, err := client.Range(ctx, "/before", "", 0); err != nil || len(found.Entries) != 1 || refused == 0 {
-		t.Fatalf("refused %d calls; then %+v, %v", refused, found, err)
+	if kept, err := client.Range(ctx, "/before", "", 0); err != nil || len(kept.Entries) != 1 || refused == 0 {
+		t.Fatalf("got %d refused calls, then range %+v, error %v, want at least 1 refused call and one entry", refused, kept, err)
 	}
 }
 
-// TestCallBeforeTheConnectionsEndHasNoEffect comes after the order to refuse
-// connections, through one that is still open.
-func TestCallBeforeTheConnectionsEndHasNoEffect(t *testing.T) {
-	server, client := start(t, nil)
+// TestCallOnOpenConnectionWhileRefusingHasNoEffect sends a call on a connection that is still open
+// after the request to refuse connections. The store must not execute the call.
+func TestCallOnOpenConnectionWhileRefusingHasNoEffect(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
 	ctx := context.Background()
 	if _, err := client.CreateIfAbsent(ctx, "/before", nil); err != nil {
 		t.Fatal(err)
 	}
 	revision := server.Report().Revision
-	server.BeginRefusal()
+	server.StartRefusing()
 	if _, err := client.CreateIfAbsent(ctx, "/after", nil); err == nil || server.Report().Revision != revision {
-		t.Errorf("%v, revision %d after %d", err, server.Report().Revision, revision)
+		t.Errorf("create while refusing: got error %v at revision %d, want an error and revision %d", err, server.Report().Revision, revision)
 	}
 }
 
-func TestControlRefusesUnknownFields(t *testing.T) {
-	server, _ := start(t, nil)
+func TestControlRejectsInvalidBodies(t *testing.T) {
+	server, _ := startStoreAndClient(t, nil)
 	for _, body := range []string{`{"outage": "hang"}`, `{"faults": {"delay": 3}}`, `nonsense`} {
-		if status := control(t, server, body); status != http.StatusBadRequest {
-			t.Errorf("%s: status %d", body, status)
+		if status := postControl(t, server, body); status != http.StatusBadRequest {
+			t.Errorf("control %s: got status %d, want %d", body, status, http.StatusBadRequest)
 		}
 	}
 }
 
-func TestFaultsAreTyped(t *testing.T) {
+func TestFaultsMapToErrorKinds(t *testing.T) {
 	cases := map[string]struct {
-		faults       standin.Faults
+		faults       fakestore.Faults
 		kind         store.Kind
 		maybeApplied bool
 	}{
-		"unavailable": {standin.Faults{Outage: standin.OutageUnavailable}, store.KindUnavailable, true},
-		"closed":      {standin.Faults{Outage: standin.OutageClose}, store.KindReplyLost, true},
-		"hanging":     {standin.Faults{Outage: standin.OutageHang}, store.KindTimeout, true},
-		"slow":        {standin.Faults{Delay: settings.Duration(time.Minute)}, store.KindTimeout, true},
-		"limited":     {standin.Faults{RatePerSecond: 1e-9, Burst: 1}, store.KindRateLimited, false},
+		"unavailable": {fakestore.Faults{Outage: fakestore.OutageUnavailable}, store.KindUnavailable, true},
+		"closed":      {fakestore.Faults{Outage: fakestore.OutageClose}, store.KindReplyLost, true},
+		"hanging":     {fakestore.Faults{Outage: fakestore.OutageHang}, store.KindTimeout, true},
+		"slow":        {fakestore.Faults{Delay: settings.Duration(time.Minute)}, store.KindTimeout, true},
+		"limited":     {fakestore.Faults{RatePerSecond: 1e-9, Burst: 1}, store.KindRateLimited, false},
 	}
 	for name, expected := range cases {
 		t.Run(name, func(t *testing.T) {
-			server, client := start(t, func(_ *standin.Config, config *store.Config) { config.Timeout = time.Second })
-			if _, err := client.Range(context.Background(), "/a", "", 0); err != nil { // opens the connection
+			server, client := startStoreAndClient(t, func(_ *fakestore.Config, config *store.Config) { config.Timeout = time.Second })
+			// The first call opens the connection.
+			if _, err := client.Range(context.Background(), "/a", "", 0); err != nil {
 				t.Fatal(err)
 			}
 			server.SetFaults(expected.faults)
@@ -168,15 +170,15 @@
 				_, _ = client.Range(context.Background(), "/a", "", 0)
 			}
 			_, err := client.CreateIfAbsent(context.Background(), "/a", nil)
-			if store.KindOf(err) != expected.kind || store.MaybeApplied(err) != expected.maybeApplied {
-				t.Fatalf("expected %s (may be applied: %v), got %v", expected.kind, expected.maybeApplied, err)
+			if store.ErrorKind(err) != expected.kind || store.MaybeApplied(err) != expected.maybeApplied {
+				t.Fatalf("create: want error kind %s (may be applied: %v), got %v", expected.kind, expected.maybeApplied, err)
 			}
 		})
 	}
 }
 
-func TestWatchDeliversEveryChangeAndSaysWhenCompacted(t *testing.T) {
-	server, client := start(t, nil)
+func TestWatchDeliversEventsAndReportsCompaction(t *testing.T) {
+	server, client := startStoreAndClient(t, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	created, err := client.CreateIfAbsent(ctx, "/a/1", []byte("one"))
@@ -198,18 +200,18 @@
 		key  string
 	}{{store.WatchPut, "/a/1"}, {store.WatchPut, "/a/2"}, {store.WatchDelete, "/a/1"}} {
 		if event := <-events; event.Kind != expected.kind || event.Entry.Key != expected.key {
-			t.Fatalf("expected %+v, got %+v", expected, event)
+			t.Fatalf("watch: want %+v, got %+v", expected, event)
 		}
 	}
-	server.Control(standin.ControlRequest{CompactNow: true, BreakWatches: true})
-	if event := <-events; store.KindOf(event.Err) != store.KindReplyLost {
-		t.Fatalf("expected the stream to break, got %+v", event)
+	server.Control(fakestore.ControlRequest{CompactNow: true, BreakWatches: true})
+	if event := <-events; store.ErrorKind(event.Err) != store.KindReplyLost {
+		t.Fatalf("watch: got %+v, want a lost reply because the connection was closed", event)
 	}
-	old, err := client.Watch(ctx, "/a/", store.PrefixEnd("/a/"), 1)
+	compactedEvents, err := client.Watch(ctx, "/a/", store.PrefixEnd("/a/"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if event := <-old; store.KindOf(event.Err) != store.KindCompacted {
-		t.Fatalf("expected a compacted watch, got %+v", event)
+	if event := <-compactedEvents; store.ErrorKind(event.Err) != store.KindCompacted {
+		t.Fatalf("watch from revision 1: got %+v, want a compacted error", event)
 	}
 }
--- a/internal/rows/value.go
+++ b/internal/rows/value.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// NumberOf returns a number value.
-func NumberOf(number float64) Value { return Value{Kind: Number, Number: number} }
+// NewNumber returns a number value.
+func NewNumber(number float64) Value { return Value{Kind: Number, Number: number} }
 
-// TextOf returns a text value.
-func TextOf(text string) Value { return Value{Kind: Text, Text: text} }
+// NewText returns a text value.
+func NewText(text string) Value { return Value{Kind: Text, Text: text} }
 
 // IsNull reports whether the value is null.
 func (v Value) IsNull() bool { return v.Kind == Null }
--- a/internal/selfhosted/dissemination/held_at_test.go
+++ b/internal/selfhosted/dissemination/held_at_test.go
@@ -8,9 +8,9 @@
 	"github.com/micaplank/micaplank/internal/catalog"
 )
 
-// TestHeldAt checks that HeldAt counts each voter once and ignores responses that prove nothing:
-// those with an older revision, of a predecessor, or of a voter that has not registered this
-// process.
+// TestHeldAt checks that MajorityHeldAt counts each voter once and ignores responses that prove
+// nothing: those with an older revision, of a predecessor, or of a voter that has not registered
+// this process.
 func TestHeldAt(t *testing.T) {
 	const now, early, late = 10 * time.Second, time.Second, 9 * time.Second
 	responseSentAt := func(at Time) voterResponse {
@@ -58,7 +58,7 @@
 				state.latest = got
 			}
 		}
-		at, held := core.HeldAt(now, 3)
+		at, held := core.MajorityHeldAt(now, 3)
 		if at != test.at || held != test.held {
 			t.Errorf("%s: got held %v at %v, want held %v at %v", test.name, held, at, test.held, test.at)
 		}
--- a/internal/selfhosted/gateway/gateway.go
+++ b/internal/selfhosted/gateway/gateway.go
@@ -44,13 +44,13 @@
 	// Metrics handles GET /metrics.
 	Metrics http.Handler
 	Logger  *slog.Logger
-	// BodyBytes is the maximum size of a request body.
-	BodyBytes int64
+	// MaxBodyBytes is the maximum size of a request body.
+	MaxBodyBytes int64
 	// BodyTimeout is the maximum time for a request body to arrive. 0 means
 	// DefaultBodyTimeout.
 	BodyTimeout time.Duration
-	// Ready returns nil if the node accepts requests now, and otherwise the reason.
-	Ready func() error
+	// CheckReady returns nil if the node accepts requests now, and otherwise the reason.
+	CheckReady func() error
 }
 
 // DefaultBodyTimeout is the default of Config.BodyTimeout.
@@ -103,11 +103,11 @@
 	g.draining.Store(true)
 }
 
-// limitBody limits the size of request bodies to Config.BodyBytes.
+// limitBody limits the size of request bodies to Config.MaxBodyBytes.
 func (g *Gateway) limitBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		request := c.Request()
-		request.Body = http.MaxBytesReader(c.Response(), request.Body, g.config.BodyBytes)
+		request.Body = http.MaxBytesReader(c.Response(), request.Body, g.config.MaxBodyBytes)
 		return next(c)
 	}
 }
@@ -141,7 +141,7 @@
 	if g.draining.Load() {
 		return c.String(http.StatusServiceUnavailable, "draining\n")
 	}
-	if err := g.config.Ready(); err != nil {
+	if err := g.config.CheckReady(); err != nil {
 		return c.String(http.StatusServiceUnavailable, err.Error()+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
--- a/internal/selfhosted/machines/list.go
+++ b/internal/selfhosted/machines/list.go
@@ -41,8 +41,9 @@
 	BootID string `json:"boot_id,omitempty"`
 }
 
-// Check returns an error if the entry has an invalid address, an unknown kind or an unknown state.
-func (m Machine) Check() error {
+// Validate returns an error if the entry has an invalid address, an unknown kind or an unknown
+// state.
+func (m Machine) Validate() error {
 	switch {
 	case !m.Address.IsValid() || m.Address.Port() == 0:
 		return fmt.Errorf("machine %q: expected an IP address with a port", m.Address)
@@ -62,10 +63,10 @@
 	Machines             []Machine `json:"machines"`
 }
 
-// Check returns the error of the first invalid entry.
-func (l List) Check() error {
+// Validate returns the error of the first invalid entry.
+func (l List) Validate() error {
 	for _, machine := range l.Machines {
-		if err := machine.Check(); err != nil {
+		if err := machine.Validate(); err != nil {
 			return err
 		}
 	}
--- a/internal/selfhosted/store/errors.go
+++ b/internal/selfhosted/store/errors.go
@@ -85,8 +85,8 @@
 	return true
 }
 
-// KindOf returns the kind of a failed call, or "" if err is not from this package.
-func KindOf(err error) Kind {
+// ErrorKind returns the kind of a failed call, or "" if err is not from this package.
+func ErrorKind(err error) Kind {
 	var failure *Error
 	if errors.As(err, &failure) {
 		return failure.Kind
--- a/internal/selfhosted/topology/topology.go
+++ b/internal/selfhosted/topology/topology.go
@@ -58,7 +58,7 @@
 	leaving     *leavingMark
 }
 
-// Table combines the sources. Create it with New; the zero value is not usable.
+// Table combines the sources. Create it with NewTable; the zero value is not usable.
 type Table struct {
 	config         Config
 	catalog        *catalog.Catalog
@@ -66,8 +66,8 @@
 	pendingNotices []Notice
 }
 
-// New returns a Table with an empty catalog.
-func New(config Config) *Table {
+// NewTable returns a Table with an empty catalog.
+func NewTable(config Config) *Table {
 	return &Table{
 		config:     config,
 		catalog:    &catalog.Catalog{},
@@ -104,9 +104,9 @@
 	return slices.Compact(addresses)
 }
 
-// Report records a load report. A report with state draining marks the leaf as leaving. A report
-// with state serving never clears the mark of the same boot.
-func (t *Table) Report(now Time, address netip.AddrPort, report leaf.LoadReport) {
+// RecordReport records a load report. A report with state draining marks the leaf as leaving. A
+// report with state serving never clears the mark of the same boot.
+func (t *Table) RecordReport(now Time, address netip.AddrPort, report leaf.LoadReport) {
 	state := t.ensureState(address)
 	state.report = report
 	state.reportedAt = now
@@ -118,8 +118,8 @@
 	}
 }
 
-// ReportFailed counts a failed load poll.
-func (t *Table) ReportFailed(address netip.AddrPort) {
+// RecordPollFailure counts a failed load poll.
+func (t *Table) RecordPollFailure(address netip.AddrPort) {
 	t.ensureState(address).failedPolls++
 }
 
